--- a/affinity/src/main/java/weldpoint/affinity/Callers.java
+++ b/affinity/src/main/java/weldpoint/affinity/Callers.java
@@ -1,7 +1,7 @@
 package weldpoint.affinity;
 
 import java.util.List;
-import weldpoint.dialplan.Affinity;
+import weldpoint.routing.Affinity;
 
 /** By which name a caller is tied. */
 public final class Callers {
--- a/affinity/src/main/java/weldpoint/affinity/PlacementKeeper.java
+++ b/affinity/src/main/java/weldpoint/affinity/PlacementKeeper.java
@@ -9,12 +9,12 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
-import weldpoint.trunk.PlacementMessages;
-import weldpoint.trunk.PlacementMessages.Placement;
-import weldpoint.trunk.PlacementMessages.PlacementMember;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.StoreCallMessages;
-import weldpoint.trunk.Wire;
+import weldpoint.transport.PlacementMessages;
+import weldpoint.transport.PlacementMessages.Placement;
+import weldpoint.transport.PlacementMessages.PlacementMember;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.StoreCallMessages;
+import weldpoint.transport.Wire;
 
 /**
  * The exchange's side: one exchange at a time, named by a register, grants leases on placements and
--- a/affinity/src/main/java/weldpoint/affinity/Rendezvous.java
+++ b/affinity/src/main/java/weldpoint/affinity/Rendezvous.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.function.Predicate;
-import weldpoint.trunk.PlacementMessages.PlacementMember;
+import weldpoint.transport.PlacementMessages.PlacementMember;
 
 /**
  * Weighted rendezvous hashing: every member draws a number for a caller, and the highest wins. The
--- a/affinity/src/main/java/weldpoint/affinity/Ties.java
+++ b/affinity/src/main/java/weldpoint/affinity/Ties.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import weldpoint.trunk.PlacementMessages;
-import weldpoint.trunk.PlacementMessages.PlacementMember;
-import weldpoint.trunk.Protocol;
+import weldpoint.transport.PlacementMessages;
+import weldpoint.transport.PlacementMessages.PlacementMember;
+import weldpoint.transport.Protocol;
 
 /**
  * The switchboard's side: which node a caller belongs to in the placement held, whether a lease
--- a/affinity/src/test/java/weldpoint/affinity/AffinityTest.java
+++ b/affinity/src/test/java/weldpoint/affinity/AffinityTest.java
@@ -10,9 +10,9 @@
 import java.util.Map;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
-import weldpoint.dialplan.Affinity;
-import weldpoint.trunk.PlacementMessages;
-import weldpoint.trunk.PlacementMessages.PlacementMember;
+import weldpoint.routing.Affinity;
+import weldpoint.transport.PlacementMessages;
+import weldpoint.transport.PlacementMessages.PlacementMember;
 
 /**
  * Callers tied to nodes over cutover weekends: nodes and switchboards come, go, freeze and are cut
--- a/affinity/src/test/java/weldpoint/affinity/World.java
+++ b/affinity/src/test/java/weldpoint/affinity/World.java
@@ -11,10 +11,10 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
-import weldpoint.trunk.PlacementMessages;
-import weldpoint.trunk.PlacementMessages.Placement;
-import weldpoint.trunk.PlacementMessages.PlacementMember;
-import weldpoint.trunk.StoreCallMessages;
+import weldpoint.transport.PlacementMessages;
+import weldpoint.transport.PlacementMessages.Placement;
+import weldpoint.transport.PlacementMessages.PlacementMember;
+import weldpoint.transport.StoreCallMessages;
 
 /**
  * A busy morning on a fake clock: switchboards, two exchanges, one register store, nodes and
--- a/audit/src/main/java/weldpoint/audit/AuditEntry.java
+++ b/audit/src/main/java/weldpoint/audit/AuditEntry.java
@@ -5,7 +5,7 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 import java.util.List;
-import weldpoint.trunk.Wire;
+import weldpoint.transport.Wire;
 
 /**
  * One decided change of routing. Its bytes are made once, by the daemon that proposed it, and never
--- a/audit/src/main/java/weldpoint/audit/AuditReplica.java
+++ b/audit/src/main/java/weldpoint/audit/AuditReplica.java
@@ -6,9 +6,9 @@
 import java.util.Random;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import weldpoint.trunk.AuditMessages;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.Protocol;
+import weldpoint.transport.AuditMessages;
+import weldpoint.transport.Message;
+import weldpoint.transport.Protocol;
 
 /**
  * Keeps one replica's log alike with the others': what is decided is pushed at once, and a random
--- a/audit/src/main/java/weldpoint/audit/Authors.java
+++ b/audit/src/main/java/weldpoint/audit/Authors.java
@@ -1,6 +1,6 @@
 package weldpoint.audit;
 
-import weldpoint.boot.Breakdown;
+import weldpoint.common.Breakdown;
 
 /** Names of authors: claims, not proofs. */
 public final class Authors {
--- a/audit/src/main/java/weldpoint/audit/ConfigurationDifference.java
+++ b/audit/src/main/java/weldpoint/audit/ConfigurationDifference.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import weldpoint.audit.ConfigurationSummary.Line;
-import weldpoint.trunk.Protocol;
+import weldpoint.transport.Protocol;
 
 /**
  * What one configuration changed against the one before it; routes that carry writes come first.
--- a/audit/src/main/java/weldpoint/audit/ConfigurationSummary.java
+++ b/audit/src/main/java/weldpoint/audit/ConfigurationSummary.java
@@ -2,8 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import weldpoint.dialplan.RouteKind;
-import weldpoint.dialplan.SpecDocument;
+import weldpoint.routing.RouteKind;
+import weldpoint.routing.SpecDocument;
 
 /** A configuration, route by route and service by service, as short texts that can be compared. */
 public final class ConfigurationSummary {
--- a/audit/src/test/java/weldpoint/audit/AuditTest.java
+++ b/audit/src/test/java/weldpoint/audit/AuditTest.java
@@ -20,9 +20,9 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import weldpoint.boot.Breakdown;
-import weldpoint.dialplan.Dialplan;
-import weldpoint.trunk.Message;
+import weldpoint.common.Breakdown;
+import weldpoint.routing.Dialplan;
+import weldpoint.transport.Message;
 
 /** Entries, logs, segments on disk, differences and authors. */
 public final class AuditTest {
--- a/announcer/src/main/java/weldpoint/announcer/AnnouncerCore.java
+++ b/cache/src/main/java/weldpoint/cache/AnnouncerCore.java
@@ -1,4 +1,4 @@
-package weldpoint.announcer;
+package weldpoint.cache;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,13 +7,13 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.IntSupplier;
-import weldpoint.dialplan.Binding;
-import weldpoint.dialplan.Dialplan;
-import weldpoint.dialplan.RouteKind;
-import weldpoint.trunk.CacheMessages;
-import weldpoint.trunk.CacheMessages.CopyAnswer;
-import weldpoint.trunk.CacheMessages.CopyAsk;
-import weldpoint.trunk.Protocol;
+import weldpoint.routing.Binding;
+import weldpoint.routing.Dialplan;
+import weldpoint.routing.RouteKind;
+import weldpoint.transport.CacheMessages;
+import weldpoint.transport.CacheMessages.CopyAnswer;
+import weldpoint.transport.CacheMessages.CopyAsk;
+import weldpoint.transport.Protocol;
 
 /**
  * The shared cache: one fetch per object at a time, copies no older than their route allows, and
--- a/announcer/src/main/java/weldpoint/announcer/AnnouncerDaemon.java
+++ b/cache/src/main/java/weldpoint/cache/AnnouncerDaemon.java
@@ -1,4 +1,4 @@
-package weldpoint.announcer;
+package weldpoint.cache;
 
 import com.google.common.flogger.FluentLogger;
 import io.netty.channel.EventLoopGroup;
@@ -9,23 +9,23 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import weldpoint.boot.Boot;
-import weldpoint.boot.Chance;
-import weldpoint.boot.Desk;
-import weldpoint.boot.Program;
-import weldpoint.dialplan.Dialplan;
+import weldpoint.common.Boot;
+import weldpoint.common.Chance;
+import weldpoint.common.Desk;
+import weldpoint.common.Program;
 import weldpoint.proxy.PermitPool;
 import weldpoint.proxy.RegistryLink;
 import weldpoint.proxy.Stream;
-import weldpoint.trunk.CacheMessages;
-import weldpoint.trunk.Line;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.PermitMessages;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.RegistryMessages;
-import weldpoint.trunk.TrialMessages;
-import weldpoint.trunk.Trunk;
-import weldpoint.trunk.Wire;
+import weldpoint.routing.Dialplan;
+import weldpoint.transport.CacheMessages;
+import weldpoint.transport.Line;
+import weldpoint.transport.Message;
+import weldpoint.transport.PermitMessages;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.RegistryMessages;
+import weldpoint.transport.TrialMessages;
+import weldpoint.transport.Trunk;
+import weldpoint.transport.Wire;
 import weldpoint.upstream.UpstreamPool;
 
 /** The shared cache as a process: copies and reads on one thread, control state on another. */
--- a/announcer/src/main/java/weldpoint/announcer/Reader.java
+++ b/cache/src/main/java/weldpoint/cache/Reader.java
@@ -1,4 +1,4 @@
-package weldpoint.announcer;
+package weldpoint.cache;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -16,13 +16,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.IntSupplier;
-import weldpoint.boot.Boot;
-import weldpoint.dialplan.Binding;
-import weldpoint.dialplan.Dialplan;
-import weldpoint.dialplan.Route;
+import weldpoint.common.Boot;
 import weldpoint.proxy.PermitPool;
 import weldpoint.ratelimit.RateLimit;
 import weldpoint.ratelimit.SlidingWindowCounter;
+import weldpoint.routing.Binding;
+import weldpoint.routing.Dialplan;
+import weldpoint.routing.Route;
 import weldpoint.upstream.AttemptOutcome;
 import weldpoint.upstream.Headers;
 import weldpoint.upstream.Upstream;
--- a/announcer/src/main/java/weldpoint/announcer/Shelf.java
+++ b/cache/src/main/java/weldpoint/cache/Shelf.java
@@ -1,4 +1,4 @@
-package weldpoint.announcer;
+package weldpoint.cache;
 
 import java.util.HashMap;
 import java.util.HashSet;
--- a/announcer/src/test/java/weldpoint/announcer/AnnouncerCoreTest.java
+++ b/cache/src/test/java/weldpoint/cache/AnnouncerCoreTest.java
@@ -1,4 +1,4 @@
-package weldpoint.announcer;
+package weldpoint.cache;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNotNull;
@@ -12,12 +12,12 @@
 import java.util.function.Consumer;
 import java.util.function.IntSupplier;
 import org.testng.annotations.Test;
-import weldpoint.dialplan.Binding;
-import weldpoint.dialplan.Dialplan;
-import weldpoint.trunk.CacheMessages;
-import weldpoint.trunk.CacheMessages.CopyAnswer;
-import weldpoint.trunk.CacheMessages.CopyAsk;
-import weldpoint.trunk.CacheMessages.Purge;
+import weldpoint.routing.Binding;
+import weldpoint.routing.Dialplan;
+import weldpoint.transport.CacheMessages;
+import weldpoint.transport.CacheMessages.CopyAnswer;
+import weldpoint.transport.CacheMessages.CopyAsk;
+import weldpoint.transport.CacheMessages.Purge;
 
 public class AnnouncerCoreTest {
   private static final long TTL = 10_000;
--- a/announcer/src/test/java/weldpoint/announcer/ReaderTest.java
+++ b/cache/src/test/java/weldpoint/cache/ReaderTest.java
@@ -1,4 +1,4 @@
-package weldpoint.announcer;
+package weldpoint.cache;
 
 import static org.testng.Assert.assertEquals;
 
@@ -18,11 +18,11 @@
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import weldpoint.boot.Boot;
-import weldpoint.dialplan.Binding;
-import weldpoint.dialplan.Dialplan;
+import weldpoint.common.Boot;
 import weldpoint.proxy.PermitPool;
-import weldpoint.trunk.RegistryMessages.Registration;
+import weldpoint.routing.Binding;
+import weldpoint.routing.Dialplan;
+import weldpoint.transport.RegistryMessages.Registration;
 import weldpoint.upstream.UpstreamPool;
 
 /** Reads for copies: no read goes to more upstreams than the route allows, whatever they do. */
--- a/console/src/main/java/weldpoint/console/Caller.java
+++ b/cli/src/main/java/weldpoint/cli/Caller.java
@@ -1,4 +1,4 @@
-package weldpoint.console;
+package weldpoint.cli;
 
 import java.io.IOException;
 import java.net.URI;
@@ -10,7 +10,7 @@
 import java.time.Duration;
 import java.util.List;
 import weldpoint.audit.Authors;
-import weldpoint.boot.Breakdown;
+import weldpoint.common.Breakdown;
 
 /** Calls the control interface of one of several exchanges: the first that gives a clear answer. */
 final class Caller {
--- a/console/src/main/java/weldpoint/console/Demo.java
+++ b/cli/src/main/java/weldpoint/cli/Demo.java
@@ -1,4 +1,4 @@
-package weldpoint.console;
+package weldpoint.cli;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
@@ -26,11 +26,11 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import weldpoint.boot.Boot;
-import weldpoint.boot.Breakdown;
-import weldpoint.frame.FrameDaemon;
+import weldpoint.common.Boot;
+import weldpoint.common.Breakdown;
 import weldpoint.proxy.ProxyDaemon;
 import weldpoint.registry.RegistryDaemon;
+import weldpoint.statestore.FrameDaemon;
 import weldpoint.upstream.Headers;
 
 /**
@@ -167,7 +167,7 @@
    * is held in the rehearsal.
    */
   int trial() throws IOException, InterruptedException {
-    final Boot boot = boot(20_000 + (int) (weldpoint.boot.Chance.fresh() % 20_000));
+    final Boot boot = boot(20_000 + (int) (weldpoint.common.Chance.fresh() % 20_000));
     new FrameDaemon(boot).start();
     new RegistryDaemon(boot).start();
     new ProxyDaemon(boot).start();
@@ -288,7 +288,7 @@
    * node after each.
    */
   int affinity() throws IOException, InterruptedException {
-    final Boot boot = boot(20_000 + (int) (weldpoint.boot.Chance.fresh() % 20_000));
+    final Boot boot = boot(20_000 + (int) (weldpoint.common.Chance.fresh() % 20_000));
     new FrameDaemon(boot).start();
     new RegistryDaemon(boot).start();
     new ProxyDaemon(boot).start();
--- a/console/src/main/java/weldpoint/console/RecordCommand.java
+++ b/cli/src/main/java/weldpoint/cli/RecordCommand.java
@@ -1,4 +1,4 @@
-package weldpoint.console;
+package weldpoint.cli;
 
 import java.io.IOException;
 import java.io.PrintStream;
@@ -13,12 +13,12 @@
 import joptsimple.OptionParser;
 import joptsimple.OptionSet;
 import joptsimple.OptionSpec;
-import weldpoint.boot.Breakdown;
+import weldpoint.common.Breakdown;
 import weldpoint.registry.Reels;
 import weldpoint.replay.DayFile;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.RegistryMessages;
-import weldpoint.trunk.Wire;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.RegistryMessages;
+import weldpoint.transport.Wire;
 
 /**
  * weldpoint record: has all switchboards record, and collects what they recorded into a file until
--- a/console/src/main/java/weldpoint/console/ReplayCommand.java
+++ b/cli/src/main/java/weldpoint/cli/ReplayCommand.java
@@ -1,4 +1,4 @@
-package weldpoint.console;
+package weldpoint.cli;
 
 import io.avaje.jsonb.Jsonb;
 import java.io.IOException;
@@ -10,13 +10,13 @@
 import joptsimple.OptionParser;
 import joptsimple.OptionSet;
 import joptsimple.OptionSpec;
-import weldpoint.boot.Boot;
-import weldpoint.boot.Breakdown;
-import weldpoint.dialplan.Dialplan;
+import weldpoint.common.Boot;
+import weldpoint.common.Breakdown;
 import weldpoint.replay.Replay;
 import weldpoint.replay.ReportDocument;
 import weldpoint.replay.Verdict;
-import weldpoint.trunk.Packing;
+import weldpoint.routing.Dialplan;
+import weldpoint.transport.Packing;
 
 /**
  * weldpoint replay: plays a recorded day through proposed settings; whatever it cannot judge ends
--- a/console/src/main/java/weldpoint/console/StatusCommand.java
+++ b/cli/src/main/java/weldpoint/cli/StatusCommand.java
@@ -1,4 +1,4 @@
-package weldpoint.console;
+package weldpoint.cli;
 
 import io.avaje.jsonb.JsonType;
 import io.avaje.jsonb.Jsonb;
@@ -7,7 +7,7 @@
 import joptsimple.OptionParser;
 import joptsimple.OptionSet;
 import joptsimple.OptionSpec;
-import weldpoint.boot.Breakdown;
+import weldpoint.common.Breakdown;
 import weldpoint.registry.Calls;
 
 /**
--- a/console/src/main/java/weldpoint/console/Weldpoint.java
+++ b/cli/src/main/java/weldpoint/cli/Weldpoint.java
@@ -1,4 +1,4 @@
-package weldpoint.console;
+package weldpoint.cli;
 
 import com.google.common.flogger.FluentLogger;
 import io.netty.util.internal.logging.InternalLoggerFactory;
@@ -12,18 +12,18 @@
 import joptsimple.OptionException;
 import joptsimple.OptionParser;
 import joptsimple.OptionSet;
-import weldpoint.announcer.AnnouncerDaemon;
-import weldpoint.boot.Boot;
-import weldpoint.boot.Breakdown;
-import weldpoint.boot.Chance;
-import weldpoint.boot.Logs;
-import weldpoint.boot.Program;
-import weldpoint.dialplan.Dialplan;
-import weldpoint.dialplan.HomeWarnings;
-import weldpoint.frame.FrameDaemon;
+import weldpoint.cache.AnnouncerDaemon;
+import weldpoint.common.Boot;
+import weldpoint.common.Breakdown;
+import weldpoint.common.Chance;
+import weldpoint.common.Logs;
+import weldpoint.common.Program;
 import weldpoint.proxy.ProxyDaemon;
 import weldpoint.registry.RegistryDaemon;
+import weldpoint.routing.Dialplan;
+import weldpoint.routing.HomeWarnings;
 import weldpoint.scale.ScaleCommand;
+import weldpoint.statestore.FrameDaemon;
 
 /** The command line. */
 public final class Weldpoint {
--- a/console/src/test/java/weldpoint/console/WeldpointTest.java
+++ b/cli/src/test/java/weldpoint/cli/WeldpointTest.java
@@ -1,4 +1,4 @@
-package weldpoint.console;
+package weldpoint.cli;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
--- a/console/src/test/java/weldpoint/scale/ScaleTest.java
+++ b/cli/src/test/java/weldpoint/scale/ScaleTest.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import weldpoint.boot.Breakdown;
+import weldpoint.common.Breakdown;
 
 /**
  * The fit of slopes against known data, refused sizes, and a tiny run of real and hollow processes
--- a/boot/src/main/java/weldpoint/boot/Breakdown.java
+++ b/common/src/main/java/weldpoint/common/Breakdown.java
@@ -1,4 +1,4 @@
-package weldpoint.boot;
+package weldpoint.common;
 
 /** A typed failure whose message names what was wrong and the remedy. */
 public final class Breakdown extends RuntimeException {
--- a/boot/src/main/java/weldpoint/boot/Chance.java
+++ b/common/src/main/java/weldpoint/common/Chance.java
@@ -1,4 +1,4 @@
-package weldpoint.boot;
+package weldpoint.common;
 
 import java.io.DataInputStream;
 import java.io.FileInputStream;
--- a/boot/src/main/java/weldpoint/boot/Invariant.java
+++ b/common/src/main/java/weldpoint/common/Invariant.java
@@ -1,4 +1,4 @@
-package weldpoint.boot;
+package weldpoint.common;
 
 import com.google.common.flogger.FluentLogger;
 import java.util.Map;
--- a/boot/src/main/java/weldpoint/boot/Logs.java
+++ b/common/src/main/java/weldpoint/common/Logs.java
@@ -1,4 +1,4 @@
-package weldpoint.boot;
+package weldpoint.common;
 
 import java.util.logging.ConsoleHandler;
 import java.util.logging.Formatter;
--- a/boot/src/main/java/weldpoint/boot/Rank.java
+++ b/common/src/main/java/weldpoint/common/Rank.java
@@ -1,4 +1,4 @@
-package weldpoint.boot;
+package weldpoint.common;
 
 /**
  * The rank of a place for a name in rendezvous hashing: the same in every process, and unrelated
--- a/boot/src/test/java/weldpoint/boot/BootTest.java
+++ b/common/src/test/java/weldpoint/common/BootTest.java
@@ -1,4 +1,4 @@
-package weldpoint.boot;
+package weldpoint.common;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertThrows;
--- a/idempotency/src/main/java/weldpoint/idempotency/ClaimCoordinator.java
+++ b/idempotency/src/main/java/weldpoint/idempotency/ClaimCoordinator.java
@@ -8,17 +8,17 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import weldpoint.boot.Invariant;
-import weldpoint.trunk.KeyMessages.Claim;
-import weldpoint.trunk.KeyMessages.ClaimAnswer;
-import weldpoint.trunk.KeyMessages.ClaimRelease;
-import weldpoint.trunk.KeyMessages.ClaimResult;
-import weldpoint.trunk.KeyMessages.Vote;
-import weldpoint.trunk.KeyMessages.VoteAnswer;
-import weldpoint.trunk.KeyMessages.VoteAsk;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.StateStoreMessages.Roster;
-import weldpoint.trunk.StateStoreMessages.Voter;
+import weldpoint.common.Invariant;
+import weldpoint.transport.KeyMessages.Claim;
+import weldpoint.transport.KeyMessages.ClaimAnswer;
+import weldpoint.transport.KeyMessages.ClaimRelease;
+import weldpoint.transport.KeyMessages.ClaimResult;
+import weldpoint.transport.KeyMessages.Vote;
+import weldpoint.transport.KeyMessages.VoteAnswer;
+import weldpoint.transport.KeyMessages.VoteAsk;
+import weldpoint.transport.Message;
+import weldpoint.transport.StateStoreMessages.Roster;
+import weldpoint.transport.StateStoreMessages.Voter;
 
 /**
  * Carries the claims of a registry's proxies to the voters and counts their votes. A claim is
--- a/idempotency/src/main/java/weldpoint/idempotency/ClaimTable.java
+++ b/idempotency/src/main/java/weldpoint/idempotency/ClaimTable.java
@@ -5,7 +5,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import weldpoint.trunk.KeyMessages.Claim;
+import weldpoint.transport.KeyMessages.Claim;
 
 /**
  * The claims that one voter remembers: a key belongs to the first claim that came until its span is
--- a/idempotency/src/test/java/weldpoint/idempotency/ClaimCoordinatorTest.java
+++ b/idempotency/src/test/java/weldpoint/idempotency/ClaimCoordinatorTest.java
@@ -5,14 +5,14 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.testng.annotations.Test;
-import weldpoint.trunk.KeyMessages.Claim;
-import weldpoint.trunk.KeyMessages.ClaimAnswer;
-import weldpoint.trunk.KeyMessages.ClaimResult;
-import weldpoint.trunk.KeyMessages.Vote;
-import weldpoint.trunk.KeyMessages.VoteAnswer;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.StateStoreMessages.Roster;
-import weldpoint.trunk.StateStoreMessages.Voter;
+import weldpoint.transport.KeyMessages.Claim;
+import weldpoint.transport.KeyMessages.ClaimAnswer;
+import weldpoint.transport.KeyMessages.ClaimResult;
+import weldpoint.transport.KeyMessages.Vote;
+import weldpoint.transport.KeyMessages.VoteAnswer;
+import weldpoint.transport.Message;
+import weldpoint.transport.StateStoreMessages.Roster;
+import weldpoint.transport.StateStoreMessages.Voter;
 
 /** Claims that are given back while their votes are under way. */
 public final class ClaimCoordinatorTest {
--- a/idempotency/src/test/java/weldpoint/idempotency/ClaimTableTest.java
+++ b/idempotency/src/test/java/weldpoint/idempotency/ClaimTableTest.java
@@ -7,7 +7,7 @@
 
 import java.util.List;
 import org.testng.annotations.Test;
-import weldpoint.trunk.KeyMessages.Claim;
+import weldpoint.transport.KeyMessages.Claim;
 
 public final class ClaimTableTest {
   private final ClaimTable table = new ClaimTable();
--- a/metrics/src/main/java/weldpoint/metrics/Figures.java
+++ b/metrics/src/main/java/weldpoint/metrics/Figures.java
@@ -13,7 +13,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import weldpoint.boot.Invariant;
+import weldpoint.common.Invariant;
 
 /** Figures as Prometheus text. */
 final class Figures {
--- a/metrics/src/test/java/weldpoint/metrics/FiguresTest.java
+++ b/metrics/src/test/java/weldpoint/metrics/FiguresTest.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import org.testng.annotations.Test;
-import weldpoint.boot.Invariant;
+import weldpoint.common.Invariant;
 
 public final class FiguresTest {
   @Test
--- a/ownership/src/main/java/weldpoint/ownership/Assigner.java
+++ b/ownership/src/main/java/weldpoint/ownership/Assigner.java
@@ -8,10 +8,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import weldpoint.trunk.OwnershipMessages.Assignment;
-import weldpoint.trunk.OwnershipMessages.KeyRange;
-import weldpoint.trunk.OwnershipMessages.RangeState;
-import weldpoint.trunk.OwnershipMessages.SlotReport;
+import weldpoint.transport.OwnershipMessages.Assignment;
+import weldpoint.transport.OwnershipMessages.KeyRange;
+import weldpoint.transport.OwnershipMessages.RangeState;
+import weldpoint.transport.OwnershipMessages.SlotReport;
 
 /**
  * Assigns the keys of one divided service. The assignment is a register of the state store; every
--- a/ownership/src/main/java/weldpoint/ownership/Balancer.java
+++ b/ownership/src/main/java/weldpoint/ownership/Balancer.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import weldpoint.trunk.OwnershipMessages.KeyRange;
-import weldpoint.trunk.OwnershipMessages.RangeState;
+import weldpoint.transport.OwnershipMessages.KeyRange;
+import weldpoint.transport.OwnershipMessages.RangeState;
 
 /**
  * Decides who should hold what, from the loads of slots and the capacities of members. A function
--- a/ownership/src/main/java/weldpoint/ownership/HoldLedger.java
+++ b/ownership/src/main/java/weldpoint/ownership/HoldLedger.java
@@ -1,8 +1,8 @@
 package weldpoint.ownership;
 
 import java.util.Arrays;
-import weldpoint.boot.Invariant;
-import weldpoint.trunk.OwnershipMessages.KeyRange;
+import weldpoint.common.Invariant;
+import weldpoint.transport.OwnershipMessages.KeyRange;
 
 /**
  * What an assigner knows of the grants that may still hold, by slot: who may hold it and until when
--- a/ownership/src/main/java/weldpoint/ownership/KeyOwners.java
+++ b/ownership/src/main/java/weldpoint/ownership/KeyOwners.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import weldpoint.trunk.OwnershipMessages.Assignment;
-import weldpoint.trunk.OwnershipMessages.KeyRange;
-import weldpoint.trunk.OwnershipMessages.SlotReport;
+import weldpoint.transport.OwnershipMessages.Assignment;
+import weldpoint.transport.OwnershipMessages.KeyRange;
+import weldpoint.transport.OwnershipMessages.SlotReport;
 
 /**
  * A proxy's part: who holds which key of the divided services, as registries told it last, and what
--- a/ownership/src/main/java/weldpoint/ownership/OwnershipCoordinator.java
+++ b/ownership/src/main/java/weldpoint/ownership/OwnershipCoordinator.java
@@ -10,9 +10,9 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import weldpoint.metrics.Figure;
-import weldpoint.trunk.OwnershipMessages.AssignerPulse;
-import weldpoint.trunk.OwnershipMessages.Assignment;
-import weldpoint.trunk.OwnershipMessages.SlotReport;
+import weldpoint.transport.OwnershipMessages.AssignerPulse;
+import weldpoint.transport.OwnershipMessages.Assignment;
+import weldpoint.transport.OwnershipMessages.SlotReport;
 
 /**
  * One registry's part in assigning the keys of all divided services: it follows the registers,
--- a/ownership/src/main/java/weldpoint/ownership/RangeTable.java
+++ b/ownership/src/main/java/weldpoint/ownership/RangeTable.java
@@ -1,8 +1,8 @@
 package weldpoint.ownership;
 
 import java.util.List;
-import weldpoint.trunk.OwnershipMessages.Assignment;
-import weldpoint.trunk.OwnershipMessages.KeyRange;
+import weldpoint.transport.OwnershipMessages.Assignment;
+import weldpoint.transport.OwnershipMessages.KeyRange;
 
 /** Who holds which key of one service: an assignment, made ready for look-ups. */
 public final class RangeTable {
--- a/ownership/src/main/java/weldpoint/ownership/SlotLoads.java
+++ b/ownership/src/main/java/weldpoint/ownership/SlotLoads.java
@@ -1,7 +1,7 @@
 package weldpoint.ownership;
 
 import java.util.List;
-import weldpoint.trunk.OwnershipMessages.SlotReport;
+import weldpoint.transport.OwnershipMessages.SlotReport;
 
 /**
  * How many requests of each slot are under way at once, on average over the last seconds, as
--- a/ownership/src/main/java/weldpoint/ownership/SlotReports.java
+++ b/ownership/src/main/java/weldpoint/ownership/SlotReports.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import weldpoint.trunk.OwnershipMessages.SlotReport;
+import weldpoint.transport.OwnershipMessages.SlotReport;
 
 /** Adds proxies' reports up, so that a registry passes one report of a service on, not many. */
 public final class SlotReports {
--- a/ownership/src/test/java/weldpoint/ownership/BalancerTest.java
+++ b/ownership/src/test/java/weldpoint/ownership/BalancerTest.java
@@ -9,9 +9,9 @@
 import java.util.List;
 import java.util.Set;
 import org.testng.annotations.Test;
-import weldpoint.trunk.OwnershipMessages.KeyRange;
-import weldpoint.trunk.OwnershipMessages.RangeState;
-import weldpoint.trunk.OwnershipMessages.SlotReport;
+import weldpoint.transport.OwnershipMessages.KeyRange;
+import weldpoint.transport.OwnershipMessages.RangeState;
+import weldpoint.transport.OwnershipMessages.SlotReport;
 
 /** The first division, what is moved for balance, and how a leaving member's range is cut up. */
 public final class BalancerTest {
--- a/ownership/src/test/java/weldpoint/ownership/FleetOfKeys.java
+++ b/ownership/src/test/java/weldpoint/ownership/FleetOfKeys.java
@@ -9,10 +9,10 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.function.Consumer;
-import weldpoint.trunk.OwnershipMessages.AssignerPulse;
-import weldpoint.trunk.OwnershipMessages.Assignment;
-import weldpoint.trunk.OwnershipMessages.KeyRange;
-import weldpoint.trunk.OwnershipMessages.SlotReport;
+import weldpoint.transport.OwnershipMessages.AssignerPulse;
+import weldpoint.transport.OwnershipMessages.Assignment;
+import weldpoint.transport.OwnershipMessages.KeyRange;
+import weldpoint.transport.OwnershipMessages.SlotReport;
 
 /**
  * A small world for assigners under one fake clock: registries, a register that compares and sets,
--- a/ownership/src/test/java/weldpoint/ownership/HoldLedgerTest.java
+++ b/ownership/src/test/java/weldpoint/ownership/HoldLedgerTest.java
@@ -4,8 +4,8 @@
 import static org.testng.Assert.assertTrue;
 
 import org.testng.annotations.Test;
-import weldpoint.trunk.OwnershipMessages.KeyRange;
-import weldpoint.trunk.OwnershipMessages.RangeState;
+import weldpoint.transport.OwnershipMessages.KeyRange;
+import weldpoint.transport.OwnershipMessages.RangeState;
 
 /** When keys are surely nobody's. */
 public final class HoldLedgerTest {
--- a/ownership/src/test/java/weldpoint/ownership/KeyOwnersTest.java
+++ b/ownership/src/test/java/weldpoint/ownership/KeyOwnersTest.java
@@ -5,10 +5,10 @@
 
 import java.util.List;
 import org.testng.annotations.Test;
-import weldpoint.trunk.OwnershipMessages.Assignment;
-import weldpoint.trunk.OwnershipMessages.KeyRange;
-import weldpoint.trunk.OwnershipMessages.RangeState;
-import weldpoint.trunk.OwnershipMessages.SlotReport;
+import weldpoint.transport.OwnershipMessages.Assignment;
+import weldpoint.transport.OwnershipMessages.KeyRange;
+import weldpoint.transport.OwnershipMessages.RangeState;
+import weldpoint.transport.OwnershipMessages.SlotReport;
 
 /** A proxy's table of holders, the keys that requests bear, and the reports of what was sent. */
 public final class KeyOwnersTest {
--- a/proxy/src/main/java/weldpoint/proxy/CacheClient.java
+++ b/proxy/src/main/java/weldpoint/proxy/CacheClient.java
@@ -7,10 +7,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import weldpoint.boot.Rank;
-import weldpoint.trunk.CacheMessages.CopyAnswer;
-import weldpoint.trunk.CacheMessages.CopyAsk;
-import weldpoint.trunk.Message;
+import weldpoint.common.Rank;
+import weldpoint.transport.CacheMessages.CopyAnswer;
+import weldpoint.transport.CacheMessages.CopyAsk;
+import weldpoint.transport.Message;
 
 /**
  * Asks announcers for objects: each object has its order among the announcers, by rendezvous
--- a/proxy/src/main/java/weldpoint/proxy/CachedCopies.java
+++ b/proxy/src/main/java/weldpoint/proxy/CachedCopies.java
@@ -10,9 +10,9 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.util.ArrayList;
 import java.util.List;
-import weldpoint.trunk.CacheMessages;
-import weldpoint.trunk.KeyMessages;
-import weldpoint.trunk.Protocol;
+import weldpoint.transport.CacheMessages;
+import weldpoint.transport.KeyMessages;
+import weldpoint.transport.Protocol;
 import weldpoint.upstream.Headers;
 
 /** What the door does with keys and copies. */
--- a/proxy/src/main/java/weldpoint/proxy/ChiefDesk.java
+++ b/proxy/src/main/java/weldpoint/proxy/ChiefDesk.java
@@ -9,14 +9,14 @@
 import java.util.Random;
 import java.util.concurrent.Executor;
 import java.util.concurrent.TimeUnit;
-import weldpoint.boot.Boot;
-import weldpoint.chief.ChiefCore;
-import weldpoint.chief.OnceOnly;
-import weldpoint.trunk.Line;
-import weldpoint.trunk.Lines;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.RegionMessages;
-import weldpoint.trunk.Trunk;
+import weldpoint.common.Boot;
+import weldpoint.regionleader.ChiefCore;
+import weldpoint.regionleader.OnceOnly;
+import weldpoint.transport.Line;
+import weldpoint.transport.Lines;
+import weldpoint.transport.Message;
+import weldpoint.transport.RegionMessages;
+import weldpoint.transport.Trunk;
 
 /**
  * Gives a switchboard's part in choosing a chief its lines, its ticks and its effect. Its core runs
@@ -121,7 +121,7 @@
     final long now = ProxyContext.now();
     core.tick(now);
     counters = core.counters(now);
-    if (!serves && core.phase() != weldpoint.chief.Phase.CORE) {
+    if (!serves && core.phase() != weldpoint.regionleader.Phase.CORE) {
       serves = true;
       serve()
           .addListener(
--- a/proxy/src/main/java/weldpoint/proxy/ControlUpdate.java
+++ b/proxy/src/main/java/weldpoint/proxy/ControlUpdate.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import java.util.Set;
-import weldpoint.dialplan.Dialplan;
-import weldpoint.trunk.TrialMessages.Trial;
+import weldpoint.routing.Dialplan;
+import weldpoint.transport.TrialMessages.Trial;
 import weldpoint.upstream.UpstreamPool;
 
 /** What the control thread hands to the traffic thread; parts that did not change are null. */
--- a/proxy/src/main/java/weldpoint/proxy/ForwardedMessages.java
+++ b/proxy/src/main/java/weldpoint/proxy/ForwardedMessages.java
@@ -11,8 +11,8 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpVersion;
-import weldpoint.dialplan.Dialplan;
-import weldpoint.dialplan.Route;
+import weldpoint.routing.Dialplan;
+import weldpoint.routing.Route;
 import weldpoint.upstream.Headers;
 
 /** Requests as they are passed on to upstreams, and upstreams' answers as clients get them. */
--- a/proxy/src/main/java/weldpoint/proxy/HeldKey.java
+++ b/proxy/src/main/java/weldpoint/proxy/HeldKey.java
@@ -3,9 +3,9 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpResponse;
 import java.util.List;
-import weldpoint.dialplan.Route;
 import weldpoint.ownership.KeyOwners;
 import weldpoint.ownership.KeySpace;
+import weldpoint.routing.Route;
 import weldpoint.upstream.AttemptOutcome;
 import weldpoint.upstream.Headers;
 
--- a/proxy/src/main/java/weldpoint/proxy/KeyRun.java
+++ b/proxy/src/main/java/weldpoint/proxy/KeyRun.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import weldpoint.trunk.KeyMessages.Claim;
-import weldpoint.trunk.KeyMessages.Outcome;
-import weldpoint.trunk.KeyMessages.OutcomeAnswer;
+import weldpoint.transport.KeyMessages.Claim;
+import weldpoint.transport.KeyMessages.Outcome;
+import weldpoint.transport.KeyMessages.OutcomeAnswer;
 
 /** One request that holds an idempotency key at this proxy, and what became of it. */
 final class KeyRun {
--- a/proxy/src/main/java/weldpoint/proxy/OutcomeLines.java
+++ b/proxy/src/main/java/weldpoint/proxy/OutcomeLines.java
@@ -3,14 +3,14 @@
 import io.netty.channel.EventLoopGroup;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import weldpoint.boot.Boot;
-import weldpoint.trunk.KeyMessages.Claim;
-import weldpoint.trunk.KeyMessages.Outcome;
-import weldpoint.trunk.KeyMessages.OutcomeAnswer;
-import weldpoint.trunk.KeyMessages.OutcomeAsk;
-import weldpoint.trunk.Line;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.Trunk;
+import weldpoint.common.Boot;
+import weldpoint.transport.KeyMessages.Claim;
+import weldpoint.transport.KeyMessages.Outcome;
+import weldpoint.transport.KeyMessages.OutcomeAnswer;
+import weldpoint.transport.KeyMessages.OutcomeAsk;
+import weldpoint.transport.Line;
+import weldpoint.transport.Message;
+import weldpoint.transport.Trunk;
 
 /**
  * Lines by which proxies ask each other what became of a request that holds a key. A line lives for
--- a/proxy/src/main/java/weldpoint/proxy/PermitPool.java
+++ b/proxy/src/main/java/weldpoint/proxy/PermitPool.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.function.Predicate;
 import weldpoint.metrics.Figure;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.PermitMessages.PermitAnswer;
-import weldpoint.trunk.PermitMessages.PermitAsk;
+import weldpoint.transport.Message;
+import weldpoint.transport.PermitMessages.PermitAnswer;
+import weldpoint.transport.PermitMessages.PermitAsk;
 
 /** Asks the exchange of the stream for permits. All of it lives on the traffic thread. */
 public final class PermitPool {
--- a/proxy/src/main/java/weldpoint/proxy/ProxyContext.java
+++ b/proxy/src/main/java/weldpoint/proxy/ProxyContext.java
@@ -5,16 +5,16 @@
 import java.util.Random;
 import weldpoint.affinity.Callers;
 import weldpoint.affinity.Ties;
-import weldpoint.boot.Boot;
-import weldpoint.chief.Duties;
-import weldpoint.chief.OnceOnly;
-import weldpoint.dialplan.Affinity;
-import weldpoint.dialplan.Dialplan;
-import weldpoint.dialplan.RouteKind;
+import weldpoint.common.Boot;
 import weldpoint.ownership.KeyOwners;
+import weldpoint.regionleader.Duties;
+import weldpoint.regionleader.OnceOnly;
+import weldpoint.routing.Affinity;
+import weldpoint.routing.Dialplan;
+import weldpoint.routing.RouteKind;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.RegionMessages;
 import weldpoint.trial.TrialBook;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.RegionMessages;
 import weldpoint.upstream.UpstreamPool;
 
 /** What all sessions of a switchboard share. All of it lives on the traffic thread. */
--- a/proxy/src/main/java/weldpoint/proxy/ProxyDaemon.java
+++ b/proxy/src/main/java/weldpoint/proxy/ProxyDaemon.java
@@ -31,28 +31,28 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import weldpoint.affinity.Ties;
-import weldpoint.boot.Boot;
-import weldpoint.boot.Chance;
-import weldpoint.boot.Desk;
-import weldpoint.boot.Program;
-import weldpoint.dialplan.Dialplan;
+import weldpoint.common.Boot;
+import weldpoint.common.Chance;
+import weldpoint.common.Desk;
+import weldpoint.common.Program;
 import weldpoint.metrics.Figure;
 import weldpoint.metrics.MetricsServer;
+import weldpoint.routing.Dialplan;
+import weldpoint.transport.CacheMessages;
+import weldpoint.transport.KeyMessages;
+import weldpoint.transport.Line;
+import weldpoint.transport.Message;
+import weldpoint.transport.OwnershipMessages.Assignment;
+import weldpoint.transport.PermitMessages;
+import weldpoint.transport.PlacementMessages;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.RecordingMessages;
+import weldpoint.transport.RegionMessages;
+import weldpoint.transport.RegistryMessages;
+import weldpoint.transport.TrialMessages;
+import weldpoint.transport.Trunk;
+import weldpoint.transport.Wire;
 import weldpoint.trial.TrialBook;
-import weldpoint.trunk.CacheMessages;
-import weldpoint.trunk.KeyMessages;
-import weldpoint.trunk.Line;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.OwnershipMessages.Assignment;
-import weldpoint.trunk.PermitMessages;
-import weldpoint.trunk.PlacementMessages;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.RecordingMessages;
-import weldpoint.trunk.RegionMessages;
-import weldpoint.trunk.RegistryMessages;
-import weldpoint.trunk.TrialMessages;
-import weldpoint.trunk.Trunk;
-import weldpoint.trunk.Wire;
 import weldpoint.upstream.UpstreamPool;
 
 /** The proxy as a process: traffic on one thread, control state on another. */
@@ -433,8 +433,8 @@
   }
 
   private void content() {
-    final weldpoint.trunk.Lines lines =
-        new weldpoint.trunk.Lines(
+    final weldpoint.transport.Lines lines =
+        new weldpoint.transport.Lines(
             trunk,
             boot.trunkPort(2),
             to ->
--- a/proxy/src/main/java/weldpoint/proxy/RegistryAddresses.java
+++ b/proxy/src/main/java/weldpoint/proxy/RegistryAddresses.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
-import weldpoint.boot.Rank;
-import weldpoint.trunk.RegistryMessages.Board;
+import weldpoint.common.Rank;
+import weldpoint.transport.RegistryMessages.Board;
 
 /**
  * The registries that a proxy knows of, and which one it should dial next: each in turn, those that
--- a/proxy/src/main/java/weldpoint/proxy/Stream.java
+++ b/proxy/src/main/java/weldpoint/proxy/Stream.java
@@ -3,12 +3,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Executor;
-import weldpoint.boot.Boot;
-import weldpoint.trunk.Line;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.PeerClock;
-import weldpoint.trunk.RegistryMessages;
-import weldpoint.trunk.Trunk;
+import weldpoint.common.Boot;
+import weldpoint.transport.Line;
+import weldpoint.transport.Message;
+import weldpoint.transport.PeerClock;
+import weldpoint.transport.RegistryMessages;
+import weldpoint.transport.Trunk;
 
 /**
  * The one line to an exchange that a link wants at the moment; what comes from lines left behind is
--- a/proxy/src/test/java/weldpoint/proxy/AtMostOnceTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/AtMostOnceTest.java
@@ -32,12 +32,12 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import weldpoint.boot.Boot;
-import weldpoint.dialplan.Dialplan;
+import weldpoint.common.Boot;
 import weldpoint.proxy.ScriptedUpstream.Ending;
 import weldpoint.proxy.ScriptedUpstream.Step;
+import weldpoint.routing.Dialplan;
+import weldpoint.transport.RegistryMessages.Registration;
 import weldpoint.trial.TrialBook;
-import weldpoint.trunk.RegistryMessages.Registration;
 import weldpoint.upstream.UpstreamPool;
 
 /**
--- a/proxy/src/test/java/weldpoint/proxy/CachedCopiesTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/CachedCopiesTest.java
@@ -12,9 +12,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.testng.annotations.Test;
-import weldpoint.trunk.CacheMessages.CopyAnswer;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.PermitMessages;
+import weldpoint.transport.CacheMessages.CopyAnswer;
+import weldpoint.transport.Message;
+import weldpoint.transport.PermitMessages;
 
 public class CachedCopiesTest {
   private static FullHttpResponse ranged(final String range) {
--- a/proxy/src/test/java/weldpoint/proxy/ClientConnectionTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/ClientConnectionTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import weldpoint.boot.Boot;
+import weldpoint.common.Boot;
 
 /** What is ambiguous is refused at the door, and nothing of it is passed on. */
 public final class ClientConnectionTest {
--- a/proxy/src/test/java/weldpoint/proxy/ConfigurationAtSendTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/ConfigurationAtSendTest.java
@@ -21,17 +21,17 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import weldpoint.affinity.Ties;
-import weldpoint.trunk.CacheMessages.CopyAnswer;
-import weldpoint.trunk.CacheMessages.CopyAsk;
-import weldpoint.trunk.KeyMessages;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.OwnershipMessages.Assignment;
-import weldpoint.trunk.OwnershipMessages.KeyRange;
-import weldpoint.trunk.OwnershipMessages.RangeState;
-import weldpoint.trunk.PermitMessages.PermitAnswer;
-import weldpoint.trunk.PermitMessages.PermitAsk;
-import weldpoint.trunk.PlacementMessages;
-import weldpoint.trunk.RegistryMessages.Registration;
+import weldpoint.transport.CacheMessages.CopyAnswer;
+import weldpoint.transport.CacheMessages.CopyAsk;
+import weldpoint.transport.KeyMessages;
+import weldpoint.transport.Message;
+import weldpoint.transport.OwnershipMessages.Assignment;
+import weldpoint.transport.OwnershipMessages.KeyRange;
+import weldpoint.transport.OwnershipMessages.RangeState;
+import weldpoint.transport.PermitMessages.PermitAnswer;
+import weldpoint.transport.PermitMessages.PermitAsk;
+import weldpoint.transport.PlacementMessages;
+import weldpoint.transport.RegistryMessages.Registration;
 import weldpoint.upstream.UpstreamPool;
 
 /**
--- a/proxy/src/test/java/weldpoint/proxy/KeyRunsTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/KeyRunsTest.java
@@ -17,14 +17,14 @@
 import java.util.function.Consumer;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import weldpoint.trunk.KeyMessages.Claim;
-import weldpoint.trunk.KeyMessages.ClaimAnswer;
-import weldpoint.trunk.KeyMessages.ClaimAsk;
-import weldpoint.trunk.KeyMessages.ClaimRelease;
-import weldpoint.trunk.KeyMessages.ClaimResult;
-import weldpoint.trunk.KeyMessages.Outcome;
-import weldpoint.trunk.KeyMessages.OutcomeAnswer;
-import weldpoint.trunk.Message;
+import weldpoint.transport.KeyMessages.Claim;
+import weldpoint.transport.KeyMessages.ClaimAnswer;
+import weldpoint.transport.KeyMessages.ClaimAsk;
+import weldpoint.transport.KeyMessages.ClaimRelease;
+import weldpoint.transport.KeyMessages.ClaimResult;
+import weldpoint.transport.KeyMessages.Outcome;
+import weldpoint.transport.KeyMessages.OutcomeAnswer;
+import weldpoint.transport.Message;
 
 /** What a proxy does with keyed requests, whatever the registry and other proxies say or don't. */
 public final class KeyRunsTest implements KeyRuns.Outlet {
--- a/proxy/src/test/java/weldpoint/proxy/ProxiedRequestTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/ProxiedRequestTest.java
@@ -28,11 +28,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import weldpoint.affinity.Ties;
-import weldpoint.boot.Boot;
-import weldpoint.dialplan.Dialplan;
+import weldpoint.common.Boot;
+import weldpoint.routing.Dialplan;
+import weldpoint.transport.PlacementMessages;
+import weldpoint.transport.RegistryMessages.Registration;
 import weldpoint.trial.TrialBook;
-import weldpoint.trunk.PlacementMessages;
-import weldpoint.trunk.RegistryMessages.Registration;
 import weldpoint.upstream.UpstreamPool;
 
 /**
--- a/proxy/src/test/java/weldpoint/proxy/ProxyThreadsTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/ProxyThreadsTest.java
@@ -11,8 +11,8 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
-import weldpoint.boot.Boot;
-import weldpoint.dialplan.Dialplan;
+import weldpoint.common.Boot;
+import weldpoint.routing.Dialplan;
 
 /** Threads of a switchboard that take turns at the worst points. */
 public final class ProxyThreadsTest {
--- a/proxy/src/test/java/weldpoint/proxy/RegistryLinkTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/RegistryLinkTest.java
@@ -12,13 +12,13 @@
 import java.util.Random;
 import java.util.Set;
 import org.testng.annotations.Test;
-import weldpoint.dialplan.Dialplan;
 import weldpoint.registry.Stage;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.Packing;
-import weldpoint.trunk.RegistryMessages;
-import weldpoint.trunk.RegistryMessages.Registration;
-import weldpoint.trunk.TrialMessages;
+import weldpoint.routing.Dialplan;
+import weldpoint.transport.Message;
+import weldpoint.transport.Packing;
+import weldpoint.transport.RegistryMessages;
+import weldpoint.transport.RegistryMessages.Registration;
+import weldpoint.transport.TrialMessages;
 
 /** A switchboard's view never goes back, and a stale or silent exchange is left. */
 public final class RegistryLinkTest {
--- a/proxy/src/test/java/weldpoint/proxy/SecondCopyTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/SecondCopyTest.java
@@ -15,9 +15,9 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import weldpoint.trunk.OwnershipMessages.Assignment;
-import weldpoint.trunk.OwnershipMessages.KeyRange;
-import weldpoint.trunk.OwnershipMessages.RangeState;
+import weldpoint.transport.OwnershipMessages.Assignment;
+import weldpoint.transport.OwnershipMessages.KeyRange;
+import weldpoint.transport.OwnershipMessages.RangeState;
 
 /**
  * An upstream that turns the first request on its first connection away, and sends that answer once
--- a/proxy/src/test/java/weldpoint/proxy/StaleControlStateTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/StaleControlStateTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import weldpoint.trunk.RegistryMessages.Registration;
+import weldpoint.transport.RegistryMessages.Registration;
 import weldpoint.upstream.UpstreamPool;
 
 /**
--- a/proxy/src/test/java/weldpoint/proxy/StreamTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/StreamTest.java
@@ -8,13 +8,13 @@
 import java.util.Random;
 import java.util.Set;
 import org.testng.annotations.Test;
-import weldpoint.dialplan.Dialplan;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.PeerClock;
-import weldpoint.trunk.RegistryMessages;
-import weldpoint.trunk.RegistryMessages.Reach;
-import weldpoint.trunk.RegistryMessages.Registration;
-import weldpoint.trunk.TrialMessages;
+import weldpoint.routing.Dialplan;
+import weldpoint.transport.Message;
+import weldpoint.transport.PeerClock;
+import weldpoint.transport.RegistryMessages;
+import weldpoint.transport.RegistryMessages.Reach;
+import weldpoint.transport.RegistryMessages.Registration;
+import weldpoint.transport.TrialMessages;
 
 /** What a registry says, as a stream hands it to its link. */
 public final class StreamTest {
@@ -73,7 +73,7 @@
             List.of("e1", "e2"),
             new Random(1),
             new Outlet());
-    final Stream stream = new Stream(null, null, weldpoint.boot.Boot.parse(SETTINGS), () -> {});
+    final Stream stream = new Stream(null, null, weldpoint.common.Boot.parse(SETTINGS), () -> {});
     stream.link(link);
     link.start(0);
     final PeerClock clock = new PeerClock();
--- a/proxy/src/test/java/weldpoint/proxy/TestProxy.java
+++ b/proxy/src/test/java/weldpoint/proxy/TestProxy.java
@@ -11,9 +11,9 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import weldpoint.boot.Boot;
-import weldpoint.dialplan.Dialplan;
-import weldpoint.trunk.RegistryMessages.Registration;
+import weldpoint.common.Boot;
+import weldpoint.routing.Dialplan;
+import weldpoint.transport.RegistryMessages.Registration;
 import weldpoint.upstream.UpstreamPool;
 
 /** A proxy of one process on loopback, with one upstream, whose control state the test gives it. */
--- a/ratelimit/src/main/java/weldpoint/ratelimit/QuotaAllocator.java
+++ b/ratelimit/src/main/java/weldpoint/ratelimit/QuotaAllocator.java
@@ -4,8 +4,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import weldpoint.boot.Boot;
-import weldpoint.dialplan.Dialplan;
+import weldpoint.common.Boot;
+import weldpoint.routing.Dialplan;
 
 /**
  * Gives out one registry's fixed part of every limit. The parts of all voters together never exceed
--- a/ratelimit/src/main/java/weldpoint/ratelimit/RateLimit.java
+++ b/ratelimit/src/main/java/weldpoint/ratelimit/RateLimit.java
@@ -1,7 +1,7 @@
 package weldpoint.ratelimit;
 
-import weldpoint.boot.Boot;
-import weldpoint.dialplan.Dialplan;
+import weldpoint.common.Boot;
+import weldpoint.routing.Dialplan;
 
 /** What is limited for the fleet as a whole, by the bounds in the settings. */
 public enum RateLimit {
--- a/ratelimit/src/main/java/weldpoint/ratelimit/TenantShare.java
+++ b/ratelimit/src/main/java/weldpoint/ratelimit/TenantShare.java
@@ -1,6 +1,6 @@
 package weldpoint.ratelimit;
 
-import weldpoint.boot.Invariant;
+import weldpoint.common.Invariant;
 
 /** One registry's share of one tenant's limit: a token bucket, and a check of what it gave. */
 final class TenantShare {
--- a/ratelimit/src/test/java/weldpoint/ratelimit/QuotaAllocatorTest.java
+++ b/ratelimit/src/test/java/weldpoint/ratelimit/QuotaAllocatorTest.java
@@ -9,9 +9,9 @@
 import java.util.Random;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import weldpoint.boot.Boot;
-import weldpoint.boot.Breakdown;
-import weldpoint.dialplan.Dialplan;
+import weldpoint.common.Boot;
+import weldpoint.common.Breakdown;
+import weldpoint.routing.Dialplan;
 
 public class QuotaAllocatorTest {
   private static final Boot BOOT =
--- a/chief/src/main/java/weldpoint/chief/ChiefCore.java
+++ b/regionleader/src/main/java/weldpoint/regionleader/ChiefCore.java
@@ -1,4 +1,4 @@
-package weldpoint.chief;
+package weldpoint.regionleader;
 
 import com.google.common.flogger.FluentLogger;
 import java.util.ArrayList;
@@ -8,15 +8,15 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.RegionMessages;
-import weldpoint.trunk.RegionMessages.Backed;
-import weldpoint.trunk.RegionMessages.Elector;
-import weldpoint.trunk.RegionMessages.Electorate;
-import weldpoint.trunk.RegionMessages.Heeded;
-import weldpoint.trunk.RegionMessages.Order;
-import weldpoint.trunk.RegionMessages.Stand;
+import weldpoint.transport.Message;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.RegionMessages;
+import weldpoint.transport.RegionMessages.Backed;
+import weldpoint.transport.RegionMessages.Elector;
+import weldpoint.transport.RegionMessages.Electorate;
+import weldpoint.transport.RegionMessages.Heeded;
+import weldpoint.transport.RegionMessages.Order;
+import weldpoint.transport.RegionMessages.Stand;
 
 /**
  * A switchboard's part in choosing and heeding its region's chief while the core is silent. A
--- a/chief/src/main/java/weldpoint/chief/Duties.java
+++ b/regionleader/src/main/java/weldpoint/regionleader/Duties.java
@@ -1,12 +1,12 @@
-package weldpoint.chief;
+package weldpoint.regionleader;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.RegionMessages;
-import weldpoint.trunk.RegionMessages.Sight;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.RegionMessages;
+import weldpoint.transport.RegionMessages.Sight;
 
 /**
  * What a chief makes of what its region's switchboards see: one admission for what may be repeated,
--- a/chief/src/main/java/weldpoint/chief/OnceOnly.java
+++ b/regionleader/src/main/java/weldpoint/regionleader/OnceOnly.java
@@ -1,4 +1,4 @@
-package weldpoint.chief;
+package weldpoint.regionleader;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/chief/src/main/java/weldpoint/chief/Phase.java
+++ b/regionleader/src/main/java/weldpoint/regionleader/Phase.java
@@ -1,4 +1,4 @@
-package weldpoint.chief;
+package weldpoint.regionleader;
 
 /** How a switchboard stands toward the chief of its region. */
 public enum Phase {
--- a/chief/src/test/java/weldpoint/chief/ChiefTest.java
+++ b/regionleader/src/test/java/weldpoint/regionleader/ChiefTest.java
@@ -1,4 +1,4 @@
-package weldpoint.chief;
+package weldpoint.regionleader;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -8,9 +8,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.testng.annotations.Test;
-import weldpoint.trunk.RegionMessages;
-import weldpoint.trunk.RegionMessages.Order;
-import weldpoint.trunk.RegionMessages.Stand;
+import weldpoint.transport.RegionMessages;
+import weldpoint.transport.RegionMessages.Order;
+import weldpoint.transport.RegionMessages.Stand;
 
 public class ChiefTest {
   private static Region region(final long seed, final int size) {
--- a/chief/src/test/java/weldpoint/chief/Region.java
+++ b/regionleader/src/test/java/weldpoint/regionleader/Region.java
@@ -1,4 +1,4 @@
-package weldpoint.chief;
+package weldpoint.regionleader;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -10,12 +10,12 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.function.Predicate;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.RegionMessages;
-import weldpoint.trunk.RegionMessages.Elector;
-import weldpoint.trunk.RegionMessages.Electorate;
-import weldpoint.trunk.RegionMessages.Order;
+import weldpoint.transport.Message;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.RegionMessages;
+import weldpoint.transport.RegionMessages.Elector;
+import weldpoint.transport.RegionMessages.Electorate;
+import weldpoint.transport.RegionMessages.Order;
 
 /**
  * The switchboards of one region on a fake clock and a fake network, with clients, and upstreams
--- a/registry/src/main/java/weldpoint/registry/AssignerOutlet.java
+++ b/registry/src/main/java/weldpoint/registry/AssignerOutlet.java
@@ -2,12 +2,12 @@
 
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import weldpoint.frame.Deed;
 import weldpoint.ownership.Assigner;
 import weldpoint.ownership.CallResult;
-import weldpoint.trunk.OwnershipMessages.Assignment;
-import weldpoint.trunk.OwnershipMessages.KeyRange;
-import weldpoint.trunk.Wire;
+import weldpoint.statestore.Deed;
+import weldpoint.transport.OwnershipMessages.Assignment;
+import weldpoint.transport.OwnershipMessages.KeyRange;
+import weldpoint.transport.Wire;
 
 /** What an assigner does, done: writes to the state store and calls of upstreams. */
 final class AssignerOutlet implements Assigner.Outlet {
--- a/registry/src/main/java/weldpoint/registry/Authority.java
+++ b/registry/src/main/java/weldpoint/registry/Authority.java
@@ -5,10 +5,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.BiConsumer;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.RegistryMessages;
-import weldpoint.trunk.StateStoreMessages.Roster;
-import weldpoint.trunk.StateStoreMessages.Voter;
+import weldpoint.transport.Message;
+import weldpoint.transport.RegistryMessages;
+import weldpoint.transport.StateStoreMessages.Roster;
+import weldpoint.transport.StateStoreMessages.Voter;
 
 /**
  * Whether this exchange knows itself to be cut off from a majority, and who told lately that it is
--- a/registry/src/main/java/weldpoint/registry/BeatKeepers.java
+++ b/registry/src/main/java/weldpoint/registry/BeatKeepers.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Predicate;
-import weldpoint.frame.Tokens;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.StateStoreMessages.Voter;
+import weldpoint.statestore.Tokens;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.StateStoreMessages.Voter;
 
 /**
  * Which registry keeps the beats of an upstream: the preference list of its token, over distinct
--- a/registry/src/main/java/weldpoint/registry/Buckets.java
+++ b/registry/src/main/java/weldpoint/registry/Buckets.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import weldpoint.trunk.Packing;
-import weldpoint.trunk.RegistryMessages.Registration;
-import weldpoint.trunk.Wire;
+import weldpoint.transport.Packing;
+import weldpoint.transport.RegistryMessages.Registration;
+import weldpoint.transport.Wire;
 
 /**
  * Registrations by buckets of their names, so that two sides find what differs without telling all;
--- a/registry/src/main/java/weldpoint/registry/ControlCall.java
+++ b/registry/src/main/java/weldpoint/registry/ControlCall.java
@@ -4,15 +4,15 @@
 import java.util.concurrent.CompletableFuture;
 import weldpoint.audit.CanonicalJson;
 import weldpoint.audit.ConfigurationSummary;
-import weldpoint.boot.Breakdown;
-import weldpoint.dialplan.Dialplan;
-import weldpoint.dialplan.SpecDocument;
-import weldpoint.frame.Deed;
+import weldpoint.common.Breakdown;
 import weldpoint.registry.ControlCommand.CutOff;
-import weldpoint.trunk.Packing;
-import weldpoint.trunk.StoreCallMessages;
-import weldpoint.trunk.TrialMessages;
-import weldpoint.trunk.Wire;
+import weldpoint.routing.Dialplan;
+import weldpoint.routing.SpecDocument;
+import weldpoint.statestore.Deed;
+import weldpoint.transport.Packing;
+import weldpoint.transport.StoreCallMessages;
+import weldpoint.transport.TrialMessages;
+import weldpoint.transport.Wire;
 
 /** The calls of the control interface, by their names on the wire. */
 enum ControlCall {
@@ -363,7 +363,7 @@
   /**
    * Decodes a call.
    *
-   * @throws weldpoint.boot.Breakdown where it cannot be read, with what to send instead
+   * @throws weldpoint.common.Breakdown where it cannot be read, with what to send instead
    */
   abstract ControlCommand decode(ControlDoor door, String id, byte[] body, Origin origin);
 
--- a/registry/src/main/java/weldpoint/registry/ControlDoor.java
+++ b/registry/src/main/java/weldpoint/registry/ControlDoor.java
@@ -34,17 +34,17 @@
 import java.util.concurrent.Executor;
 import java.util.function.BooleanSupplier;
 import weldpoint.audit.Authors;
-import weldpoint.boot.Boot;
-import weldpoint.boot.Breakdown;
-import weldpoint.frame.Deed;
-import weldpoint.frame.Values;
+import weldpoint.common.Boot;
+import weldpoint.common.Breakdown;
+import weldpoint.statestore.Deed;
+import weldpoint.statestore.Values;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.RegistryMessages;
+import weldpoint.transport.StoreCallMessages;
+import weldpoint.transport.TrialMessages;
+import weldpoint.transport.Wire;
 import weldpoint.trial.Count;
 import weldpoint.trial.Verdict;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.RegistryMessages;
-import weldpoint.trunk.StoreCallMessages;
-import weldpoint.trunk.TrialMessages;
-import weldpoint.trunk.Wire;
 
 /**
  * The system's own interfaces over HTTP: each call is decoded into a command, which runs on the
--- a/registry/src/main/java/weldpoint/registry/ControlReply.java
+++ b/registry/src/main/java/weldpoint/registry/ControlReply.java
@@ -2,7 +2,7 @@
 
 import io.avaje.jsonb.JsonType;
 import java.nio.charset.StandardCharsets;
-import weldpoint.boot.Breakdown;
+import weldpoint.common.Breakdown;
 
 /** An answer: a status, a JSON body, and for a redirect where to. */
 record ControlReply(int status, byte[] body, String location) {
--- a/registry/src/main/java/weldpoint/registry/ControlState.java
+++ b/registry/src/main/java/weldpoint/registry/ControlState.java
@@ -3,12 +3,12 @@
 import com.google.common.flogger.FluentLogger;
 import java.util.ArrayList;
 import java.util.List;
-import weldpoint.dialplan.Dialplan;
+import weldpoint.routing.Dialplan;
+import weldpoint.transport.Packing;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.TrialMessages;
 import weldpoint.trial.TrialPanel;
 import weldpoint.trial.Verdict;
-import weldpoint.trunk.Packing;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.TrialMessages;
 
 /**
  * What operators have ordered as this exchange has learned it: the configuration, evacuations and
--- a/registry/src/main/java/weldpoint/registry/Directory.java
+++ b/registry/src/main/java/weldpoint/registry/Directory.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import weldpoint.trunk.RegistryMessages.Board;
+import weldpoint.transport.RegistryMessages.Board;
 
 /** Answers of the directory: which switchboards a client in some place should use. */
 final class Directory {
--- a/registry/src/main/java/weldpoint/registry/Electorates.java
+++ b/registry/src/main/java/weldpoint/registry/Electorates.java
@@ -8,13 +8,13 @@
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.BiConsumer;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.RegionMessages.Elector;
-import weldpoint.trunk.RegionMessages.Electorate;
-import weldpoint.trunk.RegistryMessages.Board;
-import weldpoint.trunk.StoreCallMessages;
-import weldpoint.trunk.Wire;
+import weldpoint.transport.Message;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.RegionMessages.Elector;
+import weldpoint.transport.RegionMessages.Electorate;
+import weldpoint.transport.RegistryMessages.Board;
+import weldpoint.transport.StoreCallMessages;
+import weldpoint.transport.Wire;
 
 /**
  * Who may choose a region's chief: written to the frames once it has stood still for a while, told
--- a/registry/src/main/java/weldpoint/registry/HistoryDesk.java
+++ b/registry/src/main/java/weldpoint/registry/HistoryDesk.java
@@ -8,11 +8,11 @@
 import java.util.concurrent.CompletableFuture;
 import weldpoint.audit.AuditEntry;
 import weldpoint.audit.ChangeKind;
-import weldpoint.boot.Breakdown;
-import weldpoint.frame.Deed;
-import weldpoint.frame.Values;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.Wire;
+import weldpoint.common.Breakdown;
+import weldpoint.statestore.Deed;
+import weldpoint.statestore.Values;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.Wire;
 
 /**
  * Reads the history of routing changes from the replica on this machine. It is complete only if a
--- a/registry/src/main/java/weldpoint/registry/InForceTable.java
+++ b/registry/src/main/java/weldpoint/registry/InForceTable.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import weldpoint.trunk.RegistryMessages.Board;
+import weldpoint.transport.RegistryMessages.Board;
 
 /** What the daemons that this registry knows of have in force, as each told last. */
 final class InForceTable {
--- a/registry/src/main/java/weldpoint/registry/KeyClaims.java
+++ b/registry/src/main/java/weldpoint/registry/KeyClaims.java
@@ -7,15 +7,15 @@
 import weldpoint.idempotency.ClaimCoordinator;
 import weldpoint.idempotency.ClaimTable;
 import weldpoint.metrics.Figure;
-import weldpoint.trunk.KeyMessages.Claim;
-import weldpoint.trunk.KeyMessages.ClaimAsk;
-import weldpoint.trunk.KeyMessages.ClaimRelease;
-import weldpoint.trunk.KeyMessages.Vote;
-import weldpoint.trunk.KeyMessages.VoteAnswer;
-import weldpoint.trunk.KeyMessages.VoteAsk;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.StateStoreMessages.Roster;
-import weldpoint.trunk.StateStoreMessages.Voter;
+import weldpoint.transport.KeyMessages.Claim;
+import weldpoint.transport.KeyMessages.ClaimAsk;
+import weldpoint.transport.KeyMessages.ClaimRelease;
+import weldpoint.transport.KeyMessages.Vote;
+import weldpoint.transport.KeyMessages.VoteAnswer;
+import weldpoint.transport.KeyMessages.VoteAsk;
+import weldpoint.transport.Message;
+import weldpoint.transport.StateStoreMessages.Roster;
+import weldpoint.transport.StateStoreMessages.Voter;
 
 /**
  * A registry's part in claims of idempotency keys: as a voter it remembers claims on its disk, and
--- a/registry/src/main/java/weldpoint/registry/Neighbourhoods.java
+++ b/registry/src/main/java/weldpoint/registry/Neighbourhoods.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.BiConsumer;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.RegistryMessages;
+import weldpoint.transport.Message;
+import weldpoint.transport.RegistryMessages;
 
 /** Which switchboards share a site: told to those of the site, and only when it changes. */
 final class Neighbourhoods {
--- a/registry/src/main/java/weldpoint/registry/OwnershipEndpoint.java
+++ b/registry/src/main/java/weldpoint/registry/OwnershipEndpoint.java
@@ -9,20 +9,20 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import weldpoint.dialplan.Dialplan;
 import weldpoint.metrics.Figure;
 import weldpoint.ownership.Assigner;
 import weldpoint.ownership.HoldTimes;
 import weldpoint.ownership.Member;
 import weldpoint.ownership.OwnershipCoordinator;
 import weldpoint.ownership.SlotReports;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.OwnershipMessages.AssignerPulse;
-import weldpoint.trunk.OwnershipMessages.Assignment;
-import weldpoint.trunk.OwnershipMessages.Assignments;
-import weldpoint.trunk.OwnershipMessages.KeyRange;
-import weldpoint.trunk.OwnershipMessages.SlotReport;
-import weldpoint.trunk.RegistryMessages.Registration;
+import weldpoint.routing.Dialplan;
+import weldpoint.transport.Message;
+import weldpoint.transport.OwnershipMessages.AssignerPulse;
+import weldpoint.transport.OwnershipMessages.Assignment;
+import weldpoint.transport.OwnershipMessages.Assignments;
+import weldpoint.transport.OwnershipMessages.KeyRange;
+import weldpoint.transport.OwnershipMessages.SlotReport;
+import weldpoint.transport.RegistryMessages.Registration;
 
 /**
  * A registry's part in services whose keys are divided among their upstreams: it knows who the
--- a/registry/src/main/java/weldpoint/registry/PlacementDesk.java
+++ b/registry/src/main/java/weldpoint/registry/PlacementDesk.java
@@ -10,15 +10,15 @@
 import java.util.function.BiConsumer;
 import java.util.function.Predicate;
 import weldpoint.affinity.PlacementKeeper;
-import weldpoint.dialplan.Affinity;
-import weldpoint.dialplan.Dialplan;
-import weldpoint.dialplan.Route;
-import weldpoint.frame.Values;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.PlacementMessages;
-import weldpoint.trunk.PlacementMessages.PlacementMember;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.RegistryMessages.Registration;
+import weldpoint.routing.Affinity;
+import weldpoint.routing.Dialplan;
+import weldpoint.routing.Route;
+import weldpoint.statestore.Values;
+import weldpoint.transport.Message;
+import weldpoint.transport.PlacementMessages;
+import weldpoint.transport.PlacementMessages.PlacementMember;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.RegistryMessages.Registration;
 
 /**
  * An exchange's part in affinity: it works out who should be placed where, and passes leases
--- a/registry/src/main/java/weldpoint/registry/QuorumReads.java
+++ b/registry/src/main/java/weldpoint/registry/QuorumReads.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.LongFunction;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.StateStoreMessages.Roster;
+import weldpoint.transport.Message;
+import weldpoint.transport.StateStoreMessages.Roster;
 
 /**
  * Reads of what a majority of the voters' exchanges have on disk. Every acknowledgement was counted
--- a/registry/src/main/java/weldpoint/registry/Quorums.java
+++ b/registry/src/main/java/weldpoint/registry/Quorums.java
@@ -8,10 +8,10 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
 import java.util.function.LongFunction;
-import weldpoint.boot.Breakdown;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.StateStoreMessages.Roster;
-import weldpoint.trunk.StateStoreMessages.Voter;
+import weldpoint.common.Breakdown;
+import weldpoint.transport.Message;
+import weldpoint.transport.StateStoreMessages.Roster;
+import weldpoint.transport.StateStoreMessages.Voter;
 
 /** Changes that are acknowledged once a majority of the exchanges' disks has them. */
 class Quorums {
--- a/registry/src/main/java/weldpoint/registry/QuotaEndpoint.java
+++ b/registry/src/main/java/weldpoint/registry/QuotaEndpoint.java
@@ -6,15 +6,15 @@
 import java.util.Map;
 import java.util.function.BiPredicate;
 import java.util.function.Consumer;
-import weldpoint.dialplan.Dialplan;
 import weldpoint.metrics.Figure;
 import weldpoint.ratelimit.Part;
 import weldpoint.ratelimit.QuotaAllocator;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.PermitMessages.PermitAnswer;
-import weldpoint.trunk.PermitMessages.PermitAsk;
-import weldpoint.trunk.StateStoreMessages.Roster;
-import weldpoint.trunk.StateStoreMessages.Voter;
+import weldpoint.routing.Dialplan;
+import weldpoint.transport.Message;
+import weldpoint.transport.PermitMessages.PermitAnswer;
+import weldpoint.transport.PermitMessages.PermitAsk;
+import weldpoint.transport.StateStoreMessages.Roster;
+import weldpoint.transport.StateStoreMessages.Voter;
 
 /**
  * Answers those who ask for permits: from the own part, and where that is used up from another
--- a/registry/src/main/java/weldpoint/registry/Reels.java
+++ b/registry/src/main/java/weldpoint/registry/Reels.java
@@ -3,10 +3,10 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.RecordingMessages.RecordState;
-import weldpoint.trunk.RecordingMessages.Reel;
-import weldpoint.trunk.RegistryMessages;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.RecordingMessages.RecordState;
+import weldpoint.transport.RecordingMessages.Reel;
+import weldpoint.transport.RegistryMessages;
 
 /**
  * What switchboards recorded, until an operator collects it; bounded, and what had to be dropped is
--- a/registry/src/main/java/weldpoint/registry/Registrations.java
+++ b/registry/src/main/java/weldpoint/registry/Registrations.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import weldpoint.trunk.RegistryMessages.Registration;
+import weldpoint.transport.RegistryMessages.Registration;
 
 /**
  * The history of upstreams as this exchange has it: registrations, when each upstream beat last,
--- a/registry/src/main/java/weldpoint/registry/Remembered.java
+++ b/registry/src/main/java/weldpoint/registry/Remembered.java
@@ -1,10 +1,10 @@
 package weldpoint.registry;
 
 import java.util.List;
-import weldpoint.trunk.KeyMessages.Claim;
-import weldpoint.trunk.RegistryMessages.Registration;
-import weldpoint.trunk.StateStoreMessages.Roster;
-import weldpoint.trunk.TrialMessages.Trial;
+import weldpoint.transport.KeyMessages.Claim;
+import weldpoint.transport.RegistryMessages.Registration;
+import weldpoint.transport.StateStoreMessages.Roster;
+import weldpoint.transport.TrialMessages.Trial;
 
 /** What an exchange keeps on disk; parts that a record does not concern are null. */
 final class Remembered {
--- a/registry/src/main/java/weldpoint/registry/Stage.java
+++ b/registry/src/main/java/weldpoint/registry/Stage.java
@@ -1,6 +1,6 @@
 package weldpoint.registry;
 
-import weldpoint.trunk.RegistryMessages.Registration;
+import weldpoint.transport.RegistryMessages.Registration;
 
 /** The steps of an upstream's life as the history records them. */
 public enum Stage {
--- a/registry/src/main/java/weldpoint/registry/StoreCaller.java
+++ b/registry/src/main/java/weldpoint/registry/StoreCaller.java
@@ -6,10 +6,10 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.concurrent.CompletableFuture;
-import weldpoint.boot.Breakdown;
-import weldpoint.frame.Deed;
-import weldpoint.frame.FrameCore;
-import weldpoint.trunk.StoreCallMessages;
+import weldpoint.common.Breakdown;
+import weldpoint.statestore.Deed;
+import weldpoint.statestore.FrameCore;
+import weldpoint.transport.StoreCallMessages;
 
 /**
  * Carries calls to the frames: to the holder of the duty where it is known, otherwise to the frame
--- a/registry/src/main/java/weldpoint/registry/Streams.java
+++ b/registry/src/main/java/weldpoint/registry/Streams.java
@@ -9,10 +9,10 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.RegistryMessages;
-import weldpoint.trunk.RegistryMessages.Board;
-import weldpoint.trunk.RegistryMessages.Registration;
+import weldpoint.transport.Message;
+import weldpoint.transport.RegistryMessages;
+import weldpoint.transport.RegistryMessages.Board;
+import weldpoint.transport.RegistryMessages.Registration;
 
 /**
  * The streams of switchboards and announcers to this exchange: those that have been given a first
--- a/registry/src/main/java/weldpoint/registry/Switchboards.java
+++ b/registry/src/main/java/weldpoint/registry/Switchboards.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import weldpoint.trunk.RegistryMessages.Board;
+import weldpoint.transport.RegistryMessages.Board;
 
 /**
  * The switchboards and announcers that this exchange has heard of, itself or from other exchanges,
--- a/registry/src/main/java/weldpoint/registry/TrialDesk.java
+++ b/registry/src/main/java/weldpoint/registry/TrialDesk.java
@@ -5,11 +5,11 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
 import weldpoint.audit.Authors;
-import weldpoint.boot.Breakdown;
-import weldpoint.frame.Deed;
-import weldpoint.trunk.StoreCallMessages;
-import weldpoint.trunk.TrialMessages;
-import weldpoint.trunk.Wire;
+import weldpoint.common.Breakdown;
+import weldpoint.statestore.Deed;
+import weldpoint.transport.StoreCallMessages;
+import weldpoint.transport.TrialMessages;
+import weldpoint.transport.Wire;
 
 /**
  * A registry's part in trials of services: it counts what proxies report, writes the verdicts that
--- a/registry/src/main/java/weldpoint/registry/UpstreamCalls.java
+++ b/registry/src/main/java/weldpoint/registry/UpstreamCalls.java
@@ -31,9 +31,9 @@
 import java.util.concurrent.Executor;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import weldpoint.boot.Boot;
+import weldpoint.common.Boot;
 import weldpoint.ownership.CallResult;
-import weldpoint.trunk.OwnershipMessages.KeyRange;
+import weldpoint.transport.OwnershipMessages.KeyRange;
 
 /**
  * Grants keys to upstreams and takes them back, over HTTP. Grants to one upstream go one after the
--- a/registry/src/test/java/weldpoint/registry/ConfirmationProofTest.java
+++ b/registry/src/test/java/weldpoint/registry/ConfirmationProofTest.java
@@ -12,10 +12,10 @@
 import java.util.concurrent.CompletableFuture;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.RegistryMessages;
-import weldpoint.trunk.RegistryMessages.Registration;
+import weldpoint.transport.Message;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.RegistryMessages;
+import weldpoint.transport.RegistryMessages.Registration;
 
 /**
  * What a registry tells a proxy that it has been told: seven registries, five of them voters, with
--- a/registry/src/test/java/weldpoint/registry/ControlDoorFuzzTest.java
+++ b/registry/src/test/java/weldpoint/registry/ControlDoorFuzzTest.java
@@ -27,13 +27,13 @@
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
-import weldpoint.boot.Boot;
-import weldpoint.frame.Deed;
-import weldpoint.frame.Values;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.StateStoreMessages;
-import weldpoint.trunk.StoreCallMessages;
-import weldpoint.trunk.Wire;
+import weldpoint.common.Boot;
+import weldpoint.statestore.Deed;
+import weldpoint.statestore.Values;
+import weldpoint.transport.Message;
+import weldpoint.transport.StateStoreMessages;
+import weldpoint.transport.StoreCallMessages;
+import weldpoint.transport.Wire;
 
 /**
  * Generated calls to the control interface, cut anywhere: each gets one answer, its own, with a
--- a/registry/src/test/java/weldpoint/registry/ControlDoorTest.java
+++ b/registry/src/test/java/weldpoint/registry/ControlDoorTest.java
@@ -17,9 +17,9 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import weldpoint.boot.Boot;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.StoreCallMessages;
+import weldpoint.common.Boot;
+import weldpoint.transport.Message;
+import weldpoint.transport.StoreCallMessages;
 
 /**
  * Bad calls of operators, upstreams and applications: refused with their reason, and nothing of
--- a/registry/src/test/java/weldpoint/registry/CoreNet.java
+++ b/registry/src/test/java/weldpoint/registry/CoreNet.java
@@ -9,15 +9,15 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.Set;
-import weldpoint.frame.Deed;
-import weldpoint.frame.Values;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.Packing;
-import weldpoint.trunk.RegistryMessages;
-import weldpoint.trunk.RegistryMessages.Registration;
-import weldpoint.trunk.StateStoreMessages;
-import weldpoint.trunk.StoreCallMessages;
-import weldpoint.trunk.Wire;
+import weldpoint.statestore.Deed;
+import weldpoint.statestore.Values;
+import weldpoint.transport.Message;
+import weldpoint.transport.Packing;
+import weldpoint.transport.RegistryMessages;
+import weldpoint.transport.RegistryMessages.Registration;
+import weldpoint.transport.StateStoreMessages;
+import weldpoint.transport.StoreCallMessages;
+import weldpoint.transport.Wire;
 
 /**
  * Exchanges over scripted frames, on a fake clock: lines that can be cut one way, freezes, restarts
--- a/registry/src/test/java/weldpoint/registry/CutOffDoorTest.java
+++ b/registry/src/test/java/weldpoint/registry/CutOffDoorTest.java
@@ -20,13 +20,13 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import weldpoint.boot.Boot;
-import weldpoint.frame.Deed;
-import weldpoint.frame.Values;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.RegistryMessages;
-import weldpoint.trunk.StoreCallMessages;
-import weldpoint.trunk.Wire;
+import weldpoint.common.Boot;
+import weldpoint.statestore.Deed;
+import weldpoint.statestore.Values;
+import weldpoint.transport.Message;
+import weldpoint.transport.RegistryMessages;
+import weldpoint.transport.StoreCallMessages;
+import weldpoint.transport.Wire;
 
 /**
  * What callers of the control interface get from a daemon that is cut off: no answer with
--- a/registry/src/test/java/weldpoint/registry/CutOffTest.java
+++ b/registry/src/test/java/weldpoint/registry/CutOffTest.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.CompletableFuture;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
-import weldpoint.trunk.RegistryMessages;
-import weldpoint.trunk.StateStoreMessages;
+import weldpoint.transport.RegistryMessages;
+import weldpoint.transport.StateStoreMessages;
 
 /**
  * Exchanges that are cut off, restarted while cut off, frozen and thawed: none gives or
--- a/registry/src/test/java/weldpoint/registry/HistoryDeskTest.java
+++ b/registry/src/test/java/weldpoint/registry/HistoryDeskTest.java
@@ -14,11 +14,11 @@
 import org.testng.annotations.Test;
 import weldpoint.audit.AuditEntry;
 import weldpoint.audit.ChangeKind;
-import weldpoint.boot.Breakdown;
-import weldpoint.frame.Deed;
-import weldpoint.frame.Values;
-import weldpoint.trunk.StoreCallMessages;
-import weldpoint.trunk.Wire;
+import weldpoint.common.Breakdown;
+import weldpoint.statestore.Deed;
+import weldpoint.statestore.Values;
+import weldpoint.transport.StoreCallMessages;
+import weldpoint.transport.Wire;
 
 /**
  * Reading the history at one replica: complete only when a majority said how far it goes and all of
--- a/registry/src/test/java/weldpoint/registry/KeyClaimsTest.java
+++ b/registry/src/test/java/weldpoint/registry/KeyClaimsTest.java
@@ -11,11 +11,11 @@
 import java.util.Random;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
-import weldpoint.trunk.KeyMessages.Claim;
-import weldpoint.trunk.KeyMessages.ClaimAnswer;
-import weldpoint.trunk.KeyMessages.ClaimAsk;
-import weldpoint.trunk.KeyMessages.ClaimRelease;
-import weldpoint.trunk.KeyMessages.ClaimResult;
+import weldpoint.transport.KeyMessages.Claim;
+import weldpoint.transport.KeyMessages.ClaimAnswer;
+import weldpoint.transport.KeyMessages.ClaimAsk;
+import weldpoint.transport.KeyMessages.ClaimRelease;
+import weldpoint.transport.KeyMessages.ClaimResult;
 
 /** Registries on a fake clock and network decide to which request an idempotency key belongs. */
 public final class KeyClaimsTest {
--- a/registry/src/test/java/weldpoint/registry/LargeFleetTest.java
+++ b/registry/src/test/java/weldpoint/registry/LargeFleetTest.java
@@ -14,12 +14,12 @@
 import java.util.Random;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.Packing;
-import weldpoint.trunk.RegistryMessages;
-import weldpoint.trunk.RegistryMessages.Registration;
-import weldpoint.trunk.StoreCallMessages;
-import weldpoint.trunk.Wire;
+import weldpoint.transport.Message;
+import weldpoint.transport.Packing;
+import weldpoint.transport.RegistryMessages;
+import weldpoint.transport.RegistryMessages.Registration;
+import weldpoint.transport.StoreCallMessages;
+import weldpoint.transport.Wire;
 
 /**
  * What an exchange tells at hundreds of switchboards and upstreams: little while nothing differs,
--- a/registry/src/test/java/weldpoint/registry/LateBeatsTest.java
+++ b/registry/src/test/java/weldpoint/registry/LateBeatsTest.java
@@ -78,7 +78,7 @@
     private int closedAt() {
       for (int index = 1; index <= REGISTRIES; index++) {
         final boolean learned = net.now - startedAt[index] > LEARNING_MILLIS;
-        final weldpoint.trunk.RegistryMessages.Registration held =
+        final weldpoint.transport.RegistryMessages.Registration held =
             net.node(index).core.history().get("sound");
         if (learned && (held == null || !Stage.of(held).open())) {
           return index;
--- a/registry/src/test/java/weldpoint/registry/QuotaEndpointTest.java
+++ b/registry/src/test/java/weldpoint/registry/QuotaEndpointTest.java
@@ -7,14 +7,14 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.testng.annotations.Test;
-import weldpoint.boot.Boot;
-import weldpoint.dialplan.Dialplan;
+import weldpoint.common.Boot;
 import weldpoint.ratelimit.QuotaAllocator;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.PermitMessages.PermitAnswer;
-import weldpoint.trunk.PermitMessages.PermitAsk;
-import weldpoint.trunk.StateStoreMessages.Roster;
-import weldpoint.trunk.StateStoreMessages.Voter;
+import weldpoint.routing.Dialplan;
+import weldpoint.transport.Message;
+import weldpoint.transport.PermitMessages.PermitAnswer;
+import weldpoint.transport.PermitMessages.PermitAsk;
+import weldpoint.transport.StateStoreMessages.Roster;
+import weldpoint.transport.StateStoreMessages.Voter;
 
 public class QuotaEndpointTest {
   private static final Boot BOOT =
--- a/registry/src/test/java/weldpoint/registry/RegistryCoreTest.java
+++ b/registry/src/test/java/weldpoint/registry/RegistryCoreTest.java
@@ -12,11 +12,11 @@
 import java.util.Random;
 import java.util.concurrent.CompletableFuture;
 import org.testng.annotations.Test;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.RegistryMessages.Registration;
-import weldpoint.trunk.StateStoreMessages;
-import weldpoint.trunk.StoreCallMessages;
-import weldpoint.trunk.Wire;
+import weldpoint.transport.Message;
+import weldpoint.transport.RegistryMessages.Registration;
+import weldpoint.transport.StateStoreMessages;
+import weldpoint.transport.StoreCallMessages;
+import weldpoint.transport.Wire;
 
 /** Three exchanges that talk directly, on a fake clock, with disks that sync when told. */
 public final class RegistryCoreTest {
--- a/registry/src/test/java/weldpoint/registry/StageTest.java
+++ b/registry/src/test/java/weldpoint/registry/StageTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Random;
 import org.testng.annotations.Test;
-import weldpoint.trunk.RegistryMessages.Registration;
+import weldpoint.transport.RegistryMessages.Registration;
 
 /** Merging histories must not depend on order, grouping or repetition. */
 public final class StageTest {
--- a/registry/src/test/java/weldpoint/registry/StandstillTest.java
+++ b/registry/src/test/java/weldpoint/registry/StandstillTest.java
@@ -11,9 +11,9 @@
 import java.util.Random;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import weldpoint.boot.Boot;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.StoreCallMessages;
+import weldpoint.common.Boot;
+import weldpoint.transport.Message;
+import weldpoint.transport.StoreCallMessages;
 
 /**
  * A daemon that stood still: what waited in its sockets for longer than a caller waits is not
--- a/registry/src/test/java/weldpoint/registry/StoreCallerTest.java
+++ b/registry/src/test/java/weldpoint/registry/StoreCallerTest.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.CompletableFuture;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import weldpoint.frame.Deed;
-import weldpoint.trunk.StoreCallMessages;
+import weldpoint.statestore.Deed;
+import weldpoint.transport.StoreCallMessages;
 
 /**
  * Calls to frames under scripted lines: each carries who calls, and an answer counts only from
--- a/registry/src/test/java/weldpoint/registry/TakenVersionTest.java
+++ b/registry/src/test/java/weldpoint/registry/TakenVersionTest.java
@@ -18,14 +18,14 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 import weldpoint.audit.CanonicalJson;
-import weldpoint.boot.Boot;
-import weldpoint.frame.Deed;
-import weldpoint.frame.Values;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.Packing;
-import weldpoint.trunk.StateStoreMessages;
-import weldpoint.trunk.StoreCallMessages;
-import weldpoint.trunk.Wire;
+import weldpoint.common.Boot;
+import weldpoint.statestore.Deed;
+import weldpoint.statestore.Values;
+import weldpoint.transport.Message;
+import weldpoint.transport.Packing;
+import weldpoint.transport.StateStoreMessages;
+import weldpoint.transport.StoreCallMessages;
+import weldpoint.transport.Wire;
 
 /**
  * A configuration whose version stands for another one: the operator is told so, with who sent that
--- a/registry/src/test/java/weldpoint/registry/UpstreamCallsTest.java
+++ b/registry/src/test/java/weldpoint/registry/UpstreamCallsTest.java
@@ -18,8 +18,8 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 import weldpoint.ownership.CallResult;
-import weldpoint.trunk.OwnershipMessages.KeyRange;
-import weldpoint.trunk.OwnershipMessages.RangeState;
+import weldpoint.transport.OwnershipMessages.KeyRange;
+import weldpoint.transport.OwnershipMessages.RangeState;
 
 /** Grants to an upstream that answers some calls twice: its answers name no call. */
 public final class UpstreamCallsTest {
--- a/replay/src/main/java/weldpoint/replay/Call.java
+++ b/replay/src/main/java/weldpoint/replay/Call.java
@@ -1,7 +1,7 @@
 package weldpoint.replay;
 
-import weldpoint.dialplan.RouteKind;
-import weldpoint.trunk.RecordingMessages.Note;
+import weldpoint.routing.RouteKind;
+import weldpoint.transport.RecordingMessages.Note;
 import weldpoint.upstream.AttemptOutcome;
 
 /**
--- a/replay/src/main/java/weldpoint/replay/DayFile.java
+++ b/replay/src/main/java/weldpoint/replay/DayFile.java
@@ -17,9 +17,9 @@
 import java.util.List;
 import java.util.zip.GZIPInputStream;
 import java.util.zip.GZIPOutputStream;
-import weldpoint.boot.Breakdown;
-import weldpoint.trunk.RecordingMessages.Reel;
-import weldpoint.trunk.RegistryMessages.Registration;
+import weldpoint.common.Breakdown;
+import weldpoint.transport.RecordingMessages.Reel;
+import weldpoint.transport.RegistryMessages.Registration;
 
 /**
  * A recorded day on disk: compressed, each part delimited, with an end that says how much there
--- a/replay/src/main/java/weldpoint/replay/Replay.java
+++ b/replay/src/main/java/weldpoint/replay/Replay.java
@@ -12,10 +12,10 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import weldpoint.boot.Breakdown;
-import weldpoint.dialplan.Dialplan;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.RecordingMessages;
+import weldpoint.common.Breakdown;
+import weldpoint.routing.Dialplan;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.RecordingMessages;
 
 /**
  * Plays a recorded day under its own and under proposed settings, and compares the two call by
--- a/replay/src/main/java/weldpoint/replay/Verdict.java
+++ b/replay/src/main/java/weldpoint/replay/Verdict.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import weldpoint.dialplan.RouteKind;
+import weldpoint.routing.RouteKind;
 
 /** What a replay found: writes one by one, other calls in sums. */
 public final class Verdict {
--- a/replay/src/test/java/weldpoint/replay/DayMaker.java
+++ b/replay/src/test/java/weldpoint/replay/DayMaker.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import weldpoint.dialplan.RouteKind;
-import weldpoint.trunk.RecordingMessages.Note;
-import weldpoint.trunk.RecordingMessages.Reel;
-import weldpoint.trunk.RegistryMessages.Registration;
+import weldpoint.routing.RouteKind;
+import weldpoint.transport.RecordingMessages.Note;
+import weldpoint.transport.RecordingMessages.Reel;
+import weldpoint.transport.RegistryMessages.Registration;
 
 /**
  * Makes recorded days by a plain rule of its own: a call takes its work, sometimes an answer is
--- a/replay/src/test/java/weldpoint/replay/ReplayTest.java
+++ b/replay/src/test/java/weldpoint/replay/ReplayTest.java
@@ -15,8 +15,8 @@
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
-import weldpoint.boot.Breakdown;
-import weldpoint.dialplan.Dialplan;
+import weldpoint.common.Breakdown;
+import weldpoint.routing.Dialplan;
 
 public class ReplayTest {
   private static final int BOARDS = 6;
@@ -166,7 +166,7 @@
               turn.reel.site,
               turn.reel.region,
               java.util.Map.of("port", "north", "couva", "south"));
-          for (final var note : weldpoint.trunk.Protocol.list(turn.reel.notes)) {
+          for (final var note : weldpoint.transport.Protocol.list(turn.reel.notes)) {
             final Call call = new Call(note, turn.reel.board, turn.offset, 100);
             fleet.until(call.at);
             fleet.play(
@@ -219,14 +219,14 @@
 
   @Test
   public void aRuleThatTiesCallersIsNeverJudgedWithoutThem() {
-    final weldpoint.dialplan.Dialplan tied =
-        weldpoint.dialplan.Dialplan.compile(
+    final weldpoint.routing.Dialplan tied =
+        weldpoint.routing.Dialplan.compile(
             ("{\"version\":\"1\",\"listeners\":[{\"host\":\"h\",\"rules\":[{\"name\":\"w\",\"routeKind\":\"mutating\",\"match\":{\"pathPrefix\":\"/\"},"
                     + "\"action\":{\"service\":\"s\",\"timeoutMs\":2000,\"maxAttempts\":1,\"affinity\":{\"by\":\"address\"}}}]}],\"pools\":[{\"name\":\"s\"}]}")
                 .getBytes(java.nio.charset.StandardCharsets.UTF_8));
-    final weldpoint.boot.Breakdown breakdown =
+    final weldpoint.common.Breakdown breakdown =
         org.testng.Assert.expectThrows(
-            weldpoint.boot.Breakdown.class,
+            weldpoint.common.Breakdown.class,
             () ->
                 new Replay(java.nio.file.Path.of("no-such-day"), tied, "", 100, bytes -> bytes)
                     .run());
--- a/dialplan/src/main/java/weldpoint/dialplan/Affinity.java
+++ b/routing/src/main/java/weldpoint/routing/Affinity.java
@@ -1,6 +1,6 @@
-package weldpoint.dialplan;
+package weldpoint.routing;
 
-import weldpoint.boot.Breakdown;
+import weldpoint.common.Breakdown;
 
 /**
  * A route's rule that ties each caller to one node: by what a caller is known, and how long a pause
--- a/dialplan/src/main/java/weldpoint/dialplan/Binding.java
+++ b/routing/src/main/java/weldpoint/routing/Binding.java
@@ -1,4 +1,4 @@
-package weldpoint.dialplan;
+package weldpoint.routing;
 
 import java.util.Map;
 import java.util.Objects;
--- a/dialplan/src/main/java/weldpoint/dialplan/Dialplan.java
+++ b/routing/src/main/java/weldpoint/routing/Dialplan.java
@@ -1,4 +1,4 @@
-package weldpoint.dialplan;
+package weldpoint.routing;
 
 import io.avaje.jsonb.JsonType;
 import io.avaje.jsonb.Jsonb;
@@ -7,7 +7,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import weldpoint.boot.Breakdown;
+import weldpoint.common.Breakdown;
 
 /** A configuration compiled into a small program: names have become dense indices. */
 public final class Dialplan {
--- a/dialplan/src/main/java/weldpoint/dialplan/Route.java
+++ b/routing/src/main/java/weldpoint/routing/Route.java
@@ -1,4 +1,4 @@
-package weldpoint.dialplan;
+package weldpoint.routing;
 
 /** A compiled route: names have become indices of services. */
 public final class Route {
--- a/dialplan/src/main/java/weldpoint/dialplan/RouteKind.java
+++ b/routing/src/main/java/weldpoint/routing/RouteKind.java
@@ -1,4 +1,4 @@
-package weldpoint.dialplan;
+package weldpoint.routing;
 
 /** What may be repeated on a route. */
 public enum RouteKind {
--- a/dialplan/src/main/java/weldpoint/dialplan/SpecDocument.java
+++ b/routing/src/main/java/weldpoint/routing/SpecDocument.java
@@ -1,4 +1,4 @@
-package weldpoint.dialplan;
+package weldpoint.routing;
 
 import io.avaje.jsonb.Json;
 import java.util.List;
--- a/dialplan/src/test/java/weldpoint/dialplan/DialplanTest.java
+++ b/routing/src/test/java/weldpoint/routing/DialplanTest.java
@@ -1,4 +1,4 @@
-package weldpoint.dialplan;
+package weldpoint.routing;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -11,7 +11,7 @@
 import java.util.Set;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import weldpoint.boot.Breakdown;
+import weldpoint.common.Breakdown;
 
 /** Compiling, checking and interpreting configurations. */
 public final class DialplanTest {
--- a/scale/src/main/java/weldpoint/scale/Child.java
+++ b/scale/src/main/java/weldpoint/scale/Child.java
@@ -10,8 +10,8 @@
 import java.util.List;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import weldpoint.boot.Boot;
-import weldpoint.boot.Breakdown;
+import weldpoint.common.Boot;
+import weldpoint.common.Breakdown;
 
 /** One real daemon as a process of its own, with what it counts of itself. */
 final class Child {
@@ -50,7 +50,7 @@
                 "-XX:-UsePerfData",
                 "-cp",
                 System.getProperty("java.class.path"),
-                "weldpoint.console.Weldpoint",
+                "weldpoint.cli.Weldpoint",
                 program));
     final ProcessBuilder builder = new ProcessBuilder(words).redirectErrorStream(true);
     builder.environment().put(Boot.VARIABLE, settings.toString());
--- a/scale/src/main/java/weldpoint/scale/Fit.java
+++ b/scale/src/main/java/weldpoint/scale/Fit.java
@@ -1,6 +1,6 @@
 package weldpoint.scale;
 
-import weldpoint.boot.Breakdown;
+import weldpoint.common.Breakdown;
 
 /** A straight line through points by least squares, with what it leaves over. */
 public record Fit(
--- a/scale/src/main/java/weldpoint/scale/HistoryMeasure.java
+++ b/scale/src/main/java/weldpoint/scale/HistoryMeasure.java
@@ -14,7 +14,7 @@
 import weldpoint.audit.AuditReplica;
 import weldpoint.audit.ChangeKind;
 import weldpoint.audit.SegmentStore;
-import weldpoint.trunk.Wire;
+import weldpoint.transport.Wire;
 
 /**
  * The history alone: what entries take on disk and in memory, and what it costs an empty replica to
@@ -95,7 +95,7 @@
   private static void pass(
       final AuditReplica[] replicas,
       final int to,
-      final weldpoint.trunk.Message message,
+      final weldpoint.transport.Message message,
       final ArrayDeque<Runnable> queue,
       final long[] wire) {
     wire[0]++;
--- a/scale/src/main/java/weldpoint/scale/Hollows.java
+++ b/scale/src/main/java/weldpoint/scale/Hollows.java
@@ -12,18 +12,18 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import weldpoint.affinity.Ties;
-import weldpoint.boot.Boot;
-import weldpoint.dialplan.Dialplan;
+import weldpoint.common.Boot;
 import weldpoint.proxy.RegistryLink;
 import weldpoint.proxy.Stream;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.Meter;
-import weldpoint.trunk.PlacementMessages;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.RegistryMessages;
-import weldpoint.trunk.TrialMessages;
-import weldpoint.trunk.Trunk;
-import weldpoint.trunk.Wire;
+import weldpoint.routing.Dialplan;
+import weldpoint.transport.Message;
+import weldpoint.transport.Meter;
+import weldpoint.transport.PlacementMessages;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.RegistryMessages;
+import weldpoint.transport.TrialMessages;
+import weldpoint.transport.Trunk;
+import weldpoint.transport.Wire;
 
 /**
  * Switchboards without traffic, many to this process: each has its own link, stream and line, the
--- a/scale/src/main/java/weldpoint/scale/ScaleCommand.java
+++ b/scale/src/main/java/weldpoint/scale/ScaleCommand.java
@@ -10,7 +10,7 @@
 import joptsimple.OptionParser;
 import joptsimple.OptionSet;
 import joptsimple.OptionSpec;
-import weldpoint.boot.Breakdown;
+import weldpoint.common.Breakdown;
 
 /**
  * weldpoint scale: measures how state, messages and processor time of each role grow with the size
--- a/scale/src/main/java/weldpoint/scale/ScaleRun.java
+++ b/scale/src/main/java/weldpoint/scale/ScaleRun.java
@@ -16,8 +16,8 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import weldpoint.boot.Boot;
-import weldpoint.boot.Breakdown;
+import weldpoint.common.Boot;
+import weldpoint.common.Breakdown;
 
 /**
  * One size: real frames, exchanges and switchboards as processes on loopback addresses, with hollow
--- a/scale/src/main/java/weldpoint/scale/Sizes.java
+++ b/scale/src/main/java/weldpoint/scale/Sizes.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import weldpoint.boot.Breakdown;
+import weldpoint.common.Breakdown;
 
 /** The size of one run. */
 public record Sizes(
--- a/rig/src/main/java/weldpoint/rig/ControlDay.java
+++ b/simulation/src/main/java/weldpoint/simulation/ControlDay.java
@@ -1,4 +1,4 @@
-package weldpoint.rig;
+package weldpoint.simulation;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -10,8 +10,8 @@
 import java.util.function.Consumer;
 import weldpoint.audit.AuditEntry;
 import weldpoint.audit.ChangeKind;
-import weldpoint.frame.FrameCore;
-import weldpoint.trunk.RegistryMessages;
+import weldpoint.statestore.FrameCore;
+import weldpoint.transport.RegistryMessages;
 
 /**
  * Plays one day: a fleet from its first start, operators, upstreams and applications, its troubles,
--- a/rig/src/main/java/weldpoint/rig/ControlFleet.java
+++ b/simulation/src/main/java/weldpoint/simulation/ControlFleet.java
@@ -1,4 +1,4 @@
-package weldpoint.rig;
+package weldpoint.simulation;
 
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
@@ -15,18 +15,18 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.function.Consumer;
-import weldpoint.boot.Boot;
-import weldpoint.dialplan.Dialplan;
-import weldpoint.frame.FrameCore;
+import weldpoint.common.Boot;
 import weldpoint.proxy.RegistryLink;
 import weldpoint.registry.ControlDoor;
 import weldpoint.registry.RegistryCore;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.RegistryMessages;
-import weldpoint.trunk.StoreCallMessages;
-import weldpoint.trunk.TrialMessages;
-import weldpoint.trunk.Wire;
+import weldpoint.routing.Dialplan;
+import weldpoint.statestore.FrameCore;
+import weldpoint.transport.Message;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.RegistryMessages;
+import weldpoint.transport.StoreCallMessages;
+import weldpoint.transport.TrialMessages;
+import weldpoint.transport.Wire;
 
 /**
  * Whole control sides on a fake clock, a fake network and fake disks, driven by one seed: on each
--- a/rig/src/main/java/weldpoint/rig/ControlPlan.java
+++ b/simulation/src/main/java/weldpoint/simulation/ControlPlan.java
@@ -1,4 +1,4 @@
-package weldpoint.rig;
+package weldpoint.simulation;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/rig/src/main/java/weldpoint/rig/ControlSearch.java
+++ b/simulation/src/main/java/weldpoint/simulation/ControlSearch.java
@@ -1,4 +1,4 @@
-package weldpoint.rig;
+package weldpoint.simulation;
 
 import java.io.PrintStream;
 import java.util.EnumMap;
--- a/rig/src/main/java/weldpoint/rig/FakeLine.java
+++ b/simulation/src/main/java/weldpoint/simulation/FakeLine.java
@@ -1,9 +1,9 @@
-package weldpoint.rig;
+package weldpoint.simulation;
 
 import java.util.ArrayDeque;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.Wire;
+import weldpoint.transport.Message;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.Wire;
 
 /**
  * One connection between two programs, as TCP has it: in order, bound to the two lives at its ends.
--- a/rig/src/main/java/weldpoint/rig/Fleet.java
+++ b/simulation/src/main/java/weldpoint/simulation/Fleet.java
@@ -1,4 +1,4 @@
-package weldpoint.rig;
+package weldpoint.simulation;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -12,11 +12,11 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import weldpoint.audit.AuditStore;
-import weldpoint.frame.Deed;
-import weldpoint.frame.FrameCore;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.StoreCallMessages;
-import weldpoint.trunk.Wire;
+import weldpoint.statestore.Deed;
+import weldpoint.statestore.FrameCore;
+import weldpoint.transport.Message;
+import weldpoint.transport.StoreCallMessages;
+import weldpoint.transport.Wire;
 
 /** Several frames on a fake clock, a fake network and fake disks, driven by one seed. */
 public final class Fleet {
--- a/rig/src/main/java/weldpoint/rig/Operators.java
+++ b/simulation/src/main/java/weldpoint/simulation/Operators.java
@@ -1,4 +1,4 @@
-package weldpoint.rig;
+package weldpoint.simulation;
 
 import io.netty.handler.codec.http.HttpMethod;
 import java.util.ArrayList;
--- a/rig/src/main/java/weldpoint/rig/Text.java
+++ b/simulation/src/main/java/weldpoint/simulation/Text.java
@@ -1,9 +1,9 @@
-package weldpoint.rig;
+package weldpoint.simulation;
 
 import java.nio.charset.StandardCharsets;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import weldpoint.trunk.Packing;
+import weldpoint.transport.Packing;
 
 /** What scripted callers write and read: bodies of the control interface. */
 final class Text {
--- a/rig/src/test/java/weldpoint/registry/CopiesTest.java
+++ b/simulation/src/test/java/weldpoint/registry/CopiesTest.java
@@ -14,10 +14,10 @@
 import weldpoint.audit.AuditEntry;
 import weldpoint.audit.AuditLog;
 import weldpoint.audit.ChangeKind;
-import weldpoint.frame.Deed;
-import weldpoint.rig.Fleet;
-import weldpoint.trunk.StoreCallMessages;
-import weldpoint.trunk.Wire;
+import weldpoint.simulation.Fleet;
+import weldpoint.statestore.Deed;
+import weldpoint.transport.StoreCallMessages;
+import weldpoint.transport.Wire;
 
 /**
  * Three exchanges whose copies of calls are lost, come late by seconds, and cross changes of duty:
--- a/rig/src/test/java/weldpoint/rig/BrokenControlTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/BrokenControlTest.java
@@ -1,4 +1,4 @@
-package weldpoint.rig;
+package weldpoint.simulation;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -16,10 +16,10 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import weldpoint.frame.Deed;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.StateStoreMessages;
-import weldpoint.trunk.StoreCallMessages;
+import weldpoint.statestore.Deed;
+import weldpoint.transport.Message;
+import weldpoint.transport.StateStoreMessages;
+import weldpoint.transport.StoreCallMessages;
 
 /**
  * Control sides with one safety mechanism broken, by meddling with what is said: the checker must
--- a/rig/src/test/java/weldpoint/rig/CatchUpMeasureTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/CatchUpMeasureTest.java
@@ -1,4 +1,4 @@
-package weldpoint.rig;
+package weldpoint.simulation;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -12,13 +12,13 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 import weldpoint.audit.ConfigurationSummary;
-import weldpoint.dialplan.Dialplan;
-import weldpoint.frame.Deed;
-import weldpoint.trunk.AuditMessages;
-import weldpoint.trunk.Packing;
-import weldpoint.trunk.StateStoreMessages;
-import weldpoint.trunk.StoreCallMessages;
-import weldpoint.trunk.Wire;
+import weldpoint.routing.Dialplan;
+import weldpoint.statestore.Deed;
+import weldpoint.transport.AuditMessages;
+import weldpoint.transport.Packing;
+import weldpoint.transport.StateStoreMessages;
+import weldpoint.transport.StoreCallMessages;
+import weldpoint.transport.Wire;
 
 /**
  * Catching up after hundreds and thousands of configurations: a member is killed, cut off and wiped
--- a/rig/src/test/java/weldpoint/rig/CatchUpTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/CatchUpTest.java
@@ -1,4 +1,4 @@
-package weldpoint.rig;
+package weldpoint.simulation;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -12,11 +12,11 @@
 import java.util.TreeMap;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
-import weldpoint.frame.Deed;
-import weldpoint.trunk.AuditMessages;
-import weldpoint.trunk.Mark;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.StateStoreMessages;
+import weldpoint.statestore.Deed;
+import weldpoint.transport.AuditMessages;
+import weldpoint.transport.Mark;
+import weldpoint.transport.Message;
+import weldpoint.transport.StateStoreMessages;
 
 /**
  * A member that was away, cut off or lost its disk catches up: over slow links, while changes go
--- a/rig/src/test/java/weldpoint/rig/ControlSearchTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/ControlSearchTest.java
@@ -1,4 +1,4 @@
-package weldpoint.rig;
+package weldpoint.simulation;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
--- a/rig/src/test/java/weldpoint/rig/FrameSafetyTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/FrameSafetyTest.java
@@ -1,4 +1,4 @@
-package weldpoint.rig;
+package weldpoint.simulation;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -11,7 +11,7 @@
 import java.util.Set;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
-import weldpoint.frame.Deed;
+import weldpoint.statestore.Deed;
 
 /**
  * Five frames under cuts, freezes, kills, power loss, wipes and replacement; what callers saw must
--- a/rig/src/test/java/weldpoint/rig/IncarnationTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/IncarnationTest.java
@@ -1,4 +1,4 @@
-package weldpoint.rig;
+package weldpoint.simulation;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Map;
 import org.testng.annotations.Test;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.StateStoreMessages;
+import weldpoint.transport.Message;
+import weldpoint.transport.StateStoreMessages;
 
 /**
  * An incarnation is taken once, whoever votes meanwhile, and is never held against another voter.
--- a/rig/src/test/java/weldpoint/rig/RosterNumberTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/RosterNumberTest.java
@@ -1,4 +1,4 @@
-package weldpoint.rig;
+package weldpoint.simulation;
 
 import static org.testng.Assert.assertTrue;
 
@@ -8,10 +8,10 @@
 import java.util.Map;
 import java.util.Random;
 import org.testng.annotations.Test;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.StateStoreMessages;
-import weldpoint.trunk.Wire;
+import weldpoint.transport.Message;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.StateStoreMessages;
+import weldpoint.transport.Wire;
 
 /**
  * A roster's number names one roster, whoever has it, and incarnations are those of the voters they
--- a/rig/src/test/java/weldpoint/rig/RosterTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/RosterTest.java
@@ -1,4 +1,4 @@
-package weldpoint.rig;
+package weldpoint.simulation;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNotNull;
@@ -12,11 +12,11 @@
 import java.util.TreeMap;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
-import weldpoint.frame.Deed;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.StateStoreMessages;
-import weldpoint.trunk.StateStoreMessages.Roster;
-import weldpoint.trunk.StateStoreMessages.Voter;
+import weldpoint.statestore.Deed;
+import weldpoint.transport.Message;
+import weldpoint.transport.StateStoreMessages;
+import weldpoint.transport.StateStoreMessages.Roster;
+import weldpoint.transport.StateStoreMessages.Voter;
 
 /**
  * Several losses in turn, planned and unplanned, with and without disks: a majority is left, and
--- a/rig/src/test/java/weldpoint/rig/TrialTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/TrialTest.java
@@ -1,4 +1,4 @@
-package weldpoint.rig;
+package weldpoint.simulation;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -13,18 +13,18 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import weldpoint.boot.Breakdown;
-import weldpoint.dialplan.Dialplan;
-import weldpoint.frame.Deed;
-import weldpoint.frame.Values;
+import weldpoint.common.Breakdown;
+import weldpoint.routing.Dialplan;
+import weldpoint.statestore.Deed;
+import weldpoint.statestore.Values;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.TrialMessages;
+import weldpoint.transport.TrialMessages.Trial;
+import weldpoint.transport.Wire;
 import weldpoint.trial.Count;
 import weldpoint.trial.TrialBook;
 import weldpoint.trial.TrialPanel;
 import weldpoint.trial.Verdict;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.TrialMessages;
-import weldpoint.trunk.TrialMessages.Trial;
-import weldpoint.trunk.Wire;
 
 /**
  * Switchboards, exchanges' panels and five frames on one fake clock; scripted upstreams of a new
--- a/rig/src/test/java/weldpoint/rig/VersionsTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/VersionsTest.java
@@ -1,4 +1,4 @@
-package weldpoint.rig;
+package weldpoint.simulation;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -18,17 +18,17 @@
 import weldpoint.audit.CanonicalJson;
 import weldpoint.audit.ChangeKind;
 import weldpoint.audit.ConfigurationSummary;
-import weldpoint.dialplan.Dialplan;
-import weldpoint.frame.BrokenBook;
-import weldpoint.frame.Deed;
-import weldpoint.frame.FrameCore;
-import weldpoint.frame.Values;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.Packing;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.StateStoreMessages;
-import weldpoint.trunk.StoreCallMessages;
-import weldpoint.trunk.Wire;
+import weldpoint.routing.Dialplan;
+import weldpoint.statestore.BrokenBook;
+import weldpoint.statestore.Deed;
+import weldpoint.statestore.FrameCore;
+import weldpoint.statestore.Values;
+import weldpoint.transport.Message;
+import weldpoint.transport.Packing;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.StateStoreMessages;
+import weldpoint.transport.StoreCallMessages;
+import weldpoint.transport.Wire;
 
 /**
  * Two operators who use the same versions for different configurations, over cuts, freezes, losses
--- a/rig/src/test/java/weldpoint/rig/ZoneLossTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/ZoneLossTest.java
@@ -1,4 +1,4 @@
-package weldpoint.rig;
+package weldpoint.simulation;
 
 import static org.testng.Assert.assertEquals;
 
@@ -10,9 +10,9 @@
 import java.util.TreeMap;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
-import weldpoint.frame.Deed;
-import weldpoint.trunk.StateStoreMessages.Roster;
-import weldpoint.trunk.StateStoreMessages.Voter;
+import weldpoint.statestore.Deed;
+import weldpoint.transport.StateStoreMessages.Roster;
+import weldpoint.transport.StateStoreMessages.Voter;
 
 /**
  * One zone after another is lost and comes back. Voters must be spread so that each loss leaves a
--- a/rig/src/test/java/weldpoint/rig/model/Model.java
+++ b/simulation/src/test/java/weldpoint/simulation/model/Model.java
@@ -1,4 +1,4 @@
-package weldpoint.rig.model;
+package weldpoint.simulation.model;
 
 import java.lang.invoke.MethodHandles;
 import java.lang.invoke.VarHandle;
--- a/rig/src/test/java/weldpoint/rig/model/ModelTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/model/ModelTest.java
@@ -1,4 +1,4 @@
-package weldpoint.rig.model;
+package weldpoint.simulation.model;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNotNull;
--- a/rig/src/test/java/weldpoint/rig/model/Search.java
+++ b/simulation/src/test/java/weldpoint/simulation/model/Search.java
@@ -1,4 +1,4 @@
-package weldpoint.rig.model;
+package weldpoint.simulation.model;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/rig/src/test/java/weldpoint/rig/model/Trace.java
+++ b/simulation/src/test/java/weldpoint/simulation/model/Trace.java
@@ -1,4 +1,4 @@
-package weldpoint.rig.model;
+package weldpoint.simulation.model;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -9,13 +9,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import weldpoint.frame.FrameCore;
-import weldpoint.frame.Kept;
-import weldpoint.rig.Fleet;
-import weldpoint.trunk.Mark;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.StateStoreMessages;
+import weldpoint.simulation.Fleet;
+import weldpoint.statestore.FrameCore;
+import weldpoint.statestore.Kept;
+import weldpoint.transport.Mark;
+import weldpoint.transport.Message;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.StateStoreMessages;
 
 /**
  * Takes what real cores send, get and put on disk for steps of the model, and checks that the model
--- a/rig/src/test/java/weldpoint/rig/model/TraceTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/model/TraceTest.java
@@ -1,4 +1,4 @@
-package weldpoint.rig.model;
+package weldpoint.simulation.model;
 
 import static org.testng.Assert.assertTrue;
 
@@ -9,11 +9,11 @@
 import java.util.List;
 import java.util.Random;
 import org.testng.annotations.Test;
-import weldpoint.frame.Deed;
-import weldpoint.rig.Fleet;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.StateStoreMessages;
+import weldpoint.simulation.Fleet;
+import weldpoint.statestore.Deed;
+import weldpoint.transport.Message;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.StateStoreMessages;
 
 /** Whole days of real cores never leave the model; cores that are made to break a rule do. */
 public class TraceTest {
--- a/rig/src/test/java/weldpoint/rig/model/Variant.java
+++ b/simulation/src/test/java/weldpoint/simulation/model/Variant.java
@@ -1,4 +1,4 @@
-package weldpoint.rig.model;
+package weldpoint.simulation.model;
 
 /** A rule that is broken on purpose, for the search to catch. */
 public enum Variant {
--- a/rig/src/test/java/weldpoint/frame/BrokenBook.java
+++ b/simulation/src/test/java/weldpoint/statestore/BrokenBook.java
@@ -1,8 +1,8 @@
-package weldpoint.frame;
+package weldpoint.statestore;
 
 import weldpoint.audit.AuditEntry;
 import weldpoint.audit.AuditStore;
-import weldpoint.rig.Fleet;
+import weldpoint.simulation.Fleet;
 
 /** Holders that keep the history wrongly, for the checks to catch. */
 public final class BrokenBook {
@@ -20,7 +20,7 @@
           }
 
           @Override
-          void settle(final weldpoint.trunk.StateStoreMessages.Roster roster) {
+          void settle(final weldpoint.transport.StateStoreMessages.Roster roster) {
             forget();
           }
         });
@@ -32,7 +32,7 @@
         new TakenVersions(null, null) {
           @Override
           Decision decide(
-              final Values.Spec held, final weldpoint.trunk.StoreCallMessages.Call call) {
+              final Values.Spec held, final weldpoint.transport.StoreCallMessages.Call call) {
             return Decision.confirm(200, 0);
           }
         });
@@ -48,13 +48,13 @@
   }
 
   /** A configuration as a store wrote it before it kept the digest of what it says. */
-  public static weldpoint.trunk.StateStoreMessages.Entry older(
-      final weldpoint.trunk.StateStoreMessages.Entry entry) {
+  public static weldpoint.transport.StateStoreMessages.Entry older(
+      final weldpoint.transport.StateStoreMessages.Entry entry) {
     if (entry.whole == null || Values.Kind.of(entry.name) != Values.Kind.SPEC) {
       return entry;
     }
     final Values.Spec spec = (Values.Spec) Values.Kind.SPEC.decode(entry.whole);
-    return new weldpoint.trunk.StateStoreMessages.Entry(
+    return new weldpoint.transport.StateStoreMessages.Entry(
         entry.name,
         entry.mark,
         entry.base,
--- a/rig/src/test/java/weldpoint/frame/Kept.java
+++ b/simulation/src/test/java/weldpoint/statestore/Kept.java
@@ -1,13 +1,13 @@
-package weldpoint.frame;
+package weldpoint.statestore;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import weldpoint.trunk.Mark;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.StateStoreMessages;
-import weldpoint.trunk.Wire;
+import weldpoint.transport.Mark;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.StateStoreMessages;
+import weldpoint.transport.Wire;
 
 /** What the records on one disk say, as a frame would read them after a loss of power. */
 public final class Kept {
--- a/soak/src/main/java/weldpoint/soak/DaemonProcess.java
+++ b/soak/src/main/java/weldpoint/soak/DaemonProcess.java
@@ -11,8 +11,8 @@
 import java.util.Deque;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import weldpoint.boot.Boot;
-import weldpoint.boot.Logs;
+import weldpoint.common.Boot;
+import weldpoint.common.Logs;
 
 /**
  * One weldpoint daemon as an operating system process that can be killed, paused, resumed and
@@ -60,7 +60,7 @@
                 "-XX:-UsePerfData",
                 "-cp",
                 System.getProperty("java.class.path"),
-                "weldpoint.console.Weldpoint",
+                "weldpoint.cli.Weldpoint",
                 program));
     final ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
     builder.environment().put(Boot.VARIABLE, settings.toString());
--- a/frame/src/main/java/weldpoint/frame/AuditBook.java
+++ b/statestore/src/main/java/weldpoint/statestore/AuditBook.java
@@ -1,4 +1,4 @@
-package weldpoint.frame;
+package weldpoint.statestore;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -9,12 +9,12 @@
 import weldpoint.audit.ChangeKind;
 import weldpoint.audit.ConfigurationDifference;
 import weldpoint.audit.ConfigurationSummary;
-import weldpoint.trunk.Packing;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.StateStoreMessages;
-import weldpoint.trunk.StoreCallMessages;
-import weldpoint.trunk.TrialMessages;
-import weldpoint.trunk.Wire;
+import weldpoint.transport.Packing;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.StateStoreMessages;
+import weldpoint.transport.StoreCallMessages;
+import weldpoint.transport.TrialMessages;
+import weldpoint.transport.Wire;
 
 /**
  * The history as the holder of partition 0 sees it: which entry is the last, and which are not yet
--- a/frame/src/main/java/weldpoint/frame/ControlView.java
+++ b/statestore/src/main/java/weldpoint/statestore/ControlView.java
@@ -1,15 +1,15 @@
-package weldpoint.frame;
+package weldpoint.statestore;
 
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
-import weldpoint.trunk.CacheMessages;
-import weldpoint.trunk.OwnershipMessages;
-import weldpoint.trunk.PlacementMessages;
-import weldpoint.trunk.RegionMessages;
-import weldpoint.trunk.StateStoreMessages;
-import weldpoint.trunk.StoreCallMessages;
-import weldpoint.trunk.TrialMessages;
+import weldpoint.transport.CacheMessages;
+import weldpoint.transport.OwnershipMessages;
+import weldpoint.transport.PlacementMessages;
+import weldpoint.transport.RegionMessages;
+import weldpoint.transport.StateStoreMessages;
+import weldpoint.transport.StoreCallMessages;
+import weldpoint.transport.TrialMessages;
 
 /**
  * The control state that is committed at the holder of its partition, gathered from its registers
--- a/frame/src/main/java/weldpoint/frame/Decision.java
+++ b/statestore/src/main/java/weldpoint/statestore/Decision.java
@@ -1,4 +1,4 @@
-package weldpoint.frame;
+package weldpoint.statestore;
 
 /** What a call comes to: an answer, a new value to be written first, or a wait. */
 final class Decision {
--- a/frame/src/main/java/weldpoint/frame/Deed.java
+++ b/statestore/src/main/java/weldpoint/statestore/Deed.java
@@ -1,16 +1,16 @@
-package weldpoint.frame;
+package weldpoint.statestore;
 
 import java.util.ArrayList;
 import java.util.List;
-import weldpoint.frame.Values.Evacuation;
-import weldpoint.frame.Values.Group;
-import weldpoint.frame.Values.Lock;
-import weldpoint.frame.Values.Put;
-import weldpoint.frame.Values.Spec;
-import weldpoint.trunk.OwnershipMessages;
-import weldpoint.trunk.PlacementMessages;
-import weldpoint.trunk.StoreCallMessages.Call;
-import weldpoint.trunk.Wire;
+import weldpoint.statestore.Values.Evacuation;
+import weldpoint.statestore.Values.Group;
+import weldpoint.statestore.Values.Lock;
+import weldpoint.statestore.Values.Put;
+import weldpoint.statestore.Values.Spec;
+import weldpoint.transport.OwnershipMessages;
+import weldpoint.transport.PlacementMessages;
+import weldpoint.transport.StoreCallMessages.Call;
+import weldpoint.transport.Wire;
 
 /** What may be asked of the store, each with how it is decided at the holder of the duty. */
 public enum Deed {
@@ -76,10 +76,10 @@
   TRIAL_WRITE(Values.Kind.TRIAL) {
     @Override
     Decision decide(final Held held, final Object value, final Call call, final long now) {
-      final weldpoint.trunk.TrialMessages.Trial before =
-          (weldpoint.trunk.TrialMessages.Trial) value;
-      final weldpoint.trunk.TrialMessages.Trial next =
-          Wire.value(call.body, weldpoint.trunk.TrialMessages.Trial.class);
+      final weldpoint.transport.TrialMessages.Trial before =
+          (weldpoint.transport.TrialMessages.Trial) value;
+      final weldpoint.transport.TrialMessages.Trial next =
+          Wire.value(call.body, weldpoint.transport.TrialMessages.Trial.class);
       if (before != null && java.util.Arrays.equals(Wire.bytes(before), call.body)) {
         return Decision.confirm(200, before.serial);
       }
@@ -100,23 +100,23 @@
   PURGE(Values.Kind.PURGES) {
     @Override
     Decision decide(final Held held, final Object value, final Call call, final long now) {
-      final weldpoint.trunk.CacheMessages.Purges before =
+      final weldpoint.transport.CacheMessages.Purges before =
           value == null
-              ? new weldpoint.trunk.CacheMessages.Purges(0, 0, List.of())
-              : (weldpoint.trunk.CacheMessages.Purges) value;
+              ? new weldpoint.transport.CacheMessages.Purges(0, 0, List.of())
+              : (weldpoint.transport.CacheMessages.Purges) value;
       final String named = new String(call.body, java.nio.charset.StandardCharsets.UTF_8);
       final long serial = before.mark + 1;
-      final List<weldpoint.trunk.CacheMessages.Purge> all =
-          new ArrayList<>(weldpoint.trunk.Protocol.list(before.purges));
+      final List<weldpoint.transport.CacheMessages.Purge> all =
+          new ArrayList<>(weldpoint.transport.Protocol.list(before.purges));
       all.add(
           call.owner == null
-              ? new weldpoint.trunk.CacheMessages.Purge(serial, null, null, named)
-              : new weldpoint.trunk.CacheMessages.Purge(serial, call.owner, named, null));
+              ? new weldpoint.transport.CacheMessages.Purge(serial, null, null, named)
+              : new weldpoint.transport.CacheMessages.Purge(serial, call.owner, named, null));
       while (all.size() > MOST_PURGES) {
         all.remove(0);
       }
       return Decision.write(
-          new weldpoint.trunk.CacheMessages.Purges(all.get(0).serial - 1, serial, all),
+          new weldpoint.transport.CacheMessages.Purges(all.get(0).serial - 1, serial, all),
           null,
           serial);
     }
@@ -125,10 +125,10 @@
   ELECTORATE(Values.Kind.ELECTORATE) {
     @Override
     Decision decide(final Held held, final Object value, final Call call, final long now) {
-      final weldpoint.trunk.RegionMessages.Electorate before =
-          (weldpoint.trunk.RegionMessages.Electorate) value;
-      final weldpoint.trunk.RegionMessages.Electorate next =
-          Wire.value(call.body, weldpoint.trunk.RegionMessages.Electorate.class);
+      final weldpoint.transport.RegionMessages.Electorate before =
+          (weldpoint.transport.RegionMessages.Electorate) value;
+      final weldpoint.transport.RegionMessages.Electorate next =
+          Wire.value(call.body, weldpoint.transport.RegionMessages.Electorate.class);
       final long mark = before == null ? 0 : before.mark;
       return next.mark == mark + 1
           ? Decision.write(next, null, next.mark)
--- a/frame/src/main/java/weldpoint/frame/Departure.java
+++ b/statestore/src/main/java/weldpoint/statestore/Departure.java
@@ -1,4 +1,4 @@
-package weldpoint.frame;
+package weldpoint.statestore;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/frame/src/main/java/weldpoint/frame/FrameCore.java
+++ b/statestore/src/main/java/weldpoint/statestore/FrameCore.java
@@ -1,4 +1,4 @@
-package weldpoint.frame;
+package weldpoint.statestore;
 
 import com.google.common.flogger.FluentLogger;
 import java.util.ArrayList;
@@ -15,17 +15,17 @@
 import weldpoint.audit.AuditReplica;
 import weldpoint.audit.AuditStore;
 import weldpoint.audit.HeapStore;
-import weldpoint.frame.Partition.Phase;
-import weldpoint.frame.Partition.Waiter;
-import weldpoint.trunk.Mark;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.StateStoreMessages;
-import weldpoint.trunk.StateStoreMessages.Entry;
-import weldpoint.trunk.StateStoreMessages.Roster;
-import weldpoint.trunk.StateStoreMessages.Voter;
-import weldpoint.trunk.StoreCallMessages;
-import weldpoint.trunk.Wire;
+import weldpoint.statestore.Partition.Phase;
+import weldpoint.statestore.Partition.Waiter;
+import weldpoint.transport.Mark;
+import weldpoint.transport.Message;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.StateStoreMessages;
+import weldpoint.transport.StateStoreMessages.Entry;
+import weldpoint.transport.StateStoreMessages.Roster;
+import weldpoint.transport.StateStoreMessages.Voter;
+import weldpoint.transport.StoreCallMessages;
+import weldpoint.transport.Wire;
 
 /**
  * The store's state and rules: registers under marks, ballots for the duty of writing a partition,
--- a/frame/src/main/java/weldpoint/frame/FrameDaemon.java
+++ b/statestore/src/main/java/weldpoint/statestore/FrameDaemon.java
@@ -1,4 +1,4 @@
-package weldpoint.frame;
+package weldpoint.statestore;
 
 import com.google.common.flogger.FluentLogger;
 import io.netty.channel.EventLoopGroup;
@@ -9,20 +9,20 @@
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
 import weldpoint.audit.SegmentStore;
-import weldpoint.boot.Boot;
-import weldpoint.boot.Breakdown;
-import weldpoint.boot.Chance;
-import weldpoint.boot.Desk;
-import weldpoint.boot.Program;
-import weldpoint.tape.Ring;
-import weldpoint.tape.Tape;
-import weldpoint.trunk.Line;
-import weldpoint.trunk.Lines;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.StoreCallMessages;
-import weldpoint.trunk.Trunk;
-import weldpoint.trunk.Wire;
+import weldpoint.common.Boot;
+import weldpoint.common.Breakdown;
+import weldpoint.common.Chance;
+import weldpoint.common.Desk;
+import weldpoint.common.Program;
+import weldpoint.transport.Line;
+import weldpoint.transport.Lines;
+import weldpoint.transport.Message;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.StoreCallMessages;
+import weldpoint.transport.Trunk;
+import weldpoint.transport.Wire;
+import weldpoint.wal.Ring;
+import weldpoint.wal.Tape;
 
 /** The store as a process: its core on one thread, its lines on another, its disk on a third. */
 public final class FrameDaemon implements Program {
--- a/frame/src/main/java/weldpoint/frame/Held.java
+++ b/statestore/src/main/java/weldpoint/statestore/Held.java
@@ -1,12 +1,12 @@
-package weldpoint.frame;
+package weldpoint.statestore;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import weldpoint.trunk.Mark;
-import weldpoint.trunk.StoreCallMessages.Answer;
-import weldpoint.trunk.StoreCallMessages.Call;
+import weldpoint.transport.Mark;
+import weldpoint.transport.StoreCallMessages.Answer;
+import weldpoint.transport.StoreCallMessages.Call;
 
 /** A register as the holder of its duty sees it. */
 final class Held {
--- a/frame/src/main/java/weldpoint/frame/Membership.java
+++ b/statestore/src/main/java/weldpoint/statestore/Membership.java
@@ -1,4 +1,4 @@
-package weldpoint.frame;
+package weldpoint.statestore;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import weldpoint.trunk.StateStoreMessages.Roster;
-import weldpoint.trunk.StateStoreMessages.Voter;
+import weldpoint.transport.StateStoreMessages.Roster;
+import weldpoint.transport.StateStoreMessages.Voter;
 
 /**
  * Who votes and who would like to: what the holder of partition 0 knows of members and newcomers,
--- a/frame/src/main/java/weldpoint/frame/Partition.java
+++ b/statestore/src/main/java/weldpoint/statestore/Partition.java
@@ -1,14 +1,14 @@
-package weldpoint.frame;
+package weldpoint.statestore;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import weldpoint.trunk.Mark;
-import weldpoint.trunk.StateStoreMessages;
-import weldpoint.trunk.StateStoreMessages.Entry;
-import weldpoint.trunk.Wire;
+import weldpoint.transport.Mark;
+import weldpoint.transport.StateStoreMessages;
+import weldpoint.transport.StateStoreMessages.Entry;
+import weldpoint.transport.Wire;
 
 /**
  * One partition as this daemon sees it: what it has promised and stored, and, where it holds the
--- a/frame/src/main/java/weldpoint/frame/RecentCalls.java
+++ b/statestore/src/main/java/weldpoint/statestore/RecentCalls.java
@@ -1,9 +1,9 @@
-package weldpoint.frame;
+package weldpoint.statestore;
 
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import weldpoint.trunk.StoreCallMessages.Call;
+import weldpoint.transport.StoreCallMessages.Call;
 
 /**
  * What a holder of a duty has decided of late, by the identity of each call (its caller's
--- a/frame/src/main/java/weldpoint/frame/Recovery.java
+++ b/statestore/src/main/java/weldpoint/statestore/Recovery.java
@@ -1,4 +1,4 @@
-package weldpoint.frame;
+package weldpoint.statestore;
 
 import com.google.common.flogger.FluentLogger;
 import java.io.ByteArrayOutputStream;
@@ -11,13 +11,13 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import weldpoint.frame.Partition.Stored;
-import weldpoint.trunk.Mark;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.StateStoreMessages;
-import weldpoint.trunk.StateStoreMessages.Entry;
-import weldpoint.trunk.StateStoreMessages.Voter;
+import weldpoint.statestore.Partition.Stored;
+import weldpoint.transport.Mark;
+import weldpoint.transport.Message;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.StateStoreMessages;
+import weldpoint.transport.StateStoreMessages.Entry;
+import weldpoint.transport.StateStoreMessages.Voter;
 
 /**
  * How a frame whose disk is blank gets back what a majority of voters holds, and how the others
--- a/frame/src/main/java/weldpoint/frame/TakenVersions.java
+++ b/statestore/src/main/java/weldpoint/statestore/TakenVersions.java
@@ -1,16 +1,16 @@
-package weldpoint.frame;
+package weldpoint.statestore;
 
 import java.util.Arrays;
 import weldpoint.audit.AuditEntry;
 import weldpoint.audit.AuditLog;
 import weldpoint.audit.CanonicalJson;
 import weldpoint.audit.ChangeKind;
-import weldpoint.boot.Breakdown;
-import weldpoint.frame.Values.Spec;
-import weldpoint.frame.Values.TakenVersion;
-import weldpoint.trunk.Packing;
-import weldpoint.trunk.StoreCallMessages.Call;
-import weldpoint.trunk.Wire;
+import weldpoint.common.Breakdown;
+import weldpoint.statestore.Values.Spec;
+import weldpoint.statestore.Values.TakenVersion;
+import weldpoint.transport.Packing;
+import weldpoint.transport.StoreCallMessages.Call;
+import weldpoint.transport.Wire;
 
 /**
  * Which content each version of the configuration stands for, as the holder of its register knows
--- a/frame/src/main/java/weldpoint/frame/Tokens.java
+++ b/statestore/src/main/java/weldpoint/statestore/Tokens.java
@@ -1,10 +1,10 @@
-package weldpoint.frame;
+package weldpoint.statestore;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import weldpoint.trunk.StateStoreMessages.Roster;
-import weldpoint.trunk.StateStoreMessages.Voter;
+import weldpoint.transport.StateStoreMessages.Roster;
+import weldpoint.transport.StateStoreMessages.Voter;
 
 /**
  * Equal tokens spread over the members, as the paper's third strategy has it: each member keeps Q/S
@@ -31,7 +31,7 @@
   public static Roster with(final Roster roster, final Voter newcomer) {
     final List<List<Integer>> lists = new ArrayList<>();
     for (final Voter voter : roster.voters) {
-      lists.add(new ArrayList<>(weldpoint.trunk.Protocol.list(voter.tokens)));
+      lists.add(new ArrayList<>(weldpoint.transport.Protocol.list(voter.tokens)));
     }
     final List<Integer> taken = new ArrayList<>();
     final int share = COUNT / (roster.voters.size() + 1);
@@ -58,10 +58,10 @@
     for (final Voter voter : roster.voters) {
       if (!voter.address.equals(gone.address)) {
         staying.add(voter);
-        lists.add(new ArrayList<>(weldpoint.trunk.Protocol.list(voter.tokens)));
+        lists.add(new ArrayList<>(weldpoint.transport.Protocol.list(voter.tokens)));
       }
     }
-    for (final int token : weldpoint.trunk.Protocol.list(gone.tokens)) {
+    for (final int token : weldpoint.transport.Protocol.list(gone.tokens)) {
       List<Integer> least = lists.get(0);
       for (final List<Integer> list : lists) {
         least = list.size() < least.size() ? list : least;
--- a/frame/src/main/java/weldpoint/frame/Values.java
+++ b/statestore/src/main/java/weldpoint/statestore/Values.java
@@ -1,17 +1,17 @@
-package weldpoint.frame;
+package weldpoint.statestore;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import weldpoint.trunk.CacheMessages;
-import weldpoint.trunk.OwnershipMessages;
-import weldpoint.trunk.PlacementMessages;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.RegionMessages;
-import weldpoint.trunk.StateStoreMessages;
-import weldpoint.trunk.TrialMessages;
-import weldpoint.trunk.Wire;
+import weldpoint.transport.CacheMessages;
+import weldpoint.transport.OwnershipMessages;
+import weldpoint.transport.PlacementMessages;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.RegionMessages;
+import weldpoint.transport.StateStoreMessages;
+import weldpoint.transport.TrialMessages;
+import weldpoint.transport.Wire;
 
 /** The values that registers hold. All are immutable. */
 public final class Values {
@@ -412,7 +412,7 @@
   public static final class DiskRecord {
     public final int type;
     public final int partition;
-    public final weldpoint.trunk.Mark ballot;
+    public final weldpoint.transport.Mark ballot;
     public final List<StateStoreMessages.Entry> entries;
     public final StateStoreMessages.Roster roster;
     public final String address;
@@ -421,7 +421,7 @@
     public DiskRecord(
         final int type,
         final int partition,
-        final weldpoint.trunk.Mark ballot,
+        final weldpoint.transport.Mark ballot,
         final List<StateStoreMessages.Entry> entries,
         final StateStoreMessages.Roster roster,
         final String address,
--- a/frame/src/main/java/weldpoint/frame/VoterChoice.java
+++ b/statestore/src/main/java/weldpoint/statestore/VoterChoice.java
@@ -1,4 +1,4 @@
-package weldpoint.frame;
+package weldpoint.statestore;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import weldpoint.trunk.StateStoreMessages.Voter;
+import weldpoint.transport.StateStoreMessages.Voter;
 
 /**
  * Which daemons should vote: first, no zone holds so many that its loss takes the majority, even if
--- a/frame/src/test/java/weldpoint/frame/FencingTest.java
+++ b/statestore/src/test/java/weldpoint/statestore/FencingTest.java
@@ -1,4 +1,4 @@
-package weldpoint.frame;
+package weldpoint.statestore;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -8,9 +8,9 @@
 import java.util.Random;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import weldpoint.trunk.Mark;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.StateStoreMessages;
+import weldpoint.transport.Mark;
+import weldpoint.transport.Message;
+import weldpoint.transport.StateStoreMessages;
 
 /**
  * One voter on its own: what carries an old roster, a lower ballot or an overtaken incarnation is
--- a/frame/src/test/java/weldpoint/frame/RecentCallsTest.java
+++ b/statestore/src/test/java/weldpoint/statestore/RecentCallsTest.java
@@ -1,4 +1,4 @@
-package weldpoint.frame;
+package weldpoint.statestore;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -6,7 +6,7 @@
 import static org.testng.Assert.assertTrue;
 
 import org.testng.annotations.Test;
-import weldpoint.trunk.StoreCallMessages;
+import weldpoint.transport.StoreCallMessages;
 
 /**
  * What a holder remembers of calls: by caller and number, as long as a copy can be under way, and
--- a/frame/src/test/java/weldpoint/frame/ThawTest.java
+++ b/statestore/src/test/java/weldpoint/statestore/ThawTest.java
@@ -1,4 +1,4 @@
-package weldpoint.frame;
+package weldpoint.statestore;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -13,12 +13,12 @@
 import java.util.function.UnaryOperator;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
-import weldpoint.trunk.Mark;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.StateStoreMessages;
-import weldpoint.trunk.StoreCallMessages;
-import weldpoint.trunk.Wire;
+import weldpoint.transport.Mark;
+import weldpoint.transport.Message;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.StateStoreMessages;
+import weldpoint.transport.StoreCallMessages;
+import weldpoint.transport.Wire;
 
 /**
  * A holder that stands still at any moment around a call, while another takes its duties over and
--- a/frame/src/test/java/weldpoint/frame/VoterChoiceTest.java
+++ b/statestore/src/test/java/weldpoint/statestore/VoterChoiceTest.java
@@ -1,4 +1,4 @@
-package weldpoint.frame;
+package weldpoint.statestore;
 
 import static org.testng.Assert.assertEquals;
 
@@ -9,7 +9,7 @@
 import java.util.TreeSet;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import weldpoint.trunk.StateStoreMessages.Voter;
+import weldpoint.transport.StateStoreMessages.Voter;
 
 /** Who should vote in a small site where somebody is out of reach. */
 public final class VoterChoiceTest {
--- a/trunk/src/main/java/weldpoint/trunk/Line.java
+++ b/transport/src/main/java/weldpoint/transport/Line.java
@@ -1,4 +1,4 @@
-package weldpoint.trunk;
+package weldpoint.transport;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelOutboundBuffer;
--- a/trunk/src/main/java/weldpoint/trunk/Mark.java
+++ b/transport/src/main/java/weldpoint/transport/Mark.java
@@ -1,4 +1,4 @@
-package weldpoint.trunk;
+package weldpoint.transport;
 
 /** The version of a register: the ballot that wrote it and a count within that ballot. */
 public final class Mark implements Comparable<Mark> {
--- a/trunk/src/main/java/weldpoint/trunk/Message.java
+++ b/transport/src/main/java/weldpoint/transport/Message.java
@@ -1,4 +1,4 @@
-package weldpoint.trunk;
+package weldpoint.transport;
 
 /** Anything that one program of the system says to another. */
 public interface Message {}
--- a/trunk/src/main/java/weldpoint/trunk/Meter.java
+++ b/transport/src/main/java/weldpoint/transport/Meter.java
@@ -1,4 +1,4 @@
-package weldpoint.trunk;
+package weldpoint.transport;
 
 /** Counts what passes over the inner protocol; written by the traffic thread only. */
 public final class Meter {
--- a/trunk/src/main/java/weldpoint/trunk/OwnershipMessages.java
+++ b/transport/src/main/java/weldpoint/transport/OwnershipMessages.java
@@ -1,4 +1,4 @@
-package weldpoint.trunk;
+package weldpoint.transport;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/trunk/src/main/java/weldpoint/trunk/Packing.java
+++ b/transport/src/main/java/weldpoint/transport/Packing.java
@@ -1,10 +1,10 @@
-package weldpoint.trunk;
+package weldpoint.transport;
 
 import java.io.ByteArrayOutputStream;
 import java.util.zip.DataFormatException;
 import java.util.zip.Deflater;
 import java.util.zip.Inflater;
-import weldpoint.boot.Breakdown;
+import weldpoint.common.Breakdown;
 
 /**
  * The form in which a configuration is stored and sent: compressed, otherwise as the operator wrote
--- a/trunk/src/main/java/weldpoint/trunk/PermitMessages.java
+++ b/transport/src/main/java/weldpoint/transport/PermitMessages.java
@@ -1,4 +1,4 @@
-package weldpoint.trunk;
+package weldpoint.transport;
 
 /** Asks for permits of tenants and origins, and their answers. */
 public final class PermitMessages {
--- a/trunk/src/main/java/weldpoint/trunk/StoreCallMessages.java
+++ b/transport/src/main/java/weldpoint/transport/StoreCallMessages.java
@@ -1,4 +1,4 @@
-package weldpoint.trunk;
+package weldpoint.transport;
 
 /** Calls of registries to the state store, and their answers. */
 public final class StoreCallMessages {
--- a/trunk/src/main/java/weldpoint/trunk/Trunk.java
+++ b/transport/src/main/java/weldpoint/transport/Trunk.java
@@ -1,4 +1,4 @@
-package weldpoint.trunk;
+package weldpoint.transport;
 
 import com.google.common.flogger.FluentLogger;
 import io.netty.bootstrap.Bootstrap;
--- a/trunk/src/main/java/weldpoint/trunk/Wire.java
+++ b/transport/src/main/java/weldpoint/transport/Wire.java
@@ -1,4 +1,4 @@
-package weldpoint.trunk;
+package weldpoint.transport;
 
 import io.protostuff.LinkedBuffer;
 import io.protostuff.ProtostuffIOUtil;
--- a/trunk/src/test/java/weldpoint/trunk/TrunkTest.java
+++ b/transport/src/test/java/weldpoint/transport/TrunkTest.java
@@ -1,4 +1,4 @@
-package weldpoint.trunk;
+package weldpoint.transport;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
--- a/trial/src/main/java/weldpoint/trial/TrialBook.java
+++ b/trial/src/main/java/weldpoint/trial/TrialBook.java
@@ -7,10 +7,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.TrialMessages;
-import weldpoint.trunk.TrialMessages.Tally;
-import weldpoint.trunk.TrialMessages.Trial;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.TrialMessages;
+import weldpoint.transport.TrialMessages.Tally;
+import weldpoint.transport.TrialMessages.Trial;
 
 /**
  * A switchboard's side of trials: which version a request goes to, what became of it, and holding
--- a/trial/src/main/java/weldpoint/trial/TrialPanel.java
+++ b/trial/src/main/java/weldpoint/trial/TrialPanel.java
@@ -5,13 +5,13 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import weldpoint.boot.Breakdown;
-import weldpoint.dialplan.Dialplan;
-import weldpoint.dialplan.Route;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.TrialMessages;
-import weldpoint.trunk.TrialMessages.Tally;
-import weldpoint.trunk.TrialMessages.Trial;
+import weldpoint.common.Breakdown;
+import weldpoint.routing.Dialplan;
+import weldpoint.routing.Route;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.TrialMessages;
+import weldpoint.transport.TrialMessages.Tally;
+import weldpoint.transport.TrialMessages.Trial;
 
 /**
  * An exchange's side of trials: it checks orders, gathers what switchboards have counted, and says
--- a/trial/src/main/java/weldpoint/trial/Verdict.java
+++ b/trial/src/main/java/weldpoint/trial/Verdict.java
@@ -1,6 +1,6 @@
 package weldpoint.trial;
 
-import weldpoint.trunk.TrialMessages.Trial;
+import weldpoint.transport.TrialMessages.Trial;
 
 /** Where a trial stands. */
 public enum Verdict {
--- a/upstream/src/main/java/weldpoint/upstream/ColdBound.java
+++ b/upstream/src/main/java/weldpoint/upstream/ColdBound.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Random;
-import weldpoint.boot.Rank;
+import weldpoint.common.Rank;
 
 /**
  * This switchboard's part of what all of them together may send to one cold upstream. The bound of
--- a/upstream/src/main/java/weldpoint/upstream/RetryPolicy.java
+++ b/upstream/src/main/java/weldpoint/upstream/RetryPolicy.java
@@ -1,6 +1,6 @@
 package weldpoint.upstream;
 
-import weldpoint.dialplan.Route;
+import weldpoint.routing.Route;
 
 /**
  * When a request may be tried at a further upstream: the one place that decides it, for traffic and
--- a/upstream/src/main/java/weldpoint/upstream/Upstream.java
+++ b/upstream/src/main/java/weldpoint/upstream/Upstream.java
@@ -1,7 +1,7 @@
 package weldpoint.upstream;
 
 import java.util.ArrayDeque;
-import weldpoint.trunk.RegistryMessages.Registration;
+import weldpoint.transport.RegistryMessages.Registration;
 
 /** One upstream as this switchboard knows it: what it was told, and what it has seen itself. */
 public final class Upstream {
--- a/upstream/src/main/java/weldpoint/upstream/UpstreamPool.java
+++ b/upstream/src/main/java/weldpoint/upstream/UpstreamPool.java
@@ -21,11 +21,11 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.function.Consumer;
-import weldpoint.boot.Boot;
-import weldpoint.dialplan.Binding;
-import weldpoint.dialplan.Dialplan;
-import weldpoint.dialplan.Route;
-import weldpoint.dialplan.RouteKind;
+import weldpoint.common.Boot;
+import weldpoint.routing.Binding;
+import weldpoint.routing.Dialplan;
+import weldpoint.routing.Route;
+import weldpoint.routing.RouteKind;
 
 /**
  * The upstreams of all services, their connections, and the choice among them. All of it lives on
@@ -136,7 +136,8 @@
   }
 
   /** A change in the registry. */
-  public record Change(weldpoint.trunk.RegistryMessages.Registration registration, boolean open) {}
+  public record Change(
+      weldpoint.transport.RegistryMessages.Registration registration, boolean open) {}
 
   /** Takes which sites are evacuated; those taken back count as cold until told otherwise. */
   public void evacuated(final Set<String> sites, final long now) {
--- a/upstream/src/main/java/weldpoint/upstream/UpstreamSubsets.java
+++ b/upstream/src/main/java/weldpoint/upstream/UpstreamSubsets.java
@@ -6,8 +6,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import weldpoint.boot.Boot;
-import weldpoint.boot.Rank;
+import weldpoint.common.Boot;
+import weldpoint.common.Rank;
 
 /**
  * This proxy's own subset of every large service: few upstreams, so that their connections are used
--- a/upstream/src/test/java/weldpoint/upstream/ColdBoundTest.java
+++ b/upstream/src/test/java/weldpoint/upstream/ColdBoundTest.java
@@ -12,10 +12,10 @@
 import java.util.Random;
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.Test;
-import weldpoint.boot.Boot;
-import weldpoint.dialplan.Binding;
-import weldpoint.dialplan.Dialplan;
-import weldpoint.trunk.RegistryMessages.Registration;
+import weldpoint.common.Boot;
+import weldpoint.routing.Binding;
+import weldpoint.routing.Dialplan;
+import weldpoint.transport.RegistryMessages.Registration;
 
 /**
  * What a large fleet sends together to an upstream that turns cold: in no second more than its
--- a/upstream/src/test/java/weldpoint/upstream/UpstreamConnectionTest.java
+++ b/upstream/src/test/java/weldpoint/upstream/UpstreamConnectionTest.java
@@ -19,7 +19,7 @@
 import org.testng.Reporter;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import weldpoint.trunk.RegistryMessages.Registration;
+import weldpoint.transport.RegistryMessages.Registration;
 
 /**
  * One connection to an upstream, cut, split and spoiled at every byte: each request hears of its
--- a/upstream/src/test/java/weldpoint/upstream/UpstreamPoolTest.java
+++ b/upstream/src/test/java/weldpoint/upstream/UpstreamPoolTest.java
@@ -28,10 +28,10 @@
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import weldpoint.boot.Boot;
-import weldpoint.dialplan.Binding;
-import weldpoint.dialplan.Dialplan;
-import weldpoint.trunk.RegistryMessages.Registration;
+import weldpoint.common.Boot;
+import weldpoint.routing.Binding;
+import weldpoint.routing.Dialplan;
+import weldpoint.transport.RegistryMessages.Registration;
 
 /**
  * The choice of upstreams: homes, evacuations, drains, and the bound of cold ones over many
@@ -288,7 +288,7 @@
     }
   }
 
-  private static weldpoint.dialplan.Route ranked(final String kind, final int priority) {
+  private static weldpoint.routing.Route ranked(final String kind, final int priority) {
     final Dialplan one =
         Dialplan.compile(
             ("{\"version\":\"1\",\"listeners\":[{\"host\":\"h\",\"rules\":[{\"name\":\"r\",\"routeKind\":\""
--- a/tape/src/main/java/weldpoint/tape/FolderFiles.java
+++ b/wal/src/main/java/weldpoint/wal/FolderFiles.java
@@ -1,4 +1,4 @@
-package weldpoint.tape;
+package weldpoint.wal;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
--- a/tape/src/main/java/weldpoint/tape/Ring.java
+++ b/wal/src/main/java/weldpoint/wal/Ring.java
@@ -1,4 +1,4 @@
-package weldpoint.tape;
+package weldpoint.wal;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -7,7 +7,7 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.zip.CRC32;
-import weldpoint.boot.Breakdown;
+import weldpoint.common.Breakdown;
 
 /**
  * The format on disk: a ring of preallocated files. Each file opens with a snapshot of the live
--- a/tape/src/main/java/weldpoint/tape/Tape.java
+++ b/wal/src/main/java/weldpoint/wal/Tape.java
@@ -1,4 +1,4 @@
-package weldpoint.tape;
+package weldpoint.wal;
 
 import com.google.common.flogger.FluentLogger;
 import java.io.IOException;
--- a/tape/src/test/java/weldpoint/tape/PowerLossTest.java
+++ b/wal/src/test/java/weldpoint/wal/PowerLossTest.java
@@ -1,4 +1,4 @@
-package weldpoint.tape;
+package weldpoint.wal;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
--- a/tape/src/test/java/weldpoint/tape/RingTest.java
+++ b/wal/src/test/java/weldpoint/wal/RingTest.java
@@ -1,4 +1,4 @@
-package weldpoint.tape;
+package weldpoint.wal;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -12,7 +12,7 @@
 import java.util.Arrays;
 import java.util.List;
 import org.testng.annotations.Test;
-import weldpoint.boot.Breakdown;
+import weldpoint.common.Breakdown;
 
 /** The ring cut at every byte, damaged, turned over, and on a disk that refuses. */
 public final class RingTest {
