--- a/affinity/src/main/java/weldpoint/affinity/Callers.java
+++ b/affinity/src/main/java/weldpoint/affinity/AffinityKeys.java
@@ -4,14 +4,14 @@
 import weldpoint.routing.Affinity;
 
 /** By which name a caller is tied. */
-public final class Callers {
+public final class AffinityKeys {
   private static final int MOST = 256;
   private long unnamed;
   private long several;
   private long overlong;
 
   /** Nothing counted yet. */
-  public Callers() {}
+  public AffinityKeys() {}
 
   /**
    * The name of a caller: the header's value, the tenant's name or the address; whatever is
--- a/affinity/src/main/java/weldpoint/affinity/Ties.java
+++ b/affinity/src/main/java/weldpoint/affinity/AffinityTable.java
@@ -17,7 +17,7 @@
  * still covers it, and which writes are under way. All of it lives on one thread and takes the time
  * from outside.
  */
-public class Ties {
+public class AffinityTable {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
   private static final long MARGIN_MILLIS = 60;
   private static final long FINISH_MILLIS = 100;
@@ -36,7 +36,7 @@
   }
 
   /** A write that is under way, or may be. */
-  public static final class Tie {
+  public static final class PendingWrite {
     private final String service;
     private final long caller;
     private final String node;
@@ -44,7 +44,7 @@
     private final long until;
     private boolean over;
 
-    private Tie(
+    private PendingWrite(
         final String service,
         final long caller,
         final String node,
@@ -69,11 +69,11 @@
   private final String self;
   private final long incarnation;
   private final long leaseMillis;
-  private final Consumer<PlacementMessages.LeaseAsk> outlet;
+  private final Consumer<PlacementMessages.LeaseRequest> outlet;
   private final Map<String, Epoch> epochs = new HashMap<>();
-  private final List<Tie> ties = new ArrayList<>();
+  private final List<PendingWrite> ties = new ArrayList<>();
   private final Map<Long, Long> askedAt = new HashMap<>();
-  private final long[] counts = new long[Verdict.values().length];
+  private final long[] counts = new long[WriteDecision.values().length];
   private PlacementMember node;
   private long mark;
   private long settled;
@@ -84,11 +84,11 @@
   private long asks;
 
   /** Nothing is held yet; asks for leases go to the outlet. */
-  public Ties(
+  public AffinityTable(
       final String self,
       final long incarnation,
       final long leaseMillis,
-      final Consumer<PlacementMessages.LeaseAsk> outlet) {
+      final Consumer<PlacementMessages.LeaseRequest> outlet) {
     this.self = self;
     this.incarnation = incarnation;
     this.leaseMillis = leaseMillis;
@@ -135,7 +135,7 @@
    * Where the write of a caller goes now, among the nodes that may serve it. To be asked right
    * before sending.
    */
-  public Verdict decide(
+  public WriteDecision decide(
       final String service,
       final long caller,
       final Predicate<PlacementMember> may,
@@ -143,23 +143,23 @@
     node = null;
     final Epoch epoch = epochs.get(service);
     if (epoch == null) {
-      return Verdict.NO_PLACEMENT;
+      return WriteDecision.NO_PLACEMENT;
     }
     if (!leased(now)) {
-      return Verdict.NO_LEASE;
+      return WriteDecision.NO_LEASE;
     }
     final PlacementMember here = epoch.members.choose(caller, may);
     if (epoch.next != null) {
       final PlacementMember then = epoch.next.choose(caller, may);
       if (here == null || then == null || !here.id.equals(then.id)) {
-        return Verdict.MOVING;
+        return WriteDecision.MOVING;
       }
     }
     if (here == null) {
-      return Verdict.NO_NODE;
+      return WriteDecision.NO_NODE;
     }
     node = here;
-    return Verdict.GO;
+    return WriteDecision.GO;
   }
 
   /** The node of the last decision that said go. */
@@ -168,18 +168,19 @@
   }
 
   /** Counts what became of a write in the end. */
-  public void count(final Verdict verdict) {
+  public void count(final WriteDecision verdict) {
     counts[verdict.ordinal()]++;
   }
 
   /** A write goes to the node now; its upstream gives it up at the deadline. */
-  public Tie begin(
+  public PendingWrite begin(
       final String service,
       final long caller,
       final String nodeId,
       final Predicate<PlacementMember> may,
       final long deadline) {
-    final Tie tie = new Tie(service, caller, nodeId, may, deadline + FINISH_MILLIS);
+    final PendingWrite tie =
+        new PendingWrite(service, caller, nodeId, may, deadline + FINISH_MILLIS);
     ties.add(tie);
     return tie;
   }
@@ -187,8 +188,8 @@
   /** Time has passed, or something ended. */
   public void tick(final long now) {
     boolean pending = false;
-    for (final Iterator<Tie> all = ties.iterator(); all.hasNext(); ) {
-      final Tie tie = all.next();
+    for (final Iterator<PendingWrite> all = ties.iterator(); all.hasNext(); ) {
+      final PendingWrite tie = all.next();
       if (tie.over || now >= tie.until) {
         all.remove();
         continue;
@@ -222,7 +223,7 @@
     for (final long count : counts) {
       told.add(count);
     }
-    outlet.accept(new PlacementMessages.LeaseAsk(asks, self, incarnation, mark, settled, told));
+    outlet.accept(new PlacementMessages.LeaseRequest(asks, self, incarnation, mark, settled, told));
   }
 
   /** The mark of the placements held. */
@@ -254,7 +255,7 @@
             .append(Math.max(0, leaseUntil - now))
             .append(" ms under way ")
             .append(ties.size());
-    for (final Verdict verdict : Verdict.values()) {
+    for (final WriteDecision verdict : WriteDecision.values()) {
       text.append(' ')
           .append(verdict.name().toLowerCase(java.util.Locale.ROOT))
           .append(' ')
--- a/affinity/src/main/java/weldpoint/affinity/PlacementKeeper.java
+++ b/affinity/src/main/java/weldpoint/affinity/PlacementCoordinator.java
@@ -13,8 +13,8 @@
 import weldpoint.transport.PlacementMessages.Placement;
 import weldpoint.transport.PlacementMessages.PlacementMember;
 import weldpoint.transport.Protocol;
-import weldpoint.transport.StoreCallMessages;
-import weldpoint.transport.Wire;
+import weldpoint.transport.Serializer;
+import weldpoint.transport.StoreMessages;
 
 /**
  * The exchange's side: one exchange at a time, named by a register, grants leases on placements and
@@ -22,7 +22,7 @@
  * finished what had to be finished, or its lease and all that it may have sent under it have surely
  * run out.
  */
-public class PlacementKeeper {
+public class PlacementCoordinator {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
   private static final long MARGIN_MILLIS = 150;
   private static final long TAKE_OVER_MILLIS = 1500;
@@ -30,10 +30,11 @@
   /** Writes registers, if they still have the serial before. */
   public interface Writer {
     /** Writes who keeps placements. */
-    CompletableFuture<StoreCallMessages.Answer> keeper(PlacementMessages.Keeper next, long now);
+    CompletableFuture<StoreMessages.StoreResponse> keeper(
+        PlacementMessages.PlacementOwner next, long now);
 
     /** Writes a service's placement. */
-    CompletableFuture<StoreCallMessages.Answer> placement(Placement next, long now);
+    CompletableFuture<StoreMessages.StoreResponse> placement(Placement next, long now);
   }
 
   private static final class Holder {
@@ -52,7 +53,7 @@
   private final Map<String, Long> differsSince = new HashMap<>();
   private final Map<String, Holder> holders = new LinkedHashMap<>();
   private Map<String, List<PlacementMember>> wanted = Map.of();
-  private PlacementMessages.Keeper keeper = new PlacementMessages.Keeper(0, "", 0);
+  private PlacementMessages.PlacementOwner keeper = new PlacementMessages.PlacementOwner(0, "", 0);
   private long mark;
   private long finishMillis;
   private long keeperSince;
@@ -62,7 +63,7 @@
   private long stale;
 
   /** Nothing is known yet. */
-  public PlacementKeeper(
+  public PlacementCoordinator(
       final String self,
       final long incarnation,
       final long leaseMillis,
@@ -78,7 +79,7 @@
   /** Takes what the frames hold; true where placements are new. */
   public boolean take(
       final List<Placement> given,
-      final PlacementMessages.Keeper named,
+      final PlacementMessages.PlacementOwner named,
       final long givenMark,
       final long now) {
     if (named != null && named.serial > keeper.serial) {
@@ -140,7 +141,7 @@
 
   /** Somebody asks for a lease; a majority confirmed what is known here at the time given. */
   public PlacementMessages.LeaseGrant ask(
-      final PlacementMessages.LeaseAsk ask, final long confirmedAt, final long now) {
+      final PlacementMessages.LeaseRequest ask, final long confirmedAt, final long now) {
     long millis = 0;
     if (keeps()) {
       final Holder holder =
@@ -177,7 +178,8 @@
                   || now - keeperLostAt >= TAKE_OVER_MILLIS);
       if (mayKeep && due) {
         write(
-            writer.keeper(new PlacementMessages.Keeper(keeper.serial + 1, self, incarnation), now));
+            writer.keeper(
+                new PlacementMessages.PlacementOwner(keeper.serial + 1, self, incarnation), now));
       }
       return;
     }
@@ -223,7 +225,7 @@
     }
   }
 
-  private void write(final CompletableFuture<StoreCallMessages.Answer> future) {
+  private void write(final CompletableFuture<StoreMessages.StoreResponse> future) {
     out = true;
     future.whenComplete((answer, problem) -> out = false);
   }
@@ -265,7 +267,7 @@
 
   /** What the switchboards that hold leases counted, by verdict. */
   public long[] counts() {
-    final long[] sums = new long[Verdict.values().length];
+    final long[] sums = new long[WriteDecision.values().length];
     for (final Holder holder : holders.values()) {
       for (int index = 0; index < Math.min(sums.length, holder.counts.size()); index++) {
         sums[index] += holder.counts.get(index);
@@ -292,6 +294,6 @@
 
   /** The bytes of a placement. */
   public static byte[] bytes(final Placement placement) {
-    return Wire.bytes(placement);
+    return Serializer.bytes(placement);
   }
 }
--- a/affinity/src/main/java/weldpoint/affinity/Verdict.java
+++ b/affinity/src/main/java/weldpoint/affinity/WriteDecision.java
@@ -1,7 +1,7 @@
 package weldpoint.affinity;
 
 /** What becomes of a tied write at this moment. */
-public enum Verdict {
+public enum WriteDecision {
   /** Its node is known and may be used. */
   GO(""),
   /** Its caller moves to another node, and the one it had may still be at work. */
@@ -23,7 +23,7 @@
 
   private final String reason;
 
-  Verdict(final String reason) {
+  WriteDecision(final String reason) {
     this.reason = reason;
   }
 
--- a/affinity/src/test/java/weldpoint/affinity/World.java
+++ b/affinity/src/test/java/weldpoint/affinity/AffinitySimulation.java
@@ -14,13 +14,13 @@
 import weldpoint.transport.PlacementMessages;
 import weldpoint.transport.PlacementMessages.Placement;
 import weldpoint.transport.PlacementMessages.PlacementMember;
-import weldpoint.transport.StoreCallMessages;
+import weldpoint.transport.StoreMessages;
 
 /**
  * A busy morning on a fake clock: switchboards, two exchanges, one register store, nodes and
  * callers, driven by one seed.
  */
-final class World {
+final class AffinitySimulation {
   static final String SERVICE = "desk";
   static final long LEASE = 2000;
   static final long LONGEST = 600;
@@ -52,30 +52,30 @@
     }
   }
 
-  private final class Board {
+  private final class Proxy {
     final String address;
     int life;
     boolean running;
     boolean frozen;
     boolean cut;
-    Ties ties;
-    Exchange exchange;
+    AffinityTable ties;
+    Registry exchange;
     final List<Runnable> held = new ArrayList<>();
 
-    Board(final String address) {
+    Proxy(final String address) {
       this.address = address;
     }
   }
 
-  private final class Exchange {
+  private final class Registry {
     final String address;
-    PlacementKeeper keeper;
+    PlacementCoordinator keeper;
     long incarnation;
     boolean running;
     boolean cut;
     long confirmedAt = Long.MIN_VALUE / 2;
 
-    Exchange(final String address) {
+    Registry(final String address) {
       this.address = address;
     }
   }
@@ -91,10 +91,10 @@
                   ? Long.compare(one.at, other.at)
                   : Long.compare(one.order, other.order));
   final Map<String, Node> nodes = new LinkedHashMap<>();
-  private final List<Board> boards = new ArrayList<>();
-  private final List<Exchange> exchanges = new ArrayList<>();
+  private final List<Proxy> boards = new ArrayList<>();
+  private final List<Registry> exchanges = new ArrayList<>();
   private final TreeMap<String, Placement> registers = new TreeMap<>();
-  private PlacementMessages.Keeper keeper = new PlacementMessages.Keeper(0, "", 0);
+  private PlacementMessages.PlacementOwner keeper = new PlacementMessages.PlacementOwner(0, "", 0);
   private boolean coreCut;
   private int lives;
   private int writes;
@@ -108,21 +108,21 @@
   int refusedCount;
   int uncertainCount;
   int movedCallers;
-  final Map<Verdict, Integer> verdicts = new TreeMap<>();
+  final Map<WriteDecision, Integer> verdicts = new TreeMap<>();
 
-  World(final long seed, final Flaw flaw, final int boardCount, final int nodeCount) {
+  AffinitySimulation(final long seed, final Flaw flaw, final int boardCount, final int nodeCount) {
     this.random = new Random(seed);
     this.flaw = flaw;
     for (int index = 0; index < nodeCount; index++) {
       join();
     }
     for (int index = 0; index < 2; index++) {
-      final Exchange exchange = new Exchange("e" + index);
+      final Registry exchange = new Registry("e" + index);
       exchanges.add(exchange);
       start(exchange);
     }
     for (int index = 0; index < boardCount; index++) {
-      final Board board = new Board("b" + index);
+      final Proxy board = new Proxy("b" + index);
       boards.add(board);
       start(board);
     }
@@ -156,7 +156,7 @@
         members.add(new PlacementMember(node.id, node.capacity, "a"));
       }
     }
-    return PlacementKeeper.sorted(members);
+    return PlacementCoordinator.sorted(members);
   }
 
   private long mark() {
@@ -167,9 +167,9 @@
     return mark;
   }
 
-  private <T> CompletableFuture<StoreCallMessages.Answer> decide(
-      final Exchange from, final java.util.function.Supplier<Integer> write) {
-    final CompletableFuture<StoreCallMessages.Answer> future = new CompletableFuture<>();
+  private <T> CompletableFuture<StoreMessages.StoreResponse> decide(
+      final Registry from, final java.util.function.Supplier<Integer> write) {
+    final CompletableFuture<StoreMessages.StoreResponse> future = new CompletableFuture<>();
     final long incarnation = from.incarnation;
     after(
         2 + random.nextInt(30),
@@ -183,22 +183,22 @@
               2 + random.nextInt(30),
               () -> {
                 if (from.running && from.incarnation == incarnation) {
-                  future.complete(new StoreCallMessages.Answer(0, status, 0, null, null));
+                  future.complete(new StoreMessages.StoreResponse(0, status, 0, null, null));
                 }
               });
         });
     return future;
   }
 
-  private void start(final Exchange exchange) {
+  private void start(final Registry exchange) {
     exchange.running = true;
     exchange.incarnation = ++lives;
     exchange.confirmedAt = Long.MIN_VALUE / 2;
-    final PlacementKeeper.Writer writer =
-        new PlacementKeeper.Writer() {
+    final PlacementCoordinator.Writer writer =
+        new PlacementCoordinator.Writer() {
           @Override
-          public CompletableFuture<StoreCallMessages.Answer> keeper(
-              final PlacementMessages.Keeper next, final long at) {
+          public CompletableFuture<StoreMessages.StoreResponse> keeper(
+              final PlacementMessages.PlacementOwner next, final long at) {
             return decide(
                 exchange,
                 () -> {
@@ -211,7 +211,7 @@
           }
 
           @Override
-          public CompletableFuture<StoreCallMessages.Answer> placement(
+          public CompletableFuture<StoreMessages.StoreResponse> placement(
               final Placement next, final long at) {
             return decide(
                 exchange,
@@ -227,17 +227,19 @@
         };
     exchange.keeper =
         flaw == Flaw.NO_CONFIRMATION
-            ? new PlacementKeeper(exchange.address, exchange.incarnation, LEASE, BATCH, writer) {
+            ? new PlacementCoordinator(
+                exchange.address, exchange.incarnation, LEASE, BATCH, writer) {
               @Override
               protected boolean settled(final Placement prepared, final long at) {
                 return true;
               }
             }
-            : new PlacementKeeper(exchange.address, exchange.incarnation, LEASE, BATCH, writer);
+            : new PlacementCoordinator(
+                exchange.address, exchange.incarnation, LEASE, BATCH, writer);
     poll(exchange, exchange.incarnation);
   }
 
-  private void poll(final Exchange exchange, final long incarnation) {
+  private void poll(final Registry exchange, final long incarnation) {
     final long asked = now;
     after(
         3 + random.nextInt(20),
@@ -247,7 +249,7 @@
               && !coreCut
               && !exchange.cut) {
             final List<Placement> given = new ArrayList<>(registers.values());
-            final PlacementMessages.Keeper named = keeper;
+            final PlacementMessages.PlacementOwner named = keeper;
             final long mark = mark();
             after(
                 3 + random.nextInt(20),
@@ -270,7 +272,7 @@
         });
   }
 
-  private void push(final Exchange exchange, final Board board) {
+  private void push(final Registry exchange, final Proxy board) {
     if (board.running && board.exchange == exchange) {
       final PlacementMessages.Placements told = exchange.keeper.placements();
       final int life = board.life;
@@ -278,13 +280,13 @@
     }
   }
 
-  private void fromCore(final Board board, final int life, final Runnable deed) {
+  private void fromCore(final Proxy board, final int life, final Runnable deed) {
     if (!board.cut) {
       toBoard(board, life, deed);
     }
   }
 
-  private void toBoard(final Board board, final int life, final Runnable deed) {
+  private void toBoard(final Proxy board, final int life, final Runnable deed) {
     if (!board.running || board.life != life) {
       return;
     }
@@ -295,7 +297,7 @@
     deed.run();
   }
 
-  private void start(final Board board) {
+  private void start(final Proxy board) {
     board.running = true;
     board.frozen = false;
     board.held.clear();
@@ -304,7 +306,7 @@
         ties(
             board,
             ask -> {
-              final Exchange near = board.exchange;
+              final Registry near = board.exchange;
               if (board.cut || near == null) {
                 return;
               }
@@ -317,7 +319,7 @@
                     if (near.keeper.keeps()) {
                       answer(board, life, near.keeper.ask(ask, near.confirmedAt, now));
                     } else {
-                      for (final Exchange other : exchanges) {
+                      for (final Registry other : exchanges) {
                         if (other != near
                             && other.running
                             && !other.cut
@@ -340,11 +342,11 @@
     tick(board, life);
   }
 
-  private Ties ties(
-      final Board board, final java.util.function.Consumer<PlacementMessages.LeaseAsk> outlet) {
+  private AffinityTable ties(
+      final Proxy board, final java.util.function.Consumer<PlacementMessages.LeaseRequest> outlet) {
     return flaw != Flaw.NO_LEASE_CHECK
-        ? new Ties(board.address, ++lives, LEASE, outlet)
-        : new Ties(board.address, ++lives, LEASE, outlet) {
+        ? new AffinityTable(board.address, ++lives, LEASE, outlet)
+        : new AffinityTable(board.address, ++lives, LEASE, outlet) {
           @Override
           public boolean leased(final long at) {
             return true;
@@ -352,11 +354,11 @@
         };
   }
 
-  private void answer(final Board board, final int life, final PlacementMessages.LeaseGrant grant) {
+  private void answer(final Proxy board, final int life, final PlacementMessages.LeaseGrant grant) {
     after(2 + random.nextInt(8), () -> fromCore(board, life, () -> board.ties.granted(grant, now)));
   }
 
-  private void tick(final Board board, final int life) {
+  private void tick(final Proxy board, final int life) {
     after(
         50,
         () -> {
@@ -377,11 +379,11 @@
     after(
         40,
         () -> {
-          for (final Exchange exchange : exchanges) {
+          for (final Registry exchange : exchanges) {
             if (exchange.running) {
               exchange.keeper.wanted(Map.of(SERVICE, members()), LONGEST);
               boolean reachable = false;
-              for (final Exchange other : exchanges) {
+              for (final Registry other : exchanges) {
                 reachable |=
                     other.address.equals(exchange.keeper.keeper())
                         && other.running
@@ -398,7 +400,7 @@
 
   /** A caller asks a switchboard for a write. */
   void write(final String caller) {
-    final Board board = boards.get(random.nextInt(boards.size()));
+    final Proxy board = boards.get(random.nextInt(boards.size()));
     if (!board.running) {
       return;
     }
@@ -408,14 +410,14 @@
   }
 
   private void send(
-      final Board board,
+      final Proxy board,
       final int life,
       final String caller,
       final String id,
       final long arrivedAt) {
     final long hash = Rendezvous.caller(SERVICE, caller);
-    final Verdict verdict = board.ties.decide(SERVICE, hash, member -> true, now);
-    if (verdict != Verdict.GO) {
+    final WriteDecision verdict = board.ties.decide(SERVICE, hash, member -> true, now);
+    if (verdict != WriteDecision.GO) {
       if (verdict.passing() && now - arrivedAt < 200) {
         after(25, () -> toBoard(board, life, () -> send(board, life, caller, id, arrivedAt)));
       } else {
@@ -425,11 +427,12 @@
     }
     final Node node = nodes.get(board.ties.node().id);
     final long deadline = now + LONGEST;
-    final Ties.Tie tie = board.ties.begin(SERVICE, hash, node.id, member -> true, deadline);
+    final AffinityTable.PendingWrite tie =
+        board.ties.begin(SERVICE, hash, node.id, member -> true, deadline);
     arrive(board, life, caller, id, node, tie, deadline, false);
   }
 
-  private void refused(final String id, final Verdict verdict) {
+  private void refused(final String id, final WriteDecision verdict) {
     refusedCount++;
     verdicts.merge(verdict, 1, Integer::sum);
     if (runs.getOrDefault(id, 0) > 0) {
@@ -438,12 +441,12 @@
   }
 
   private void arrive(
-      final Board board,
+      final Proxy board,
       final int life,
       final String caller,
       final String id,
       final Node node,
-      final Ties.Tie tie,
+      final AffinityTable.PendingWrite tie,
       final long deadline,
       final boolean again) {
     after(
@@ -458,7 +461,7 @@
                         life,
                         () -> {
                           tie.ended();
-                          refused(id, Verdict.DECLINED);
+                          refused(id, WriteDecision.DECLINED);
                         }));
             return;
           }
@@ -485,7 +488,7 @@
                                 deadline,
                                 true);
                           } else {
-                            refused(id, Verdict.DECLINED);
+                            refused(id, WriteDecision.DECLINED);
                           }
                         }));
             return;
@@ -495,12 +498,12 @@
   }
 
   private void work(
-      final Board board,
+      final Proxy board,
       final int life,
       final String caller,
       final String id,
       final Node node,
-      final Ties.Tie tie,
+      final AffinityTable.PendingWrite tie,
       final long deadline) {
     if (runs.merge(id, 1, Integer::sum) > 1) {
       breaches.add(id + " ran twice");
@@ -553,8 +556,8 @@
     final List<Node> up = new ArrayList<>(nodes.values());
     up.removeIf(node -> !node.member || node.draining);
     final Node one = up.isEmpty() ? null : up.get(random.nextInt(up.size()));
-    final Board board = boards.get(random.nextInt(boards.size()));
-    final Exchange exchange = exchanges.get(random.nextInt(exchanges.size()));
+    final Proxy board = boards.get(random.nextInt(boards.size()));
+    final Registry exchange = exchanges.get(random.nextInt(exchanges.size()));
     switch (random.nextInt(10)) {
       case 0, 1 -> join();
       case 2, 3 -> {
@@ -621,7 +624,7 @@
   /** Cuts every second switchboard off for a while, and changes who the nodes are meanwhile. */
   void islands() {
     for (int index = 0; index < boards.size(); index += 2) {
-      final Board board = boards.get(index);
+      final Proxy board = boards.get(index);
       board.cut = true;
       after(5000, () -> board.cut = false);
     }
--- a/affinity/src/test/java/weldpoint/affinity/AffinityTest.java
+++ b/affinity/src/test/java/weldpoint/affinity/AffinityTest.java
@@ -26,15 +26,16 @@
     java.util.logging.Logger.getLogger("").setLevel(java.util.logging.Level.OFF);
   }
 
-  private static void traffic(final World world) {
+  private static void traffic(final AffinitySimulation world) {
     for (int index = 0; index < 3; index++) {
       world.write("firm-" + world.random.nextInt(CALLERS));
     }
     world.after(8, () -> traffic(world));
   }
 
-  private static World morning(final long seed, final World.Flaw flaw, final int rounds) {
-    final World world = new World(seed, flaw, 8, 6);
+  private static AffinitySimulation morning(
+      final long seed, final AffinitySimulation.Flaw flaw, final int rounds) {
+    final AffinitySimulation world = new AffinitySimulation(seed, flaw, 8, 6);
     world.run(2000);
     traffic(world);
     for (int round = 0; round < rounds; round++) {
@@ -51,7 +52,7 @@
     int refused = 0;
     long epochs = 0;
     for (long seed = 1; seed <= 120; seed++) {
-      final World world = morning(seed, World.Flaw.NONE, 14);
+      final AffinitySimulation world = morning(seed, AffinitySimulation.Flaw.NONE, 14);
       final List<String> breaches = world.finish();
       assertTrue(
           breaches.isEmpty(),
@@ -67,7 +68,7 @@
     assertTrue(epochs > 120 * 4, "only " + epochs + " epochs");
   }
 
-  private static int caught(final World.Flaw flaw) {
+  private static int caught(final AffinitySimulation.Flaw flaw) {
     int caught = 0;
     for (long seed = 1; seed <= 20; seed++) {
       caught += morning(seed, flaw, 20).finish().isEmpty() ? 0 : 1;
@@ -77,12 +78,12 @@
 
   @Test
   public void anEpochInForceWithoutConfirmationsIsCaught() {
-    final int caught = caught(World.Flaw.NO_CONFIRMATION);
+    final int caught = caught(AffinitySimulation.Flaw.NO_CONFIRMATION);
     assertTrue(caught >= 15, "noticed only " + caught + " times of 20");
   }
 
-  private static List<String> islands(final long seed, final World.Flaw flaw) {
-    final World world = new World(seed, flaw, 8, 4);
+  private static List<String> islands(final long seed, final AffinitySimulation.Flaw flaw) {
+    final AffinitySimulation world = new AffinitySimulation(seed, flaw, 8, 4);
     world.run(2000);
     traffic(world);
     for (int round = 0; round < 4; round++) {
@@ -96,15 +97,15 @@
   public void sendingWithoutALeaseIsCaught() {
     int caught = 0;
     for (long seed = 1; seed <= 20; seed++) {
-      assertEquals(islands(seed, World.Flaw.NONE), List.of());
-      caught += islands(seed, World.Flaw.NO_LEASE_CHECK).isEmpty() ? 0 : 1;
+      assertEquals(islands(seed, AffinitySimulation.Flaw.NONE), List.of());
+      caught += islands(seed, AffinitySimulation.Flaw.NO_LEASE_CHECK).isEmpty() ? 0 : 1;
     }
     assertTrue(caught >= 18, "noticed only " + caught + " times of 20");
   }
 
   @Test
   public void aDeclinedWriteSentElsewhereIsCaught() {
-    final int caught = caught(World.Flaw.DECLINED_ELSEWHERE);
+    final int caught = caught(AffinitySimulation.Flaw.DECLINED_ELSEWHERE);
     assertTrue(caught >= 10, "noticed only " + caught + " times of 20");
   }
 
@@ -147,7 +148,7 @@
 
   @Test
   public void aNameThatIsMissingDoubleOrOverlongGivesTheAddressAndIsCounted() {
-    final Callers callers = new Callers();
+    final AffinityKeys callers = new AffinityKeys();
     final Affinity rule = new Affinity(Affinity.By.HEADER, "X-Firm", 1000);
     assertEquals(callers.name(rule, List.of("north"), null, "10.0.0.1"), "hnorth");
     assertEquals(callers.name(rule, List.of(), null, "10.0.0.1"), "a10.0.0.1");
@@ -165,8 +166,8 @@
 
   @Test
   public void anOlderPlacementAndAnotherLifesLeaseAreNotTaken() {
-    final List<PlacementMessages.LeaseAsk> asks = new ArrayList<>();
-    final Ties ties = new Ties("b", 7, 2000, asks::add);
+    final List<PlacementMessages.LeaseRequest> asks = new ArrayList<>();
+    final AffinityTable ties = new AffinityTable("b", 7, 2000, asks::add);
     ties.take(
         new PlacementMessages.Placements(
             5, List.of(new PlacementMessages.Placement("desk", 3, 3, members(2, 4), false, null))),
@@ -176,44 +177,48 @@
             4, List.of(new PlacementMessages.Placement("desk", 4, 4, members(1, 4), false, null))),
         1000);
     assertEquals(ties.epoch("desk"), 3);
-    assertEquals(ties.decide("desk", 1, member -> true, 1000), Verdict.NO_LEASE);
+    assertEquals(ties.decide("desk", 1, member -> true, 1000), WriteDecision.NO_LEASE);
     ties.granted(new PlacementMessages.LeaseGrant(asks.get(0).number, "b", 6, 2000), 1010);
     assertFalse(ties.leased(1010));
     ties.tick(1300);
     ties.granted(
         new PlacementMessages.LeaseGrant(asks.get(asks.size() - 1).number, "b", 7, 2000), 1310);
-    assertEquals(ties.decide("desk", 1, member -> true, 1310), Verdict.GO);
+    assertEquals(ties.decide("desk", 1, member -> true, 1310), WriteDecision.GO);
     assertEquals(
         ties.decide("desk", 1, member -> true, 3300),
-        Verdict.NO_LEASE,
+        WriteDecision.NO_LEASE,
         "a process that slept must not send on waking");
-    assertEquals(ties.decide("other", 1, member -> true, 1310), Verdict.NO_PLACEMENT);
-    assertEquals(ties.decide("desk", 1, member -> false, 1310), Verdict.NO_NODE);
+    assertEquals(ties.decide("other", 1, member -> true, 1310), WriteDecision.NO_PLACEMENT);
+    assertEquals(ties.decide("desk", 1, member -> false, 1310), WriteDecision.NO_NODE);
   }
 
   @Test
   public void aKeeperGrantsNothingOnAnOlderMarkNorWithoutAMajority() {
-    final PlacementKeeper keeper = new PlacementKeeper("e", 1, 2000, 100, null);
+    final PlacementCoordinator keeper = new PlacementCoordinator("e", 1, 2000, 100, null);
     keeper.take(
         List.of(new PlacementMessages.Placement("desk", 2, 2, members(2, 4), false, null)),
-        new PlacementMessages.Keeper(1, "e", 1),
+        new PlacementMessages.PlacementOwner(1, "e", 1),
         2,
         1000);
     assertEquals(
-        keeper.ask(new PlacementMessages.LeaseAsk(1, "b", 1, 1, 1, null), 1000, 1100).millis, 0);
+        keeper.ask(new PlacementMessages.LeaseRequest(1, "b", 1, 1, 1, null), 1000, 1100).millis,
+        0);
     assertEquals(
-        keeper.ask(new PlacementMessages.LeaseAsk(2, "b", 1, 2, 2, null), 1000, 1100).millis, 1900);
+        keeper.ask(new PlacementMessages.LeaseRequest(2, "b", 1, 2, 2, null), 1000, 1100).millis,
+        1900);
     assertEquals(
-        keeper.ask(new PlacementMessages.LeaseAsk(3, "b", 1, 2, 2, null), 1000, 3100).millis, 0);
-    final PlacementKeeper other = new PlacementKeeper("f", 1, 2000, 100, null);
-    other.take(List.of(), new PlacementMessages.Keeper(1, "e", 1), 2, 1000);
+        keeper.ask(new PlacementMessages.LeaseRequest(3, "b", 1, 2, 2, null), 1000, 3100).millis,
+        0);
+    final PlacementCoordinator other = new PlacementCoordinator("f", 1, 2000, 100, null);
+    other.take(List.of(), new PlacementMessages.PlacementOwner(1, "e", 1), 2, 1000);
     assertEquals(
-        other.ask(new PlacementMessages.LeaseAsk(1, "b", 1, 2, 2, null), 1000, 1100).millis, 0);
+        other.ask(new PlacementMessages.LeaseRequest(1, "b", 1, 2, 2, null), 1000, 1100).millis, 0);
   }
 
   @Test
   public void anEpochChangesWithinAFewHundredMillisecondsAtEightyEightSwitchboards() {
-    final World world = new World(5, World.Flaw.NONE, 88, 40);
+    final AffinitySimulation world =
+        new AffinitySimulation(5, AffinitySimulation.Flaw.NONE, 88, 40);
     world.run(5000);
     assertEquals(world.epoch(), 1);
     world.join();
--- a/audit/src/main/java/weldpoint/audit/AuditEntry.java
+++ b/audit/src/main/java/weldpoint/audit/AuditEntry.java
@@ -5,7 +5,7 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 import java.util.List;
-import weldpoint.transport.Wire;
+import weldpoint.transport.Serializer;
 
 /**
  * One decided change of routing. Its bytes are made once, by the daemon that proposed it, and never
@@ -76,7 +76,7 @@
 
   /** Reads an entry from its bytes. */
   public static AuditEntry read(final byte[] bytes) {
-    return Wire.value(bytes, AuditEntry.class);
+    return Serializer.value(bytes, AuditEntry.class);
   }
 
   /** The digest of bytes, as hexadecimal digits. */
@@ -179,7 +179,7 @@
 
     /** The bytes of the entry at its place. */
     public byte[] bytes(final long sequence, final String previous) {
-      return Wire.bytes(new AuditEntry(this, sequence, previous));
+      return Serializer.bytes(new AuditEntry(this, sequence, previous));
     }
   }
 
--- a/audit/src/main/java/weldpoint/audit/AuditReplica.java
+++ b/audit/src/main/java/weldpoint/audit/AuditReplica.java
@@ -49,8 +49,8 @@
     }
     final AuditEntry first = AuditEntry.read(entries.get(0));
     final AuditEntry last = AuditEntry.read(entries.get(entries.size() - 1));
-    final AuditMessages.AuditPart part =
-        new AuditMessages.AuditPart(
+    final AuditMessages.AuditEntries part =
+        new AuditMessages.AuditEntries(
             first.sequence - 1, first.previous, false, entries, last.sequence);
     for (final String other : others) {
       outlet.accept(other, part);
@@ -73,17 +73,17 @@
   /** Asks one peer now for all that is missing here. */
   public void ask(final String peer) {
     asks++;
-    outlet.accept(peer, new AuditMessages.AuditAsk(log.last() + 1));
+    outlet.accept(peer, new AuditMessages.AuditRequest(log.last() + 1));
   }
 
   /** A peer has said something; false where it does not concern the history. */
   public boolean receive(final String from, final Message message, final Consumer<Message> reply) {
     if (message instanceof AuditMessages.AuditState) {
       onState(from, (AuditMessages.AuditState) message, reply);
-    } else if (message instanceof AuditMessages.AuditAsk) {
-      give(((AuditMessages.AuditAsk) message).from, reply);
-    } else if (message instanceof AuditMessages.AuditPart) {
-      onPart((AuditMessages.AuditPart) message, reply);
+    } else if (message instanceof AuditMessages.AuditRequest) {
+      give(((AuditMessages.AuditRequest) message).from, reply);
+    } else if (message instanceof AuditMessages.AuditEntries) {
+      onPart((AuditMessages.AuditEntries) message, reply);
     } else {
       return false;
     }
@@ -99,7 +99,7 @@
       give(state.last + 1, reply);
     } else if (state.last > log.last()) {
       asks++;
-      reply.accept(new AuditMessages.AuditAsk(log.last() + 1));
+      reply.accept(new AuditMessages.AuditRequest(log.last() + 1));
     }
   }
 
@@ -125,10 +125,10 @@
     if (before == null || entries.isEmpty() && !trimmed) {
       return;
     }
-    reply.accept(new AuditMessages.AuditPart(start - 1, before, trimmed, entries, log.last()));
+    reply.accept(new AuditMessages.AuditEntries(start - 1, before, trimmed, entries, log.last()));
   }
 
-  private void onPart(final AuditMessages.AuditPart part, final Consumer<Message> reply) {
+  private void onPart(final AuditMessages.AuditEntries part, final Consumer<Message> reply) {
     parts++;
     if (part.trimmed && part.base > log.last()) {
       log.reset(part.base, part.baseDigest);
@@ -143,7 +143,7 @@
     final boolean behind = log.last() < part.last;
     if (behind && (log.last() > before || part.base > log.last())) {
       asks++;
-      reply.accept(new AuditMessages.AuditAsk(log.last() + 1));
+      reply.accept(new AuditMessages.AuditRequest(log.last() + 1));
     }
   }
 
--- a/audit/src/main/java/weldpoint/audit/Authors.java
+++ b/audit/src/main/java/weldpoint/audit/Authors.java
@@ -1,6 +1,6 @@
 package weldpoint.audit;
 
-import weldpoint.common.Breakdown;
+import weldpoint.common.WeldpointException;
 
 /** Names of authors: claims, not proofs. */
 public final class Authors {
@@ -45,8 +45,8 @@
     return name;
   }
 
-  private static Breakdown bad(final String what, final String remedy) {
-    return new Breakdown(
-        Breakdown.Kind.INVALID, "the header " + HEADER + " " + what + "; " + remedy);
+  private static WeldpointException bad(final String what, final String remedy) {
+    return new WeldpointException(
+        WeldpointException.Kind.INVALID, "the header " + HEADER + " " + what + "; " + remedy);
   }
 }
--- a/audit/src/main/java/weldpoint/audit/SegmentStore.java
+++ b/audit/src/main/java/weldpoint/audit/SegmentStore.java
@@ -30,7 +30,7 @@
   /** The segments there are. */
   public static final int SEGMENTS = 8;
 
-  private record Item(
+  private record PendingAppend(
       long sequence,
       byte[] entry,
       int segment,
@@ -46,7 +46,7 @@
   private final int size;
   private final long[] generations = new long[SEGMENTS];
   private final long[] lasts = new long[SEGMENTS];
-  private final ArrayDeque<Item> waiting = new ArrayDeque<>();
+  private final ArrayDeque<PendingAppend> waiting = new ArrayDeque<>();
   private final Map<Long, byte[]> unsynced = new HashMap<>();
   private long[] index = new long[256];
   private long base;
@@ -245,7 +245,7 @@
       place(sequence, segment, at);
       unsynced.put(sequence, entry);
       waiting.add(
-          new Item(
+          new PendingAppend(
               sequence, entry, segment, generations[segment], at, opens, opens && resets, synced));
       if (opens) {
         resets = false;
@@ -316,7 +316,7 @@
     try {
       attempt(this::preallocate);
       while (true) {
-        final List<Item> batch = new ArrayList<>();
+        final List<PendingAppend> batch = new ArrayList<>();
         synchronized (this) {
           while (waiting.isEmpty()) {
             wait();
@@ -326,13 +326,13 @@
         }
         attempt(() -> write(batch));
         synchronized (this) {
-          for (final Item item : batch) {
+          for (final PendingAppend item : batch) {
             unsynced.remove(item.sequence, item.entry);
           }
         }
         owner.execute(
             () -> {
-              for (final Item item : batch) {
+              for (final PendingAppend item : batch) {
                 item.synced.run();
               }
             });
@@ -342,11 +342,11 @@
     }
   }
 
-  private interface Deed {
+  private interface DiskOperation {
     void run() throws IOException;
   }
 
-  private static void attempt(final Deed deed) throws InterruptedException {
+  private static void attempt(final DiskOperation deed) throws InterruptedException {
     while (true) {
       try {
         deed.run();
@@ -393,7 +393,7 @@
     }
   }
 
-  private void write(final List<Item> batch) throws IOException {
+  private void write(final List<PendingAppend> batch) throws IOException {
     int from = 0;
     while (from < batch.size()) {
       int until = from;
@@ -402,7 +402,7 @@
         bytes += RECORD + batch.get(until).entry.length;
         until++;
       }
-      final Item first = batch.get(from);
+      final PendingAppend first = batch.get(from);
       final long writes = first.generation;
       final ByteBuffer buffer = ByteBuffer.allocate((first.opens ? HEAD : 0) + bytes);
       if (first.opens) {
@@ -414,7 +414,7 @@
         buffer.putInt(4, sum(buffer, 8, HEAD - 8));
         buffer.position(HEAD);
       }
-      for (final Item item : batch.subList(from, until)) {
+      for (final PendingAppend item : batch.subList(from, until)) {
         final int at = buffer.position();
         buffer
             .putInt(at, MAGIC)
--- a/audit/src/test/java/weldpoint/audit/AuditTest.java
+++ b/audit/src/test/java/weldpoint/audit/AuditTest.java
@@ -20,8 +20,8 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import weldpoint.common.Breakdown;
-import weldpoint.routing.Dialplan;
+import weldpoint.common.WeldpointException;
+import weldpoint.routing.RoutingTable;
 import weldpoint.transport.Message;
 
 /** Entries, logs, segments on disk, differences and authors. */
@@ -312,7 +312,8 @@
   @Test(dataProvider = "badAuthors")
   public void anAuthorThatIsNoNameIsRefusedWithTheRemedy(
       final String name, final int times, final String reason) {
-    final Breakdown breakdown = expectThrows(Breakdown.class, () -> Authors.check(name, times));
+    final WeldpointException breakdown =
+        expectThrows(WeldpointException.class, () -> Authors.check(name, times));
     assertEquals(breakdown.kind().status(), 400);
     assertTrue(
         breakdown.getMessage().contains(reason) && breakdown.getMessage().contains(Authors.HEADER),
@@ -345,7 +346,7 @@
                 + rules
                 + "]}],\"pools\":[{\"name\":\"a\"},{\"name\":\"b\"}]}")
             .getBytes(StandardCharsets.UTF_8);
-    return ConfigurationSummary.of(Dialplan.read(body), body);
+    return ConfigurationSummary.of(RoutingTable.read(body), body);
   }
 
   @Test
--- a/cache/src/main/java/weldpoint/cache/AnnouncerDaemon.java
+++ b/cache/src/main/java/weldpoint/cache/CacheDaemon.java
@@ -9,66 +9,70 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import weldpoint.common.Boot;
-import weldpoint.common.Chance;
-import weldpoint.common.Desk;
-import weldpoint.common.Program;
+import weldpoint.common.Daemon;
+import weldpoint.common.RandomIds;
+import weldpoint.common.SerialExecutor;
+import weldpoint.common.Settings;
 import weldpoint.proxy.PermitPool;
-import weldpoint.proxy.RegistryLink;
-import weldpoint.proxy.Stream;
-import weldpoint.routing.Dialplan;
+import weldpoint.proxy.RegistryClient;
+import weldpoint.proxy.RegistryStream;
+import weldpoint.routing.RoutingTable;
 import weldpoint.transport.CacheMessages;
-import weldpoint.transport.Line;
+import weldpoint.transport.Connection;
 import weldpoint.transport.Message;
 import weldpoint.transport.PermitMessages;
 import weldpoint.transport.Protocol;
 import weldpoint.transport.RegistryMessages;
+import weldpoint.transport.Serializer;
+import weldpoint.transport.Transport;
 import weldpoint.transport.TrialMessages;
-import weldpoint.transport.Trunk;
-import weldpoint.transport.Wire;
 import weldpoint.upstream.UpstreamPool;
 
 /** The shared cache as a process: copies and reads on one thread, control state on another. */
-public final class AnnouncerDaemon implements Program {
+public final class CacheDaemon implements Daemon {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
   private static final long TICK_MILLIS = 100;
   private static final long COUNTERS_MILLIS = 10_000;
 
-  private final Boot boot;
-  private final Desk desk = new Desk("announcer");
+  private final Settings boot;
+  private final SerialExecutor desk = new SerialExecutor("announcer");
   private final EventLoopGroup loop = new NioEventLoopGroup(1);
-  private final Trunk trunk;
+  private final Transport trunk;
   private final UpstreamPool upstreamPool;
   private final PermitPool permits;
-  private final Reader reader;
-  private final AnnouncerCore core;
-  private final RegistryLink link;
-  private final Stream stream;
+  private final OriginFetcher reader;
+  private final SharedCache core;
+  private final RegistryClient link;
+  private final RegistryStream stream;
 
   /** A cache for these settings; nothing runs yet. */
-  public AnnouncerDaemon(final Boot boot) {
+  public CacheDaemon(final Settings boot) {
     this.boot = boot;
-    final long incarnation = Chance.fresh();
+    final long incarnation = RandomIds.next();
     final Random random = new Random(incarnation);
     this.trunk =
-        new Trunk(
-            loop, new Protocol.Hello(Wire.PROTOCOL, "announcer", boot.address(), incarnation));
+        new Transport(
+            loop,
+            new Protocol.Hello(Serializer.PROTOCOL, "announcer", boot.address(), incarnation));
     this.upstreamPool = new UpstreamPool(loop, boot, random);
     this.stream =
-        new Stream(trunk, desk, boot, () -> loop.execute(() -> permits().sweep(true, now())));
+        new RegistryStream(
+            trunk, desk, boot, () -> loop.execute(() -> permits().sweep(true, now())));
     this.permits = new PermitPool(stream::send);
-    this.reader = new Reader(loop, boot, upstreamPool, permits, random);
+    this.reader = new OriginFetcher(loop, boot, upstreamPool, permits, random);
     this.core =
-        new AnnouncerCore(
+        new SharedCache(
             boot.copyBytes(), boot.purgeFirmMillis(), boot.purgeTrustMillis(), now(), reader);
-    final RegistryMessages.Board self =
-        new RegistryMessages.Board(
+    final RegistryMessages.DaemonEntry self =
+        new RegistryMessages.DaemonEntry(
             boot.address(), "", boot.site(), boot.region(), incarnation, false, 0, true);
-    this.link = new RegistryLink(self, boot.seeds(), new Random(incarnation + 1), new Outlet());
+    this.link =
+        new RegistryClient(
+            self, boot.seeds(), new Random(incarnation + 1), new ClientEnvironment());
     stream.link(link);
   }
 
-  private final class Outlet implements RegistryLink.Outlet {
+  private final class ClientEnvironment implements RegistryClient.Environment {
     @Override
     public void dial(final String address) {
       stream.dial(address);
@@ -92,7 +96,7 @@
 
     @Override
     public void outlook(
-        final Dialplan plan,
+        final RoutingTable plan,
         final Map<RegistryMessages.Registration, Boolean> changes,
         final Set<String> evacuated,
         final Set<String> suspects,
@@ -136,7 +140,7 @@
     }
 
     @Override
-    public void permitted(final PermitMessages.PermitAnswer answer) {
+    public void permitted(final PermitMessages.PermitResponse answer) {
       loop.execute(() -> permits.answered(answer));
     }
 
@@ -159,11 +163,11 @@
     trunk.serve(
         boot.address(),
         boot.trunkPort(2),
-        new Trunk.Ear() {
+        new Transport.Listener() {
           @Override
-          public void heard(final Line line, final Message message) {
-            if (message instanceof CacheMessages.CopyAsk) {
-              core.ask((CacheMessages.CopyAsk) message, line::send, now());
+          public void heard(final Connection line, final Message message) {
+            if (message instanceof CacheMessages.CacheReadRequest) {
+              core.ask((CacheMessages.CacheReadRequest) message, line::send, now());
             }
           }
         });
@@ -188,7 +192,7 @@
   }
 
   @Override
-  public void reload(final Boot news) {
+  public void reload(final Settings news) {
     desk.execute(() -> link.seeds(news.seeds()));
   }
 
--- a/cache/src/main/java/weldpoint/cache/Shelf.java
+++ b/cache/src/main/java/weldpoint/cache/CacheStore.java
@@ -11,22 +11,22 @@
 /**
  * Copies, found by key, by place and by label; those used longest ago leave when the bytes run out.
  */
-final class Shelf {
+final class CacheStore {
   private final long mostBytes;
-  private final LinkedHashMap<String, Copy> copies = new LinkedHashMap<>(64, 0.75f, true);
+  private final LinkedHashMap<String, CachedObject> copies = new LinkedHashMap<>(64, 0.75f, true);
   private final Map<String, Set<String>> places = new HashMap<>();
   private final Map<String, Set<String>> labels = new HashMap<>();
   private long bytes;
 
-  Shelf(final long mostBytes) {
+  CacheStore(final long mostBytes) {
     this.mostBytes = mostBytes;
   }
 
-  Copy get(final String key) {
+  CachedObject get(final String key) {
     return copies.get(key);
   }
 
-  void put(final Copy copy) {
+  void put(final CachedObject copy) {
     remove(copy.key);
     if (copy.bytes() > mostBytes) {
       return;
@@ -37,8 +37,9 @@
     for (final String label : copy.labels) {
       labels.computeIfAbsent(label, name -> new HashSet<>()).add(copy.key);
     }
-    final Iterator<Copy> oldest =
-        new java.util.ArrayList<>(bytes > mostBytes ? copies.values() : java.util.List.<Copy>of())
+    final Iterator<CachedObject> oldest =
+        new java.util.ArrayList<>(
+                bytes > mostBytes ? copies.values() : java.util.List.<CachedObject>of())
             .iterator();
     while (bytes > mostBytes && oldest.hasNext()) {
       remove(oldest.next().key);
@@ -46,7 +47,7 @@
   }
 
   void remove(final String key) {
-    final Copy copy = copies.remove(key);
+    final CachedObject copy = copies.remove(key);
     if (copy == null) {
       return;
     }
@@ -76,8 +77,8 @@
   }
 
   /** Removes all copies of which something holds. */
-  void removeIf(final Predicate<Copy> condition) {
-    for (final Copy copy : new java.util.ArrayList<>(copies.values())) {
+  void removeIf(final Predicate<CachedObject> condition) {
+    for (final CachedObject copy : new java.util.ArrayList<>(copies.values())) {
       if (condition.test(copy)) {
         remove(copy.key);
       }
--- a/cache/src/main/java/weldpoint/cache/Copy.java
+++ b/cache/src/main/java/weldpoint/cache/CachedObject.java
@@ -6,7 +6,7 @@
  * A whole object as an upstream gave it, with the time at which its fetch began and the purges
  * known then.
  */
-final class Copy {
+final class CachedObject {
   final String key;
   final String service;
   final String host;
@@ -19,7 +19,7 @@
   final long startedAt;
   final long mark;
 
-  Copy(
+  CachedObject(
       final String key,
       final String service,
       final String host,
@@ -45,8 +45,9 @@
   }
 
   /** The same object, found unchanged by a question that began then. */
-  Copy renewed(final long asOf, final long known) {
-    return new Copy(key, service, host, target, place, headers, body, etag, labels, asOf, known);
+  CachedObject renewed(final long asOf, final long known) {
+    return new CachedObject(
+        key, service, host, target, place, headers, body, etag, labels, asOf, known);
   }
 
   long bytes() {
--- a/cache/src/main/java/weldpoint/cache/Reader.java
+++ b/cache/src/main/java/weldpoint/cache/OriginFetcher.java
@@ -16,13 +16,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.IntSupplier;
-import weldpoint.common.Boot;
+import weldpoint.common.Settings;
 import weldpoint.proxy.PermitPool;
 import weldpoint.ratelimit.RateLimit;
 import weldpoint.ratelimit.SlidingWindowCounter;
-import weldpoint.routing.Binding;
-import weldpoint.routing.Dialplan;
 import weldpoint.routing.Route;
+import weldpoint.routing.RouteBinding;
+import weldpoint.routing.RoutingTable;
 import weldpoint.upstream.AttemptOutcome;
 import weldpoint.upstream.Headers;
 import weldpoint.upstream.Upstream;
@@ -33,7 +33,7 @@
  * Reads objects from origins, within the part of their rate that this announcer may use. All of it
  * lives on the traffic thread.
  */
-final class Reader implements AnnouncerCore.Outlet {
+final class OriginFetcher implements SharedCache.Environment {
   private static final long STEP_MILLIS = 25;
   private static final long ASK_PAUSE_MILLIS = 90;
   private static final int MOST_ASKED = 8;
@@ -44,20 +44,20 @@
   private static final int MOST_TRIES = 3;
 
   private final EventLoopGroup loop;
-  private final Boot boot;
+  private final Settings boot;
   private final UpstreamPool upstreamPool;
   private final PermitPool permits;
   private final Random random;
   private final Map<String, SlidingWindowCounter> counters = new HashMap<>();
-  private final Map<String, Waiting> waitings = new HashMap<>();
+  private final Map<String, FetchQueue> waitings = new HashMap<>();
   private final long openedAt = now();
   private int announcers;
   long sent;
   long held;
 
-  Reader(
+  OriginFetcher(
       final EventLoopGroup loop,
-      final Boot boot,
+      final Settings boot,
       final UpstreamPool upstreamPool,
       final PermitPool permits,
       final Random random) {
@@ -79,17 +79,17 @@
 
   @Override
   public void fetch(
-      final Binding binding,
+      final RouteBinding binding,
       final String host,
       final String target,
       final String etag,
       final IntSupplier weight,
       final long cutoff,
-      final Consumer<AnnouncerCore.Fetched> done) {
-    new Read(binding, host, target, etag, weight, cutoff, done).permit();
+      final Consumer<SharedCache.FetchResult> done) {
+    new OriginFetch(binding, host, target, etag, weight, cutoff, done).permit();
   }
 
-  private boolean own(final Dialplan.Service service, final long now) {
+  private boolean own(final RoutingTable.Service service, final long now) {
     final long window = boot.originWindowMillis() + RateLimit.ORIGIN_TRANSIT_MILLIS;
     if (announcers == 0 || !boot.firstStart() && now - openedAt < window) {
       return false;
@@ -108,20 +108,20 @@
   }
 
   /** Reads that wait until the origin may be asked again: those that most wait for go first. */
-  private final class Waiting {
-    private final Dialplan.Service service;
-    private final List<Read> reads = new ArrayList<>();
+  private final class FetchQueue {
+    private final RoutingTable.Service service;
+    private final List<OriginFetch> reads = new ArrayList<>();
     private int lot;
     private long lotAt;
     private boolean asking;
     private long askAt;
     private boolean stepping;
 
-    private Waiting(final Dialplan.Service service) {
+    private FetchQueue(final RoutingTable.Service service) {
       this.service = service;
     }
 
-    private void add(final Read read) {
+    private void add(final OriginFetch read) {
       reads.add(read);
       run();
     }
@@ -130,8 +130,8 @@
       final long now = now();
       reads.removeIf(read -> read.over);
       while (!reads.isEmpty() && take(now)) {
-        Read best = reads.get(0);
-        for (final Read read : reads) {
+        OriginFetch best = reads.get(0);
+        for (final OriginFetch read : reads) {
           if (read.urgency() >= best.urgency()) {
             best = read;
           }
@@ -139,14 +139,14 @@
         reads.remove(best);
         best.send();
       }
-      for (final Read read : new ArrayList<>(reads)) {
+      for (final OriginFetch read : new ArrayList<>(reads)) {
         if (now - read.waitsSince
                 > Math.min(MOST_HELD_MILLIS, (long) (HELD_PART * (read.cutoff - read.waitsSince)))
             || now >= read.cutoff) {
           reads.remove(read);
           held++;
           if (read.running() == 0) {
-            read.end(new AnnouncerCore.Fetched(503, null, null));
+            read.end(new SharedCache.FetchResult(503, null, null));
           }
         }
       }
@@ -189,30 +189,30 @@
     }
   }
 
-  private final class Read {
+  private final class OriginFetch {
     private final IntSupplier weight;
     private final long waitsSince = now();
-    private final Binding binding;
-    private final Dialplan.Service service;
+    private final RouteBinding binding;
+    private final RoutingTable.Service service;
     private final Route route;
     private final String host;
     private final String target;
     private final String etag;
     private final long cutoff;
-    private final Consumer<AnnouncerCore.Fetched> done;
+    private final Consumer<SharedCache.FetchResult> done;
     private final List<Upstream> tried = new ArrayList<>();
     private final List<UpstreamPool.Attempt> attempts = new ArrayList<>();
     private int tries;
     private boolean over;
 
-    private Read(
-        final Binding binding,
+    private OriginFetch(
+        final RouteBinding binding,
         final String host,
         final String target,
         final String etag,
         final IntSupplier weight,
         final long cutoff,
-        final Consumer<AnnouncerCore.Fetched> done) {
+        final Consumer<SharedCache.FetchResult> done) {
       this.weight = weight;
       this.binding = binding;
       this.service = binding.service();
@@ -238,14 +238,14 @@
         return;
       }
       if (now >= cutoff || tries >= most()) {
-        end(new AnnouncerCore.Fetched(503, null, null));
+        end(new SharedCache.FetchResult(503, null, null));
         return;
       }
       if (service.ratePerSecond() <= 0) {
         send();
         return;
       }
-      waitings.computeIfAbsent(service.name(), name -> new Waiting(service)).add(this);
+      waitings.computeIfAbsent(service.name(), name -> new FetchQueue(service)).add(this);
     }
 
     private double urgency() {
@@ -259,7 +259,7 @@
       }
       if (upstreamPool.choose(binding, tried, now) != UpstreamPool.Choice.CHOSEN) {
         if (running() == 0) {
-          end(new AnnouncerCore.Fetched(503, null, null));
+          end(new SharedCache.FetchResult(503, null, null));
         }
         return;
       }
@@ -298,7 +298,7 @@
       loop.schedule(
           () -> {
             if (!over && now() >= cutoff) {
-              end(new AnnouncerCore.Fetched(503, null, null));
+              end(new SharedCache.FetchResult(503, null, null));
             }
           },
           Math.max(1, cutoff - now),
@@ -306,7 +306,7 @@
     }
 
     private boolean crowded() {
-      final Waiting waiting = waitings.get(service.name());
+      final FetchQueue waiting = waitings.get(service.name());
       return waiting != null && !waiting.reads.isEmpty();
     }
 
@@ -350,13 +350,13 @@
               headers.add(entry.getKey());
               headers.add(entry.getValue());
             });
-        end(new AnnouncerCore.Fetched(status, headers, bytes));
+        end(new SharedCache.FetchResult(status, headers, bytes));
       } else if (running() == 0) {
         permit();
       }
     }
 
-    private void end(final AnnouncerCore.Fetched fetched) {
+    private void end(final SharedCache.FetchResult fetched) {
       if (over) {
         return;
       }
--- a/cache/src/main/java/weldpoint/cache/AnnouncerCore.java
+++ b/cache/src/main/java/weldpoint/cache/SharedCache.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.IntSupplier;
-import weldpoint.routing.Binding;
-import weldpoint.routing.Dialplan;
+import weldpoint.routing.RouteBinding;
 import weldpoint.routing.RouteKind;
+import weldpoint.routing.RoutingTable;
 import weldpoint.transport.CacheMessages;
-import weldpoint.transport.CacheMessages.CopyAnswer;
-import weldpoint.transport.CacheMessages.CopyAsk;
+import weldpoint.transport.CacheMessages.CacheReadRequest;
+import weldpoint.transport.CacheMessages.CacheReadResponse;
 import weldpoint.transport.Protocol;
 
 /**
@@ -20,15 +20,15 @@
  * nothing that a known purge names. Objects of routes with home regions are neither fetched nor
  * kept nor given, wherever this node stands. It knows neither threads nor clocks nor sockets.
  */
-public class AnnouncerCore {
+public class SharedCache {
   /** What came of a fetch. */
-  public static final class Fetched {
+  public static final class FetchResult {
     final int status;
     final List<String> headers;
     final byte[] body;
 
     /** Status 0 means that nothing was learned, 503 that the origin's limit stands in the way. */
-    public Fetched(final int status, final List<String> headers, final byte[] body) {
+    public FetchResult(final int status, final List<String> headers, final byte[] body) {
       this.status = status;
       this.headers = headers;
       this.body = body;
@@ -36,40 +36,41 @@
   }
 
   /** What the core does to the world. */
-  public interface Outlet {
+  public interface Environment {
     /**
      * Reads an object, with its tag where a copy is at hand; weight tells how many wait for it;
      * whoever is given hears exactly once.
      */
     void fetch(
-        Binding binding,
+        RouteBinding binding,
         String host,
         String target,
         String etag,
         IntSupplier weight,
         long cutoff,
-        Consumer<Fetched> done);
+        Consumer<FetchResult> done);
   }
 
-  private record Waiter(CopyAsk ask, Consumer<CopyAnswer> reply, long mark, long cutoff) {}
+  private record Waiter(
+      CacheReadRequest ask, Consumer<CacheReadResponse> reply, long mark, long cutoff) {}
 
   private static final class Fetch {
-    final Binding binding;
-    final CopyAsk ask;
+    final RouteBinding binding;
+    final CacheReadRequest ask;
     final String key;
     final String place;
     final long startedAt;
     final long mark;
-    final Copy before;
+    final CachedObject before;
     final List<Waiter> waiters = new ArrayList<>();
 
     Fetch(
-        final Binding binding,
-        final CopyAsk ask,
+        final RouteBinding binding,
+        final CacheReadRequest ask,
         final String key,
         final long startedAt,
         final long mark,
-        final Copy before) {
+        final CachedObject before) {
       this.binding = binding;
       this.ask = ask;
       this.key = key;
@@ -80,14 +81,14 @@
     }
   }
 
-  private final Outlet outlet;
-  private final Shelf shelf;
+  private final Environment outlet;
+  private final CacheStore shelf;
   private static final long HEARD_MILLIS = 1000;
 
   private final long firmMillis;
   private final long trustMillis;
   private final Map<String, Fetch> fetches = new HashMap<>();
-  private Dialplan plan;
+  private RoutingTable plan;
   private List<CacheMessages.Purge> purges = List.of();
   private long floor;
   private long mark;
@@ -102,22 +103,22 @@
    * last heard of; while an exchange still speaks to it and has no majority itself, when no purge
    * can be acknowledged either, for trustMillis.
    */
-  public AnnouncerCore(
+  public SharedCache(
       final long mostBytes,
       final long firmMillis,
       final long trustMillis,
       final long now,
-      final Outlet outlet) {
+      final Environment outlet) {
     this.firmMillis = firmMillis;
     this.outlet = outlet;
-    this.shelf = new Shelf(mostBytes);
+    this.shelf = new CacheStore(mostBytes);
     this.trustMillis = trustMillis;
     this.knownAt = now - trustMillis;
     this.heardAt = now - HEARD_MILLIS;
   }
 
   /** Takes a configuration; copies whose routes have got home regions are dropped. */
-  public void take(final Dialplan given) {
+  public void take(final RoutingTable given) {
     plan = given;
     if (given.all().stream().anyMatch(route -> route.homes.length > 0)) {
       shelf.removeIf(copy -> bind(copy.service, copy.host, copy.target) == null);
@@ -162,19 +163,20 @@
   }
 
   /** A switchboard asks for an object; it hears exactly once. */
-  public void ask(final CopyAsk ask, final Consumer<CopyAnswer> reply, final long now) {
+  public void ask(
+      final CacheReadRequest ask, final Consumer<CacheReadResponse> reply, final long now) {
     serve(new Waiter(ask, reply, mark, now + ask.waitMillis), now);
   }
 
   private void serve(final Waiter waiter, final long now) {
-    final CopyAsk ask = waiter.ask;
-    final Binding binding = bind(ask.service, ask.host, ask.target);
+    final CacheReadRequest ask = waiter.ask;
+    final RouteBinding binding = bind(ask.service, ask.host, ask.target);
     if (binding == null || !trusts(now)) {
-      waiter.reply.accept(new CopyAnswer(ask.number, 0, null, null));
+      waiter.reply.accept(new CacheReadResponse(ask.number, 0, null, null));
       return;
     }
     final String key = ask.service + ' ' + ask.host.toLowerCase(Locale.ROOT) + ask.target;
-    final Copy copy = shelf.get(key);
+    final CachedObject copy = shelf.get(key);
     if (copy != null && now - copy.startedAt < binding.route().cacheMillis) {
       hits++;
       waiter.reply.accept(answer(ask, copy));
@@ -210,12 +212,12 @@
   }
 
   /** What the configuration says of an object; null where no copy of it may be kept. */
-  private Binding bind(final String serviceName, final String host, final String target) {
+  private RouteBinding bind(final String serviceName, final String host, final String target) {
     final int service = plan == null ? -1 : plan.service(serviceName);
     if (service < 0) {
       return null;
     }
-    final Binding binding = new Binding(host, target, 0);
+    final RouteBinding binding = new RouteBinding(host, target, 0);
     if (!plan.interpret(binding)
         || binding.route().kind != RouteKind.CACHEABLE
         || binding.route().cacheMillis <= 0
@@ -227,8 +229,8 @@
     return binding;
   }
 
-  private static CopyAnswer answer(final CopyAsk ask, final Copy copy) {
-    return new CopyAnswer(ask.number, 200, copy.headers, copy.body);
+  private static CacheReadResponse answer(final CacheReadRequest ask, final CachedObject copy) {
+    return new CacheReadResponse(ask.number, 200, copy.headers, copy.body);
   }
 
   /**
@@ -251,17 +253,17 @@
     return first;
   }
 
-  private void fetched(final Fetch fetch, final Fetched fetched) {
+  private void fetched(final Fetch fetch, final FetchResult fetched) {
     if (fetches.get(fetch.key) == fetch) {
       fetches.remove(fetch.key);
     }
     if (!fetch.binding.follow(plan) || fetch.binding.homed()) {
       for (final Waiter waiter : fetch.waiters) {
-        waiter.reply.accept(new CopyAnswer(waiter.ask.number, 0, null, null));
+        waiter.reply.accept(new CacheReadResponse(waiter.ask.number, 0, null, null));
       }
       return;
     }
-    Copy copy = null;
+    CachedObject copy = null;
     if (fetched.status == 304 && fetch.before != null) {
       final String tag = header(fetched.headers, "etag");
       if (tag == null || tag.equals(fetch.before.etag)) {
@@ -271,7 +273,7 @@
     } else if (fetched.status == 200) {
       final String labels = header(fetched.headers, "weldpoint-labels");
       copy =
-          new Copy(
+          new CachedObject(
               fetch.key,
               fetch.ask.service,
               fetch.ask.host,
@@ -290,7 +292,7 @@
         && copy.etag != null
         && header(copy.headers, "weldpoint-labels") != null
         && voidedBy == 0) {
-      final Copy present = shelf.get(fetch.key);
+      final CachedObject present = shelf.get(fetch.key);
       if (present == null || present.startedAt <= copy.startedAt) {
         shelf.put(copy);
       }
@@ -298,7 +300,7 @@
     for (final Waiter waiter : fetch.waiters) {
       if (copy == null) {
         waiter.reply.accept(
-            new CopyAnswer(
+            new CacheReadResponse(
                 waiter.ask.number,
                 fetched.status == 304 ? 503 : fetched.status,
                 fetched.headers,
@@ -306,7 +308,7 @@
       } else if (waiter.mark < voidedBy || voidedBy == 0) {
         waiter.reply.accept(answer(waiter.ask, copy));
       } else {
-        waiter.reply.accept(new CopyAnswer(waiter.ask.number, 503, null, null));
+        waiter.reply.accept(new CacheReadResponse(waiter.ask.number, 503, null, null));
       }
     }
   }
--- a/cache/src/test/java/weldpoint/cache/ReaderTest.java
+++ b/cache/src/test/java/weldpoint/cache/OriginFetcherTest.java
@@ -18,15 +18,15 @@
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import weldpoint.common.Boot;
+import weldpoint.common.Settings;
 import weldpoint.proxy.PermitPool;
-import weldpoint.routing.Binding;
-import weldpoint.routing.Dialplan;
+import weldpoint.routing.RouteBinding;
+import weldpoint.routing.RoutingTable;
 import weldpoint.transport.RegistryMessages.Registration;
 import weldpoint.upstream.UpstreamPool;
 
 /** Reads for copies: no read goes to more upstreams than the route allows, whatever they do. */
-public final class ReaderTest {
+public final class OriginFetcherTest {
   private final EventLoopGroup loop = new NioEventLoopGroup(1);
 
   @AfterClass
@@ -78,23 +78,24 @@
       thread.setDaemon(true);
       thread.start();
     }
-    final Boot boot =
-        Boot.parse(
+    final Settings boot =
+        Settings.parse(
             "station.name = one\nstation.address = 127.0.0.1\nstation.site = a\nstation.region = r\ntrunk.ports = 7000,7015\ntrunk.seeds = 127.0.0.1:80\nsites = a:r\nbound.retry-slack = 1000\n");
-    final Dialplan plan =
-        Dialplan.compile(
+    final RoutingTable plan =
+        RoutingTable.compile(
             ("{\"version\":\"1\",\"listeners\":[{\"host\":\"h\",\"rules\":[{\"name\":\"r\",\"routeKind\":\"idempotent\",\"targetLatencyMs\":100,\"match\":{\"pathPrefix\":\"/\"},\"action\":{\"service\":\"s\",\"timeoutMs\":1500,\"maxAttempts\":"
                     + most
                     + "}}]}],\"pools\":[{\"name\":\"s\"}]}")
                 .getBytes(StandardCharsets.UTF_8));
     final UpstreamPool upstreamPool = new UpstreamPool(loop, boot, new Random(1));
-    final Reader reader =
-        new Reader(loop, boot, upstreamPool, new PermitPool(message -> false), new Random(1));
+    final OriginFetcher reader =
+        new OriginFetcher(
+            loop, boot, upstreamPool, new PermitPool(message -> false), new Random(1));
     final CompletableFuture<Integer> status = new CompletableFuture<>();
     loop.execute(
         () -> {
           upstreamPool.apply(changes, System.nanoTime() / 1_000_000);
-          final Binding binding = new Binding("h", "/x", 0);
+          final RouteBinding binding = new RouteBinding("h", "/x", 0);
           plan.interpret(binding);
           reader.fetch(
               binding,
--- a/cache/src/test/java/weldpoint/cache/AnnouncerCoreTest.java
+++ b/cache/src/test/java/weldpoint/cache/SharedCacheTest.java
@@ -12,14 +12,14 @@
 import java.util.function.Consumer;
 import java.util.function.IntSupplier;
 import org.testng.annotations.Test;
-import weldpoint.routing.Binding;
-import weldpoint.routing.Dialplan;
+import weldpoint.routing.RouteBinding;
+import weldpoint.routing.RoutingTable;
 import weldpoint.transport.CacheMessages;
-import weldpoint.transport.CacheMessages.CopyAnswer;
-import weldpoint.transport.CacheMessages.CopyAsk;
+import weldpoint.transport.CacheMessages.CacheReadRequest;
+import weldpoint.transport.CacheMessages.CacheReadResponse;
 import weldpoint.transport.CacheMessages.Purge;
 
-public class AnnouncerCoreTest {
+public class SharedCacheTest {
   private static final long TTL = 10_000;
   private static final String SPEC =
       "{\"version\":\"1\",\"listeners\":[{\"host\":\"quay.example\",\"rules\":[{\"name\":\"r\",\"routeKind\":\"cacheable\",\"targetLatencyMs\":300,\"cacheTtlS\":10,\"match\":{\"pathPrefix\":\"/a/\"},\"action\":{\"service\":\"media\",\"timeoutMs\":3000,\"maxAttempts\":2}}]}],\"pools\":[{\"name\":\"media\",\"ratePerS\":50}]}";
@@ -30,7 +30,7 @@
    * An origin whose objects change, a cache before it, and a model that knows when which version
    * held.
    */
-  private static final class Trial implements AnnouncerCore.Outlet {
+  private static final class Trial implements SharedCache.Environment {
     private final Random random;
     private final boolean lateMark;
     private final PriorityQueue<Event> events =
@@ -44,7 +44,7 @@
     private final long[] knownPurgedTo = new long[6];
     private long now = 1_000_000;
     private long order;
-    private AnnouncerCore core;
+    private SharedCache core;
     private long life;
     private long told;
     int breaches;
@@ -65,14 +65,14 @@
       told = 0;
       core =
           lateMark
-              ? new AnnouncerCore(100_000, 60_000, 60_000, now, this) {
+              ? new SharedCache(100_000, 60_000, 60_000, now, this) {
                 @Override
                 long knownAtStart(final long markAtStart) {
                   return mark();
                 }
               }
-              : new AnnouncerCore(100_000, 60_000, 60_000, now, this);
-      core.take(Dialplan.compile(SPEC.getBytes(StandardCharsets.UTF_8)));
+              : new SharedCache(100_000, 60_000, 60_000, now, this);
+      core.take(RoutingTable.compile(SPEC.getBytes(StandardCharsets.UTF_8)));
       core.reached(0, now);
       tell();
     }
@@ -92,13 +92,13 @@
 
     @Override
     public void fetch(
-        final Binding binding,
+        final RouteBinding binding,
         final String host,
         final String target,
         final String etag,
         final IntSupplier weight,
         final long cutoff,
-        final Consumer<AnnouncerCore.Fetched> done) {
+        final Consumer<SharedCache.FetchResult> done) {
       fetches++;
       final long mine = life;
       final int object = Integer.parseInt(target.substring(3));
@@ -114,12 +114,13 @@
                     return;
                   }
                   if (fate == 0) {
-                    done.accept(new AnnouncerCore.Fetched(503, null, null));
+                    done.accept(new SharedCache.FetchResult(503, null, null));
                   } else if (("\"" + version + "\"").equals(etag)) {
-                    done.accept(new AnnouncerCore.Fetched(304, List.of("ETag", etag), new byte[0]));
+                    done.accept(
+                        new SharedCache.FetchResult(304, List.of("ETag", etag), new byte[0]));
                   } else {
                     done.accept(
-                        new AnnouncerCore.Fetched(
+                        new SharedCache.FetchResult(
                             200,
                             List.of(
                                 "ETag",
@@ -137,7 +138,7 @@
       final long askedAt = now;
       final long purgedTo = knownPurgedTo[object];
       core.ask(
-          new CopyAsk(order, "media", "quay.example", "/a/" + object, 3000),
+          new CacheReadRequest(order, "media", "quay.example", "/a/" + object, 3000),
           answer -> {
             if (answer.status != 200) {
               return;
@@ -235,29 +236,30 @@
 
   @Test
   public void oneFetchServesAllWhoWaitAndAFailureFailsOnlyThem() {
-    final List<Consumer<AnnouncerCore.Fetched>> fetches = new ArrayList<>();
-    final AnnouncerCore core =
-        new AnnouncerCore(
+    final List<Consumer<SharedCache.FetchResult>> fetches = new ArrayList<>();
+    final SharedCache core =
+        new SharedCache(
             1000,
             1700,
             5000,
             0,
             (binding, host, target, etag, weight, cutoff, done) -> fetches.add(done));
-    core.take(Dialplan.compile(SPEC.getBytes(StandardCharsets.UTF_8)));
+    core.take(RoutingTable.compile(SPEC.getBytes(StandardCharsets.UTF_8)));
     core.reached(0, 0);
-    final List<CopyAnswer> answers = new ArrayList<>();
+    final List<CacheReadResponse> answers = new ArrayList<>();
     for (int index = 0; index < 3; index++) {
-      core.ask(new CopyAsk(index, "media", "quay.example", "/a/x", 1000), answers::add, 10);
+      core.ask(
+          new CacheReadRequest(index, "media", "quay.example", "/a/x", 1000), answers::add, 10);
     }
     assertEquals(fetches.size(), 1);
-    fetches.get(0).accept(new AnnouncerCore.Fetched(503, null, null));
+    fetches.get(0).accept(new SharedCache.FetchResult(503, null, null));
     assertEquals(answers.size(), 3);
-    core.ask(new CopyAsk(9, "media", "quay.example", "/a/x", 1000), answers::add, 20);
-    fetches.get(1).accept(new AnnouncerCore.Fetched(200, List.of("ETag", "e"), new byte[] {1}));
+    core.ask(new CacheReadRequest(9, "media", "quay.example", "/a/x", 1000), answers::add, 20);
+    fetches.get(1).accept(new SharedCache.FetchResult(200, List.of("ETag", "e"), new byte[] {1}));
     assertEquals(answers.get(3).status, 200);
     assertEquals(core.copies(), 0, "an answer without labels is given and not kept");
-    core.ask(new CopyAsk(10, "media", "quay.example", "/b/x", 1000), answers::add, 30);
-    core.ask(new CopyAsk(11, "media", "quay.example", "/a/x", 1000), answers::add, 6000);
+    core.ask(new CacheReadRequest(10, "media", "quay.example", "/b/x", 1000), answers::add, 30);
+    core.ask(new CacheReadRequest(11, "media", "quay.example", "/a/x", 1000), answers::add, 6000);
     assertEquals(answers.get(4).status, 0, "no such route");
     assertEquals(answers.get(5).status, 0, "purges may have been missed");
     assertNotNull(core.counters());
@@ -265,49 +267,49 @@
 
   @Test
   public void copiesAreWithheldWhenNobodySpeaksAndForALittleLongerWhileAnExchangeDoes() {
-    final List<Consumer<AnnouncerCore.Fetched>> fetches = new ArrayList<>();
-    final AnnouncerCore core =
-        new AnnouncerCore(
+    final List<Consumer<SharedCache.FetchResult>> fetches = new ArrayList<>();
+    final SharedCache core =
+        new SharedCache(
             100_000,
             1700,
             9000,
             0,
             (binding, host, target, etag, weight, cutoff, done) -> fetches.add(done));
-    core.take(Dialplan.compile(SPEC.getBytes(StandardCharsets.UTF_8)));
+    core.take(RoutingTable.compile(SPEC.getBytes(StandardCharsets.UTF_8)));
     core.reached(200, 1000);
     final List<Integer> statuses = new ArrayList<>();
     core.ask(
-        new CopyAsk(1, "media", "quay.example", "/a/x", 1000),
+        new CacheReadRequest(1, "media", "quay.example", "/a/x", 1000),
         answer -> statuses.add(answer.status),
         1000);
     fetches
         .get(0)
         .accept(
-            new AnnouncerCore.Fetched(
+            new SharedCache.FetchResult(
                 200, List.of("ETag", "e", "Weldpoint-Labels", "all"), new byte[] {1}));
     core.ask(
-        new CopyAsk(2, "media", "quay.example", "/a/x", 1000),
+        new CacheReadRequest(2, "media", "quay.example", "/a/x", 1000),
         answer -> statuses.add(answer.status),
         2400);
     core.ask(
-        new CopyAsk(3, "media", "quay.example", "/a/x", 1000),
+        new CacheReadRequest(3, "media", "quay.example", "/a/x", 1000),
         answer -> statuses.add(answer.status),
         2600);
     core.reached(4000, 4800);
     core.ask(
-        new CopyAsk(4, "media", "quay.example", "/a/x", 1000),
+        new CacheReadRequest(4, "media", "quay.example", "/a/x", 1000),
         answer -> statuses.add(answer.status),
         5000);
     core.reached(9100, 9900);
     core.ask(
-        new CopyAsk(5, "media", "quay.example", "/a/x", 1000),
+        new CacheReadRequest(5, "media", "quay.example", "/a/x", 1000),
         answer -> statuses.add(answer.status),
         9900);
     assertEquals(statuses, List.of(200, 200, 0, 200, 0));
   }
 
-  private static Dialplan homed() {
-    return Dialplan.compile(
+  private static RoutingTable homed() {
+    return RoutingTable.compile(
         SPEC.replace("\"version\":\"1\"", "\"version\":\"2\"")
             .replace("\"timeoutMs\"", "\"homeRegions\":[\"north\"],\"timeoutMs\"")
             .getBytes(StandardCharsets.UTF_8));
@@ -316,19 +318,19 @@
   /** Guards against HOME: copies taken, or under way, before homes came were kept and given. */
   @Test
   public void noCopyIsKeptOrGivenOnceItsRouteHasHomes() {
-    final List<Consumer<AnnouncerCore.Fetched>> fetches = new ArrayList<>();
-    final AnnouncerCore core =
-        new AnnouncerCore(
+    final List<Consumer<SharedCache.FetchResult>> fetches = new ArrayList<>();
+    final SharedCache core =
+        new SharedCache(
             100_000,
             60_000,
             60_000,
             0,
             (binding, host, target, etag, weight, cutoff, done) -> fetches.add(done));
-    core.take(Dialplan.compile(SPEC.getBytes(StandardCharsets.UTF_8)));
+    core.take(RoutingTable.compile(SPEC.getBytes(StandardCharsets.UTF_8)));
     core.reached(0, 0);
     final List<Integer> statuses = new ArrayList<>();
-    final AnnouncerCore.Fetched whole =
-        new AnnouncerCore.Fetched(
+    final SharedCache.FetchResult whole =
+        new SharedCache.FetchResult(
             200, List.of("ETag", "e", "Weldpoint-Labels", "all"), new byte[] {1});
     core.ask(ask(1, "/a/x"), answer -> statuses.add(answer.status), 10);
     fetches.get(0).accept(whole);
@@ -348,33 +350,33 @@
   public void aFetchGoesOnWhenAConfigurationComesThatDoesNotConcernIt() {
     final String tenants = "\"tenants\":[{\"name\":\"t\",\"apiKeys\":[\"k\"]}],\"listeners\"";
     final String before = SPEC.replace("\"listeners\"", tenants);
-    final List<Consumer<AnnouncerCore.Fetched>> fetches = new ArrayList<>();
-    final AnnouncerCore core =
-        new AnnouncerCore(
+    final List<Consumer<SharedCache.FetchResult>> fetches = new ArrayList<>();
+    final SharedCache core =
+        new SharedCache(
             100_000,
             60_000,
             60_000,
             0,
             (binding, host, target, etag, weight, cutoff, done) -> fetches.add(done));
-    core.take(Dialplan.compile(before.getBytes(StandardCharsets.UTF_8)));
+    core.take(RoutingTable.compile(before.getBytes(StandardCharsets.UTF_8)));
     core.reached(0, 0);
     final List<Integer> statuses = new ArrayList<>();
     core.ask(ask(1, "/a/x"), answer -> statuses.add(answer.status), 10);
     core.take(
-        Dialplan.compile(
+        RoutingTable.compile(
             before
                 .replace("\"version\":\"1\"", "\"version\":\"2\"")
                 .getBytes(StandardCharsets.UTF_8)));
     fetches
         .get(0)
         .accept(
-            new AnnouncerCore.Fetched(
+            new SharedCache.FetchResult(
                 200, List.of("ETag", "e", "Weldpoint-Labels", "all"), new byte[] {1}));
     assertEquals(statuses, List.of(200));
     assertEquals(core.copies(), 1);
   }
 
-  private static CopyAsk ask(final long number, final String target) {
-    return new CopyAsk(number, "media", "quay.example", target, 1000);
+  private static CacheReadRequest ask(final long number, final String target) {
+    return new CacheReadRequest(number, "media", "quay.example", target, 1000);
   }
 }
--- a/cli/src/main/java/weldpoint/cli/Caller.java
+++ b/cli/src/main/java/weldpoint/cli/Caller.java
@@ -10,7 +10,7 @@
 import java.time.Duration;
 import java.util.List;
 import weldpoint.audit.Authors;
-import weldpoint.common.Breakdown;
+import weldpoint.common.WeldpointException;
 
 /** Calls the control interface of one of several exchanges: the first that gives a clear answer. */
 final class Caller {
@@ -75,8 +75,9 @@
         last = address + ": " + problem;
       }
     }
-    throw new Breakdown(
-        Breakdown.Kind.OUT_OF_REACH, "no exchange answered (" + last + "); check --control");
+    throw new WeldpointException(
+        WeldpointException.Kind.OUT_OF_REACH,
+        "no exchange answered (" + last + "); check --control");
   }
 
   /** The body of a good answer; anything else is a failure that names the remedy. */
@@ -90,8 +91,10 @@
           return response.body();
         }
         if (response.statusCode() < 500) {
-          throw new Breakdown(
-              response.statusCode() == 409 ? Breakdown.Kind.CONFLICT : Breakdown.Kind.INVALID,
+          throw new WeldpointException(
+              response.statusCode() == 409
+                  ? WeldpointException.Kind.CONFLICT
+                  : WeldpointException.Kind.INVALID,
               response.body());
         }
         last = address + " answered " + response.statusCode() + " " + response.body();
@@ -99,8 +102,8 @@
         last = address + ": " + problem;
       }
     }
-    throw new Breakdown(
-        Breakdown.Kind.OUT_OF_REACH,
+    throw new WeldpointException(
+        WeldpointException.Kind.OUT_OF_REACH,
         "no exchange answered (" + last + "); check --control, or that the core has its majority");
   }
 }
--- a/cli/src/main/java/weldpoint/cli/Demo.java
+++ b/cli/src/main/java/weldpoint/cli/Demo.java
@@ -26,11 +26,11 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import weldpoint.common.Boot;
-import weldpoint.common.Breakdown;
+import weldpoint.common.Settings;
+import weldpoint.common.WeldpointException;
 import weldpoint.proxy.ProxyDaemon;
 import weldpoint.registry.RegistryDaemon;
-import weldpoint.statestore.FrameDaemon;
+import weldpoint.statestore.StateStoreDaemon;
 import weldpoint.upstream.Headers;
 
 /**
@@ -58,8 +58,8 @@
     }
   }
 
-  private Boot boot(final int trunk) {
-    return Boot.parse(
+  private Settings boot(final int trunk) {
+    return Settings.parse(
         "station.name = demo\nstation.address = "
             + HOST
             + "\nstation.site = here\nstation.region = home\nstation.voter = true\nstation.first-start = true\nstation.folder = "
@@ -90,8 +90,8 @@
   /** Starts everything, sends a configuration, a beat and some requests; prints what came back. */
   int run(final boolean stay) throws IOException, InterruptedException {
     final int trunk = 20_000 + new java.security.SecureRandom().nextInt(20_000);
-    final Boot boot = boot(trunk);
-    new FrameDaemon(boot).start();
+    final Settings boot = boot(trunk);
+    new StateStoreDaemon(boot).start();
     new RegistryDaemon(boot).start();
     new ProxyDaemon(boot).start();
     standIn(ports[3], 0);
@@ -167,8 +167,8 @@
    * is held in the rehearsal.
    */
   int trial() throws IOException, InterruptedException {
-    final Boot boot = boot(20_000 + (int) (weldpoint.common.Chance.fresh() % 20_000));
-    new FrameDaemon(boot).start();
+    final Settings boot = boot(20_000 + (int) (weldpoint.common.RandomIds.next() % 20_000));
+    new StateStoreDaemon(boot).start();
     new RegistryDaemon(boot).start();
     new ProxyDaemon(boot).start();
     standIn(ports[3], 0);
@@ -288,8 +288,8 @@
    * node after each.
    */
   int affinity() throws IOException, InterruptedException {
-    final Boot boot = boot(20_000 + (int) (weldpoint.common.Chance.fresh() % 20_000));
-    new FrameDaemon(boot).start();
+    final Settings boot = boot(20_000 + (int) (weldpoint.common.RandomIds.next() % 20_000));
+    new StateStoreDaemon(boot).start();
     new RegistryDaemon(boot).start();
     new ProxyDaemon(boot).start();
     for (int node = 1; node <= 3; node++) {
@@ -397,8 +397,8 @@
       }
       System.out.println("  firm-" + firm + " -> " + nodes[firm]);
       if (nodes[firm] == null) {
-        throw new Breakdown(
-            Breakdown.Kind.OUT_OF_REACH,
+        throw new WeldpointException(
+            WeldpointException.Kind.OUT_OF_REACH,
             "no booking of firm-" + firm + " was taken within 5 s; see the log above");
       }
     }
@@ -409,7 +409,7 @@
     System.out.println("$ weldpoint trial " + String.join(" ", words));
     try {
       return new TrialCommand().run(words, System.out);
-    } catch (final Breakdown breakdown) {
+    } catch (final WeldpointException breakdown) {
       System.out.println("refused: " + breakdown.getMessage());
       return 1;
     }
@@ -501,8 +501,8 @@
       }
       Thread.sleep(100);
     }
-    throw new Breakdown(
-        Breakdown.Kind.OUT_OF_REACH,
+    throw new WeldpointException(
+        WeldpointException.Kind.OUT_OF_REACH,
         "the demonstration got no "
             + wanted
             + " for "
--- a/cli/src/main/java/weldpoint/cli/HistoryCommand.java
+++ b/cli/src/main/java/weldpoint/cli/HistoryCommand.java
@@ -8,8 +8,8 @@
 import joptsimple.OptionParser;
 import joptsimple.OptionSet;
 import joptsimple.OptionSpec;
-import weldpoint.common.Breakdown;
-import weldpoint.registry.Calls;
+import weldpoint.common.WeldpointException;
+import weldpoint.registry.ControlApi;
 
 /**
  * weldpoint history: the changes of routing, in their order, as any replica gives them; or which
@@ -20,9 +20,12 @@
   static final int INCOMPLETE = 3;
 
   private static final Jsonb JSON = Jsonb.builder().build();
-  private static final JsonType<Calls.HistoryQuery> QUERY = JSON.type(Calls.HistoryQuery.class);
-  private static final JsonType<Calls.HistoryAnswer> ANSWER = JSON.type(Calls.HistoryAnswer.class);
-  private static final JsonType<Calls.ReachAnswer> REACH = JSON.type(Calls.ReachAnswer.class);
+  private static final JsonType<ControlApi.HistoryQuery> QUERY =
+      JSON.type(ControlApi.HistoryQuery.class);
+  private static final JsonType<ControlApi.HistoryResponse> ANSWER =
+      JSON.type(ControlApi.HistoryResponse.class);
+  private static final JsonType<ControlApi.ReachResponse> REACH =
+      JSON.type(ControlApi.ReachResponse.class);
   private static final int SHOWN_DIGITS = 12;
 
   private final OptionParser parser = new OptionParser();
@@ -59,8 +62,8 @@
       throws InterruptedException {
     final OptionSet options = parser.parse(words);
     if (!options.nonOptionArguments().isEmpty() || options.has(control) == options.has(at)) {
-      throw new Breakdown(
-          Breakdown.Kind.USAGE,
+      throw new WeldpointException(
+          WeldpointException.Kind.USAGE,
           "history takes either --control HOST:PORT,... or --at HOST:PORT, and no further words");
     }
     final Caller caller =
@@ -76,9 +79,9 @@
       final PrintStream out,
       final PrintStream problems)
       throws InterruptedException {
-    final List<Calls.HistoryEntry> entries = new ArrayList<>();
+    final List<ControlApi.HistoryEntry> entries = new ArrayList<>();
     Long next = options.valueOf(from);
-    Calls.HistoryAnswer answer;
+    ControlApi.HistoryResponse answer;
     do {
       answer =
           ANSWER.fromJson(
@@ -86,7 +89,7 @@
                   "history.read",
                   "",
                   QUERY.toJson(
-                      new Calls.HistoryQuery(
+                      new ControlApi.HistoryQuery(
                           next,
                           options.valueOf(to),
                           options.valueOf(since),
@@ -100,7 +103,7 @@
     if (options.has(json)) {
       out.println(
           ANSWER.toJson(
-              new Calls.HistoryAnswer(
+              new ControlApi.HistoryResponse(
                   answer.complete(),
                   answer.problem(),
                   answer.first(),
@@ -133,7 +136,7 @@
       final PrintStream problems)
       throws InterruptedException {
     final String text = caller.call("history.reach", options.valueOf(reach).toString(), "");
-    final Calls.ReachAnswer answer = REACH.fromJson(text);
+    final ControlApi.ReachResponse answer = REACH.fromJson(text);
     if (options.has(json)) {
       out.println(text);
     } else {
@@ -149,7 +152,7 @@
     return verdict(answer.complete(), answer.problem(), problems);
   }
 
-  private static void print(final Calls.HistoryEntry entry, final PrintStream out) {
+  private static void print(final ControlApi.HistoryEntry entry, final PrintStream out) {
     out.printf(
         "%d  %s  %s  %s%s%s%n",
         entry.sequence(),
--- a/cli/src/main/java/weldpoint/cli/RecordCommand.java
+++ b/cli/src/main/java/weldpoint/cli/RecordCommand.java
@@ -13,12 +13,12 @@
 import joptsimple.OptionParser;
 import joptsimple.OptionSet;
 import joptsimple.OptionSpec;
-import weldpoint.common.Breakdown;
-import weldpoint.registry.Reels;
+import weldpoint.common.WeldpointException;
+import weldpoint.registry.RecordingBuffer;
 import weldpoint.replay.DayFile;
 import weldpoint.transport.Protocol;
 import weldpoint.transport.RegistryMessages;
-import weldpoint.transport.Wire;
+import weldpoint.transport.Serializer;
 
 /**
  * weldpoint record: has all switchboards record, and collects what they recorded into a file until
@@ -67,7 +67,11 @@
     }
 
     /** Adds what one exchange gave to a question asked then and answered now. */
-    void add(final String exchange, final Reels.Drained drained, final long asked, final long now)
+    void add(
+        final String exchange,
+        final RecordingBuffer.Collection drained,
+        final long asked,
+        final long now)
         throws IOException {
       droppedBy.put(exchange, drained.dropped);
       final List<RegistryMessages.Registration> changes = new ArrayList<>();
@@ -90,7 +94,7 @@
                 sites.equals(evacuated) ? null : sites));
         evacuated = sites;
       }
-      for (final Reels.Kept kept : Protocol.list(drained.reels)) {
+      for (final RecordingBuffer.CollectedBatch kept : Protocol.list(drained.reels)) {
         final String life = kept.reel.board + "#" + kept.reel.incarnation;
         final long offset = asked - kept.ageMillis - kept.reel.sentAt;
         offsets.merge(life, offset, Math::min);
@@ -128,8 +132,8 @@
           Action.valueOf(
               names.size() == 1 ? names.get(0).toString().toUpperCase(java.util.Locale.ROOT) : "");
     } catch (final IllegalArgumentException unknown) {
-      throw new Breakdown(
-          Breakdown.Kind.USAGE,
+      throw new WeldpointException(
+          WeldpointException.Kind.USAGE,
           "record takes one action: record begin|status|end --control HOST:PORT,...");
     }
     final List<String> addresses = options.valuesOf(control);
@@ -139,8 +143,9 @@
       return 0;
     }
     if (!options.has(file)) {
-      throw new Breakdown(
-          Breakdown.Kind.USAGE, "record begin needs --file FILE, where the day is to be written");
+      throw new WeldpointException(
+          WeldpointException.Kind.USAGE,
+          "record begin needs --file FILE, where the day is to be written");
     }
     out.println(caller.call("record.begin", "all", ""));
     try (DayFile.Writer writer = new DayFile.Writer(Path.of(options.valueOf(file)))) {
@@ -167,14 +172,15 @@
       for (final String address : addresses) {
         final long asked = System.nanoTime() / 1_000_000;
         try {
-          final Reels.Drained drained =
-              Wire.value(
-                  new Caller(List.of(address)).bytes("record.drain", "all"), Reels.Drained.class);
+          final RecordingBuffer.Collection drained =
+              Serializer.value(
+                  new Caller(List.of(address)).bytes("record.drain", "all"),
+                  RecordingBuffer.Collection.class);
           collector.add(address, drained, asked, System.nanoTime() / 1_000_000);
           on |= drained.on;
           heard = true;
           missed.remove(address);
-        } catch (final Breakdown silent) {
+        } catch (final WeldpointException silent) {
           missed.merge(address, 1L, Long::sum);
         }
       }
--- a/cli/src/main/java/weldpoint/cli/ReplayCommand.java
+++ b/cli/src/main/java/weldpoint/cli/ReplayCommand.java
@@ -10,13 +10,13 @@
 import joptsimple.OptionParser;
 import joptsimple.OptionSet;
 import joptsimple.OptionSpec;
-import weldpoint.common.Boot;
-import weldpoint.common.Breakdown;
+import weldpoint.common.Settings;
+import weldpoint.common.WeldpointException;
 import weldpoint.replay.Replay;
 import weldpoint.replay.ReportDocument;
 import weldpoint.replay.Verdict;
-import weldpoint.routing.Dialplan;
-import weldpoint.transport.Packing;
+import weldpoint.routing.RoutingTable;
+import weldpoint.transport.Compression;
 
 /**
  * weldpoint replay: plays a recorded day through proposed settings; whatever it cannot judge ends
@@ -46,26 +46,26 @@
       final OptionSet options = parser.parse(words);
       final List<?> names = options.nonOptionArguments();
       if (names.size() != 1) {
-        throw new Breakdown(
-            Breakdown.Kind.USAGE,
+        throw new WeldpointException(
+            WeldpointException.Kind.USAGE,
             "replay takes one recorded day: replay DAY --spec FILE [--settings FILE] [--error-ms N] [--json]");
       }
       final Path proposed = Path.of(options.valueOf(spec));
       if (!Files.isReadable(proposed)) {
-        throw new Breakdown(
-            Breakdown.Kind.UNREADABLE,
+        throw new WeldpointException(
+            WeldpointException.Kind.UNREADABLE,
             "the configuration " + proposed + " cannot be read; name a readable file");
       }
       final String extra =
           options.has(settings) ? Files.readString(Path.of(options.valueOf(settings))) : "";
-      Boot.parse(BASE + extra);
+      Settings.parse(BASE + extra);
       final Verdict verdict =
           new Replay(
                   Path.of(names.get(0).toString()),
-                  Dialplan.compile(Files.readAllBytes(proposed)),
+                  RoutingTable.compile(Files.readAllBytes(proposed)),
                   extra,
                   options.valueOf(error),
-                  Packing::inflate)
+                  Compression::inflate)
               .run();
       if (options.has(json)) {
         out.println(Jsonb.builder().build().type(ReportDocument.class).toJson(verdict.document()));
@@ -77,7 +77,7 @@
       problems.println("weldpoint: " + problem.getMessage());
       parser.printHelpOn(problems);
       return CANNOT_JUDGE;
-    } catch (final Breakdown | IOException problem) {
+    } catch (final WeldpointException | IOException problem) {
       problems.println("weldpoint: cannot be judged: " + problem.getMessage());
       return CANNOT_JUDGE;
     }
--- a/cli/src/main/java/weldpoint/cli/StatusCommand.java
+++ b/cli/src/main/java/weldpoint/cli/StatusCommand.java
@@ -7,16 +7,16 @@
 import joptsimple.OptionParser;
 import joptsimple.OptionSet;
 import joptsimple.OptionSpec;
-import weldpoint.common.Breakdown;
-import weldpoint.registry.Calls;
+import weldpoint.common.WeldpointException;
+import weldpoint.registry.ControlApi;
 
 /**
  * weldpoint status: what one exchange knows of the core, of all daemons, and of callers tied to
  * nodes.
  */
 final class StatusCommand {
-  private static final JsonType<Calls.StatusAnswer> STATUS =
-      Jsonb.builder().build().type(Calls.StatusAnswer.class);
+  private static final JsonType<ControlApi.StatusResponse> STATUS =
+      Jsonb.builder().build().type(ControlApi.StatusResponse.class);
   private static final int CUT_OFF = 3;
 
   private final OptionParser parser = new OptionParser();
@@ -31,11 +31,12 @@
   int run(final String[] words, final PrintStream out) throws InterruptedException {
     final OptionSet options = parser.parse(words);
     if (!options.nonOptionArguments().isEmpty()) {
-      throw new Breakdown(
-          Breakdown.Kind.USAGE, "status takes --control HOST:PORT,... and no further words");
+      throw new WeldpointException(
+          WeldpointException.Kind.USAGE,
+          "status takes --control HOST:PORT,... and no further words");
     }
     final String text = new Caller(options.valuesOf(control)).call("status.read", "", "");
-    final Calls.StatusAnswer answer = STATUS.fromJson(text);
+    final ControlApi.StatusResponse answer = STATUS.fromJson(text);
     if (options.has(json)) {
       out.println(text);
     } else {
@@ -44,7 +45,7 @@
     return answer.settled() ? 0 : CUT_OFF;
   }
 
-  private static void print(final Calls.StatusAnswer answer, final PrintStream out) {
+  private static void print(final ControlApi.StatusResponse answer, final PrintStream out) {
     out.printf(
         "exchange %s: a majority was heard of %s; configuration %s, evacuated %s%n",
         answer.exchange(),
@@ -66,8 +67,8 @@
                     one.version(),
                     one.mark(),
                     one.heardMs() < 0 ? "never" : one.heardMs() + " ms ago"));
-    for (final Calls.KeyRangeStatus range :
-        answer.keys() == null ? List.<Calls.KeyRangeStatus>of() : answer.keys()) {
+    for (final ControlApi.KeyRangeStatus range :
+        answer.keys() == null ? List.<ControlApi.KeyRangeStatus>of() : answer.keys()) {
       out.printf(
           "keys %d-%d of %s: %s by %s, fence %d, assigned by %s%n",
           range.first(),
--- a/cli/src/main/java/weldpoint/cli/TrialCommand.java
+++ b/cli/src/main/java/weldpoint/cli/TrialCommand.java
@@ -8,16 +8,18 @@
 import joptsimple.OptionParser;
 import joptsimple.OptionSet;
 import joptsimple.OptionSpec;
-import weldpoint.common.Breakdown;
-import weldpoint.registry.Calls;
+import weldpoint.common.WeldpointException;
+import weldpoint.registry.ControlApi;
 
 /**
  * weldpoint trial: begins, shows, moves on, holds and finishes the trial of a route's new version.
  */
 final class TrialCommand {
   private static final Jsonb JSON = Jsonb.builder().build();
-  private static final JsonType<Calls.TrialStatus> STATUS = JSON.type(Calls.TrialStatus.class);
-  private static final JsonType<Calls.TrialOrder> ORDER = JSON.type(Calls.TrialOrder.class);
+  private static final JsonType<ControlApi.TrialStatus> STATUS =
+      JSON.type(ControlApi.TrialStatus.class);
+  private static final JsonType<ControlApi.TrialRequest> ORDER =
+      JSON.type(ControlApi.TrialRequest.class);
   private static final int HELD = 3;
 
   private enum Action {
@@ -77,16 +79,16 @@
     final OptionSet options = parser.parse(words);
     final List<?> names = options.nonOptionArguments();
     if (names.size() != 2) {
-      throw new Breakdown(
-          Breakdown.Kind.USAGE,
+      throw new WeldpointException(
+          WeldpointException.Kind.USAGE,
           "trial takes an action and a route: trial begin|status|advance|hold|finish ROUTE --control HOST:PORT");
     }
     final Action action;
     try {
       action = Action.valueOf(names.get(0).toString().toUpperCase(java.util.Locale.ROOT));
     } catch (final IllegalArgumentException unknown) {
-      throw new Breakdown(
-          Breakdown.Kind.USAGE,
+      throw new WeldpointException(
+          WeldpointException.Kind.USAGE,
           "trial cannot '" + names.get(0) + "'; it can begin, status, advance, hold and finish");
     }
     final List<Double> shares = new ArrayList<>();
@@ -95,7 +97,7 @@
         switch (action) {
           case BEGIN ->
               ORDER.toJson(
-                  new Calls.TrialOrder(
+                  new ControlApi.TrialRequest(
                       options.valueOf(old),
                       options.valueOf(fresh),
                       options.valueOf(token),
@@ -105,7 +107,7 @@
                       null));
           case HOLD ->
               ORDER.toJson(
-                  new Calls.TrialOrder(
+                  new ControlApi.TrialRequest(
                       null, null, null, null, null, null, options.valueOf(reason)));
           default -> "";
         };
@@ -124,7 +126,7 @@
     return "HELD".equals(STATUS.fromJson(answer).verdict()) && action == Action.STATUS ? HELD : 0;
   }
 
-  static void print(final Calls.TrialStatus status, final PrintStream out) {
+  static void print(final ControlApi.TrialStatus status, final PrintStream out) {
     out.printf(
         "route %s, trial %d: %s%s%n",
         status.route(),
@@ -153,13 +155,16 @@
     status.switchboards().forEach(one -> row(one, out));
   }
 
-  private static void row(final Calls.Counted one, final PrintStream out) {
+  private static void row(final ControlApi.ProxyTrialCounts one, final PrintStream out) {
     side(one.switchboard(), "old", one.oldVersion(), out);
     side("", "new", one.newVersion(), out);
   }
 
   private static void side(
-      final String name, final String version, final Calls.Side side, final PrintStream out) {
+      final String name,
+      final String version,
+      final ControlApi.VersionCounts side,
+      final PrintStream out) {
     out.printf(
         "%-28s %-10s %8d %9d %6d %7d %6d | %d (%d)%n",
         name,
--- a/cli/src/main/java/weldpoint/cli/Weldpoint.java
+++ b/cli/src/main/java/weldpoint/cli/Weldpoint.java
@@ -12,18 +12,18 @@
 import joptsimple.OptionException;
 import joptsimple.OptionParser;
 import joptsimple.OptionSet;
-import weldpoint.cache.AnnouncerDaemon;
-import weldpoint.common.Boot;
-import weldpoint.common.Breakdown;
-import weldpoint.common.Chance;
-import weldpoint.common.Logs;
-import weldpoint.common.Program;
+import weldpoint.cache.CacheDaemon;
+import weldpoint.common.Daemon;
+import weldpoint.common.Logging;
+import weldpoint.common.RandomIds;
+import weldpoint.common.Settings;
+import weldpoint.common.WeldpointException;
 import weldpoint.proxy.ProxyDaemon;
 import weldpoint.registry.RegistryDaemon;
-import weldpoint.routing.Dialplan;
-import weldpoint.routing.HomeWarnings;
+import weldpoint.routing.HomeRegionWarnings;
+import weldpoint.routing.RoutingTable;
 import weldpoint.scale.ScaleCommand;
-import weldpoint.statestore.FrameDaemon;
+import weldpoint.statestore.StateStoreDaemon;
 
 /** The command line. */
 public final class Weldpoint {
@@ -49,13 +49,13 @@
     FRAME("runs the store on a core machine") {
       @Override
       int run(final OptionSet options) throws IOException, InterruptedException {
-        return stay(new FrameDaemon(boot("frame")));
+        return stay(new StateStoreDaemon(boot("frame")));
       }
     },
     ANNOUNCER("runs the shared cache of content deliveries") {
       @Override
       int run(final OptionSet options) throws IOException, InterruptedException {
-        return stay(new AnnouncerDaemon(boot("announcer")));
+        return stay(new CacheDaemon(boot("announcer")));
       }
     },
     TRIAL(
@@ -134,7 +134,7 @@
         "runs everything in one process on the loopback address; demo once ends by itself, demo trial shows a trial that catches a fault, demo affinity callers tied to nodes that come and go") {
       @Override
       int run(final OptionSet options) throws IOException, InterruptedException {
-        Logs.start("demo");
+        Logging.start("demo");
         quiet();
         return options.nonOptionArguments().contains("affinity")
             ? new Demo().affinity()
@@ -148,20 +148,20 @@
       int run(final OptionSet options) throws IOException {
         final List<?> words = options.nonOptionArguments();
         if (words.size() != 2) {
-          throw new Breakdown(
-              Breakdown.Kind.USAGE,
+          throw new WeldpointException(
+              WeldpointException.Kind.USAGE,
               "check takes what to check and a file: check settings FILE, or check spec FILE");
         }
         final Path file = Path.of(words.get(1).toString());
         if (words.get(0).equals("settings")) {
-          Boot.load(file);
+          Settings.load(file);
         } else if (words.get(0).equals("spec")) {
           if (!Files.isReadable(file)) {
-            throw new Breakdown(
-                Breakdown.Kind.UNREADABLE,
+            throw new WeldpointException(
+                WeldpointException.Kind.UNREADABLE,
                 "the file " + file + " cannot be read; name a readable file");
           }
-          final Dialplan plan = Dialplan.compile(Files.readAllBytes(file));
+          final RoutingTable plan = RoutingTable.compile(Files.readAllBytes(file));
           System.out.println(
               "version "
                   + Long.toHexString(plan.version())
@@ -170,10 +170,11 @@
                   + " routes, "
                   + plan.services().size()
                   + " services");
-          HomeWarnings.of(plan, regions()).forEach(text -> System.out.println("warning: " + text));
+          HomeRegionWarnings.of(plan, regions())
+              .forEach(text -> System.out.println("warning: " + text));
         } else {
-          throw new Breakdown(
-              Breakdown.Kind.USAGE,
+          throw new WeldpointException(
+              WeldpointException.Kind.USAGE,
               "'" + words.get(0) + "' cannot be checked; check settings or spec");
         }
         System.out.println("good");
@@ -183,10 +184,10 @@
 
     /** The regions of the deployment, if a settings file is named; none otherwise. */
     private static Collection<String> regions() {
-      final String settings = System.getenv(Boot.VARIABLE);
+      final String settings = System.getenv(Settings.VARIABLE);
       return settings == null || settings.isEmpty()
           ? List.of()
-          : Boot.load(Path.of(settings)).sites().values();
+          : Settings.load(Path.of(settings)).sites().values();
     }
 
     private final String help;
@@ -208,37 +209,37 @@
     InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
     System.setProperty("io.netty.machineId", "00:00:00:00:00:00:00:01");
     System.setProperty("io.netty.processId", "1");
-    System.setProperty("io.netty.initialSeedUniquifier", Long.toString(Chance.fresh()));
+    System.setProperty("io.netty.initialSeedUniquifier", Long.toString(RandomIds.next()));
     System.setProperty("io.netty.eventLoopThreads", "1");
     System.setProperty("io.netty.noPreferDirect", "true");
     System.setProperty("io.netty.allocator.type", "unpooled");
     System.setProperty("io.netty.tryReflectionSetAccessible", "false");
   }
 
-  private static Boot boot(final String program) {
-    Logs.start(program);
+  private static Settings boot(final String program) {
+    Logging.start(program);
     quiet();
-    return Boot.load();
+    return Settings.load();
   }
 
-  private static int stay(final Program program) throws IOException, InterruptedException {
+  private static int stay(final Daemon program) throws IOException, InterruptedException {
     program.start();
     final Runnable again =
         () -> {
           try {
-            program.reload(Boot.load());
+            program.reload(Settings.load());
             LOGGER.atInfo().log("the settings were read again");
-          } catch (final Breakdown breakdown) {
+          } catch (final WeldpointException breakdown) {
             LOGGER.atWarning().log(
                 "the settings were not taken, the old ones stay: %s", breakdown.getMessage());
           }
         };
     sun.misc.Signal.handle(new sun.misc.Signal("HUP"), signal -> again.run());
     Runtime.getRuntime().addShutdownHook(new Thread(program::stop, "stop"));
-    long seen = Boot.changedAt();
+    long seen = Settings.changedAt();
     while (true) {
       Thread.sleep(SETTINGS_MILLIS);
-      final long changed = Boot.changedAt();
+      final long changed = Settings.changedAt();
       if (changed != seen) {
         seen = changed;
         again.run();
@@ -255,7 +256,7 @@
     }
     return text.append(
             "  --help       shows this\n  --version    shows the version\nsettings are read from the file that ")
-        .append(Boot.VARIABLE)
+        .append(Settings.VARIABLE)
         .append(" names\n")
         .toString();
   }
@@ -293,9 +294,9 @@
     } catch (final OptionException problem) {
       System.err.print(problem.getMessage() + "\n" + usage());
       return BAD_USAGE;
-    } catch (final Breakdown breakdown) {
+    } catch (final WeldpointException breakdown) {
       System.err.println("weldpoint: " + breakdown.getMessage());
-      return breakdown.kind() == Breakdown.Kind.USAGE ? BAD_USAGE : 1;
+      return breakdown.kind() == WeldpointException.Kind.USAGE ? BAD_USAGE : 1;
     } catch (final IOException problem) {
       System.err.println("weldpoint: " + problem.getMessage());
       return 1;
--- a/cli/src/test/java/weldpoint/scale/ScaleTest.java
+++ b/cli/src/test/java/weldpoint/scale/ScaleTest.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import weldpoint.common.Breakdown;
+import weldpoint.common.WeldpointException;
 
 /**
  * The fit of slopes against known data, refused sizes, and a tiny run of real and hollow processes
@@ -38,12 +38,14 @@
   @Test
   public void tooFewOrTooNearSizesGiveNoSlope() {
     assertTrue(
-        expectThrows(Breakdown.class, () -> Fit.of(new double[] {1, 9}, new double[] {1, 2}))
+        expectThrows(
+                WeldpointException.class, () -> Fit.of(new double[] {1, 9}, new double[] {1, 2}))
             .getMessage()
             .contains("at least 3"));
     assertTrue(
         expectThrows(
-                Breakdown.class, () -> Fit.of(new double[] {10, 20, 30}, new double[] {1, 2, 3}))
+                WeldpointException.class,
+                () -> Fit.of(new double[] {10, 20, 30}, new double[] {1, 2, 3}))
             .getMessage()
             .contains("too near"));
   }
@@ -62,8 +64,8 @@
   @Test(dataProvider = "senseless")
   public void sizesBeyondTheMachineOrWithoutSenseAreRefusedBeforeAnythingStarts(
       final Sizes sizes, final String reason) {
-    final Breakdown breakdown = expectThrows(Breakdown.class, sizes::checked);
-    assertEquals(breakdown.kind(), Breakdown.Kind.USAGE);
+    final WeldpointException breakdown = expectThrows(WeldpointException.class, sizes::checked);
+    assertEquals(breakdown.kind(), WeldpointException.Kind.USAGE);
     assertTrue(breakdown.getMessage().contains(reason), breakdown.getMessage());
   }
 
@@ -82,11 +84,11 @@
 
   @Test(dataProvider = "badCalls")
   public void aCallThatMakesNoSenseEndsWithItsRemedy(final String[] words, final String reason) {
-    final Breakdown breakdown =
+    final WeldpointException breakdown =
         expectThrows(
-            Breakdown.class,
+            WeldpointException.class,
             () -> new ScaleCommand().run(words, new PrintStream(new ByteArrayOutputStream())));
-    assertEquals(breakdown.kind(), Breakdown.Kind.USAGE);
+    assertEquals(breakdown.kind(), WeldpointException.Kind.USAGE);
     assertTrue(breakdown.getMessage().contains(reason), breakdown.getMessage());
   }
 
--- a/common/src/main/java/weldpoint/common/Logs.java
+++ b/common/src/main/java/weldpoint/common/Logging.java
@@ -8,13 +8,13 @@
 import java.util.logging.Logger;
 
 /** Sets up logging: one line a record on standard error. */
-public final class Logs {
+public final class Logging {
   /** The environment variable that names the level of our own lines. */
   public static final String LEVEL_VARIABLE = "WELDPOINT_LOG";
 
   private static final Logger OWN = Logger.getLogger("weldpoint");
 
-  private Logs() {}
+  private Logging() {}
 
   /**
    * Directs all logs to standard error, at the level named by WELDPOINT_LOG (INFO where it is
--- a/common/src/main/java/weldpoint/common/Rank.java
+++ b/common/src/main/java/weldpoint/common/RendezvousHash.java
@@ -4,8 +4,8 @@
  * The rank of a place for a name in rendezvous hashing: the same in every process, and unrelated
  * from name to name.
  */
-public final class Rank {
-  private Rank() {}
+public final class RendezvousHash {
+  private RendezvousHash() {}
 
   /** The rank; the lowest comes first. */
   public static long of(final String place, final String name) {
--- a/common/src/main/java/weldpoint/common/Desk.java
+++ b/common/src/main/java/weldpoint/common/SerialExecutor.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.Executor;
 
 /** The one thread that owns control state: commands are put on a ring and run in order. */
-public final class Desk implements Executor {
+public final class SerialExecutor implements Executor {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
   private static final class Slot {
@@ -18,7 +18,7 @@
   private final Disruptor<Slot> disruptor;
 
   /** Starts the thread. */
-  public Desk(final String name) {
+  public SerialExecutor(final String name) {
     disruptor =
         new Disruptor<>(
             Slot::new,
--- a/common/src/main/java/weldpoint/common/Boot.java
+++ b/common/src/main/java/weldpoint/common/Settings.java
@@ -11,7 +11,7 @@
 /**
  * The checked settings of one process, read from "name = value" lines. Unknown names are ignored.
  */
-public final class Boot {
+public final class Settings {
   /** The environment variable that names the settings file. */
   public static final String VARIABLE = "WELDPOINT_SETTINGS";
 
@@ -48,7 +48,7 @@
 
   private final Map<String, String> values;
 
-  private Boot(final Map<String, String> values) {
+  private Settings(final Map<String, String> values) {
     this.values = values;
   }
 
@@ -58,7 +58,7 @@
   }
 
   /** Reads the file that the environment names. */
-  public static Boot load() {
+  public static Settings load() {
     return load(path());
   }
 
@@ -68,18 +68,18 @@
   }
 
   /** Reads a settings file. */
-  public static Boot load(final Path path) {
+  public static Settings load(final Path path) {
     try {
       return parse(Files.readString(path));
     } catch (final IOException problem) {
-      throw new Breakdown(
-          Breakdown.Kind.SETTING,
+      throw new WeldpointException(
+          WeldpointException.Kind.SETTING,
           "settings file " + path + " cannot be read; name a readable file in " + VARIABLE);
     }
   }
 
   /** Reads settings from text and checks them. */
-  public static Boot parse(final String text) {
+  public static Settings parse(final String text) {
     final Map<String, String> values = new LinkedHashMap<>();
     int number = 0;
     for (final String raw : text.split("\n", -1)) {
@@ -94,7 +94,7 @@
       }
       values.put(line.substring(0, equals).strip(), line.substring(equals + 1).strip());
     }
-    final Boot boot = new Boot(values);
+    final Settings boot = new Settings(values);
     boot.check();
     return boot;
   }
@@ -187,9 +187,11 @@
     return (entries + entries / 4 + 64) * (32 + entryBytes) * 8 / 6;
   }
 
-  private static Breakdown bad(final String field, final String value, final String remedy) {
-    return new Breakdown(
-        Breakdown.Kind.SETTING, "setting " + field + " has the value '" + value + "'; " + remedy);
+  private static WeldpointException bad(
+      final String field, final String value, final String remedy) {
+    return new WeldpointException(
+        WeldpointException.Kind.SETTING,
+        "setting " + field + " has the value '" + value + "'; " + remedy);
   }
 
   private String text(final String field) {
--- a/common/src/main/java/weldpoint/common/Breakdown.java
+++ b/common/src/main/java/weldpoint/common/WeldpointException.java
@@ -1,7 +1,7 @@
 package weldpoint.common;
 
 /** A typed failure whose message names what was wrong and the remedy. */
-public final class Breakdown extends RuntimeException {
+public final class WeldpointException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
   /** The kinds of failure, each with the status that the outside is told. */
@@ -34,7 +34,7 @@
   private final Kind kind;
 
   /** A failure of the given kind; the message names the remedy. */
-  public Breakdown(final Kind kind, final String message) {
+  public WeldpointException(final Kind kind, final String message) {
     super(message, null, false, false);
     this.kind = kind;
   }
--- a/common/src/test/java/weldpoint/common/BootTest.java
+++ b/common/src/test/java/weldpoint/common/SettingsTest.java
@@ -9,14 +9,14 @@
 import org.testng.annotations.Test;
 
 /** Settings are checked, and what is wrong is named with its remedy. */
-public final class BootTest {
+public final class SettingsTest {
   private static final String GOOD =
       "# a comment\nstation.name = one\nstation.address = 10.0.0.1\nstation.site = a\nstation.region = r\nstation.voter = true\nstation.first-start = false\n"
           + "trunk.ports = 7000,7015\ntrunk.seeds = 10.0.0.1:80,10.0.0.2:80\nsites = a:r,b:q\nunknown.field = whatever\nbound.retry-ratio = 0.2\nlisten.control =\n";
 
   @Test
   public void goodSettingsAreRead() {
-    final Boot boot = Boot.parse(GOOD);
+    final Settings boot = Settings.parse(GOOD);
     assertEquals(boot.seeds(), java.util.List.of("10.0.0.1", "10.0.0.2"));
     assertEquals(boot.trunkPort(1), 7001);
     assertEquals(boot.sites().get("b"), "q");
@@ -25,19 +25,20 @@
 
   @Test
   public void holdsOfKeysKeepToTheirBound() {
-    assertEquals(Boot.parse(GOOD).ownershipHoldMillis(), 4000);
-    assertEquals(Boot.parse(GOOD + "bound.hold-limit-ms = 900\n").ownershipHoldMillis(), 900);
-    assertEquals(Boot.parse(GOOD + "ownership.hold-ms = 2000\n").ownershipHoldMillis(), 2000);
-    assertEquals(Boot.parse(GOOD).ownershipLateMillis(), 1000);
-    assertEquals(Boot.parse(GOOD + "ownership.late-ms = 0\n").ownershipLateMillis(), 0);
+    assertEquals(Settings.parse(GOOD).ownershipHoldMillis(), 4000);
+    assertEquals(Settings.parse(GOOD + "bound.hold-limit-ms = 900\n").ownershipHoldMillis(), 900);
+    assertEquals(Settings.parse(GOOD + "ownership.hold-ms = 2000\n").ownershipHoldMillis(), 2000);
+    assertEquals(Settings.parse(GOOD).ownershipLateMillis(), 1000);
+    assertEquals(Settings.parse(GOOD + "ownership.late-ms = 0\n").ownershipLateMillis(), 0);
     assertThrows(
-        Breakdown.class, () -> Boot.parse(GOOD + "ownership.late-ms = -1\n").ownershipLateMillis());
+        WeldpointException.class,
+        () -> Settings.parse(GOOD + "ownership.late-ms = -1\n").ownershipLateMillis());
     for (final String bad : new String[] {"10", "5000"}) {
-      final Breakdown breakdown =
+      final WeldpointException breakdown =
           expectThrows(
-              Breakdown.class,
+              WeldpointException.class,
               () ->
-                  Boot.parse(
+                  Settings.parse(
                       GOOD + "bound.hold-limit-ms = 4500\nownership.hold-ms = " + bad + "\n"));
       assertTrue(breakdown.getMessage().contains("bound.hold-limit-ms"), breakdown.getMessage());
     }
@@ -60,9 +61,9 @@
   @Test(dataProvider = "bad")
   public void aBadValueIsNamedWithItsFieldAndRemedy(
       final String from, final String to, final String field) {
-    final Breakdown breakdown =
-        expectThrows(Breakdown.class, () -> Boot.parse(GOOD.replace(from, to)));
-    assertEquals(breakdown.kind(), Breakdown.Kind.SETTING);
+    final WeldpointException breakdown =
+        expectThrows(WeldpointException.class, () -> Settings.parse(GOOD.replace(from, to)));
+    assertEquals(breakdown.kind(), WeldpointException.Kind.SETTING);
     assertTrue(breakdown.getMessage().contains(field), breakdown.getMessage());
     assertTrue(breakdown.getMessage().contains(";"), breakdown.getMessage());
   }
--- a/idempotency/src/main/java/weldpoint/idempotency/ClaimCoordinator.java
+++ b/idempotency/src/main/java/weldpoint/idempotency/ClaimCoordinator.java
@@ -10,12 +10,12 @@
 import java.util.function.Consumer;
 import weldpoint.common.Invariant;
 import weldpoint.transport.KeyMessages.Claim;
-import weldpoint.transport.KeyMessages.ClaimAnswer;
 import weldpoint.transport.KeyMessages.ClaimRelease;
+import weldpoint.transport.KeyMessages.ClaimResponse;
 import weldpoint.transport.KeyMessages.ClaimResult;
-import weldpoint.transport.KeyMessages.Vote;
-import weldpoint.transport.KeyMessages.VoteAnswer;
-import weldpoint.transport.KeyMessages.VoteAsk;
+import weldpoint.transport.KeyMessages.ClaimVote;
+import weldpoint.transport.KeyMessages.ClaimVoteRequest;
+import weldpoint.transport.KeyMessages.ClaimVoteResponse;
 import weldpoint.transport.Message;
 import weldpoint.transport.StateStoreMessages.Roster;
 import weldpoint.transport.StateStoreMessages.Voter;
@@ -91,7 +91,7 @@
       return;
     }
     flushedAt = now;
-    final VoteAsk ask = new VoteAsk(new ArrayList<>(unsent));
+    final ClaimVoteRequest ask = new ClaimVoteRequest(new ArrayList<>(unsent));
     unsent.clear();
     voters.accept(ask);
   }
@@ -104,11 +104,11 @@
    */
   public void voted(
       final String from,
-      final VoteAnswer answer,
+      final ClaimVoteResponse answer,
       final Roster roster,
       final Roster before,
       final long now) {
-    for (final Vote vote : answer.votes) {
+    for (final ClaimVote vote : answer.votes) {
       final Claimant claimant = new Claimant(vote.incarnation, vote.number);
       final Pending one = pending.get(claimant);
       if (one == null || now >= one.deadline) {
@@ -136,13 +136,13 @@
       if (one.granted.contains(self)) {
         checkGrant(one.claim, now);
       }
-      one.reply.accept(new ClaimAnswer(one.claim.number, ClaimResult.GRANTED, null));
+      one.reply.accept(new ClaimResponse(one.claim.number, ClaimResult.GRANTED, null));
     } else if (hopeless(one, roster)) {
       pending.remove(claimant);
       conflicts++;
       voters.accept(new ClaimRelease(List.of(one.claim)));
       final Claim holder = one.refused.values().iterator().next();
-      one.reply.accept(new ClaimAnswer(one.claim.number, ClaimResult.HELD, holder));
+      one.reply.accept(new ClaimResponse(one.claim.number, ClaimResult.HELD, holder));
     }
   }
 
@@ -208,7 +208,7 @@
             one -> {
               if (now >= one.deadline) {
                 over.add(one.claim);
-                one.reply.accept(new ClaimAnswer(one.claim.number, ClaimResult.UNKNOWN, null));
+                one.reply.accept(new ClaimResponse(one.claim.number, ClaimResult.UNKNOWN, null));
                 return true;
               }
               if (now - one.sentAt >= RESEND_MILLIS) {
@@ -218,7 +218,7 @@
               return false;
             });
     if (!again.isEmpty()) {
-      voters.accept(new VoteAsk(again));
+      voters.accept(new ClaimVoteRequest(again));
     }
     if (!over.isEmpty()) {
       unknown += over.size();
--- a/idempotency/src/test/java/weldpoint/idempotency/ClaimCoordinatorTest.java
+++ b/idempotency/src/test/java/weldpoint/idempotency/ClaimCoordinatorTest.java
@@ -6,10 +6,10 @@
 import java.util.List;
 import org.testng.annotations.Test;
 import weldpoint.transport.KeyMessages.Claim;
-import weldpoint.transport.KeyMessages.ClaimAnswer;
+import weldpoint.transport.KeyMessages.ClaimResponse;
 import weldpoint.transport.KeyMessages.ClaimResult;
-import weldpoint.transport.KeyMessages.Vote;
-import weldpoint.transport.KeyMessages.VoteAnswer;
+import weldpoint.transport.KeyMessages.ClaimVote;
+import weldpoint.transport.KeyMessages.ClaimVoteResponse;
 import weldpoint.transport.Message;
 import weldpoint.transport.StateStoreMessages.Roster;
 import weldpoint.transport.StateStoreMessages.Voter;
@@ -34,8 +34,8 @@
   }
 
   private void votes(final Claim claim, final String from, final long now) {
-    final Vote vote = new Vote(claim.incarnation, claim.number, null);
-    coordinator.voted(from, new VoteAnswer(1, List.of(vote)), ROSTER, null, now);
+    final ClaimVote vote = new ClaimVote(claim.incarnation, claim.number, null);
+    coordinator.voted(from, new ClaimVoteResponse(1, List.of(vote)), ROSTER, null, now);
   }
 
   /** Guards against late votes that granted a claim which had been given back elsewhere. */
@@ -56,7 +56,7 @@
     coordinator.ask(next, second::add, 1500);
     votes(next, SELF, 1510);
     votes(next, OTHER, 1520);
-    assertEquals(((ClaimAnswer) second.get(0)).result(), ClaimResult.GRANTED);
+    assertEquals(((ClaimResponse) second.get(0)).result(), ClaimResult.GRANTED);
     assertEquals(coordinator.granted(), 1);
   }
 }
--- a/metrics/src/main/java/weldpoint/metrics/Figure.java
+++ b/metrics/src/main/java/weldpoint/metrics/Metric.java
@@ -12,22 +12,22 @@
  * @param labels what tells it from others of the name
  * @param value the value at the moment of the question
  */
-public record Figure(
+public record Metric(
     String name, String help, boolean rises, Map<String, String> labels, double value) {
   /** A figure that only rises. */
-  public static Figure counter(final String name, final String help, final double value) {
-    return new Figure(name, help, true, Map.of(), value);
+  public static Metric counter(final String name, final String help, final double value) {
+    return new Metric(name, help, true, Map.of(), value);
   }
 
   /** A figure that rises and falls. */
-  public static Figure gauge(final String name, final String help, final double value) {
-    return new Figure(name, help, false, Map.of(), value);
+  public static Metric gauge(final String name, final String help, final double value) {
+    return new Metric(name, help, false, Map.of(), value);
   }
 
   /** The same with one more label. */
-  public Figure with(final String label, final String text) {
+  public Metric with(final String label, final String text) {
     final Map<String, String> more = new TreeMap<>(labels);
     more.put(label, text);
-    return new Figure(name, help, rises, more, value);
+    return new Metric(name, help, rises, more, value);
   }
 }
--- a/metrics/src/main/java/weldpoint/metrics/MetricsServer.java
+++ b/metrics/src/main/java/weldpoint/metrics/MetricsServer.java
@@ -39,7 +39,7 @@
       final EventLoopGroup loop,
       final String host,
       final int port,
-      final Supplier<CompletableFuture<List<Figure>>> figures) {
+      final Supplier<CompletableFuture<List<Metric>>> figures) {
     new ServerBootstrap()
         .group(loop)
         .channel(NioServerSocketChannel.class)
@@ -63,9 +63,9 @@
   }
 
   private static final class Handler extends SimpleChannelInboundHandler<HttpRequest> {
-    private final Supplier<CompletableFuture<List<Figure>>> figures;
+    private final Supplier<CompletableFuture<List<Metric>>> figures;
 
-    Handler(final Supplier<CompletableFuture<List<Figure>>> figures) {
+    Handler(final Supplier<CompletableFuture<List<Metric>>> figures) {
       this.figures = figures;
     }
 
@@ -84,7 +84,7 @@
                       .execute(
                           () -> {
                             if (problem == null) {
-                              answer(context, HttpResponseStatus.OK, Figures.text(list));
+                              answer(context, HttpResponseStatus.OK, PrometheusFormat.text(list));
                             } else {
                               answer(context, HttpResponseStatus.SERVICE_UNAVAILABLE, new byte[0]);
                             }
--- a/metrics/src/main/java/weldpoint/metrics/Figures.java
+++ b/metrics/src/main/java/weldpoint/metrics/PrometheusFormat.java
@@ -16,20 +16,20 @@
 import weldpoint.common.Invariant;
 
 /** Figures as Prometheus text. */
-final class Figures {
-  private Figures() {}
+final class PrometheusFormat {
+  private PrometheusFormat() {}
 
   /** The text of these figures, with the violations of all invariants. */
-  static byte[] text(final List<Figure> figures) {
-    final Map<String, List<Figure>> byName = new LinkedHashMap<>();
+  static byte[] text(final List<Metric> figures) {
+    final Map<String, List<Metric>> byName = new LinkedHashMap<>();
     figures.forEach(
         figure -> byName.computeIfAbsent(figure.name(), name -> new ArrayList<>()).add(figure));
-    final List<Figure> violations = new ArrayList<>();
+    final List<Metric> violations = new ArrayList<>();
     Invariant.counts()
         .forEach(
             (name, count) ->
                 violations.add(
-                    Figure.counter(
+                    Metric.counter(
                             "weldpoint_invariant_violations",
                             "Checks of an invariant that did not hold.",
                             count)
@@ -48,14 +48,14 @@
     return out.toByteArray();
   }
 
-  private static MetricSnapshot snapshot(final List<Figure> same) {
+  private static MetricSnapshot snapshot(final List<Metric> same) {
     return same.get(0).rises() ? counter(same) : gauge(same);
   }
 
-  private static MetricSnapshot counter(final List<Figure> same) {
+  private static MetricSnapshot counter(final List<Metric> same) {
     final CounterSnapshot.Builder builder =
         CounterSnapshot.builder().name(same.get(0).name()).help(same.get(0).help());
-    for (final Figure figure : same) {
+    for (final Metric figure : same) {
       builder.dataPoint(
           CounterSnapshot.CounterDataPointSnapshot.builder()
               .value(figure.value())
@@ -65,10 +65,10 @@
     return builder.build();
   }
 
-  private static MetricSnapshot gauge(final List<Figure> same) {
+  private static MetricSnapshot gauge(final List<Metric> same) {
     final GaugeSnapshot.Builder builder =
         GaugeSnapshot.builder().name(same.get(0).name()).help(same.get(0).help());
-    for (final Figure figure : same) {
+    for (final Metric figure : same) {
       builder.dataPoint(
           GaugeSnapshot.GaugeDataPointSnapshot.builder()
               .value(figure.value())
@@ -78,7 +78,7 @@
     return builder.build();
   }
 
-  private static Labels labels(final Figure figure) {
+  private static Labels labels(final Metric figure) {
     final Labels.Builder builder = Labels.builder();
     figure.labels().forEach(builder::label);
     return builder.build();
--- a/metrics/src/test/java/weldpoint/metrics/FiguresTest.java
+++ b/metrics/src/test/java/weldpoint/metrics/PrometheusFormatTest.java
@@ -16,16 +16,16 @@
 import org.testng.annotations.Test;
 import weldpoint.common.Invariant;
 
-public final class FiguresTest {
+public final class PrometheusFormatTest {
   @Test
   public void figuresOfOneNameStandTogetherWithTheirLabels() {
     final String text =
         new String(
-            Figures.text(
+            PrometheusFormat.text(
                 List.of(
-                    Figure.counter("weldpoint_runs", "Runs.", 3).with("tenant", "a \"b\""),
-                    Figure.gauge("weldpoint_active", "Active.", 2),
-                    Figure.counter("weldpoint_runs", "Runs.", 4).with("tenant", "c"))),
+                    Metric.counter("weldpoint_runs", "Runs.", 3).with("tenant", "a \"b\""),
+                    Metric.gauge("weldpoint_active", "Active.", 2),
+                    Metric.counter("weldpoint_runs", "Runs.", 4).with("tenant", "c"))),
             StandardCharsets.UTF_8);
     assertTrue(text.contains("# TYPE weldpoint_runs_total counter\n"), text);
     assertTrue(text.contains("weldpoint_runs_total{tenant=\"a \\\"b\\\"\"} 3.0\n"), text);
@@ -38,7 +38,7 @@
     final Invariant invariant = Invariant.named("a test's");
     invariant.check(true, () -> "never");
     assertTrue(
-        new String(Figures.text(List.of()), StandardCharsets.UTF_8)
+        new String(PrometheusFormat.text(List.of()), StandardCharsets.UTF_8)
             .contains("weldpoint_invariant_violations_total{invariant=\"a test's\"} 0.0"));
   }
 
@@ -50,7 +50,7 @@
     try (ServerSocket free = new ServerSocket(0)) {
       port = free.getLocalPort();
     }
-    final List<Figure> figures = List.of(Figure.gauge("weldpoint_active", "Active.", 2));
+    final List<Metric> figures = List.of(Metric.gauge("weldpoint_active", "Active.", 2));
     for (int twice = 0; twice < 2; twice++) {
       MetricsServer.serve(
           loop, "127.0.0.1", port, () -> CompletableFuture.completedFuture(figures));
--- a/ownership/src/main/java/weldpoint/ownership/Assigner.java
+++ b/ownership/src/main/java/weldpoint/ownership/Assigner.java
@@ -23,7 +23,7 @@
  */
 public class Assigner {
   /** What an assigner does to the world. */
-  public interface Outlet {
+  public interface Environment {
     /** The steady clock, in milliseconds, at this very moment. */
     long now();
 
@@ -64,8 +64,8 @@
   private final String service;
   private final String self;
   private final long incarnation;
-  private final HoldTimes times;
-  private final Outlet outlet;
+  private final GrantTimings times;
+  private final Environment outlet;
   private final AssignerCounts counts = new AssignerCounts();
   private final SlotLoads loads = new SlotLoads();
   private final Map<String, Contact> contacts = new HashMap<>();
@@ -75,7 +75,7 @@
   private final Map<Integer, String> transfers = new HashMap<>();
   private final Map<Integer, String> targets = new HashMap<>();
   private Map<String, Member> knownMembers = Map.of();
-  private HoldLedger ledger;
+  private OutstandingGrants ledger;
   private Assignment assignment;
   private long termSince;
   private long term;
@@ -87,14 +87,14 @@
       final String service,
       final String self,
       final long incarnation,
-      final HoldTimes times,
-      final Outlet outlet) {
+      final GrantTimings times,
+      final Environment outlet) {
     this.service = service;
     this.self = self;
     this.incarnation = incarnation;
     this.times = times;
     this.outlet = outlet;
-    this.ledger = new HoldLedger(times);
+    this.ledger = new OutstandingGrants(times);
     java.util.Arrays.fill(movedAt, Long.MIN_VALUE / 2);
   }
 
@@ -130,7 +130,7 @@
     term++;
     termSince = now;
     movePauseUntil = now + CALM_MILLIS;
-    ledger = new HoldLedger(times);
+    ledger = new OutstandingGrants(times);
     transfers.clear();
     targets.clear();
     contacts.clear();
@@ -244,7 +244,7 @@
       return;
     }
     final long sentTerm = term;
-    final HoldLedger sentLedger = ledger;
+    final OutstandingGrants sentLedger = ledger;
     ledger.sending(range, now);
     outlet.grant(
         range,
--- a/ownership/src/main/java/weldpoint/ownership/AssignerCounts.java
+++ b/ownership/src/main/java/weldpoint/ownership/AssignerCounts.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import weldpoint.metrics.Figure;
+import weldpoint.metrics.Metric;
 
 /** What an assigner has counted since its process started. */
 final class AssignerCounts {
@@ -28,24 +28,24 @@
     waitedOut++;
   }
 
-  List<Figure> figures() {
-    final List<Figure> figures = new ArrayList<>();
+  List<Metric> figures() {
+    final List<Metric> figures = new ArrayList<>();
     for (final CallResult.End end : CallResult.End.values()) {
       figures.add(
-          Figure.counter("weldpoint_key_grants", "Grants of keys.", grants[end.ordinal()])
+          Metric.counter("weldpoint_key_grants", "Grants of keys.", grants[end.ordinal()])
               .with("result", name(end)));
       figures.add(
-          Figure.counter("weldpoint_key_releases", "Releases of keys.", releases[end.ordinal()])
+          Metric.counter("weldpoint_key_releases", "Releases of keys.", releases[end.ordinal()])
               .with("result", name(end)));
     }
     for (final MoveReason reason : MoveReason.values()) {
       figures.add(
-          Figure.counter(
+          Metric.counter(
                   "weldpoint_key_moves", "Ranges of keys taken away.", moves[reason.ordinal()])
               .with("reason", name(reason)));
     }
     figures.add(
-        Figure.counter(
+        Metric.counter(
             "weldpoint_key_holds_waited_out", "Ranges taken without a release.", waitedOut));
     return figures;
   }
--- a/ownership/src/main/java/weldpoint/ownership/HoldTimes.java
+++ b/ownership/src/main/java/weldpoint/ownership/GrantTimings.java
@@ -11,7 +11,7 @@
  *     whoever stands between may pass on what it holds, and an upstream that was stalled reads what
  *     lies in its buffers
  */
-public record HoldTimes(long holdMillis, long leaseMillis, long sendMillis, long lateMillis) {
+public record GrantTimings(long holdMillis, long leaseMillis, long sendMillis, long lateMillis) {
   /** How much slower than ours an upstream's clock may run, with as much again for our own. */
   private static final double SLOWEST_CLOCK = 1.04;
 
@@ -21,8 +21,8 @@
   private static final long USUAL_SEND_MILLIS = 800;
 
   /** The usual spans for holds of this length, with grants that may be late by so much. */
-  public static HoldTimes of(final long holdMillis, final long lateMillis) {
-    return new HoldTimes(holdMillis, USUAL_LEASE_MILLIS, USUAL_SEND_MILLIS, lateMillis);
+  public static GrantTimings of(final long holdMillis, final long lateMillis) {
+    return new GrantTimings(holdMillis, USUAL_LEASE_MILLIS, USUAL_SEND_MILLIS, lateMillis);
   }
 
   /** When a grant has surely run out that was counted at this time at the latest. */
--- a/ownership/src/main/java/weldpoint/ownership/HoldLedger.java
+++ b/ownership/src/main/java/weldpoint/ownership/OutstandingGrants.java
@@ -9,18 +9,18 @@
  * at the latest. It never knows too little: what it cannot know of (another assigner's grants, an
  * answer that never came) counts as held for the longest time possible.
  */
-final class HoldLedger {
+final class OutstandingGrants {
   private static final Invariant ONE_HOLDER = Invariant.named("one holder per key");
   private static final long NEVER = Long.MIN_VALUE / 2;
 
-  private final HoldTimes times;
+  private final GrantTimings times;
   private final String[] holder = new String[KeySpace.SLOTS];
   private final long[] possibleUntil = new long[KeySpace.SLOTS];
   private final int[] underWay = new int[KeySpace.SLOTS];
   private final long[] acknowledgedAt = new long[KeySpace.SLOTS];
   private final boolean[] released = new boolean[KeySpace.SLOTS];
 
-  HoldLedger(final HoldTimes times) {
+  OutstandingGrants(final GrantTimings times) {
     this.times = times;
     Arrays.fill(possibleUntil, NEVER);
     Arrays.fill(acknowledgedAt, NEVER);
--- a/ownership/src/main/java/weldpoint/ownership/OwnershipCoordinator.java
+++ b/ownership/src/main/java/weldpoint/ownership/OwnershipCoordinator.java
@@ -9,8 +9,8 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import weldpoint.metrics.Figure;
-import weldpoint.transport.OwnershipMessages.AssignerPulse;
+import weldpoint.metrics.Metric;
+import weldpoint.transport.OwnershipMessages.AssignerHeartbeat;
 import weldpoint.transport.OwnershipMessages.Assignment;
 import weldpoint.transport.OwnershipMessages.SlotReport;
 
@@ -50,8 +50,8 @@
 
   private final String self;
   private final long incarnation;
-  private final HoldTimes times;
-  private final Consumer<AssignerPulse> pulses;
+  private final GrantTimings times;
+  private final Consumer<AssignerHeartbeat> pulses;
   private final Function<String, Assigner> maker;
   private final Map<String, Assigner> assigners = new TreeMap<>();
   private final Map<String, Long> heardAt = new HashMap<>();
@@ -66,9 +66,9 @@
   public OwnershipCoordinator(
       final String self,
       final long incarnation,
-      final HoldTimes times,
-      final Assigner.Outlet outlet,
-      final Consumer<AssignerPulse> pulses) {
+      final GrantTimings times,
+      final Assigner.Environment outlet,
+      final Consumer<AssignerHeartbeat> pulses) {
     this(
         self,
         incarnation,
@@ -81,8 +81,8 @@
   OwnershipCoordinator(
       final String self,
       final long incarnation,
-      final HoldTimes times,
-      final Consumer<AssignerPulse> pulses,
+      final GrantTimings times,
+      final Consumer<AssignerHeartbeat> pulses,
       final Function<String, Assigner> maker) {
     this.self = self;
     this.incarnation = incarnation;
@@ -124,7 +124,7 @@
   }
 
   /** Another registry's pulse. */
-  public void pulse(final String from, final AssignerPulse pulse, final long now) {
+  public void pulse(final String from, final AssignerHeartbeat pulse, final long now) {
     final String life = life(from, pulse.incarnation);
     heardAt.put(life, now);
     if (pulse.leaving) {
@@ -155,7 +155,7 @@
   /** This process ends: it acts no more and says so. */
   public void leave() {
     leaving = true;
-    pulses.accept(new AssignerPulse(incarnation, true));
+    pulses.accept(new AssignerHeartbeat(incarnation, true));
   }
 
   /**
@@ -184,7 +184,7 @@
     }
     if (acting && now - pulsedAt >= PULSE_MILLIS) {
       pulsedAt = now;
-      pulses.accept(new AssignerPulse(incarnation, false));
+      pulses.accept(new AssignerHeartbeat(incarnation, false));
     }
   }
 
@@ -255,25 +255,25 @@
   }
 
   /** What this registry tells of the keys that it assigns. */
-  public List<Figure> figures(final long now) {
-    final List<Figure> figures = new ArrayList<>();
+  public List<Metric> figures(final long now) {
+    final List<Metric> figures = new ArrayList<>();
     for (final Map.Entry<String, Assigner> entry : assigners.entrySet()) {
       final Assigner assigner = entry.getValue();
       if (!assigner.acts()) {
         continue;
       }
       final String service = entry.getKey();
-      for (final Figure figure : assigner.counts().figures()) {
+      for (final Metric figure : assigner.counts().figures()) {
         figures.add(figure.with("service", service));
       }
       figures.add(
-          Figure.gauge(
+          Metric.gauge(
                   "weldpoint_key_ranges",
                   "Ranges of keys assigned.",
                   assigner.assignment().ranges().size())
               .with("service", service));
       figures.add(
-          Figure.gauge(
+          Metric.gauge(
                   "weldpoint_keys_without_holder",
                   "Keys that no upstream lately acknowledged to hold.",
                   assigner.keysWithoutHolder(now))
--- a/ownership/src/test/java/weldpoint/ownership/OneHolderTest.java
+++ b/ownership/src/test/java/weldpoint/ownership/OneHolderTest.java
@@ -20,7 +20,8 @@
   public void noTwoUpstreamsHoldOneKey() {
     long changes = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
-      final FleetOfKeys fleet = new FleetOfKeys(seed, FleetOfKeys.Broken.NOTHING);
+      final OwnershipSimulation fleet =
+          new OwnershipSimulation(seed, OwnershipSimulation.Broken.NOTHING);
       fleet.play(TROUBLED_MILLIS, CALM_MILLIS);
       assertEquals(fleet.evidence(), List.of(), "seed " + seed);
       assertEquals(fleet.mostHeld(), KeySpace.SLOTS, "seed " + seed + ": " + fleet.unheld());
@@ -32,19 +33,19 @@
   @DataProvider
   public Object[][] broken() {
     return new Object[][] {
-      {FleetOfKeys.Broken.NO_WAIT},
-      {FleetOfKeys.Broken.NO_MARGIN},
-      {FleetOfKeys.Broken.NOTHING_LATE},
-      {FleetOfKeys.Broken.FORGETS_PREDECESSOR},
-      {FleetOfKeys.Broken.GRANT_BEFORE_REGISTER},
-      {FleetOfKeys.Broken.NO_LEASE}
+      {OwnershipSimulation.Broken.NO_WAIT},
+      {OwnershipSimulation.Broken.NO_MARGIN},
+      {OwnershipSimulation.Broken.NOTHING_LATE},
+      {OwnershipSimulation.Broken.FORGETS_PREDECESSOR},
+      {OwnershipSimulation.Broken.GRANT_BEFORE_REGISTER},
+      {OwnershipSimulation.Broken.NO_LEASE}
     };
   }
 
   @Test(dataProvider = "broken")
-  public void aMissingSafeguardIsCaught(final FleetOfKeys.Broken broken) {
+  public void aMissingSafeguardIsCaught(final OwnershipSimulation.Broken broken) {
     for (long seed = 1; seed <= SEEDS_OF_BROKEN; seed++) {
-      final FleetOfKeys fleet = new FleetOfKeys(seed, broken);
+      final OwnershipSimulation fleet = new OwnershipSimulation(seed, broken);
       try {
         fleet.play(TROUBLED_MILLIS, 0);
       } catch (final IllegalStateException seenByTheCodeItself) {
--- a/ownership/src/test/java/weldpoint/ownership/HoldLedgerTest.java
+++ b/ownership/src/test/java/weldpoint/ownership/OutstandingGrantsTest.java
@@ -8,7 +8,7 @@
 import weldpoint.transport.OwnershipMessages.RangeState;
 
 /** When keys are surely nobody's. */
-public final class HoldLedgerTest {
+public final class OutstandingGrantsTest {
   private static final long HOLD_MILLIS = 4000;
   private static final long LATE_MILLIS = 1000;
   private static final long SENT_AT = 10_000;
@@ -18,7 +18,8 @@
       new KeyRange(0, 65_535, "k-1", "10.0.0.1:80", 7, RangeState.HELD, null);
 
   private static boolean freeAt(final CallResult.End end, final long now) {
-    final HoldLedger ledger = new HoldLedger(HoldTimes.of(HOLD_MILLIS, LATE_MILLIS));
+    final OutstandingGrants ledger =
+        new OutstandingGrants(GrantTimings.of(HOLD_MILLIS, LATE_MILLIS));
     ledger.sending(RANGE, SENT_AT);
     ledger.ended(RANGE, end, ENDED_AT);
     return ledger.free(RANGE, now);
--- a/ownership/src/test/java/weldpoint/ownership/FleetOfKeys.java
+++ b/ownership/src/test/java/weldpoint/ownership/OwnershipSimulation.java
@@ -9,7 +9,7 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.function.Consumer;
-import weldpoint.transport.OwnershipMessages.AssignerPulse;
+import weldpoint.transport.OwnershipMessages.AssignerHeartbeat;
 import weldpoint.transport.OwnershipMessages.Assignment;
 import weldpoint.transport.OwnershipMessages.KeyRange;
 import weldpoint.transport.OwnershipMessages.SlotReport;
@@ -20,7 +20,7 @@
  * lost, late or doubled, registries freeze, are killed and cut off from the register, upstreams
  * crash, leave and join. After each event it is judged whether two upstreams hold one key.
  */
-final class FleetOfKeys {
+final class OwnershipSimulation {
   static final String SERVICE = "store";
 
   /** How a world is broken on purpose. */
@@ -102,7 +102,7 @@
   }
 
   /** A registry's life. */
-  private final class Registry implements Assigner.Outlet {
+  private final class Registry implements Assigner.Environment {
     final String address;
     final long incarnation;
     final OwnershipCoordinator coordinator;
@@ -114,7 +114,7 @@
     Registry(final int place, final long incarnation) {
       this.address = "r" + place;
       this.incarnation = incarnation;
-      final HoldTimes times = HoldTimes.of(HOLD_MILLIS, LATE_MILLIS);
+      final GrantTimings times = GrantTimings.of(HOLD_MILLIS, LATE_MILLIS);
       this.coordinator =
           new OwnershipCoordinator(address, incarnation, times, this::pulse, this::assigner);
     }
@@ -122,16 +122,16 @@
     private Assigner assigner(final String service) {
       return broken == Broken.NOTHING
           ? new Assigner(
-              service, address, incarnation, HoldTimes.of(HOLD_MILLIS, LATE_MILLIS), this)
+              service, address, incarnation, GrantTimings.of(HOLD_MILLIS, LATE_MILLIS), this)
           : new BrokenAssigner(
-              service, address, incarnation, HoldTimes.of(HOLD_MILLIS, LATE_MILLIS), this);
+              service, address, incarnation, GrantTimings.of(HOLD_MILLIS, LATE_MILLIS), this);
     }
 
     boolean runs() {
       return up && now >= frozenUntil;
     }
 
-    private void pulse(final AssignerPulse pulse) {
+    private void pulse(final AssignerHeartbeat pulse) {
       for (final Registry other : registries) {
         if (other != this && !cut && !other.cut) {
           later(delay(), other, () -> other.coordinator.pulse(address, pulse, now));
@@ -287,15 +287,15 @@
         final String service,
         final String self,
         final long incarnation,
-        final HoldTimes times,
-        final Outlet outlet) {
+        final GrantTimings times,
+        final Environment outlet) {
       super(
           service,
           self,
           incarnation,
           switch (broken) {
             case NO_MARGIN -> new NoMargin().times(times);
-            case NOTHING_LATE -> HoldTimes.of(times.holdMillis(), 0);
+            case NOTHING_LATE -> GrantTimings.of(times.holdMillis(), 0);
             default -> times;
           },
           outlet);
@@ -318,8 +318,8 @@
   private static final class NoMargin {
     private static final double SHORT = 0.85;
 
-    HoldTimes times(final HoldTimes times) {
-      return new HoldTimes((long) (times.holdMillis() * SHORT), times.leaseMillis(), 0, 0);
+    GrantTimings times(final GrantTimings times) {
+      return new GrantTimings((long) (times.holdMillis() * SHORT), times.leaseMillis(), 0, 0);
     }
   }
 
@@ -340,7 +340,7 @@
   private long changes;
   private int lives;
 
-  FleetOfKeys(final long seed, final Broken broken) {
+  OwnershipSimulation(final long seed, final Broken broken) {
     this.random = new Random(seed);
     this.broken = broken;
     for (int place = 0; place < REGISTRIES; place++) {
--- a/proxy/src/main/java/weldpoint/proxy/Portion.java
+++ b/proxy/src/main/java/weldpoint/proxy/ByteRange.java
@@ -4,9 +4,9 @@
  * The part of a body that a client asked for: a single range that names its first byte. Anything
  * else means the whole.
  */
-record Portion(int first, int end, boolean beyond) {
-  static Portion of(final String range, final int length) {
-    final Portion whole = new Portion(0, length, false);
+record ByteRange(int first, int end, boolean beyond) {
+  static ByteRange of(final String range, final int length) {
+    final ByteRange whole = new ByteRange(0, length, false);
     if (range == null || !range.regionMatches(true, 0, "bytes=", 0, 6)) {
       return whole;
     }
@@ -23,8 +23,8 @@
         return whole;
       }
       return first >= length
-          ? new Portion(length, length, true)
-          : new Portion((int) first, (int) Math.min(length, last + 1), false);
+          ? new ByteRange(length, length, true)
+          : new ByteRange((int) first, (int) Math.min(length, last + 1), false);
     } catch (final NumberFormatException malformed) {
       return whole;
     }
--- a/proxy/src/main/java/weldpoint/proxy/CacheClient.java
+++ b/proxy/src/main/java/weldpoint/proxy/CacheClient.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import weldpoint.common.Rank;
-import weldpoint.transport.CacheMessages.CopyAnswer;
-import weldpoint.transport.CacheMessages.CopyAsk;
+import weldpoint.common.RendezvousHash;
+import weldpoint.transport.CacheMessages.CacheReadRequest;
+import weldpoint.transport.CacheMessages.CacheReadResponse;
 import weldpoint.transport.Message;
 
 /**
@@ -23,7 +23,7 @@
   private static final long FORGET_MILLIS = 10_000;
 
   /** The lines to announcers. */
-  interface Lines {
+  interface Connections {
     void keep(List<String> addresses);
 
     boolean send(String address, Message message);
@@ -36,18 +36,18 @@
     long doubtfulUntil;
   }
 
-  private static final class Asked {
-    final CopyAsk ask;
-    final Consumer<CopyAnswer> asker;
+  private static final class PendingRequest {
+    final CacheReadRequest ask;
+    final Consumer<CacheReadResponse> asker;
     final List<String> order;
     final long cutoff;
     int next;
     String at;
     long sentAt;
 
-    Asked(
-        final CopyAsk ask,
-        final Consumer<CopyAnswer> asker,
+    PendingRequest(
+        final CacheReadRequest ask,
+        final Consumer<CacheReadResponse> asker,
         final List<String> order,
         final long cutoff) {
       this.ask = ask;
@@ -57,14 +57,14 @@
     }
   }
 
-  private final Lines lines;
+  private final Connections lines;
   private final Map<String, Place> places = new LinkedHashMap<>();
-  private final Map<Long, Asked> pending = new HashMap<>();
+  private final Map<Long, PendingRequest> pending = new HashMap<>();
   private long number;
   long answered;
   long missed;
 
-  CacheClient(final Lines lines) {
+  CacheClient(final Connections lines) {
     this.lines = lines;
   }
 
@@ -98,12 +98,12 @@
       final String host,
       final String target,
       final long waitMillis,
-      final Consumer<CopyAnswer> asker,
+      final Consumer<CacheReadResponse> asker,
       final long now) {
     final List<String> order = order(host + target, now);
-    final Asked one =
-        new Asked(
-            new CopyAsk(++number, service, host, target, waitMillis),
+    final PendingRequest one =
+        new PendingRequest(
+            new CacheReadRequest(++number, service, host, target, waitMillis),
             asker,
             order,
             now + waitMillis);
@@ -115,7 +115,7 @@
     final List<String> all = new ArrayList<>(places.keySet());
     final Map<String, Long> ranks = new HashMap<>();
     for (final String address : all) {
-      ranks.put(address, Rank.of(address, name));
+      ranks.put(address, RendezvousHash.of(address, name));
     }
     all.sort(
         Comparator.comparing((String address) -> now < places.get(address).doubtfulUntil)
@@ -123,7 +123,7 @@
     return all;
   }
 
-  private void send(final Asked one, final long now) {
+  private void send(final PendingRequest one, final long now) {
     while (one.next < one.order.size() && now < one.cutoff) {
       final String address = one.order.get(one.next++);
       if (lines.send(address, one.ask)) {
@@ -134,16 +134,16 @@
     }
     pending.remove(one.ask.number);
     missed++;
-    one.asker.accept(new CopyAnswer(one.ask.number, 0, null, null));
+    one.asker.accept(new CacheReadResponse(one.ask.number, 0, null, null));
   }
 
   /** An announcer has answered. */
-  void heard(final String address, final CopyAnswer answer, final long now) {
+  void heard(final String address, final CacheReadResponse answer, final long now) {
     final Place place = places.get(address);
     if (place != null) {
       place.doubtfulUntil = 0;
     }
-    final Asked one = pending.get(answer.number);
+    final PendingRequest one = pending.get(answer.number);
     if (one == null || answer.status == 0 && !address.equals(one.at)) {
       return;
     }
@@ -158,7 +158,7 @@
 
   /** The line to an announcer has ended. */
   void closed(final String address, final long now) {
-    for (final Asked one : new ArrayList<>(pending.values())) {
+    for (final PendingRequest one : new ArrayList<>(pending.values())) {
       if (address.equals(one.at)) {
         send(one, now);
       }
@@ -170,7 +170,7 @@
    * the next.
    */
   void sweep(final long now) {
-    for (final Asked one : new ArrayList<>(pending.values())) {
+    for (final PendingRequest one : new ArrayList<>(pending.values())) {
       final boolean silent = lines.silentMillis(one.at) > SILENT_MILLIS;
       if (silent || now >= one.cutoff) {
         final Place place = places.get(one.at);
--- a/proxy/src/main/java/weldpoint/proxy/CachedCopies.java
+++ b/proxy/src/main/java/weldpoint/proxy/CachedCopies.java
@@ -33,14 +33,15 @@
    * A copy as the answer to this request: the whole, or the part it asks for; null where it asks
    * for what lies beyond, since only the origin may say so under its seal.
    */
-  static FullHttpResponse response(final HttpRequest request, final CacheMessages.CopyAnswer copy) {
+  static FullHttpResponse response(
+      final HttpRequest request, final CacheMessages.CacheReadResponse copy) {
     final byte[] bytes = copy.body == null ? new byte[0] : copy.body;
     final List<String> headers = Protocol.list(copy.headers);
     final String condition = request.headers().get(HttpHeaderNames.IF_RANGE);
     final boolean whole =
         copy.status != 200 || condition != null && !condition.equals(etag(headers));
-    final Portion portion =
-        Portion.of(whole ? null : request.headers().get(HttpHeaderNames.RANGE), bytes.length);
+    final ByteRange portion =
+        ByteRange.of(whole ? null : request.headers().get(HttpHeaderNames.RANGE), bytes.length);
     if (portion.beyond()) {
       return null;
     }
@@ -72,7 +73,7 @@
 
   /** The first answer of a key as the answer to a later request of the same key. */
   static FullHttpResponse repeated(
-      final HttpRequest request, final KeyMessages.OutcomeAnswer first) {
+      final HttpRequest request, final KeyMessages.OutcomeResponse first) {
     final byte[] body = first.body == null ? new byte[0] : first.body;
     final FullHttpResponse response =
         new DefaultFullHttpResponse(
--- a/proxy/src/main/java/weldpoint/proxy/ControlProof.java
+++ b/proxy/src/main/java/weldpoint/proxy/ControlProof.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import weldpoint.metrics.Figure;
+import weldpoint.metrics.Metric;
 
 /**
  * Up to when this proxy provably had all that was acknowledged: configurations, evacuations,
@@ -107,21 +107,21 @@
   }
 
   /** The age of the proof, and how old it was when the next one came. */
-  List<Figure> figures(final long now) {
-    final List<Figure> figures = new ArrayList<>();
+  List<Metric> figures(final long now) {
+    final List<Metric> figures = new ArrayList<>();
     figures.add(
-        Figure.gauge(
+        Metric.gauge(
             "weldpoint_control_proof_age_seconds",
             "Time since this proxy provably had all that was acknowledged.",
             ageMillis(now) / 1000.0));
     figures.add(
-        Figure.counter(
+        Metric.counter(
             "weldpoint_control_proof_waits",
             "Requests that waited for a proof that nothing acknowledged is missing.",
             waited));
     for (int bound = 0; bound <= BOUNDS_MILLIS.length; bound++) {
       figures.add(
-          Figure.counter(
+          Metric.counter(
                   "weldpoint_control_proof_renewals",
                   "Proofs, by how old the one before had become, in milliseconds at most.",
                   renewals[bound])
--- a/proxy/src/main/java/weldpoint/proxy/ForwardedMessages.java
+++ b/proxy/src/main/java/weldpoint/proxy/ForwardedMessages.java
@@ -11,8 +11,8 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpVersion;
-import weldpoint.routing.Dialplan;
 import weldpoint.routing.Route;
+import weldpoint.routing.RoutingTable;
 import weldpoint.upstream.Headers;
 
 /** Requests as they are passed on to upstreams, and upstreams' answers as clients get them. */
@@ -52,7 +52,7 @@
   }
 
   /** Puts the tenant in the place of the client's key; null where the request is nobody's. */
-  static void nameTenant(final FullHttpRequest forward, final Dialplan.Tenant tenant) {
+  static void nameTenant(final FullHttpRequest forward, final RoutingTable.Tenant tenant) {
     forward.headers().remove(HttpHeaderNames.AUTHORIZATION);
     forward.headers().remove(Headers.TENANT);
     if (tenant != null) {
--- a/proxy/src/main/java/weldpoint/proxy/KeyRun.java
+++ b/proxy/src/main/java/weldpoint/proxy/IdempotentRequest.java
@@ -5,17 +5,17 @@
 import java.util.function.Consumer;
 import weldpoint.transport.KeyMessages.Claim;
 import weldpoint.transport.KeyMessages.Outcome;
-import weldpoint.transport.KeyMessages.OutcomeAnswer;
+import weldpoint.transport.KeyMessages.OutcomeResponse;
 
 /** One request that holds an idempotency key at this proxy, and what became of it. */
-final class KeyRun {
-  private static final OutcomeAnswer AT_WORK = new OutcomeAnswer(Outcome.AT_WORK);
+final class IdempotentRequest {
+  private static final OutcomeResponse AT_WORK = new OutcomeResponse(Outcome.AT_WORK);
 
   private final Claim claim;
   private final long fingerprint;
   private final long until;
-  private final List<Consumer<OutcomeAnswer>> waiting = new ArrayList<>();
-  private OutcomeAnswer outcome = AT_WORK;
+  private final List<Consumer<OutcomeResponse>> waiting = new ArrayList<>();
+  private OutcomeResponse outcome = AT_WORK;
 
   /**
    * A request that is about to be sent.
@@ -24,7 +24,7 @@
    * @param fingerprint tells it from other requests that bear the same key
    * @param until how long it is remembered, in milliseconds of the steady clock
    */
-  KeyRun(final Claim claim, final long fingerprint, final long until) {
+  IdempotentRequest(final Claim claim, final long fingerprint, final long until) {
     this.claim = claim;
     this.fingerprint = fingerprint;
     this.until = until;
@@ -46,7 +46,7 @@
     return outcome.outcome() == Outcome.AT_WORK;
   }
 
-  OutcomeAnswer outcome() {
+  OutcomeResponse outcome() {
     return outcome;
   }
 
@@ -56,7 +56,7 @@
   }
 
   /** Hears the outcome once there is one. */
-  void whenOver(final Consumer<OutcomeAnswer> listener) {
+  void whenOver(final Consumer<OutcomeResponse> listener) {
     if (atWork()) {
       waiting.add(listener);
     } else {
@@ -65,18 +65,18 @@
   }
 
   /** The request has ended; only the first end counts. */
-  void end(final OutcomeAnswer given) {
+  void end(final OutcomeResponse given) {
     if (!atWork()) {
       return;
     }
     outcome = given;
-    final List<Consumer<OutcomeAnswer>> all = new ArrayList<>(waiting);
+    final List<Consumer<OutcomeResponse>> all = new ArrayList<>(waiting);
     waiting.clear();
     all.forEach(listener -> listener.accept(given));
   }
 
   /** Forgets the kept answer; what is known is only that it may have run. */
   void forgetAnswer() {
-    outcome = new OutcomeAnswer(Outcome.UNCERTAIN);
+    outcome = new OutcomeResponse(Outcome.UNCERTAIN);
   }
 }
--- a/proxy/src/main/java/weldpoint/proxy/KeyRuns.java
+++ b/proxy/src/main/java/weldpoint/proxy/IdempotentRequests.java
@@ -6,14 +6,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import weldpoint.metrics.Figure;
+import weldpoint.metrics.Metric;
 import weldpoint.transport.KeyMessages.Claim;
-import weldpoint.transport.KeyMessages.ClaimAnswer;
-import weldpoint.transport.KeyMessages.ClaimAsk;
 import weldpoint.transport.KeyMessages.ClaimRelease;
+import weldpoint.transport.KeyMessages.ClaimRequest;
+import weldpoint.transport.KeyMessages.ClaimResponse;
 import weldpoint.transport.KeyMessages.ClaimResult;
 import weldpoint.transport.KeyMessages.Outcome;
-import weldpoint.transport.KeyMessages.OutcomeAnswer;
+import weldpoint.transport.KeyMessages.OutcomeResponse;
 import weldpoint.transport.Message;
 
 /**
@@ -22,7 +22,7 @@
  * gets the first one's answer. All of it lives on the traffic thread; times are milliseconds of the
  * steady clock.
  */
-final class KeyRuns {
+final class IdempotentRequests {
   /** How long a claim may wait for its answer. */
   static final long PATIENCE_MILLIS = 1300;
 
@@ -35,12 +35,12 @@
   private static final int MOST_OWED = 10_000;
 
   /** What this proxy does to the world. */
-  interface Outlet {
+  interface Environment {
     /** Sends to the registry of the stream; false where there is no stream. */
     boolean registry(Message message);
 
     /** Asks another proxy what became of a claim's request; hears exactly once. */
-    void outcome(Claim holder, long fingerprint, long waitMillis, Consumer<OutcomeAnswer> hears);
+    void outcome(Claim holder, long fingerprint, long waitMillis, Consumer<OutcomeResponse> hears);
 
     /** Runs a task on the traffic thread after so many milliseconds. */
     void later(Runnable task, long millis);
@@ -49,10 +49,10 @@
   /** Hears what may be done with a request; exactly one of these, once. */
   interface Listener {
     /** The key is this request's: it may be sent, and its end must be told. */
-    void granted(KeyRun run);
+    void granted(IdempotentRequest run);
 
     /** The key is, or was, another request's: what became of that. */
-    void repeated(OutcomeAnswer first);
+    void repeated(OutcomeResponse first);
 
     /** It cannot be told now: the request must not be sent. */
     void unavailable();
@@ -74,16 +74,16 @@
     }
   }
 
-  private record Asked(Request request, Claim claim) {}
+  private record PendingClaim(Request request, Claim claim) {}
 
   private final String self;
   private final long incarnation;
   private final long window;
-  private final Outlet outlet;
-  private final Map<Long, Asked> pending = new HashMap<>();
-  private final Map<Digest, KeyRun> runs = new HashMap<>();
-  private final ArrayDeque<KeyRun> oldest = new ArrayDeque<>();
-  private final ArrayDeque<KeyRun> answered = new ArrayDeque<>();
+  private final Environment outlet;
+  private final Map<Long, PendingClaim> pending = new HashMap<>();
+  private final Map<Digest, IdempotentRequest> runs = new HashMap<>();
+  private final ArrayDeque<IdempotentRequest> oldest = new ArrayDeque<>();
+  private final ArrayDeque<IdempotentRequest> answered = new ArrayDeque<>();
   private final Map<Long, Long> neverRan = new HashMap<>();
   private final List<Claim> owed = new ArrayList<>();
   private long number;
@@ -94,7 +94,8 @@
   private long unavailable;
 
   /** Requests of the proxy at this address, in this life; a key is one request's for a window. */
-  KeyRuns(final String self, final long incarnation, final long window, final Outlet outlet) {
+  IdempotentRequests(
+      final String self, final long incarnation, final long window, final Environment outlet) {
     this.self = self;
     this.incarnation = incarnation;
     this.window = window;
@@ -107,7 +108,7 @@
   }
 
   private void claim(final Request request, final long now) {
-    final KeyRun known = runs.get(new Digest(request.key.high(), request.key.low()));
+    final IdempotentRequest known = runs.get(new Digest(request.key.high(), request.key.low()));
     if (known != null && now < known.until()) {
       await(request, known);
       return;
@@ -117,8 +118,8 @@
         new Claim(request.key.high(), request.key.low(), self, incarnation, ++number, keep);
     request.askedAt = now;
     request.claims++;
-    pending.put(claim.number, new Asked(request, claim));
-    if (!outlet.registry(new ClaimAsk(claim))) {
+    pending.put(claim.number, new PendingClaim(request, claim));
+    if (!outlet.registry(new ClaimRequest(claim))) {
       pending.remove(claim.number);
       neverRan.put(claim.number, now + window);
       unavailable(request);
@@ -126,16 +127,16 @@
   }
 
   /** Waits for the end of a request of this proxy that has the key. */
-  private void await(final Request request, final KeyRun known) {
+  private void await(final Request request, final IdempotentRequest known) {
     if (known.fingerprint() != request.key.fingerprint()) {
-      repeated(request, new OutcomeAnswer(Outcome.OTHER_REQUEST));
+      repeated(request, new OutcomeResponse(Outcome.OTHER_REQUEST));
       return;
     }
     known.whenOver(first -> ended(request, first));
   }
 
   /** The request that has the key has ended, or cannot be heard of. */
-  private void ended(final Request request, final OutcomeAnswer first) {
+  private void ended(final Request request, final OutcomeResponse first) {
     if (first.outcome() != Outcome.NEVER_RAN) {
       repeated(request, first);
     } else if (request.claims < MOST_CLAIMS) {
@@ -155,8 +156,8 @@
   }
 
   /** The registry has answered a claim. */
-  void answered(final ClaimAnswer answer, final long now) {
-    final Asked asked = pending.remove(answer.number);
+  void answered(final ClaimResponse answer, final long now) {
+    final PendingClaim asked = pending.remove(answer.number);
     if (asked == null) {
       return;
     }
@@ -171,7 +172,7 @@
     }
   }
 
-  private void granted(final Asked asked, final long now) {
+  private void granted(final PendingClaim asked, final long now) {
     claimed++;
     final Request request = asked.request();
     if (now >= request.cutoff) {
@@ -179,8 +180,8 @@
       unavailable(request);
       return;
     }
-    final KeyRun run =
-        new KeyRun(asked.claim(), request.key.fingerprint(), request.cutoff + window);
+    final IdempotentRequest run =
+        new IdempotentRequest(asked.claim(), request.key.fingerprint(), request.cutoff + window);
     runs.put(new Digest(request.key.high(), request.key.low()), run);
     oldest.add(run);
     request.listener.granted(run);
@@ -199,23 +200,23 @@
   }
 
   /** Tells what became of a claim's request at this proxy, once that is known. */
-  void outcome(final Claim claim, final long fingerprint, final Consumer<OutcomeAnswer> hears) {
-    final KeyRun run = runs.get(new Digest(claim.high, claim.low));
+  void outcome(final Claim claim, final long fingerprint, final Consumer<OutcomeResponse> hears) {
+    final IdempotentRequest run = runs.get(new Digest(claim.high, claim.low));
     final boolean own = claim.incarnation == incarnation;
     if (own && pending.containsKey(claim.number)) {
       outlet.later(() -> outcome(claim, fingerprint, hears), AGAIN_MILLIS);
     } else if (own && neverRan.containsKey(claim.number)) {
-      hears.accept(new OutcomeAnswer(Outcome.NEVER_RAN));
+      hears.accept(new OutcomeResponse(Outcome.NEVER_RAN));
     } else if (run == null || !run.claim().sameClaimant(claim)) {
-      hears.accept(new OutcomeAnswer(Outcome.UNCERTAIN));
+      hears.accept(new OutcomeResponse(Outcome.UNCERTAIN));
     } else if (run.fingerprint() != fingerprint) {
-      hears.accept(new OutcomeAnswer(Outcome.OTHER_REQUEST));
+      hears.accept(new OutcomeResponse(Outcome.OTHER_REQUEST));
     } else {
       run.whenOver(hears);
     }
   }
 
-  private void repeated(final Request request, final OutcomeAnswer first) {
+  private void repeated(final Request request, final OutcomeResponse first) {
     if (first.outcome() == Outcome.ANSWERED) {
       repeated++;
     } else {
@@ -230,39 +231,43 @@
   }
 
   /** A request was answered: a later one of its key gets the same. */
-  void ran(final KeyRun run, final int status, final List<String> headers, final byte[] body) {
+  void ran(
+      final IdempotentRequest run,
+      final int status,
+      final List<String> headers,
+      final byte[] body) {
     if (!run.atWork()) {
       return;
     }
     final boolean kept = body.length <= MOST_ANSWER_BYTES;
     run.end(
         kept
-            ? new OutcomeAnswer(Outcome.ANSWERED, status, headers, body)
-            : new OutcomeAnswer(Outcome.UNCERTAIN));
+            ? new OutcomeResponse(Outcome.ANSWERED, status, headers, body)
+            : new OutcomeResponse(Outcome.UNCERTAIN));
     if (run.bytes() > 0) {
       bytes += run.bytes();
       answered.add(run);
     }
     while (bytes > MOST_BYTES) {
-      final KeyRun first = answered.poll();
+      final IdempotentRequest first = answered.poll();
       bytes -= first.bytes();
       first.forgetAnswer();
     }
   }
 
   /** A request may have run, and no answer is known. */
-  void uncertain(final KeyRun run) {
-    run.end(new OutcomeAnswer(Outcome.UNCERTAIN));
+  void uncertain(final IdempotentRequest run) {
+    run.end(new OutcomeResponse(Outcome.UNCERTAIN));
   }
 
   /** A request never ran and never will: its key is free again. */
-  void neverRan(final KeyRun run, final long now) {
+  void neverRan(final IdempotentRequest run, final long now) {
     if (!run.atWork()) {
       return;
     }
     runs.remove(new Digest(run.claim().high, run.claim().low), run);
     release(run.claim(), now);
-    run.end(new OutcomeAnswer(Outcome.NEVER_RAN));
+    run.end(new OutcomeResponse(Outcome.NEVER_RAN));
   }
 
   private void release(final Claim claim, final long now) {
@@ -287,7 +292,7 @@
     settle();
     neverRan.values().removeIf(until -> until <= now);
     while (!oldest.isEmpty() && (oldest.peek().until() <= now || oldest.size() > MOST_RUNS)) {
-      final KeyRun past = oldest.poll();
+      final IdempotentRequest past = oldest.poll();
       if (answered.remove(past)) {
         bytes -= past.bytes();
       }
@@ -297,13 +302,13 @@
   }
 
   private void giveUp(final boolean all, final long now) {
-    final List<Asked> over = new ArrayList<>();
-    for (final Asked asked : pending.values()) {
+    final List<PendingClaim> over = new ArrayList<>();
+    for (final PendingClaim asked : pending.values()) {
       if (all || now - asked.request().askedAt > PATIENCE_MILLIS) {
         over.add(asked);
       }
     }
-    for (final Asked asked : over) {
+    for (final PendingClaim asked : over) {
       pending.remove(asked.claim().number);
       release(asked.claim(), now);
       unavailable(asked.request());
@@ -311,16 +316,16 @@
   }
 
   /** Figures of requests with keys. */
-  List<Figure> figures() {
+  List<Metric> figures() {
     final String help = "Requests with an idempotency key, by what was decided.";
     return List.of(
-        Figure.counter("weldpoint_keyed_requests", help, claimed).with("decision", "claimed"),
-        Figure.counter("weldpoint_keyed_requests", help, repeated).with("decision", "repeated"),
-        Figure.counter("weldpoint_keyed_requests", help, conflicts).with("decision", "conflict"),
-        Figure.counter("weldpoint_keyed_requests", help, unavailable)
+        Metric.counter("weldpoint_keyed_requests", help, claimed).with("decision", "claimed"),
+        Metric.counter("weldpoint_keyed_requests", help, repeated).with("decision", "repeated"),
+        Metric.counter("weldpoint_keyed_requests", help, conflicts).with("decision", "conflict"),
+        Metric.counter("weldpoint_keyed_requests", help, unavailable)
             .with("decision", "unavailable"),
-        Figure.gauge("weldpoint_keyed_runs", "Keyed requests remembered here.", runs.size()),
-        Figure.gauge("weldpoint_keyed_bytes", "Bytes of answers kept for repeats.", bytes));
+        Metric.gauge("weldpoint_keyed_runs", "Keyed requests remembered here.", runs.size()),
+        Metric.gauge("weldpoint_keyed_bytes", "Bytes of answers kept for repeats.", bytes));
   }
 
   /** What was decided, as counters; empty where no request bore a key. */
--- a/proxy/src/main/java/weldpoint/proxy/OutcomeLines.java
+++ b/proxy/src/main/java/weldpoint/proxy/OutcomeClient.java
@@ -3,32 +3,32 @@
 import io.netty.channel.EventLoopGroup;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import weldpoint.common.Boot;
+import weldpoint.common.Settings;
+import weldpoint.transport.Connection;
 import weldpoint.transport.KeyMessages.Claim;
 import weldpoint.transport.KeyMessages.Outcome;
-import weldpoint.transport.KeyMessages.OutcomeAnswer;
-import weldpoint.transport.KeyMessages.OutcomeAsk;
-import weldpoint.transport.Line;
+import weldpoint.transport.KeyMessages.OutcomeRequest;
+import weldpoint.transport.KeyMessages.OutcomeResponse;
 import weldpoint.transport.Message;
-import weldpoint.transport.Trunk;
+import weldpoint.transport.Transport;
 
 /**
  * Lines by which proxies ask each other what became of a request that holds a key. A line lives for
  * one question: repeats of a key are rare.
  */
-final class OutcomeLines {
+final class OutcomeClient {
   private static final int PORT = 4;
   private static final long LEAST_WAIT_MILLIS = 200;
   private static final long CONNECT_MILLIS = 500;
 
-  private final Trunk trunk;
-  private final Boot boot;
+  private final Transport trunk;
+  private final Settings boot;
   private final EventLoopGroup loop;
   private final ProxyContext proxyContext;
 
-  OutcomeLines(
-      final Trunk trunk,
-      final Boot boot,
+  OutcomeClient(
+      final Transport trunk,
+      final Settings boot,
       final EventLoopGroup loop,
       final ProxyContext proxyContext) {
     this.trunk = trunk;
@@ -42,17 +42,17 @@
     trunk.serve(
         boot.address(),
         boot.trunkPort(PORT),
-        new Trunk.Ear() {
+        new Transport.Listener() {
           @Override
-          public void heard(final Line line, final Message message) {
-            if (message instanceof OutcomeAsk) {
-              answer((OutcomeAsk) message, line::send);
+          public void heard(final Connection line, final Message message) {
+            if (message instanceof OutcomeRequest) {
+              answer((OutcomeRequest) message, line::send);
             }
           }
         });
   }
 
-  private void answer(final OutcomeAsk ask, final Consumer<Message> reply) {
+  private void answer(final OutcomeRequest ask, final Consumer<Message> reply) {
     final boolean[] answered = new boolean[1];
     proxyContext.keys.outcome(
         ask.claim,
@@ -67,7 +67,7 @@
         () -> {
           if (!answered[0]) {
             answered[0] = true;
-            reply.accept(new OutcomeAnswer(Outcome.AT_WORK));
+            reply.accept(new OutcomeResponse(Outcome.AT_WORK));
           }
         },
         Math.max(1, ask.waitMillis - LEAST_WAIT_MILLIS),
@@ -79,56 +79,56 @@
       final Claim holder,
       final long fingerprint,
       final long waitMillis,
-      final Consumer<OutcomeAnswer> hears) {
-    final Question question = new Question(hears);
+      final Consumer<OutcomeResponse> hears) {
+    final PendingQuery question = new PendingQuery(hears);
     question.dialler =
         trunk.dial(
             holder.proxy,
             boot.trunkPort(PORT),
-            new Trunk.Ear() {
+            new Transport.Listener() {
               @Override
-              public void opened(final Line line) {
+              public void opened(final Connection line) {
                 question.opened = true;
-                line.send(new OutcomeAsk(holder, fingerprint, waitMillis));
+                line.send(new OutcomeRequest(holder, fingerprint, waitMillis));
               }
 
               @Override
-              public void closed(final Line line) {
-                question.over(new OutcomeAnswer(Outcome.UNCERTAIN));
+              public void closed(final Connection line) {
+                question.over(new OutcomeResponse(Outcome.UNCERTAIN));
               }
 
               @Override
-              public void heard(final Line line, final Message message) {
-                if (message instanceof OutcomeAnswer) {
-                  question.over((OutcomeAnswer) message);
+              public void heard(final Connection line, final Message message) {
+                if (message instanceof OutcomeResponse) {
+                  question.over((OutcomeResponse) message);
                 }
               }
             });
     loop.schedule(
         () -> {
           if (!question.opened) {
-            question.over(new OutcomeAnswer(Outcome.UNCERTAIN));
+            question.over(new OutcomeResponse(Outcome.UNCERTAIN));
           }
         },
         Math.min(waitMillis, CONNECT_MILLIS),
         TimeUnit.MILLISECONDS);
     loop.schedule(
-        () -> question.over(new OutcomeAnswer(Outcome.UNCERTAIN)),
+        () -> question.over(new OutcomeResponse(Outcome.UNCERTAIN)),
         waitMillis,
         TimeUnit.MILLISECONDS);
   }
 
-  private static final class Question {
-    private final Consumer<OutcomeAnswer> hears;
-    private Trunk.Dialler dialler;
+  private static final class PendingQuery {
+    private final Consumer<OutcomeResponse> hears;
+    private Transport.Connector dialler;
     private boolean opened;
     private boolean over;
 
-    Question(final Consumer<OutcomeAnswer> hears) {
+    PendingQuery(final Consumer<OutcomeResponse> hears) {
       this.hears = hears;
     }
 
-    void over(final OutcomeAnswer answer) {
+    void over(final OutcomeResponse answer) {
       if (!over) {
         over = true;
         dialler.close();
--- a/proxy/src/main/java/weldpoint/proxy/HeldKey.java
+++ b/proxy/src/main/java/weldpoint/proxy/PartitionedRequestKey.java
@@ -10,7 +10,7 @@
 import weldpoint.upstream.Headers;
 
 /** The key of one request to a divided service, and how often its holder was tried. */
-final class HeldKey {
+final class PartitionedRequestKey {
   /** The pause before it is looked again who holds the key. */
   static final long PAUSE_MILLIS = 25;
 
@@ -30,15 +30,15 @@
   private long turnedAwayAt = Long.MIN_VALUE / 2;
   private boolean waited;
 
-  private HeldKey(final int key) {
+  private PartitionedRequestKey(final int key) {
     this.key = key;
   }
 
   /** The key that a request bears; null where there is no proper one, or more than one. */
-  static HeldKey of(final HttpHeaders headers) {
+  static PartitionedRequestKey of(final HttpHeaders headers) {
     final List<String> given = headers.getAll(Headers.SHARD_KEY);
     final int key = given.size() == 1 ? KeySpace.parse(given.get(0)) : KeySpace.NO_KEY;
-    return key == KeySpace.NO_KEY ? null : new HeldKey(key);
+    return key == KeySpace.NO_KEY ? null : new PartitionedRequestKey(key);
   }
 
   int key() {
--- a/proxy/src/main/java/weldpoint/proxy/PermitPool.java
+++ b/proxy/src/main/java/weldpoint/proxy/PermitPool.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Predicate;
-import weldpoint.metrics.Figure;
+import weldpoint.metrics.Metric;
 import weldpoint.transport.Message;
-import weldpoint.transport.PermitMessages.PermitAnswer;
-import weldpoint.transport.PermitMessages.PermitAsk;
+import weldpoint.transport.PermitMessages.PermitRequest;
+import weldpoint.transport.PermitMessages.PermitResponse;
 
 /** Asks the exchange of the stream for permits. All of it lives on the traffic thread. */
 public final class PermitPool {
@@ -21,15 +21,15 @@
    * Hears what came of an ask: how many were granted, and since when the spec is known to be the
    * newest, on the own clock.
    */
-  public interface Asker {
+  public interface PermitCallback {
     /** Hears how many were granted, the version judged by, and since when that was the newest. */
     void answered(int granted, long version, long confirmedAt);
   }
 
-  private record Asked(Asker asker, long askedAt) {}
+  private record PendingRequest(PermitCallback asker, long askedAt) {}
 
   private final Predicate<Message> line;
-  private final Map<Long, Asked> pending = new HashMap<>();
+  private final Map<Long, PendingRequest> pending = new HashMap<>();
   private long number;
   private long asked;
   private long denied;
@@ -40,11 +40,11 @@
   }
 
   /** Asks for permits; the asker hears exactly once. */
-  public void ask(final String name, final int count, final Asker asker, final long now) {
+  public void ask(final String name, final int count, final PermitCallback asker, final long now) {
     final long key = ++number;
     asked++;
-    pending.put(key, new Asked(asker, now));
-    if (!line.test(new PermitAsk(key, name, count, 0))) {
+    pending.put(key, new PendingRequest(asker, now));
+    if (!line.test(new PermitRequest(key, name, count, 0))) {
       pending.remove(key);
       denied++;
       asker.answered(0, 0, UNANSWERED);
@@ -52,8 +52,8 @@
   }
 
   /** An answer has come. */
-  public void answered(final PermitAnswer answer) {
-    final Asked one = pending.remove(answer.number);
+  public void answered(final PermitResponse answer) {
+    final PendingRequest one = pending.remove(answer.number);
     if (one != null) {
       denied += answer.granted > 0 ? 0 : 1;
       one.asker.answered(answer.granted, answer.version, one.askedAt - answer.ageMillis);
@@ -76,7 +76,7 @@
           }
         });
     for (final Long key : over) {
-      final Asked one = pending.remove(key);
+      final PendingRequest one = pending.remove(key);
       if (one != null) {
         denied++;
         one.asker.answered(0, 0, UNANSWERED);
@@ -85,10 +85,10 @@
   }
 
   /** Figures of permits. */
-  List<Figure> figures() {
+  List<Metric> figures() {
     return List.of(
-        Figure.counter("weldpoint_permits_asked", "Asks for permits.", asked),
-        Figure.counter("weldpoint_permits_denied", "Asks that brought no permit.", denied));
+        Metric.counter("weldpoint_permits_asked", "Asks for permits.", asked),
+        Metric.counter("weldpoint_permits_denied", "Asks that brought no permit.", denied));
   }
 
   /** How many were asked for and how many of these were not granted. */
--- a/proxy/src/main/java/weldpoint/proxy/ProxiedRequest.java
+++ b/proxy/src/main/java/weldpoint/proxy/ProxiedRequest.java
@@ -15,21 +15,21 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
+import weldpoint.affinity.AffinityTable;
 import weldpoint.affinity.Rendezvous;
-import weldpoint.affinity.Ties;
-import weldpoint.affinity.Verdict;
+import weldpoint.affinity.WriteDecision;
 import weldpoint.common.Invariant;
 import weldpoint.ratelimit.RateLimit;
 import weldpoint.routing.Affinity;
-import weldpoint.routing.Binding;
-import weldpoint.routing.Dialplan;
 import weldpoint.routing.Route;
+import weldpoint.routing.RouteBinding;
 import weldpoint.routing.RouteKind;
+import weldpoint.routing.RoutingTable;
 import weldpoint.transport.CacheMessages;
 import weldpoint.transport.KeyMessages;
 import weldpoint.transport.OwnershipMessages;
 import weldpoint.transport.PlacementMessages;
-import weldpoint.trial.TrialBook;
+import weldpoint.trial.TrialTracker;
 import weldpoint.upstream.AttemptOutcome;
 import weldpoint.upstream.Headers;
 import weldpoint.upstream.RetryPolicy;
@@ -64,13 +64,13 @@
   private final List<UpstreamPool.Attempt> attempts = new ArrayList<>();
   private final List<Upstream> tried = new ArrayList<>();
   private Route route;
-  private Binding binding;
+  private RouteBinding binding;
   private long cutoff;
   private boolean over;
   private int sent;
   private int unproved;
   private int permits;
-  private KeyRun keyRun;
+  private IdempotentRequest keyRun;
   private boolean uncertain;
   private boolean closeAfter;
   private boolean trialled;
@@ -78,9 +78,9 @@
   private boolean keyed;
   private boolean single;
   private Affinity affinity;
-  private HeldKey heldKey;
+  private PartitionedRequestKey heldKey;
   private long caller;
-  private Ties.Tie tie;
+  private AffinityTable.PendingWrite tie;
   private int untied;
   private Recorder.Draft draft;
   private ScheduledFuture<?> timer;
@@ -100,7 +100,7 @@
   }
 
   void start() {
-    final Dialplan plan = proxyContext.plan;
+    final RoutingTable plan = proxyContext.plan;
     if (plan == null) {
       refuse("no configuration is in force yet; come back shortly", "0.3");
       return;
@@ -113,7 +113,7 @@
       refuse("too many answers wait for clients that do not read; come back", retryAfter());
       return;
     }
-    final Binding bound = newBinding();
+    final RouteBinding bound = newBinding();
     if (!plan.interpret(bound)) {
       finish();
       session.refuse(
@@ -162,7 +162,7 @@
       trialled = true;
     }
     if (service().partitioned()) {
-      heldKey = HeldKey.of(request.headers());
+      heldKey = PartitionedRequestKey.of(request.headers());
       affinity = null;
       if (heldKey == null) {
         finish();
@@ -221,8 +221,8 @@
     origin();
   }
 
-  private Binding newBinding() {
-    return new Binding(
+  private RouteBinding newBinding() {
+    return new RouteBinding(
         request.headers().get(HttpHeaderNames.HOST),
         request.uri(),
         proxyContext.random.nextDouble());
@@ -232,8 +232,8 @@
    * Waits for the next proof that nothing acknowledged is missing here, for as long as a client can
    * still be served in time elsewhere, and refuses then.
    */
-  private void awaitProof(final Dialplan plan) {
-    final Binding probable = newBinding();
+  private void awaitProof(final RoutingTable plan) {
+    final RouteBinding probable = newBinding();
     final long waits =
         plan.interpret(probable) ? probable.route().targetMillis / 4 : PROOF_WAIT_MILLIS;
     final Runnable again =
@@ -283,7 +283,7 @@
     return false;
   }
 
-  private Dialplan.Service service() {
+  private RoutingTable.Service service() {
     return binding.service();
   }
 
@@ -308,7 +308,7 @@
       conclude();
     } else if (!proved) {
       refuse(RefusalCounts.Reason.UNPROVED, UNPROVED);
-    } else if (binding.standing() == Binding.Standing.KEY_UNKNOWN) {
+    } else if (binding.standing() == RouteBinding.Standing.KEY_UNKNOWN) {
       finish();
       session.refuse(
           HttpResponseStatus.UNAUTHORIZED, binding.standing().reason(), null, closeAfter);
@@ -319,7 +319,7 @@
   }
 
   /** An announcer has answered, or none could. */
-  private void copied(final CacheMessages.CopyAnswer answer) {
+  private void copied(final CacheMessages.CacheReadResponse answer) {
     if (over || !bound()) {
       return;
     }
@@ -342,7 +342,7 @@
 
   /** Asks for its tenant's permit, which a request needs before an upstream may run it. */
   private void permit() {
-    final Dialplan.Tenant tenant = binding.tenant();
+    final RoutingTable.Tenant tenant = binding.tenant();
     if (proxyContext.permits == null
         || tenant == null
         || tenant.ratePerSecond() <= 0 && !proxyContext.strict) {
@@ -422,9 +422,9 @@
         : IdempotencyKey.of(request, body, proxyContext.keyHeaders, tenantName());
   }
 
-  private final class KeyListener implements KeyRuns.Listener {
+  private final class KeyListener implements IdempotentRequests.Listener {
     @Override
-    public void granted(final KeyRun run) {
+    public void granted(final IdempotentRequest run) {
       if (over) {
         proxyContext.keys.neverRan(run, ProxyContext.now());
         return;
@@ -434,7 +434,7 @@
     }
 
     @Override
-    public void repeated(final KeyMessages.OutcomeAnswer first) {
+    public void repeated(final KeyMessages.OutcomeResponse first) {
       if (!over) {
         repeat(first);
       }
@@ -449,7 +449,7 @@
   }
 
   /** Answers a request whose key is, or was, another request's. */
-  private void repeat(final KeyMessages.OutcomeAnswer first) {
+  private void repeat(final KeyMessages.OutcomeResponse first) {
     if (first.outcome() == KeyMessages.Outcome.ANSWERED) {
       deliver(CachedCopies.repeated(request, first));
       return;
@@ -508,7 +508,8 @@
       concludeOutsideHomes(RefusalCounts.Reason.HOLDER_OUTSIDE_HOMES);
     } else if (heldKey.mayWait(arrivedAt, route, now) && session.open()) {
       heldKey.waits(proxyContext.owners);
-      proxyContext.loop.schedule(this::sendToHolder, HeldKey.PAUSE_MILLIS, TimeUnit.MILLISECONDS);
+      proxyContext.loop.schedule(
+          this::sendToHolder, PartitionedRequestKey.PAUSE_MILLIS, TimeUnit.MILLISECONDS);
     } else {
       conclude();
     }
@@ -531,7 +532,7 @@
     final boolean again =
         RetryPolicy.mayGoOn(route, uncertain)
             && !single
-            && sent < HeldKey.MOST_SENDS
+            && sent < PartitionedRequestKey.MOST_SENDS
             && RetryPolicy.fits(route, sent, now, cutoff)
             && heldKey.triesAgain();
     if (!again) {
@@ -539,7 +540,8 @@
     } else if (limited() && permits < 1) {
       furtherPermit(this::sendToHolder, this::conclude);
     } else {
-      proxyContext.loop.schedule(this::sendToHolder, HeldKey.RETRY_MILLIS, TimeUnit.MILLISECONDS);
+      proxyContext.loop.schedule(
+          this::sendToHolder, PartitionedRequestKey.RETRY_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
@@ -555,8 +557,8 @@
     if (!bound()) {
       return;
     }
-    final Verdict verdict = tied();
-    if (verdict == Verdict.GO) {
+    final WriteDecision verdict = tied();
+    if (verdict == WriteDecision.GO) {
       proxyContext.ties.count(verdict);
       return;
     }
@@ -571,14 +573,14 @@
     refuseTied(verdict);
   }
 
-  private void refuseTied(final Verdict verdict) {
+  private void refuseTied(final WriteDecision verdict) {
     if (over) {
       return;
     }
     if (proxyContext.ties != null) {
       proxyContext.ties.count(verdict);
     }
-    if (verdict == Verdict.OUTSIDE_HOMES) {
+    if (verdict == WriteDecision.OUTSIDE_HOMES) {
       refuse(RefusalCounts.Reason.OUTSIDE_HOMES, verdict.reason());
     } else {
       refuse(verdict.reason(), retryAfter());
@@ -586,26 +588,28 @@
   }
 
   /** Whether the tied write went out, and if not, why. */
-  private Verdict tied() {
+  private WriteDecision tied() {
     if (proxyContext.ties == null) {
-      return Verdict.NO_PLACEMENT;
+      return WriteDecision.NO_PLACEMENT;
     }
     final long now = ProxyContext.now();
     final Predicate<PlacementMessages.PlacementMember> may =
         member -> binding.home(proxyContext.upstreamPool.region(member.site));
-    final Verdict verdict = proxyContext.ties.decide(service().name(), caller, may, now);
-    if (verdict != Verdict.GO) {
-      return verdict == Verdict.NO_NODE && binding.homed() ? Verdict.OUTSIDE_HOMES : verdict;
+    final WriteDecision verdict = proxyContext.ties.decide(service().name(), caller, may, now);
+    if (verdict != WriteDecision.GO) {
+      return verdict == WriteDecision.NO_NODE && binding.homed()
+          ? WriteDecision.OUTSIDE_HOMES
+          : verdict;
     }
     final String node = proxyContext.ties.node().id;
     final UpstreamPool.Choice choice =
         proxyContext.upstreamPool.pinned(binding, node, affinity.pauseMillis(), now);
     if (choice != UpstreamPool.Choice.CHOSEN) {
-      return choice == UpstreamPool.Choice.FULL ? Verdict.FULL : Verdict.LEAVING;
+      return choice == UpstreamPool.Choice.FULL ? WriteDecision.FULL : WriteDecision.LEAVING;
     }
     tie = proxyContext.ties.begin(service().name(), caller, node, may, cutoff);
     transmit(proxyContext.upstreamPool.chosen(), now);
-    return Verdict.GO;
+    return WriteDecision.GO;
   }
 
   /** Asks for the origin's permit, where that has a limit. */
@@ -749,10 +753,10 @@
               }
               tell(
                   fate == AttemptOutcome.NOT_RUN
-                      ? TrialBook.Fate.UNSENT
+                      ? TrialTracker.WriteOutcome.UNSENT
                       : fate == AttemptOutcome.UNCERTAIN
-                          ? TrialBook.Fate.LOST
-                          : TrialBook.Fate.CONFIRMED);
+                          ? TrialTracker.WriteOutcome.LOST
+                          : TrialTracker.WriteOutcome.CONFIRMED);
               ended(end, fate, head, bytes);
             });
     if (!ended[0]) {
@@ -766,7 +770,7 @@
     return true;
   }
 
-  private void tell(final TrialBook.Fate fate) {
+  private void tell(final TrialTracker.WriteOutcome fate) {
     final String attemptId = request.headers().get(Headers.ATTEMPT_ID);
     if (trialled && attemptId != null && !over) {
       proxyContext.trials.ended(
@@ -819,7 +823,7 @@
     if (end == UpstreamConnection.End.UNSENT) {
       sent--;
       if (affinity != null && ++untied > MOST_UNTIED) {
-        refuseTied(Verdict.DECLINED);
+        refuseTied(WriteDecision.DECLINED);
         return;
       }
       next();
@@ -867,7 +871,7 @@
       if (sent == 0) {
         sendTied();
       } else {
-        refuseTied(Verdict.DECLINED);
+        refuseTied(WriteDecision.DECLINED);
       }
       return;
     }
@@ -1012,7 +1016,7 @@
       deliver(answer);
     } else if (uncertain || running() > 0) {
       if (running() > 0) {
-        tell(TrialBook.Fate.LOST);
+        tell(TrialTracker.WriteOutcome.LOST);
         if (proxyContext.once != null && !route.kind.repeatable()) {
           proxyContext.once.ran(
               request.headers().get(Headers.ATTEMPT_ID), false, ProxyContext.now());
