--- a/proxy/src/main/java/weldpoint/proxy/ProxyContext.java
+++ b/proxy/src/main/java/weldpoint/proxy/ProxyContext.java
@@ -3,39 +3,39 @@
 import io.netty.channel.EventLoopGroup;
 import java.util.List;
 import java.util.Random;
-import weldpoint.affinity.Callers;
-import weldpoint.affinity.Ties;
-import weldpoint.common.Boot;
+import weldpoint.affinity.AffinityKeys;
+import weldpoint.affinity.AffinityTable;
+import weldpoint.common.Settings;
 import weldpoint.ownership.KeyOwners;
-import weldpoint.regionleader.Duties;
-import weldpoint.regionleader.OnceOnly;
+import weldpoint.regionleader.RegionAssessment;
+import weldpoint.regionleader.UncertainWrites;
 import weldpoint.routing.Affinity;
-import weldpoint.routing.Dialplan;
 import weldpoint.routing.RouteKind;
+import weldpoint.routing.RoutingTable;
 import weldpoint.transport.Protocol;
 import weldpoint.transport.RegionMessages;
-import weldpoint.trial.TrialBook;
+import weldpoint.trial.TrialTracker;
 import weldpoint.upstream.UpstreamPool;
 
 /** What all sessions of a switchboard share. All of it lives on the traffic thread. */
 final class ProxyContext {
   final UpstreamPool upstreamPool;
-  final TrialBook trials;
+  final TrialTracker trials;
   final Random random;
   final EventLoopGroup loop;
-  Dialplan plan;
+  RoutingTable plan;
   PermitPool permits;
-  KeyRuns keys;
+  IdempotentRequests keys;
   List<String> keyHeaders = List.of();
-  Ties ties;
+  AffinityTable ties;
   final KeyOwners owners = new KeyOwners();
   Affinity usual;
   long tieWaitMillis;
-  final Callers callers = new Callers();
+  final AffinityKeys callers = new AffinityKeys();
   Runnable uponTies;
-  OnceOnly once;
+  UncertainWrites once;
   Recorder recorder;
-  RegionMessages.Order order;
+  RegionMessages.LeaderDirective order;
   long seenRepeatables;
   long seenWrites;
   long refusedWrites;
@@ -58,7 +58,10 @@
   long repeated;
 
   ProxyContext(
-      final EventLoopGroup loop, final Boot boot, final Random random, final TrialBook trials) {
+      final EventLoopGroup loop,
+      final Settings boot,
+      final Random random,
+      final TrialTracker trials) {
     this.trials = trials;
     this.loop = loop;
     this.random = random;
@@ -72,20 +75,20 @@
   }
 
   /** Takes the orders of a chief; null where none are in force any longer. */
-  void ordered(final RegionMessages.Order given, final String self) {
+  void ordered(final RegionMessages.LeaderDirective given, final String self) {
     order = given;
     once.elsewhere(given == null ? java.util.List.of() : Protocol.list(given.uncertain));
     upstreamPool.ordered(
-        given == null ? 0 : Duties.part(given, self),
+        given == null ? 0 : RegionAssessment.part(given, self),
         given == null
             ? java.util.Set.of()
             : new java.util.HashSet<>(Protocol.list(given.suspects)));
   }
 
   /** What was seen since the last time. */
-  RegionMessages.Sight sight(final long now) {
-    final RegionMessages.Sight sight =
-        new RegionMessages.Sight(
+  RegionMessages.ProxyObservations sight(final long now) {
+    final RegionMessages.ProxyObservations sight =
+        new RegionMessages.ProxyObservations(
             seenRepeatables,
             seenWrites,
             refusedWrites,
--- a/proxy/src/main/java/weldpoint/proxy/ProxyDaemon.java
+++ b/proxy/src/main/java/weldpoint/proxy/ProxyDaemon.java
@@ -30,17 +30,17 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
-import weldpoint.affinity.Ties;
-import weldpoint.common.Boot;
-import weldpoint.common.Chance;
-import weldpoint.common.Desk;
-import weldpoint.common.Program;
-import weldpoint.metrics.Figure;
+import weldpoint.affinity.AffinityTable;
+import weldpoint.common.Daemon;
+import weldpoint.common.RandomIds;
+import weldpoint.common.SerialExecutor;
+import weldpoint.common.Settings;
+import weldpoint.metrics.Metric;
 import weldpoint.metrics.MetricsServer;
-import weldpoint.routing.Dialplan;
+import weldpoint.routing.RoutingTable;
 import weldpoint.transport.CacheMessages;
+import weldpoint.transport.Connection;
 import weldpoint.transport.KeyMessages;
-import weldpoint.transport.Line;
 import weldpoint.transport.Message;
 import weldpoint.transport.OwnershipMessages.Assignment;
 import weldpoint.transport.PermitMessages;
@@ -49,14 +49,14 @@
 import weldpoint.transport.RecordingMessages;
 import weldpoint.transport.RegionMessages;
 import weldpoint.transport.RegistryMessages;
+import weldpoint.transport.Serializer;
+import weldpoint.transport.Transport;
 import weldpoint.transport.TrialMessages;
-import weldpoint.transport.Trunk;
-import weldpoint.transport.Wire;
-import weldpoint.trial.TrialBook;
+import weldpoint.trial.TrialTracker;
 import weldpoint.upstream.UpstreamPool;
 
 /** The proxy as a process: traffic on one thread, control state on another. */
-public final class ProxyDaemon implements Program {
+public final class ProxyDaemon implements Daemon {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
   private static final long TICK_MILLIS = 100;
   private static final long REPORT_MILLIS = 1000;
@@ -67,31 +67,32 @@
   private static final long ROUND_MILLIS = 50;
   private static final long TIE_MILLIS = 50;
 
-  private final Boot boot;
-  private final Desk desk = new Desk("switchboard");
+  private final Settings boot;
+  private final SerialExecutor desk = new SerialExecutor("switchboard");
   private final EventLoopGroup loop = new NioEventLoopGroup(1);
-  private final Trunk trunk;
+  private final Transport trunk;
   private final ProxyContext proxyContext;
-  private final RegistryLink link;
+  private final RegistryClient link;
   private final Set<ClientConnection> sessions = new HashSet<>();
-  private final Stream stream;
+  private final RegistryStream stream;
   private volatile Channel doors;
-  private ChiefDesk chief;
+  private RegionLeaderService chief;
   private final long incarnation;
 
   /** A proxy for these settings; nothing runs yet. */
-  public ProxyDaemon(final Boot boot) {
+  public ProxyDaemon(final Settings boot) {
     this.boot = boot;
-    this.incarnation = Chance.fresh();
+    this.incarnation = RandomIds.next();
     this.trunk =
-        new Trunk(
-            loop, new Protocol.Hello(Wire.PROTOCOL, "switchboard", boot.address(), incarnation));
+        new Transport(
+            loop,
+            new Protocol.Hello(Serializer.PROTOCOL, "switchboard", boot.address(), incarnation));
     this.proxyContext =
         new ProxyContext(
-            loop, boot, new Random(incarnation), new TrialBook(boot.address(), incarnation));
+            loop, boot, new Random(incarnation), new TrialTracker(boot.address(), incarnation));
     this.proxyContext.trials.alarm(() -> report(false));
     this.stream =
-        new Stream(
+        new RegistryStream(
             trunk,
             desk,
             boot,
@@ -100,8 +101,8 @@
                 loop.execute(() -> sweepAsks(true));
               }
             });
-    final RegistryMessages.Board self =
-        new RegistryMessages.Board(
+    final RegistryMessages.DaemonEntry self =
+        new RegistryMessages.DaemonEntry(
             boot.address(),
             boot.requiredAddress("listen.traffic").toString(),
             boot.site(),
@@ -110,11 +111,11 @@
             false,
             0);
     this.link =
-        new RegistryLink(
+        new RegistryClient(
             self,
             boot.seeds(),
             new Random(incarnation + 1),
-            new RegistryLink.Outlet() {
+            new RegistryClient.Environment() {
               @Override
               public void dial(final String address) {
                 stream.dial(address);
@@ -138,7 +139,7 @@
 
               @Override
               public void outlook(
-                  final Dialplan plan,
+                  final RoutingTable plan,
                   final Map<RegistryMessages.Registration, Boolean> changes,
                   final Set<String> evacuated,
                   final Set<String> suspects,
@@ -196,7 +197,7 @@
               }
 
               @Override
-              public void recording(final RecordingMessages.RecordState state) {
+              public void recording(final RecordingMessages.RecordingState state) {
                 loop.execute(() -> record(state));
               }
 
@@ -220,12 +221,12 @@
               }
 
               @Override
-              public void claimed(final KeyMessages.ClaimAnswer answer) {
+              public void claimed(final KeyMessages.ClaimResponse answer) {
                 loop.execute(() -> proxyContext.keys.answered(answer, ProxyContext.now()));
               }
 
               @Override
-              public void permitted(final PermitMessages.PermitAnswer answer) {
+              public void permitted(final PermitMessages.PermitResponse answer) {
                 loop.execute(() -> proxyContext.permits.answered(answer));
               }
 
@@ -262,9 +263,9 @@
 
   @Override
   public void start() throws InterruptedException {
-    final Boot.Address readiness = boot.requiredAddress("listen.readiness");
+    final Settings.Address readiness = boot.requiredAddress("listen.readiness");
     if (boot.chief()) {
-      chief = new ChiefDesk(boot, trunk, desk, loop, proxyContext, incarnation);
+      chief = new RegionLeaderService(boot, trunk, desk, loop, proxyContext, incarnation);
     }
     if (!boot.firstStart()) {
       proxyContext.upstreamPool.restarted(ProxyContext.now());
@@ -331,7 +332,7 @@
   private void ties() {
     if (proxyContext.ties == null) {
       proxyContext.ties =
-          new Ties(boot.address(), incarnation, boot.affinityLeaseMillis(), stream::send);
+          new AffinityTable(boot.address(), incarnation, boot.affinityLeaseMillis(), stream::send);
       loop.scheduleAtFixedRate(
           () -> proxyContext.ties.tick(ProxyContext.now()),
           TIE_MILLIS,
@@ -340,7 +341,7 @@
     }
   }
 
-  private void record(final RecordingMessages.RecordState state) {
+  private void record(final RecordingMessages.RecordingState state) {
     if (state.on && proxyContext.recorder == null) {
       proxyContext.recorder = new Recorder(boot.address(), boot.site(), boot.region(), incarnation);
       loop.scheduleAtFixedRate(
@@ -356,34 +357,34 @@
     }
   }
 
-  private List<Figure> figures() {
+  private List<Metric> figures() {
     final String help = "Requests by how they ended.";
-    final List<Figure> figures = new ArrayList<>();
+    final List<Metric> figures = new ArrayList<>();
     figures.add(
-        Figure.counter("weldpoint_requests", help, proxyContext.served).with("result", "served"));
+        Metric.counter("weldpoint_requests", help, proxyContext.served).with("result", "served"));
     figures.add(
-        Figure.counter("weldpoint_requests", help, proxyContext.refused).with("result", "refused"));
+        Metric.counter("weldpoint_requests", help, proxyContext.refused).with("result", "refused"));
     figures.add(
-        Figure.counter("weldpoint_requests", help, proxyContext.failed).with("result", "failed"));
+        Metric.counter("weldpoint_requests", help, proxyContext.failed).with("result", "failed"));
     figures.add(
-        Figure.counter(
+        Metric.counter(
             "weldpoint_further_sends", "Sends beyond a request's first.", proxyContext.repeated));
-    figures.add(Figure.gauge("weldpoint_active", "Requests under way.", proxyContext.open.count()));
+    figures.add(Metric.gauge("weldpoint_active", "Requests under way.", proxyContext.open.count()));
     figures.add(
-        Figure.gauge(
+        Metric.gauge(
             "weldpoint_unwritten_answer_bytes",
             "Bytes of answers that clients have not taken yet.",
             proxyContext.open.unwrittenBytes()));
     figures.add(
-        Figure.counter(
+        Metric.counter(
             "weldpoint_registry_moves", "Times that another registry was dialled.", link.moves()));
     figures.add(
-        Figure.counter(
+        Metric.counter(
             "weldpoint_key_waits",
             "Requests that waited for their key's holder.",
             proxyContext.owners.waitedCount()));
     figures.add(
-        Figure.counter(
+        Metric.counter(
             "weldpoint_key_turned_away",
             "Requests that an upstream turned away, since it did not hold the key.",
             proxyContext.owners.turnedAwayCount()));
@@ -402,14 +403,14 @@
 
   /** Takes to claiming idempotency keys. */
   private void keys() throws InterruptedException {
-    final OutcomeLines lines = new OutcomeLines(trunk, boot, loop, proxyContext);
+    final OutcomeClient lines = new OutcomeClient(trunk, boot, loop, proxyContext);
     proxyContext.keyHeaders = boot.keyHeaders();
     proxyContext.keys =
-        new KeyRuns(
+        new IdempotentRequests(
             boot.address(),
             incarnation,
             boot.keyWindowMillis(),
-            new KeyRuns.Outlet() {
+            new IdempotentRequests.Environment() {
               @Override
               public boolean registry(final Message message) {
                 return stream.send(message);
@@ -420,7 +421,7 @@
                   final KeyMessages.Claim holder,
                   final long fingerprint,
                   final long waitMillis,
-                  final java.util.function.Consumer<KeyMessages.OutcomeAnswer> hears) {
+                  final java.util.function.Consumer<KeyMessages.OutcomeResponse> hears) {
                 lines.ask(holder, fingerprint, waitMillis, hears);
               }
 
@@ -433,28 +434,28 @@
   }
 
   private void content() {
-    final weldpoint.transport.Lines lines =
-        new weldpoint.transport.Lines(
+    final weldpoint.transport.PeerConnections lines =
+        new weldpoint.transport.PeerConnections(
             trunk,
             boot.trunkPort(2),
             to ->
-                new Trunk.Ear() {
+                new Transport.Listener() {
                   @Override
-                  public void heard(final Line line, final Message message) {
-                    if (message instanceof CacheMessages.CopyAnswer) {
+                  public void heard(final Connection line, final Message message) {
+                    if (message instanceof CacheMessages.CacheReadResponse) {
                       proxyContext.recordings.heard(
-                          to, (CacheMessages.CopyAnswer) message, ProxyContext.now());
+                          to, (CacheMessages.CacheReadResponse) message, ProxyContext.now());
                     }
                   }
 
                   @Override
-                  public void closed(final Line line) {
+                  public void closed(final Connection line) {
                     proxyContext.recordings.closed(to, ProxyContext.now());
                   }
                 });
     proxyContext.recordings =
         new CacheClient(
-            new CacheClient.Lines() {
+            new CacheClient.Connections() {
               @Override
               public void keep(final List<String> addresses) {
                 lines.keep(addresses);
@@ -482,7 +483,7 @@
   }
 
   private void openFront() {
-    final Boot.Address front = boot.requiredAddress("listen.traffic");
+    final Settings.Address front = boot.requiredAddress("listen.traffic");
     final ServerBootstrap server = new ServerBootstrap();
     if (boot.transferBytes() > 0) {
       server.childOption(ChannelOption.SO_SNDBUF, boot.transferBytes());
@@ -567,7 +568,7 @@
   }
 
   @Override
-  public void reload(final Boot news) {
+  public void reload(final Settings news) {
     desk.execute(() -> link.seeds(news.seeds()));
   }
 
--- a/proxy/src/main/java/weldpoint/proxy/Recorder.java
+++ b/proxy/src/main/java/weldpoint/proxy/Recorder.java
@@ -83,7 +83,7 @@
   private final String site;
   private final String region;
   private final long incarnation;
-  private final ArrayDeque<RecordingMessages.Note> notes = new ArrayDeque<>();
+  private final ArrayDeque<RecordingMessages.RequestRecord> notes = new ArrayDeque<>();
   private long serial;
   private long dropped;
   private long mark;
@@ -97,7 +97,7 @@
     this.incarnation = incarnation;
   }
 
-  void state(final RecordingMessages.RecordState state) {
+  void state(final RecordingMessages.RecordingState state) {
     if (state.mark > mark) {
       mark = state.mark;
       closing = on && !state.on;
@@ -134,7 +134,7 @@
       return;
     }
     notes.add(
-        new RecordingMessages.Note(
+        new RecordingMessages.RequestRecord(
             serial,
             draft.at,
             draft.id == null ? "" : draft.id,
@@ -157,13 +157,14 @@
     if (notes.isEmpty() && !closing) {
       return;
     }
-    final List<RecordingMessages.Note> batch = new ArrayList<>();
+    final List<RecordingMessages.RequestRecord> batch = new ArrayList<>();
     while (batch.size() < MOST_SENT && !notes.isEmpty()) {
       batch.add(notes.poll());
     }
     final boolean last = closing && notes.isEmpty();
     if (line.test(
-        new RecordingMessages.Reel(board, site, region, incarnation, now, dropped, last, batch))) {
+        new RecordingMessages.RecordingBatch(
+            board, site, region, incarnation, now, dropped, last, batch))) {
       closing = closing && !last;
     } else {
       for (int index = batch.size() - 1; index >= 0; index--) {
--- a/proxy/src/main/java/weldpoint/proxy/RefusalCounts.java
+++ b/proxy/src/main/java/weldpoint/proxy/RefusalCounts.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import weldpoint.metrics.Figure;
+import weldpoint.metrics.Metric;
 
 /** How many requests were refused because of what the configuration in force says of them. */
 final class RefusalCounts {
@@ -26,11 +26,11 @@
   }
 
   /** One counter for each reason. */
-  List<Figure> figures() {
-    final List<Figure> figures = new ArrayList<>();
+  List<Metric> figures() {
+    final List<Metric> figures = new ArrayList<>();
     for (final Reason reason : Reason.values()) {
       figures.add(
-          Figure.counter(
+          Metric.counter(
                   "weldpoint_refused_by_configuration",
                   "Requests refused since the configuration in force forbids the send.",
                   counts[reason.ordinal()])
--- a/proxy/src/main/java/weldpoint/proxy/ChiefDesk.java
+++ b/proxy/src/main/java/weldpoint/proxy/RegionLeaderService.java
@@ -9,39 +9,40 @@
 import java.util.Random;
 import java.util.concurrent.Executor;
 import java.util.concurrent.TimeUnit;
-import weldpoint.common.Boot;
-import weldpoint.regionleader.ChiefCore;
-import weldpoint.regionleader.OnceOnly;
-import weldpoint.transport.Line;
-import weldpoint.transport.Lines;
+import weldpoint.common.Settings;
+import weldpoint.regionleader.LeaderElection;
+import weldpoint.regionleader.UncertainWrites;
+import weldpoint.transport.Connection;
 import weldpoint.transport.Message;
+import weldpoint.transport.PeerConnections;
 import weldpoint.transport.RegionMessages;
-import weldpoint.transport.Trunk;
+import weldpoint.transport.Transport;
 
 /**
  * Gives a switchboard's part in choosing a chief its lines, its ticks and its effect. Its core runs
  * on the control thread.
  */
-final class ChiefDesk {
+final class RegionLeaderService {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
   private static final int PORT = 3;
   private static final long TICK_MILLIS = 200;
 
-  private final Boot boot;
-  private final Trunk trunk;
+  private final Settings boot;
+  private final Transport trunk;
   private final Executor desk;
   private final EventLoopGroup loop;
   private final ProxyContext proxyContext;
-  private final Lines lines;
-  private final Map<String, Line> incoming = new HashMap<>();
-  private final ChiefCore core;
+  private final PeerConnections lines;
+  private final Map<String, Connection> incoming = new HashMap<>();
+  private final LeaderElection core;
   private boolean serves;
-  private volatile RegionMessages.Sight sight = new RegionMessages.Sight(0, 0, 0, 0, null, null);
+  private volatile RegionMessages.ProxyObservations sight =
+      new RegionMessages.ProxyObservations(0, 0, 0, 0, null, null);
   private volatile String counters = "chief CORE";
 
-  ChiefDesk(
-      final Boot boot,
-      final Trunk trunk,
+  RegionLeaderService(
+      final Settings boot,
+      final Transport trunk,
       final Executor desk,
       final EventLoopGroup loop,
       final ProxyContext proxyContext,
@@ -51,35 +52,35 @@
     this.desk = desk;
     this.loop = loop;
     this.proxyContext = proxyContext;
-    proxyContext.once = new OnceOnly();
+    proxyContext.once = new UncertainWrites();
     this.lines =
-        new Lines(
+        new PeerConnections(
             trunk,
             boot.trunkPort(PORT),
             to ->
-                Trunk.on(
+                Transport.on(
                     desk,
-                    new Trunk.Ear() {
+                    new Transport.Listener() {
                       @Override
-                      public void opened(final Line line) {
+                      public void opened(final Connection line) {
                         core().opened(to);
                       }
 
                       @Override
-                      public void heard(final Line line, final Message message) {
+                      public void heard(final Connection line, final Message message) {
                         core().receive(to, line.peer().incarnation, message, ProxyContext.now());
                       }
                     }));
     this.core =
-        new ChiefCore(
+        new LeaderElection(
             boot.address(),
             incarnation,
             boot.region(),
-            new ChiefCore.Terms(
+            new LeaderElection.ElectionTimeouts(
                 true, boot.chiefWaitMillis(), boot.chiefTenureMillis(), boot.chiefPulseMillis()),
             new Random(incarnation + 2),
             ProxyContext.now(),
-            new ChiefCore.Outlet() {
+            new LeaderElection.Environment() {
               @Override
               public void peers(final List<String> addresses) {
                 lines.keep(addresses);
@@ -90,7 +91,7 @@
                 if (lines.send(address, message)) {
                   return true;
                 }
-                final Line line = incoming.get(address);
+                final Connection line = incoming.get(address);
                 if (line != null) {
                   line.send(message);
                 }
@@ -98,14 +99,14 @@
               }
 
               @Override
-              public RegionMessages.Sight sight() {
-                final RegionMessages.Sight seen = sight;
+              public RegionMessages.ProxyObservations sight() {
+                final RegionMessages.ProxyObservations seen = sight;
                 loop.execute(() -> sight = proxyContext.sight(ProxyContext.now()));
                 return seen;
               }
 
               @Override
-              public void ordered(final RegionMessages.Order order) {
+              public void ordered(final RegionMessages.LeaderDirective order) {
                 loop.execute(() -> proxyContext.ordered(order, boot.address()));
               }
             });
@@ -113,7 +114,7 @@
         () -> desk.execute(this::tick), TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  private ChiefCore core() {
+  private LeaderElection core() {
     return core;
   }
 
@@ -121,7 +122,7 @@
     final long now = ProxyContext.now();
     core.tick(now);
     counters = core.counters(now);
-    if (!serves && core.phase() != weldpoint.regionleader.Phase.CORE) {
+    if (!serves && core.phase() != weldpoint.regionleader.LeaderPhase.CORE) {
       serves = true;
       serve()
           .addListener(
@@ -140,22 +141,22 @@
     return trunk.listen(
         boot.address(),
         boot.trunkPort(PORT),
-        Trunk.on(
+        Transport.on(
             desk,
-            new Trunk.Ear() {
+            new Transport.Listener() {
               @Override
-              public void opened(final Line line) {
+              public void opened(final Connection line) {
                 incoming.put(line.peer().address, line);
               }
 
               @Override
-              public void heard(final Line line, final Message message) {
+              public void heard(final Connection line, final Message message) {
                 core.receive(
                     line.peer().address, line.peer().incarnation, message, ProxyContext.now());
               }
 
               @Override
-              public void closed(final Line line) {
+              public void closed(final Connection line) {
                 incoming.remove(line.peer().address, line);
               }
             }));
--- a/proxy/src/main/java/weldpoint/proxy/RegistryAddresses.java
+++ b/proxy/src/main/java/weldpoint/proxy/RegistryAddresses.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
-import weldpoint.common.Rank;
-import weldpoint.transport.RegistryMessages.Board;
+import weldpoint.common.RendezvousHash;
+import weldpoint.transport.RegistryMessages.DaemonEntry;
 
 /**
  * The registries that a proxy knows of, and which one it should dial next: each in turn, those that
@@ -20,7 +20,7 @@
   private static final int OWN_REGION = 1;
   private static final int ELSEWHERE = 2;
 
-  private final Board self;
+  private final DaemonEntry self;
   private final List<String> addresses = new ArrayList<>();
   private final Map<String, String> places = new HashMap<>();
   private final Map<String, Long> failedAt = new HashMap<>();
@@ -28,7 +28,7 @@
   private int last;
 
   /** The seeds, in an order of this proxy's own. */
-  RegistryAddresses(final Board self, final List<String> seeds, final Random random) {
+  RegistryAddresses(final DaemonEntry self, final List<String> seeds, final Random random) {
     this.self = self;
     addresses.addAll(seeds);
     Collections.shuffle(addresses, random);
@@ -108,7 +108,7 @@
       if (distance < nearest
           || distance == nearest
               && distance < here
-              && Rank.of(address, self.address) < Rank.of(best, self.address)) {
+              && RendezvousHash.of(address, self.address) < RendezvousHash.of(best, self.address)) {
         nearest = distance;
         best = address;
       }
--- a/proxy/src/main/java/weldpoint/proxy/RegistryLink.java
+++ b/proxy/src/main/java/weldpoint/proxy/RegistryClient.java
@@ -9,23 +9,23 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import weldpoint.common.Breakdown;
-import weldpoint.registry.Buckets;
-import weldpoint.registry.Stage;
-import weldpoint.routing.Dialplan;
+import weldpoint.common.WeldpointException;
+import weldpoint.registry.LifecycleStage;
+import weldpoint.registry.RegistrationBuckets;
+import weldpoint.routing.RoutingTable;
 import weldpoint.transport.CacheMessages;
+import weldpoint.transport.Compression;
 import weldpoint.transport.KeyMessages;
 import weldpoint.transport.Message;
 import weldpoint.transport.OwnershipMessages.Assignment;
 import weldpoint.transport.OwnershipMessages.Assignments;
-import weldpoint.transport.Packing;
 import weldpoint.transport.PermitMessages;
 import weldpoint.transport.PlacementMessages;
 import weldpoint.transport.Protocol;
 import weldpoint.transport.RecordingMessages;
 import weldpoint.transport.RegionMessages;
 import weldpoint.transport.RegistryMessages;
-import weldpoint.transport.RegistryMessages.Board;
+import weldpoint.transport.RegistryMessages.DaemonEntry;
 import weldpoint.transport.RegistryMessages.Registration;
 import weldpoint.transport.TrialMessages;
 
@@ -34,7 +34,7 @@
  * lost touch with the majority, and never goes back to anything older. It runs on the control
  * thread and knows neither sockets nor clocks.
  */
-public final class RegistryLink {
+public final class RegistryClient {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
   private static final long SILENT_MILLIS = 1100;
   private static final long STALE_MILLIS = 2200;
@@ -52,13 +52,13 @@
   private static final long OLD_PROOF_MILLIS = 1500;
 
   /** What the link does to the world. */
-  public interface Outlet {
+  public interface Environment {
     /** Makes this exchange the one there is a line to. */
     void dial(String address);
 
     /**
      * Opens one more line, to this exchange, beside the one there is, for {@link
-     * RegistryLink#arrived}; false where only one line at a time can be had.
+     * RegistryClient#arrived}; false where only one line at a time can be had.
      */
     default boolean approach(final String address) {
       return false;
@@ -75,7 +75,7 @@
 
     /** Tells the traffic thread. */
     void outlook(
-        Dialplan plan,
+        RoutingTable plan,
         Map<Registration, Boolean> changes,
         Set<String> evacuated,
         Set<String> suspects,
@@ -106,13 +106,13 @@
     default void leased(final PlacementMessages.LeaseGrant grant) {}
 
     /** Tells whether to record. */
-    default void recording(final RecordingMessages.RecordState state) {}
+    default void recording(final RecordingMessages.RecordingState state) {}
 
     /** An answer to the claim of an idempotency key. */
-    default void claimed(final KeyMessages.ClaimAnswer answer) {}
+    default void claimed(final KeyMessages.ClaimResponse answer) {}
 
     /** An answer to an ask for permits. */
-    default void permitted(final PermitMessages.PermitAnswer answer) {}
+    default void permitted(final PermitMessages.PermitResponse answer) {}
 
     /**
      * All that was acknowledged anywhere before this time of the own steady clock, in milliseconds,
@@ -124,9 +124,9 @@
     void admitted();
   }
 
-  private final Outlet outlet;
+  private final Environment outlet;
   private final Random random;
-  private final Board self;
+  private final DaemonEntry self;
   private final RegistryAddresses addresses;
   private final Map<String, Registration> history = new HashMap<>();
   private String current;
@@ -151,8 +151,11 @@
   private long approachedAt;
 
   /** A link for the switchboard that describes itself so. */
-  public RegistryLink(
-      final Board self, final List<String> seeds, final Random random, final Outlet outlet) {
+  public RegistryClient(
+      final DaemonEntry self,
+      final List<String> seeds,
+      final Random random,
+      final Environment outlet) {
     this.self = self;
     this.random = random;
     this.outlet = outlet;
@@ -232,7 +235,8 @@
 
   /** What the exchange at a line that was opened beside is told first. */
   public Message greeting(final long now) {
-    return new RegistryMessages.BoardState(state(now), Buckets.digests(history.values(), false));
+    return new RegistryMessages.DaemonReport(
+        state(now), RegistrationBuckets.digests(history.values(), false));
   }
 
   /**
@@ -256,11 +260,11 @@
 
   private void tell(final long now) {
     toldAt = now;
-    outlet.send(new RegistryMessages.BoardState(state(now)));
+    outlet.send(new RegistryMessages.DaemonReport(state(now)));
   }
 
-  private Board state(final long now) {
-    return new Board(
+  private DaemonEntry state(final long now) {
+    return new DaemonEntry(
         self.address,
         self.front,
         self.site,
@@ -313,8 +317,8 @@
       }
     } else if (message instanceof CacheMessages.Purges) {
       outlet.purges((CacheMessages.Purges) message);
-    } else if (message instanceof RegistryMessages.Neighbours) {
-      outlet.neighbours(Protocol.list(((RegistryMessages.Neighbours) message).addresses));
+    } else if (message instanceof RegistryMessages.SiteProxies) {
+      outlet.neighbours(Protocol.list(((RegistryMessages.SiteProxies) message).addresses));
     } else if (message instanceof PlacementMessages.Placements) {
       outlet.placements((PlacementMessages.Placements) message);
     } else if (message instanceof Assignments) {
@@ -323,14 +327,14 @@
       outlet.leased((PlacementMessages.LeaseGrant) message);
     } else if (message instanceof RegionMessages.Electorate) {
       outlet.electorate((RegionMessages.Electorate) message);
-    } else if (message instanceof RecordingMessages.RecordState) {
-      outlet.recording((RecordingMessages.RecordState) message);
-    } else if (message instanceof KeyMessages.ClaimAnswer) {
-      outlet.claimed((KeyMessages.ClaimAnswer) message);
-    } else if (message instanceof PermitMessages.PermitAnswer) {
-      outlet.permitted((PermitMessages.PermitAnswer) message);
-    } else if (message instanceof RegistryMessages.Reach) {
-      final RegistryMessages.Reach reach = (RegistryMessages.Reach) message;
+    } else if (message instanceof RecordingMessages.RecordingState) {
+      outlet.recording((RecordingMessages.RecordingState) message);
+    } else if (message instanceof KeyMessages.ClaimResponse) {
+      outlet.claimed((KeyMessages.ClaimResponse) message);
+    } else if (message instanceof PermitMessages.PermitResponse) {
+      outlet.permitted((PermitMessages.PermitResponse) message);
+    } else if (message instanceof RegistryMessages.RegistryStatus) {
+      final RegistryMessages.RegistryStatus reach = (RegistryMessages.RegistryStatus) message;
       outlet.reached(reach.ageMillis, reach.boards, Protocol.list(reach.announcers));
       final List<String> members = Protocol.list(reach.members);
       addresses.reachable(members);
@@ -406,27 +410,27 @@
   }
 
   private void take(final RegistryMessages.View view) {
-    Dialplan plan = null;
+    RoutingTable plan = null;
     if (view.spec != null && view.version > version) {
       try {
-        plan = Dialplan.compile(Packing.inflate(view.spec));
+        plan = RoutingTable.compile(Compression.inflate(view.spec));
         version = view.version;
         LOGGER.atInfo().log(
             "spec %s is in force with %s routes, from %s, dialled %s ms ago",
             Long.toHexString(version), plan.routes(), current, heardAt - dialledAt);
-      } catch (final Breakdown breakdown) {
+      } catch (final WeldpointException breakdown) {
         LOGGER.atSevere().log(
             "spec %s was not taken: %s", Long.toHexString(view.version), breakdown.getMessage());
       }
     }
     final Map<Registration, Boolean> changes = new java.util.LinkedHashMap<>();
     final List<Registration> given = new ArrayList<>(Protocol.list(view.registrations));
-    given.addAll(Buckets.unpack(view.packed));
+    given.addAll(RegistrationBuckets.unpack(view.packed));
     for (final Registration registration : given) {
       final Registration before = history.get(registration.id);
-      if (before == null || Stage.later(before, registration) != before) {
+      if (before == null || LifecycleStage.later(before, registration) != before) {
         history.put(registration.id, registration);
-        final boolean open = Stage.of(registration).open();
+        final boolean open = LifecycleStage.of(registration).open();
         if (before == null && !open) {
           continue;
         }
--- a/proxy/src/main/java/weldpoint/proxy/Stream.java
+++ b/proxy/src/main/java/weldpoint/proxy/RegistryStream.java
@@ -3,35 +3,36 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Executor;
-import weldpoint.common.Boot;
-import weldpoint.transport.Line;
+import weldpoint.common.Settings;
+import weldpoint.transport.Connection;
 import weldpoint.transport.Message;
 import weldpoint.transport.PeerClock;
 import weldpoint.transport.RegistryMessages;
-import weldpoint.transport.Trunk;
+import weldpoint.transport.Transport;
 
 /**
  * The one line to an exchange that a link wants at the moment; what comes from lines left behind is
  * not heard.
  */
-public final class Stream {
+public final class RegistryStream {
   private static final int MOST_BESIDE = 3;
 
   /** A registry that reads from a majority each half second has lost it after two reads. */
   private static final long MAJORITY_LOST_MILLIS = 1000;
 
-  private final Trunk trunk;
+  private final Transport trunk;
   private final Executor desk;
   private final int port;
   private final Runnable ended;
-  private RegistryLink link;
-  private volatile Trunk.Dialler dialler;
-  private final List<Trunk.Dialler> beside = new ArrayList<>();
+  private RegistryClient link;
+  private volatile Transport.Connector dialler;
+  private final List<Transport.Connector> beside = new ArrayList<>();
 
   /**
    * A stream without a line; whoever is given is told on the control thread when a line has ended.
    */
-  public Stream(final Trunk trunk, final Executor desk, final Boot boot, final Runnable ended) {
+  public RegistryStream(
+      final Transport trunk, final Executor desk, final Settings boot, final Runnable ended) {
     this.trunk = trunk;
     this.desk = desk;
     this.port = boot.trunkPort(0);
@@ -39,7 +40,7 @@
   }
 
   /** Takes the link that hears what comes. */
-  public void link(final RegistryLink given) {
+  public void link(final RegistryClient given) {
     link = given;
   }
 
@@ -56,8 +57,8 @@
   }
 
   private void arrive(
-      final String address, final Trunk.Dialler winner, final RegistryMessages.View view) {
-    final Trunk.Dialler before = dialler;
+      final String address, final Transport.Connector winner, final RegistryMessages.View view) {
+    final Transport.Connector before = dialler;
     dialler = winner;
     beside.remove(winner);
     abandonApproach();
@@ -70,7 +71,7 @@
 
   /** Closes all lines beside. */
   public void abandonApproach() {
-    beside.forEach(Trunk.Dialler::close);
+    beside.forEach(Transport.Connector::close);
     beside.clear();
   }
 
@@ -84,17 +85,17 @@
   }
 
   /** A line to this exchange, heard while it is the one there is or one beside it. */
-  private Trunk.Dialler line(final String address) {
-    final Trunk.Dialler[] mine = new Trunk.Dialler[1];
+  private Transport.Connector line(final String address) {
+    final Transport.Connector[] mine = new Transport.Connector[1];
     mine[0] =
         trunk.dial(
             address,
             port,
-            Trunk.on(
+            Transport.on(
                 desk,
-                new Trunk.Ear() {
+                new Transport.Listener() {
                   @Override
-                  public void opened(final Line line) {
+                  public void opened(final Connection line) {
                     if (beside.contains(mine[0])) {
                       line.send(link.greeting(ProxyContext.now()));
                     } else if (dialler == mine[0]) {
@@ -103,7 +104,7 @@
                   }
 
                   @Override
-                  public void heard(final Line line, final Message message) {
+                  public void heard(final Connection line, final Message message) {
                     if (dialler == mine[0]) {
                       take(line.clock(), message, ProxyContext.now());
                     } else if (beside.contains(mine[0])
@@ -118,7 +119,7 @@
                   }
 
                   @Override
-                  public void closed(final Line line) {
+                  public void closed(final Connection line) {
                     if (dialler == mine[0]) {
                       link.closed(ProxyContext.now());
                       ended.run();
@@ -133,11 +134,11 @@
    * not from when it is read, and its proof becomes a time of the own clock.
    */
   void take(final PeerClock clock, final Message message, final long now) {
-    if (!(message instanceof RegistryMessages.Reach)) {
+    if (!(message instanceof RegistryMessages.RegistryStatus)) {
       link.heard(message, now);
       return;
     }
-    final RegistryMessages.Reach reach = (RegistryMessages.Reach) message;
+    final RegistryMessages.RegistryStatus reach = (RegistryMessages.RegistryStatus) message;
     final Long provedAt =
         reach.confirmedClock == null ? null : clock.notAfter(reach.confirmedClock, now);
     if (provedAt != null) {
@@ -154,7 +155,7 @@
   /** Ends the line for good. */
   public void close() {
     abandonApproach();
-    final Trunk.Dialler present = dialler;
+    final Transport.Connector present = dialler;
     dialler = null;
     if (present != null) {
       present.close();
@@ -163,7 +164,7 @@
 
   /** Sends where there is a line; tells whether there was one. */
   public boolean send(final Message message) {
-    final Trunk.Dialler present = dialler;
+    final Transport.Connector present = dialler;
     return present != null && present.send(message);
   }
 }
--- a/proxy/src/main/java/weldpoint/proxy/TenantCounts.java
+++ b/proxy/src/main/java/weldpoint/proxy/TenantCounts.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import weldpoint.metrics.Figure;
+import weldpoint.metrics.Metric;
 
 /** What a proxy did with the requests of tenants that have a limit; a bounded number of tenants. */
 final class TenantCounts {
@@ -38,16 +38,16 @@
   }
 
   /** The counts as figures. */
-  List<Figure> figures() {
-    final List<Figure> figures = new ArrayList<>();
+  List<Metric> figures() {
+    final List<Metric> figures = new ArrayList<>();
     counts.forEach(
         (tenant, count) -> {
           figures.add(
-              Figure.counter(
+              Metric.counter(
                       "weldpoint_tenant_sends", "Sends to upstreams on a permit.", count.sent)
                   .with("tenant", tenant));
           figures.add(
-              Figure.counter(
+              Metric.counter(
                       "weldpoint_tenant_refusals", "Requests refused with 429.", count.refused)
                   .with("tenant", tenant));
         });
--- a/proxy/src/test/java/weldpoint/proxy/AtMostOnceTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/AtMostOnceTest.java
@@ -32,12 +32,12 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import weldpoint.common.Boot;
+import weldpoint.common.Settings;
 import weldpoint.proxy.ScriptedUpstream.Ending;
 import weldpoint.proxy.ScriptedUpstream.Step;
-import weldpoint.routing.Dialplan;
+import weldpoint.routing.RoutingTable;
 import weldpoint.transport.RegistryMessages.Registration;
-import weldpoint.trial.TrialBook;
+import weldpoint.trial.TrialTracker;
 import weldpoint.upstream.UpstreamPool;
 
 /**
@@ -65,10 +65,10 @@
 
   @BeforeMethod
   public void open() throws InterruptedException {
-    final Boot boot =
-        Boot.parse(
+    final Settings boot =
+        Settings.parse(
             "station.name = one\nstation.address = 127.0.0.1\nstation.site = a\nstation.region = r\ntrunk.ports = 7000,7015\ntrunk.seeds = 127.0.0.1:80\nsites = a:r\nbound.retry-slack = 100000\n");
-    proxyContext = new ProxyContext(loop, boot, new Random(1), new TrialBook("one", 1));
+    proxyContext = new ProxyContext(loop, boot, new Random(1), new TrialTracker("one", 1));
     arrivals.set(0);
     front =
         new ServerBootstrap()
@@ -137,8 +137,8 @@
       changes.add(change(from + index, true));
     }
     arrivals.set(0);
-    final Dialplan plan =
-        Dialplan.compile(
+    final RoutingTable plan =
+        RoutingTable.compile(
             ("{\"version\":\"1\",\"limits\":{\"maxHeaderBytes\":16384,\"maxBodyBytes\":67108864,\"headerTimeoutMs\":3000,\"idleTimeoutMs\":15000},\"listeners\":[{\"host\":\"h\",\"rules\":["
                     + rule("w", "mutating", 5000, 3000, 3)
                     + ","
--- a/proxy/src/test/java/weldpoint/proxy/CachedCopiesTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/CachedCopiesTest.java
@@ -12,7 +12,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.testng.annotations.Test;
-import weldpoint.transport.CacheMessages.CopyAnswer;
+import weldpoint.transport.CacheMessages.CacheReadResponse;
 import weldpoint.transport.Message;
 import weldpoint.transport.PermitMessages;
 
@@ -26,7 +26,7 @@
     }
     return CachedCopies.response(
         request,
-        new CopyAnswer(
+        new CacheReadResponse(
             1,
             200,
             List.of("Weldpoint-Server-Seal", "s", "ETag", "e"),
@@ -85,8 +85,8 @@
         (granted, version, confirmedAt) -> heard.add(granted + " " + confirmedAt),
         1000);
     permits.answered(
-        new PermitMessages.PermitAnswer(
-            ((PermitMessages.PermitAsk) sent.get(0)).number, 1, 4, 300));
+        new PermitMessages.PermitResponse(
+            ((PermitMessages.PermitRequest) sent.get(0)).number, 1, 4, 300));
     assertEquals(heard, List.of("1 700"), "the spec's age counts from the own question");
     permits.ask(
         "tenant/t", 1, (granted, version, confirmedAt) -> heard.add("late " + granted), 2000);
@@ -95,7 +95,8 @@
     permits.sweep(false, 2800);
     assertEquals(heard.get(1), "late 0");
     permits.answered(
-        new PermitMessages.PermitAnswer(((PermitMessages.PermitAsk) sent.get(1)).number, 1, 4, 0));
+        new PermitMessages.PermitResponse(
+            ((PermitMessages.PermitRequest) sent.get(1)).number, 1, 4, 0));
     assertEquals(heard.size(), 2, "each hears once");
     new PermitPool(message -> false)
         .ask("tenant/t", 1, (granted, version, confirmedAt) -> heard.add("no line " + granted), 1);
@@ -105,11 +106,11 @@
   @Test
   public void anAnnouncerThatIsSilentIsPassedOver() {
     final List<String> asked = new ArrayList<>();
-    final List<CopyAnswer> answers = new ArrayList<>();
+    final List<CacheReadResponse> answers = new ArrayList<>();
     final java.util.Set<String> dark = new java.util.HashSet<>();
     final CacheClient recordings =
         new CacheClient(
-            new CacheClient.Lines() {
+            new CacheClient.Connections() {
               @Override
               public void keep(final List<String> addresses) {}
 
@@ -139,7 +140,7 @@
     assertEquals(
         new java.util.TreeSet<>(List.of(first, second)),
         new java.util.TreeSet<>(List.of("a", "b")));
-    recordings.heard(second, new CopyAnswer(1, 200, null, null), 1450);
+    recordings.heard(second, new CacheReadResponse(1, 200, null, null), 1450);
     assertEquals(answers.get(0).status, 200);
     asked.clear();
     recordings.ask("media", "h", "/x", 5000, answers::add, 1500);
--- a/proxy/src/test/java/weldpoint/proxy/ClientConnectionTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/ClientConnectionTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import weldpoint.common.Boot;
+import weldpoint.common.Settings;
 
 /** What is ambiguous is refused at the door, and nothing of it is passed on. */
 public final class ClientConnectionTest {
@@ -27,14 +27,15 @@
   }
 
   private EmbeddedChannel channel() {
-    final Boot boot =
-        Boot.parse(
+    final Settings boot =
+        Settings.parse(
             "station.name = one\nstation.address = 10.0.0.1\nstation.site = a\nstation.region = r\ntrunk.ports = 7000,7015\ntrunk.seeds = 10.0.0.1:80\n");
     return new EmbeddedChannel(
         new ClientConnection.Decoder(2048),
         new HttpResponseEncoder(),
         new ClientConnection(
-            new ProxyContext(loop, boot, new Random(1), new weldpoint.trial.TrialBook("one", 1))));
+            new ProxyContext(
+                loop, boot, new Random(1), new weldpoint.trial.TrialTracker("one", 1))));
   }
 
   private static String answer(final EmbeddedChannel channel) {
--- a/proxy/src/test/java/weldpoint/proxy/ConfigurationAtSendTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/ConfigurationAtSendTest.java
@@ -20,16 +20,16 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import weldpoint.affinity.Ties;
-import weldpoint.transport.CacheMessages.CopyAnswer;
-import weldpoint.transport.CacheMessages.CopyAsk;
+import weldpoint.affinity.AffinityTable;
+import weldpoint.transport.CacheMessages.CacheReadRequest;
+import weldpoint.transport.CacheMessages.CacheReadResponse;
 import weldpoint.transport.KeyMessages;
 import weldpoint.transport.Message;
 import weldpoint.transport.OwnershipMessages.Assignment;
 import weldpoint.transport.OwnershipMessages.KeyRange;
 import weldpoint.transport.OwnershipMessages.RangeState;
-import weldpoint.transport.PermitMessages.PermitAnswer;
-import weldpoint.transport.PermitMessages.PermitAsk;
+import weldpoint.transport.PermitMessages.PermitRequest;
+import weldpoint.transport.PermitMessages.PermitResponse;
 import weldpoint.transport.PlacementMessages;
 import weldpoint.transport.RegistryMessages.Registration;
 import weldpoint.upstream.UpstreamPool;
@@ -118,9 +118,9 @@
 
       @Override
       void end(final ConfigurationAtSendTest test) throws InterruptedException {
-        final long number = ((PermitAsk) test.asked.get()).number;
+        final long number = ((PermitRequest) test.asked.get()).number;
         test.onLoop(
-            () -> test.proxy.proxyContext().permits.answered(new PermitAnswer(number, 1, 2, 0)));
+            () -> test.proxy.proxyContext().permits.answered(new PermitResponse(number, 1, 2, 0)));
       }
     },
     /** The request's idempotency key is claimed. */
@@ -132,14 +132,14 @@
 
       @Override
       void end(final ConfigurationAtSendTest test) throws InterruptedException {
-        final KeyMessages.Claim claim = ((KeyMessages.ClaimAsk) test.asked.get()).claim;
+        final KeyMessages.Claim claim = ((KeyMessages.ClaimRequest) test.asked.get()).claim;
         test.onLoop(
             () ->
                 test.proxy
                     .proxyContext()
                     .keys
                     .answered(
-                        new KeyMessages.ClaimAnswer(
+                        new KeyMessages.ClaimResponse(
                             claim.number, KeyMessages.ClaimResult.GRANTED, claim),
                         ProxyContext.now()));
       }
@@ -165,9 +165,9 @@
 
       @Override
       void end(final ConfigurationAtSendTest test) throws InterruptedException {
-        final long number = ((CopyAsk) test.asked.get()).number;
-        final CopyAnswer copy =
-            new CopyAnswer(number, 200, List.of("Weldpoint-Server-Seal", "s"), new byte[4]);
+        final long number = ((CacheReadRequest) test.asked.get()).number;
+        final CacheReadResponse copy =
+            new CacheReadResponse(number, 200, List.of("Weldpoint-Server-Seal", "s"), new byte[4]);
         test.onLoop(
             () -> test.proxy.proxyContext().recordings.heard(CACHE_NODE, copy, ProxyContext.now()));
       }
@@ -297,7 +297,7 @@
         List.of(new PlacementMessages.PlacementMember(TestProxy.UPSTREAM, 4, "b"));
     onLoop(
         () -> {
-          final Ties ties = proxy.proxyContext().ties;
+          final AffinityTable ties = proxy.proxyContext().ties;
           ties.take(
               new PlacementMessages.Placements(
                   1, List.of(new PlacementMessages.Placement("s", 1, 1, members, false, null))),
@@ -344,11 +344,11 @@
   private void attach(final Wait wait) {
     final ProxyContext context = proxy.proxyContext();
     context.tieWaitMillis = 2000;
-    context.ties = new Ties("127.0.0.1", 1, 4000, ask -> {});
+    context.ties = new AffinityTable("127.0.0.1", 1, 4000, ask -> {});
     context.permits = new PermitPool(this::take);
     if (wait == Wait.CLAIM) {
       context.keyHeaders = List.of("Idempotency-Key");
-      context.keys = new KeyRuns("127.0.0.1", 1, 75_000, new Claims());
+      context.keys = new IdempotentRequests("127.0.0.1", 1, 75_000, new Claims());
     }
     if (wait == Wait.COPY) {
       context.recordings = new CacheClient(new CacheLines());
@@ -361,7 +361,7 @@
   }
 
   /** A registry that takes each claim and answers it when the test says so. */
-  private final class Claims implements KeyRuns.Outlet {
+  private final class Claims implements IdempotentRequests.Environment {
     @Override
     public boolean registry(final Message message) {
       take(message);
@@ -373,8 +373,8 @@
         final KeyMessages.Claim holder,
         final long fingerprint,
         final long waitMillis,
-        final java.util.function.Consumer<KeyMessages.OutcomeAnswer> hears) {
-      hears.accept(new KeyMessages.OutcomeAnswer(KeyMessages.Outcome.UNCERTAIN));
+        final java.util.function.Consumer<KeyMessages.OutcomeResponse> hears) {
+      hears.accept(new KeyMessages.OutcomeResponse(KeyMessages.Outcome.UNCERTAIN));
     }
 
     @Override
@@ -384,7 +384,7 @@
   }
 
   /** A cache node that answers when the test says so. */
-  private final class CacheLines implements CacheClient.Lines {
+  private final class CacheLines implements CacheClient.Connections {
     @Override
     public void keep(final List<String> addresses) {
       assertEquals(addresses, List.of(CACHE_NODE));
--- a/proxy/src/test/java/weldpoint/proxy/KeyRunsTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/IdempotentRequestsTest.java
@@ -18,25 +18,25 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 import weldpoint.transport.KeyMessages.Claim;
-import weldpoint.transport.KeyMessages.ClaimAnswer;
-import weldpoint.transport.KeyMessages.ClaimAsk;
 import weldpoint.transport.KeyMessages.ClaimRelease;
+import weldpoint.transport.KeyMessages.ClaimRequest;
+import weldpoint.transport.KeyMessages.ClaimResponse;
 import weldpoint.transport.KeyMessages.ClaimResult;
 import weldpoint.transport.KeyMessages.Outcome;
-import weldpoint.transport.KeyMessages.OutcomeAnswer;
+import weldpoint.transport.KeyMessages.OutcomeResponse;
 import weldpoint.transport.Message;
 
 /** What a proxy does with keyed requests, whatever the registry and other proxies say or don't. */
-public final class KeyRunsTest implements KeyRuns.Outlet {
+public final class IdempotentRequestsTest implements IdempotentRequests.Environment {
   private static final long WINDOW = 60_000;
   private static final IdempotencyKey KEY = new IdempotencyKey(1, 2, 3);
 
   private final List<Message> sent = new ArrayList<>();
   private final List<Claim> askedOf = new ArrayList<>();
-  private final List<Consumer<OutcomeAnswer>> asked = new ArrayList<>();
+  private final List<Consumer<OutcomeResponse>> asked = new ArrayList<>();
   private final List<Runnable> later = new ArrayList<>();
   private boolean stream;
-  private KeyRuns runs;
+  private IdempotentRequests runs;
   private long now;
 
   @BeforeMethod
@@ -47,7 +47,7 @@
     later.clear();
     stream = true;
     now = ProxyContext.now();
-    runs = new KeyRuns("10.0.0.1", 77, WINDOW, this);
+    runs = new IdempotentRequests("10.0.0.1", 77, WINDOW, this);
   }
 
   @Override
@@ -63,7 +63,7 @@
       final Claim holder,
       final long fingerprint,
       final long waitMillis,
-      final Consumer<OutcomeAnswer> hears) {
+      final Consumer<OutcomeResponse> hears) {
     askedOf.add(holder);
     asked.add(hears);
   }
@@ -73,18 +73,18 @@
     later.add(task);
   }
 
-  private static final class Heard implements KeyRuns.Listener {
-    KeyRun run;
-    OutcomeAnswer first;
+  private static final class Heard implements IdempotentRequests.Listener {
+    IdempotentRequest run;
+    OutcomeResponse first;
     int unavailable;
 
     @Override
-    public void granted(final KeyRun given) {
+    public void granted(final IdempotentRequest given) {
       run = given;
     }
 
     @Override
-    public void repeated(final OutcomeAnswer given) {
+    public void repeated(final OutcomeResponse given) {
       first = given;
     }
 
@@ -101,11 +101,11 @@
   }
 
   private Claim lastClaim() {
-    return ((ClaimAsk) sent.get(sent.size() - 1)).claim;
+    return ((ClaimRequest) sent.get(sent.size() - 1)).claim;
   }
 
   private void answer(final Claim claim, final ClaimResult result, final Claim holder) {
-    runs.answered(new ClaimAnswer(claim.number, result, holder), now);
+    runs.answered(new ClaimResponse(claim.number, result, holder), now);
   }
 
   private Heard granted() {
@@ -156,7 +156,7 @@
   public void aGrantThatComesTooLateIsNotUsedAndIsGivenBack() {
     final Heard slow = begin(KEY);
     final Claim claim = lastClaim();
-    runs.sweep(false, now + KeyRuns.PATIENCE_MILLIS + 1);
+    runs.sweep(false, now + IdempotentRequests.PATIENCE_MILLIS + 1);
     assertEquals(slow.unavailable, 1);
     assertEquals(((ClaimRelease) sent.get(1)).claims.get(0).number, claim.number);
     answer(claim, ClaimResult.GRANTED, null);
@@ -186,7 +186,7 @@
     final Heard repeat = begin(KEY);
     answer(lastClaim(), ClaimResult.HELD, foreign());
     assertEquals(askedOf.get(0).proxy, "10.0.0.9");
-    asked.get(0).accept(new OutcomeAnswer(Outcome.ANSWERED, 200, List.of(), new byte[0]));
+    asked.get(0).accept(new OutcomeResponse(Outcome.ANSWERED, 200, List.of(), new byte[0]));
     assertEquals(repeat.first.outcome(), Outcome.ANSWERED);
   }
 
@@ -195,7 +195,7 @@
     final Heard repeat = begin(KEY);
     for (int tries = 0; tries < 4; tries++) {
       answer(lastClaim(), ClaimResult.HELD, foreign());
-      asked.get(tries).accept(new OutcomeAnswer(Outcome.NEVER_RAN));
+      asked.get(tries).accept(new OutcomeResponse(Outcome.NEVER_RAN));
       if (tries < 3) {
         later.get(tries).run();
       }
@@ -205,7 +205,7 @@
   }
 
   private Outcome told(final Claim claim, final long fingerprint) {
-    final List<OutcomeAnswer> heard = new ArrayList<>();
+    final List<OutcomeResponse> heard = new ArrayList<>();
     runs.outcome(claim, fingerprint, heard::add);
     return heard.isEmpty() ? null : heard.get(0).outcome();
   }
@@ -230,7 +230,7 @@
   public void aClaimThatIsStillBeingDecidedIsToldOnceItIs() {
     final Heard first = begin(KEY);
     final Claim claim = lastClaim();
-    final List<OutcomeAnswer> heard = new ArrayList<>();
+    final List<OutcomeResponse> heard = new ArrayList<>();
     runs.outcome(claim, 3, heard::add);
     answer(claim, ClaimResult.GRANTED, null);
     later.get(0).run();
@@ -241,7 +241,7 @@
 
   @Test
   public void answersThatTakeTooMuchAreForgottenButNotTheRun() {
-    final List<KeyRun> all = new ArrayList<>();
+    final List<IdempotentRequest> all = new ArrayList<>();
     for (int key = 0; key < 200; key++) {
       final Heard heard = begin(new IdempotencyKey(key, key, key));
       answer(lastClaim(), ClaimResult.GRANTED, null);
--- a/proxy/src/test/java/weldpoint/proxy/ProxiedRequestTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/ProxiedRequestTest.java
@@ -27,12 +27,12 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import weldpoint.affinity.Ties;
-import weldpoint.common.Boot;
-import weldpoint.routing.Dialplan;
+import weldpoint.affinity.AffinityTable;
+import weldpoint.common.Settings;
+import weldpoint.routing.RoutingTable;
 import weldpoint.transport.PlacementMessages;
 import weldpoint.transport.RegistryMessages.Registration;
-import weldpoint.trial.TrialBook;
+import weldpoint.trial.TrialTracker;
 import weldpoint.upstream.UpstreamPool;
 
 /**
@@ -65,10 +65,10 @@
 
   @BeforeMethod
   public void open() throws InterruptedException {
-    final Boot boot =
-        Boot.parse(
+    final Settings boot =
+        Settings.parse(
             "station.name = one\nstation.address = 127.0.0.1\nstation.site = a\nstation.region = r\ntrunk.ports = 7000,7015\ntrunk.seeds = 127.0.0.1:80\nsites = a:r\nbound.retry-slack = 100\n");
-    proxyContext = new ProxyContext(loop, boot, new Random(1), new TrialBook("one", 1));
+    proxyContext = new ProxyContext(loop, boot, new Random(1), new TrialTracker("one", 1));
     arrivals = new AtomicInteger();
     front =
         new ServerBootstrap()
@@ -106,8 +106,8 @@
       thread.setDaemon(true);
       thread.start();
     }
-    final Dialplan plan =
-        Dialplan.compile(
+    final RoutingTable plan =
+        RoutingTable.compile(
             ("{\"version\":\"1\",\"listeners\":[{\"host\":\"h\",\"rules\":["
                     + "{\"name\":\"w\",\"routeKind\":\"mutating\",\"targetLatencyMs\":5000,\"match\":{\"pathPrefix\":\"/w/\"},\"action\":{\"service\":\"s\",\"timeoutMs\":3000,\"maxAttempts\":3}},"
                     + "{\"name\":\"t\",\"routeKind\":\"mutating\",\"targetLatencyMs\":5000,\"match\":{\"pathPrefix\":\"/t/\"},\"action\":{\"service\":\"s\",\"timeoutMs\":3000,\"maxAttempts\":3,\"affinity\":{\"by\":\"header\",\"header\":\"X-Firm\"}}},"
@@ -209,7 +209,8 @@
     loop.submit(
             () -> {
               final long[] number = new long[1];
-              proxyContext.ties = new Ties("127.0.0.1", 1, 4000, ask -> number[0] = ask.number);
+              proxyContext.ties =
+                  new AffinityTable("127.0.0.1", 1, 4000, ask -> number[0] = ask.number);
               final List<PlacementMessages.PlacementMember> members =
                   List.of(
                       new PlacementMessages.PlacementMember("i-0", 4, "a"),
--- a/proxy/src/test/java/weldpoint/proxy/ProxyThreadsTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/ProxyThreadsTest.java
@@ -11,8 +11,8 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
-import weldpoint.common.Boot;
-import weldpoint.routing.Dialplan;
+import weldpoint.common.Settings;
+import weldpoint.routing.RoutingTable;
 
 /** Threads of a switchboard that take turns at the worst points. */
 public final class ProxyThreadsTest {
@@ -28,12 +28,12 @@
     final int front = port();
     final ProxyDaemon daemon =
         new ProxyDaemon(
-            Boot.parse(
+            Settings.parse(
                 "station.name = one\nstation.address = 127.0.0.1\nstation.site = a\nstation.region = r\ntrunk.ports = 7000,7015\ntrunk.seeds = 127.0.0.1:80\nlisten.traffic = 127.0.0.1:"
                     + front
                     + "\n"));
-    final Dialplan plan =
-        Dialplan.compile(
+    final RoutingTable plan =
+        RoutingTable.compile(
             "{\"version\":\"1\",\"listeners\":[],\"pools\":[]}".getBytes(StandardCharsets.UTF_8));
     daemon
         .proxyContext()
--- a/proxy/src/test/java/weldpoint/proxy/RegistryLinkTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/RegistryClientTest.java
@@ -12,16 +12,16 @@
 import java.util.Random;
 import java.util.Set;
 import org.testng.annotations.Test;
-import weldpoint.registry.Stage;
-import weldpoint.routing.Dialplan;
+import weldpoint.registry.LifecycleStage;
+import weldpoint.routing.RoutingTable;
+import weldpoint.transport.Compression;
 import weldpoint.transport.Message;
-import weldpoint.transport.Packing;
 import weldpoint.transport.RegistryMessages;
 import weldpoint.transport.RegistryMessages.Registration;
 import weldpoint.transport.TrialMessages;
 
 /** A switchboard's view never goes back, and a stale or silent exchange is left. */
-public final class RegistryLinkTest {
+public final class RegistryClientTest {
   private final List<Long> specs = new ArrayList<>();
   private final Map<String, Boolean> open = new HashMap<>();
   private final List<String> dialled = new ArrayList<>();
@@ -31,7 +31,7 @@
   private Set<String> evacuated = Set.of();
 
   /** A link that can have a line beside the one it has. */
-  private RegistryLink linkOfTwoLines() {
+  private RegistryClient linkOfTwoLines() {
     twoLines = true;
     try {
       return link();
@@ -41,16 +41,16 @@
     }
   }
 
-  private RegistryLink link() {
+  private RegistryClient link() {
     specs.clear();
     open.clear();
     dialled.clear();
-    final RegistryLink link =
-        new RegistryLink(
-            new RegistryMessages.Board("10.0.0.9", "10.0.0.9:80", "a", "r", 1, false, 0),
+    final RegistryClient link =
+        new RegistryClient(
+            new RegistryMessages.DaemonEntry("10.0.0.9", "10.0.0.9:80", "a", "r", 1, false, 0),
             List.of("e1", "e2", "e3"),
             new Random(1),
-            new RegistryLink.Outlet() {
+            new RegistryClient.Environment() {
               @Override
               public void dial(final String address) {
                 dialled.add(address);
@@ -72,7 +72,7 @@
 
               @Override
               public void outlook(
-                  final Dialplan plan,
+                  final RoutingTable plan,
                   final Map<Registration, Boolean> changes,
                   final Set<String> sites,
                   final Set<String> suspects,
@@ -102,7 +102,7 @@
       final List<String> sites,
       final Registration... registrations) {
     final byte[] spec =
-        Packing.deflate(
+        Compression.deflate(
             ("{\"version\":\"0000000" + version + "\",\"listeners\":[],\"pools\":[]}")
                 .getBytes(StandardCharsets.UTF_8));
     return new RegistryMessages.View(
@@ -119,16 +119,16 @@
         0);
   }
 
-  private static Registration upstream(final Stage stage, final long sequence) {
+  private static Registration upstream(final LifecycleStage stage, final long sequence) {
     return new Registration("i", "s", "10.1.0.1:80", "a", "v", 4, stage.ordinal(), sequence, 0, 0);
   }
 
   @Test
   public void nothingOlderIsTakenFromAnotherExchange() {
-    final RegistryLink link = link();
-    link.heard(view(5, 2, List.of("a"), upstream(Stage.DRAINING, 3)), 10);
+    final RegistryClient link = link();
+    link.heard(view(5, 2, List.of("a"), upstream(LifecycleStage.DRAINING, 3)), 10);
     link.closed(20);
-    link.heard(view(4, 1, List.of(), upstream(Stage.JOINED, 9)), 30);
+    link.heard(view(4, 1, List.of(), upstream(LifecycleStage.JOINED, 9)), 30);
     assertEquals(specs, List.of(5L));
     assertEquals(evacuated, Set.of("a"));
     assertNotEquals(open.get("i"), Boolean.TRUE);
@@ -139,39 +139,39 @@
 
   @Test
   public void aSilentOrStaleExchangeIsLeft() {
-    final RegistryLink link = link();
+    final RegistryClient link = link();
     link.heard(view(5, 0, List.of()), 10);
-    link.heard(new RegistryMessages.Reach(100, 3, List.of("e1", "e2", "e3")), 500);
+    link.heard(new RegistryMessages.RegistryStatus(100, 3, List.of("e1", "e2", "e3")), 500);
     link.tick(1000);
     assertEquals(dialled.size(), 1);
     link.tick(2100);
     assertEquals(dialled.size(), 2);
     assertNotEquals(dialled.get(0), dialled.get(1));
     link.heard(view(5, 0, List.of()), 2200);
-    link.heard(new RegistryMessages.Reach(9000, 3, List.of()), 2400);
+    link.heard(new RegistryMessages.RegistryStatus(9000, 3, List.of()), 2400);
     assertEquals(dialled.size(), 3);
     for (long now = 2600; now < 5000; now += 200) {
       link.heard(view(5, 0, List.of()), now);
-      link.heard(new RegistryMessages.Reach(9000, 3, List.of()), now);
+      link.heard(new RegistryMessages.RegistryStatus(9000, 3, List.of()), now);
     }
     assertTrue(dialled.size() <= 6, "glances slow down while all are stale: " + dialled.size());
   }
 
   @Test
   public void aViewThatIsLongOnItsWayIsWaitedForUnlessTheExchangeSaysThatItKnowsNothing() {
-    final RegistryLink slow = link();
+    final RegistryClient slow = link();
     slow.opened(10);
     slow.tick(1500);
     slow.tick(3000);
     assertEquals(dialled.size(), 1, "the line is open and a view may be under way");
     slow.heard(view(5, 0, List.of()), 3100);
     assertEquals(specs, List.of(5L));
-    final RegistryLink uninformed = link();
+    final RegistryClient uninformed = link();
     uninformed.opened(10);
-    uninformed.heard(new RegistryMessages.Reach(Integer.MAX_VALUE, 3, List.of()), 500);
+    uninformed.heard(new RegistryMessages.RegistryStatus(Integer.MAX_VALUE, 3, List.of()), 500);
     uninformed.tick(950);
     assertEquals(dialled.size(), 2);
-    final RegistryLink dead = link();
+    final RegistryClient dead = link();
     dead.tick(950);
     assertEquals(dialled.size(), 2, "no line came about");
   }
@@ -179,16 +179,16 @@
   private static final List<String> MEMBERS = List.of("e1", "e2", "e3", "here");
   private static final List<String> PLACES = List.of("q/x", "q/y", "q/z", "r/a");
 
-  private static void reach(final RegistryLink link, final long from, final long until) {
+  private static void reach(final RegistryClient link, final long from, final long until) {
     for (long now = from; now < until; now += 500) {
-      link.heard(new RegistryMessages.Reach(100, 3, MEMBERS, null, PLACES), now);
+      link.heard(new RegistryMessages.RegistryStatus(100, 3, MEMBERS, null, PLACES), now);
       link.tick(now);
     }
   }
 
   @Test
   public void itKeepsItsStreamUntilTheNearerOneHasGivenAView() {
-    final RegistryLink link = linkOfTwoLines();
+    final RegistryClient link = linkOfTwoLines();
     try {
       link.opened(10);
       link.heard(view(5, 0, List.of()), 20);
@@ -215,7 +215,7 @@
    */
   @Test
   public void aSilentStreamIsKeptUntilAnotherOneHasGivenAView() {
-    final RegistryLink link = linkOfTwoLines();
+    final RegistryClient link = linkOfTwoLines();
     try {
       link.opened(10);
       link.heard(view(5, 0, List.of()), 20);
@@ -236,7 +236,7 @@
 
   @Test
   public void aNearerOneThatGivesNoViewCostsNothing() {
-    final RegistryLink link = linkOfTwoLines();
+    final RegistryClient link = linkOfTwoLines();
     try {
       link.opened(10);
       link.heard(view(5, 0, List.of()), 20);
@@ -251,13 +251,13 @@
 
   @Test
   public void itMovesOnceToAnExchangeOfItsOwnZoneAndStays() {
-    final RegistryLink link = link();
+    final RegistryClient link = link();
     final List<String> members = List.of("e1", "e2", "e3", "near", "here");
     final List<String> places = List.of("q/x", "q/y", "q/z", "r/b", "r/a");
     link.opened(10);
     link.heard(view(5, 0, List.of()), 20);
     for (long now = 500; now < 60_000; now += 500) {
-      link.heard(new RegistryMessages.Reach(100, 3, members, null, places), now);
+      link.heard(new RegistryMessages.RegistryStatus(100, 3, members, null, places), now);
       link.tick(now);
       if (dialled.size() == 2) {
         link.heard(view(5, 0, List.of()), now + 10);
@@ -275,11 +275,11 @@
    */
   @Test
   public void aStreamThatEndedIsSoughtAtSeveralRegistriesAtOnce() {
-    final RegistryLink link = linkOfTwoLines();
+    final RegistryClient link = linkOfTwoLines();
     try {
       link.opened(10);
       link.heard(view(5, 0, List.of()), 20);
-      link.heard(new RegistryMessages.Reach(100, 3, MEMBERS), 500);
+      link.heard(new RegistryMessages.RegistryStatus(100, 3, MEMBERS), 500);
       link.closed(600);
       for (long now = 700; now <= 600 + WITHIN_MILLIS; now += 100) {
         link.tick(now);
@@ -300,12 +300,12 @@
    */
   @Test
   public void aRegistryThatLostTheMajorityIsKeptUntilAnotherOneHasGivenAView() {
-    final RegistryLink link = linkOfTwoLines();
+    final RegistryClient link = linkOfTwoLines();
     try {
       link.opened(10);
       link.heard(view(5, 0, List.of()), 20);
       for (long now = 500; now <= 3000; now += 500) {
-        link.heard(new RegistryMessages.Reach(9000, 3, MEMBERS), now);
+        link.heard(new RegistryMessages.RegistryStatus(9000, 3, MEMBERS), now);
         link.tick(now);
       }
       assertEquals(dialled.size(), 1, "the stream there is was left: " + dialled);
@@ -320,11 +320,11 @@
   /** Guards against DRAIN: registries that are gone for good are dialled again each time. */
   @Test
   public void aRegistryThatGaveNoViewIsDialledAfterTheOthers() {
-    final RegistryLink link = linkOfTwoLines();
+    final RegistryClient link = linkOfTwoLines();
     try {
       link.opened(10);
       link.heard(view(5, 0, List.of()), 20);
-      link.heard(new RegistryMessages.Reach(100, 3, List.of("e4", "e5", "e6")), 500);
+      link.heard(new RegistryMessages.RegistryStatus(100, 3, List.of("e4", "e5", "e6")), 500);
       link.closed(600);
       long now = 700;
       for (; approached.size() < 3; now += 100) {
@@ -354,12 +354,12 @@
    */
   @Test
   public void registriesThatAreGoneAreDialledAfterThoseThatAreThere() {
-    final RegistryLink link = linkOfTwoLines();
+    final RegistryClient link = linkOfTwoLines();
     try {
       link.opened(10);
       link.heard(view(5, 0, List.of()), 20);
-      link.heard(new RegistryMessages.Reach(100, 3, MEMBERS), 500);
-      link.heard(new RegistryMessages.Reach(100, 3, List.of("n1", "n2")), 1000);
+      link.heard(new RegistryMessages.RegistryStatus(100, 3, MEMBERS), 500);
+      link.heard(new RegistryMessages.RegistryStatus(100, 3, List.of("n1", "n2")), 1000);
       link.closed(1100);
       for (long now = 1200; now <= 1500; now += 100) {
         link.tick(now);
--- a/proxy/src/test/java/weldpoint/proxy/StreamTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/RegistryStreamTest.java
@@ -8,23 +8,23 @@
 import java.util.Random;
 import java.util.Set;
 import org.testng.annotations.Test;
-import weldpoint.routing.Dialplan;
+import weldpoint.routing.RoutingTable;
 import weldpoint.transport.Message;
 import weldpoint.transport.PeerClock;
 import weldpoint.transport.RegistryMessages;
-import weldpoint.transport.RegistryMessages.Reach;
 import weldpoint.transport.RegistryMessages.Registration;
+import weldpoint.transport.RegistryMessages.RegistryStatus;
 import weldpoint.transport.TrialMessages;
 
 /** What a registry says, as a stream hands it to its link. */
-public final class StreamTest {
+public final class RegistryStreamTest {
   private static final long PEER_AHEAD_MILLIS = 50_000;
 
   private final List<Long> ages = new ArrayList<>();
   private final List<Long> proofs = new ArrayList<>();
   private final List<Long> unsettled = new ArrayList<>();
 
-  private final class Outlet implements RegistryLink.Outlet {
+  private final class RecordingEnvironment implements RegistryClient.Environment {
     @Override
     public void dial(final String address) {}
 
@@ -33,7 +33,7 @@
 
     @Override
     public void outlook(
-        final Dialplan plan,
+        final RoutingTable plan,
         final Map<Registration, Boolean> changes,
         final Set<String> evacuated,
         final Set<String> suspects,
@@ -67,13 +67,14 @@
    */
   @Test
   public void agesAreCountedFromWhenTheyWereSaid() {
-    final RegistryLink link =
-        new RegistryLink(
-            new RegistryMessages.Board("10.0.0.9", "10.0.0.9:80", "a", "r", 1, false, 0),
+    final RegistryClient link =
+        new RegistryClient(
+            new RegistryMessages.DaemonEntry("10.0.0.9", "10.0.0.9:80", "a", "r", 1, false, 0),
             List.of("e1", "e2"),
             new Random(1),
-            new Outlet());
-    final Stream stream = new Stream(null, null, weldpoint.common.Boot.parse(SETTINGS), () -> {});
+            new RecordingEnvironment());
+    final RegistryStream stream =
+        new RegistryStream(null, null, weldpoint.common.Settings.parse(SETTINGS), () -> {});
     stream.link(link);
     link.start(0);
     final PeerClock clock = new PeerClock();
@@ -83,8 +84,8 @@
         clock,
         new RegistryMessages.View(1, null, false, null, 0, null, false, null, 1, null, -1),
         200);
-    final Reach reach =
-        new Reach(
+    final RegistryStatus reach =
+        new RegistryStatus(
             40, 1, List.of(), null, null, 40, 960 + PEER_AHEAD_MILLIS, 1000 + PEER_AHEAD_MILLIS);
     stream.take(clock, reach, 3500);
     final long drift = (3500 - 110) / 50;
@@ -93,7 +94,7 @@
     assertEquals(unsettled, List.of(), "the line was slow, the registry had its majority");
     stream.take(
         clock,
-        new Reach(1200, 1, List.of(), null, null, 1200, null, 3490 + PEER_AHEAD_MILLIS),
+        new RegistryStatus(1200, 1, List.of(), null, null, 1200, null, 3490 + PEER_AHEAD_MILLIS),
         3500);
     assertEquals(unsettled.size(), 1, "it said itself that it had lost the majority");
   }
--- a/proxy/src/test/java/weldpoint/proxy/TestProxy.java
+++ b/proxy/src/test/java/weldpoint/proxy/TestProxy.java
@@ -11,8 +11,8 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import weldpoint.common.Boot;
-import weldpoint.routing.Dialplan;
+import weldpoint.common.Settings;
+import weldpoint.routing.RoutingTable;
 import weldpoint.transport.RegistryMessages.Registration;
 import weldpoint.upstream.UpstreamPool;
 
@@ -35,7 +35,7 @@
     port = freePort();
     daemon =
         new ProxyDaemon(
-            Boot.parse(
+            Settings.parse(
                 "station.name = one\nstation.address = 127.0.0.1\nstation.site = a\nstation.region = r\nsites = a:r,b:q\nbound.grace-s = 6\nbound.retry-slack = 100\ntrunk.ports = 7000,7015\ntrunk.seeds = 127.0.0.1:80\nlisten.traffic = 127.0.0.1:"
                     + port
                     + "\n"));
@@ -64,8 +64,8 @@
    */
   void serve(final String rule, final String pool, final int idleMillis, final int upstreamPort)
       throws InterruptedException {
-    final Dialplan plan =
-        Dialplan.compile(
+    final RoutingTable plan =
+        RoutingTable.compile(
             ("{\"version\":\"1\",\"limits\":{\"maxHeaderBytes\":16384,\"maxBodyBytes\":1048576,\"headerTimeoutMs\":3000,\"idleTimeoutMs\":"
                     + idleMillis
                     + "},\"listeners\":[{\"host\":\""
@@ -92,7 +92,7 @@
   /** Puts a whole configuration, as JSON, and changes of upstreams in force. */
   void configure(final String configuration, final UpstreamPool.Change... changes)
       throws InterruptedException {
-    final Dialplan plan = Dialplan.compile(configuration.getBytes(StandardCharsets.UTF_8));
+    final RoutingTable plan = RoutingTable.compile(configuration.getBytes(StandardCharsets.UTF_8));
     proxyContext()
         .loop
         .submit(
--- a/ratelimit/src/main/java/weldpoint/ratelimit/QuotaAllocator.java
+++ b/ratelimit/src/main/java/weldpoint/ratelimit/QuotaAllocator.java
@@ -4,8 +4,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import weldpoint.common.Boot;
-import weldpoint.routing.Dialplan;
+import weldpoint.common.Settings;
+import weldpoint.routing.RoutingTable;
 
 /**
  * Gives out one registry's fixed part of every limit. The parts of all voters together never exceed
@@ -16,7 +16,7 @@
   private static final int MANY_TENANTS = 10_000;
   private static final long FORGET_MILLIS = 10_000;
 
-  private final Boot boot;
+  private final Settings boot;
   private final long startedAt;
   private final boolean firstStart;
   private final Map<String, TenantShare> tenants = new HashMap<>();
@@ -30,7 +30,7 @@
    * An allocator of a process that starts now; at the very first start of the system nothing can
    * have been given before.
    */
-  public QuotaAllocator(final Boot boot, final boolean firstStart, final long now) {
+  public QuotaAllocator(final Settings boot, final boolean firstStart, final long now) {
     this.boot = boot;
     this.firstStart = firstStart;
     this.startedAt = now;
@@ -38,7 +38,11 @@
 
   /** Grants up to so many permits out of a part. */
   public int grant(
-      final String permit, final int count, final Dialplan plan, final Part part, final long now) {
+      final String permit,
+      final int count,
+      final RoutingTable plan,
+      final QuotaShare part,
+      final long now) {
     final RateLimit limit = RateLimit.of(permit);
     if (limit == null || plan == null || part.parts() < 1 || count < 1) {
       return 0;
@@ -58,7 +62,7 @@
   }
 
   private int grantTenant(
-      final Dialplan.Tenant tenant, final int count, final Part part, final long now) {
+      final RoutingTable.Tenant tenant, final int count, final QuotaShare part, final long now) {
     if (tenant == null) {
       return 0;
     }
@@ -76,7 +80,7 @@
   }
 
   /** A share is full at the system's first start, and empty at any other start. */
-  private TenantShare share(final double capacity, final Part part) {
+  private TenantShare share(final double capacity, final QuotaShare part) {
     final long window = boot.quotaWindowMillis();
     return firstStart && part.since() <= startedAt
         ? new TenantShare(capacity, startedAt, window)
@@ -84,7 +88,11 @@
   }
 
   private int grantOrigin(
-      final Dialplan plan, final String name, final int count, final Part part, final long now) {
+      final RoutingTable plan,
+      final String name,
+      final int count,
+      final QuotaShare part,
+      final long now) {
     final int service = plan.service(name);
     if (service < 0) {
       return 0;
--- a/ratelimit/src/main/java/weldpoint/ratelimit/Part.java
+++ b/ratelimit/src/main/java/weldpoint/ratelimit/QuotaShare.java
@@ -7,4 +7,4 @@
  * @param since when the registry was given its part, in milliseconds of the steady clock; long ago
  *     where it had it before its start
  */
-public record Part(int parts, long since) {}
+public record QuotaShare(int parts, long since) {}
--- a/ratelimit/src/main/java/weldpoint/ratelimit/RateLimit.java
+++ b/ratelimit/src/main/java/weldpoint/ratelimit/RateLimit.java
@@ -1,7 +1,7 @@
 package weldpoint.ratelimit;
 
-import weldpoint.common.Boot;
-import weldpoint.routing.Dialplan;
+import weldpoint.common.Settings;
+import weldpoint.routing.RoutingTable;
 
 /** What is limited for the fleet as a whole, by the bounds in the settings. */
 public enum RateLimit {
@@ -57,7 +57,7 @@
    */
   record TenantLimit(double perMilli, double capacity) {
     /** Parts that could not save up a few permits take them from their rate. */
-    static TenantLimit of(final Boot boot, final Dialplan.Tenant tenant, final int parts) {
+    static TenantLimit of(final Settings boot, final RoutingTable.Tenant tenant, final int parts) {
       final double window = boot.quotaWindowMillis();
       final double overshoot = 1 + boot.quotaOvershoot();
       final double burst = tenant.burst() * overshoot + boot.quotaTolerance();
@@ -69,7 +69,7 @@
   }
 
   /** How many requests an origin may receive in one window through permits of registries. */
-  static double originAllowance(final Boot boot, final double ratePerSecond) {
+  static double originAllowance(final Settings boot, final double ratePerSecond) {
     final double share = boot.content() ? ORIGIN_SHARE_BESIDE_CACHES : ORIGIN_SHARE_ALONE;
     return share * ratePerSecond * boot.originWindowMillis() / 1000.0 * boot.originOvershoot();
   }
--- a/ratelimit/src/test/java/weldpoint/ratelimit/QuotaAllocatorTest.java
+++ b/ratelimit/src/test/java/weldpoint/ratelimit/QuotaAllocatorTest.java
@@ -9,28 +9,28 @@
 import java.util.Random;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import weldpoint.common.Boot;
-import weldpoint.common.Breakdown;
-import weldpoint.routing.Dialplan;
+import weldpoint.common.Settings;
+import weldpoint.common.WeldpointException;
+import weldpoint.routing.RoutingTable;
 
 public class QuotaAllocatorTest {
-  private static final Boot BOOT =
-      Boot.parse(
+  private static final Settings BOOT =
+      Settings.parse(
           "station.name = a\nstation.address = 10.0.0.1\nstation.site = s\nstation.region = r\ntrunk.ports = 7000,7015\ntrunk.seeds = 10.0.0.1:7000\nbound.quota-window-s = 5\nbound.quota-overshoot = 0.1\nbound.quota-tolerance = 20\nbound.origin-window-s = 5\nbound.origin-overshoot = 1.1\n");
 
-  private static final Boot CONTENT =
-      Boot.parse(
+  private static final Settings CONTENT =
+      Settings.parse(
           "station.name = a\nstation.address = 10.0.0.1\nstation.site = s\nstation.region = r\ntrunk.ports = 7000,7015\ntrunk.seeds = 10.0.0.1:7000\nstation.rollout = content\nbound.quota-window-s = 5\nbound.quota-overshoot = 0.1\nbound.quota-tolerance = 20\nbound.origin-window-s = 5\nbound.origin-overshoot = 1.1\n");
 
-  private static Dialplan plan(final String tenants) {
-    return Dialplan.compile(
+  private static RoutingTable plan(final String tenants) {
+    return RoutingTable.compile(
         ("{\"version\":\"1\",\"tenants\":["
                 + tenants
                 + "],\"listeners\":[],\"pools\":[{\"name\":\"media\",\"ratePerS\":80}]}")
             .getBytes(StandardCharsets.UTF_8));
   }
 
-  private static final Dialplan PLAN =
+  private static final RoutingTable PLAN =
       plan(
           "{\"name\":\"t\",\"apiKeys\":[\"k\"],\"ratePerS\":30,\"burst\":30},{\"name\":\"free\",\"apiKeys\":[\"f\"]}");
 
@@ -39,7 +39,7 @@
    * and again within one window: the most granted in any window.
    */
   private static int most(
-      final Boot boot,
+      final Settings boot,
       final String permit,
       final long seed,
       final long window,
@@ -62,7 +62,7 @@
       }
       final int count =
           allocators[at].grant(
-              permit, 1 + random.nextInt(3), PLAN, new Part(parts, since[at]), now);
+              permit, 1 + random.nextInt(3), PLAN, new QuotaShare(parts, since[at]), now);
       granted.add(new long[] {now, count});
       inWindow += count;
       while (granted.peekFirst()[0] <= now - window) {
@@ -104,7 +104,7 @@
     int given = 0;
     for (long now = 0; now < 5000; now += 5) {
       for (final QuotaAllocator allocator : allocators) {
-        given += allocator.grant("tenant/t", 5, PLAN, new Part(parts, 0), now);
+        given += allocator.grant("tenant/t", 5, PLAN, new QuotaShare(parts, 0), now);
       }
     }
     assertTrue(given >= 30 * 5 + 30, "owed 180, given " + given);
@@ -125,22 +125,22 @@
   @Test
   public void aMemberThatReturnsBeginsAnewWithItsPart() {
     final QuotaAllocator allocator = new QuotaAllocator(BOOT, true, 0);
-    assertTrue(allocator.grant("tenant/t", 50, PLAN, new Part(5, 0), 100) > 5);
-    assertEquals(allocator.grant("tenant/t", 50, PLAN, new Part(5, 60_000), 60_000), 0);
-    assertEquals(allocator.grant("tenant/t", 50, PLAN, new Part(5, 60_000), 61_000), 6);
+    assertTrue(allocator.grant("tenant/t", 50, PLAN, new QuotaShare(5, 0), 100) > 5);
+    assertEquals(allocator.grant("tenant/t", 50, PLAN, new QuotaShare(5, 60_000), 60_000), 0);
+    assertEquals(allocator.grant("tenant/t", 50, PLAN, new QuotaShare(5, 60_000), 61_000), 6);
   }
 
   @Test
   public void unlimitedUnknownAndFreshOnesAreToldApart() {
     final QuotaAllocator allocator = new QuotaAllocator(BOOT, false, 0);
-    assertEquals(allocator.grant("tenant/free", 7, PLAN, new Part(5, 0), 10), 7);
-    assertEquals(allocator.grant("tenant/nobody", 7, PLAN, new Part(5, 0), 10), 0);
-    assertEquals(allocator.grant("somewhere/else", 7, PLAN, new Part(5, 0), 10), 0);
+    assertEquals(allocator.grant("tenant/free", 7, PLAN, new QuotaShare(5, 0), 10), 7);
+    assertEquals(allocator.grant("tenant/nobody", 7, PLAN, new QuotaShare(5, 0), 10), 0);
+    assertEquals(allocator.grant("somewhere/else", 7, PLAN, new QuotaShare(5, 0), 10), 0);
     assertEquals(
-        allocator.grant("origin/media", 1, PLAN, new Part(5, 0), 10),
+        allocator.grant("origin/media", 1, PLAN, new QuotaShare(5, 0), 10),
         0,
         "the life before may have used it up");
-    assertEquals(allocator.grant("origin/media", 1, PLAN, new Part(5, 0), 7000), 1);
+    assertEquals(allocator.grant("origin/media", 1, PLAN, new QuotaShare(5, 0), 7000), 1);
   }
 
   @Test
@@ -156,8 +156,8 @@
   public void tenantsWithOneKeyAreRefused() {
     try {
       plan("{\"name\":\"a\",\"apiKeys\":[\"k\"]},{\"name\":\"b\",\"apiKeys\":[\"k\"]}");
-    } catch (final Breakdown breakdown) {
-      assertEquals(breakdown.kind(), Breakdown.Kind.INVALID);
+    } catch (final WeldpointException breakdown) {
+      assertEquals(breakdown.kind(), WeldpointException.Kind.INVALID);
       assertTrue(!breakdown.getMessage().contains("\"k\""), "a key is never shown");
       return;
     }
--- a/regionleader/src/main/java/weldpoint/regionleader/ChiefCore.java
+++ b/regionleader/src/main/java/weldpoint/regionleader/LeaderElection.java
@@ -11,12 +11,12 @@
 import weldpoint.transport.Message;
 import weldpoint.transport.Protocol;
 import weldpoint.transport.RegionMessages;
-import weldpoint.transport.RegionMessages.Backed;
 import weldpoint.transport.RegionMessages.Elector;
 import weldpoint.transport.RegionMessages.Electorate;
-import weldpoint.transport.RegionMessages.Heeded;
-import weldpoint.transport.RegionMessages.Order;
-import weldpoint.transport.RegionMessages.Stand;
+import weldpoint.transport.RegionMessages.LeaderDirective;
+import weldpoint.transport.RegionMessages.LeaderDirectiveAck;
+import weldpoint.transport.RegionMessages.LeaderVoteRequest;
+import weldpoint.transport.RegionMessages.LeaderVoteResponse;
 
 /**
  * A switchboard's part in choosing and heeding its region's chief while the core is silent. A
@@ -24,15 +24,16 @@
  * it names, elects; the chief acts only while a majority still heeds it. No write depends on there
  * being one chief only. It knows neither threads nor clocks nor sockets.
  */
-public final class ChiefCore {
+public final class LeaderElection {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
   private static final long ELECTION_MILLIS = 800;
 
   /** How long to wait and to hold. */
-  public record Terms(boolean on, long waitMillis, long tenureMillis, long pulseMillis) {}
+  public record ElectionTimeouts(
+      boolean on, long waitMillis, long tenureMillis, long pulseMillis) {}
 
   /** What the core does to the world. */
-  public interface Outlet {
+  public interface Environment {
     /** Makes these the switchboards that lines are kept to; none while the core answers. */
     void peers(List<String> addresses);
 
@@ -40,23 +41,23 @@
     boolean send(String address, Message message);
 
     /** What this switchboard has seen since it was last asked. */
-    RegionMessages.Sight sight();
+    RegionMessages.ProxyObservations sight();
 
     /** The orders in force have changed; null where there are none. */
-    void ordered(Order order);
+    void ordered(LeaderDirective order);
   }
 
   private final String self;
   private final long incarnation;
   private final String region;
-  private final Terms terms;
+  private final ElectionTimeouts terms;
   private final Random random;
-  private final Outlet outlet;
-  private final Map<String, Heeded> heeded = new HashMap<>();
+  private final Environment outlet;
+  private final Map<String, LeaderDirectiveAck> heeded = new HashMap<>();
   private final Map<String, Long> heardOf = new HashMap<>();
   private final Set<String> backers = new HashSet<>();
   private Electorate electorate;
-  private Phase phase = Phase.CORE;
+  private LeaderPhase phase = LeaderPhase.CORE;
   private long coreAt;
   private long standAt;
   private long term;
@@ -71,19 +72,19 @@
   private long heedUntil;
   private long pulsedAt;
   private long electedAt;
-  private Order order;
+  private LeaderDirective order;
   private long refused;
   private long elections;
 
   /** A part that has just heard the core. */
-  public ChiefCore(
+  public LeaderElection(
       final String self,
       final long incarnation,
       final String region,
-      final Terms terms,
+      final ElectionTimeouts terms,
       final Random random,
       final long now,
-      final Outlet outlet) {
+      final Environment outlet) {
     this.self = self;
     this.incarnation = incarnation;
     this.region = region;
@@ -110,8 +111,8 @@
    */
   public void core(final long confirmedAt, final long now) {
     coreAt = Math.max(coreAt, confirmedAt);
-    if (phase != Phase.CORE && now - coreAt < terms.waitMillis) {
-      enter(Phase.CORE, null, now);
+    if (phase != LeaderPhase.CORE && now - coreAt < terms.waitMillis) {
+      enter(LeaderPhase.CORE, null, now);
     }
   }
 
@@ -144,7 +145,7 @@
     return list;
   }
 
-  private void enter(final Phase next, final String who, final long now) {
+  private void enter(final LeaderPhase next, final String who, final long now) {
     if (next == phase && java.util.Objects.equals(who, chief)) {
       return;
     }
@@ -164,14 +165,14 @@
       order = null;
       outlet.ordered(null);
     }
-    if (next != Phase.ACTING && next != Phase.STANDING) {
+    if (next != LeaderPhase.ACTING && next != LeaderPhase.STANDING) {
       outlet.peers(List.of());
     }
-    if (next != Phase.ACTING) {
+    if (next != LeaderPhase.ACTING) {
       heeded.clear();
       heardOf.clear();
     }
-    if (next == Phase.ALONE || next == Phase.CORE) {
+    if (next == LeaderPhase.ALONE || next == LeaderPhase.CORE) {
       standAt = Math.max(now, backedUntil) + spread();
     }
   }
@@ -188,7 +189,7 @@
     switch (phase) {
       case CORE -> {
         if (now - coreAt >= terms.waitMillis) {
-          enter(Phase.ALONE, null, now);
+          enter(LeaderPhase.ALONE, null, now);
         }
       }
       case ALONE -> {
@@ -198,17 +199,17 @@
       }
       case STANDING -> {
         if (now - electedAt > ELECTION_MILLIS) {
-          enter(Phase.ALONE, null, now);
+          enter(LeaderPhase.ALONE, null, now);
         }
       }
       case FOLLOWING -> {
         if (now >= heedUntil) {
-          enter(Phase.ALONE, null, now);
+          enter(LeaderPhase.ALONE, null, now);
         }
       }
       case ACTING -> {
         if (now - heardMajorityAt(now) > terms.tenureMillis) {
-          enter(Phase.ALONE, null, now);
+          enter(LeaderPhase.ALONE, null, now);
         } else if (now - pulsedAt >= terms.pulseMillis) {
           pulse(now);
         }
@@ -226,20 +227,20 @@
     electedAt = now;
     backers.clear();
     backers.add(self);
-    enter(Phase.STANDING, null, now);
+    enter(LeaderPhase.STANDING, null, now);
     outlet.peers(others());
     for (final String other : others()) {
-      outlet.send(other, new Stand(region, electorate.mark, term, self, incarnation));
+      outlet.send(other, new LeaderVoteRequest(region, electorate.mark, term, self, incarnation));
     }
     elected(now);
   }
 
   private void elected(final long now) {
-    if (phase == Phase.STANDING && backers.size() >= majority()) {
+    if (phase == LeaderPhase.STANDING && backers.size() >= majority()) {
       chiefTerm = term;
       chiefMark = electorate.mark;
       orderNumber = 0;
-      enter(Phase.ACTING, self, now);
+      enter(LeaderPhase.ACTING, self, now);
       for (final String one : backers) {
         heardOf.put(one, electedAt);
       }
@@ -258,8 +259,8 @@
 
   private void pulse(final long now) {
     pulsedAt = now;
-    final RegionMessages.Sight own = outlet.sight();
-    final List<RegionMessages.Sight> sights = new ArrayList<>();
+    final RegionMessages.ProxyObservations own = outlet.sight();
+    final List<RegionMessages.ProxyObservations> sights = new ArrayList<>();
     final List<String> addresses = new ArrayList<>();
     sights.add(own);
     addresses.add(self);
@@ -271,11 +272,11 @@
             addresses.add(address);
           }
         });
-    final Duties duties =
-        Duties.of(
+    final RegionAssessment duties =
+        RegionAssessment.of(
             sights, addresses, Protocol.list(electorate.electors).size(), electorate.regionPart);
     order =
-        new Order(
+        new LeaderDirective(
             region,
             chiefMark,
             chiefTerm,
@@ -296,20 +297,20 @@
 
   /** There is a line to another switchboard: it hears what the others have heard before. */
   public void opened(final String address) {
-    if (phase == Phase.STANDING) {
-      outlet.send(address, new Stand(region, electorate.mark, term, self, incarnation));
-    } else if (phase == Phase.ACTING && order != null) {
+    if (phase == LeaderPhase.STANDING) {
+      outlet.send(address, new LeaderVoteRequest(region, electorate.mark, term, self, incarnation));
+    } else if (phase == LeaderPhase.ACTING && order != null) {
       outlet.send(address, order);
     }
   }
 
   /** Another switchboard has said something. */
   public void receive(final String from, final long life, final Message message, final long now) {
-    if (message instanceof Stand) {
-      onStand(from, life, (Stand) message, now);
-    } else if (message instanceof Backed) {
-      final Backed backed = (Backed) message;
-      if (phase == Phase.STANDING
+    if (message instanceof LeaderVoteRequest) {
+      onStand(from, life, (LeaderVoteRequest) message, now);
+    } else if (message instanceof LeaderVoteResponse) {
+      final LeaderVoteResponse backed = (LeaderVoteResponse) message;
+      if (phase == LeaderPhase.STANDING
           && backed.term == term
           && backed.mark == electorate.mark
           && backed.yes
@@ -319,11 +320,11 @@
       } else if (backed.term > term) {
         term = backed.term;
       }
-    } else if (message instanceof Order) {
-      onOrder(from, life, (Order) message, now);
-    } else if (message instanceof Heeded) {
-      final Heeded one = (Heeded) message;
-      if (phase == Phase.ACTING && one.term == chiefTerm && one.mark == chiefMark) {
+    } else if (message instanceof LeaderDirective) {
+      onOrder(from, life, (LeaderDirective) message, now);
+    } else if (message instanceof LeaderDirectiveAck) {
+      final LeaderDirectiveAck one = (LeaderDirectiveAck) message;
+      if (phase == LeaderPhase.ACTING && one.term == chiefTerm && one.mark == chiefMark) {
         heeded.put(from, one);
         if (elector(from, life)) {
           heardOf.merge(from, one.askedAt, Math::max);
@@ -334,9 +335,11 @@
     }
   }
 
-  private void onStand(final String from, final long life, final Stand stand, final long now) {
-    final boolean core = phase == Phase.CORE;
-    final boolean held = phase == Phase.ACTING || phase == Phase.FOLLOWING && now < heedUntil;
+  private void onStand(
+      final String from, final long life, final LeaderVoteRequest stand, final long now) {
+    final boolean core = phase == LeaderPhase.CORE;
+    final boolean held =
+        phase == LeaderPhase.ACTING || phase == LeaderPhase.FOLLOWING && now < heedUntil;
     final boolean same =
         electorate != null && stand.mark == electorate.mark && region.equals(stand.region);
     final boolean free =
@@ -356,18 +359,20 @@
       backedFor = from;
       backedUntil = now + terms.tenureMillis;
       term = Math.max(term, stand.term);
-      if (phase == Phase.STANDING) {
-        enter(Phase.ALONE, null, now);
+      if (phase == LeaderPhase.STANDING) {
+        enter(LeaderPhase.ALONE, null, now);
       }
       standAt = now + terms.tenureMillis + spread();
     } else if (!same || !elector(from, life)) {
       refused++;
     }
     outlet.send(
-        from, new Backed(region, electorate == null ? 0 : electorate.mark, stand.term, yes));
+        from,
+        new LeaderVoteResponse(region, electorate == null ? 0 : electorate.mark, stand.term, yes));
   }
 
-  private void onOrder(final String from, final long life, final Order given, final long now) {
+  private void onOrder(
+      final String from, final long life, final LeaderDirective given, final long now) {
     final boolean sound =
         terms.on
             && region.equals(given.region)
@@ -382,7 +387,7 @@
                 && (given.term > chiefTerm
                     || given.term == chiefTerm && from.equals(chief) && given.number > orderNumber)
             || !phase.ordered() && given.mark == chiefMark && given.term >= chiefTerm;
-    if (phase == Phase.CORE || !known || !later) {
+    if (phase == LeaderPhase.CORE || !known || !later) {
       refused++;
       return;
     }
@@ -391,15 +396,17 @@
     orderNumber = given.number;
     term = Math.max(term, given.term);
     heedUntil = now + terms.tenureMillis;
-    enter(Phase.FOLLOWING, from, now);
+    enter(LeaderPhase.FOLLOWING, from, now);
     order = given;
     outlet.ordered(given);
     outlet.send(
-        from, new Heeded(given.mark, given.term, given.number, given.askedAt, outlet.sight()));
+        from,
+        new LeaderDirectiveAck(
+            given.mark, given.term, given.number, given.askedAt, outlet.sight()));
   }
 
   /** How this switchboard stands. */
-  public Phase phase() {
+  public LeaderPhase phase() {
     return phase;
   }
 
@@ -409,7 +416,7 @@
   }
 
   /** The orders in force; null where there are none. */
-  public Order order() {
+  public LeaderDirective order() {
     return order;
   }
 
--- a/regionleader/src/main/java/weldpoint/regionleader/Phase.java
+++ b/regionleader/src/main/java/weldpoint/regionleader/LeaderPhase.java
@@ -1,7 +1,7 @@
 package weldpoint.regionleader;
 
 /** How a switchboard stands toward the chief of its region. */
-public enum Phase {
+public enum LeaderPhase {
   /** The core is heard; there is no chief and none is wanted. */
   CORE,
   /** The core is silent; the wait before an election runs, or an election found no majority. */
--- a/regionleader/src/main/java/weldpoint/regionleader/Duties.java
+++ b/regionleader/src/main/java/weldpoint/regionleader/RegionAssessment.java
@@ -6,14 +6,14 @@
 import java.util.Map;
 import weldpoint.transport.Protocol;
 import weldpoint.transport.RegionMessages;
-import weldpoint.transport.RegionMessages.Sight;
+import weldpoint.transport.RegionMessages.ProxyObservations;
 
 /**
  * What a chief makes of what its region's switchboards see: one admission for what may be repeated,
  * each one's part of what the region held, the upstreams that several find silent, and the writes
  * whose fate is unknown.
  */
-public record Duties(
+public record RegionAssessment(
     double admission,
     List<String> addresses,
     List<Double> parts,
@@ -26,8 +26,8 @@
    * Merges sights; regionPart is the region's part of the whole system's budgets when the core was
    * last heard.
    */
-  public static Duties of(
-      final List<Sight> sights,
+  public static RegionAssessment of(
+      final List<ProxyObservations> sights,
       final List<String> addresses,
       final int electors,
       final double regionPart) {
@@ -37,7 +37,7 @@
     long refusedWrites = 0;
     final Map<String, Integer> silent = new HashMap<>();
     final List<String> uncertain = new ArrayList<>();
-    for (final Sight sight : sights) {
+    for (final ProxyObservations sight : sights) {
       demand += sight.repeatables + sight.writes;
       writes += sight.writes;
       refusedWrites += sight.refusedWrites;
@@ -63,7 +63,7 @@
     final double admission = refusedWrites == 0 ? 1 : Math.max(0, Math.min(1, left / repeatables));
     final List<Double> parts = new ArrayList<>();
     double sum = 0;
-    for (final Sight sight : sights) {
+    for (final ProxyObservations sight : sights) {
       final double one = 1 + sight.repeatables + sight.writes;
       parts.add(one);
       sum += one;
@@ -73,11 +73,11 @@
     for (int index = 0; index < parts.size(); index++) {
       parts.set(index, reachable * parts.get(index) / sum);
     }
-    return new Duties(admission, addresses, parts, suspects, uncertain);
+    return new RegionAssessment(admission, addresses, parts, suspects, uncertain);
   }
 
   /** One switchboard's part under an order; 0 where the order gives it none. */
-  public static double part(final RegionMessages.Order order, final String address) {
+  public static double part(final RegionMessages.LeaderDirective order, final String address) {
     final int index = Protocol.list(order.addresses).indexOf(address);
     return index < 0 ? 0 : order.parts.get(index);
   }
--- a/regionleader/src/main/java/weldpoint/regionleader/OnceOnly.java
+++ b/regionleader/src/main/java/weldpoint/regionleader/UncertainWrites.java
@@ -12,7 +12,7 @@
  * The writes that one switchboard has sent on and whose fate it does not know, and those that its
  * chief tells of: none of them is sent again. It also says, by kind, what an order lets in.
  */
-public final class OnceOnly {
+public final class UncertainWrites {
   private static final int MOST = 20_000;
 
   private final LinkedHashMap<String, Long> uncertain = new LinkedHashMap<>();
--- a/regionleader/src/test/java/weldpoint/regionleader/ChiefTest.java
+++ b/regionleader/src/test/java/weldpoint/regionleader/LeaderElectionTest.java
@@ -9,17 +9,17 @@
 import java.util.List;
 import org.testng.annotations.Test;
 import weldpoint.transport.RegionMessages;
-import weldpoint.transport.RegionMessages.Order;
-import weldpoint.transport.RegionMessages.Stand;
+import weldpoint.transport.RegionMessages.LeaderDirective;
+import weldpoint.transport.RegionMessages.LeaderVoteRequest;
 
-public class ChiefTest {
-  private static Region region(final long seed, final int size) {
-    return new Region(seed, size, id -> false);
+public class LeaderElectionTest {
+  private static SimulatedRegion region(final long seed, final int size) {
+    return new SimulatedRegion(seed, size, id -> false);
   }
 
   @Test
   public void nobodySaysAnythingWhileTheCoreAnswers() {
-    final Region region = region(1, 7);
+    final SimulatedRegion region = region(1, 7);
     region.run(60_000);
     assertEquals(region.messages, 0);
     assertTrue(region.acting().isEmpty());
@@ -28,7 +28,7 @@
   @Test
   public void aMajorityElectsOneAndTheCoreEndsIt() {
     for (long seed = 0; seed < 60; seed++) {
-      final Region region = region(seed, 3 + (int) (seed % 9));
+      final SimulatedRegion region = region(seed, 3 + (int) (seed % 9));
       region.run(2000);
       region.coreUp = false;
       region.run(12_000);
@@ -45,7 +45,7 @@
 
   @Test
   public void aMinorityHasNoChiefAndARestartedSwitchboardNoVote() {
-    final Region region = region(5, 6);
+    final SimulatedRegion region = region(5, 6);
     region.run(1000);
     region.coreUp = false;
     region.cut = pair -> low(pair[0]) != low(pair[1]);
@@ -54,10 +54,10 @@
     region.cut = pair -> false;
     region.run(15_000);
     assertEquals(region.acting().size(), 1);
-    final Region other = region(6, 5);
+    final SimulatedRegion other = region(6, 5);
     other.run(1000);
     other.coreUp = false;
-    final List<Region.Board> all = new ArrayList<>(other.boards.values());
+    final List<SimulatedRegion.Proxy> all = new ArrayList<>(other.boards.values());
     for (int index = 0; index < 3; index++) {
       all.get(index).boot();
     }
@@ -72,16 +72,16 @@
   @Test
   public void aChiefThatFreezesIsFollowedByAnotherAndFencedWhenItWakes() {
     for (long seed = 0; seed < 40; seed++) {
-      final Region region = region(seed, 7);
+      final SimulatedRegion region = region(seed, 7);
       region.run(1000);
       region.coreUp = false;
       region.run(12_000);
-      final Region.Board first = region.acting().get(0);
+      final SimulatedRegion.Proxy first = region.acting().get(0);
       final long[] fence = first.core.fence();
       first.frozen = true;
       region.run(15_000);
       assertEquals(region.acting().size(), 1, "seed " + seed);
-      final Region.Board second = region.acting().get(0);
+      final SimulatedRegion.Proxy second = region.acting().get(0);
       assertNotEquals(second.address, first.address);
       assertTrue(second.core.fence()[1] > fence[1]);
       first.frozen = false;
@@ -93,40 +93,40 @@
 
   @Test
   public void staleForeignAndUnknownOrdersAreRefusedAndCounted() {
-    final Region region = region(3, 5);
+    final SimulatedRegion region = region(3, 5);
     region.run(1000);
     region.coreUp = false;
     region.run(12_000);
-    final Region.Board chief = region.acting().get(0);
-    Region.Board found = null;
-    for (final Region.Board board : region.boards.values()) {
+    final SimulatedRegion.Proxy chief = region.acting().get(0);
+    SimulatedRegion.Proxy found = null;
+    for (final SimulatedRegion.Proxy board : region.boards.values()) {
       found = board == chief ? found : board;
     }
-    final Region.Board follower = found;
+    final SimulatedRegion.Proxy follower = found;
     final long term = chief.core.fence()[1];
-    final Order held = follower.core.order();
+    final LeaderDirective held = follower.core.order();
     final long before = follower.core.refused();
     follower.core.receive(
         chief.address,
         chief.life,
-        new Order(
+        new LeaderDirective(
             "south", 1, term + 1, chief.address, chief.life, 99, 0, 0, null, null, null, null),
         region.now);
     follower.core.receive(
         chief.address,
         chief.life,
-        new Order(
+        new LeaderDirective(
             "north", 0, term + 1, chief.address, chief.life, 99, 0, 0, null, null, null, null),
         region.now);
     follower.core.receive(
         "10.0.0.99",
         7,
-        new Order("north", 1, term + 1, "10.0.0.99", 7, 99, 0, 0, null, null, null, null),
+        new LeaderDirective("north", 1, term + 1, "10.0.0.99", 7, 99, 0, 0, null, null, null, null),
         region.now);
     follower.core.receive(
         chief.address,
         chief.life + 1000,
-        new Order(
+        new LeaderDirective(
             "north",
             1,
             term + 1,
@@ -143,12 +143,13 @@
     follower.core.receive(
         chief.address,
         chief.life,
-        new Order("north", 1, term, chief.address, chief.life, 1, 0, 0, null, null, null, null),
+        new LeaderDirective(
+            "north", 1, term, chief.address, chief.life, 1, 0, 0, null, null, null, null),
         region.now);
     assertEquals(follower.core.order(), held, "nothing of that is taken");
     assertEquals(follower.core.refused() - before, 5);
     follower.core.receive(
-        "10.0.0.99", 7, new Stand("north", 1, term + 9, "10.0.0.99", 7), region.now);
+        "10.0.0.99", 7, new LeaderVoteRequest("north", 1, term + 9, "10.0.0.99", 7), region.now);
     assertEquals(follower.core.chief(), chief.address);
   }
 
@@ -156,8 +157,9 @@
    * A busy morning with the core cut off: chiefs killed, the region split, restarts, answers lost,
    * more asked than fits.
    */
-  private static Region morning(final long seed, final boolean broken, final boolean twoChiefs) {
-    final Region region = new Region(seed, 9, id -> broken);
+  private static SimulatedRegion morning(
+      final long seed, final boolean broken, final boolean twoChiefs) {
+    final SimulatedRegion region = new SimulatedRegion(seed, 9, id -> broken);
     region.capacity = 60;
     region.lostAnswers = 0.03;
     region.run(1000);
@@ -180,7 +182,7 @@
       region.cut = pair -> low(pair[0]) != low(pair[1]);
       region.elect(2 + seed);
     }
-    for (final Region.Board chief : region.acting()) {
+    for (final SimulatedRegion.Proxy chief : region.acting()) {
       chief.up = false;
       region.after(4000, chief::boot);
     }
@@ -197,7 +199,7 @@
   @Test
   public void everyWriteOfABusyMorningWithoutTheCoreArrivesAtMostOnce() {
     for (long seed = 0; seed < 25; seed++) {
-      final Region region = morning(seed, false, false);
+      final SimulatedRegion region = morning(seed, false, false);
       assertFalse(region.chiefs.isEmpty(), "seed " + seed + ": a chief acted");
       assertTrue(region.breaches.isEmpty(), "seed " + seed + region.breaches);
       int writes = 0;
@@ -233,18 +235,19 @@
 
   @Test
   public void dutiesLetWritesGoFirstAndNeverDivideMoreThanTheRegionHeld() {
-    final RegionMessages.Sight crowded =
-        new RegionMessages.Sight(900, 40, 5, 300, List.of("u1"), List.of("w1"));
-    final RegionMessages.Sight calm =
-        new RegionMessages.Sight(100, 10, 0, 100, List.of("u1", "u2"), null);
-    final Duties duties = Duties.of(List.of(crowded, calm), List.of("a", "b"), 3, 0.6);
+    final RegionMessages.ProxyObservations crowded =
+        new RegionMessages.ProxyObservations(900, 40, 5, 300, List.of("u1"), List.of("w1"));
+    final RegionMessages.ProxyObservations calm =
+        new RegionMessages.ProxyObservations(100, 10, 0, 100, List.of("u1", "u2"), null);
+    final RegionAssessment duties =
+        RegionAssessment.of(List.of(crowded, calm), List.of("a", "b"), 3, 0.6);
     assertEquals(duties.admission(), (0.9 * 400 - 50) / 1000, 1e-9);
     assertEquals(duties.suspects(), List.of("u1"));
     assertEquals(duties.uncertain(), List.of("w1"));
     assertEquals(duties.parts().stream().mapToDouble(part -> part).sum(), 0.6 * 2 / 3, 1e-9);
     assertTrue(duties.parts().get(0) > 5 * duties.parts().get(1));
     assertEquals(
-        Duties.of(List.of(calm), List.of("b"), 3, 0.6).admission(),
+        RegionAssessment.of(List.of(calm), List.of("b"), 3, 0.6).admission(),
         1.0,
         "nothing is held back while no write is refused");
   }
--- a/regionleader/src/test/java/weldpoint/regionleader/Region.java
+++ b/regionleader/src/test/java/weldpoint/regionleader/SimulatedRegion.java
@@ -15,24 +15,25 @@
 import weldpoint.transport.RegionMessages;
 import weldpoint.transport.RegionMessages.Elector;
 import weldpoint.transport.RegionMessages.Electorate;
-import weldpoint.transport.RegionMessages.Order;
+import weldpoint.transport.RegionMessages.LeaderDirective;
 
 /**
  * The switchboards of one region on a fake clock and a fake network, with clients, and upstreams
  * that count what they run.
  */
-final class Region {
-  static final ChiefCore.Terms TERMS = new ChiefCore.Terms(true, 3000, 2500, 500);
+final class SimulatedRegion {
+  static final LeaderElection.ElectionTimeouts TERMS =
+      new LeaderElection.ElectionTimeouts(true, 3000, 2500, 500);
 
   private record Event(long at, long order, Runnable deed) {}
 
   /** One switchboard of the moment. */
-  final class Board {
+  final class Proxy {
     final String address;
     long life;
-    ChiefCore core;
-    OnceOnly once = new OnceOnly();
-    Order order;
+    LeaderElection core;
+    UncertainWrites once = new UncertainWrites();
+    LeaderDirective order;
     boolean up = true;
     boolean frozen;
     int inFlight;
@@ -42,7 +43,7 @@
     long carried;
     final Set<String> kept = new HashSet<>();
 
-    Board(final String address) {
+    Proxy(final String address) {
       this.address = address;
       boot();
     }
@@ -50,18 +51,18 @@
     void boot() {
       life = ++lives;
       order = null;
-      once = new OnceOnly();
+      once = new UncertainWrites();
       inFlight = 0;
       up = true;
       core =
-          new ChiefCore(
+          new LeaderElection(
               address,
               life,
               "north",
               TERMS,
               new Random(random.nextLong()),
               now,
-              new ChiefCore.Outlet() {
+              new LeaderElection.Environment() {
                 @Override
                 public void peers(final List<String> addresses) {
                   kept.clear();
@@ -70,14 +71,14 @@
 
                 @Override
                 public boolean send(final String to, final Message message) {
-                  post(Board.this, to, message);
+                  post(Proxy.this, to, message);
                   return true;
                 }
 
                 @Override
-                public RegionMessages.Sight sight() {
-                  final RegionMessages.Sight sight =
-                      new RegionMessages.Sight(
+                public RegionMessages.ProxyObservations sight() {
+                  final RegionMessages.ProxyObservations sight =
+                      new RegionMessages.ProxyObservations(
                           repeatables,
                           writes,
                           refusedWrites,
@@ -92,7 +93,7 @@
                 }
 
                 @Override
-                public void ordered(final Order given) {
+                public void ordered(final LeaderDirective given) {
                   order = given;
                   once.elsewhere(given == null ? List.of() : Protocol.list(given.uncertain));
                 }
@@ -101,7 +102,7 @@
   }
 
   final Random random;
-  final Map<String, Board> boards = new LinkedHashMap<>();
+  final Map<String, Proxy> boards = new LinkedHashMap<>();
   final Map<String, Integer> runs = new HashMap<>();
   final Map<String, Integer> confirmed = new HashMap<>();
   final List<String> breaches = new ArrayList<>();
@@ -124,12 +125,12 @@
   private long order;
   private long lives;
 
-  Region(final long seed, final int size, final Predicate<String> onceBroken) {
+  SimulatedRegion(final long seed, final int size, final Predicate<String> onceBroken) {
     this.random = new Random(seed);
     this.onceBroken = onceBroken;
     for (int index = 0; index < size; index++) {
       final String address = "10.0.0." + (index + 1);
-      boards.put(address, new Board(address));
+      boards.put(address, new Proxy(address));
     }
     elect(1);
   }
@@ -146,7 +147,7 @@
     events.add(new Event(now + millis, order++, deed));
   }
 
-  private void post(final Board from, final String to, final Message message) {
+  private void post(final Proxy from, final String to, final Message message) {
     messages++;
     final long life = from.life;
     final long delay = 1 + random.nextInt(12);
@@ -165,7 +166,7 @@
     after(
         delay,
         () -> {
-          final Board board = boards.get(to);
+          final Proxy board = boards.get(to);
           if (board != null && board.up && !cut.test(new String[] {from, to})) {
             if (board.frozen) {
               deliver(from, life, to, message, 50);
@@ -189,7 +190,7 @@
         event.deed.run();
       }
       now = next;
-      for (final Board board : boards.values()) {
+      for (final Proxy board : boards.values()) {
         if (board.up && !board.frozen) {
           if (coreUp) {
             board.core.core(now, now);
@@ -204,8 +205,8 @@
   private final Map<String, String> chiefOf = new HashMap<>();
 
   private void look() {
-    for (final Board board : boards.values()) {
-      if (board.up && board.core.phase() == Phase.ACTING) {
+    for (final Proxy board : boards.values()) {
+      if (board.up && board.core.phase() == LeaderPhase.ACTING) {
         final String fence = board.core.fence()[0] + "/" + board.core.fence()[1];
         final String before = chiefOf.putIfAbsent(fence, board.address + "#" + board.life);
         if (before != null && !before.equals(board.address + "#" + board.life)) {
@@ -220,8 +221,8 @@
 
   /** A client makes a request at a board; it tries again elsewhere only what surely has not run. */
   void request(final String name, final boolean write, final int tries) {
-    final List<Board> all = new ArrayList<>(boards.values());
-    final Board board = all.get(random.nextInt(all.size()));
+    final List<Proxy> all = new ArrayList<>(boards.values());
+    final Proxy board = all.get(random.nextInt(all.size()));
     if (!board.up || board.frozen) {
       if (tries > 1) {
         after(30 + random.nextInt(50), () -> request(name, write, tries - 1));
@@ -249,7 +250,7 @@
   }
 
   private void send(
-      final Board board,
+      final Proxy board,
       final long life,
       final String name,
       final String id,
@@ -283,10 +284,10 @@
         });
   }
 
-  List<Board> acting() {
-    final List<Board> list = new ArrayList<>();
-    for (final Board board : boards.values()) {
-      if (board.up && !board.frozen && board.core.phase() == Phase.ACTING) {
+  List<Proxy> acting() {
+    final List<Proxy> list = new ArrayList<>();
+    for (final Proxy board : boards.values()) {
+      if (board.up && !board.frozen && board.core.phase() == LeaderPhase.ACTING) {
         list.add(board);
       }
     }
--- a/registry/src/main/java/weldpoint/registry/InForce.java
+++ b/registry/src/main/java/weldpoint/registry/AppliedState.java
@@ -4,5 +4,5 @@
  * What one daemon has in force: the configuration, the mark of evacuations and trials, for how long
  * it had them, and how long ago it told, in milliseconds.
  */
-public record InForce(
+public record AppliedState(
     String address, String program, long version, long mark, long heldMillis, long ageMillis) {}
--- a/registry/src/main/java/weldpoint/registry/InForceTable.java
+++ b/registry/src/main/java/weldpoint/registry/AppliedStateTable.java
@@ -6,19 +6,19 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import weldpoint.transport.RegistryMessages.Board;
+import weldpoint.transport.RegistryMessages.DaemonEntry;
 
 /** What the daemons that this registry knows of have in force, as each told last. */
-final class InForceTable {
+final class AppliedStateTable {
   /** The program name under which registries are listed. */
   static final String REGISTRY = "exchange";
 
   private static final String PROXY = "switchboard";
   private static final String CACHE = "announcer";
 
-  private record Told(long version, long mark, long heldMillis, long at) {}
+  private record Report(long version, long mark, long heldMillis, long at) {}
 
-  private final Map<String, Told> registries = new HashMap<>();
+  private final Map<String, Report> registries = new HashMap<>();
 
   /** Another registry told what it has in force. */
   void told(
@@ -27,27 +27,27 @@
       final long mark,
       final long heldMillis,
       final long now) {
-    registries.put(address, new Told(version, mark, heldMillis, now));
+    registries.put(address, new Report(version, mark, heldMillis, now));
   }
 
   /** This registry's own, then other members, then proxies and caches that are not leaving. */
-  List<InForce> all(
-      final InForce own,
+  List<AppliedState> all(
+      final AppliedState own,
       final Set<String> members,
-      final Collection<Switchboards.Entry> proxies,
+      final Collection<DaemonTable.Entry> proxies,
       final long now) {
-    final List<InForce> list = new ArrayList<>();
+    final List<AppliedState> list = new ArrayList<>();
     list.add(own);
     for (final String member : members) {
       if (!member.equals(own.address())) {
         list.add(registry(member, now));
       }
     }
-    for (final Switchboards.Entry entry : proxies) {
-      final Board board = entry.board;
+    for (final DaemonTable.Entry entry : proxies) {
+      final DaemonEntry board = entry.board;
       if (!board.leaving) {
         list.add(
-            new InForce(
+            new AppliedState(
                 board.address,
                 board.announcer ? CACHE : PROXY,
                 board.version,
@@ -59,10 +59,11 @@
     return list;
   }
 
-  private InForce registry(final String address, final long now) {
-    final Told told = registries.get(address);
+  private AppliedState registry(final String address, final long now) {
+    final Report told = registries.get(address);
     return told == null
-        ? new InForce(address, REGISTRY, 0, 0, 0, Long.MAX_VALUE)
-        : new InForce(address, REGISTRY, told.version, told.mark, told.heldMillis, now - told.at);
+        ? new AppliedState(address, REGISTRY, 0, 0, 0, Long.MAX_VALUE)
+        : new AppliedState(
+            address, REGISTRY, told.version, told.mark, told.heldMillis, now - told.at);
   }
 }
--- a/registry/src/main/java/weldpoint/registry/AssignerOutlet.java
+++ b/registry/src/main/java/weldpoint/registry/AssignerEnvironment.java
@@ -4,20 +4,21 @@
 import java.util.function.LongSupplier;
 import weldpoint.ownership.Assigner;
 import weldpoint.ownership.CallResult;
-import weldpoint.statestore.Deed;
+import weldpoint.statestore.StoreOperation;
 import weldpoint.transport.OwnershipMessages.Assignment;
 import weldpoint.transport.OwnershipMessages.KeyRange;
-import weldpoint.transport.Wire;
+import weldpoint.transport.Serializer;
 
 /** What an assigner does, done: writes to the state store and calls of upstreams. */
-final class AssignerOutlet implements Assigner.Outlet {
+final class AssignerEnvironment implements Assigner.Environment {
   private static final long WRITE_MILLIS = 900;
 
-  private final StoreCaller store;
-  private final UpstreamCalls upstreams;
+  private final StoreClient store;
+  private final KeyGrantClient upstreams;
   private final LongSupplier clock;
 
-  AssignerOutlet(final StoreCaller store, final UpstreamCalls upstreams, final LongSupplier clock) {
+  AssignerEnvironment(
+      final StoreClient store, final KeyGrantClient upstreams, final LongSupplier clock) {
     this.store = store;
     this.upstreams = upstreams;
     this.clock = clock;
@@ -32,12 +33,12 @@
   public void write(final Assignment next, final Runnable done) {
     store
         .call(
-            Deed.OWNERSHIP_WRITE,
+            StoreOperation.OWNERSHIP_WRITE,
             next.service,
             null,
             0,
             0,
-            Wire.bytes(next),
+            Serializer.bytes(next),
             null,
             clock.getAsLong(),
             WRITE_MILLIS)
--- a/registry/src/main/java/weldpoint/registry/Calls.java
+++ b/registry/src/main/java/weldpoint/registry/ControlApi.java
@@ -6,36 +6,37 @@
 import java.util.List;
 
 /** The bodies of calls to the system's own interfaces, and of its answers. */
-public final class Calls {
+public final class ControlApi {
   private static final Jsonb JSON = Jsonb.builder().build();
-  static final JsonType<Beat> BEAT = JSON.type(Beat.class);
-  static final JsonType<Grip> GRIP = JSON.type(Grip.class);
+  static final JsonType<UpstreamHeartbeat> BEAT = JSON.type(UpstreamHeartbeat.class);
+  static final JsonType<LockRequest> GRIP = JSON.type(LockRequest.class);
   static final JsonType<CellPut> CELL_PUT = JSON.type(CellPut.class);
-  static final JsonType<BeatAnswer> BEAT_ANSWER = JSON.type(BeatAnswer.class);
+  static final JsonType<UpstreamHeartbeatResponse> BEAT_ANSWER =
+      JSON.type(UpstreamHeartbeatResponse.class);
   static final JsonType<Resolution> RESOLUTION = JSON.type(Resolution.class);
-  static final JsonType<Fence> FENCE = JSON.type(Fence.class);
-  static final JsonType<NumberAnswer> NUMBER = JSON.type(NumberAnswer.class);
+  static final JsonType<FencingToken> FENCE = JSON.type(FencingToken.class);
+  static final JsonType<NumberResponse> NUMBER = JSON.type(NumberResponse.class);
   static final JsonType<Revision> REVISION = JSON.type(Revision.class);
-  static final JsonType<CellAnswer> CELL = JSON.type(CellAnswer.class);
-  static final JsonType<WatchAnswer> WATCH = JSON.type(WatchAnswer.class);
+  static final JsonType<CellResponse> CELL = JSON.type(CellResponse.class);
+  static final JsonType<WatchResponse> WATCH = JSON.type(WatchResponse.class);
   static final JsonType<Problem> PROBLEM = JSON.type(Problem.class);
 
   static final JsonType<State> STATE = JSON.type(State.class);
-  static final JsonType<PurgeOrder> PURGE = JSON.type(PurgeOrder.class);
-  static final JsonType<TrialOrder> TRIAL_ORDER = JSON.type(TrialOrder.class);
+  static final JsonType<PurgeRequest> PURGE = JSON.type(PurgeRequest.class);
+  static final JsonType<TrialRequest> TRIAL_ORDER = JSON.type(TrialRequest.class);
   static final JsonType<TrialStatus> TRIAL_STATUS = JSON.type(TrialStatus.class);
 
   static final JsonType<HistoryQuery> HISTORY_QUERY = JSON.type(HistoryQuery.class);
-  static final JsonType<HistoryAnswer> HISTORY = JSON.type(HistoryAnswer.class);
-  static final JsonType<ReachAnswer> REACH = JSON.type(ReachAnswer.class);
+  static final JsonType<HistoryResponse> HISTORY = JSON.type(HistoryResponse.class);
+  static final JsonType<ReachResponse> REACH = JSON.type(ReachResponse.class);
 
-  static final JsonType<StatusAnswer> STATUS = JSON.type(StatusAnswer.class);
+  static final JsonType<StatusResponse> STATUS = JSON.type(StatusResponse.class);
 
   static final JsonType<Grant> GRANT = JSON.type(Grant.class);
 
   static final JsonType<Release> RELEASE = JSON.type(Release.class);
 
-  private Calls() {}
+  private ControlApi() {}
 
   /**
    * Gives an upstream the keys from source to targetVersion, both inside, for holdMs from its
@@ -54,7 +55,7 @@
    * from the keeper only; disk is what the exchange itself takes there.
    */
   @Json
-  public record StatusAnswer(
+  public record StatusResponse(
       String exchange,
       boolean settled,
       long majorityAgeMs,
@@ -132,7 +133,7 @@
    * reaches, and where to go on.
    */
   @Json
-  public record HistoryAnswer(
+  public record HistoryResponse(
       boolean complete,
       String problem,
       long first,
@@ -148,12 +149,12 @@
 
   /** Which daemons had a change in force. */
   @Json
-  public record ReachAnswer(
+  public record ReachResponse(
       boolean complete, String problem, HistoryEntry change, List<DaemonReach> daemons) {}
 
   /** A beat of an upstream. */
   @Json
-  public record Beat(
+  public record UpstreamHeartbeat(
       String service,
       String address,
       String zone,
@@ -165,7 +166,7 @@
 
   /** A call about a lock. */
   @Json
-  public record Grip(String owner, Long fenceNumber, Double holdMs) {}
+  public record LockRequest(String owner, Long fenceNumber, Double holdMs) {}
 
   /** A put of a key. */
   @Json
@@ -173,7 +174,7 @@
 
   /** The answer to a beat. */
   @Json
-  public record BeatAnswer(String beatTarget) {}
+  public record UpstreamHeartbeatResponse(String beatTarget) {}
 
   /** A directory answer. */
   @Json
@@ -181,11 +182,11 @@
 
   /** A lock was taken. */
   @Json
-  public record Fence(long fenceNumber) {}
+  public record FencingToken(long fenceNumber) {}
 
   /** A number. */
   @Json
-  public record NumberAnswer(long value) {}
+  public record NumberResponse(long value) {}
 
   /** A revision of a key. */
   @Json
@@ -193,7 +194,7 @@
 
   /** What a key holds. */
   @Json
-  public record CellAnswer(String value, long revision) {}
+  public record CellResponse(String value, long revision) {}
 
   /** A put that a watch saw. */
   @Json
@@ -201,7 +202,7 @@
 
   /** What a watch saw. */
   @Json
-  public record WatchAnswer(List<Event> events, long revision) {}
+  public record WatchResponse(List<Event> events, long revision) {}
 
   /** Why a call was refused, with the remedy. */
   @Json
@@ -209,7 +210,7 @@
 
   /** An order to begin a trial; the route is named by the call. */
   @Json
-  public record TrialOrder(
+  public record TrialRequest(
       String oldService,
       String newService,
       String token,
@@ -220,7 +221,7 @@
 
   /** What was counted for one version, writes apart from other requests. */
   @Json
-  public record Side(
+  public record VersionCounts(
       String service,
       long sent,
       long confirmed,
@@ -232,10 +233,10 @@
 
   /** What one switchboard, or all of them, have counted. */
   @Json
-  public record Counted(
+  public record ProxyTrialCounts(
       String switchboard,
-      Side oldVersion,
-      Side newVersion,
+      VersionCounts oldVersion,
+      VersionCounts newVersion,
       long rehearsed,
       long confirmedAtStage) {}
 
@@ -252,12 +253,12 @@
       double lateAllowance,
       long writesBeforeHold,
       List<String> attempts,
-      Counted total,
-      List<Counted> switchboards) {}
+      ProxyTrialCounts total,
+      List<ProxyTrialCounts> switchboards) {}
 
   /** A purge: an object by host and path, or a label. */
   @Json
-  public record PurgeOrder(String host, String path, String tag) {}
+  public record PurgeRequest(String host, String path, String tag) {}
 
   /** How something stands, in words. */
   @Json
--- a/registry/src/main/java/weldpoint/registry/ControlCall.java
+++ b/registry/src/main/java/weldpoint/registry/ControlCall.java
@@ -4,49 +4,49 @@
 import java.util.concurrent.CompletableFuture;
 import weldpoint.audit.CanonicalJson;
 import weldpoint.audit.ConfigurationSummary;
-import weldpoint.common.Breakdown;
+import weldpoint.common.WeldpointException;
 import weldpoint.registry.ControlCommand.CutOff;
-import weldpoint.routing.Dialplan;
+import weldpoint.routing.RoutingTable;
 import weldpoint.routing.SpecDocument;
-import weldpoint.statestore.Deed;
-import weldpoint.transport.Packing;
-import weldpoint.transport.StoreCallMessages;
+import weldpoint.statestore.StoreOperation;
+import weldpoint.transport.Compression;
+import weldpoint.transport.Serializer;
+import weldpoint.transport.StoreMessages;
 import weldpoint.transport.TrialMessages;
-import weldpoint.transport.Wire;
 
 /** The calls of the control interface, by their names on the wire. */
 enum ControlCall {
   BEAT("instances.heartbeat", CutOff.RUN_UNANSWERED) {
     @Override
     ControlCommand decode(
-        final ControlDoor door, final String id, final byte[] body, final Origin origin) {
-      return door.beat(id, ControlDoor.read(Calls.BEAT, body));
+        final ControlServer door, final String id, final byte[] body, final Origin origin) {
+      return door.beat(id, ControlServer.read(ControlApi.BEAT, body));
     }
   },
   DEREGISTER("instances.deregister") {
     @Override
     ControlCommand decode(
-        final ControlDoor door, final String id, final byte[] body, final Origin origin) {
+        final ControlServer door, final String id, final byte[] body, final Origin origin) {
       return (now, waits) ->
           door.core()
-              .deregister(ControlDoor.named(id), door.clock().dayMillis(), now)
+              .deregister(ControlServer.named(id), door.clock().dayMillis(), now)
               .thenApply(done -> ControlReply.EMPTY);
     }
   },
   SPEC_REPLACE("configuration.replace") {
     @Override
     ControlCommand decode(
-        final ControlDoor door, final String id, final byte[] body, final Origin origin) {
+        final ControlServer door, final String id, final byte[] body, final Origin origin) {
       return (now, waits) -> {
-        final SpecDocument document = Dialplan.read(body);
-        final Dialplan plan = Dialplan.compile(document);
-        final byte[] packed = Packing.deflate(body);
-        final StoreCallMessages.Cause cause =
+        final SpecDocument document = RoutingTable.read(body);
+        final RoutingTable plan = RoutingTable.compile(document);
+        final byte[] packed = Compression.deflate(body);
+        final StoreMessages.ChangeOrigin cause =
             door.core()
                 .cause(
                     origin.author(),
                     origin.caller(),
-                    Packing.deflate(Wire.bytes(ConfigurationSummary.of(document, body))));
+                    Compression.deflate(Serializer.bytes(ConfigurationSummary.of(document, body))));
         final boolean tied = plan.all().stream().anyMatch(route -> route.affinity != null);
         return door.core()
             .replace(
@@ -55,14 +55,14 @@
                 packed,
                 CanonicalJson.digest(body),
                 cause,
-                ControlDoor.CALL_MILLIS,
+                ControlServer.CALL_MILLIS,
                 now)
-            .thenApply(ControlDoor::notTaken)
+            .thenApply(ControlServer::notTaken)
             .thenCompose(
                 answer ->
                     answer.status != 200
                         ? CompletableFuture.completedFuture(
-                            ControlDoor.status(answer, ControlReply.EMPTY))
+                            ControlServer.status(answer, ControlReply.EMPTY))
                         : door.core()
                             .spread(
                                 plan.version(), answer.first == plan.version() ? packed : null, now)
@@ -73,15 +73,15 @@
   SPEC_READ("configuration.read") {
     @Override
     ControlCommand decode(
-        final ControlDoor door, final String id, final byte[] body, final Origin origin) {
+        final ControlServer door, final String id, final byte[] body, final Origin origin) {
       return (now, waits) ->
           door.core()
-              .call(Deed.SPEC_READ, "", null, 0, 0, null, ControlDoor.CALL_MILLIS, now)
+              .call(StoreOperation.SPEC_READ, "", null, 0, 0, null, ControlServer.CALL_MILLIS, now)
               .thenApply(
                   answer ->
                       answer.status == 200
-                          ? new ControlReply(200, Packing.inflate(answer.body))
-                          : ControlDoor.status(
+                          ? new ControlReply(200, Compression.inflate(answer.body))
+                          : ControlServer.status(
                               answer,
                               ControlReply.problem(
                                   answer.status, "no configuration has been taken yet; send one")));
@@ -90,27 +90,27 @@
   EVACUATION_BEGIN("evacuation.begin") {
     @Override
     ControlCommand decode(
-        final ControlDoor door, final String id, final byte[] body, final Origin origin) {
-      return door.evacuate(ControlDoor.named(id), 1, origin);
+        final ControlServer door, final String id, final byte[] body, final Origin origin) {
+      return door.evacuate(ControlServer.named(id), 1, origin);
     }
   },
   EVACUATION_FINISH("evacuation.finish") {
     @Override
     ControlCommand decode(
-        final ControlDoor door, final String id, final byte[] body, final Origin origin) {
-      return door.evacuate(ControlDoor.named(id), 0, origin);
+        final ControlServer door, final String id, final byte[] body, final Origin origin) {
+      return door.evacuate(ControlServer.named(id), 0, origin);
     }
   },
   TRIAL_BEGIN("trial.begin") {
     @Override
     ControlCommand decode(
-        final ControlDoor door, final String id, final byte[] body, final Origin origin) {
-      final Calls.TrialOrder order = ControlDoor.read(Calls.TRIAL_ORDER, body);
+        final ControlServer door, final String id, final byte[] body, final Origin origin) {
+      final ControlApi.TrialRequest order = ControlServer.read(ControlApi.TRIAL_ORDER, body);
       return (now, waits) ->
           door.core()
               .trials()
               .begin(
-                  ControlDoor.named(id),
+                  ControlServer.named(id),
                   order,
                   door.core().cause(origin.author(), origin.caller(), null),
                   now)
@@ -120,12 +120,12 @@
   TRIAL_ADVANCE("trial.advance") {
     @Override
     ControlCommand decode(
-        final ControlDoor door, final String id, final byte[] body, final Origin origin) {
+        final ControlServer door, final String id, final byte[] body, final Origin origin) {
       return (now, waits) ->
           door.core()
               .trials()
               .advance(
-                  ControlDoor.named(id),
+                  ControlServer.named(id),
                   door.core().cause(origin.author(), origin.caller(), null),
                   now)
               .thenApply(door::trial);
@@ -134,14 +134,14 @@
   TRIAL_HOLD("trial.hold") {
     @Override
     ControlCommand decode(
-        final ControlDoor door, final String id, final byte[] body, final Origin origin) {
+        final ControlServer door, final String id, final byte[] body, final Origin origin) {
       final String reason =
-          body.length == 0 ? null : ControlDoor.read(Calls.TRIAL_ORDER, body).reason();
+          body.length == 0 ? null : ControlServer.read(ControlApi.TRIAL_ORDER, body).reason();
       return (now, waits) ->
           door.core()
               .trials()
               .hold(
-                  ControlDoor.named(id),
+                  ControlServer.named(id),
                   reason == null ? "held by an operator" : reason,
                   door.core().cause(origin.author(), origin.caller(), null),
                   now)
@@ -151,12 +151,12 @@
   TRIAL_FINISH("trial.finish") {
     @Override
     ControlCommand decode(
-        final ControlDoor door, final String id, final byte[] body, final Origin origin) {
+        final ControlServer door, final String id, final byte[] body, final Origin origin) {
       return (now, waits) ->
           door.core()
               .trials()
               .finish(
-                  ControlDoor.named(id),
+                  ControlServer.named(id),
                   door.core().cause(origin.author(), origin.caller(), null),
                   now)
               .thenApply(door::trial);
@@ -165,9 +165,9 @@
   TRIAL_STATUS("trial.status") {
     @Override
     ControlCommand decode(
-        final ControlDoor door, final String id, final byte[] body, final Origin origin) {
+        final ControlServer door, final String id, final byte[] body, final Origin origin) {
       return (now, waits) -> {
-        ControlDoor.named(id);
+        ControlServer.named(id);
         return door.core()
             .refresh(now)
             .thenApply(
@@ -177,8 +177,8 @@
                       return door.trial(trial);
                     }
                   }
-                  throw new Breakdown(
-                      Breakdown.Kind.UNKNOWN_CALL,
+                  throw new WeldpointException(
+                      WeldpointException.Kind.UNKNOWN_CALL,
                       "no trial is known on route " + id + "; begin one");
                 });
       };
@@ -187,145 +187,153 @@
   HISTORY_READ("history.read", CutOff.ANSWERED) {
     @Override
     ControlCommand decode(
-        final ControlDoor door, final String id, final byte[] body, final Origin origin) {
-      final Calls.HistoryQuery query =
+        final ControlServer door, final String id, final byte[] body, final Origin origin) {
+      final ControlApi.HistoryQuery query =
           body.length == 0
-              ? new Calls.HistoryQuery(null, null, null, null, null, null, null)
-              : ControlDoor.read(Calls.HISTORY_QUERY, body);
+              ? new ControlApi.HistoryQuery(null, null, null, null, null, null, null)
+              : ControlServer.read(ControlApi.HISTORY_QUERY, body);
       return (now, waits) ->
           door.core()
               .audit()
               .read(query, door.clock().dayMillis(), now)
-              .thenApply(answer -> ControlReply.of(200, Calls.HISTORY, answer));
+              .thenApply(answer -> ControlReply.of(200, ControlApi.HISTORY, answer));
     }
   },
   STATUS_READ("status.read", CutOff.ANSWERED) {
     @Override
     ControlCommand decode(
-        final ControlDoor door, final String id, final byte[] body, final Origin origin) {
+        final ControlServer door, final String id, final byte[] body, final Origin origin) {
       return (now, waits) ->
           CompletableFuture.completedFuture(
-              ControlReply.of(200, Calls.STATUS, door.core().status(now)));
+              ControlReply.of(200, ControlApi.STATUS, door.core().status(now)));
     }
   },
   HISTORY_REACH("history.reach", CutOff.ANSWERED) {
     @Override
     ControlCommand decode(
-        final ControlDoor door, final String id, final byte[] body, final Origin origin) {
-      final long sequence = ControlDoor.number("of", ControlDoor.named(id));
+        final ControlServer door, final String id, final byte[] body, final Origin origin) {
+      final long sequence = ControlServer.number("of", ControlServer.named(id));
       return (now, waits) ->
           door.core()
               .audit()
               .reach(sequence, door.core().inForce(now), door.clock().dayMillis(), now)
-              .thenApply(answer -> ControlReply.of(200, Calls.REACH, answer));
+              .thenApply(answer -> ControlReply.of(200, ControlApi.REACH, answer));
     }
   },
   RECORD_BEGIN("record.begin", CutOff.ANSWERED) {
     @Override
     ControlCommand decode(
-        final ControlDoor door, final String id, final byte[] body, final Origin origin) {
+        final ControlServer door, final String id, final byte[] body, final Origin origin) {
       return door.record(true);
     }
   },
   RECORD_END("record.end", CutOff.ANSWERED) {
     @Override
     ControlCommand decode(
-        final ControlDoor door, final String id, final byte[] body, final Origin origin) {
+        final ControlServer door, final String id, final byte[] body, final Origin origin) {
       return door.record(false);
     }
   },
   RECORD_STATUS("record.status", CutOff.ANSWERED) {
     @Override
     ControlCommand decode(
-        final ControlDoor door, final String id, final byte[] body, final Origin origin) {
+        final ControlServer door, final String id, final byte[] body, final Origin origin) {
       return (now, waits) ->
           CompletableFuture.completedFuture(
-              ControlReply.of(200, Calls.STATE, new Calls.State(door.core().recording())));
+              ControlReply.of(
+                  200, ControlApi.STATE, new ControlApi.State(door.core().recording())));
     }
   },
   RECORD_DRAIN("record.drain", CutOff.ANSWERED) {
     @Override
     ControlCommand decode(
-        final ControlDoor door, final String id, final byte[] body, final Origin origin) {
+        final ControlServer door, final String id, final byte[] body, final Origin origin) {
       return (now, waits) ->
           CompletableFuture.completedFuture(
-              new ControlReply(200, Wire.bytes(door.core().drain(now))));
+              new ControlReply(200, Serializer.bytes(door.core().drain(now))));
     }
   },
   LOCK_BEGIN("locks.begin") {
     @Override
     ControlCommand decode(
-        final ControlDoor door, final String id, final byte[] body, final Origin origin) {
-      return door.lock(Deed.LOCK_BEGIN, ControlDoor.named(id), ControlDoor.read(Calls.GRIP, body));
+        final ControlServer door, final String id, final byte[] body, final Origin origin) {
+      return door.lock(
+          StoreOperation.LOCK_BEGIN,
+          ControlServer.named(id),
+          ControlServer.read(ControlApi.GRIP, body));
     }
   },
   LOCK_HEARTBEAT("locks.heartbeat") {
     @Override
     ControlCommand decode(
-        final ControlDoor door, final String id, final byte[] body, final Origin origin) {
+        final ControlServer door, final String id, final byte[] body, final Origin origin) {
       return door.lock(
-          Deed.LOCK_HEARTBEAT, ControlDoor.named(id), ControlDoor.read(Calls.GRIP, body));
+          StoreOperation.LOCK_HEARTBEAT,
+          ControlServer.named(id),
+          ControlServer.read(ControlApi.GRIP, body));
     }
   },
   LOCK_FINISH("locks.finish") {
     @Override
     ControlCommand decode(
-        final ControlDoor door, final String id, final byte[] body, final Origin origin) {
-      return door.finish(ControlDoor.named(id), ControlDoor.read(Calls.GRIP, body));
+        final ControlServer door, final String id, final byte[] body, final Origin origin) {
+      return door.finish(ControlServer.named(id), ControlServer.read(ControlApi.GRIP, body));
     }
   },
   CELL_REPLACE("cells.replace") {
     @Override
     ControlCommand decode(
-        final ControlDoor door, final String id, final byte[] body, final Origin origin) {
-      final Calls.CellPut put = ControlDoor.read(Calls.CELL_PUT, body);
+        final ControlServer door, final String id, final byte[] body, final Origin origin) {
+      final ControlApi.CellPut put = ControlServer.read(ControlApi.CELL_PUT, body);
       if (put.value() == null) {
-        throw new Breakdown(
-            Breakdown.Kind.UNREADABLE, "a put lacks its value; send value as a string");
+        throw new WeldpointException(
+            WeldpointException.Kind.UNREADABLE, "a put lacks its value; send value as a string");
       }
       return (now, waits) ->
           door.core()
               .call(
-                  Deed.CELL_REPLACE,
-                  ControlDoor.group(ControlDoor.named(id)),
+                  StoreOperation.CELL_REPLACE,
+                  ControlServer.group(ControlServer.named(id)),
                   put.value(),
                   put.enabled() == null ? -1 : put.enabled(),
                   0,
                   id.getBytes(StandardCharsets.UTF_8),
-                  ControlDoor.CALL_MILLIS,
+                  ControlServer.CALL_MILLIS,
                   now)
               .thenApply(
                   answer ->
-                      ControlDoor.status(
+                      ControlServer.status(
                           answer,
                           ControlReply.of(
-                              answer.status, Calls.REVISION, new Calls.Revision(answer.first))));
+                              answer.status,
+                              ControlApi.REVISION,
+                              new ControlApi.Revision(answer.first))));
     }
   },
   CELL_READ("cells.read") {
     @Override
     ControlCommand decode(
-        final ControlDoor door, final String id, final byte[] body, final Origin origin) {
+        final ControlServer door, final String id, final byte[] body, final Origin origin) {
       return (now, waits) ->
           door.core()
               .call(
-                  Deed.CELL_READ,
-                  ControlDoor.group(ControlDoor.named(id)),
+                  StoreOperation.CELL_READ,
+                  ControlServer.group(ControlServer.named(id)),
                   null,
                   0,
                   0,
                   id.getBytes(StandardCharsets.UTF_8),
-                  ControlDoor.CALL_MILLIS,
+                  ControlServer.CALL_MILLIS,
                   now)
               .thenApply(
                   answer ->
                       answer.status == 200
                           ? ControlReply.of(
                               200,
-                              Calls.CELL,
-                              new Calls.CellAnswer(
+                              ControlApi.CELL,
+                              new ControlApi.CellResponse(
                                   new String(answer.body, StandardCharsets.UTF_8), answer.first))
-                          : ControlDoor.status(
+                          : ControlServer.status(
                               answer,
                               ControlReply.problem(
                                   answer.status, "the key holds nothing; put a value first")));
@@ -350,8 +358,8 @@
         return call;
       }
     }
-    throw new Breakdown(
-        Breakdown.Kind.UNKNOWN_CALL,
+    throw new WeldpointException(
+        WeldpointException.Kind.UNKNOWN_CALL,
         "the call '" + wire + "' is unknown; see the protocol page for the calls there are");
   }
 
@@ -363,9 +371,9 @@
   /**
    * Decodes a call.
    *
-   * @throws weldpoint.common.Breakdown where it cannot be read, with what to send instead
+   * @throws weldpoint.common.WeldpointException where it cannot be read, with what to send instead
    */
-  abstract ControlCommand decode(ControlDoor door, String id, byte[] body, Origin origin);
+  abstract ControlCommand decode(ControlServer door, String id, byte[] body, Origin origin);
 
   /** Who is behind a call: the author it names, and the address it came from. */
   record Origin(String author, String caller) {}
--- a/registry/src/main/java/weldpoint/registry/ControlReply.java
+++ b/registry/src/main/java/weldpoint/registry/ControlReply.java
@@ -2,7 +2,7 @@
 
 import io.avaje.jsonb.JsonType;
 import java.nio.charset.StandardCharsets;
-import weldpoint.common.Breakdown;
+import weldpoint.common.WeldpointException;
 
 /** An answer: a status, a JSON body, and for a redirect where to. */
 record ControlReply(int status, byte[] body, String location) {
@@ -17,11 +17,13 @@
   }
 
   static ControlReply problem(final int status, final String message) {
-    return of(status, Calls.PROBLEM, new Calls.Problem(message, null));
+    return of(status, ControlApi.PROBLEM, new ControlApi.Problem(message, null));
   }
 
-  static ControlReply problem(final int status, final Breakdown breakdown) {
+  static ControlReply problem(final int status, final WeldpointException breakdown) {
     return of(
-        status, Calls.PROBLEM, new Calls.Problem(breakdown.getMessage(), breakdown.kind().name()));
+        status,
+        ControlApi.PROBLEM,
+        new ControlApi.Problem(breakdown.getMessage(), breakdown.kind().name()));
   }
 }
--- a/registry/src/main/java/weldpoint/registry/ControlDoor.java
+++ b/registry/src/main/java/weldpoint/registry/ControlServer.java
@@ -34,23 +34,23 @@
 import java.util.concurrent.Executor;
 import java.util.function.BooleanSupplier;
 import weldpoint.audit.Authors;
-import weldpoint.common.Boot;
-import weldpoint.common.Breakdown;
-import weldpoint.statestore.Deed;
-import weldpoint.statestore.Values;
+import weldpoint.common.Settings;
+import weldpoint.common.WeldpointException;
+import weldpoint.statestore.StoreOperation;
+import weldpoint.statestore.StoredValues;
 import weldpoint.transport.Protocol;
 import weldpoint.transport.RegistryMessages;
-import weldpoint.transport.StoreCallMessages;
+import weldpoint.transport.Serializer;
+import weldpoint.transport.StoreMessages;
 import weldpoint.transport.TrialMessages;
-import weldpoint.transport.Wire;
-import weldpoint.trial.Count;
-import weldpoint.trial.Verdict;
+import weldpoint.trial.TrialCounter;
+import weldpoint.trial.TrialVerdict;
 
 /**
  * The system's own interfaces over HTTP: each call is decoded into a command, which runs on the
  * control thread.
  */
-public final class ControlDoor {
+public final class ControlServer {
   private static final int MOST_BYTES = 16 << 20;
   static final long CALL_MILLIS = 900;
   private static final long STANDSTILL_MILLIS = 150;
@@ -82,7 +82,7 @@
   }
 
   /** Takes the answer to a call: its status and its JSON body. */
-  public interface Caller {
+  public interface ResponseCallback {
     /** Whether the caller still waits for the answer. */
     boolean waits();
 
@@ -90,7 +90,7 @@
     void answer(int status, byte[] body, String location);
   }
 
-  private final Boot boot;
+  private final Settings boot;
   private final RegistryCore core;
   private final Executor desk;
   private final Map<String, String> regions;
@@ -99,13 +99,13 @@
   private volatile long awakeAt;
   private volatile long awakeBefore;
 
-  ControlDoor(final Boot boot, final RegistryCore core, final Executor desk) {
+  ControlServer(final Settings boot, final RegistryCore core, final Executor desk) {
     this(boot, core, desk, Clock.SYSTEM);
   }
 
   /** The door of a core that runs on this thread, with these clocks. */
-  public ControlDoor(
-      final Boot boot, final RegistryCore core, final Executor desk, final Clock clock) {
+  public ControlServer(
+      final Settings boot, final RegistryCore core, final Executor desk, final Clock clock) {
     this.clock = clock;
     awakeAt = clock.steadyMillis();
     awakeBefore = awakeAt;
@@ -124,7 +124,8 @@
     return clock;
   }
 
-  void serve(final EventLoopGroup loop, final Boot.Address address) throws InterruptedException {
+  void serve(final EventLoopGroup loop, final Settings.Address address)
+      throws InterruptedException {
     new ServerBootstrap()
         .group(loop)
         .channel(NioServerSocketChannel.class)
@@ -135,7 +136,7 @@
             new ChannelInitializer<SocketChannel>() {
               @Override
               protected void initChannel(final SocketChannel channel) {
-                final Handler handler = new Handler();
+                final ConnectionHandler handler = new ConnectionHandler();
                 channel.pipeline().addLast(new HttpServerCodec(), new Aggregator(handler), handler);
               }
             })
@@ -144,16 +145,16 @@
   }
 
   /** A call that waits for the one before it on its connection. */
-  private record Waiting(FullHttpRequest request, long since) {}
+  private record PendingRequest(FullHttpRequest request, long since) {}
 
   /**
    * Puts calls together; what it says of its own account does not overtake the answer to a call
    * under way.
    */
   private static final class Aggregator extends HttpObjectAggregator {
-    private final Handler handler;
+    private final ConnectionHandler handler;
 
-    private Aggregator(final Handler handler) {
+    private Aggregator(final ConnectionHandler handler) {
       super(MOST_BYTES);
       this.handler = handler;
     }
@@ -179,14 +180,14 @@
    * One connection of a caller: its calls run one after the other, so that each answer stands in
    * the place of its own call. All of it lives on the traffic thread.
    */
-  private final class Handler extends ChannelInboundHandlerAdapter {
-    private final ArrayDeque<Waiting> waiting = new ArrayDeque<>();
+  private final class ConnectionHandler extends ChannelInboundHandlerAdapter {
+    private final ArrayDeque<PendingRequest> waiting = new ArrayDeque<>();
     private boolean busy;
     private boolean draining;
 
     @Override
     public void channelRead(final ChannelHandlerContext context, final Object message) {
-      waiting.add(new Waiting((FullHttpRequest) message, clock.steadyMillis()));
+      waiting.add(new PendingRequest((FullHttpRequest) message, clock.steadyMillis()));
       drain(context);
     }
 
@@ -197,7 +198,7 @@
       draining = true;
       try {
         while (!busy && !waiting.isEmpty()) {
-          final Waiting next = waiting.poll();
+          final PendingRequest next = waiting.poll();
           try {
             begin(context, next.request, next.since);
           } finally {
@@ -233,7 +234,7 @@
       call(
           request,
           address(context),
-          new Caller() {
+          new ResponseCallback() {
             @Override
             public boolean waits() {
               return context.channel().isActive();
@@ -292,11 +293,12 @@
    * Takes one call, whatever carried it here; the answer comes on the thread of the core, or at
    * once where the call cannot be read.
    */
-  public void call(final FullHttpRequest request, final String address, final Caller caller) {
+  public void call(
+      final FullHttpRequest request, final String address, final ResponseCallback caller) {
     final ControlCommand command;
     try {
       command = decode(request, address);
-    } catch (final Breakdown breakdown) {
+    } catch (final WeldpointException breakdown) {
       answer(caller, ControlReply.problem(Math.max(400, breakdown.kind().status()), breakdown));
       return;
     } catch (final RuntimeException | StackOverflowError problem) {
@@ -314,7 +316,7 @@
     desk.execute(() -> run(command, uri, receivedAt, caller));
   }
 
-  private static void answer(final Caller caller, final ControlReply reply) {
+  private static void answer(final ResponseCallback caller, final ControlReply reply) {
     caller.answer(reply.status(), reply.body(), reply.location());
   }
 
@@ -323,7 +325,10 @@
    * not take effect after what came later.
    */
   private void run(
-      final ControlCommand command, final String uri, final long receivedAt, final Caller caller) {
+      final ControlCommand command,
+      final String uri,
+      final long receivedAt,
+      final ResponseCallback caller) {
     final long now = clock.steadyMillis();
     final boolean cutOff = command.cutOff() != ControlCommand.CutOff.ANSWERED && core.cutOff(now);
     if (cutOff && command.cutOff() == ControlCommand.CutOff.NOT_RUN) {
@@ -333,8 +338,8 @@
     CompletableFuture<ControlReply> future;
     try {
       if (now - receivedAt >= CALL_MILLIS) {
-        throw new Breakdown(
-            Breakdown.Kind.OUT_OF_REACH,
+        throw new WeldpointException(
+            WeldpointException.Kind.OUT_OF_REACH,
             "this daemon stood still while the call waited; send it again");
       }
       future = command.run(now - receivedAt > STANDSTILL_MILLIS ? receivedAt : now, caller::waits);
@@ -356,8 +361,9 @@
   }
 
   private static ControlReply failure(final Throwable cause) {
-    if (cause instanceof Breakdown) {
-      return ControlReply.problem(((Breakdown) cause).kind().status(), (Breakdown) cause);
+    if (cause instanceof WeldpointException) {
+      return ControlReply.problem(
+          ((WeldpointException) cause).kind().status(), (WeldpointException) cause);
     }
     return cause instanceof StackOverflowError
         ? ControlReply.problem(
@@ -443,13 +449,15 @@
       wants(request, HttpMethod.POST);
       final String id = named(path.substring("/api/numbers/".length()));
       return (now, waits) ->
-          core.call(Deed.NUMBER, id, null, 0, 0, null, CALL_MILLIS, now)
+          core.call(StoreOperation.NUMBER, id, null, 0, 0, null, CALL_MILLIS, now)
               .thenApply(
                   answer ->
                       status(
                           answer,
                           ControlReply.of(
-                              200, Calls.NUMBER, new Calls.NumberAnswer(answer.first))));
+                              200,
+                              ControlApi.NUMBER,
+                              new ControlApi.NumberResponse(answer.first))));
     }
     if (path.startsWith("/api/watch/")) {
       wants(request, HttpMethod.GET);
@@ -469,25 +477,25 @@
                 ? ControlReply.problem(503, "no switchboard is known yet; ask again shortly")
                 : ControlReply.of(
                     200,
-                    Calls.RESOLUTION,
-                    new Calls.Resolution(addresses, Math.min(2, boot.resolutionTtl()))));
+                    ControlApi.RESOLUTION,
+                    new ControlApi.Resolution(addresses, Math.min(2, boot.resolutionTtl()))));
       };
     }
     if (path.equals("/api/invalidation")) {
       wants(request, HttpMethod.POST);
       final byte[] body = new byte[request.content().readableBytes()];
       request.content().readBytes(body);
-      return purge(read(Calls.PURGE, body));
+      return purge(read(ControlApi.PURGE, body));
     }
-    throw new Breakdown(
-        Breakdown.Kind.UNKNOWN_CALL,
+    throw new WeldpointException(
+        WeldpointException.Kind.UNKNOWN_CALL,
         "nothing is served at " + path + "; see the protocol page for the calls there are");
   }
 
   private static void wants(final FullHttpRequest request, final HttpMethod method) {
     if (!request.method().equals(method)) {
-      throw new Breakdown(
-          Breakdown.Kind.WRONG_METHOD,
+      throw new WeldpointException(
+          WeldpointException.Kind.WRONG_METHOD,
           "the method " + request.method() + " does not fit this call; use " + method);
     }
   }
@@ -519,14 +527,15 @@
     try {
       return Long.parseLong(text);
     } catch (final NumberFormatException problem) {
-      throw new Breakdown(
-          Breakdown.Kind.UNREADABLE, name + " is '" + text + "'; give a whole number");
+      throw new WeldpointException(
+          WeldpointException.Kind.UNREADABLE, name + " is '" + text + "'; give a whole number");
     }
   }
 
   static String named(final String id) {
     if (id.isEmpty()) {
-      throw new Breakdown(Breakdown.Kind.UNREADABLE, "the call names nothing; give the id");
+      throw new WeldpointException(
+          WeldpointException.Kind.UNREADABLE, "the call names nothing; give the id");
     }
     return id;
   }
@@ -543,18 +552,20 @@
         return value;
       }
     } catch (final RuntimeException problem) {
-      throw new Breakdown(
-          Breakdown.Kind.UNREADABLE,
+      throw new WeldpointException(
+          WeldpointException.Kind.UNREADABLE,
           "the body cannot be read (" + problem.getMessage() + "); send complete JSON");
     }
-    throw new Breakdown(Breakdown.Kind.UNREADABLE, "the body is empty; send a JSON object");
+    throw new WeldpointException(
+        WeldpointException.Kind.UNREADABLE, "the body is empty; send a JSON object");
   }
 
-  static StoreCallMessages.Answer notTaken(final StoreCallMessages.Answer answer) {
+  static StoreMessages.StoreResponse notTaken(final StoreMessages.StoreResponse answer) {
     if (answer.status == 409 && answer.body != null) {
-      final Values.TakenVersion taken = Wire.value(answer.body, Values.TakenVersion.class);
-      throw new Breakdown(
-          Breakdown.Kind.VERSION_TAKEN,
+      final StoredValues.TakenVersion taken =
+          Serializer.value(answer.body, StoredValues.TakenVersion.class);
+      throw new WeldpointException(
+          WeldpointException.Kind.VERSION_TAKEN,
           String.format(
               "version %08x stands for another configuration%s%s, which stays; send this one under a version above the newest",
               taken.version,
@@ -564,7 +575,7 @@
     return answer;
   }
 
-  static ControlReply status(final StoreCallMessages.Answer answer, final ControlReply good) {
+  static ControlReply status(final StoreMessages.StoreResponse answer, final ControlReply good) {
     return switch (answer.status) {
       case 504 ->
           ControlReply.problem(
@@ -574,7 +585,7 @@
     };
   }
 
-  ControlCommand beat(final String id, final Calls.Beat beat) {
+  ControlCommand beat(final String id, final ControlApi.UpstreamHeartbeat beat) {
     named(id);
     final boolean draining = "draining".equals(beat.state());
     if (beat.service() == null
@@ -584,13 +595,13 @@
         || beat.capacity() == null
         || beat.capacity() < 0
         || !draining && !"ready".equals(beat.state())) {
-      throw new Breakdown(
-          Breakdown.Kind.UNREADABLE,
+      throw new WeldpointException(
+          WeldpointException.Kind.UNREADABLE,
           "the beat of "
               + id
               + " lacks service, address, zone, capacity, callSeq or a state of ready or draining; send them all");
     }
-    Boot.Address.parse("address", beat.address());
+    Settings.Address.parse("address", beat.address());
     final long warmup =
         beat.warmupLeftMs() == null ? 0 : Math.max(0, beat.warmupLeftMs().longValue());
     final RegistryMessages.Registration registration =
@@ -601,7 +612,7 @@
             beat.zone(),
             beat.version() == null ? "" : beat.version(),
             beat.capacity().intValue(),
-            (draining ? Stage.DRAINING : Stage.JOINED).ordinal(),
+            (draining ? LifecycleStage.DRAINING : LifecycleStage.JOINED).ordinal(),
             beat.callSeq(),
             clock.dayMillis(),
             warmup);
@@ -611,8 +622,8 @@
                 done ->
                     ControlReply.of(
                         200,
-                        Calls.BEAT_ANSWER,
-                        new Calls.BeatAnswer(
+                        ControlApi.BEAT_ANSWER,
+                        new ControlApi.UpstreamHeartbeatResponse(
                             core.keeper(id, beat.zone(), regions) + ":" + controlPort)));
   }
 
@@ -620,11 +631,11 @@
     return (now, waits) -> {
       core.record(on, clock.dayMillis(), now);
       return CompletableFuture.completedFuture(
-          ControlReply.of(200, Calls.STATE, new Calls.State(core.recording())));
+          ControlReply.of(200, ControlApi.STATE, new ControlApi.State(core.recording())));
     };
   }
 
-  private ControlCommand purge(final Calls.PurgeOrder order) {
+  private ControlCommand purge(final ControlApi.PurgeRequest order) {
     final boolean object =
         order.host() != null
             && !order.host().isEmpty()
@@ -632,19 +643,19 @@
             && order.path().startsWith("/");
     final boolean label = order.tag() != null && !order.tag().isEmpty();
     if (object == label || !object && (order.host() != null || order.path() != null)) {
-      throw new Breakdown(
-          Breakdown.Kind.UNREADABLE,
+      throw new WeldpointException(
+          WeldpointException.Kind.UNREADABLE,
           "a purge names either an object by host and path or a tag; send one of the two");
     }
     final String named = label ? order.tag() : order.path();
     if (named.length() > MOST_PURGED || object && order.host().length() > MOST_PURGED) {
-      throw new Breakdown(
-          Breakdown.Kind.INVALID,
+      throw new WeldpointException(
+          WeldpointException.Kind.INVALID,
           "a purge names more than " + MOST_PURGED + " characters; name one object or tag");
     }
     return (now, waits) ->
         core.call(
-                Deed.PURGE,
+                StoreOperation.PURGE,
                 "",
                 object ? order.host().toLowerCase(java.util.Locale.ROOT) : null,
                 0,
@@ -658,7 +669,7 @@
   ControlCommand evacuate(final String site, final long on, final ControlCall.Origin origin) {
     return (now, waits) ->
         core.change(
-                Deed.EVACUATE,
+                StoreOperation.EVACUATE,
                 site,
                 on,
                 0,
@@ -674,8 +685,8 @@
   }
 
   ControlReply trial(final TrialMessages.Trial trial) {
-    final List<Calls.Counted> boards = new java.util.ArrayList<>();
-    final long[] sum = Count.none();
+    final List<ControlApi.ProxyTrialCounts> boards = new java.util.ArrayList<>();
+    final long[] sum = TrialCounter.none();
     core.panel()
         .byBoard(trial)
         .forEach(
@@ -687,11 +698,11 @@
             });
     return ControlReply.of(
         200,
-        Calls.TRIAL_STATUS,
-        new Calls.TrialStatus(
+        ControlApi.TRIAL_STATUS,
+        new ControlApi.TrialStatus(
             trial.route,
             trial.number,
-            Verdict.of(trial).name(),
+            TrialVerdict.of(trial).name(),
             trial.reason,
             trial.stage,
             trial.stages,
@@ -703,56 +714,59 @@
             boards));
   }
 
-  private static Calls.Counted counted(
+  private static ControlApi.ProxyTrialCounts counted(
       final String board, final TrialMessages.Trial trial, final long[] counts) {
-    return new Calls.Counted(
+    return new ControlApi.ProxyTrialCounts(
         board,
-        new Calls.Side(
+        new ControlApi.VersionCounts(
             trial.oldService,
-            Count.OLD_SENT.in(counts),
-            Count.OLD_CONFIRMED.in(counts),
-            Count.OLD_LOST.in(counts),
-            Count.OLD_DOUBLED.in(counts),
-            Count.OLD_LATE.in(counts),
-            Count.OLD_OTHERS.in(counts),
-            Count.OLD_OTHERS_FAILED.in(counts)),
-        new Calls.Side(
+            TrialCounter.OLD_SENT.in(counts),
+            TrialCounter.OLD_CONFIRMED.in(counts),
+            TrialCounter.OLD_LOST.in(counts),
+            TrialCounter.OLD_DOUBLED.in(counts),
+            TrialCounter.OLD_LATE.in(counts),
+            TrialCounter.OLD_OTHERS.in(counts),
+            TrialCounter.OLD_OTHERS_FAILED.in(counts)),
+        new ControlApi.VersionCounts(
             trial.newService,
-            Count.NEW_SENT.in(counts),
-            Count.NEW_CONFIRMED.in(counts),
-            Count.NEW_LOST.in(counts),
-            Count.NEW_DOUBLED.in(counts),
-            Count.NEW_LATE.in(counts),
-            Count.NEW_OTHERS.in(counts),
-            Count.NEW_OTHERS_FAILED.in(counts)),
-        Count.NEW_REHEARSED.in(counts),
-        Count.STAGE_CONFIRMED.in(counts));
-  }
-
-  ControlCommand finish(final String id, final Calls.Grip grip) {
+            TrialCounter.NEW_SENT.in(counts),
+            TrialCounter.NEW_CONFIRMED.in(counts),
+            TrialCounter.NEW_LOST.in(counts),
+            TrialCounter.NEW_DOUBLED.in(counts),
+            TrialCounter.NEW_LATE.in(counts),
+            TrialCounter.NEW_OTHERS.in(counts),
+            TrialCounter.NEW_OTHERS_FAILED.in(counts)),
+        TrialCounter.NEW_REHEARSED.in(counts),
+        TrialCounter.STAGE_CONFIRMED.in(counts));
+  }
+
+  ControlCommand finish(final String id, final ControlApi.LockRequest grip) {
     if (grip.owner() == null || grip.owner().isEmpty() || grip.fenceNumber() == null) {
-      throw new Breakdown(
-          Breakdown.Kind.UNREADABLE,
+      throw new WeldpointException(
+          WeldpointException.Kind.UNREADABLE,
           "the call for lock " + id + " lacks owner or fenceNumber; send both");
     }
     return (now, waits) -> finish(id, grip, now, waits);
   }
 
   CompletableFuture<ControlReply> finish(
-      final String id, final Calls.Grip grip, final long began, final BooleanSupplier waits) {
-    return core.call(Deed.LOCK_TICKET, id, grip.owner(), 0, 0, null, CALL_MILLIS, began)
+      final String id,
+      final ControlApi.LockRequest grip,
+      final long began,
+      final BooleanSupplier waits) {
+    return core.call(StoreOperation.LOCK_TICKET, id, grip.owner(), 0, 0, null, CALL_MILLIS, began)
         .thenCompose(
             ticket -> {
               final long now = clock.steadyMillis();
               final long left = began + CALL_MILLIS - now;
               if (ticket.status != 200 || left <= 0 || !waits.getAsBoolean()) {
                 return CompletableFuture.failedFuture(
-                    new Breakdown(
-                        Breakdown.Kind.OUT_OF_REACH,
+                    new WeldpointException(
+                        WeldpointException.Kind.OUT_OF_REACH,
                         "the lock was not given back in time; send the call again"));
               }
               return core.call(
-                      Deed.LOCK_FINISH,
+                      StoreOperation.LOCK_FINISH,
                       id,
                       grip.owner(),
                       ticket.first,
@@ -769,13 +783,14 @@
             });
   }
 
-  ControlCommand lock(final Deed deed, final String id, final Calls.Grip grip) {
+  ControlCommand lock(
+      final StoreOperation deed, final String id, final ControlApi.LockRequest grip) {
     if (grip.owner() == null
         || grip.owner().isEmpty()
-        || deed != Deed.LOCK_BEGIN && grip.fenceNumber() == null
-        || deed != Deed.LOCK_FINISH && (grip.holdMs() == null || grip.holdMs() <= 0)) {
-      throw new Breakdown(
-          Breakdown.Kind.UNREADABLE,
+        || deed != StoreOperation.LOCK_BEGIN && grip.fenceNumber() == null
+        || deed != StoreOperation.LOCK_FINISH && (grip.holdMs() == null || grip.holdMs() <= 0)) {
+      throw new WeldpointException(
+          WeldpointException.Kind.UNREADABLE,
           "the call for lock "
               + id
               + " lacks owner, fenceNumber or holdMs; send what the call needs");
@@ -788,15 +803,24 @@
                 answer ->
                     status(
                         answer,
-                        deed == Deed.LOCK_BEGIN
-                            ? ControlReply.of(200, Calls.FENCE, new Calls.Fence(answer.first))
+                        deed == StoreOperation.LOCK_BEGIN
+                            ? ControlReply.of(
+                                200, ControlApi.FENCE, new ControlApi.FencingToken(answer.first))
                             : ControlReply.EMPTY));
   }
 
   private ControlCommand watch(final String group, final long after, final long wait) {
     final long patience = Math.max(0, Math.min(wait, 60_000));
     return (now, waits) ->
-        core.call(Deed.WATCH, group, null, after, patience, null, patience + CALL_MILLIS, now)
+        core.call(
+                StoreOperation.WATCH,
+                group,
+                null,
+                after,
+                patience,
+                null,
+                patience + CALL_MILLIS,
+                now)
             .thenApply(
                 answer -> {
                   if (answer.status != 200) {
@@ -808,13 +832,14 @@
                                 + after
                                 + "; begin again with after=0"));
                   }
-                  final Values.Events events = Wire.value(answer.body, Values.Events.class);
-                  final List<Calls.Event> list = new java.util.ArrayList<>();
-                  for (final Values.Put put : Protocol.list(events.events)) {
-                    list.add(new Calls.Event(put.name, put.value, put.revision));
+                  final StoredValues.WatchEvents events =
+                      Serializer.value(answer.body, StoredValues.WatchEvents.class);
+                  final List<ControlApi.Event> list = new java.util.ArrayList<>();
+                  for (final StoredValues.Put put : Protocol.list(events.events)) {
+                    list.add(new ControlApi.Event(put.name, put.value, put.revision));
                   }
                   return ControlReply.of(
-                      200, Calls.WATCH, new Calls.WatchAnswer(list, events.revision));
+                      200, ControlApi.WATCH, new ControlApi.WatchResponse(list, events.revision));
                 });
   }
 }
--- a/registry/src/main/java/weldpoint/registry/ControlState.java
+++ b/registry/src/main/java/weldpoint/registry/ControlState.java
@@ -3,12 +3,12 @@
 import com.google.common.flogger.FluentLogger;
 import java.util.ArrayList;
 import java.util.List;
-import weldpoint.routing.Dialplan;
-import weldpoint.transport.Packing;
+import weldpoint.routing.RoutingTable;
+import weldpoint.transport.Compression;
 import weldpoint.transport.Protocol;
 import weldpoint.transport.TrialMessages;
-import weldpoint.trial.TrialPanel;
-import weldpoint.trial.Verdict;
+import weldpoint.trial.TrialCoordinator;
+import weldpoint.trial.TrialVerdict;
 
 /**
  * What operators have ordered as this exchange has learned it: the configuration, evacuations and
@@ -18,7 +18,7 @@
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
   private final String self;
-  private final TrialPanel panel = new TrialPanel();
+  private final TrialCoordinator panel = new TrialCoordinator();
   private long version;
   private byte[] spec;
   private List<String> evacuated = List.of();
@@ -26,7 +26,7 @@
   private List<TrialMessages.Trial> trials = List.of();
   private long trialMark;
   private long heldSince;
-  private Dialplan plan;
+  private RoutingTable plan;
 
   ControlState(final String self) {
     this.self = self;
@@ -57,7 +57,7 @@
     return trialMark;
   }
 
-  TrialPanel panel() {
+  TrialCoordinator panel() {
     return panel;
   }
 
@@ -72,15 +72,15 @@
   }
 
   /** The compiled configuration; null where there is none. */
-  Dialplan plan() {
+  RoutingTable plan() {
     if (spec != null && (plan == null || plan.version() < version)) {
-      plan = Dialplan.compile(Packing.inflate(spec));
+      plan = RoutingTable.compile(Compression.inflate(spec));
     }
     return plan;
   }
 
   /** Takes what the disk held. */
-  void recall(final Remembered kept) {
+  void recall(final PersistedRecord kept) {
     if (kept.spec != null && kept.version > version) {
       version = kept.version;
       spec = kept.spec;
@@ -96,7 +96,7 @@
   }
 
   /** What was news in something taken. */
-  record News(byte[] spec, boolean evacuations, boolean trials) {
+  record Delta(byte[] spec, boolean evacuations, boolean trials) {
     boolean any() {
       return spec != null || evacuations || trials;
     }
@@ -106,7 +106,7 @@
    * Takes what the frames hold, or what another exchange has learned from them; only what is newer
    * than what is held.
    */
-  News take(
+  Delta take(
       final long givenVersion,
       final byte[] givenSpec,
       final List<String> givenEvacuated,
@@ -131,7 +131,7 @@
       trialMark = givenTrialMark;
       takeTrials(Protocol.list(givenTrials));
     }
-    final News news = new News(newSpec, evacuations, trialNews);
+    final Delta news = new Delta(newSpec, evacuations, trialNews);
     heldSince = news.any() ? now : heldSince;
     return news;
   }
@@ -140,12 +140,12 @@
     panel.take(given);
     trials = new ArrayList<>();
     for (final TrialMessages.Trial trial : panel.trials()) {
-      if (Verdict.of(trial) != Verdict.FINISHED) {
+      if (TrialVerdict.of(trial) != TrialVerdict.FINISHED) {
         trials.add(trial);
       }
       LOGGER.atInfo().log(
           "trial %s of route %s: stage %s, %s %s",
-          trial.number, trial.route, trial.stage, Verdict.of(trial), trial.reason);
+          trial.number, trial.route, trial.stage, TrialVerdict.of(trial), trial.reason);
     }
   }
 }
--- a/registry/src/main/java/weldpoint/registry/Switchboards.java
+++ b/registry/src/main/java/weldpoint/registry/DaemonTable.java
@@ -7,13 +7,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import weldpoint.transport.RegistryMessages.Board;
+import weldpoint.transport.RegistryMessages.DaemonEntry;
 
 /**
  * The switchboards and announcers that this exchange has heard of, itself or from other exchanges,
  * and when.
  */
-final class Switchboards {
+final class DaemonTable {
   static final long LIVE_MILLIS = 4000;
   static final long GONE_MILLIS = 20_000;
   static final long STAYS_MILLIS = 10_000;
@@ -24,7 +24,7 @@
 
   /** One of them. */
   static final class Entry {
-    Board board;
+    DaemonEntry board;
     long heardAt;
     long closedAt;
   }
@@ -47,7 +47,7 @@
   }
 
   /** Whether what this one tells of itself is news to others. */
-  boolean news(final Board board, final long now) {
+  boolean news(final DaemonEntry board, final long now) {
     final Entry entry = entries.get(board.address);
     return entry == null
         || entry.board.incarnation != board.incarnation
@@ -55,9 +55,9 @@
         || now - entry.heardAt > LIVE_MILLIS;
   }
 
-  void merge(final List<Board> list, final long now) {
+  void merge(final List<DaemonEntry> list, final long now) {
     boolean changed = false;
-    for (final Board board : list) {
+    for (final DaemonEntry board : list) {
       final Entry entry = entries.computeIfAbsent(board.address, address -> new Entry());
       final long heardAt = now - board.ageMillis;
       if (entry.board == null
@@ -79,7 +79,7 @@
   }
 
   /** Another exchange, or this one, holds it to be gone. */
-  void gone(final Board board, final long now) {
+  void gone(final DaemonEntry board, final long now) {
     final Entry entry = entries.get(board.address);
     if (entry != null
         && entry.board.incarnation == board.incarnation
@@ -100,8 +100,8 @@
    * Those whose stream ended and who have opened none anywhere for a while: they are now held to be
    * gone.
    */
-  List<Board> missed(final long now) {
-    final List<Board> missed = new ArrayList<>();
+  List<DaemonEntry> missed(final long now) {
+    final List<DaemonEntry> missed = new ArrayList<>();
     for (final Entry entry : entries.values()) {
       if (entry.closedAt != 0 && now - entry.closedAt > PATIENCE_MILLIS) {
         if (entry.heardAt <= entry.closedAt && now - entry.heardAt < GONE_MILLIS) {
@@ -115,8 +115,8 @@
   }
 
   /** The same one, heard of so long ago. */
-  static Board aged(final Board board, final long ageMillis) {
-    return new Board(
+  static DaemonEntry aged(final DaemonEntry board, final long ageMillis) {
+    return new DaemonEntry(
         board.address,
         board.front,
         board.site,
@@ -142,8 +142,8 @@
   }
 
   /** The switchboards that were heard of lately and do not leave. */
-  List<Board> live(final long now) {
-    final List<Board> live = new ArrayList<>();
+  List<DaemonEntry> live(final long now) {
+    final List<DaemonEntry> live = new ArrayList<>();
     for (final Entry entry : entries.values()) {
       if (!entry.board.announcer && !entry.board.leaving && now - entry.heardAt < LIVE_MILLIS) {
         live.add(entry.board);
@@ -189,8 +189,8 @@
   }
 
   /** All that are still told of, with their ages. */
-  List<Board> told(final long now) {
-    final List<Board> list = new ArrayList<>();
+  List<DaemonEntry> told(final long now) {
+    final List<DaemonEntry> list = new ArrayList<>();
     kept(now).values().forEach(entry -> list.add(aged(entry.board, now - entry.heardAt)));
     return list;
   }
@@ -198,7 +198,7 @@
   long digest(final long now) {
     long sum = 0;
     for (final Entry entry : kept(now).values()) {
-      final Board board = entry.board;
+      final DaemonEntry board = entry.board;
       long hash = board.address.hashCode() * 0x9e3779b97f4a7c15L + board.incarnation;
       hash =
           (hash ^ hash >>> 29) * 0xbf58476d1ce4e5b9L
--- a/registry/src/main/java/weldpoint/registry/Directory.java
+++ b/registry/src/main/java/weldpoint/registry/Directory.java
@@ -2,13 +2,13 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import weldpoint.transport.RegistryMessages.Board;
+import weldpoint.transport.RegistryMessages.DaemonEntry;
 
 /** Answers of the directory: which switchboards a client in some place should use. */
 final class Directory {
-  private final Switchboards switchboards;
+  private final DaemonTable switchboards;
 
-  Directory(final Switchboards switchboards) {
+  Directory(final DaemonTable switchboards) {
     this.switchboards = switchboards;
   }
 
@@ -22,31 +22,31 @@
       final int most,
       final boolean cutOff,
       final long now) {
-    final List<Board> live = new ArrayList<>();
-    final List<Board> dim = new ArrayList<>();
-    for (final Switchboards.Entry entry : switchboards.all()) {
+    final List<DaemonEntry> live = new ArrayList<>();
+    final List<DaemonEntry> dim = new ArrayList<>();
+    for (final DaemonTable.Entry entry : switchboards.all()) {
       if (!entry.board.leaving && !entry.board.announcer) {
-        (now - entry.heardAt < Switchboards.LIVE_MILLIS ? live : dim).add(entry.board);
+        (now - entry.heardAt < DaemonTable.LIVE_MILLIS ? live : dim).add(entry.board);
       }
     }
     if (live.isEmpty() || cutOff) {
       live.addAll(dim);
     }
     final List<String> near = new ArrayList<>();
-    for (final Board board : live) {
+    for (final DaemonEntry board : live) {
       if (board.site.equals(site)) {
         near.add(board.front);
       }
     }
     if (near.size() < 2) {
-      for (final Board board : live) {
+      for (final DaemonEntry board : live) {
         if (board.region.equals(region) && !near.contains(board.front)) {
           near.add(board.front);
         }
       }
     }
     if (near.isEmpty()) {
-      for (final Board board : live) {
+      for (final DaemonEntry board : live) {
         near.add(board.front);
       }
     }
--- a/registry/src/main/java/weldpoint/registry/Electorates.java
+++ b/registry/src/main/java/weldpoint/registry/Electorates.java
@@ -12,9 +12,9 @@
 import weldpoint.transport.Protocol;
 import weldpoint.transport.RegionMessages.Elector;
 import weldpoint.transport.RegionMessages.Electorate;
-import weldpoint.transport.RegistryMessages.Board;
-import weldpoint.transport.StoreCallMessages;
-import weldpoint.transport.Wire;
+import weldpoint.transport.RegistryMessages.DaemonEntry;
+import weldpoint.transport.Serializer;
+import weldpoint.transport.StoreMessages;
 
 /**
  * Who may choose a region's chief: written to the frames once it has stood still for a while, told
@@ -25,7 +25,7 @@
 
   /** Writes a region's electorate. */
   interface Writer {
-    CompletableFuture<StoreCallMessages.Answer> write(String region, byte[] body, long now);
+    CompletableFuture<StoreMessages.StoreResponse> write(String region, byte[] body, long now);
   }
 
   private final Writer writer;
@@ -74,9 +74,9 @@
   }
 
   /** Takes which switchboards live now, and writes what has not been written. */
-  void keep(final List<Board> live, final long now) {
+  void keep(final List<DaemonEntry> live, final long now) {
     final Map<String, List<Elector>> present = new TreeMap<>();
-    for (final Board board : live) {
+    for (final DaemonEntry board : live) {
       present
           .computeIfAbsent(board.region, region -> new ArrayList<>())
           .add(new Elector(board.address, board.incarnation));
@@ -100,7 +100,7 @@
                     electors,
                     electors.size() / (double) live.size());
             writer
-                .write(region, Wire.bytes(next), now)
+                .write(region, Serializer.bytes(next), now)
                 .whenComplete((answer, problem) -> out = false);
           }
         });
--- a/registry/src/main/java/weldpoint/registry/BeatKeepers.java
+++ b/registry/src/main/java/weldpoint/registry/HeartbeatOwners.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Predicate;
-import weldpoint.statestore.Tokens;
+import weldpoint.statestore.TokenAssignment;
 import weldpoint.transport.Protocol;
 import weldpoint.transport.StateStoreMessages.Voter;
 
@@ -12,11 +12,11 @@
  * zones first, as in the Dynamo paper's Strategy 3. Unreachable ones are passed over and keep their
  * tokens.
  */
-final class BeatKeepers {
+final class HeartbeatOwners {
   /** How many of the preference list may be taken for being in the upstream's own region. */
   private static final int NEAR_CHOICES = 3;
 
-  private BeatKeepers() {}
+  private HeartbeatOwners() {}
 
   /** The address of the keeper; null where no voter can be reached. */
   static String keeper(
@@ -58,7 +58,7 @@
 
   /** The index of the voter that has the upstream's token. */
   private static int owner(final List<Voter> voters, final String id) {
-    final int token = Math.floorMod(id.hashCode() * 0x9e3779b1, Tokens.COUNT);
+    final int token = Math.floorMod(id.hashCode() * 0x9e3779b1, TokenAssignment.COUNT);
     int owner = 0;
     for (int index = 0; index < voters.size(); index++) {
       if (Protocol.list(voters.get(index).tokens).contains(token)) {
