--- a/registry/src/main/java/weldpoint/registry/HistoryDesk.java
+++ b/registry/src/main/java/weldpoint/registry/HistoryReader.java
@@ -8,18 +8,18 @@
 import java.util.concurrent.CompletableFuture;
 import weldpoint.audit.AuditEntry;
 import weldpoint.audit.ChangeKind;
-import weldpoint.common.Breakdown;
-import weldpoint.statestore.Deed;
-import weldpoint.statestore.Values;
+import weldpoint.common.WeldpointException;
+import weldpoint.statestore.StoreOperation;
+import weldpoint.statestore.StoredValues;
 import weldpoint.transport.Protocol;
-import weldpoint.transport.Wire;
+import weldpoint.transport.Serializer;
 
 /**
  * Reads the history of routing changes from the replica on this machine. It is complete only if a
  * majority confirmed, after the question came, how far the history reaches, and the replica has all
  * of that.
  */
-final class HistoryDesk {
+final class HistoryReader {
   private static final long HEAD_MILLIS = 900;
   private static final long CATCH_UP_MILLIS = 1200;
   private static final long AGAIN_MILLIS = 80;
@@ -27,18 +27,18 @@
   private static final int MOST = 500;
   private static final long UNHEARD_MILLIS = 4000;
 
-  private static final class Reading {
-    final Calls.HistoryQuery query;
+  private static final class PendingRead {
+    final ControlApi.HistoryQuery query;
     final Range range;
     final long cutoff;
-    final CompletableFuture<Calls.HistoryAnswer> future = new CompletableFuture<>();
+    final CompletableFuture<ControlApi.HistoryResponse> future = new CompletableFuture<>();
     boolean headKnown;
     long through;
     String digest = "";
     long againAt;
     boolean out;
 
-    Reading(final Calls.HistoryQuery query, final Range range, final long cutoff) {
+    PendingRead(final ControlApi.HistoryQuery query, final Range range, final long cutoff) {
       this.query = query;
       this.range = range;
       this.cutoff = cutoff;
@@ -47,7 +47,7 @@
 
   /** The checked range of a question. */
   record Range(long from, long to, long since, long until, int most) {
-    static Range of(final Calls.HistoryQuery query, final long wall) {
+    static Range of(final ControlApi.HistoryQuery query, final long wall) {
       final long from = query.from() == null ? 0 : query.from();
       final long to = query.to() == null ? Long.MAX_VALUE : query.to();
       if (from < 0 || to < 1) {
@@ -88,27 +88,27 @@
       }
     }
 
-    private static Breakdown bad(final String message) {
-      return new Breakdown(Breakdown.Kind.INVALID, message);
+    private static WeldpointException bad(final String message) {
+      return new WeldpointException(WeldpointException.Kind.INVALID, message);
     }
   }
 
   private final String self;
-  private final StoreCaller store;
-  private final List<Reading> readings = new ArrayList<>();
+  private final StoreClient store;
+  private final List<PendingRead> readings = new ArrayList<>();
 
-  HistoryDesk(final String self, final StoreCaller store) {
+  HistoryReader(final String self, final StoreClient store) {
     this.self = self;
     this.store = store;
   }
 
   /** Answers a question about the history. */
-  CompletableFuture<Calls.HistoryAnswer> read(
-      final Calls.HistoryQuery query, final long wall, final long now) {
-    final Reading reading =
-        new Reading(query, Range.of(query, wall), now + HEAD_MILLIS + CATCH_UP_MILLIS);
+  CompletableFuture<ControlApi.HistoryResponse> read(
+      final ControlApi.HistoryQuery query, final long wall, final long now) {
+    final PendingRead reading =
+        new PendingRead(query, Range.of(query, wall), now + HEAD_MILLIS + CATCH_UP_MILLIS);
     store
-        .call(Deed.HISTORY_HEAD, "", null, 0, 0, null, null, now, HEAD_MILLIS)
+        .call(StoreOperation.HISTORY_HEAD, "", null, 0, 0, null, null, now, HEAD_MILLIS)
         .whenComplete(
             (answer, problem) -> {
               if (problem == null && answer.status == 200) {
@@ -126,18 +126,18 @@
 
   /** Time has passed. */
   void tick(final long now) {
-    for (final Reading reading : new ArrayList<>(readings)) {
+    for (final PendingRead reading : new ArrayList<>(readings)) {
       if (!reading.out && now >= reading.againAt) {
         look(reading, now);
       }
     }
   }
 
-  private void look(final Reading reading, final long now) {
+  private void look(final PendingRead reading, final long now) {
     reading.out = true;
     store
         .here(
-            Deed.HISTORY_READ,
+            StoreOperation.HISTORY_READ,
             Math.max(1, reading.range.from()),
             reading.range.most(),
             now,
@@ -145,9 +145,9 @@
         .whenComplete(
             (answer, problem) -> {
               reading.out = false;
-              final Values.HistoryPart part =
+              final StoredValues.HistoryPart part =
                   problem == null && answer.status == 200
-                      ? Wire.value(answer.body, Values.HistoryPart.class)
+                      ? Serializer.value(answer.body, StoredValues.HistoryPart.class)
                       : null;
               final boolean whole =
                   part != null && reading.headKnown && !part.blank && part.last >= reading.through;
@@ -166,7 +166,7 @@
                         reading.headKnown,
                         reading.through,
                         reading.digest));
-              } catch (final Breakdown breakdown) {
+              } catch (final WeldpointException breakdown) {
                 reading.future.completeExceptionally(breakdown);
               }
             });
@@ -175,16 +175,16 @@
   /**
    * What a replica's part of the history is worth, given how far a majority says that it reaches.
    */
-  static Calls.HistoryAnswer answer(
+  static ControlApi.HistoryResponse answer(
       final String replica,
       final Range range,
-      final Calls.HistoryQuery query,
-      final Values.HistoryPart part,
+      final ControlApi.HistoryQuery query,
+      final StoredValues.HistoryPart part,
       final boolean headKnown,
       final long head,
       final String headDigest) {
     if (part == null) {
-      return new Calls.HistoryAnswer(
+      return new ControlApi.HistoryResponse(
           false,
           "the replica " + replica + " does not answer; ask another one",
           0,
@@ -227,16 +227,16 @@
               + " than the one decided; compare it with the others";
     }
     if (range.from() > 0 && range.from() <= part.base) {
-      throw new Breakdown(
-          Breakdown.Kind.INVALID,
+      throw new WeldpointException(
+          WeldpointException.Kind.INVALID,
           "entries up to " + part.base + " were trimmed; ask from " + (part.base + 1));
     }
     if (range.from() > through && range.from() > 1 && problem == null) {
-      throw new Breakdown(
-          Breakdown.Kind.INVALID,
+      throw new WeldpointException(
+          WeldpointException.Kind.INVALID,
           "entry " + range.from() + " lies in the future; the last decided one is " + through);
     }
-    final List<Calls.HistoryEntry> entries = new ArrayList<>();
+    final List<ControlApi.HistoryEntry> entries = new ArrayList<>();
     final long last = Math.min(range.to(), through);
     long sequence = part.from;
     String digestThrough = headKnown ? headDigest : part.digest;
@@ -251,7 +251,7 @@
       sequence++;
     }
     final boolean more = sequence <= last;
-    return new Calls.HistoryAnswer(
+    return new ControlApi.HistoryResponse(
         problem == null,
         problem,
         part.base + 1,
@@ -262,7 +262,7 @@
   }
 
   private static boolean matches(
-      final AuditEntry entry, final Range range, final Calls.HistoryQuery query) {
+      final AuditEntry entry, final Range range, final ControlApi.HistoryQuery query) {
     if (entry.time < range.since()
         || entry.time > range.until()
         || query.author() != null
@@ -282,8 +282,8 @@
   }
 
   /** An entry as operators read it. */
-  static Calls.HistoryEntry json(final AuditEntry entry, final byte[] bytes) {
-    return new Calls.HistoryEntry(
+  static ControlApi.HistoryEntry json(final AuditEntry entry, final byte[] bytes) {
+    return new ControlApi.HistoryEntry(
         entry.sequence,
         entry.kind().words(),
         entry.kind() == ChangeKind.CONFIGURATION || entry.kind() == ChangeKind.UPGRADE
@@ -306,19 +306,19 @@
   }
 
   /** Which daemons had a change in force. */
-  static Calls.ReachAnswer reach(
-      final Calls.HistoryAnswer found,
+  static ControlApi.ReachResponse reach(
+      final ControlApi.HistoryResponse found,
       final AuditEntry change,
-      final List<InForce> daemons,
+      final List<AppliedState> daemons,
       final long wall) {
-    final List<Calls.DaemonReach> list = new ArrayList<>();
+    final List<ControlApi.DaemonReach> list = new ArrayList<>();
     final boolean configuration = change.kind() == ChangeKind.CONFIGURATION;
     final boolean routing =
         configuration
             || change.kind() == ChangeKind.EVACUATION_BEGUN
             || change.kind() == ChangeKind.EVACUATION_FINISHED
             || change.kind() == ChangeKind.TRIAL;
-    for (final InForce one : daemons) {
+    for (final AppliedState one : daemons) {
       final long held = configuration ? one.version() : one.mark();
       final long wanted = configuration ? change.version : change.mark;
       final String heard =
@@ -327,11 +327,11 @@
               : "heard of " + one.ageMillis() + " ms ago";
       if (!routing) {
         list.add(
-            new Calls.DaemonReach(
+            new ControlApi.DaemonReach(
                 one.address(), one.program(), "IN_FORCE", "", "changes no routing"));
       } else if (one.ageMillis() > UNHEARD_MILLIS) {
         list.add(
-            new Calls.DaemonReach(
+            new ControlApi.DaemonReach(
                 one.address(),
                 one.program(),
                 "UNHEARD",
@@ -341,12 +341,12 @@
                         ? ", had it in force then"
                         : ", not known whether it has it in force")));
       } else if (held < wanted) {
-        list.add(new Calls.DaemonReach(one.address(), one.program(), "NOT_YET", "", heard));
+        list.add(new ControlApi.DaemonReach(one.address(), one.program(), "NOT_YET", "", heard));
       } else {
         final String since =
             Instant.ofEpochMilli(wall - one.ageMillis() - one.heldMillis()).toString();
         list.add(
-            new Calls.DaemonReach(
+            new ControlApi.DaemonReach(
                 one.address(),
                 one.program(),
                 "IN_FORCE",
@@ -357,9 +357,9 @@
       }
     }
     list.sort(
-        java.util.Comparator.comparing(Calls.DaemonReach::program)
-            .thenComparing(Calls.DaemonReach::address));
-    return new Calls.ReachAnswer(
+        java.util.Comparator.comparing(ControlApi.DaemonReach::program)
+            .thenComparing(ControlApi.DaemonReach::address));
+    return new ControlApi.ReachResponse(
         found.complete(),
         found.problem(),
         found.entries().isEmpty() ? null : found.entries().get(0),
@@ -367,29 +367,32 @@
   }
 
   /** Answers which daemons had the change of this number in force. */
-  CompletableFuture<Calls.ReachAnswer> reach(
-      final long sequence, final List<InForce> daemons, final long wall, final long now) {
+  CompletableFuture<ControlApi.ReachResponse> reach(
+      final long sequence, final List<AppliedState> daemons, final long wall, final long now) {
     if (sequence < 1) {
-      throw new Breakdown(
-          Breakdown.Kind.INVALID, "changes are counted from 1; name one of the history");
+      throw new WeldpointException(
+          WeldpointException.Kind.INVALID, "changes are counted from 1; name one of the history");
     }
-    return read(new Calls.HistoryQuery(sequence, sequence, null, null, null, null, 1L), wall, now)
+    return read(
+            new ControlApi.HistoryQuery(sequence, sequence, null, null, null, null, 1L), wall, now)
         .thenCompose(
             found -> {
               if (found.entries().isEmpty()) {
-                throw new Breakdown(
-                    Breakdown.Kind.OUT_OF_REACH,
+                throw new WeldpointException(
+                    WeldpointException.Kind.OUT_OF_REACH,
                     "change " + sequence + " is not known here: " + found.problem());
               }
               return store
-                  .here(Deed.HISTORY_READ, sequence, 1, now, LOCAL_MILLIS)
+                  .here(StoreOperation.HISTORY_READ, sequence, 1, now, LOCAL_MILLIS)
                   .thenApply(
                       answer ->
                           reach(
                               found,
                               AuditEntry.read(
                                   Protocol.list(
-                                          Wire.value(answer.body, Values.HistoryPart.class).entries)
+                                          Serializer.value(
+                                                  answer.body, StoredValues.HistoryPart.class)
+                                              .entries)
                                       .get(0)),
                               daemons,
                               wall));
--- a/registry/src/main/java/weldpoint/registry/KeyClaims.java
+++ b/registry/src/main/java/weldpoint/registry/KeyClaims.java
@@ -6,13 +6,13 @@
 import java.util.function.Consumer;
 import weldpoint.idempotency.ClaimCoordinator;
 import weldpoint.idempotency.ClaimTable;
-import weldpoint.metrics.Figure;
+import weldpoint.metrics.Metric;
 import weldpoint.transport.KeyMessages.Claim;
-import weldpoint.transport.KeyMessages.ClaimAsk;
 import weldpoint.transport.KeyMessages.ClaimRelease;
-import weldpoint.transport.KeyMessages.Vote;
-import weldpoint.transport.KeyMessages.VoteAnswer;
-import weldpoint.transport.KeyMessages.VoteAsk;
+import weldpoint.transport.KeyMessages.ClaimRequest;
+import weldpoint.transport.KeyMessages.ClaimVote;
+import weldpoint.transport.KeyMessages.ClaimVoteRequest;
+import weldpoint.transport.KeyMessages.ClaimVoteResponse;
 import weldpoint.transport.Message;
 import weldpoint.transport.StateStoreMessages.Roster;
 import weldpoint.transport.StateStoreMessages.Voter;
@@ -85,8 +85,8 @@
   /** A proxy claims a key or gives one back. */
   void fromProxy(final Message message, final Consumer<Message> reply, final long now) {
     clock = Math.max(clock, now);
-    if (message instanceof ClaimAsk) {
-      coordinator.ask(((ClaimAsk) message).claim, reply, now);
+    if (message instanceof ClaimRequest) {
+      coordinator.ask(((ClaimRequest) message).claim, reply, now);
     } else if (message instanceof ClaimRelease) {
       coordinator.release(((ClaimRelease) message).claims);
     }
@@ -96,10 +96,10 @@
   void receive(
       final String from, final Message message, final Consumer<Message> reply, final long now) {
     clock = Math.max(clock, now);
-    if (message instanceof VoteAsk) {
-      vote(((VoteAsk) message).claims, reply, now);
-    } else if (message instanceof VoteAnswer) {
-      final VoteAnswer answer = (VoteAnswer) message;
+    if (message instanceof ClaimVoteRequest) {
+      vote(((ClaimVoteRequest) message).claims, reply, now);
+    } else if (message instanceof ClaimVoteResponse) {
+      final ClaimVoteResponse answer = (ClaimVoteResponse) message;
       if (answer.rosterNumber <= roster.number) {
         coordinator.voted(from, answer, roster, before, now);
       }
@@ -115,22 +115,22 @@
       return;
     }
     final List<Claim> mine = new ArrayList<>();
-    final List<Vote> granted = new ArrayList<>();
-    final List<Vote> refused = new ArrayList<>();
+    final List<ClaimVote> granted = new ArrayList<>();
+    final List<ClaimVote> refused = new ArrayList<>();
     for (final Claim claim : claims) {
       final Claim holder = table.claim(claim, now);
       if (holder.sameClaimant(claim)) {
         mine.add(claim);
-        granted.add(new Vote(claim.incarnation, claim.number, null));
+        granted.add(new ClaimVote(claim.incarnation, claim.number, null));
       } else {
-        refused.add(new Vote(claim.incarnation, claim.number, holder));
+        refused.add(new ClaimVote(claim.incarnation, claim.number, holder));
       }
     }
     if (!refused.isEmpty()) {
-      reply.accept(new VoteAnswer(roster.number, refused));
+      reply.accept(new ClaimVoteResponse(roster.number, refused));
     }
     if (!mine.isEmpty()) {
-      disk.append(mine, () -> reply.accept(new VoteAnswer(roster.number, granted)));
+      disk.append(mine, () -> reply.accept(new ClaimVoteResponse(roster.number, granted)));
     }
   }
 
@@ -148,16 +148,16 @@
   }
 
   /** Figures of claims. */
-  List<Figure> figures() {
+  List<Metric> figures() {
     final String help = "Claims of idempotency keys that this registry asked the voters about.";
     return List.of(
-        Figure.counter("weldpoint_key_claims", help, coordinator.granted())
+        Metric.counter("weldpoint_key_claims", help, coordinator.granted())
             .with("result", "granted"),
-        Figure.counter("weldpoint_key_claims", help, coordinator.conflicts())
+        Metric.counter("weldpoint_key_claims", help, coordinator.conflicts())
             .with("result", "held"),
-        Figure.counter("weldpoint_key_claims", help, coordinator.unknown())
+        Metric.counter("weldpoint_key_claims", help, coordinator.unknown())
             .with("result", "unknown"),
-        Figure.gauge(
+        Metric.gauge(
             "weldpoint_keys_remembered", "Idempotency keys remembered here.", table.size()));
   }
 }
--- a/registry/src/main/java/weldpoint/registry/UpstreamCalls.java
+++ b/registry/src/main/java/weldpoint/registry/KeyGrantClient.java
@@ -31,7 +31,7 @@
 import java.util.concurrent.Executor;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import weldpoint.common.Boot;
+import weldpoint.common.Settings;
 import weldpoint.ownership.CallResult;
 import weldpoint.transport.OwnershipMessages.KeyRange;
 
@@ -41,7 +41,7 @@
  * the work under way. A call without an answer in time has its connection reset. That is no proof
  * that nothing of it arrives later; see HoldTimes for how long it may still be counted.
  */
-final class UpstreamCalls {
+final class KeyGrantClient {
   private static final String TARGET = "Weldpoint-Target-Instance";
   private static final String TRANSFER = "Weldpoint-Duty-Transfer";
   private static final int CONNECT_MILLIS = 400;
@@ -151,7 +151,7 @@
 
     private void connect() {
       connecting = true;
-      final Boot.Address to = Boot.Address.parse("address", address);
+      final Settings.Address to = Settings.Address.parse("address", address);
       bootstrap
           .clone()
           .handler(
@@ -162,7 +162,7 @@
                       .addLast(
                           new HttpClientCodec(),
                           new HttpObjectAggregator(MOST_ANSWER),
-                          new Answers(Link.this));
+                          new ResponseHandler(Link.this));
                 }
               })
           .connect(new InetSocketAddress(to.host(), to.port()))
@@ -228,10 +228,10 @@
   }
 
   /** Hears the answers on one connection. */
-  private static final class Answers extends SimpleChannelInboundHandler<FullHttpResponse> {
+  private static final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
     private final Link link;
 
-    Answers(final Link link) {
+    ResponseHandler(final Link link) {
       this.link = link;
     }
 
@@ -265,7 +265,7 @@
    * @param holdMillis for how long each grant holds
    * @param sendMillis for how long a grant may wait for its answer
    */
-  UpstreamCalls(
+  KeyGrantClient(
       final EventLoopGroup loop,
       final Executor desk,
       final long holdMillis,
@@ -288,9 +288,9 @@
 
   /** Grants a range to its holder. */
   void grant(final KeyRange range, final long sendBy, final Consumer<CallResult> done) {
-    final Calls.Grant body =
-        new Calls.Grant(range.first, range.last, range.fence, holdMillis, range.transfer);
-    final FullHttpRequest request = request(range.address, "/api/grant", Calls.GRANT, body);
+    final ControlApi.Grant body =
+        new ControlApi.Grant(range.first, range.last, range.fence, holdMillis, range.transfer);
+    final FullHttpRequest request = request(range.address, "/api/grant", ControlApi.GRANT, body);
     request.headers().set(TARGET, range.holder);
     final Call call = new Call("grant", range, request, sendBy, now() + sendMillis, onDesk(done));
     loop.execute(() -> links.computeIfAbsent(range.address, to -> new Link(to, true)).add(call));
@@ -302,8 +302,9 @@
       final long sendBy,
       final long answerBy,
       final Consumer<CallResult> done) {
-    final Calls.Release body = new Calls.Release(range.first, range.last, range.fence);
-    final FullHttpRequest request = request(range.address, "/api/release", Calls.RELEASE, body);
+    final ControlApi.Release body = new ControlApi.Release(range.first, range.last, range.fence);
+    final FullHttpRequest request =
+        request(range.address, "/api/release", ControlApi.RELEASE, body);
     final Call call = new Call("release", range, request, sendBy, answerBy, onDesk(done));
     loop.execute(() -> new Link(range.address, false).add(call));
   }
--- a/registry/src/main/java/weldpoint/registry/Stage.java
+++ b/registry/src/main/java/weldpoint/registry/LifecycleStage.java
@@ -3,7 +3,7 @@
 import weldpoint.transport.RegistryMessages.Registration;
 
 /** The steps of an upstream's life as the history records them. */
-public enum Stage {
+public enum LifecycleStage {
   /** Its first beat came. */
   JOINED(0, true),
   /**
@@ -16,17 +16,17 @@
   /** It has signed off, or another life has taken its address. */
   REMOVED(2, false);
 
-  private static final Stage[] ALL = values();
+  private static final LifecycleStage[] ALL = values();
   private final int rank;
   private final boolean open;
 
-  Stage(final int rank, final boolean open) {
+  LifecycleStage(final int rank, final boolean open) {
     this.rank = rank;
     this.open = open;
   }
 
   /** The stage of a registration. */
-  public static Stage of(final Registration registration) {
+  public static LifecycleStage of(final Registration registration) {
     return ALL[registration.stage];
   }
 
--- a/registry/src/main/java/weldpoint/registry/Authority.java
+++ b/registry/src/main/java/weldpoint/registry/MajorityReachability.java
@@ -14,20 +14,20 @@
  * Whether this exchange knows itself to be cut off from a majority, and who told lately that it is
  * not.
  */
-class Authority {
+class MajorityReachability {
   private static final long CUT_OFF_MILLIS = 1500;
   private static final long ASK_MILLIS = 300;
   private static final long TOLD_MILLIS = 1000;
 
-  private record Told(long at, long majorityAgeMillis) {}
+  private record PeerReport(long at, long majorityAgeMillis) {}
 
   private final String self;
   private final BiConsumer<String, Message> members;
-  private final Map<String, Told> told = new HashMap<>();
+  private final Map<String, PeerReport> told = new HashMap<>();
   private long startedAt;
   private long askedAt;
 
-  Authority(final String self, final BiConsumer<String, Message> members) {
+  MajorityReachability(final String self, final BiConsumer<String, Message> members) {
     this.self = self;
     this.members = members;
   }
@@ -71,7 +71,7 @@
     if (now - askedAt >= ASK_MILLIS && cutOff(roster, seeds, connected, majorityAt, now)) {
       askedAt = now;
       final Message question =
-          new RegistryMessages.StateRead(
+          new RegistryMessages.ControlStateRequest(
               0, roster.number, Long.MAX_VALUE, Long.MAX_VALUE, Long.MAX_VALUE, null, 0);
       connected.forEach(member -> members.accept(member, question));
     }
@@ -79,7 +79,7 @@
 
   /** An exchange has told how long ago it heard of a majority. */
   void told(final String member, final long majorityAgeMillis, final long now) {
-    told.put(member, new Told(now, majorityAgeMillis));
+    told.put(member, new PeerReport(now, majorityAgeMillis));
   }
 
   /**
@@ -89,7 +89,7 @@
   String elsewhere(final Set<String> connected, final long now) {
     String best = null;
     long youngest = CUT_OFF_MILLIS;
-    for (final Map.Entry<String, Told> entry : told.entrySet()) {
+    for (final Map.Entry<String, PeerReport> entry : told.entrySet()) {
       final long silent = now - entry.getValue().at();
       final long age = entry.getValue().majorityAgeMillis() + silent;
       if (silent <= TOLD_MILLIS && age <= youngest && connected.contains(entry.getKey())) {
--- a/registry/src/main/java/weldpoint/registry/OwnershipEndpoint.java
+++ b/registry/src/main/java/weldpoint/registry/OwnershipEndpoint.java
@@ -9,15 +9,15 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import weldpoint.metrics.Figure;
+import weldpoint.metrics.Metric;
 import weldpoint.ownership.Assigner;
-import weldpoint.ownership.HoldTimes;
+import weldpoint.ownership.GrantTimings;
 import weldpoint.ownership.Member;
 import weldpoint.ownership.OwnershipCoordinator;
 import weldpoint.ownership.SlotReports;
-import weldpoint.routing.Dialplan;
+import weldpoint.routing.RoutingTable;
 import weldpoint.transport.Message;
-import weldpoint.transport.OwnershipMessages.AssignerPulse;
+import weldpoint.transport.OwnershipMessages.AssignerHeartbeat;
 import weldpoint.transport.OwnershipMessages.Assignment;
 import weldpoint.transport.OwnershipMessages.Assignments;
 import weldpoint.transport.OwnershipMessages.KeyRange;
@@ -47,8 +47,8 @@
   OwnershipEndpoint(
       final String self,
       final long incarnation,
-      final HoldTimes times,
-      final Assigner.Outlet outlet,
+      final GrantTimings times,
+      final Assigner.Environment outlet,
       final Consumer<Message> everyRegistry,
       final BiConsumer<String, Message> registries) {
     this.self = self;
@@ -75,12 +75,12 @@
   }
 
   /** All ranges, for operators. */
-  List<Calls.KeyRangeStatus> status() {
-    final List<Calls.KeyRangeStatus> list = new ArrayList<>();
+  List<ControlApi.KeyRangeStatus> status() {
+    final List<ControlApi.KeyRangeStatus> list = new ArrayList<>();
     for (final Assignment assignment : coordinator.assignments()) {
       for (final KeyRange range : assignment.ranges()) {
         list.add(
-            new Calls.KeyRangeStatus(
+            new ControlApi.KeyRangeStatus(
                 assignment.service,
                 assignment.assigner,
                 range.first,
@@ -94,7 +94,7 @@
   }
 
   /** Another registry's pulse. */
-  void pulse(final String from, final AssignerPulse pulse, final long now) {
+  void pulse(final String from, final AssignerHeartbeat pulse, final long now) {
     coordinator.pulse(from, pulse, now);
   }
 
@@ -115,7 +115,7 @@
 
   /** Time has passed. */
   void tick(
-      final Dialplan plan,
+      final RoutingTable plan,
       final Registrations registrations,
       final Collection<String> evacuated,
       final OwnershipCoordinator.Position position,
@@ -142,7 +142,9 @@
   }
 
   private void learn(
-      final Dialplan plan, final Registrations registrations, final Collection<String> evacuated) {
+      final RoutingTable plan,
+      final Registrations registrations,
+      final Collection<String> evacuated) {
     final Set<String> suspects = registrations.suspects();
     final int state = 31 * evacuated.hashCode() + suspects.hashCode();
     if (plan.version() == knownVersion
@@ -158,7 +160,7 @@
     services.forEach(service -> members.put(service, new ArrayList<>()));
     final Map<String, String> lives = new HashMap<>();
     for (final Registration one : registrations.all().values()) {
-      if (Stage.of(one) == Stage.JOINED) {
+      if (LifecycleStage.of(one) == LifecycleStage.JOINED) {
         lives.put(one.address, one.id);
       }
     }
@@ -177,10 +179,10 @@
       final Map<String, String> lives,
       final Collection<String> evacuated,
       final Set<String> suspects) {
-    if (Stage.of(one) == Stage.REMOVED && lives.containsKey(one.address)) {
+    if (LifecycleStage.of(one) == LifecycleStage.REMOVED && lives.containsKey(one.address)) {
       return Member.Standing.ENDED;
     }
-    if (!Stage.of(one).open() || evacuated.contains(one.site)) {
+    if (!LifecycleStage.of(one).open() || evacuated.contains(one.site)) {
       return Member.Standing.LEAVES;
     }
     return suspects.contains(one.id) || one.warmupMillis > 0
@@ -188,7 +190,7 @@
         : Member.Standing.ELIGIBLE;
   }
 
-  List<Figure> figures(final long now) {
+  List<Metric> figures(final long now) {
     return coordinator.figures(now);
   }
 
--- a/registry/src/main/java/weldpoint/registry/Remembered.java
+++ b/registry/src/main/java/weldpoint/registry/PersistedRecord.java
@@ -7,7 +7,7 @@
 import weldpoint.transport.TrialMessages.Trial;
 
 /** What an exchange keeps on disk; parts that a record does not concern are null. */
-final class Remembered {
+final class PersistedRecord {
   static final int UNSAID = 0;
   static final int LEARNING = 1;
   static final int WHOLE = 2;
@@ -23,7 +23,7 @@
   final int learning;
   final List<Claim> claims;
 
-  Remembered(
+  PersistedRecord(
       final List<Registration> history,
       final Roster roster,
       final long version,
@@ -35,7 +35,7 @@
     this(history, roster, version, spec, evacuated, evacuationMark, trials, trialMark, UNSAID);
   }
 
-  Remembered(
+  PersistedRecord(
       final List<Registration> history,
       final Roster roster,
       final long version,
@@ -58,7 +58,7 @@
         null);
   }
 
-  Remembered(
+  PersistedRecord(
       final List<Registration> history,
       final Roster roster,
       final long version,
@@ -82,17 +82,17 @@
   }
 
   /** A record of registrations and, where it changed, the roster. */
-  static Remembered membership(final List<Registration> history, final Roster roster) {
-    return new Remembered(history, roster, 0, null, null, 0, null, 0);
+  static PersistedRecord membership(final List<Registration> history, final Roster roster) {
+    return new PersistedRecord(history, roster, 0, null, null, 0, null, 0);
   }
 
   /** A record of claims of idempotency keys. */
-  static Remembered claims(final List<Claim> claims) {
-    return new Remembered(null, null, 0, null, null, 0, null, 0, UNSAID, claims);
+  static PersistedRecord claims(final List<Claim> claims) {
+    return new PersistedRecord(null, null, 0, null, null, 0, null, 0, UNSAID, claims);
   }
 
   /** A record of whether this disk still lacks what was acknowledged before it came. */
-  static Remembered learning(final boolean learning) {
-    return new Remembered(null, null, 0, null, null, 0, null, 0, learning ? LEARNING : WHOLE);
+  static PersistedRecord learning(final boolean learning) {
+    return new PersistedRecord(null, null, 0, null, null, 0, null, 0, learning ? LEARNING : WHOLE);
   }
 }
--- a/registry/src/main/java/weldpoint/registry/PlacementDesk.java
+++ b/registry/src/main/java/weldpoint/registry/PlacementService.java
@@ -9,11 +9,11 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 import java.util.function.Predicate;
-import weldpoint.affinity.PlacementKeeper;
+import weldpoint.affinity.PlacementCoordinator;
 import weldpoint.routing.Affinity;
-import weldpoint.routing.Dialplan;
 import weldpoint.routing.Route;
-import weldpoint.statestore.Values;
+import weldpoint.routing.RoutingTable;
+import weldpoint.statestore.StoredValues;
 import weldpoint.transport.Message;
 import weldpoint.transport.PlacementMessages;
 import weldpoint.transport.PlacementMessages.PlacementMember;
@@ -24,9 +24,9 @@
  * An exchange's part in affinity: it works out who should be placed where, and passes leases
  * between switchboards and the keeper.
  */
-final class PlacementDesk {
+final class PlacementService {
   private final Affinity usual;
-  private final PlacementKeeper keeper;
+  private final PlacementCoordinator keeper;
   private final Map<String, Object> askers = new HashMap<>();
   private boolean tied;
   private long keeperSerial;
@@ -34,12 +34,12 @@
   private long wantedVersion = -1;
   private int wantedState;
 
-  PlacementDesk(final Affinity usual, final PlacementKeeper keeper) {
+  PlacementService(final Affinity usual, final PlacementCoordinator keeper) {
     this.usual = usual;
     this.keeper = keeper;
   }
 
-  PlacementKeeper keeper() {
+  PlacementCoordinator keeper() {
     return keeper;
   }
 
@@ -53,7 +53,7 @@
   }
 
   /** Takes what the frames hold; true where switchboards must be told. */
-  boolean take(final Values.Control control, final long now) {
+  boolean take(final StoredValues.ControlSnapshot control, final long now) {
     tied = control.tied;
     if (control.keeper != null) {
       keeperSerial = Math.max(keeperSerial, control.keeper.serial);
@@ -83,7 +83,7 @@
 
   /** Time has passed. */
   void tick(
-      final Dialplan plan,
+      final RoutingTable plan,
       final Collection<Registration> history,
       final Collection<String> evacuated,
       final Set<String> suspects,
@@ -106,7 +106,7 @@
   }
 
   private void want(
-      final Dialplan plan,
+      final RoutingTable plan,
       final Collection<Registration> history,
       final Collection<String> evacuated,
       final Set<String> suspects) {
@@ -123,13 +123,13 @@
     for (final Registration one : history) {
       final List<PlacementMember> members = wanted.get(one.service);
       if (members != null
-          && Stage.of(one) == Stage.JOINED
+          && LifecycleStage.of(one) == LifecycleStage.JOINED
           && !evacuated.contains(one.site)
           && !suspects.contains(one.id)) {
         members.add(new PlacementMember(one.id, one.capacity, one.site));
       }
     }
-    wanted.replaceAll((service, members) -> PlacementKeeper.sorted(members));
+    wanted.replaceAll((service, members) -> PlacementCoordinator.sorted(members));
     keeper.wanted(wanted, longest);
   }
 }
--- a/registry/src/main/java/weldpoint/registry/Streams.java
+++ b/registry/src/main/java/weldpoint/registry/ProxyStreams.java
@@ -11,20 +11,20 @@
 import java.util.function.Consumer;
 import weldpoint.transport.Message;
 import weldpoint.transport.RegistryMessages;
-import weldpoint.transport.RegistryMessages.Board;
+import weldpoint.transport.RegistryMessages.DaemonEntry;
 import weldpoint.transport.RegistryMessages.Registration;
 
 /**
  * The streams of switchboards and announcers to this exchange: those that have been given a first
  * view, and those that wait for it.
  */
-final class Streams {
+final class ProxyStreams {
   private static final long PATIENCE_MILLIS = 900;
 
   private final BiConsumer<Object, Message> outlet;
   private final Registrations registrations;
   private final ControlState control;
-  private final Switchboards switchboards;
+  private final DaemonTable switchboards;
   private final Set<Object> streams = new LinkedHashSet<>();
   private final Set<Object> hopefuls = new LinkedHashSet<>();
   private final Set<Object> announcers = new HashSet<>();
@@ -35,11 +35,11 @@
   /** What a switchboard has when its stream opens. */
   private record Opening(long version, List<Long> buckets, long read, long at) {}
 
-  Streams(
+  ProxyStreams(
       final BiConsumer<Object, Message> outlet,
       final Registrations registrations,
       final ControlState control,
-      final Switchboards switchboards) {
+      final DaemonTable switchboards) {
     this.outlet = outlet;
     this.registrations = registrations;
     this.control = control;
@@ -72,7 +72,7 @@
   /** A stream has opened and waits for its first view: until this quorum read is done, or 0. */
   void opened(
       final Object stream,
-      final Board board,
+      final DaemonEntry board,
       final List<Long> buckets,
       final long read,
       final long now) {
@@ -104,7 +104,7 @@
         final Opening opened = opening.remove(stream);
         outlet.accept(
             stream,
-            opened.buckets.isEmpty() || Buckets.empty(opened.buckets)
+            opened.buckets.isEmpty() || RegistrationBuckets.empty(opened.buckets)
                 ? view
                 : partView(opened, here));
         due.add(stream);
@@ -121,10 +121,12 @@
   private RegistryMessages.View partView(final Opening opened, final List<Long> here) {
     final Set<String> named = new HashSet<>();
     final List<Registration> lacking =
-        Buckets.differing(registrations.all().values(), here, opened.buckets);
+        RegistrationBuckets.differing(registrations.all().values(), here, opened.buckets);
     lacking.forEach(one -> named.add(one.id));
     for (final Registration one : registrations.all().values()) {
-      if (one.warmupMillis > 0 && Stage.of(one) != Stage.REMOVED && named.add(one.id)) {
+      if (one.warmupMillis > 0
+          && LifecycleStage.of(one) != LifecycleStage.REMOVED
+          && named.add(one.id)) {
         lacking.add(one);
       }
     }
@@ -141,7 +143,7 @@
         switchboards.most(),
         control.trials(),
         control.trialMark(),
-        lacking.isEmpty() ? null : Buckets.pack(lacking));
+        lacking.isEmpty() ? null : RegistrationBuckets.pack(lacking));
   }
 
   /**
@@ -161,7 +163,7 @@
       wholeState = state;
       final List<Registration> present = new ArrayList<>();
       for (final Registration one : registrations.all().values()) {
-        if (Stage.of(one) != Stage.REMOVED) {
+        if (LifecycleStage.of(one) != LifecycleStage.REMOVED) {
           present.add(one);
         }
       }
@@ -178,7 +180,7 @@
               0,
               control.trials(),
               control.trialMark(),
-              Buckets.pack(present));
+              RegistrationBuckets.pack(present));
     }
     return whole;
   }
--- a/registry/src/main/java/weldpoint/registry/Quorums.java
+++ b/registry/src/main/java/weldpoint/registry/QuorumWrites.java
@@ -8,13 +8,13 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
 import java.util.function.LongFunction;
-import weldpoint.common.Breakdown;
+import weldpoint.common.WeldpointException;
 import weldpoint.transport.Message;
 import weldpoint.transport.StateStoreMessages.Roster;
 import weldpoint.transport.StateStoreMessages.Voter;
 
 /** Changes that are acknowledged once a majority of the exchanges' disks has them. */
-class Quorums {
+class QuorumWrites {
   private static final long RESEND_MILLIS = 300;
 
   private static final class Quorum {
@@ -89,8 +89,8 @@
       if (now >= quorum.deadline) {
         quorums.remove(entry.getKey());
         quorum.future.completeExceptionally(
-            new Breakdown(
-                Breakdown.Kind.OUT_OF_REACH,
+            new WeldpointException(
+                WeldpointException.Kind.OUT_OF_REACH,
                 "no majority of disks has taken the change yet; send it to another daemon"));
       } else if (now - quorum.sentAt > RESEND_MILLIS) {
         quorum.sentAt = now;
--- a/registry/src/main/java/weldpoint/registry/QuotaEndpoint.java
+++ b/registry/src/main/java/weldpoint/registry/QuotaEndpoint.java
@@ -6,13 +6,13 @@
 import java.util.Map;
 import java.util.function.BiPredicate;
 import java.util.function.Consumer;
-import weldpoint.metrics.Figure;
-import weldpoint.ratelimit.Part;
+import weldpoint.metrics.Metric;
 import weldpoint.ratelimit.QuotaAllocator;
-import weldpoint.routing.Dialplan;
+import weldpoint.ratelimit.QuotaShare;
+import weldpoint.routing.RoutingTable;
 import weldpoint.transport.Message;
-import weldpoint.transport.PermitMessages.PermitAnswer;
-import weldpoint.transport.PermitMessages.PermitAsk;
+import weldpoint.transport.PermitMessages.PermitRequest;
+import weldpoint.transport.PermitMessages.PermitResponse;
 import weldpoint.transport.StateStoreMessages.Roster;
 import weldpoint.transport.StateStoreMessages.Voter;
 
@@ -35,7 +35,7 @@
   private static final int MOST_SERIES = 200;
 
   private record Relayed(
-      PermitAsk ask,
+      PermitRequest ask,
       Consumer<Message> reply,
       int granted,
       long version,
@@ -78,9 +78,9 @@
 
   /** Answers an ask for permits, or passes the rest of it on to the next voter. */
   void ask(
-      final PermitAsk ask,
+      final PermitRequest ask,
       final Consumer<Message> reply,
-      final Dialplan plan,
+      final RoutingTable plan,
       final Roster roster,
       final long version,
       final long ageMillis,
@@ -94,7 +94,7 @@
     final boolean more =
         granted < ask.count && ask.hops < roster.voters.size() && !denied(ask.name, now);
     if (!more || !relay(ask, reply, granted, roster, version, age, now)) {
-      reply.accept(new PermitAnswer(ask.number, granted, version, age));
+      reply.accept(new PermitResponse(ask.number, granted, version, age));
     }
   }
 
@@ -115,13 +115,13 @@
   }
 
   /** The own part; after a change of roster the smaller one of the two, until all have heard. */
-  private Part part(final long now) {
+  private QuotaShare part(final long now) {
     final int parts = now - rosterAt < STALE_MILLIS ? Math.max(voters, votersBefore) : voters;
-    return new Part(parts, amongSince);
+    return new QuotaShare(parts, amongSince);
   }
 
   private boolean relay(
-      final PermitAsk ask,
+      final PermitRequest ask,
       final Consumer<Message> reply,
       final int granted,
       final Roster roster,
@@ -129,7 +129,7 @@
       final long age,
       final long now) {
     final long key = ++number;
-    final PermitAsk rest = new PermitAsk(key, ask.name, ask.count - granted, ask.hops + 1);
+    final PermitRequest rest = new PermitRequest(key, ask.name, ask.count - granted, ask.hops + 1);
     for (final Voter next : following(roster)) {
       if (members.test(next.address, rest)) {
         relayed.put(key, new Relayed(ask, reply, granted, version, age, now + RELAY_MILLIS));
@@ -167,14 +167,14 @@
   }
 
   /** A voter has answered what was passed on to it. */
-  void answered(final PermitAnswer answer, final long now) {
+  void answered(final PermitResponse answer, final long now) {
     final Relayed one = relayed.remove(answer.number);
     if (one != null) {
       if (answer.granted == 0 && one.ask.hops == 0) {
         noteDenied(one.ask.name, now);
       }
       one.reply.accept(
-          new PermitAnswer(
+          new PermitResponse(
               one.ask.number, one.granted + answer.granted, one.version, one.ageMillis));
     }
   }
@@ -187,22 +187,23 @@
       final Relayed one = entry.getValue();
       if (now > one.cutoff) {
         relayed.remove(entry.getKey());
-        one.reply.accept(new PermitAnswer(one.ask.number, one.granted, one.version, one.ageMillis));
+        one.reply.accept(
+            new PermitResponse(one.ask.number, one.granted, one.version, one.ageMillis));
       }
     }
   }
 
   /** Figures of limits and permits. */
-  List<Figure> figures() {
-    final List<Figure> figures = new ArrayList<>();
+  List<Metric> figures() {
+    final List<Metric> figures = new ArrayList<>();
     final String granted = "Permits granted by this registry out of its part of a tenant's limit.";
     final String refused = "Permits that this registry's part of a tenant's limit did not have.";
     for (final QuotaAllocator.TenantCount count : allocator.tenantCounts(MOST_SERIES)) {
       figures.add(
-          Figure.counter("weldpoint_permits_granted", granted, count.granted())
+          Metric.counter("weldpoint_permits_granted", granted, count.granted())
               .with("tenant", count.tenant()));
       figures.add(
-          Figure.counter("weldpoint_permits_refused", refused, count.refused())
+          Metric.counter("weldpoint_permits_refused", refused, count.refused())
               .with("tenant", count.tenant()));
     }
     return figures;
--- a/registry/src/main/java/weldpoint/registry/Reels.java
+++ b/registry/src/main/java/weldpoint/registry/RecordingBuffer.java
@@ -4,25 +4,25 @@
 import java.util.ArrayList;
 import java.util.List;
 import weldpoint.transport.Protocol;
-import weldpoint.transport.RecordingMessages.RecordState;
-import weldpoint.transport.RecordingMessages.Reel;
+import weldpoint.transport.RecordingMessages.RecordingBatch;
+import weldpoint.transport.RecordingMessages.RecordingState;
 import weldpoint.transport.RegistryMessages;
 
 /**
  * What switchboards recorded, until an operator collects it; bounded, and what had to be dropped is
  * counted.
  */
-public final class Reels {
+public final class RecordingBuffer {
   private static final int MOST_NOTES = 30_000;
   private static final int MOST_DRAINED = 4000;
   private static final long TELL_MILLIS = 1000;
 
   /** One reel, with how long ago it came. */
-  public static final class Kept {
+  public static final class CollectedBatch {
     public final long ageMillis;
-    public final Reel reel;
+    public final RecordingBatch reel;
 
-    public Kept(final long ageMillis, final Reel reel) {
+    public CollectedBatch(final long ageMillis, final RecordingBatch reel) {
       this.ageMillis = ageMillis;
       this.reel = reel;
     }
@@ -31,23 +31,23 @@
   /**
    * What one collection brought; whoever collects subtracts ages from the moment of its question.
    */
-  public static final class Drained {
+  public static final class Collection {
     public final boolean on;
     public final long mark;
     public final long dropped;
     public final long left;
-    public final List<Kept> reels;
+    public final List<CollectedBatch> reels;
     public final long version;
     public final byte[] spec;
     public final List<RegistryMessages.Registration> registrations;
     public final List<String> evacuated;
 
-    public Drained(
+    public Collection(
         final boolean on,
         final long mark,
         final long dropped,
         final long left,
-        final List<Kept> reels,
+        final List<CollectedBatch> reels,
         final long version,
         final byte[] spec,
         final List<RegistryMessages.Registration> registrations,
@@ -64,26 +64,26 @@
     }
   }
 
-  private record Held(Reel reel, long at) {}
+  private record BufferedBatch(RecordingBatch reel, long at) {}
 
-  private final ArrayDeque<Held> held = new ArrayDeque<>();
-  private RecordState state = new RecordState(0, false);
+  private final ArrayDeque<BufferedBatch> held = new ArrayDeque<>();
+  private RecordingState state = new RecordingState(0, false);
   private long notes;
   private long dropped;
   private long toldAt;
 
-  RecordState state() {
+  RecordingState state() {
     return state;
   }
 
   /** Orders recording to begin or end; the new state must be told to all. */
-  RecordState order(final boolean on, final long wall) {
-    state = new RecordState(Math.max(state.mark + 1, wall), on);
+  RecordingState order(final boolean on, final long wall) {
+    state = new RecordingState(Math.max(state.mark + 1, wall), on);
     return state;
   }
 
   /** Takes another exchange's word; true where it was news. */
-  boolean take(final RecordState given) {
+  boolean take(final RecordingState given) {
     if (given.mark <= state.mark) {
       return false;
     }
@@ -103,23 +103,23 @@
     return true;
   }
 
-  void add(final Reel reel, final long now) {
+  void add(final RecordingBatch reel, final long now) {
     final int count = Protocol.list(reel.notes).size();
     if (notes + count > MOST_NOTES) {
       dropped += count;
       return;
     }
     notes += count;
-    held.add(new Held(reel, now));
+    held.add(new BufferedBatch(reel, now));
   }
 
-  List<Kept> drain(final long now) {
-    final List<Kept> list = new ArrayList<>();
+  List<CollectedBatch> drain(final long now) {
+    final List<CollectedBatch> list = new ArrayList<>();
     int count = 0;
     while (!held.isEmpty() && count < MOST_DRAINED) {
-      final Held one = held.poll();
+      final BufferedBatch one = held.poll();
       count += Protocol.list(one.reel.notes).size();
-      list.add(new Kept(now - one.at, one.reel));
+      list.add(new CollectedBatch(now - one.at, one.reel));
     }
     notes -= count;
     return list;
--- a/registry/src/main/java/weldpoint/registry/Buckets.java
+++ b/registry/src/main/java/weldpoint/registry/RegistrationBuckets.java
@@ -5,28 +5,28 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import weldpoint.transport.Packing;
+import weldpoint.transport.Compression;
 import weldpoint.transport.RegistryMessages.Registration;
-import weldpoint.transport.Wire;
+import weldpoint.transport.Serializer;
 
 /**
  * Registrations by buckets of their names, so that two sides find what differs without telling all;
  * and their packed form.
  */
-public final class Buckets {
+public final class RegistrationBuckets {
   /** How many there are. */
   public static final int COUNT = 32;
 
   /** How registrations travel packed. */
-  static final class Packed {
+  static final class PackedRegistrations {
     final List<Registration> registrations;
 
-    Packed(final List<Registration> registrations) {
+    PackedRegistrations(final List<Registration> registrations) {
       this.registrations = registrations;
     }
   }
 
-  private Buckets() {}
+  private RegistrationBuckets() {}
 
   /** The bucket of the registration of this id. */
   static int of(final String id) {
@@ -38,8 +38,8 @@
       final Collection<Registration> registrations, final boolean ended) {
     final long[] sums = new long[COUNT];
     for (final Registration one : registrations) {
-      if (ended || Stage.of(one) != Stage.REMOVED) {
-        sums[of(one.id)] += Stage.digest(one);
+      if (ended || LifecycleStage.of(one) != LifecycleStage.REMOVED) {
+        sums[of(one.id)] += LifecycleStage.digest(one);
       }
     }
     final List<Long> digests = new ArrayList<>(COUNT);
@@ -74,7 +74,7 @@
 
   /** Registrations as few bytes. */
   static byte[] pack(final List<Registration> registrations) {
-    return Packing.deflate(Wire.bytes(new Packed(registrations)));
+    return Compression.deflate(Serializer.bytes(new PackedRegistrations(registrations)));
   }
 
   /** What was packed; empty for null. */
@@ -82,7 +82,8 @@
     if (packed == null) {
       return List.of();
     }
-    final List<Registration> list = Wire.value(Packing.inflate(packed), Packed.class).registrations;
+    final List<Registration> list =
+        Serializer.value(Compression.inflate(packed), PackedRegistrations.class).registrations;
     return list == null ? List.of() : list;
   }
 
--- a/registry/src/main/java/weldpoint/registry/Registrations.java
+++ b/registry/src/main/java/weldpoint/registry/Registrations.java
@@ -28,8 +28,8 @@
   private final Set<String> contested = new HashSet<>();
   private long superseded;
   private long digest;
-  private final long[] bucketsOfAll = new long[Buckets.COUNT];
-  private final long[] bucketsOfLive = new long[Buckets.COUNT];
+  private final long[] bucketsOfAll = new long[RegistrationBuckets.COUNT];
+  private final long[] bucketsOfLive = new long[RegistrationBuckets.COUNT];
   private long revision;
 
   Registrations(final long beatMillis) {
@@ -60,11 +60,11 @@
 
   /** Adds a registration to the digests, or with the factor -1 takes it out. */
   private void count(final Registration registration, final long factor) {
-    final long counted = factor * Stage.digest(registration);
-    final int bucket = Buckets.of(registration.id);
+    final long counted = factor * LifecycleStage.digest(registration);
+    final int bucket = RegistrationBuckets.of(registration.id);
     digest += counted;
     bucketsOfAll[bucket] += counted;
-    if (Stage.of(registration) != Stage.REMOVED) {
+    if (LifecycleStage.of(registration) != LifecycleStage.REMOVED) {
       bucketsOfLive[bucket] += counted;
     }
   }
@@ -84,7 +84,7 @@
    */
   boolean put(final Registration registration) {
     final Registration before = history.get(registration.id);
-    if (before != null && Stage.later(before, registration) == before) {
+    if (before != null && LifecycleStage.later(before, registration) == before) {
       return false;
     }
     history.put(registration.id, registration);
@@ -107,7 +107,7 @@
   }
 
   /** The same upstream at another stage. */
-  static Registration step(final Registration from, final Stage stage, final long issued) {
+  static Registration step(final Registration from, final LifecycleStage stage, final long issued) {
     return new Registration(
         from.id,
         from.service,
@@ -131,7 +131,7 @@
       }
       if (unknown) {
         beatAt.put(registration.id, now);
-        if (Stage.of(registration) == Stage.JOINED) {
+        if (LifecycleStage.of(registration) == LifecycleStage.JOINED) {
           news.addAll(supersede(registration, now));
         }
       }
@@ -151,12 +151,12 @@
       if (other.id.equals(newcomer.id) || !other.address.equals(newcomer.address)) {
         continue;
       }
-      if (Stage.of(other) == Stage.JOINED) {
+      if (LifecycleStage.of(other) == LifecycleStage.JOINED) {
         contested.add(other.address);
-        writeOff(other, Stage.LAPSED, newcomer.issued, changes);
-      } else if (Stage.of(other) == Stage.DRAINING
-          || Stage.of(other) == Stage.LAPSED && longSilent(other, now)) {
-        writeOff(other, Stage.REMOVED, newcomer.issued, changes);
+        writeOff(other, LifecycleStage.LAPSED, newcomer.issued, changes);
+      } else if (LifecycleStage.of(other) == LifecycleStage.DRAINING
+          || LifecycleStage.of(other) == LifecycleStage.LAPSED && longSilent(other, now)) {
+        writeOff(other, LifecycleStage.REMOVED, newcomer.issued, changes);
       }
     }
     return changes;
@@ -175,9 +175,9 @@
     for (final Registration other : new ArrayList<>(history.values())) {
       if (!other.id.equals(beating.id)
           && other.address.equals(beating.address)
-          && Stage.of(other) == Stage.JOINED
+          && LifecycleStage.of(other) == LifecycleStage.JOINED
           && now - beatAt.getOrDefault(other.id, now) > CONTEST_BEATS * beatMillis) {
-        writeOff(other, Stage.LAPSED, other.issued, changes);
+        writeOff(other, LifecycleStage.LAPSED, other.issued, changes);
       }
     }
     return changes;
@@ -189,7 +189,7 @@
 
   private void writeOff(
       final Registration one,
-      final Stage stage,
+      final LifecycleStage stage,
       final long issued,
       final List<Registration> changes) {
     final Registration ended = step(one, stage, issued);
@@ -207,11 +207,11 @@
   void forget() {
     int removed = 0;
     for (final Registration registration : history.values()) {
-      removed += Stage.of(registration) == Stage.REMOVED ? 1 : 0;
+      removed += LifecycleStage.of(registration) == LifecycleStage.REMOVED ? 1 : 0;
     }
     if (removed > MOST_REMOVED) {
       for (final Registration registration : new ArrayList<>(history.values())) {
-        if (Stage.of(registration) == Stage.REMOVED) {
+        if (LifecycleStage.of(registration) == LifecycleStage.REMOVED) {
           history.remove(registration.id);
           count(registration, -1);
           break;
@@ -250,7 +250,7 @@
   byte[] beatAges(final long now) {
     final byte[] ages = new byte[history.size()];
     int index = 0;
-    for (final String id : Buckets.ordered(history).keySet()) {
+    for (final String id : RegistrationBuckets.ordered(history).keySet()) {
       ages[index++] =
           (byte) Math.min(OLD, (now - beatAt.getOrDefault(id, Long.MIN_VALUE / 2)) / ageUnit() + 1);
     }
@@ -262,7 +262,7 @@
     boolean cleared = false;
     if (ages.length == history.size()) {
       int index = 0;
-      for (final String id : Buckets.ordered(history).keySet()) {
+      for (final String id : RegistrationBuckets.ordered(history).keySet()) {
         final int age = ages[index++] & 0xff;
         if (age < OLD) {
           cleared |= beaten(id, now - age * ageUnit(), now);
@@ -290,12 +290,14 @@
   boolean judge(final List<Registration> silentTooLong, final long now) {
     boolean changed = false;
     for (final Registration registration : new ArrayList<>(history.values())) {
-      if (Stage.of(registration) == Stage.REMOVED || Stage.of(registration) == Stage.LAPSED) {
+      if (LifecycleStage.of(registration) == LifecycleStage.REMOVED
+          || LifecycleStage.of(registration) == LifecycleStage.LAPSED) {
         changed |= suspects.remove(registration.id);
         continue;
       }
       final long silent = now - beatAt.getOrDefault(registration.id, now);
-      if (silent > SUSPECT_BEATS * beatMillis && Stage.of(registration) == Stage.JOINED) {
+      if (silent > SUSPECT_BEATS * beatMillis
+          && LifecycleStage.of(registration) == LifecycleStage.JOINED) {
         changed |= suspects.add(registration.id);
       }
       if (silent > LAPSE_BEATS * beatMillis) {
--- a/registry/src/main/java/weldpoint/registry/RegistryCore.java
+++ b/registry/src/main/java/weldpoint/registry/RegistryCore.java
@@ -11,19 +11,19 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.LongFunction;
-import weldpoint.affinity.PlacementKeeper;
-import weldpoint.common.Breakdown;
-import weldpoint.metrics.Figure;
-import weldpoint.ownership.HoldTimes;
+import weldpoint.affinity.PlacementCoordinator;
+import weldpoint.common.WeldpointException;
+import weldpoint.metrics.Metric;
+import weldpoint.ownership.GrantTimings;
 import weldpoint.ownership.OwnershipCoordinator;
 import weldpoint.ratelimit.QuotaAllocator;
 import weldpoint.routing.Affinity;
-import weldpoint.statestore.Deed;
-import weldpoint.statestore.Values;
+import weldpoint.statestore.StoreOperation;
+import weldpoint.statestore.StoredValues;
 import weldpoint.transport.CacheMessages;
 import weldpoint.transport.KeyMessages;
 import weldpoint.transport.Message;
-import weldpoint.transport.OwnershipMessages.AssignerPulse;
+import weldpoint.transport.OwnershipMessages.AssignerHeartbeat;
 import weldpoint.transport.OwnershipMessages.Assignment;
 import weldpoint.transport.OwnershipMessages.Assignments;
 import weldpoint.transport.OwnershipMessages.SlotReport;
@@ -32,14 +32,14 @@
 import weldpoint.transport.Protocol;
 import weldpoint.transport.RecordingMessages;
 import weldpoint.transport.RegistryMessages;
-import weldpoint.transport.RegistryMessages.Board;
+import weldpoint.transport.RegistryMessages.DaemonEntry;
 import weldpoint.transport.RegistryMessages.Registration;
+import weldpoint.transport.Serializer;
 import weldpoint.transport.StateStoreMessages.Roster;
 import weldpoint.transport.StateStoreMessages.Voter;
-import weldpoint.transport.StoreCallMessages;
+import weldpoint.transport.StoreMessages;
 import weldpoint.transport.TrialMessages;
-import weldpoint.transport.Wire;
-import weldpoint.trial.TrialPanel;
+import weldpoint.trial.TrialCoordinator;
 
 /**
  * The membership: a persisted history of upstreams, reconciled with a random peer every second and
@@ -64,12 +64,12 @@
   private static final long MAJORITY_MILLIS = 2500;
 
   /** What the core does to the world. */
-  public interface Outlet {
+  public interface Environment {
     /** Sends to another exchange; false where there is no line to it. */
     boolean member(String address, Message message);
 
     /** Sends to a frame; false where there is no line to it. */
-    boolean frame(String address, StoreCallMessages.Call call);
+    boolean frame(String address, StoreMessages.StoreRequest call);
 
     /** Sends to a switchboard's stream. */
     void board(Object stream, Message message);
@@ -88,28 +88,28 @@
 
   private final String self;
   private final Random random;
-  private final Outlet outlet;
+  private final Environment outlet;
   private List<String> seeds;
   private final boolean firstStart;
-  private final StoreCaller store;
-  private final HistoryDesk historyDesk;
-  private final TrialDesk trialDesk;
+  private final StoreClient store;
+  private final HistoryReader historyDesk;
+  private final TrialService trialDesk;
   private final Registrations registrations;
   private final ControlState control;
-  private final Switchboards switchboards = new Switchboards();
+  private final DaemonTable switchboards = new DaemonTable();
   private final Directory directory = new Directory(switchboards);
-  private final Streams streams;
-  private Quorums quorums = new Quorums();
+  private final ProxyStreams streams;
+  private QuorumWrites quorums = new QuorumWrites();
   private QuorumReads reads;
-  private Authority authority;
+  private MajorityReachability authority;
   private CacheMessages.Purges purges;
   private QuotaEndpoint quotas;
   private final KeyClaims keyClaims;
-  private final Neighbourhoods neighbourhoods = new Neighbourhoods();
+  private final SiteMembership neighbourhoods = new SiteMembership();
   private Electorates electorates;
-  private PlacementDesk placements;
+  private PlacementService placements;
   private OwnershipEndpoint ownership;
-  private final Reels reels = new Reels();
+  private final RecordingBuffer reels = new RecordingBuffer();
   private final Map<String, Long> members = new LinkedHashMap<>();
   private final Set<String> connected = new HashSet<>();
   private Roster roster = new Roster(0, List.of());
@@ -138,29 +138,30 @@
       final boolean firstStart,
       final long beatMillis,
       final Random random,
-      final Outlet outlet) {
+      final Environment outlet) {
     this.self = self;
     this.seeds = seeds;
     this.firstStart = firstStart;
     this.registrations = new Registrations(beatMillis);
     this.control = new ControlState(self);
-    this.streams = new Streams(outlet::board, registrations, control, switchboards);
+    this.streams = new ProxyStreams(outlet::board, registrations, control, switchboards);
     this.random = random;
     this.outlet = outlet;
-    this.store = new StoreCaller(self, random, outlet::frame);
-    this.historyDesk = new HistoryDesk(self, store);
-    this.trialDesk = new TrialDesk(self, control, store, new TrialSurroundings());
+    this.store = new StoreClient(self, random, outlet::frame);
+    this.historyDesk = new HistoryReader(self, store);
+    this.trialDesk = new TrialService(self, control, store, new TrialSurroundings());
     this.reads = new QuorumReads(self);
-    this.authority = new Authority(self, outlet::member);
+    this.authority = new MajorityReachability(self, outlet::member);
     this.keyClaims =
         new KeyClaims(
             self,
             outlet::member,
-            (claims, synced) -> outlet.append(Wire.bytes(Remembered.claims(claims)), synced));
+            (claims, synced) ->
+                outlet.append(Serializer.bytes(PersistedRecord.claims(claims)), synced));
   }
 
   /** What trials need of this registry. */
-  private final class TrialSurroundings implements TrialDesk.Registry {
+  private final class TrialSurroundings implements TrialService.Registry {
     @Override
     public CompletableFuture<Void> refresh(final long now) {
       return RegistryCore.this.refresh(now);
@@ -198,7 +199,9 @@
 
   /** Takes other judges of what may be answered, for tests that break them. */
   void judges(
-      final Quorums givenQuorums, final QuorumReads givenReads, final Authority givenAuthority) {
+      final QuorumWrites givenQuorums,
+      final QuorumReads givenReads,
+      final MajorityReachability givenAuthority) {
     quorums = givenQuorums;
     reads = givenReads;
     authority = givenAuthority;
@@ -209,7 +212,7 @@
     electorates =
         new Electorates(
             (region, body, now) ->
-                store.call(Deed.ELECTORATE, region, null, 0, 0, body, null, now, 900));
+                store.call(StoreOperation.ELECTORATE, region, null, 0, 0, body, null, now, 900));
   }
 
   /** Takes to placing callers on nodes, by what settings say of write routes without a rule. */
@@ -219,31 +222,39 @@
       final long leaseMillis,
       final long batchMillis) {
     placements =
-        new PlacementDesk(
+        new PlacementService(
             usual,
-            new PlacementKeeper(
+            new PlacementCoordinator(
                 self,
                 incarnation,
                 leaseMillis,
                 batchMillis,
-                new PlacementKeeper.Writer() {
+                new PlacementCoordinator.Writer() {
                   @Override
-                  public CompletableFuture<StoreCallMessages.Answer> keeper(
-                      final PlacementMessages.Keeper next, final long now) {
+                  public CompletableFuture<StoreMessages.StoreResponse> keeper(
+                      final PlacementMessages.PlacementOwner next, final long now) {
                     return store.call(
-                        Deed.KEEPER_WRITE, "", null, 0, 0, Wire.bytes(next), null, now, 900);
+                        StoreOperation.KEEPER_WRITE,
+                        "",
+                        null,
+                        0,
+                        0,
+                        Serializer.bytes(next),
+                        null,
+                        now,
+                        900);
                   }
 
                   @Override
-                  public CompletableFuture<StoreCallMessages.Answer> placement(
+                  public CompletableFuture<StoreMessages.StoreResponse> placement(
                       final PlacementMessages.Placement next, final long now) {
                     return store.call(
-                        Deed.PLACEMENT_WRITE,
+                        StoreOperation.PLACEMENT_WRITE,
                         next.service,
                         null,
                         0,
                         0,
-                        PlacementKeeper.bytes(next),
+                        PlacementCoordinator.bytes(next),
                         null,
                         now,
                         900);
@@ -252,7 +263,7 @@
   }
 
   /** A switchboard asks for a lease on placements. */
-  public void lease(final Object stream, final PlacementMessages.LeaseAsk ask, final long now) {
+  public void lease(final Object stream, final PlacementMessages.LeaseRequest ask, final long now) {
     if (placements == null) {
       return;
     }
@@ -265,13 +276,13 @@
   }
 
   /** Takes to assigning the keys of divided services. */
-  void ownership(final long incarnation, final HoldTimes times, final UpstreamCalls upstreams) {
+  void ownership(final long incarnation, final GrantTimings times, final KeyGrantClient upstreams) {
     ownership =
         new OwnershipEndpoint(
             self,
             incarnation,
             times,
-            new AssignerOutlet(store, upstreams, () -> clock),
+            new AssignerEnvironment(store, upstreams, () -> clock),
             this::tellMembers,
             outlet::member);
   }
@@ -313,9 +324,11 @@
     startedAt = now;
     learning = records.isEmpty() && !(firstStart && seeds.contains(self));
     for (final byte[] record : records) {
-      final Remembered kept = Wire.value(record, Remembered.class);
+      final PersistedRecord kept = Serializer.value(record, PersistedRecord.class);
       learning =
-          kept.learning == Remembered.UNSAID ? learning : kept.learning == Remembered.LEARNING;
+          kept.learning == PersistedRecord.UNSAID
+              ? learning
+              : kept.learning == PersistedRecord.LEARNING;
       for (final Registration registration : Protocol.list(kept.history)) {
         registrations.put(registration);
       }
@@ -356,8 +369,8 @@
   public List<byte[]> view() {
     final List<Registration> all = new ArrayList<>(registrations.all().values());
     return List.of(
-        Wire.bytes(
-            new Remembered(
+        Serializer.bytes(
+            new PersistedRecord(
                 all,
                 roster.number == 0 ? null : roster,
                 control.version(),
@@ -366,16 +379,16 @@
                 control.evacuationMark(),
                 control.panel().trials(),
                 control.trialMark(),
-                learning ? Remembered.LEARNING : Remembered.WHOLE,
+                learning ? PersistedRecord.LEARNING : PersistedRecord.WHOLE,
                 keyClaims.live())));
   }
 
   private void keepLearning() {
-    outlet.append(Wire.bytes(Remembered.learning(learning)), () -> {});
+    outlet.append(Serializer.bytes(PersistedRecord.learning(learning)), () -> {});
   }
 
   private void persist(final List<Registration> changes, final Roster news, final Runnable synced) {
-    outlet.append(Wire.bytes(Remembered.membership(changes, news)), synced);
+    outlet.append(Serializer.bytes(PersistedRecord.membership(changes, news)), synced);
   }
 
   // ---- upstreams
@@ -385,7 +398,8 @@
    * of the list.
    */
   public String keeper(final String id, final String site, final Map<String, String> regions) {
-    final String keeper = BeatKeepers.keeper(roster.voters, id, regions.get(site), this::reachable);
+    final String keeper =
+        HeartbeatOwners.keeper(roster.voters, id, regions.get(site), this::reachable);
     return keeper == null ? self : keeper;
   }
 
@@ -400,9 +414,11 @@
     if (registrations.beat(beat.id, now)) {
       streams.suspects();
     }
-    final boolean drains = Stage.of(beat) == Stage.DRAINING;
+    final boolean drains = LifecycleStage.of(beat) == LifecycleStage.DRAINING;
     final boolean late =
-        before != null && (Stage.of(before) == Stage.REMOVED || beat.sequence < before.sequence);
+        before != null
+            && (LifecycleStage.of(before) == LifecycleStage.REMOVED
+                || beat.sequence < before.sequence);
     if (late && !drains) {
       return CompletableFuture.completedFuture(null);
     }
@@ -412,7 +428,7 @@
       if (before == null) {
         LOGGER.atInfo().log("upstream %s joined %s at %s", beat.id, beat.service, beat.address);
       } else if (before.stage != beat.stage) {
-        LOGGER.atInfo().log("upstream %s is %s", beat.id, Stage.of(beat));
+        LOGGER.atInfo().log("upstream %s is %s", beat.id, LifecycleStage.of(beat));
       }
     }
     changes.addAll(claimAddress(beat, before == null, now));
@@ -436,7 +452,7 @@
    */
   private List<Registration> claimAddress(
       final Registration beat, final boolean newcomer, final long now) {
-    if (Stage.of(beat) != Stage.JOINED) {
+    if (LifecycleStage.of(beat) != LifecycleStage.JOINED) {
       return List.of();
     }
     final List<Registration> ended =
@@ -444,7 +460,7 @@
     for (final Registration one : ended) {
       LOGGER.atInfo().log(
           "upstream %s is %s, since %s beats from its address %s",
-          one.id, Stage.of(one), beat.id, beat.address);
+          one.id, LifecycleStage.of(one), beat.id, beat.address);
     }
     return ended;
   }
@@ -454,9 +470,10 @@
     final Registration before = registrations.get(id);
     final Registration ended =
         before == null
-            ? new Registration(id, "", "", "", "", 0, Stage.REMOVED.ordinal(), 0, issued, 0)
-            : Registrations.step(before, Stage.REMOVED, issued);
-    if (before == null || Stage.of(before) != Stage.REMOVED) {
+            ? new Registration(
+                id, "", "", "", "", 0, LifecycleStage.REMOVED.ordinal(), 0, issued, 0)
+            : Registrations.step(before, LifecycleStage.REMOVED, issued);
+    if (before == null || LifecycleStage.of(before) != LifecycleStage.REMOVED) {
       registrations.put(ended);
       LOGGER.atInfo().log("upstream %s signed off", id);
       streams.registrations(List.of(ended));
@@ -547,15 +564,24 @@
    */
   public CompletableFuture<Void> refresh(final long now) {
     return store
-        .call(Deed.CONTROL, "", null, control.version(), -1, null, null, now, REFRESH_MILLIS)
+        .call(
+            StoreOperation.CONTROL,
+            "",
+            null,
+            control.version(),
+            -1,
+            null,
+            null,
+            now,
+            REFRESH_MILLIS)
         .thenAccept(
             answer -> {
               if (answer.status != 200) {
-                throw new Breakdown(
-                    Breakdown.Kind.OUT_OF_REACH,
+                throw new WeldpointException(
+                    WeldpointException.Kind.OUT_OF_REACH,
                     "no majority confirmed what is in force; ask another daemon");
               }
-              takeControl(Wire.value(answer.body, Values.Control.class), now);
+              takeControl(Serializer.value(answer.body, StoredValues.ControlSnapshot.class), now);
             });
   }
 
@@ -566,12 +592,12 @@
       final long evacuationMark,
       final List<TrialMessages.Trial> trials,
       final long trialMark) {
-    final ControlState.News news =
+    final ControlState.Delta news =
         control.take(version, spec, evacuated, evacuationMark, trials, trialMark, clock);
     if (news.any()) {
       outlet.append(
-          Wire.bytes(
-              new Remembered(
+          Serializer.bytes(
+              new PersistedRecord(
                   null,
                   null,
                   control.version(),
@@ -619,8 +645,8 @@
           changes.trials,
           changes.trialMark);
       switchboards.merge(Protocol.list(changes.boards), now);
-      for (final Board board : Protocol.list(changes.boards)) {
-        if (board.ageMillis >= Switchboards.GONE_MILLIS) {
+      for (final DaemonEntry board : Protocol.list(changes.boards)) {
+        if (board.ageMillis >= DaemonTable.GONE_MILLIS) {
           switchboards.gone(board, now);
         }
       }
@@ -634,35 +660,38 @@
             null,
             () ->
                 confirm(
-                    () -> reply.accept(new RegistryMessages.Kept(changes.number, roster.number))));
+                    () ->
+                        reply.accept(
+                            new RegistryMessages.ChangesAck(changes.number, roster.number))));
       }
-    } else if (message instanceof RegistryMessages.Kept) {
-      onKept(from, (RegistryMessages.Kept) message, now);
-    } else if (message instanceof RegistryMessages.StateRead) {
-      onRead(from, (RegistryMessages.StateRead) message, reply, now);
-    } else if (message instanceof RegistryMessages.StateHeld) {
-      onHeld(from, (RegistryMessages.StateHeld) message, now);
+    } else if (message instanceof RegistryMessages.ChangesAck) {
+      onKept(from, (RegistryMessages.ChangesAck) message, now);
+    } else if (message instanceof RegistryMessages.ControlStateRequest) {
+      onRead(from, (RegistryMessages.ControlStateRequest) message, reply, now);
+    } else if (message instanceof RegistryMessages.ControlStateResponse) {
+      onHeld(from, (RegistryMessages.ControlStateResponse) message, now);
     } else if (message instanceof TrialMessages.TrialReport) {
       trialDesk.report((TrialMessages.TrialReport) message, now);
-    } else if (message instanceof RecordingMessages.RecordState) {
-      if (reels.take((RecordingMessages.RecordState) message)) {
+    } else if (message instanceof RecordingMessages.RecordingState) {
+      if (reels.take((RecordingMessages.RecordingState) message)) {
         streams.tell(message);
       }
-    } else if (message instanceof PermitMessages.PermitAsk) {
-      permit((PermitMessages.PermitAsk) message, reply, now);
-    } else if (message instanceof PermitMessages.PermitAnswer && quotas != null) {
-      quotas.answered((PermitMessages.PermitAnswer) message, now);
-    } else if (message instanceof KeyMessages.VoteAsk
-        || message instanceof KeyMessages.VoteAnswer
+    } else if (message instanceof PermitMessages.PermitRequest) {
+      permit((PermitMessages.PermitRequest) message, reply, now);
+    } else if (message instanceof PermitMessages.PermitResponse && quotas != null) {
+      quotas.answered((PermitMessages.PermitResponse) message, now);
+    } else if (message instanceof KeyMessages.ClaimVoteRequest
+        || message instanceof KeyMessages.ClaimVoteResponse
         || message instanceof KeyMessages.ClaimRelease) {
       takeKeyRoster(now);
       keyClaims.receive(from, message, reply, now);
-    } else if (message instanceof PlacementMessages.LeaseAsk && placements != null) {
-      reply.accept(placements.keeper().ask((PlacementMessages.LeaseAsk) message, majorityAt, now));
+    } else if (message instanceof PlacementMessages.LeaseRequest && placements != null) {
+      reply.accept(
+          placements.keeper().ask((PlacementMessages.LeaseRequest) message, majorityAt, now));
     } else if (message instanceof PlacementMessages.LeaseGrant && placements != null) {
       placements.granted((PlacementMessages.LeaseGrant) message, streams::contains, outlet::board);
-    } else if (message instanceof AssignerPulse && ownership != null) {
-      ownership.pulse(from, (AssignerPulse) message, now);
+    } else if (message instanceof AssignerHeartbeat && ownership != null) {
+      ownership.pulse(from, (AssignerHeartbeat) message, now);
     } else if (message instanceof SlotReport && ownership != null) {
       ownership.fromRegistry((SlotReport) message, now);
     } else if (message instanceof RegistryMessages.Gossip) {
@@ -678,7 +707,7 @@
     }
   }
 
-  private void onKept(final String from, final RegistryMessages.Kept kept, final long now) {
+  private void onKept(final String from, final RegistryMessages.ChangesAck kept, final long now) {
     if (kept.rosterNumber > roster.number) {
       outlet.member(from, gossip(0, false, false, false, null, now));
       return;
@@ -699,7 +728,7 @@
   }
 
   private Message question(final long number, final long leaseMillis) {
-    return new RegistryMessages.StateRead(
+    return new RegistryMessages.ControlStateRequest(
         number,
         roster.number,
         control.version(),
@@ -710,16 +739,17 @@
         learning);
   }
 
-  private RegistryMessages.StateHeld held(final RegistryMessages.StateRead read, final long now) {
+  private RegistryMessages.ControlStateResponse held(
+      final RegistryMessages.ControlStateRequest read, final long now) {
     final boolean spec = control.version() > read.version;
     final boolean evacuations = control.evacuationMark() > read.evacuationMark;
     final boolean trials = control.trialMark() > read.trialMark;
     List<Registration> lacking = List.of();
     final List<Long> buckets = registrations.buckets(true);
     if (read.buckets != null && !buckets.equals(read.buckets)) {
-      lacking = Buckets.differing(registrations.all().values(), buckets, read.buckets);
+      lacking = RegistrationBuckets.differing(registrations.all().values(), buckets, read.buckets);
     }
-    return new RegistryMessages.StateHeld(
+    return new RegistryMessages.ControlStateResponse(
         read.number,
         roster.number > read.rosterNumber ? roster : null,
         learning,
@@ -730,7 +760,7 @@
         evacuations ? control.evacuationMark() : 0,
         trials ? control.panel().trials() : null,
         trials ? control.trialMark() : 0,
-        lacking.isEmpty() ? null : Buckets.pack(lacking),
+        lacking.isEmpty() ? null : RegistrationBuckets.pack(lacking),
         lease(now),
         read.claimsToo ? keyClaims.live() : null);
   }
@@ -750,7 +780,7 @@
    */
   private void onRead(
       final String from,
-      final RegistryMessages.StateRead read,
+      final RegistryMessages.ControlStateRequest read,
       final java.util.function.Consumer<Message> reply,
       final long now) {
     clock = Math.max(clock, now);
@@ -782,12 +812,13 @@
     }
   }
 
-  private void onHeld(final String from, final RegistryMessages.StateHeld held, final long now) {
+  private void onHeld(
+      final String from, final RegistryMessages.ControlStateResponse held, final long now) {
     clock = Math.max(clock, now);
     authority.told(from, held.majorityAgeMillis, now);
     takeRoster(held.roster, now);
     take(held.version, held.spec, held.evacuated, held.evacuationMark, held.trials, held.trialMark);
-    merge(Buckets.unpack(held.packed), now);
+    merge(RegistrationBuckets.unpack(held.packed), now);
     keyClaims.learn(Protocol.list(held.claims), now);
     if (!held.learning) {
       reads.answered(from, held.number);
@@ -850,10 +881,10 @@
   }
 
   private void missSwitchboards(final long now) {
-    for (final Board board : switchboards.missed(now)) {
+    for (final DaemonEntry board : switchboards.missed(now)) {
       final RegistryMessages.Changes message =
           new RegistryMessages.Changes(
-              0, null, List.of(Switchboards.aged(board, Switchboards.GONE_MILLIS)));
+              0, null, List.of(DaemonTable.aged(board, DaemonTable.GONE_MILLIS)));
       for (final String member : members.keySet()) {
         outlet.member(member, message);
       }
@@ -867,7 +898,7 @@
       final long now) {
     final boolean alike = gossip.digest == registrations.digest();
     merge(Protocol.list(gossip.history), now);
-    merge(Buckets.unpack(gossip.packed), now);
+    merge(RegistrationBuckets.unpack(gossip.packed), now);
     inForceTable.told(from, gossip.version, gossip.mark, gossip.heldMillis, now);
     if (gossip.region != null && !gossip.region.isEmpty()) {
       memberPlaces.put(from, gossip.region + "/" + gossip.site);
@@ -943,11 +974,12 @@
     if (differs) {
       registrations.recent(beaten, ages, now);
     }
-    final List<Board> list = boardsDiffer ? switchboards.told(now) : new ArrayList<>();
+    final List<DaemonEntry> list = boardsDiffer ? switchboards.told(now) : new ArrayList<>();
     final List<Long> here = differs ? registrations.buckets(true) : null;
     final byte[] packed =
         differs && there != null
-            ? Buckets.pack(Buckets.differing(registrations.all().values(), here, there))
+            ? RegistrationBuckets.pack(
+                RegistrationBuckets.differing(registrations.all().values(), here, there))
             : null;
     return new RegistryMessages.Gossip(
         depth,
@@ -1009,8 +1041,9 @@
   }
 
   /** Orders switchboards to begin or end recording. */
-  public RecordingMessages.RecordState record(final boolean on, final long wall, final long now) {
-    final RecordingMessages.RecordState state = reels.order(on, wall);
+  public RecordingMessages.RecordingState record(
+      final boolean on, final long wall, final long now) {
+    final RecordingMessages.RecordingState state = reels.order(on, wall);
     streams.tell(state);
     tellRecording(now);
     return state;
@@ -1025,14 +1058,14 @@
   }
 
   /** A switchboard has recorded something. */
-  public void reel(final RecordingMessages.Reel reel, final long now) {
+  public void reel(final RecordingMessages.RecordingBatch reel, final long now) {
     reels.add(reel, now);
   }
 
   /** What was recorded here since it was last collected, with what is in force. */
-  public Reels.Drained drain(final long now) {
-    final List<Reels.Kept> list = reels.drain(now);
-    return new Reels.Drained(
+  public RecordingBuffer.Collection drain(final long now) {
+    final List<RecordingBuffer.CollectedBatch> list = reels.drain(now);
+    return new RecordingBuffer.Collection(
         reels.state().on,
         reels.state().mark,
         reels.dropped(),
@@ -1057,9 +1090,9 @@
   /** A proxy claims an idempotency key for a request, or gives one back. */
   public void key(
       final Message message, final java.util.function.Consumer<Message> reply, final long now) {
-    if (message instanceof KeyMessages.ClaimAsk && cutOff(now)) {
-      final long number = ((KeyMessages.ClaimAsk) message).claim.number;
-      reply.accept(new KeyMessages.ClaimAnswer(number, KeyMessages.ClaimResult.UNKNOWN, null));
+    if (message instanceof KeyMessages.ClaimRequest && cutOff(now)) {
+      final long number = ((KeyMessages.ClaimRequest) message).claim.number;
+      reply.accept(new KeyMessages.ClaimResponse(number, KeyMessages.ClaimResult.UNKNOWN, null));
       return;
     }
     takeKeyRoster(now);
@@ -1073,12 +1106,12 @@
 
   /** Somebody asks for permits. */
   public void permit(
-      final PermitMessages.PermitAsk ask,
+      final PermitMessages.PermitRequest ask,
       final java.util.function.Consumer<Message> reply,
       final long now) {
     if (quotas == null) {
       reply.accept(
-          new PermitMessages.PermitAnswer(ask.number, 0, control.version(), Integer.MAX_VALUE));
+          new PermitMessages.PermitResponse(ask.number, 0, control.version(), Integer.MAX_VALUE));
       return;
     }
     quotas.ask(ask, reply, control.plan(), roster, control.version(), now - majorityAt, now);
@@ -1092,13 +1125,13 @@
   }
 
   /** A switchboard tells of itself over its stream. */
-  public void boardState(final Object stream, final Board board, final long now) {
+  public void boardState(final Object stream, final DaemonEntry board, final long now) {
     boardState(stream, board, null, now);
   }
 
   /** A switchboard tells of itself, and at the opening of its stream, by digests, what it has. */
   public void boardState(
-      final Object stream, final Board board, final List<Long> buckets, final long now) {
+      final Object stream, final DaemonEntry board, final List<Long> buckets, final long now) {
     final boolean news = switchboards.news(board, now);
     switchboards.merge(List.of(board), now);
     if (news) {
@@ -1158,7 +1191,7 @@
    * What is told each time, with the registries that there is a line to where they have changed
    * since they were told to all. Machines that are gone must not be named: proxies dial them.
    */
-  private RegistryMessages.Reach reach(final long now, final boolean first) {
+  private RegistryMessages.RegistryStatus reach(final long now, final boolean first) {
     final List<String> caches = switchboards.announcers(now);
     final List<String> places = new ArrayList<>();
     final List<String> named = new ArrayList<>(members.keySet());
@@ -1171,7 +1204,7 @@
       toldMembers = named;
       toldPlaces = places;
     }
-    return new RegistryMessages.Reach(
+    return new RegistryMessages.RegistryStatus(
         Math.min(Integer.MAX_VALUE, now - majorityAt),
         switchboards.most(),
         first || news ? named : null,
@@ -1221,7 +1254,7 @@
     final boolean stale = now - majorityAt > CONFIRM_MILLIS;
     store
         .call(
-            Deed.CONTROL,
+            StoreOperation.CONTROL,
             "",
             null,
             control.version(),
@@ -1240,7 +1273,9 @@
             (answer, problem) -> {
               controlOut = false;
               if (problem == null && answer.status == 200) {
-                takeControl(Wire.value(answer.body, Values.Control.class), controlAskedAt);
+                takeControl(
+                    Serializer.value(answer.body, StoredValues.ControlSnapshot.class),
+                    controlAskedAt);
               }
             });
   }
@@ -1251,7 +1286,7 @@
   private long ownershipMark;
   private long clock;
 
-  private void takeControl(final Values.Control given, final long askedAt) {
+  private void takeControl(final StoredValues.ControlSnapshot given, final long askedAt) {
     majorityAt = Math.max(majorityAt, askedAt);
     takeRoster(given.roster, clock);
     take(
@@ -1293,18 +1328,18 @@
   // ---- trials
 
   /** Trials of services: their reports and operators' orders. */
-  public TrialDesk trials() {
+  public TrialService trials() {
     return trialDesk;
   }
 
   /** All that is known of trials. */
-  public TrialPanel panel() {
+  public TrialCoordinator panel() {
     return control.panel();
   }
 
   /** Calls the store. */
-  public CompletableFuture<StoreCallMessages.Answer> call(
-      final Deed deed,
+  public CompletableFuture<StoreMessages.StoreResponse> call(
+      final StoreOperation deed,
       final String name,
       final String owner,
       final long first,
@@ -1316,17 +1351,17 @@
   }
 
   /** Calls the store with a change of routing, and who wants it. */
-  public CompletableFuture<StoreCallMessages.Answer> change(
-      final Deed deed,
+  public CompletableFuture<StoreMessages.StoreResponse> change(
+      final StoreOperation deed,
       final String name,
       final long first,
       final long second,
       final byte[] body,
-      final StoreCallMessages.Cause cause,
+      final StoreMessages.ChangeOrigin cause,
       final long timeout,
       final long now) {
     clock = Math.max(clock, now);
-    return deed == Deed.EVACUATE
+    return deed == StoreOperation.EVACUATE
         ? evacuate(name, first, cause, now + timeout)
         : store.call(deed, name, null, first, second, body, cause, now, timeout);
   }
@@ -1335,17 +1370,17 @@
    * An evacuation is ordered under a ticket, so that a copy that comes late does nothing once
    * another order was decided.
    */
-  private CompletableFuture<StoreCallMessages.Answer> evacuate(
-      final String zone, final long on, final StoreCallMessages.Cause cause, final long cutoff) {
+  private CompletableFuture<StoreMessages.StoreResponse> evacuate(
+      final String zone, final long on, final StoreMessages.ChangeOrigin cause, final long cutoff) {
     return store
-        .call(Deed.EVACUATION_TICKET, zone, null, 0, 0, null, null, clock, cutoff - clock)
+        .call(StoreOperation.EVACUATION_TICKET, zone, null, 0, 0, null, null, clock, cutoff - clock)
         .thenCompose(
             ticket ->
                 ticket.status != 200
                     ? CompletableFuture.completedFuture(ticket)
                     : store
                         .call(
-                            Deed.EVACUATE,
+                            StoreOperation.EVACUATE,
                             zone,
                             null,
                             on,
@@ -1362,47 +1397,56 @@
   }
 
   /** Calls the store with a configuration, the digest of what it says, and who wants it. */
-  public CompletableFuture<StoreCallMessages.Answer> replace(
+  public CompletableFuture<StoreMessages.StoreResponse> replace(
       final long given,
       final boolean tied,
       final byte[] packed,
       final byte[] content,
-      final StoreCallMessages.Cause cause,
+      final StoreMessages.ChangeOrigin cause,
       final long timeout,
       final long now) {
     return store.call(
-        Deed.SPEC_REPLACE, "", null, given, tied ? 1 : 0, packed, cause, content, now, timeout);
+        StoreOperation.SPEC_REPLACE,
+        "",
+        null,
+        given,
+        tied ? 1 : 0,
+        packed,
+        cause,
+        content,
+        now,
+        timeout);
   }
 
   /** Who wants a change that came in here. */
-  public StoreCallMessages.Cause cause(
+  public StoreMessages.ChangeOrigin cause(
       final String author, final String caller, final byte[] extra) {
-    return new StoreCallMessages.Cause(author, caller, self, extra);
+    return new StoreMessages.ChangeOrigin(author, caller, self, extra);
   }
 
   /** The history of routing changes, read from the replica on this machine. */
-  public HistoryDesk audit() {
+  public HistoryReader audit() {
     return historyDesk;
   }
 
   /** How all stands, as far as it is known here. */
-  public Calls.StatusAnswer status(final long now) {
-    final List<Calls.DaemonStatus> daemons = new ArrayList<>();
-    for (final InForce one : inForce(now)) {
+  public ControlApi.StatusResponse status(final long now) {
+    final List<ControlApi.DaemonStatus> daemons = new ArrayList<>();
+    for (final AppliedState one : inForce(now)) {
       daemons.add(
-          new Calls.DaemonStatus(
+          new ControlApi.DaemonStatus(
               one.address(),
               one.program(),
               String.format("%08x", one.version()),
               one.mark(),
               one.ageMillis() == Long.MAX_VALUE ? -1 : one.ageMillis()));
     }
-    final List<Calls.PlacementStatus> placed = new ArrayList<>();
-    final List<Calls.WriteCount> writes = new ArrayList<>();
+    final List<ControlApi.PlacementStatus> placed = new ArrayList<>();
+    final List<ControlApi.WriteCount> writes = new ArrayList<>();
     if (placements != null) {
       for (final PlacementMessages.Placement one : placements.keeper().placements().placements) {
         placed.add(
-            new Calls.PlacementStatus(
+            new ControlApi.PlacementStatus(
                 one.service,
                 one.epoch,
                 Protocol.list(one.members).size(),
@@ -1412,8 +1456,8 @@
       final long[] counts = placements.keeper().counts();
       for (int index = 0; placements.keeper().keeps() && index < counts.length; index++) {
         writes.add(
-            new Calls.WriteCount(
-                weldpoint.affinity.Verdict.values()[index]
+            new ControlApi.WriteCount(
+                weldpoint.affinity.WriteDecision.values()[index]
                     .name()
                     .toLowerCase(java.util.Locale.ROOT),
                 counts[index]));
@@ -1422,7 +1466,7 @@
     final List<String> voters = new ArrayList<>();
     roster.voters.forEach(voter -> voters.add(voter.address));
     final boolean settled = now - majorityAt < MAJORITY_MILLIS;
-    return new Calls.StatusAnswer(
+    return new ControlApi.StatusResponse(
         self,
         settled,
         settled ? now - majorityAt : -1,
@@ -1441,11 +1485,11 @@
   }
 
   /** What each daemon has in force, as it told last. */
-  public List<InForce> inForce(final long now) {
-    final InForce own =
-        new InForce(
+  public List<AppliedState> inForce(final long now) {
+    final AppliedState own =
+        new AppliedState(
             self,
-            InForceTable.REGISTRY,
+            AppliedStateTable.REGISTRY,
             control.version(),
             control.mark(),
             now - control.heldSince(),
@@ -1453,10 +1497,11 @@
     return inForceTable.all(own, members.keySet(), switchboards.all(), now);
   }
 
-  private final InForceTable inForceTable = new InForceTable();
+  private final AppliedStateTable inForceTable = new AppliedStateTable();
 
   /** A frame has answered. */
-  public void answered(final String from, final StoreCallMessages.Answer answer, final long now) {
+  public void answered(
+      final String from, final StoreMessages.StoreResponse answer, final long now) {
     clock = now;
     store.answered(from, answer, now);
   }
@@ -1582,7 +1627,9 @@
         lapsed.add(
             Registrations.step(
                 registration,
-                Stage.of(registration) == Stage.DRAINING ? Stage.REMOVED : Stage.LAPSED,
+                LifecycleStage.of(registration) == LifecycleStage.DRAINING
+                    ? LifecycleStage.REMOVED
+                    : LifecycleStage.LAPSED,
                 registration.issued));
       }
     }
@@ -1624,19 +1671,19 @@
   }
 
   /** What this registry tells of itself. */
-  public List<Figure> figures(final long now) {
-    final List<Figure> figures = new ArrayList<>();
-    figures.add(Figure.gauge("weldpoint_registrations", "Upstreams known.", registrations.size()));
-    figures.add(Figure.counter("weldpoint_beats", "Beats of upstreams taken here.", beats));
+  public List<Metric> figures(final long now) {
+    final List<Metric> figures = new ArrayList<>();
+    figures.add(Metric.gauge("weldpoint_registrations", "Upstreams known.", registrations.size()));
+    figures.add(Metric.counter("weldpoint_beats", "Beats of upstreams taken here.", beats));
     figures.add(
-        Figure.counter(
+        Metric.counter(
             "weldpoint_superseded_registrations",
             "Upstreams written off since another one beat from their address.",
             registrations.superseded()));
-    figures.add(Figure.gauge("weldpoint_streams", "Streams to proxies.", streams.size()));
-    figures.add(Figure.gauge("weldpoint_roster_number", "The roster's number.", roster.number));
+    figures.add(Metric.gauge("weldpoint_streams", "Streams to proxies.", streams.size()));
+    figures.add(Metric.gauge("weldpoint_roster_number", "The roster's number.", roster.number));
     figures.add(
-        Figure.gauge(
+        Metric.gauge(
             "weldpoint_majority_age_seconds",
             "Time since a majority of state stores was last heard.",
             Math.min(1e6, (now - majorityAt) / 1000.0)));
--- a/registry/src/main/java/weldpoint/registry/RegistryDaemon.java
+++ b/registry/src/main/java/weldpoint/registry/RegistryDaemon.java
@@ -10,102 +10,103 @@
 import java.util.Random;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import weldpoint.common.Boot;
-import weldpoint.common.Breakdown;
-import weldpoint.common.Chance;
-import weldpoint.common.Desk;
-import weldpoint.common.Program;
+import weldpoint.common.Daemon;
+import weldpoint.common.RandomIds;
+import weldpoint.common.SerialExecutor;
+import weldpoint.common.Settings;
+import weldpoint.common.WeldpointException;
 import weldpoint.metrics.MetricsServer;
-import weldpoint.ownership.HoldTimes;
+import weldpoint.ownership.GrantTimings;
 import weldpoint.routing.Affinity;
+import weldpoint.transport.Connection;
 import weldpoint.transport.KeyMessages;
-import weldpoint.transport.Line;
-import weldpoint.transport.Lines;
 import weldpoint.transport.Message;
 import weldpoint.transport.OwnershipMessages.SlotReport;
+import weldpoint.transport.PeerConnections;
 import weldpoint.transport.PermitMessages;
 import weldpoint.transport.PlacementMessages;
 import weldpoint.transport.Protocol;
 import weldpoint.transport.RecordingMessages;
 import weldpoint.transport.RegistryMessages;
-import weldpoint.transport.StoreCallMessages;
+import weldpoint.transport.Serializer;
+import weldpoint.transport.StoreMessages;
+import weldpoint.transport.Transport;
 import weldpoint.transport.TrialMessages;
-import weldpoint.transport.Trunk;
-import weldpoint.transport.Wire;
-import weldpoint.wal.Ring;
-import weldpoint.wal.Tape;
+import weldpoint.wal.SegmentRing;
+import weldpoint.wal.WriteAheadLog;
 
 /**
  * The registry as a process: it takes all outside calls, keeps the membership and tells
  * switchboards.
  */
-public final class RegistryDaemon implements Program {
+public final class RegistryDaemon implements Daemon {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
   private static final int FILES = 3;
   private static final int FILE_BYTES = 1 << 19;
   private static final int MOST_FILE_BYTES = 1 << 24;
   private static final long TICK_MILLIS = 40;
 
-  private final Boot boot;
-  private final Desk desk = new Desk("exchange");
+  private final Settings boot;
+  private final SerialExecutor desk = new SerialExecutor("exchange");
   private final EventLoopGroup loop = new NioEventLoopGroup(1);
-  private final Trunk trunk;
+  private final Transport trunk;
   private final RegistryCore core;
-  private final Lines members;
-  private final Lines frames;
-  private Tape tape;
+  private final PeerConnections members;
+  private final PeerConnections frames;
+  private WriteAheadLog tape;
   private long countersAt;
   private final long incarnation;
   private Message unsealed;
   private Message sealed;
 
   /** A registry for these settings; nothing runs yet. */
-  public RegistryDaemon(final Boot boot) {
+  public RegistryDaemon(final Settings boot) {
     this.boot = boot;
-    incarnation = Chance.fresh();
+    incarnation = RandomIds.next();
     this.trunk =
-        new Trunk(loop, new Protocol.Hello(Wire.PROTOCOL, "exchange", boot.address(), incarnation));
+        new Transport(
+            loop, new Protocol.Hello(Serializer.PROTOCOL, "exchange", boot.address(), incarnation));
     this.members =
-        new Lines(
+        new PeerConnections(
             trunk,
             boot.trunkPort(0),
             to ->
-                Trunk.on(
+                Transport.on(
                     desk,
-                    new Trunk.Ear() {
+                    new Transport.Listener() {
                       @Override
-                      public void opened(final Line line) {
+                      public void opened(final Connection line) {
                         core().memberOpened(to, now());
                       }
 
                       @Override
-                      public void heard(final Line line, final Message message) {
+                      public void heard(final Connection line, final Message message) {
                         core().receive(to, message, line::send, now());
                       }
 
                       @Override
-                      public void closed(final Line line) {
+                      public void closed(final Connection line) {
                         core().memberClosed(to, now());
                       }
                     }));
     this.frames =
-        new Lines(
+        new PeerConnections(
             trunk,
             boot.trunkPort(1),
             to ->
-                Trunk.on(
+                Transport.on(
                     desk,
-                    new Trunk.Ear() {
+                    new Transport.Listener() {
                       @Override
-                      public void heard(final Line line, final Message message) {
-                        if (message instanceof StoreCallMessages.Answer) {
-                          line.heardClock(((StoreCallMessages.Answer) message).clock);
-                          core().answered(to, (StoreCallMessages.Answer) message, now());
+                      public void heard(final Connection line, final Message message) {
+                        if (message instanceof StoreMessages.StoreResponse) {
+                          line.heardClock(((StoreMessages.StoreResponse) message).clock);
+                          core().answered(to, (StoreMessages.StoreResponse) message, now());
                         }
                       }
 
                       @Override
-                      public void closed(final Line line) {
+                      public void closed(final Connection line) {
                         core().frameClosed(to, now());
                       }
                     }));
@@ -116,14 +117,14 @@
             boot.firstStart(),
             boot.beatMillis(),
             new Random(incarnation),
-            new RegistryCore.Outlet() {
+            new RegistryCore.Environment() {
               @Override
               public boolean member(final String address, final Message message) {
                 return members.send(address, message);
               }
 
               @Override
-              public boolean frame(final String address, final StoreCallMessages.Call call) {
+              public boolean frame(final String address, final StoreMessages.StoreRequest call) {
                 return frames.send(
                     address,
                     line -> {
@@ -136,9 +137,9 @@
               public void board(final Object stream, final Message message) {
                 if (message != unsealed) {
                   unsealed = message;
-                  sealed = Trunk.seal(message);
+                  sealed = Transport.seal(message);
                 }
-                ((Line) stream).send(sealed);
+                ((Connection) stream).send(sealed);
               }
 
               @Override
@@ -172,12 +173,12 @@
   @Override
   public void start() throws IOException, InterruptedException {
     if (boot.folder().isEmpty()) {
-      throw new Breakdown(
-          Breakdown.Kind.SETTING,
+      throw new WeldpointException(
+          WeldpointException.Kind.SETTING,
           "setting station.folder has the value ''; an exchange needs a folder on a disk of its own");
     }
-    final Tape.Opened opened =
-        Tape.open(
+    final WriteAheadLog.Opened opened =
+        WriteAheadLog.open(
             Path.of(boot.folder(), "exchange"),
             "exchange " + boot.address(),
             FILES,
@@ -185,7 +186,7 @@
             MOST_FILE_BYTES,
             desk,
             core::view);
-    final Ring.Found found = opened.found();
+    final SegmentRing.Recovered found = opened.found();
     if (found.lost()) {
       LOGGER.atSevere().log(
           "the disk of %s lost records that had been synced; it counts as blank and is refetched from the other exchanges",
@@ -204,58 +205,59 @@
     core.quotas(
         new weldpoint.ratelimit.QuotaAllocator(
             boot, boot.firstStart() && found.blank() && !found.lost(), now()));
-    final HoldTimes times = HoldTimes.of(boot.ownershipHoldMillis(), boot.ownershipLateMillis());
+    final GrantTimings times =
+        GrantTimings.of(boot.ownershipHoldMillis(), boot.ownershipLateMillis());
     core.ownership(
-        incarnation, times, new UpstreamCalls(loop, desk, times.holdMillis(), times.sendMillis()));
+        incarnation, times, new KeyGrantClient(loop, desk, times.holdMillis(), times.sendMillis()));
     desk.execute(() -> core.start(found.lost() ? List.of() : found.records(), now()));
     tape.start("tape");
     trunk.serve(
         boot.bindAddress(),
         boot.trunkPort(0),
-        Trunk.on(
+        Transport.on(
             desk,
-            new Trunk.Ear() {
+            new Transport.Listener() {
               @Override
-              public void heard(final Line line, final Message message) {
-                if (message instanceof RegistryMessages.BoardState) {
+              public void heard(final Connection line, final Message message) {
+                if (message instanceof RegistryMessages.DaemonReport) {
                   core.boardState(
                       line,
-                      ((RegistryMessages.BoardState) message).board,
-                      Protocol.list(((RegistryMessages.BoardState) message).buckets),
+                      ((RegistryMessages.DaemonReport) message).board,
+                      Protocol.list(((RegistryMessages.DaemonReport) message).buckets),
                       now());
                 } else if (message instanceof TrialMessages.TrialReport
                     && "switchboard".equals(line.peer().program)) {
                   core.trials().report((TrialMessages.TrialReport) message, now());
-                } else if (message instanceof PlacementMessages.LeaseAsk
+                } else if (message instanceof PlacementMessages.LeaseRequest
                     && "switchboard".equals(line.peer().program)) {
-                  core.lease(line, (PlacementMessages.LeaseAsk) message, now());
-                } else if (message instanceof RecordingMessages.Reel) {
-                  core.reel((RecordingMessages.Reel) message, now());
-                } else if (message instanceof KeyMessages.ClaimAsk
+                  core.lease(line, (PlacementMessages.LeaseRequest) message, now());
+                } else if (message instanceof RecordingMessages.RecordingBatch) {
+                  core.reel((RecordingMessages.RecordingBatch) message, now());
+                } else if (message instanceof KeyMessages.ClaimRequest
                     || message instanceof KeyMessages.ClaimRelease
                         && "switchboard".equals(line.peer().program)) {
                   core.key(message, line::send, now());
                 } else if (message instanceof SlotReport
                     && "switchboard".equals(line.peer().program)) {
                   core.slotReport((SlotReport) message);
-                } else if (message instanceof PermitMessages.PermitAsk
+                } else if (message instanceof PermitMessages.PermitRequest
                     && !"exchange".equals(line.peer().program)) {
-                  core.permit((PermitMessages.PermitAsk) message, line::send, now());
+                  core.permit((PermitMessages.PermitRequest) message, line::send, now());
                 } else {
                   core.receive(line.peer().address, message, line::send, now());
                 }
               }
 
               @Override
-              public void closed(final Line line) {
+              public void closed(final Connection line) {
                 if (!"exchange".equals(line.peer().program)) {
                   core.streamClosed(line, line.peer().address, now());
                 }
               }
             }));
-    final ControlDoor door = new ControlDoor(boot, core, desk);
+    final ControlServer door = new ControlServer(boot, core, desk);
     door.serve(loop, boot.requiredAddress("listen.control"));
-    final Boot.Address directory = boot.optionalAddress("listen.directory");
+    final Settings.Address directory = boot.optionalAddress("listen.directory");
     if (directory != null && !directory.equals(boot.requiredAddress("listen.control"))) {
       door.serve(loop, directory);
     }
@@ -281,7 +283,7 @@
   }
 
   @Override
-  public void reload(final Boot news) {
+  public void reload(final Settings news) {
     desk.execute(() -> core.seeds(news.seeds(), now()));
   }
 
--- a/registry/src/main/java/weldpoint/registry/Neighbourhoods.java
+++ b/registry/src/main/java/weldpoint/registry/SiteMembership.java
@@ -9,9 +9,9 @@
 import weldpoint.transport.RegistryMessages;
 
 /** Which switchboards share a site: told to those of the site, and only when it changes. */
-final class Neighbourhoods {
+final class SiteMembership {
   private final Map<Object, String> sites = new HashMap<>();
-  private Map<String, RegistryMessages.Neighbours> known = Map.of();
+  private Map<String, RegistryMessages.SiteProxies> known = Map.of();
 
   void stream(final Object stream, final String site) {
     sites.put(stream, site);
@@ -22,7 +22,7 @@
   }
 
   void tell(final Object stream, final BiConsumer<Object, Message> board) {
-    final RegistryMessages.Neighbours one = known.get(sites.getOrDefault(stream, ""));
+    final RegistryMessages.SiteProxies one = known.get(sites.getOrDefault(stream, ""));
     if (one != null) {
       board.accept(stream, one);
     }
@@ -33,18 +33,18 @@
       final Map<String, List<String>> present,
       final Set<Object> streams,
       final BiConsumer<Object, Message> board) {
-    final Map<String, RegistryMessages.Neighbours> next = new HashMap<>();
+    final Map<String, RegistryMessages.SiteProxies> next = new HashMap<>();
     present.forEach(
         (site, addresses) -> {
           addresses.sort(null);
-          final RegistryMessages.Neighbours before = known.get(site);
+          final RegistryMessages.SiteProxies before = known.get(site);
           next.put(
               site,
               before != null && before.addresses.equals(addresses)
                   ? before
-                  : new RegistryMessages.Neighbours(addresses));
+                  : new RegistryMessages.SiteProxies(addresses));
         });
-    final Map<String, RegistryMessages.Neighbours> last = known;
+    final Map<String, RegistryMessages.SiteProxies> last = known;
     known = next;
     next.forEach(
         (site, one) -> {
--- a/registry/src/main/java/weldpoint/registry/StoreCaller.java
+++ b/registry/src/main/java/weldpoint/registry/StoreClient.java
@@ -6,10 +6,10 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.concurrent.CompletableFuture;
-import weldpoint.common.Breakdown;
-import weldpoint.statestore.Deed;
-import weldpoint.statestore.FrameCore;
-import weldpoint.transport.StoreCallMessages;
+import weldpoint.common.WeldpointException;
+import weldpoint.statestore.StateStoreReplica;
+import weldpoint.statestore.StoreOperation;
+import weldpoint.transport.StoreMessages;
 
 /**
  * Carries calls to the frames: to the holder of the duty where it is known, otherwise to the frame
@@ -18,20 +18,20 @@
  * answer counts only if it names this life, and comes from a frame to which a copy is under way on
  * the line that there still is.
  */
-final class StoreCaller {
+final class StoreClient {
   private static final long RETRY_MILLIS = 30;
   private static final long SILENCE_MILLIS = 400;
 
   /** Sends a call to a frame; false where there is no line to it. */
-  interface Outlet {
-    boolean send(String address, StoreCallMessages.Call call);
+  interface Sender {
+    boolean send(String address, StoreMessages.StoreRequest call);
   }
 
   private static final class Pending {
-    final StoreCallMessages.Call call;
+    final StoreMessages.StoreRequest call;
     final int partition;
     final long cutoff;
-    final CompletableFuture<StoreCallMessages.Answer> future = new CompletableFuture<>();
+    final CompletableFuture<StoreMessages.StoreResponse> future = new CompletableFuture<>();
     final Map<String, Integer> copies = new HashMap<>();
     boolean doubtful;
     boolean copyLost;
@@ -44,7 +44,7 @@
     final String pinned;
 
     Pending(
-        final StoreCallMessages.Call call,
+        final StoreMessages.StoreRequest call,
         final int partition,
         final long cutoff,
         final long patience,
@@ -58,15 +58,15 @@
   }
 
   private final String self;
-  private final Outlet outlet;
+  private final Sender outlet;
   private final Random random;
   private final Map<Long, Pending> pending = new HashMap<>();
-  private final String[] holders = new String[FrameCore.PARTITIONS];
+  private final String[] holders = new String[StateStoreReplica.PARTITIONS];
   private List<String> frames = List.of();
   private final long caller;
   private long number;
 
-  StoreCaller(final String self, final Random random, final Outlet outlet) {
+  StoreClient(final String self, final Random random, final Sender outlet) {
     this.self = self;
     this.random = random;
     this.outlet = outlet;
@@ -78,10 +78,14 @@
   }
 
   /** Calls the frame of this very machine, whoever holds the duty. */
-  CompletableFuture<StoreCallMessages.Answer> here(
-      final Deed deed, final long first, final long second, final long now, final long timeout) {
-    final StoreCallMessages.Call call =
-        new StoreCallMessages.Call(++number, deed.ordinal(), "", null, first, second, null)
+  CompletableFuture<StoreMessages.StoreResponse> here(
+      final StoreOperation deed,
+      final long first,
+      final long second,
+      final long now,
+      final long timeout) {
+    final StoreMessages.StoreRequest call =
+        new StoreMessages.StoreRequest(++number, deed.ordinal(), "", null, first, second, null)
             .from(caller);
     final Pending one = new Pending(call, 0, now + timeout, SILENCE_MILLIS, self);
     pending.put(call.number, one);
@@ -89,40 +93,41 @@
     return one.future;
   }
 
-  CompletableFuture<StoreCallMessages.Answer> call(
-      final Deed deed,
+  CompletableFuture<StoreMessages.StoreResponse> call(
+      final StoreOperation deed,
       final String name,
       final String owner,
       final long first,
       final long second,
       final byte[] body,
-      final StoreCallMessages.Cause cause,
+      final StoreMessages.ChangeOrigin cause,
       final long now,
       final long timeout) {
     return call(deed, name, owner, first, second, body, cause, null, now, timeout);
   }
 
-  CompletableFuture<StoreCallMessages.Answer> call(
-      final Deed deed,
+  CompletableFuture<StoreMessages.StoreResponse> call(
+      final StoreOperation deed,
       final String name,
       final String owner,
       final long first,
       final long second,
       final byte[] body,
-      final StoreCallMessages.Cause cause,
+      final StoreMessages.ChangeOrigin cause,
       final byte[] content,
       final long now,
       final long timeout) {
-    final StoreCallMessages.Call call =
-        new StoreCallMessages.Call(
+    final StoreMessages.StoreRequest call =
+        new StoreMessages.StoreRequest(
                 ++number, deed.ordinal(), name, owner, first, second, body, cause, content)
             .from(caller);
     final long patience =
-        deed == Deed.WATCH
+        deed == StoreOperation.WATCH
             ? second + SILENCE_MILLIS
-            : deed == Deed.CONTROL ? 700 + SILENCE_MILLIS : SILENCE_MILLIS;
+            : deed == StoreOperation.CONTROL ? 700 + SILENCE_MILLIS : SILENCE_MILLIS;
     final Pending one =
-        new Pending(call, FrameCore.partition(deed.register(name)), now + timeout, patience, null);
+        new Pending(
+            call, StateStoreReplica.partition(deed.register(name)), now + timeout, patience, null);
     pending.put(call.number, one);
     send(one, now);
     return one.future;
@@ -178,7 +183,7 @@
     one.doubtful &= one.copyLost || !one.copies.isEmpty();
   }
 
-  void answered(final String from, final StoreCallMessages.Answer answer, final long now) {
+  void answered(final String from, final StoreMessages.StoreResponse answer, final long now) {
     final Pending one = answer.caller == caller ? pending.get(answer.number) : null;
     if (one == null || !one.copies.containsKey(from)) {
       return;
@@ -232,8 +237,8 @@
       if (now >= one.cutoff) {
         pending.remove(one.call.number);
         one.future.completeExceptionally(
-            new Breakdown(
-                Breakdown.Kind.OUT_OF_REACH,
+            new WeldpointException(
+                WeldpointException.Kind.OUT_OF_REACH,
                 "no frame that holds the duty answered in time; ask another daemon"));
       } else if (one.resendAt != 0 && now >= one.resendAt) {
         send(one, now);
--- a/registry/src/main/java/weldpoint/registry/TrialDesk.java
+++ b/registry/src/main/java/weldpoint/registry/TrialService.java
@@ -5,17 +5,17 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
 import weldpoint.audit.Authors;
-import weldpoint.common.Breakdown;
-import weldpoint.statestore.Deed;
-import weldpoint.transport.StoreCallMessages;
+import weldpoint.common.WeldpointException;
+import weldpoint.statestore.StoreOperation;
+import weldpoint.transport.Serializer;
+import weldpoint.transport.StoreMessages;
 import weldpoint.transport.TrialMessages;
-import weldpoint.transport.Wire;
 
 /**
  * A registry's part in trials of services: it counts what proxies report, writes the verdicts that
  * follow from the counts, and takes operators' orders. Times are milliseconds of the steady clock.
  */
-public final class TrialDesk {
+public final class TrialService {
   private static final long JUDGE_MILLIS = 100;
   private static final long WRITE_MILLIS = 900;
   private static final int USUAL_LEAST_WRITES = 30;
@@ -44,14 +44,14 @@
 
   private final String self;
   private final ControlState control;
-  private final StoreCaller store;
+  private final StoreClient store;
   private final Registry registry;
   private long judgedAt;
 
-  TrialDesk(
+  TrialService(
       final String self,
       final ControlState control,
-      final StoreCaller store,
+      final StoreClient store,
       final Registry registry) {
     this.self = self;
     this.control = control;
@@ -75,20 +75,20 @@
     }
     judgedAt = now;
     for (final TrialMessages.Trial verdict : control.panel().verdicts(control.plan())) {
-      write(verdict, new StoreCallMessages.Cause(Authors.SYSTEM, "", self, null), now);
+      write(verdict, new StoreMessages.ChangeOrigin(Authors.SYSTEM, "", self, null), now);
     }
   }
 
   private CompletableFuture<TrialMessages.Trial> write(
-      final TrialMessages.Trial next, final StoreCallMessages.Cause cause, final long now) {
+      final TrialMessages.Trial next, final StoreMessages.ChangeOrigin cause, final long now) {
     return store
         .call(
-            Deed.TRIAL_WRITE,
+            StoreOperation.TRIAL_WRITE,
             next.route,
             null,
             next.serial - 1,
             0,
-            Wire.bytes(next),
+            Serializer.bytes(next),
             cause,
             now,
             WRITE_MILLIS)
@@ -96,12 +96,14 @@
   }
 
   private static TrialMessages.Trial written(
-      final TrialMessages.Trial next, final StoreCallMessages.Answer answer) {
+      final TrialMessages.Trial next, final StoreMessages.StoreResponse answer) {
     if (answer.status == 200) {
       return next;
     }
-    throw new Breakdown(
-        answer.status == 412 ? Breakdown.Kind.CONFLICT : Breakdown.Kind.OUT_OF_REACH,
+    throw new WeldpointException(
+        answer.status == 412
+            ? WeldpointException.Kind.CONFLICT
+            : WeldpointException.Kind.OUT_OF_REACH,
         "the trial has changed meanwhile; look at its status and order again");
   }
 
@@ -111,7 +113,7 @@
    */
   private CompletableFuture<TrialMessages.Trial> order(
       final Supplier<TrialMessages.Trial> next,
-      final StoreCallMessages.Cause cause,
+      final StoreMessages.ChangeOrigin cause,
       final long now) {
     return registry
         .refresh(now)
@@ -122,8 +124,8 @@
   /** Begins a trial. */
   CompletableFuture<TrialMessages.Trial> begin(
       final String route,
-      final Calls.TrialOrder order,
-      final StoreCallMessages.Cause cause,
+      final ControlApi.TrialRequest order,
+      final StoreMessages.ChangeOrigin cause,
       final long now) {
     final List<Integer> stages = new ArrayList<>();
     for (final Double stage : order.stages() == null ? List.<Double>of() : order.stages()) {
@@ -152,7 +154,7 @@
 
   /** Moves a trial to its next stage, if the evidence is there. */
   CompletableFuture<TrialMessages.Trial> advance(
-      final String route, final StoreCallMessages.Cause cause, final long now) {
+      final String route, final StoreMessages.ChangeOrigin cause, final long now) {
     final List<String> live = registry.liveProxies(now);
     return order(
         () -> control.panel().advance(route, live, registry.hearsMajority(now), now), cause, now);
@@ -162,14 +164,14 @@
   CompletableFuture<TrialMessages.Trial> hold(
       final String route,
       final String reason,
-      final StoreCallMessages.Cause cause,
+      final StoreMessages.ChangeOrigin cause,
       final long now) {
     return order(() -> control.panel().hold(route, reason), cause, now);
   }
 
   /** Ends a trial. */
   CompletableFuture<TrialMessages.Trial> finish(
-      final String route, final StoreCallMessages.Cause cause, final long now) {
+      final String route, final StoreMessages.ChangeOrigin cause, final long now) {
     return order(() -> control.panel().finish(route), cause, now);
   }
 }
--- a/registry/src/test/java/weldpoint/registry/ConfirmationProofTest.java
+++ b/registry/src/test/java/weldpoint/registry/ConfirmationProofTest.java
@@ -38,30 +38,34 @@
   private final List<Acknowledged> acknowledged = new ArrayList<>();
 
   private void note(
-      final CoreNet net,
+      final SimulatedCoreNetwork net,
       final CompletableFuture<Void> change,
       final String upstream,
       final long version) {
     change.thenRun(() -> acknowledged.add(new Acknowledged(upstream, version, net.now)));
   }
 
-  private void leave(final CoreNet net, final int registry, final String id) {
+  private void leave(final SimulatedCoreNetwork net, final int registry, final String id) {
     final RegistryCore core = net.node(registry).core;
-    core.beat(CoreNet.upstream(id, Stage.JOINED, 1), net.now);
-    note(net, core.beat(CoreNet.upstream(id, Stage.DRAINING, 2), net.now), id, 0);
+    core.beat(SimulatedCoreNetwork.upstream(id, LifecycleStage.JOINED, 1), net.now);
+    note(
+        net,
+        core.beat(SimulatedCoreNetwork.upstream(id, LifecycleStage.DRAINING, 2), net.now),
+        id,
+        0);
   }
 
-  private void configure(final CoreNet net, final int registry) {
+  private void configure(final SimulatedCoreNetwork net, final int registry) {
     net.version++;
     final long version = net.version;
     note(
         net,
-        net.node(registry).core.spread(version, CoreNet.spec(version), net.now),
+        net.node(registry).core.spread(version, SimulatedCoreNetwork.spec(version), net.now),
         null,
         version);
   }
 
-  private static void trouble(final CoreNet net, final Random random) {
+  private static void trouble(final SimulatedCoreNetwork net, final Random random) {
     final int one = 1 + random.nextInt(REGISTRIES);
     switch (random.nextInt(8)) {
       case 0 -> net.cut(one, true, random.nextBoolean());
@@ -91,16 +95,16 @@
         viewed = true;
         version = Math.max(version, view.version);
         final List<Registration> given = new ArrayList<>(Protocol.list(view.registrations));
-        given.addAll(Buckets.unpack(view.packed));
+        given.addAll(RegistrationBuckets.unpack(view.packed));
         for (final Registration one : given) {
-          if (Stage.of(one).open()) {
+          if (LifecycleStage.of(one).open()) {
             open.add(one.id);
           } else {
             open.remove(one.id);
           }
         }
       } else if (viewed
-          && message instanceof RegistryMessages.Reach reach
+          && message instanceof RegistryMessages.RegistryStatus reach
           && reach.confirmedClock != null) {
         proofs++;
         for (final Acknowledged change : acknowledged) {
@@ -127,7 +131,7 @@
     int changes = 0;
     for (int seed = 0; seed < SEEDS; seed++) {
       final Random random = new Random(seed);
-      final CoreNet net = new CoreNet(REGISTRIES, VOTERS).startAll(true);
+      final SimulatedCoreNetwork net = new SimulatedCoreNetwork(REGISTRIES, VOTERS).startAll(true);
       acknowledged.clear();
       net.version = 1;
       net.pass(2500);
--- a/registry/src/test/java/weldpoint/registry/ControlDoorFuzzTest.java
+++ b/registry/src/test/java/weldpoint/registry/ControlServerFuzzTest.java
@@ -27,19 +27,19 @@
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
-import weldpoint.common.Boot;
-import weldpoint.statestore.Deed;
-import weldpoint.statestore.Values;
+import weldpoint.common.Settings;
+import weldpoint.statestore.StoreOperation;
+import weldpoint.statestore.StoredValues;
 import weldpoint.transport.Message;
+import weldpoint.transport.Serializer;
 import weldpoint.transport.StateStoreMessages;
-import weldpoint.transport.StoreCallMessages;
-import weldpoint.transport.Wire;
+import weldpoint.transport.StoreMessages;
 
 /**
  * Generated calls to the control interface, cut anywhere: each gets one answer, its own, with a
  * reason where it failed, and nothing hangs.
  */
-public final class ControlDoorFuzzTest {
+public final class ControlServerFuzzTest {
   private static final String BEAT =
       "{\"service\":\"s\",\"address\":\"10.0.0.1:80\",\"zone\":\"a\",\"version\":\"v\",\"capacity\":4,\"state\":\"ready\",\"warmupLeftMs\":0,\"callSeq\":1}";
   private static final String SPEC =
@@ -109,18 +109,18 @@
             true,
             1500,
             new Random(1),
-            new RegistryCore.Outlet() {
+            new RegistryCore.Environment() {
               @Override
               public boolean member(final String address, final Message message) {
                 return false;
               }
 
               @Override
-              public boolean frame(final String address, final StoreCallMessages.Call call) {
-                final StoreCallMessages.Answer answer =
-                    call.deed == Deed.CONTROL.ordinal()
+              public boolean frame(final String address, final StoreMessages.StoreRequest call) {
+                final StoreMessages.StoreResponse answer =
+                    call.deed == StoreOperation.CONTROL.ordinal()
                         ? held(call)
-                        : new StoreCallMessages.Answer(call.number, 409, 0, null, null);
+                        : new StoreMessages.StoreResponse(call.number, 409, 0, null, null);
                 loop.schedule(
                     () -> core.answered(address, answer.to(call.caller), clock.get()),
                     2,
@@ -140,17 +140,17 @@
               public void peers(final List<String> members) {}
             });
     core.start(List.of(), 0);
-    final Boot boot =
-        Boot.parse(
+    final Settings boot =
+        Settings.parse(
             "station.name = one\nstation.address = 127.0.0.1\nstation.site = a\nstation.region = r\ntrunk.ports = 7000,7015\ntrunk.seeds = 127.0.0.1:80\nlisten.control = 127.0.0.1:"
                 + port
                 + "\n");
-    final ControlDoor door =
-        new ControlDoor(
+    final ControlServer door =
+        new ControlServer(
             boot,
             core,
             loop::execute,
-            new ControlDoor.Clock() {
+            new ControlServer.Clock() {
               @Override
               public long steadyMillis() {
                 return clock.get();
@@ -176,16 +176,16 @@
    * What the frames hold: no configuration, and this machine as the only voter, so that it is not
    * cut off.
    */
-  private static StoreCallMessages.Answer held(final StoreCallMessages.Call call) {
+  private static StoreMessages.StoreResponse held(final StoreMessages.StoreRequest call) {
     final StateStoreMessages.Roster roster =
         new StateStoreMessages.Roster(
             1, List.of(new StateStoreMessages.Voter("127.0.0.1", "a", "r", List.of())));
-    return new StoreCallMessages.Answer(
+    return new StoreMessages.StoreResponse(
         call.number,
         200,
         0,
-        Wire.bytes(
-            new Values.Control(
+        Serializer.bytes(
+            new StoredValues.ControlSnapshot(
                 0, null, List.of(), 0, roster, List.of(), 0, null, List.of(), false, 0, null,
                 null)),
         null);
--- a/registry/src/test/java/weldpoint/registry/ControlDoorTest.java
+++ b/registry/src/test/java/weldpoint/registry/ControlServerTest.java
@@ -17,15 +17,15 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import weldpoint.common.Boot;
+import weldpoint.common.Settings;
 import weldpoint.transport.Message;
-import weldpoint.transport.StoreCallMessages;
+import weldpoint.transport.StoreMessages;
 
 /**
  * Bad calls of operators, upstreams and applications: refused with their reason, and nothing of
  * them reaches the store.
  */
-public final class ControlDoorTest {
+public final class ControlServerTest {
   private static final String BEAT =
       "{\"service\":\"s\",\"address\":\"10.0.0.1:80\",\"zone\":\"a\",\"version\":\"v\",\"capacity\":4,\"state\":\"ready\",\"warmupLeftMs\":0,\"callSeq\":1}";
 
@@ -45,14 +45,14 @@
             true,
             1500,
             new Random(1),
-            new RegistryCore.Outlet() {
+            new RegistryCore.Environment() {
               @Override
               public boolean member(final String address, final Message message) {
                 return false;
               }
 
               @Override
-              public boolean frame(final String address, final StoreCallMessages.Call call) {
+              public boolean frame(final String address, final StoreMessages.StoreRequest call) {
                 storeCalls++;
                 return true;
               }
@@ -67,12 +67,13 @@
               public void peers(final List<String> members) {}
             });
     core.start(List.of(), 0);
-    final Boot boot =
-        Boot.parse(
+    final Settings boot =
+        Settings.parse(
             "station.name = one\nstation.address = 127.0.0.1\nstation.site = a\nstation.region = r\ntrunk.ports = 7000,7015\ntrunk.seeds = 127.0.0.1:80\nlisten.control = 127.0.0.1:"
                 + port
                 + "\n");
-    new ControlDoor(boot, core, Runnable::run).serve(loop, boot.requiredAddress("listen.control"));
+    new ControlServer(boot, core, Runnable::run)
+        .serve(loop, boot.requiredAddress("listen.control"));
   }
 
   @AfterClass
--- a/registry/src/test/java/weldpoint/registry/CutOffDoorTest.java
+++ b/registry/src/test/java/weldpoint/registry/CutOffControlServerTest.java
@@ -20,19 +20,19 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import weldpoint.common.Boot;
-import weldpoint.statestore.Deed;
-import weldpoint.statestore.Values;
+import weldpoint.common.Settings;
+import weldpoint.statestore.StoreOperation;
+import weldpoint.statestore.StoredValues;
 import weldpoint.transport.Message;
 import weldpoint.transport.RegistryMessages;
-import weldpoint.transport.StoreCallMessages;
-import weldpoint.transport.Wire;
+import weldpoint.transport.Serializer;
+import weldpoint.transport.StoreMessages;
 
 /**
  * What callers of the control interface get from a daemon that is cut off: no answer with
  * authority, and that at once.
  */
-public final class CutOffDoorTest {
+public final class CutOffControlServerTest {
   private static final String BEAT =
       "{\"service\":\"s\",\"address\":\"10.0.0.1:80\",\"zone\":\"a\",\"version\":\"v\",\"capacity\":4,\"state\":\"ready\",\"warmupLeftMs\":0,\"callSeq\":1}";
   private static final String SPEC =
@@ -41,8 +41,8 @@
       List.of("127.0.0.1", "10.0.0.2", "10.0.0.3", "10.0.0.4", "10.0.0.5");
 
   private static final long NOW = 1_000_000;
-  private static final ControlDoor.Clock CLOCK =
-      new ControlDoor.Clock() {
+  private static final ControlServer.Clock CLOCK =
+      new ControlServer.Clock() {
         @Override
         public long steadyMillis() {
           return NOW;
@@ -57,8 +57,8 @@
   private EventLoopGroup loop;
   private RegistryCore core;
   private int port;
-  private final List<StoreCallMessages.Call> calls = new ArrayList<>();
-  private Function<StoreCallMessages.Call, StoreCallMessages.Answer> frames;
+  private final List<StoreMessages.StoreRequest> calls = new ArrayList<>();
+  private Function<StoreMessages.StoreRequest, StoreMessages.StoreResponse> frames;
 
   @BeforeMethod
   public void open() throws IOException, InterruptedException {
@@ -75,16 +75,16 @@
             false,
             1500,
             new Random(1),
-            new RegistryCore.Outlet() {
+            new RegistryCore.Environment() {
               @Override
               public boolean member(final String address, final Message message) {
                 return false;
               }
 
               @Override
-              public boolean frame(final String address, final StoreCallMessages.Call call) {
+              public boolean frame(final String address, final StoreMessages.StoreRequest call) {
                 calls.add(call);
-                final StoreCallMessages.Answer answer = frames.apply(call);
+                final StoreMessages.StoreResponse answer = frames.apply(call);
                 if (answer != null) {
                   core.answered(address, answer.to(call.caller), now());
                 }
@@ -103,16 +103,20 @@
               public void peers(final List<String> members) {}
             });
     core.start(
-        List.of(Wire.bytes(Remembered.membership(List.of(), CoreNet.roster(4, VOTERS)))),
+        List.of(
+            Serializer.bytes(
+                PersistedRecord.membership(List.of(), SimulatedCoreNetwork.roster(4, VOTERS)))),
         now() - 60_000);
     core.boardState(
-        "s", new RegistryMessages.Board("10.9.0.1", "10.9.0.1:80", "a", "r", 1, false, 0), now());
-    final Boot boot =
-        Boot.parse(
+        "s",
+        new RegistryMessages.DaemonEntry("10.9.0.1", "10.9.0.1:80", "a", "r", 1, false, 0),
+        now());
+    final Settings boot =
+        Settings.parse(
             "station.name = one\nstation.address = 127.0.0.1\nstation.site = a\nstation.region = r\ntrunk.ports = 7000,7015\ntrunk.seeds = 127.0.0.1:80\nlisten.control = 127.0.0.1:"
                 + port
                 + "\n");
-    new ControlDoor(boot, core, Runnable::run, CLOCK)
+    new ControlServer(boot, core, Runnable::run, CLOCK)
         .serve(loop, boot.requiredAddress("listen.control"));
   }
 
@@ -201,7 +205,7 @@
               core.memberOpened("10.0.0.9", now());
               core.receive(
                   "10.0.0.9",
-                  new RegistryMessages.StateHeld(
+                  new RegistryMessages.ControlStateResponse(
                       0, null, false, ageMillis, 0, null, null, 0, null, 0, null, 0),
                   ignored -> {},
                   now());
@@ -219,14 +223,15 @@
         status);
     frames =
         call ->
-            call.deed == Deed.HISTORY_HEAD.ordinal()
-                ? new StoreCallMessages.Answer(call.number, 504, 0, null, null)
-                : call.deed == Deed.HISTORY_READ.ordinal()
-                    ? new StoreCallMessages.Answer(
+            call.deed == StoreOperation.HISTORY_HEAD.ordinal()
+                ? new StoreMessages.StoreResponse(call.number, 504, 0, null, null)
+                : call.deed == StoreOperation.HISTORY_READ.ordinal()
+                    ? new StoreMessages.StoreResponse(
                         call.number,
                         200,
                         0,
-                        Wire.bytes(new Values.HistoryPart(1, 3, "d", 0, false, 0, List.of())),
+                        Serializer.bytes(
+                            new StoredValues.HistoryPart(1, 3, "d", 0, false, 0, List.of())),
                         null)
                     : null;
     final String history = call("POST", "/api/rpc?call=history.read", "");
@@ -242,13 +247,13 @@
     loop.submit(() -> VOTERS.forEach(voter -> core.memberOpened(voter, now()))).get();
     frames =
         call ->
-            call.deed == Deed.CONTROL.ordinal()
-                ? new StoreCallMessages.Answer(
+            call.deed == StoreOperation.CONTROL.ordinal()
+                ? new StoreMessages.StoreResponse(
                     call.number,
                     200,
                     0,
-                    Wire.bytes(
-                        new Values.Control(
+                    Serializer.bytes(
+                        new StoredValues.ControlSnapshot(
                             0, null, List.of(), 0, null, List.of(), 0, null, List.of(), false, 0,
                             null, null)),
                     null)
@@ -261,12 +266,12 @@
               && answer.contains(";"),
           answer);
     }
-    frames = call -> new StoreCallMessages.Answer(call.number, 504, 0, null, null);
+    frames = call -> new StoreMessages.StoreResponse(call.number, 504, 0, null, null);
     for (final String call : List.of("trial.advance", "trial.status")) {
       assertTrue(call("POST", "/api/rpc?call=" + call + "&of=r", "").startsWith("HTTP/1.1 504"));
     }
     assertTrue(
-        calls.stream().noneMatch(call -> call.deed == Deed.TRIAL_WRITE.ordinal()),
+        calls.stream().noneMatch(call -> call.deed == StoreOperation.TRIAL_WRITE.ordinal()),
         "something reached the store");
   }
 
@@ -275,9 +280,9 @@
     loop.submit(() -> VOTERS.forEach(voter -> core.memberOpened(voter, now()))).get();
     frames =
         call ->
-            call.deed != Deed.SPEC_REPLACE.ordinal()
+            call.deed != StoreOperation.SPEC_REPLACE.ordinal()
                 ? null
-                : new StoreCallMessages.Answer(call.number, 200, 7, null, null);
+                : new StoreMessages.StoreResponse(call.number, 200, 7, null, null);
     try (Socket socket = send("POST", "/api/rpc?call=configuration.replace", SPEC)) {
       final long until = System.nanoTime() + 30_000_000_000L;
       while (!loop.submit(() -> core.status(now()).version().equals("00000007")).get()) {
@@ -296,8 +301,8 @@
     loop.submit(() -> VOTERS.forEach(voter -> core.memberOpened(voter, now()))).get();
     frames =
         call ->
-            call.deed == Deed.NUMBER.ordinal()
-                ? new StoreCallMessages.Answer(call.number, 200, 12, null, null)
+            call.deed == StoreOperation.NUMBER.ordinal()
+                ? new StoreMessages.StoreResponse(call.number, 200, 12, null, null)
                 : null;
     assertTrue(call("POST", "/api/numbers/n", "{}").contains("\"value\":12"));
     assertTrue(
@@ -310,7 +315,11 @@
 
   private int storeCalls() throws Exception {
     return loop.submit(
-            () -> (int) calls.stream().filter(call -> call.deed != Deed.CONTROL.ordinal()).count())
+            () ->
+                (int)
+                    calls.stream()
+                        .filter(call -> call.deed != StoreOperation.CONTROL.ordinal())
+                        .count())
         .get();
   }
 
--- a/registry/src/test/java/weldpoint/registry/CutOffTest.java
+++ b/registry/src/test/java/weldpoint/registry/CutOffTest.java
@@ -22,8 +22,8 @@
     java.util.logging.Logger.getLogger("").setLevel(java.util.logging.Level.OFF);
   }
 
-  private static CoreNet settled() {
-    final CoreNet net = new CoreNet(5, 5).startAll(true);
+  private static SimulatedCoreNetwork settled() {
+    final SimulatedCoreNetwork net = new SimulatedCoreNetwork(5, 5).startAll(true);
     net.pass(2000);
     net.version = 6;
     net.evacuated = List.of("a");
@@ -38,8 +38,8 @@
 
   @Test
   public void aFreshSwitchboardGetsNothingFromAnExchangeThatRestartedWhileCutOff() {
-    final CoreNet net = settled();
-    net.node(1).core.beat(CoreNet.upstream("u", Stage.JOINED, 1), net.now);
+    final SimulatedCoreNetwork net = settled();
+    net.node(1).core.beat(SimulatedCoreNetwork.upstream("u", LifecycleStage.JOINED, 1), net.now);
     net.pass(100);
     net.cut(1, true, true);
     net.restart(1, true);
@@ -60,7 +60,7 @@
   @Test
   public void aFreshSwitchboardGetsNothingFromAnExchangeThatIsCutOffNow() {
     for (final boolean[] ways : new boolean[][] {{true, true}, {true, false}, {false, true}}) {
-      final CoreNet net = settled();
+      final SimulatedCoreNetwork net = settled();
       net.cut(1, ways[0], ways[1]);
       net.pass(1);
       net.version = 7;
@@ -75,7 +75,7 @@
 
   @Test
   public void aSwitchboardThatServesIsServedOn() {
-    final CoreNet net = settled();
+    final SimulatedCoreNetwork net = settled();
     net.cut(1, true, true);
     net.pass(5000);
     net.node(1).opens("1", 6);
@@ -86,12 +86,12 @@
   @Test
   public void
       afterALossOfPowerAFreshSwitchboardGetsWhatWasAcknowledgedBeforeTheFramesHaveAMajority() {
-    final CoreNet net = settled();
+    final SimulatedCoreNetwork net = settled();
     net.cut(1, true, true);
     net.version = 7;
     net.pass(500);
     final CompletableFuture<Void> acknowledged =
-        net.node(2).core.spread(7, CoreNet.spec(7), net.now);
+        net.node(2).core.spread(7, SimulatedCoreNetwork.spec(7), net.now);
     net.pass(100);
     assertTrue(acknowledged.isDone() && !refused(acknowledged));
     net.framesDown = true;
@@ -109,9 +109,10 @@
 
   @Test
   public void aConfigurationIsNotAcknowledgedWithoutAMajorityOfExchanges() {
-    final CoreNet net = settled();
+    final SimulatedCoreNetwork net = settled();
     net.cut(1, true, true);
-    final CompletableFuture<Void> cutOff = net.node(1).core.spread(7, CoreNet.spec(7), net.now);
+    final CompletableFuture<Void> cutOff =
+        net.node(1).core.spread(7, SimulatedCoreNetwork.spec(7), net.now);
     net.pass(1000);
     assertTrue(refused(cutOff));
     net.version = 8;
@@ -126,7 +127,7 @@
 
   @Test
   public void anEvacuationIsAcknowledgedOnlyOnceAFreshSwitchboardWouldLearnOfIt() {
-    final CoreNet net = settled();
+    final SimulatedCoreNetwork net = settled();
     net.evacuated = List.of("a", "b");
     net.evacuationMark = 2;
     final CompletableFuture<Void> done = net.node(2).core.settle(net.now);
@@ -147,20 +148,26 @@
 
   @Test
   public void aDrainIsAcknowledgedByAMajorityEachTimeItIsSaid() {
-    final CoreNet net = settled();
-    net.node(1).core.beat(CoreNet.upstream("i", Stage.JOINED, 1), net.now);
+    final SimulatedCoreNetwork net = settled();
+    net.node(1).core.beat(SimulatedCoreNetwork.upstream("i", LifecycleStage.JOINED, 1), net.now);
     net.pass(100);
     final CompletableFuture<Void> first =
-        net.node(1).core.beat(CoreNet.upstream("i", Stage.DRAINING, 2), net.now);
+        net.node(1)
+            .core
+            .beat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 2), net.now);
     net.pass(100);
     assertTrue(first.isDone() && !refused(first));
     net.cut(1, true, true);
     final CompletableFuture<Void> again =
-        net.node(1).core.beat(CoreNet.upstream("i", Stage.DRAINING, 3), net.now);
+        net.node(1)
+            .core
+            .beat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 3), net.now);
     final CompletableFuture<Void> gone = net.node(1).core.deregister("i", 1, net.now);
     final CompletableFuture<Void> goneAgain = net.node(1).core.deregister("i", 1, net.now);
     final CompletableFuture<Void> late =
-        net.node(1).core.beat(CoreNet.upstream("i", Stage.DRAINING, 2), net.now);
+        net.node(1)
+            .core
+            .beat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 2), net.now);
     net.pass(1000);
     for (final CompletableFuture<Void> future : List.of(again, gone, goneAgain, late)) {
       assertTrue(refused(future), "acknowledged without a majority since the question");
@@ -169,12 +176,14 @@
 
   @Test
   public void aFreshSwitchboardNeverHearsOfAnUpstreamAsOpenThatAMajorityKnowsToLeave() {
-    final CoreNet net = settled();
-    net.node(1).core.beat(CoreNet.upstream("i", Stage.JOINED, 1), net.now);
+    final SimulatedCoreNetwork net = settled();
+    net.node(1).core.beat(SimulatedCoreNetwork.upstream("i", LifecycleStage.JOINED, 1), net.now);
     net.pass(100);
     net.cut(1, true, true);
     final CompletableFuture<Void> drained =
-        net.node(2).core.beat(CoreNet.upstream("i", Stage.DRAINING, 2), net.now);
+        net.node(2)
+            .core
+            .beat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 2), net.now);
     net.pass(100);
     assertTrue(drained.isDone() && !refused(drained));
     net.framesDown = true;
@@ -185,15 +194,19 @@
     net.node(1).opens("1", 0);
     net.pass(500);
     final List<RegistryMessages.Registration> given =
-        new ArrayList<>(Buckets.unpack(net.node(1).views("1").get(0).packed));
-    assertEquals(given.stream().map(one -> Stage.of(one)).toList(), List.of(Stage.DRAINING));
+        new ArrayList<>(RegistrationBuckets.unpack(net.node(1).views("1").get(0).packed));
+    assertEquals(
+        given.stream().map(one -> LifecycleStage.of(one)).toList(),
+        List.of(LifecycleStage.DRAINING));
   }
 
   @Test
   public void aThawedExchangeAcknowledgesNothingThatItsDeadlineHasPassedFor() {
-    final CoreNet net = settled();
+    final SimulatedCoreNetwork net = settled();
     final CompletableFuture<Void> drained =
-        net.node(1).core.beat(CoreNet.upstream("i", Stage.DRAINING, 2), net.now);
+        net.node(1)
+            .core
+            .beat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 2), net.now);
     net.pass(3);
     net.freeze(1);
     net.pass(5000);
@@ -204,12 +217,14 @@
 
   @Test
   public void aDiskThatWasWipedCountsForNothingUntilItHasLearnedWhatWasAcknowledged() {
-    final CoreNet net = settled();
+    final SimulatedCoreNetwork net = settled();
     net.cut(4, true, true);
     net.cut(5, true, true);
-    net.node(1).core.beat(CoreNet.upstream("i", Stage.JOINED, 1), net.now);
+    net.node(1).core.beat(SimulatedCoreNetwork.upstream("i", LifecycleStage.JOINED, 1), net.now);
     final CompletableFuture<Void> drained =
-        net.node(1).core.beat(CoreNet.upstream("i", Stage.DRAINING, 2), net.now);
+        net.node(1)
+            .core
+            .beat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 2), net.now);
     net.pass(100);
     assertTrue(drained.isDone() && !refused(drained));
     net.framesDown = true;
@@ -227,10 +242,10 @@
     net.cut(1, true, true);
     net.pass(6000);
     assertEquals(
-        Buckets.unpack(net.node(4).views("4").get(0).packed).stream()
-            .map(one -> Stage.of(one))
+        RegistrationBuckets.unpack(net.node(4).views("4").get(0).packed).stream()
+            .map(one -> LifecycleStage.of(one))
             .toList(),
-        List.of(Stage.DRAINING));
+        List.of(LifecycleStage.DRAINING));
     net.cut(2, true, true);
     net.node(5).opens("5", 0);
     net.pass(1000);
@@ -239,7 +254,7 @@
 
   @Test
   public void aNewcomerToTheRosterLearnsBeforeItCounts() {
-    final CoreNet net = new CoreNet(6, 5).startAll(true);
+    final SimulatedCoreNetwork net = new SimulatedCoreNetwork(6, 5).startAll(true);
     net.pass(4000);
     net.version = 6;
     net.pass(1000);
@@ -247,12 +262,15 @@
     net.cut(4, true, true);
     net.cut(5, true, true);
     final CompletableFuture<Void> drained =
-        net.node(1).core.beat(CoreNet.upstream("i", Stage.DRAINING, 2), net.now);
+        net.node(1)
+            .core
+            .beat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 2), net.now);
     net.pass(100);
     assertTrue(drained.isDone() && !refused(drained));
     net.framesDown = true;
     net.roster =
-        CoreNet.roster(3, List.of("10.0.0.2", "10.0.0.3", "10.0.0.4", "10.0.0.5", "10.0.0.6"));
+        SimulatedCoreNetwork.roster(
+            3, List.of("10.0.0.2", "10.0.0.3", "10.0.0.4", "10.0.0.5", "10.0.0.6"));
     net.cut.clear();
     net.cut(1, true, true);
     net.cut(2, true, true);
@@ -262,7 +280,7 @@
           .core
           .receive(
               "10.0.0.9",
-              new RegistryMessages.StateHeld(
+              new RegistryMessages.ControlStateResponse(
                   0, net.roster, false, 0, 0, null, null, 0, null, 0, null, 0),
               ignored -> {},
               net.now);
@@ -276,34 +294,38 @@
     net.cut.clear();
     net.pass(5000);
     assertTrue(net.node(5).views("5").size() > 0);
-    assertEquals(Stage.of(net.node(6).core.history().get("i")), Stage.DRAINING);
+    assertEquals(LifecycleStage.of(net.node(6).core.history().get("i")), LifecycleStage.DRAINING);
   }
 
   @Test
   public void anAcknowledgementCountsUnderTheRosterInForceAndTheOneJustBefore() {
-    final CoreNet net = new CoreNet(7, 5).startAll(true);
+    final SimulatedCoreNetwork net = new SimulatedCoreNetwork(7, 5).startAll(true);
     net.pass(4000);
     net.cut(2, true, true);
     net.cut(3, true, true);
     net.cut(4, true, true);
-    net.roster = CoreNet.roster(2, List.of("10.0.0.1", "10.0.0.5", "10.0.0.6"));
+    net.roster = SimulatedCoreNetwork.roster(2, List.of("10.0.0.1", "10.0.0.5", "10.0.0.6"));
     net.pass(800);
     final CompletableFuture<Void> drained =
-        net.node(1).core.beat(CoreNet.upstream("i", Stage.DRAINING, 2), net.now);
+        net.node(1)
+            .core
+            .beat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 2), net.now);
     net.pass(1000);
     assertTrue(
         refused(drained),
         "1, 5 and 6 are a majority of the new roster, but 2, 3 and 4 may not know of it yet");
     net.pass(3000);
     final CompletableFuture<Void> later =
-        net.node(1).core.beat(CoreNet.upstream("i", Stage.DRAINING, 3), net.now);
+        net.node(1)
+            .core
+            .beat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 3), net.now);
     net.pass(1000);
     assertTrue(later.isDone() && !refused(later));
   }
 
   @Test
   public void onlyWhoIsWithoutAMajorityKnowsItselfCutOff() {
-    final CoreNet net = settled();
+    final SimulatedCoreNetwork net = settled();
     for (int index = 1; index <= 5; index++) {
       assertFalse(net.node(index).core.cutOff(net.now));
     }
@@ -331,7 +353,7 @@
 
   @Test
   public void whoIsCutOffNamesOneThatToldLatelyThatItHearsAMajority() {
-    final CoreNet net = new CoreNet(7, 5).startAll(true);
+    final SimulatedCoreNetwork net = new SimulatedCoreNetwork(7, 5).startAll(true);
     net.pass(4000);
     net.version = 6;
     for (int voter = 2; voter <= 5; voter++) {
@@ -350,8 +372,9 @@
    * All lose power; two that start a little later open a stream at the first exchange when its
    * first read is done.
    */
-  private static CoreNet restarted(final java.util.function.Consumer<CoreNet.Node> judges) {
-    final CoreNet net = settled();
+  private static SimulatedCoreNetwork restarted(
+      final java.util.function.Consumer<SimulatedCoreNetwork.Node> judges) {
+    final SimulatedCoreNetwork net = settled();
     net.framesDown = true;
     net.judges = judges;
     for (int index = 1; index <= 5; index++) {
@@ -365,9 +388,10 @@
 
   @Test
   public void afterALossOfPowerOneReadServesAllThatComeBackWhileItsLeaseLasts() {
-    final CoreNet net = restarted(null);
+    final SimulatedCoreNetwork net = restarted(null);
     net.cut(1, true, true);
-    final CompletableFuture<Void> spread = net.node(2).core.spread(7, CoreNet.spec(7), net.now);
+    final CompletableFuture<Void> spread =
+        net.node(2).core.spread(7, SimulatedCoreNetwork.spec(7), net.now);
     net.pass(150);
     net.node(1).opens("2", 0);
     net.pass(1);
@@ -382,9 +406,10 @@
 
   @Test
   public void aLeaseThatRanOutInAFreezeServesNobody() {
-    final CoreNet net = restarted(null);
+    final SimulatedCoreNetwork net = restarted(null);
     net.freeze(1);
-    final CompletableFuture<Void> spread = net.node(2).core.spread(7, CoreNet.spec(7), net.now);
+    final CompletableFuture<Void> spread =
+        net.node(2).core.spread(7, SimulatedCoreNetwork.spec(7), net.now);
     net.pass(1200);
     assertTrue(spread.isDone() && !refused(spread));
     net.cut(1, true, true);
@@ -398,20 +423,21 @@
 
   @Test
   public void aLeaseThatIsTakenForLongerThanItWasGivenIsCaught() {
-    final CoreNet net =
+    final SimulatedCoreNetwork net =
         restarted(
             node ->
                 node.core.judges(
-                    new Quorums(),
+                    new QuorumWrites(),
                     new QuorumReads(node.address) {
                       @Override
                       long leasedUntil(final StateStoreMessages.Roster roster) {
                         return super.leasedUntil(roster) + 10_000;
                       }
                     },
-                    new Authority(node.address, (to, message) -> {})));
+                    new MajorityReachability(node.address, (to, message) -> {})));
     net.cut(1, true, true);
-    final CompletableFuture<Void> spread = net.node(2).core.spread(7, CoreNet.spec(7), net.now);
+    final CompletableFuture<Void> spread =
+        net.node(2).core.spread(7, SimulatedCoreNetwork.spec(7), net.now);
     net.pass(880);
     assertTrue(spread.isDone() && !refused(spread));
     net.node(1).opens("3", 0);
@@ -422,8 +448,9 @@
         "the broken variant gives the old configuration after the new one was acknowledged");
   }
 
-  private static CoreNet broken(final java.util.function.Consumer<CoreNet.Node> judges) {
-    final CoreNet net = new CoreNet(5, 5);
+  private static SimulatedCoreNetwork broken(
+      final java.util.function.Consumer<SimulatedCoreNetwork.Node> judges) {
+    final SimulatedCoreNetwork net = new SimulatedCoreNetwork(5, 5);
     net.judges = judges;
     net.startAll(true);
     net.pass(2000);
@@ -434,11 +461,11 @@
 
   @Test
   public void aReadThatCountsOnItselfAloneIsCaught() {
-    final CoreNet net =
+    final SimulatedCoreNetwork net =
         broken(
             node ->
                 node.core.judges(
-                    new Quorums(),
+                    new QuorumWrites(),
                     new QuorumReads(node.address) {
                       @Override
                       boolean complete(
@@ -451,7 +478,7 @@
                             whole);
                       }
                     },
-                    new Authority(node.address, (to, message) -> {})));
+                    new MajorityReachability(node.address, (to, message) -> {})));
     net.cut(1, true, true);
     net.restart(1, true);
     net.version = 7;
@@ -465,18 +492,18 @@
 
   @Test
   public void aReadDoneBeforeTheQuestionCameIsCaught() {
-    final CoreNet net =
+    final SimulatedCoreNetwork net =
         broken(
             node ->
                 node.core.judges(
-                    new Quorums(),
+                    new QuorumWrites(),
                     new QuorumReads(node.address) {
                       @Override
                       long next() {
                         return Math.min(super.next(), Math.max(1, done()));
                       }
                     },
-                    new Authority(node.address, (to, message) -> {})));
+                    new MajorityReachability(node.address, (to, message) -> {})));
     net.node(1).opens("0", 0);
     net.pass(1000);
     net.cut(1, true, true);
@@ -488,11 +515,11 @@
 
   @Test
   public void anAcknowledgementCountedAfterThawingIsCaught() {
-    final CoreNet net =
+    final SimulatedCoreNetwork net =
         broken(
             node ->
                 node.core.judges(
-                    new Quorums() {
+                    new QuorumWrites() {
                       @Override
                       void kept(
                           final String from,
@@ -504,9 +531,11 @@
                       }
                     },
                     new QuorumReads(node.address),
-                    new Authority(node.address, (to, message) -> {})));
+                    new MajorityReachability(node.address, (to, message) -> {})));
     final CompletableFuture<Void> drained =
-        net.node(1).core.beat(CoreNet.upstream("i", Stage.DRAINING, 2), net.now);
+        net.node(1)
+            .core
+            .beat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 2), net.now);
     net.pass(3);
     net.freeze(1);
     net.pass(5000);
--- a/registry/src/test/java/weldpoint/registry/HistoryDeskTest.java
+++ b/registry/src/test/java/weldpoint/registry/HistoryReaderTest.java
@@ -14,17 +14,17 @@
 import org.testng.annotations.Test;
 import weldpoint.audit.AuditEntry;
 import weldpoint.audit.ChangeKind;
-import weldpoint.common.Breakdown;
-import weldpoint.statestore.Deed;
-import weldpoint.statestore.Values;
-import weldpoint.transport.StoreCallMessages;
-import weldpoint.transport.Wire;
+import weldpoint.common.WeldpointException;
+import weldpoint.statestore.StoreOperation;
+import weldpoint.statestore.StoredValues;
+import weldpoint.transport.Serializer;
+import weldpoint.transport.StoreMessages;
 
 /**
  * Reading the history at one replica: complete only when a majority said how far it goes and all of
  * that is here.
  */
-public final class HistoryDeskTest {
+public final class HistoryReaderTest {
   private static final long WALL = 1_800_000_000_000L;
 
   private static List<byte[]> chain(final int count) {
@@ -42,13 +42,13 @@
     return entries;
   }
 
-  private static Values.HistoryPart part(
+  private static StoredValues.HistoryPart part(
       final List<byte[]> all,
       final long base,
       final long last,
       final long from,
       final boolean blank) {
-    return new Values.HistoryPart(
+    return new StoredValues.HistoryPart(
         base,
         last,
         last == 0 ? "" : AuditEntry.digest(all.get((int) last - 1)),
@@ -58,20 +58,20 @@
         all.subList((int) from - 1, (int) last));
   }
 
-  private static Calls.HistoryQuery query(
+  private static ControlApi.HistoryQuery query(
       final Long from, final Long to, final String since, final String until, final String author) {
-    return new Calls.HistoryQuery(from, to, since, until, null, author, null);
+    return new ControlApi.HistoryQuery(from, to, since, until, null, author, null);
   }
 
-  private static Calls.HistoryAnswer answer(
-      final Calls.HistoryQuery query,
-      final Values.HistoryPart part,
+  private static ControlApi.HistoryResponse answer(
+      final ControlApi.HistoryQuery query,
+      final StoredValues.HistoryPart part,
       final boolean known,
       final long head,
       final List<byte[]> all) {
-    return HistoryDesk.answer(
+    return HistoryReader.answer(
         "10.0.0.1",
-        HistoryDesk.Range.of(query, WALL),
+        HistoryReader.Range.of(query, WALL),
         query,
         part,
         known,
@@ -82,11 +82,11 @@
   @Test
   public void theSameRangeGivesTheSameBytesFromAnyReplica() {
     final List<byte[]> all = chain(9);
-    final Calls.HistoryQuery query = query(null, null, null, null, null);
+    final ControlApi.HistoryQuery query = query(null, null, null, null, null);
     final String ahead =
-        Calls.HISTORY.toJson(answer(query, part(all, 0, 9, 1, false), true, 7, all));
+        ControlApi.HISTORY.toJson(answer(query, part(all, 0, 9, 1, false), true, 7, all));
     final String exact =
-        Calls.HISTORY.toJson(answer(query, part(all, 0, 7, 1, false), true, 7, all));
+        ControlApi.HISTORY.toJson(answer(query, part(all, 0, 7, 1, false), true, 7, all));
     assertEquals(ahead, exact);
     assertTrue(answer(query, part(all, 0, 7, 1, false), true, 7, all).complete());
   }
@@ -94,20 +94,22 @@
   @Test
   public void aWipedReplicaAndOneWithoutAMajorityNeverLookWhole() {
     final List<byte[]> all = chain(9);
-    final Calls.HistoryQuery query = query(null, null, null, null, null);
-    final Calls.HistoryAnswer wiped = answer(query, part(all, 0, 0, 1, true), true, 9, all);
+    final ControlApi.HistoryQuery query = query(null, null, null, null, null);
+    final ControlApi.HistoryResponse wiped = answer(query, part(all, 0, 0, 1, true), true, 9, all);
     assertFalse(wiped.complete());
     assertTrue(wiped.problem().contains("up to entry 0 of 9"), wiped.problem());
-    final Calls.HistoryAnswer behind = answer(query, part(all, 0, 5, 1, false), true, 9, all);
+    final ControlApi.HistoryResponse behind =
+        answer(query, part(all, 0, 5, 1, false), true, 9, all);
     assertFalse(behind.complete());
     assertTrue(behind.problem().contains("up to entry 5 of 9"), behind.problem());
-    final Calls.HistoryAnswer alone = answer(query, part(all, 0, 9, 1, false), false, 0, all);
+    final ControlApi.HistoryResponse alone =
+        answer(query, part(all, 0, 9, 1, false), false, 0, all);
     assertFalse(alone.complete());
     assertTrue(alone.problem().contains("up to entry 9"), alone.problem());
     assertFalse(
-        HistoryDesk.answer(
+        HistoryReader.answer(
                 "10.0.0.1",
-                HistoryDesk.Range.of(query, WALL),
+                HistoryReader.Range.of(query, WALL),
                 query,
                 part(all, 0, 9, 1, false),
                 true,
@@ -115,7 +117,8 @@
                 "another")
             .complete());
     assertFalse(
-        HistoryDesk.answer("10.0.0.1", HistoryDesk.Range.of(query, WALL), query, null, true, 9, "x")
+        HistoryReader.answer(
+                "10.0.0.1", HistoryReader.Range.of(query, WALL), query, null, true, 9, "x")
             .complete());
   }
 
@@ -134,10 +137,11 @@
 
   @Test(dataProvider = "badRanges")
   public void aRangeThatIsTrimmedReversedOrInTheFutureIsRefused(
-      final Calls.HistoryQuery query, final String reason) {
+      final ControlApi.HistoryQuery query, final String reason) {
     final List<byte[]> all = chain(9);
-    final Breakdown breakdown =
-        expectThrows(Breakdown.class, () -> answer(query, part(all, 4, 9, 5, false), true, 9, all));
+    final WeldpointException breakdown =
+        expectThrows(
+            WeldpointException.class, () -> answer(query, part(all, 4, 9, 5, false), true, 9, all));
     assertEquals(breakdown.kind().status(), 400);
     assertTrue(breakdown.getMessage().contains(reason), breakdown.getMessage());
   }
@@ -161,10 +165,10 @@
             .entries()
             .size(),
         3);
-    final Calls.HistoryAnswer page =
+    final ControlApi.HistoryResponse page =
         answer(
             query(2L, 8L, null, null, null),
-            new Values.HistoryPart(0, 9, "", 0, false, 2, all.subList(1, 4)),
+            new StoredValues.HistoryPart(0, 9, "", 0, false, 2, all.subList(1, 4)),
             true,
             9,
             all);
@@ -173,14 +177,15 @@
   }
 
   private static final class Frames {
-    private final List<StoreCallMessages.Call> heads = new ArrayList<>();
-    private final List<StoreCallMessages.Call> reads = new ArrayList<>();
-    private final StoreCaller store =
-        new StoreCaller(
+    private final List<StoreMessages.StoreRequest> heads = new ArrayList<>();
+    private final List<StoreMessages.StoreRequest> reads = new ArrayList<>();
+    private final StoreClient store =
+        new StoreClient(
             "10.0.0.1",
             new Random(1),
             (to, call) -> {
-              (Deed.of(call.deed) == Deed.HISTORY_HEAD ? heads : reads).add(call);
+              (StoreOperation.of(call.deed) == StoreOperation.HISTORY_HEAD ? heads : reads)
+                  .add(call);
               return true;
             });
   }
@@ -189,13 +194,13 @@
   public void aReplicaThatIsBehindIsAskedAgainUntilItHasCaughtUp() {
     final List<byte[]> all = chain(6);
     final Frames frames = new Frames();
-    final HistoryDesk desk = new HistoryDesk("10.0.0.1", frames.store);
-    final CompletableFuture<Calls.HistoryAnswer> future =
+    final HistoryReader desk = new HistoryReader("10.0.0.1", frames.store);
+    final CompletableFuture<ControlApi.HistoryResponse> future =
         desk.read(query(null, null, null, null, null), WALL, 1000);
     assertEquals(frames.reads.size(), 0);
     frames.store.answered(
         "10.0.0.1",
-        new StoreCallMessages.Answer(
+        new StoreMessages.StoreResponse(
                 frames.heads.get(0).number,
                 200,
                 6,
@@ -205,16 +210,24 @@
         1010);
     frames.store.answered(
         "10.0.0.1",
-        new StoreCallMessages.Answer(
-                frames.reads.get(0).number, 200, 4, Wire.bytes(part(all, 0, 4, 1, false)), null)
+        new StoreMessages.StoreResponse(
+                frames.reads.get(0).number,
+                200,
+                4,
+                Serializer.bytes(part(all, 0, 4, 1, false)),
+                null)
             .to(frames.reads.get(0).caller),
         1020);
     assertFalse(future.isDone());
     desk.tick(1200);
     frames.store.answered(
         "10.0.0.1",
-        new StoreCallMessages.Answer(
-                frames.reads.get(1).number, 200, 6, Wire.bytes(part(all, 0, 6, 1, false)), null)
+        new StoreMessages.StoreResponse(
+                frames.reads.get(1).number,
+                200,
+                6,
+                Serializer.bytes(part(all, 0, 6, 1, false)),
+                null)
             .to(frames.reads.get(1).caller),
         1210);
     assertTrue(future.join().complete());
@@ -228,22 +241,22 @@
             .number(8, 0)
             .origin("me", "", "", WALL)
             .bytes(1, "");
-    final Calls.HistoryAnswer found =
-        new Calls.HistoryAnswer(
-            true, null, 1, 1, "", 0, List.of(HistoryDesk.json(AuditEntry.read(bytes), bytes)));
-    final Calls.ReachAnswer reach =
-        HistoryDesk.reach(
+    final ControlApi.HistoryResponse found =
+        new ControlApi.HistoryResponse(
+            true, null, 1, 1, "", 0, List.of(HistoryReader.json(AuditEntry.read(bytes), bytes)));
+    final ControlApi.ReachResponse reach =
+        HistoryReader.reach(
             found,
             AuditEntry.read(bytes),
             List.of(
-                new InForce("10.0.0.2", "switchboard", 8, 0, 500, 100),
-                new InForce("10.0.0.3", "switchboard", 7, 0, 9000, 100),
-                new InForce("10.0.0.4", "switchboard", 9, 0, 500, 20_000),
-                new InForce("10.0.0.5", "exchange", 0, 0, 0, Long.MAX_VALUE),
-                new InForce("10.0.0.6", "switchboard", 9, 0, 50, 10)),
+                new AppliedState("10.0.0.2", "switchboard", 8, 0, 500, 100),
+                new AppliedState("10.0.0.3", "switchboard", 7, 0, 9000, 100),
+                new AppliedState("10.0.0.4", "switchboard", 9, 0, 500, 20_000),
+                new AppliedState("10.0.0.5", "exchange", 0, 0, 0, Long.MAX_VALUE),
+                new AppliedState("10.0.0.6", "switchboard", 9, 0, 50, 10)),
             WALL);
     assertEquals(
-        reach.daemons().stream().map(Calls.DaemonReach::state).toList(),
+        reach.daemons().stream().map(ControlApi.DaemonReach::state).toList(),
         List.of("UNHEARD", "IN_FORCE", "NOT_YET", "UNHEARD", "IN_FORCE"));
     assertEquals(
         reach.daemons().get(1).since(), java.time.Instant.ofEpochMilli(WALL - 600).toString());
--- a/registry/src/test/java/weldpoint/registry/KeyClaimsTest.java
+++ b/registry/src/test/java/weldpoint/registry/KeyClaimsTest.java
@@ -12,9 +12,9 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 import weldpoint.transport.KeyMessages.Claim;
-import weldpoint.transport.KeyMessages.ClaimAnswer;
-import weldpoint.transport.KeyMessages.ClaimAsk;
 import weldpoint.transport.KeyMessages.ClaimRelease;
+import weldpoint.transport.KeyMessages.ClaimRequest;
+import weldpoint.transport.KeyMessages.ClaimResponse;
 import weldpoint.transport.KeyMessages.ClaimResult;
 
 /** Registries on a fake clock and network decide to which request an idempotency key belongs. */
@@ -22,7 +22,7 @@
   private static final long KEEP_MILLIS = 60_000;
   private static final long CAUGHT_UP_MILLIS = 6000;
 
-  private final Map<Long, ClaimAnswer> answers = new HashMap<>();
+  private final Map<Long, ClaimResponse> answers = new HashMap<>();
   private long number;
   private long grantedInAll;
 
@@ -31,38 +31,38 @@
     java.util.logging.Logger.getLogger("").setLevel(java.util.logging.Level.OFF);
   }
 
-  private CoreNet settled() {
+  private SimulatedCoreNetwork settled() {
     answers.clear();
     number = 0;
-    final CoreNet net = new CoreNet(5, 5).startAll(true);
+    final SimulatedCoreNetwork net = new SimulatedCoreNetwork(5, 5).startAll(true);
     net.pass(2000);
     net.version = 6;
     net.pass(4000);
     return net;
   }
 
-  private Claim ask(final CoreNet net, final int node, final long key) {
+  private Claim ask(final SimulatedCoreNetwork net, final int node, final long key) {
     final Claim claim = new Claim(key, key, "10.9.0." + node, node, ++number, KEEP_MILLIS);
     net.node(node)
         .core
         .key(
-            new ClaimAsk(claim),
+            new ClaimRequest(claim),
             answer -> {
               assertFalse(answers.containsKey(claim.number), "answered twice");
-              answers.put(claim.number, (ClaimAnswer) answer);
+              answers.put(claim.number, (ClaimResponse) answer);
             },
             net.now);
     return claim;
   }
 
   private ClaimResult result(final Claim claim) {
-    final ClaimAnswer answer = answers.get(claim.number);
+    final ClaimResponse answer = answers.get(claim.number);
     return answer == null ? null : answer.result();
   }
 
   @Test
   public void theFirstGetsTheKeyAndTheSecondHearsWhoHasIt() {
-    final CoreNet net = settled();
+    final SimulatedCoreNetwork net = settled();
     final Claim first = ask(net, 1, 7);
     net.pass(100);
     final Claim second = ask(net, 4, 7);
@@ -78,7 +78,7 @@
 
   @Test
   public void ofTwoAtOnceAtMostOneGetsTheKeyAndTheOtherLeavesNothingBehind() {
-    final CoreNet net = settled();
+    final SimulatedCoreNetwork net = settled();
     for (int key = 1; key <= 50; key++) {
       final Claim one = ask(net, 1 + key % 5, key);
       net.pass(key % 7);
@@ -98,7 +98,7 @@
   public void aRegistryThatIsNoVoterAsksTheVoters() {
     answers.clear();
     number = 0;
-    final CoreNet net = new CoreNet(6, 5).startAll(true);
+    final SimulatedCoreNetwork net = new SimulatedCoreNetwork(6, 5).startAll(true);
     net.pass(2000);
     net.version = 6;
     net.pass(4000);
@@ -114,7 +114,7 @@
   public void aVoterThatReplacesAnotherLearnsTheClaimsBeforeItVotes() {
     answers.clear();
     number = 0;
-    final CoreNet net = new CoreNet(7, 5).startAll(true);
+    final SimulatedCoreNetwork net = new SimulatedCoreNetwork(7, 5).startAll(true);
     net.pass(2000);
     net.version = 6;
     net.pass(4000);
@@ -126,10 +126,12 @@
     net.cut.clear();
     net.pass(3000);
     net.roster =
-        CoreNet.roster(2, List.of("10.0.0.2", "10.0.0.3", "10.0.0.4", "10.0.0.5", "10.0.0.6"));
+        SimulatedCoreNetwork.roster(
+            2, List.of("10.0.0.2", "10.0.0.3", "10.0.0.4", "10.0.0.5", "10.0.0.6"));
     net.pass(8000);
     net.roster =
-        CoreNet.roster(3, List.of("10.0.0.3", "10.0.0.4", "10.0.0.5", "10.0.0.6", "10.0.0.7"));
+        SimulatedCoreNetwork.roster(
+            3, List.of("10.0.0.3", "10.0.0.4", "10.0.0.5", "10.0.0.6", "10.0.0.7"));
     net.pass(8000);
     net.freeze(3);
     net.freeze(1);
@@ -144,7 +146,7 @@
 
   @Test
   public void aKeyThatIsGivenBackIsFree() {
-    final CoreNet net = settled();
+    final SimulatedCoreNetwork net = settled();
     final Claim first = ask(net, 1, 7);
     net.pass(100);
     net.node(1).core.key(new ClaimRelease(List.of(first)), unused -> {}, net.now);
@@ -161,7 +163,7 @@
 
   @Test
   public void aGrantThatIsGivenBackThroughAnotherRegistryFreesItsKeyEverywhere() {
-    final CoreNet net = settled();
+    final SimulatedCoreNetwork net = settled();
     final Claim first = ask(net, 1, 7);
     net.pass(100);
     net.cut("10.0.0.1", "10.0.0.2", true, true);
@@ -178,7 +180,7 @@
 
   @Test
   public void withoutAMajorityNothingIsGrantedAndNothingStaysBehind() {
-    final CoreNet net = settled();
+    final SimulatedCoreNetwork net = settled();
     net.cut(1, true, true);
     final Claim lost = ask(net, 1, 7);
     net.pass(1500);
@@ -192,7 +194,7 @@
 
   @Test
   public void aGrantSurvivesALossOfPowerEverywhere() {
-    final CoreNet net = settled();
+    final SimulatedCoreNetwork net = settled();
     final Claim first = ask(net, 1, 7);
     net.pass(100);
     assertEquals(result(first), ClaimResult.GRANTED);
@@ -208,7 +210,7 @@
   /** One story under trouble: the keys that were granted twice. */
   private List<String> play(final long seed, final boolean learns) {
     final Random random = new Random(seed);
-    final CoreNet net = settled();
+    final SimulatedCoreNetwork net = settled();
     final long[] wipedAt = new long[6];
     final Map<Long, Claim> asked = new HashMap<>();
     final long end = net.now + 40_000;
@@ -246,7 +248,10 @@
   }
 
   private static void trouble(
-      final CoreNet net, final Random random, final long[] wipedAt, final boolean learns) {
+      final SimulatedCoreNetwork net,
+      final Random random,
+      final long[] wipedAt,
+      final boolean learns) {
     final int node = 1 + random.nextInt(5);
     final int kind = random.nextInt(6);
     switch (kind) {
--- a/registry/src/test/java/weldpoint/registry/UpstreamCallsTest.java
+++ b/registry/src/test/java/weldpoint/registry/KeyGrantClientTest.java
@@ -22,21 +22,21 @@
 import weldpoint.transport.OwnershipMessages.RangeState;
 
 /** Grants to an upstream that answers some calls twice: its answers name no call. */
-public final class UpstreamCallsTest {
+public final class KeyGrantClientTest {
   private static final String GRANTED = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
   private static final String OVERTAKEN = "HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n";
 
   private final EventLoopGroup loop = new NioEventLoopGroup(1);
   private final AtomicInteger connections = new AtomicInteger();
   private ServerSocket server;
-  private UpstreamCalls calls;
+  private KeyGrantClient calls;
   private volatile String[] script;
 
   @BeforeMethod
   public void open() throws IOException {
     connections.set(0);
     server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    calls = new UpstreamCalls(loop, Runnable::run, 4000, 2000);
+    calls = new KeyGrantClient(loop, Runnable::run, 4000, 2000);
     final Thread thread = new Thread(this::serve);
     thread.setDaemon(true);
     thread.start();
--- a/registry/src/test/java/weldpoint/registry/LargeFleetTest.java
+++ b/registry/src/test/java/weldpoint/registry/LargeFleetTest.java
@@ -14,12 +14,12 @@
 import java.util.Random;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
+import weldpoint.transport.Compression;
 import weldpoint.transport.Message;
-import weldpoint.transport.Packing;
 import weldpoint.transport.RegistryMessages;
 import weldpoint.transport.RegistryMessages.Registration;
-import weldpoint.transport.StoreCallMessages;
-import weldpoint.transport.Wire;
+import weldpoint.transport.Serializer;
+import weldpoint.transport.StoreMessages;
 
 /**
  * What an exchange tells at hundreds of switchboards and upstreams: little while nothing differs,
@@ -42,7 +42,7 @@
               false,
               1500,
               new Random(1),
-              new RegistryCore.Outlet() {
+              new RegistryCore.Environment() {
                 @Override
                 public boolean member(final String to, final Message message) {
                   members.computeIfAbsent(to, key -> new ArrayList<>()).add(message);
@@ -50,7 +50,7 @@
                 }
 
                 @Override
-                public boolean frame(final String to, final StoreCallMessages.Call call) {
+                public boolean frame(final String to, final StoreMessages.StoreRequest call) {
                   return false;
                 }
 
@@ -69,13 +69,13 @@
               });
       core.place("a", "north");
       final byte[] spec =
-          Packing.deflate(
+          Compression.deflate(
               "{\"version\":\"00000001\",\"listeners\":[],\"pools\":[]}"
                   .getBytes(StandardCharsets.UTF_8));
       core.start(
           List.of(
-              Wire.bytes(
-                  new Remembered(upstreams(upstreams), null, 1, spec, List.of(), 0, null, 0))),
+              Serializer.bytes(
+                  new PersistedRecord(upstreams(upstreams), null, 1, spec, List.of(), 0, null, 0))),
           now);
       return core;
     }
@@ -105,8 +105,8 @@
     return list;
   }
 
-  private static RegistryMessages.Board board(final int index) {
-    return new RegistryMessages.Board(
+  private static RegistryMessages.DaemonEntry board(final int index) {
+    return new RegistryMessages.DaemonEntry(
         "10." + index % 8 + ".0." + index,
         "10." + index % 8 + ".0." + index + ":8161",
         "zone-" + index % 8,
@@ -135,8 +135,8 @@
       assertTrue(messages.size() <= 3, messages.size() + " messages to one switchboard");
     }
     assertTrue(
-        Wire.bytes(first).length < 45 * UPSTREAMS,
-        "a whole view of " + Wire.bytes(first).length + " bytes");
+        Serializer.bytes(first).length < 45 * UPSTREAMS,
+        "a whole view of " + Serializer.bytes(first).length + " bytes");
   }
 
   @Test
@@ -146,13 +146,14 @@
     final List<Registration> had = upstreams(UPSTREAMS);
     long bytes = 0;
     for (int index = 0; index < BOARDS; index++) {
-      core.boardState("stream-" + index, board(index), Buckets.digests(had, false), told.now);
+      core.boardState(
+          "stream-" + index, board(index), RegistrationBuckets.digests(had, false), told.now);
     }
     for (final List<Message> messages : told.boards.values()) {
       final RegistryMessages.View view = (RegistryMessages.View) messages.get(0);
       assertNull(view.packed);
       assertNull(view.spec);
-      bytes += Wire.bytes(view).length;
+      bytes += Serializer.bytes(view).length;
     }
     assertTrue(bytes < 60L * BOARDS, bytes + " bytes for " + BOARDS + " switchboards");
     final Registration gone = had.get(7);
@@ -165,13 +166,13 @@
             gone.site,
             gone.software,
             gone.capacity,
-            Stage.DRAINING.ordinal(),
+            LifecycleStage.DRAINING.ordinal(),
             99,
             gone.issued,
             0));
-    core.boardState("late", board(BOARDS), Buckets.digests(had, false), told.now);
+    core.boardState("late", board(BOARDS), RegistrationBuckets.digests(had, false), told.now);
     final RegistryMessages.View view = (RegistryMessages.View) told.boards.get("late").get(0);
-    final List<Registration> given = Buckets.unpack(view.packed);
+    final List<Registration> given = RegistrationBuckets.unpack(view.packed);
     assertTrue(given.size() < UPSTREAMS / 8, given.size() + " were told");
     assertTrue(given.stream().anyMatch(one -> one.id.equals(gone.id)));
   }
@@ -182,10 +183,10 @@
       final int from,
       final Message message,
       final long[] bytes) {
-    bytes[0] += Wire.bytes(message).length;
+    bytes[0] += Serializer.bytes(message).length;
     cores[1 - from].receive(
         "10.0.0." + (1 + from),
-        (Message) Wire.value(Wire.bytes(message), message.getClass()),
+        (Message) Serializer.value(Serializer.bytes(message), message.getClass()),
         answer -> meet(told, cores, 1 - from, answer, bytes),
         told[0].now);
   }
@@ -273,35 +274,36 @@
     for (final List<Message> messages : told.boards.values()) {
       final List<Message> lists =
           messages.stream()
-              .filter(message -> message instanceof RegistryMessages.Neighbours)
+              .filter(message -> message instanceof RegistryMessages.SiteProxies)
               .toList();
       assertEquals(lists.size(), 1);
-      assertEquals(((RegistryMessages.Neighbours) lists.get(0)).addresses.size(), 3);
+      assertEquals(((RegistryMessages.SiteProxies) lists.get(0)).addresses.size(), 3);
     }
     core.boardState("new", board(24), null, told.now);
     told.now += 600;
     core.tick(told.now);
     assertEquals(
         told.boards.get("stream-0").stream()
-            .filter(message -> message instanceof RegistryMessages.Neighbours)
+            .filter(message -> message instanceof RegistryMessages.SiteProxies)
             .count(),
         2);
     assertEquals(
         told.boards.get("stream-1").stream()
-            .filter(message -> message instanceof RegistryMessages.Neighbours)
+            .filter(message -> message instanceof RegistryMessages.SiteProxies)
             .count(),
         1);
   }
 
   @Test
   public void aViewWithoutUpstreamsIsOneToo() {
-    assertEquals(Buckets.unpack(Buckets.pack(List.of())), List.of());
-    assertEquals(Buckets.unpack(Buckets.pack(upstreams(2))).size(), 2);
+    assertEquals(RegistrationBuckets.unpack(RegistrationBuckets.pack(List.of())), List.of());
+    assertEquals(RegistrationBuckets.unpack(RegistrationBuckets.pack(upstreams(2))).size(), 2);
     final Told told = new Told();
     told.exchange("10.0.0.1", 0).boardState("s", board(1), null, told.now);
     assertTrue(
         told.boards.isEmpty()
-            || Buckets.unpack(((RegistryMessages.View) told.boards.get("s").get(0)).packed)
+            || RegistrationBuckets.unpack(
+                    ((RegistryMessages.View) told.boards.get("s").get(0)).packed)
                 .isEmpty());
   }
 
@@ -310,20 +312,20 @@
     final Told told = new Told();
     final RegistryCore core = told.exchange("10.0.0.1", 3);
     core.boardState("s", board(1), null, told.now);
-    final Calls.StatusAnswer status = core.status(told.now + 500);
+    final ControlApi.StatusResponse status = core.status(told.now + 500);
     assertEquals(status.settled(), false);
     assertEquals(status.upstreams(), 3);
     assertEquals(status.version(), "00000001");
     assertEquals(
         status.daemons().stream()
             .filter(one -> one.program().equals("switchboard"))
-            .map(Calls.DaemonStatus::heardMs)
+            .map(ControlApi.DaemonStatus::heardMs)
             .toList(),
         List.of(500L));
     assertEquals(
         status.daemons().stream()
             .filter(one -> one.address().equals("10.0.0.2"))
-            .map(Calls.DaemonStatus::heardMs)
+            .map(ControlApi.DaemonStatus::heardMs)
             .toList(),
         List.of(-1L));
     assertTrue(status.placements().isEmpty());
--- a/registry/src/test/java/weldpoint/registry/LateBeatsTest.java
+++ b/registry/src/test/java/weldpoint/registry/LateBeatsTest.java
@@ -27,7 +27,8 @@
   /** One fleet under one seed. */
   private static final class World {
     private final Random random;
-    private final CoreNet net = new CoreNet(REGISTRIES, VOTERS).startAll(true);
+    private final SimulatedCoreNetwork net =
+        new SimulatedCoreNetwork(REGISTRIES, VOTERS).startAll(true);
     private final long[] startedAt = new long[REGISTRIES + 1];
     private long sequence;
     private long lives;
@@ -43,8 +44,9 @@
       return 1 + random.nextInt(REGISTRIES);
     }
 
-    private void beat(final int at, final String id, final Stage stage, final long number) {
-      net.node(at).core.beat(CoreNet.upstream(id, stage, number), net.now);
+    private void beat(
+        final int at, final String id, final LifecycleStage stage, final long number) {
+      net.node(at).core.beat(SimulatedCoreNetwork.upstream(id, stage, number), net.now);
     }
 
     /** A call that comes late, twice, or out of order. */
@@ -53,13 +55,13 @@
       oddAt = net.now;
       final long life = 1 + random.nextInt((int) lives + 1);
       switch (random.nextInt(6)) {
-        case 0 -> beat(any(), "late-" + ++lives, Stage.JOINED, 1);
-        case 1 -> beat(any(), "late-" + life, Stage.JOINED, 1 + random.nextInt(4));
-        case 2 -> beat(any(), "late-" + life, Stage.DRAINING, 1 + random.nextInt(4));
+        case 0 -> beat(any(), "late-" + ++lives, LifecycleStage.JOINED, 1);
+        case 1 -> beat(any(), "late-" + life, LifecycleStage.JOINED, 1 + random.nextInt(4));
+        case 2 -> beat(any(), "late-" + life, LifecycleStage.DRAINING, 1 + random.nextInt(4));
         case 3 -> net.node(any()).core.deregister("late-" + life, net.now, net.now);
         case 4 -> {
-          beat(any(), "sound", Stage.JOINED, Math.max(1, sequence - random.nextInt(3)));
-          beat(any(), "sound", Stage.JOINED, Math.max(1, sequence - random.nextInt(3)));
+          beat(any(), "sound", LifecycleStage.JOINED, Math.max(1, sequence - random.nextInt(3)));
+          beat(any(), "sound", LifecycleStage.JOINED, Math.max(1, sequence - random.nextInt(3)));
         }
         default -> {
           final int restarted = any();
@@ -70,7 +72,7 @@
     }
 
     private void soundBeat() {
-      beat(any(), "sound", Stage.JOINED, ++sequence);
+      beat(any(), "sound", LifecycleStage.JOINED, ++sequence);
       beatAt = net.now;
     }
 
@@ -80,7 +82,7 @@
         final boolean learned = net.now - startedAt[index] > LEARNING_MILLIS;
         final weldpoint.transport.RegistryMessages.Registration held =
             net.node(index).core.history().get("sound");
-        if (learned && (held == null || !Stage.of(held).open())) {
+        if (learned && (held == null || !LifecycleStage.of(held).open())) {
           return index;
         }
       }
--- a/registry/src/test/java/weldpoint/registry/StageTest.java
+++ b/registry/src/test/java/weldpoint/registry/LifecycleStageTest.java
@@ -11,7 +11,7 @@
 import weldpoint.transport.RegistryMessages.Registration;
 
 /** Merging histories must not depend on order, grouping or repetition. */
-public final class StageTest {
+public final class LifecycleStageTest {
   private static Registration one(final Random random) {
     return new Registration(
         "i",
@@ -34,25 +34,30 @@
       for (int index = 0; index < 4; index++) {
         all.add(one(random));
       }
-      final Registration expected = all.stream().reduce(Stage::later).orElseThrow();
+      final Registration expected = all.stream().reduce(LifecycleStage::later).orElseThrow();
       Collections.shuffle(all, random);
       all.add(all.get(0));
-      assertEquals(Stage.compare(all.stream().reduce(Stage::later).orElseThrow(), expected), 0);
-      final Registration left = Stage.later(Stage.later(all.get(0), all.get(1)), all.get(2));
-      final Registration right = Stage.later(all.get(0), Stage.later(all.get(1), all.get(2)));
-      assertEquals(Stage.compare(left, right), 0);
+      assertEquals(
+          LifecycleStage.compare(
+              all.stream().reduce(LifecycleStage::later).orElseThrow(), expected),
+          0);
+      final Registration left =
+          LifecycleStage.later(LifecycleStage.later(all.get(0), all.get(1)), all.get(2));
+      final Registration right =
+          LifecycleStage.later(all.get(0), LifecycleStage.later(all.get(1), all.get(2)));
+      assertEquals(LifecycleStage.compare(left, right), 0);
     }
   }
 
   @Test
   public void aDrainingUpstreamNeverComesBackAndALapsedOneDoes() {
     final Registration joined =
-        new Registration("i", "s", "a:1", "z", "v", 4, Stage.JOINED.ordinal(), 9, 0, 0);
+        new Registration("i", "s", "a:1", "z", "v", 4, LifecycleStage.JOINED.ordinal(), 9, 0, 0);
     final Registration draining =
-        new Registration("i", "s", "a:1", "z", "v", 4, Stage.DRAINING.ordinal(), 3, 0, 0);
+        new Registration("i", "s", "a:1", "z", "v", 4, LifecycleStage.DRAINING.ordinal(), 3, 0, 0);
     final Registration lapsed =
-        new Registration("i", "s", "a:1", "z", "v", 4, Stage.LAPSED.ordinal(), 8, 0, 0);
-    assertSame(Stage.later(joined, draining), draining);
-    assertSame(Stage.later(lapsed, joined), joined);
+        new Registration("i", "s", "a:1", "z", "v", 4, LifecycleStage.LAPSED.ordinal(), 8, 0, 0);
+    assertSame(LifecycleStage.later(joined, draining), draining);
+    assertSame(LifecycleStage.later(lapsed, joined), joined);
   }
 }
--- a/registry/src/test/java/weldpoint/registry/QuotaEndpointTest.java
+++ b/registry/src/test/java/weldpoint/registry/QuotaEndpointTest.java
@@ -7,21 +7,21 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.testng.annotations.Test;
-import weldpoint.common.Boot;
+import weldpoint.common.Settings;
 import weldpoint.ratelimit.QuotaAllocator;
-import weldpoint.routing.Dialplan;
+import weldpoint.routing.RoutingTable;
 import weldpoint.transport.Message;
-import weldpoint.transport.PermitMessages.PermitAnswer;
-import weldpoint.transport.PermitMessages.PermitAsk;
+import weldpoint.transport.PermitMessages.PermitRequest;
+import weldpoint.transport.PermitMessages.PermitResponse;
 import weldpoint.transport.StateStoreMessages.Roster;
 import weldpoint.transport.StateStoreMessages.Voter;
 
 public class QuotaEndpointTest {
-  private static final Boot BOOT =
-      Boot.parse(
+  private static final Settings BOOT =
+      Settings.parse(
           "station.name = a\nstation.address = 10.0.0.1\nstation.site = s\nstation.region = r\ntrunk.ports = 7000,7015\ntrunk.seeds = 10.0.0.1:7000\nbound.quota-tolerance = 0\n");
-  private static final Dialplan PLAN =
-      Dialplan.compile(
+  private static final RoutingTable PLAN =
+      RoutingTable.compile(
           "{\"version\":\"1\",\"tenants\":[{\"name\":\"t\",\"apiKeys\":[\"k\"],\"ratePerS\":20},{\"name\":\"saver\",\"apiKeys\":[\"s\"],\"ratePerS\":20,\"burst\":60}],\"listeners\":[],\"pools\":[]}"
               .getBytes(StandardCharsets.UTF_8));
   private static final Roster ROSTER =
@@ -47,8 +47,8 @@
   private void ask(
       final QuotaEndpoint endpoint, final int count, final long ageMillis, final long now) {
     endpoint.ask(
-        new PermitAsk(1, "tenant/t", count, 0),
-        answer -> granted.add(((PermitAnswer) answer).granted),
+        new PermitRequest(1, "tenant/t", count, 0),
+        answer -> granted.add(((PermitResponse) answer).granted),
         PLAN,
         ROSTER,
         1,
@@ -81,8 +81,8 @@
     final List<Integer> given = new ArrayList<>();
     for (final long now : new long[] {900_000, 904_000, 1_900_000}) {
       endpoint.ask(
-          new PermitAsk(1, "tenant/saver", 1000, 99),
-          answer -> given.add(((PermitAnswer) answer).granted),
+          new PermitRequest(1, "tenant/saver", 1000, 99),
+          answer -> given.add(((PermitResponse) answer).granted),
           PLAN,
           now < 904_000 ? ROSTER : two,
           1,
@@ -100,11 +100,11 @@
     final QuotaEndpoint endpoint = endpoint(true);
     endpoint.began(ROSTER);
     ask(endpoint, 1, 9000, 1200);
-    assertEquals(((PermitAsk) relayed.get(0)).hops, 1);
-    endpoint.answered(new PermitAnswer(((PermitAsk) relayed.get(0)).number, 1, 1, 0), 1200);
+    assertEquals(((PermitRequest) relayed.get(0)).hops, 1);
+    endpoint.answered(new PermitResponse(((PermitRequest) relayed.get(0)).number, 1, 1, 0), 1200);
     assertEquals(granted, List.of(1));
     ask(endpoint, 400, 100, 1400);
-    final int left = ((PermitAsk) relayed.get(1)).count;
+    final int left = ((PermitRequest) relayed.get(1)).count;
     assertEquals(left, 400 - (int) (0.98 * 20 * 1.1 / 3 * 0.4), "a third of what 0.4 s bring");
     endpoint.tick(1400 + 700);
     assertEquals(granted.get(1).intValue(), 400 - left, "the next has not answered");
@@ -115,7 +115,7 @@
     final QuotaEndpoint endpoint = endpoint(true);
     endpoint.began(ROSTER);
     ask(endpoint, 1, 100, 1000);
-    endpoint.answered(new PermitAnswer(((PermitAsk) relayed.get(0)).number, 0, 1, 0), 1010);
+    endpoint.answered(new PermitResponse(((PermitRequest) relayed.get(0)).number, 0, 1, 0), 1010);
     ask(endpoint, 1, 100, 1020);
     assertEquals(relayed.size(), 1, "not asked again so soon");
     ask(endpoint, 1, 100, 1060);
