--- a/registry/src/test/java/weldpoint/registry/RegistryCoreTest.java
+++ b/registry/src/test/java/weldpoint/registry/RegistryCoreTest.java
@@ -14,9 +14,9 @@
 import org.testng.annotations.Test;
 import weldpoint.transport.Message;
 import weldpoint.transport.RegistryMessages.Registration;
+import weldpoint.transport.Serializer;
 import weldpoint.transport.StateStoreMessages;
-import weldpoint.transport.StoreCallMessages;
-import weldpoint.transport.Wire;
+import weldpoint.transport.StoreMessages;
 
 /** Three exchanges that talk directly, on a fake clock, with disks that sync when told. */
 public final class RegistryCoreTest {
@@ -40,7 +40,7 @@
                 true,
                 1500,
                 new Random(address.hashCode()),
-                new RegistryCore.Outlet() {
+                new RegistryCore.Environment() {
                   @Override
                   public boolean member(final String to, final Message message) {
                     if (down.contains(to) || down.contains(address) || !cores.containsKey(to)) {
@@ -69,7 +69,7 @@
                   }
 
                   @Override
-                  public boolean frame(final String to, final StoreCallMessages.Call call) {
+                  public boolean frame(final String to, final StoreMessages.StoreRequest call) {
                     return false;
                   }
 
@@ -90,7 +90,8 @@
         voters.add(new StateStoreMessages.Voter(seed, seed, "r", List.of()));
       }
       final byte[] record =
-          Wire.bytes(Remembered.membership(null, new StateStoreMessages.Roster(1, voters)));
+          Serializer.bytes(
+              PersistedRecord.membership(null, new StateStoreMessages.Roster(1, voters)));
       cores.values().forEach(core -> core.start(List.of(record), now));
     }
 
@@ -123,7 +124,7 @@
   }
 
   private static Registration beat(
-      final String id, final String address, final Stage stage, final long sequence) {
+      final String id, final String address, final LifecycleStage stage, final long sequence) {
     return new Registration(id, "s", address, "z", "v", 4, stage.ordinal(), sequence, 1, 0);
   }
 
@@ -137,10 +138,10 @@
   public void drainIsAcknowledgedOnlyOnceAMajorityOfDisksHasIt() {
     final Net net = new Net();
     final RegistryCore first = net.cores.get(SEEDS.get(0));
-    first.beat(beat("i", "10.9.0.1:80", Stage.JOINED, 1), net.now);
+    first.beat(beat("i", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
     net.pass(200);
     final CompletableFuture<Void> done =
-        first.beat(beat("i", "10.9.0.1:80", Stage.DRAINING, 2), net.now);
+        first.beat(beat("i", "10.9.0.1:80", LifecycleStage.DRAINING, 2), net.now);
     net.talk();
     net.sync(SEEDS.get(0));
     net.talk();
@@ -156,7 +157,9 @@
     net.down.add(SEEDS.get(1));
     net.down.add(SEEDS.get(2));
     final CompletableFuture<Void> done =
-        net.cores.get(SEEDS.get(0)).beat(beat("i", "10.9.0.1:80", Stage.DRAINING, 2), net.now);
+        net.cores
+            .get(SEEDS.get(0))
+            .beat(beat("i", "10.9.0.1:80", LifecycleStage.DRAINING, 2), net.now);
     net.pass(1500);
     assertTrue(done.isCompletedExceptionally());
   }
@@ -164,22 +167,22 @@
   @Test
   public void aNewLifeAtAnAddressEndsTheOldOneEverywhere() {
     final Net net = new Net();
-    net.cores.get(SEEDS.get(0)).beat(beat("old", "10.9.0.1:80", Stage.JOINED, 1), net.now);
+    net.cores.get(SEEDS.get(0)).beat(beat("old", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
     net.pass(300);
-    net.cores.get(SEEDS.get(2)).beat(beat("old", "10.9.0.1:80", Stage.JOINED, 5), net.now);
-    net.cores.get(SEEDS.get(1)).beat(beat("new", "10.9.0.1:80", Stage.JOINED, 1), net.now);
+    net.cores.get(SEEDS.get(2)).beat(beat("old", "10.9.0.1:80", LifecycleStage.JOINED, 5), net.now);
+    net.cores.get(SEEDS.get(1)).beat(beat("new", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
     for (int second = 0; second < 10; second++) {
       net.pass(300);
-      everywhere(net, "old", Stage.LAPSED);
-      everywhere(net, "new", Stage.JOINED);
+      everywhere(net, "old", LifecycleStage.LAPSED);
+      everywhere(net, "new", LifecycleStage.JOINED);
       net.pass(700);
     }
-    assertFalse(Stage.LAPSED.open(), "nothing is sent to a life that was written off");
+    assertFalse(LifecycleStage.LAPSED.open(), "nothing is sent to a life that was written off");
   }
 
-  private static void everywhere(final Net net, final String id, final Stage stage) {
+  private static void everywhere(final Net net, final String id, final LifecycleStage stage) {
     for (final RegistryCore core : net.cores.values()) {
-      assertEquals(Stage.of(core.history().get(id)), stage, id);
+      assertEquals(LifecycleStage.of(core.history().get(id)), stage, id);
     }
   }
 
@@ -187,13 +190,13 @@
   public void aNewLifeAtTheAddressOfOneThatDrainsEndsItForGood() {
     final Net net = new Net();
     final RegistryCore core = net.cores.get(SEEDS.get(0));
-    core.beat(beat("old", "10.9.0.1:80", Stage.JOINED, 1), net.now);
-    core.beat(beat("old", "10.9.0.1:80", Stage.DRAINING, 2), net.now);
-    core.beat(beat("new", "10.9.0.1:80", Stage.JOINED, 1), net.now);
+    core.beat(beat("old", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
+    core.beat(beat("old", "10.9.0.1:80", LifecycleStage.DRAINING, 2), net.now);
+    core.beat(beat("new", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
     net.pass(300);
-    core.beat(beat("old", "10.9.0.1:80", Stage.JOINED, 3), net.now);
+    core.beat(beat("old", "10.9.0.1:80", LifecycleStage.JOINED, 3), net.now);
     net.pass(300);
-    everywhere(net, "old", Stage.REMOVED);
+    everywhere(net, "old", LifecycleStage.REMOVED);
   }
 
   /**
@@ -207,19 +210,21 @@
       long sequence = 0;
       for (int beats = 0; beats < 3; beats++) {
         final RegistryCore core = net.cores.get(SEEDS.get(beats));
-        core.beat(beat("sound", "10.9.0.1:80", Stage.JOINED, ++sequence), net.now);
+        core.beat(beat("sound", "10.9.0.1:80", LifecycleStage.JOINED, ++sequence), net.now);
         net.pass(1500);
       }
-      net.cores.get(SEEDS.get(late)).beat(beat("late", "10.9.0.1:80", Stage.JOINED, 1), net.now);
+      net.cores
+          .get(SEEDS.get(late))
+          .beat(beat("late", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
       net.pass(1500);
       for (int beats = 0; beats < 4; beats++) {
         final RegistryCore core = net.cores.get(SEEDS.get(beats % 3));
-        core.beat(beat("sound", "10.9.0.1:80", Stage.JOINED, ++sequence), net.now);
+        core.beat(beat("sound", "10.9.0.1:80", LifecycleStage.JOINED, ++sequence), net.now);
         net.pass(300);
-        everywhere(net, "sound", Stage.JOINED);
+        everywhere(net, "sound", LifecycleStage.JOINED);
         net.pass(1200);
       }
-      everywhere(net, "late", Stage.LAPSED);
+      everywhere(net, "late", LifecycleStage.LAPSED);
     }
   }
 
@@ -227,53 +232,67 @@
   @Test
   public void twoLateFirstBeatsBeforeTheNextBeatEndNobody() {
     final Net net = new Net();
-    net.cores.get(SEEDS.get(0)).beat(beat("sound", "10.9.0.1:80", Stage.JOINED, 1), net.now);
+    net.cores
+        .get(SEEDS.get(0))
+        .beat(beat("sound", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
     net.pass(300);
-    net.cores.get(SEEDS.get(1)).beat(beat("late-1", "10.9.0.1:80", Stage.JOINED, 1), net.now);
+    net.cores
+        .get(SEEDS.get(1))
+        .beat(beat("late-1", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
     net.pass(300);
-    net.cores.get(SEEDS.get(2)).beat(beat("late-2", "10.9.0.1:80", Stage.JOINED, 1), net.now);
+    net.cores
+        .get(SEEDS.get(2))
+        .beat(beat("late-2", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
     net.pass(300);
-    net.cores.get(SEEDS.get(0)).beat(beat("sound", "10.9.0.1:80", Stage.JOINED, 2), net.now);
+    net.cores
+        .get(SEEDS.get(0))
+        .beat(beat("sound", "10.9.0.1:80", LifecycleStage.JOINED, 2), net.now);
     net.pass(300);
-    everywhere(net, "sound", Stage.JOINED);
+    everywhere(net, "sound", LifecycleStage.JOINED);
   }
 
   /** Guards against a late drain of an unknown life that shut a sound upstream out. */
   @Test
   public void aLateDrainOfALifeThatIsNotKnownWritesNobodyOff() {
     final Net net = new Net();
-    net.cores.get(SEEDS.get(0)).beat(beat("sound", "10.9.0.1:80", Stage.JOINED, 1), net.now);
+    net.cores
+        .get(SEEDS.get(0))
+        .beat(beat("sound", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
     net.pass(300);
-    net.cores.get(SEEDS.get(1)).beat(beat("late", "10.9.0.1:80", Stage.DRAINING, 7), net.now);
+    net.cores
+        .get(SEEDS.get(1))
+        .beat(beat("late", "10.9.0.1:80", LifecycleStage.DRAINING, 7), net.now);
     net.pass(300);
-    everywhere(net, "sound", Stage.JOINED);
-    everywhere(net, "late", Stage.DRAINING);
+    everywhere(net, "sound", LifecycleStage.JOINED);
+    everywhere(net, "late", LifecycleStage.DRAINING);
   }
 
   @Test
   public void aLateBeatOfALifeThatCrashedIsTakenBackWithinBeats() {
     final Net net = new Net();
-    net.cores.get(SEEDS.get(0)).beat(beat("old", "10.9.0.1:80", Stage.JOINED, 4), net.now);
+    net.cores.get(SEEDS.get(0)).beat(beat("old", "10.9.0.1:80", LifecycleStage.JOINED, 4), net.now);
     net.pass(300);
     long sequence = 0;
-    net.cores.get(SEEDS.get(1)).beat(beat("new", "10.9.0.1:80", Stage.JOINED, ++sequence), net.now);
+    net.cores
+        .get(SEEDS.get(1))
+        .beat(beat("new", "10.9.0.1:80", LifecycleStage.JOINED, ++sequence), net.now);
     net.pass(300);
-    net.cores.get(SEEDS.get(2)).beat(beat("old", "10.9.0.1:80", Stage.JOINED, 5), net.now);
+    net.cores.get(SEEDS.get(2)).beat(beat("old", "10.9.0.1:80", LifecycleStage.JOINED, 5), net.now);
     for (int beats = 0; beats < 4; beats++) {
       net.pass(1200);
       final RegistryCore core = net.cores.get(SEEDS.get(beats % 3));
-      core.beat(beat("new", "10.9.0.1:80", Stage.JOINED, ++sequence), net.now);
+      core.beat(beat("new", "10.9.0.1:80", LifecycleStage.JOINED, ++sequence), net.now);
       net.pass(300);
-      everywhere(net, "new", Stage.JOINED);
+      everywhere(net, "new", LifecycleStage.JOINED);
     }
-    everywhere(net, "old", Stage.LAPSED);
+    everywhere(net, "old", LifecycleStage.LAPSED);
   }
 
   @Test
   public void gossipRepairsWhatThePushMissed() {
     final Net net = new Net();
     net.down.add(SEEDS.get(2));
-    net.cores.get(SEEDS.get(0)).beat(beat("i", "10.9.0.1:80", Stage.JOINED, 1), net.now);
+    net.cores.get(SEEDS.get(0)).beat(beat("i", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
     net.pass(500);
     assertFalse(net.cores.get(SEEDS.get(2)).history().containsKey("i"));
     net.down.clear();
@@ -304,14 +323,14 @@
               false,
               1500,
               new Random(1),
-              new RegistryCore.Outlet() {
+              new RegistryCore.Environment() {
                 @Override
                 public boolean member(final String to, final Message message) {
                   return false;
                 }
 
                 @Override
-                public boolean frame(final String to, final StoreCallMessages.Call call) {
+                public boolean frame(final String to, final StoreMessages.StoreRequest call) {
                   return false;
                 }
 
@@ -335,8 +354,8 @@
   public void aStaleBeatChangesNothing() {
     final Net net = new Net();
     final RegistryCore core = net.cores.get(SEEDS.get(0));
-    core.beat(beat("i", "10.9.0.1:80", Stage.JOINED, 7), net.now);
-    assertTrue(core.beat(beat("i", "10.9.0.2:80", Stage.JOINED, 3), net.now).isDone());
+    core.beat(beat("i", "10.9.0.1:80", LifecycleStage.JOINED, 7), net.now);
+    assertTrue(core.beat(beat("i", "10.9.0.2:80", LifecycleStage.JOINED, 3), net.now).isDone());
     assertEquals(core.history().get("i").address, "10.9.0.1:80");
   }
 }
--- a/registry/src/test/java/weldpoint/registry/CoreNet.java
+++ b/registry/src/test/java/weldpoint/registry/SimulatedCoreNetwork.java
@@ -9,21 +9,21 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.Set;
-import weldpoint.statestore.Deed;
-import weldpoint.statestore.Values;
+import weldpoint.statestore.StoreOperation;
+import weldpoint.statestore.StoredValues;
+import weldpoint.transport.Compression;
 import weldpoint.transport.Message;
-import weldpoint.transport.Packing;
 import weldpoint.transport.RegistryMessages;
 import weldpoint.transport.RegistryMessages.Registration;
+import weldpoint.transport.Serializer;
 import weldpoint.transport.StateStoreMessages;
-import weldpoint.transport.StoreCallMessages;
-import weldpoint.transport.Wire;
+import weldpoint.transport.StoreMessages;
 
 /**
  * Exchanges over scripted frames, on a fake clock: lines that can be cut one way, freezes, restarts
  * with and without disks.
  */
-final class CoreNet {
+final class SimulatedCoreNetwork {
   private static final long LINK_MILLIS = 5;
   private static final long SILENCE_MILLIS = 1900;
 
@@ -57,7 +57,7 @@
               first,
               1500,
               new Random(address.hashCode() + life),
-              new RegistryCore.Outlet() {
+              new RegistryCore.Environment() {
                 @Override
                 public boolean member(final String to, final Message message) {
                   if (!open.contains(to)) {
@@ -86,7 +86,7 @@
                 }
 
                 @Override
-                public boolean frame(final String to, final StoreCallMessages.Call call) {
+                public boolean frame(final String to, final StoreMessages.StoreRequest call) {
                   if (!to.equals(address) && !open.contains(to)) {
                     return false;
                   }
@@ -147,7 +147,7 @@
     void opens(final Object stream, final long version) {
       core.boardState(
           stream,
-          new RegistryMessages.Board(
+          new RegistryMessages.DaemonEntry(
               "10.9.0." + stream,
               "10.9.0." + stream + ":80",
               "z",
@@ -188,7 +188,7 @@
           java.util.Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
   private long order;
 
-  CoreNet(final int machines, final int voters) {
+  SimulatedCoreNetwork(final int machines, final int voters) {
     seeds = new ArrayList<>();
     for (int index = 1; index <= machines; index++) {
       nodes.put("10.0.0." + index, new Node("10.0.0." + index));
@@ -207,16 +207,16 @@
   }
 
   static byte[] spec(final long version) {
-    return Packing.deflate(
+    return Compression.deflate(
         ("{\"version\":\"" + String.format("%08x", version) + "\",\"listeners\":[],\"pools\":[]}")
             .getBytes(java.nio.charset.StandardCharsets.UTF_8));
   }
 
-  static Registration upstream(final String id, final Stage stage, final long sequence) {
+  static Registration upstream(final String id, final LifecycleStage stage, final long sequence) {
     return new Registration(id, "s", "10.8.0.1:80", "z", "v", 4, stage.ordinal(), sequence, 1, 0);
   }
 
-  CoreNet startAll(final boolean first) {
+  SimulatedCoreNetwork startAll(final boolean first) {
     nodes.values().forEach(node -> node.start(first));
     return this;
   }
@@ -243,7 +243,7 @@
 
   @SuppressWarnings("unchecked")
   private static <T extends Message> T copy(final T message) {
-    return (T) Wire.value(Wire.bytes(message), message.getClass());
+    return (T) Serializer.value(Serializer.bytes(message), message.getClass());
   }
 
   private boolean passes(final String from, final String to) {
@@ -290,13 +290,13 @@
    */
   private void answerCall(
       final String at,
-      final StoreCallMessages.Call call,
-      final java.util.function.Consumer<StoreCallMessages.Answer> reply) {
-    if (Deed.of(call.deed) != Deed.CONTROL || !majority(at)) {
+      final StoreMessages.StoreRequest call,
+      final java.util.function.Consumer<StoreMessages.StoreResponse> reply) {
+    if (StoreOperation.of(call.deed) != StoreOperation.CONTROL || !majority(at)) {
       return;
     }
     final boolean news = version > call.first || call.second != evacuationMark;
-    final StoreCallMessages.Answer asked = control(call);
+    final StoreMessages.StoreResponse asked = control(call);
     final Runnable answer = () -> reply.accept(majority(at) ? control(call) : asked);
     if (news) {
       answer.run();
@@ -305,9 +305,9 @@
     }
   }
 
-  private StoreCallMessages.Answer control(final StoreCallMessages.Call call) {
-    final Values.Control control =
-        new Values.Control(
+  private StoreMessages.StoreResponse control(final StoreMessages.StoreRequest call) {
+    final StoredValues.ControlSnapshot control =
+        new StoredValues.ControlSnapshot(
             version,
             version > call.first ? spec(version) : null,
             evacuated,
@@ -321,7 +321,8 @@
             0,
             null,
             null);
-    return new StoreCallMessages.Answer(call.number, 200, version, Wire.bytes(control), null);
+    return new StoreMessages.StoreResponse(
+        call.number, 200, version, Serializer.bytes(control), null);
   }
 
   /** Restarts a machine: without its disk, what it held is lost. */
--- a/registry/src/test/java/weldpoint/registry/StandstillTest.java
+++ b/registry/src/test/java/weldpoint/registry/StandstillTest.java
@@ -11,9 +11,9 @@
 import java.util.Random;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import weldpoint.common.Boot;
+import weldpoint.common.Settings;
 import weldpoint.transport.Message;
-import weldpoint.transport.StoreCallMessages;
+import weldpoint.transport.StoreMessages;
 
 /**
  * A daemon that stood still: what waited in its sockets for longer than a caller waits is not
@@ -24,7 +24,7 @@
   private int storeCalls;
   private List<Integer> statuses;
   private RegistryCore core;
-  private ControlDoor door;
+  private ControlServer door;
 
   @BeforeMethod
   public void open() {
@@ -38,14 +38,14 @@
             true,
             1500,
             new Random(1),
-            new RegistryCore.Outlet() {
+            new RegistryCore.Environment() {
               @Override
               public boolean member(final String address, final Message message) {
                 return false;
               }
 
               @Override
-              public boolean frame(final String address, final StoreCallMessages.Call call) {
+              public boolean frame(final String address, final StoreMessages.StoreRequest call) {
                 storeCalls++;
                 return true;
               }
@@ -60,15 +60,15 @@
               public void peers(final List<String> members) {}
             });
     core.start(List.of(), now);
-    final Boot boot =
-        Boot.parse(
+    final Settings boot =
+        Settings.parse(
             "station.name = one\nstation.address = 127.0.0.1\nstation.site = a\nstation.region = r\ntrunk.ports = 7000,7015\ntrunk.seeds = 127.0.0.1:80\nlisten.control = 127.0.0.1:81\n");
     door =
-        new ControlDoor(
+        new ControlServer(
             boot,
             core,
             Runnable::run,
-            new ControlDoor.Clock() {
+            new ControlServer.Clock() {
               @Override
               public long steadyMillis() {
                 return now;
@@ -86,7 +86,7 @@
         new DefaultFullHttpRequest(
             HttpVersion.HTTP_1_1, HttpMethod.POST, "/api/numbers/n", Unpooled.EMPTY_BUFFER),
         "10.9.9.9",
-        new ControlDoor.Caller() {
+        new ControlServer.ResponseCallback() {
           @Override
           public boolean waits() {
             return true;
--- a/registry/src/test/java/weldpoint/registry/StoreCallerTest.java
+++ b/registry/src/test/java/weldpoint/registry/StoreClientTest.java
@@ -11,23 +11,23 @@
 import java.util.concurrent.CompletableFuture;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import weldpoint.statestore.Deed;
-import weldpoint.transport.StoreCallMessages;
+import weldpoint.statestore.StoreOperation;
+import weldpoint.transport.StoreMessages;
 
 /**
  * Calls to frames under scripted lines: each carries who calls, and an answer counts only from
  * whom, and for whom, it was asked.
  */
-public final class StoreCallerTest {
-  private record Sent(String to, StoreCallMessages.Call call) {}
+public final class StoreClientTest {
+  private record Sent(String to, StoreMessages.StoreRequest call) {}
 
   private final List<Sent> sent = new ArrayList<>();
   private final List<String> down = new ArrayList<>();
-  private StoreCaller store;
+  private StoreClient store;
 
-  private StoreCaller life(final long seed) {
-    final StoreCaller one =
-        new StoreCaller(
+  private StoreClient life(final long seed) {
+    final StoreClient one =
+        new StoreClient(
             "here",
             new Random(seed),
             (address, call) -> {
@@ -48,31 +48,32 @@
     store = life(1);
   }
 
-  private CompletableFuture<StoreCallMessages.Answer> begin(final StoreCaller one, final long now) {
-    return one.call(Deed.LOCK_BEGIN, "l", "owner", 3000, 0, null, null, now, 900);
+  private CompletableFuture<StoreMessages.StoreResponse> begin(
+      final StoreClient one, final long now) {
+    return one.call(StoreOperation.LOCK_BEGIN, "l", "owner", 3000, 0, null, null, now, 900);
   }
 
-  private static StoreCallMessages.Answer good(final StoreCallMessages.Call call) {
-    return new StoreCallMessages.Answer(call.number, 200, 7, null, null).to(call.caller);
+  private static StoreMessages.StoreResponse good(final StoreMessages.StoreRequest call) {
+    return new StoreMessages.StoreResponse(call.number, 200, 7, null, null).to(call.caller);
   }
 
-  private static StoreCallMessages.Answer nothing(
-      final StoreCallMessages.Call call, final String holder) {
-    return new StoreCallMessages.Answer(call.number, 0, 0, null, holder).to(call.caller);
+  private static StoreMessages.StoreResponse nothing(
+      final StoreMessages.StoreRequest call, final String holder) {
+    return new StoreMessages.StoreResponse(call.number, 0, 0, null, holder).to(call.caller);
   }
 
   @Test
   public void anAnswerToTheNumberOfAnotherLifeIsNotTaken() {
     begin(store, 0);
-    final StoreCallMessages.Call earlier = sent.get(0).call;
-    final StoreCaller later = life(2);
-    final CompletableFuture<StoreCallMessages.Answer> future = begin(later, 10);
-    final StoreCallMessages.Call mine = sent.get(1).call;
+    final StoreMessages.StoreRequest earlier = sent.get(0).call;
+    final StoreClient later = life(2);
+    final CompletableFuture<StoreMessages.StoreResponse> future = begin(later, 10);
+    final StoreMessages.StoreRequest mine = sent.get(1).call;
     assertEquals(mine.number, earlier.number);
     assertNotEquals(mine.caller, earlier.caller);
     later.answered("here", good(earlier), 20);
     assertFalse(future.isDone());
-    later.answered("here", new StoreCallMessages.Answer(mine.number, 200, 7, null, null), 20);
+    later.answered("here", new StoreMessages.StoreResponse(mine.number, 200, 7, null, null), 20);
     assertFalse(future.isDone(), "an answer that names nobody");
     later.answered("here", good(mine), 20);
     assertTrue(future.isDone());
@@ -80,7 +81,7 @@
 
   @Test
   public void anAnswerCountsOnlyFromAFrameThatWasAskedOnTheLineThatThereIs() {
-    final CompletableFuture<StoreCallMessages.Answer> future = begin(store, 0);
+    final CompletableFuture<StoreMessages.StoreResponse> future = begin(store, 0);
     assertEquals(sent.get(0).to, "here");
     store.answered("there", good(sent.get(0).call), 5);
     assertFalse(future.isDone(), "a frame that was not asked");
@@ -95,7 +96,7 @@
 
   @Test
   public void aLateAnswerToTheFirstCopyCountsToo() {
-    final CompletableFuture<StoreCallMessages.Answer> future = begin(store, 0);
+    final CompletableFuture<StoreMessages.StoreResponse> future = begin(store, 0);
     store.tick(401);
     assertEquals(sent.size(), 2);
     assertNotEquals(sent.get(1).to, sent.get(0).to);
@@ -153,8 +154,8 @@
 
   @Test
   public void whatLeavesLaterIsOlder() {
-    final StoreCallMessages.Call call =
-        new StoreCallMessages.Call(1, 0, "l", "o", 0, 0, null).from(5);
+    final StoreMessages.StoreRequest call =
+        new StoreMessages.StoreRequest(1, 0, "l", "o", 0, 0, null).from(5);
     assertEquals(call.leaving(77L, 1000).age, 0);
     assertEquals(
         call.aged(40, 1000).leaving(77L, 1600).age,
--- a/registry/src/test/java/weldpoint/registry/TakenVersionTest.java
+++ b/registry/src/test/java/weldpoint/registry/TakenVersionTest.java
@@ -18,14 +18,14 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 import weldpoint.audit.CanonicalJson;
-import weldpoint.common.Boot;
-import weldpoint.statestore.Deed;
-import weldpoint.statestore.Values;
+import weldpoint.common.Settings;
+import weldpoint.statestore.StoreOperation;
+import weldpoint.statestore.StoredValues;
+import weldpoint.transport.Compression;
 import weldpoint.transport.Message;
-import weldpoint.transport.Packing;
+import weldpoint.transport.Serializer;
 import weldpoint.transport.StateStoreMessages;
-import weldpoint.transport.StoreCallMessages;
-import weldpoint.transport.Wire;
+import weldpoint.transport.StoreMessages;
 
 /**
  * A configuration whose version stands for another one: the operator is told so, with who sent that
@@ -35,10 +35,10 @@
   private static final String BODY = "{\"version\":\"0000000c\",\"listeners\":[],\"pools\":[]}";
 
   private final EventLoopGroup loop = new NioEventLoopGroup(1);
-  private final List<StoreCallMessages.Call> calls = new ArrayList<>();
+  private final List<StoreMessages.StoreRequest> calls = new ArrayList<>();
   private RegistryCore core;
-  private ControlDoor door;
-  private StoreCallMessages.Answer next;
+  private ControlServer door;
+  private StoreMessages.StoreResponse next;
   private int port;
 
   @BeforeClass
@@ -53,20 +53,20 @@
             true,
             1500,
             new Random(1),
-            new RegistryCore.Outlet() {
+            new RegistryCore.Environment() {
               @Override
               public boolean member(final String address, final Message message) {
                 return false;
               }
 
               @Override
-              public boolean frame(final String address, final StoreCallMessages.Call call) {
+              public boolean frame(final String address, final StoreMessages.StoreRequest call) {
                 calls.add(call);
                 core.answered(
                     address,
-                    (call.deed == Deed.CONTROL.ordinal()
+                    (call.deed == StoreOperation.CONTROL.ordinal()
                             ? held(call)
-                            : new StoreCallMessages.Answer(
+                            : new StoreMessages.StoreResponse(
                                 call.number, next.status, next.first, next.body, null))
                         .to(call.caller),
                     0);
@@ -85,12 +85,12 @@
               public void peers(final List<String> members) {}
             });
     core.start(List.of(), 0);
-    final Boot boot =
-        Boot.parse(
+    final Settings boot =
+        Settings.parse(
             "station.name = one\nstation.address = 127.0.0.1\nstation.site = a\nstation.region = r\ntrunk.ports = 7000,7015\ntrunk.seeds = 127.0.0.1:80\nlisten.control = 127.0.0.1:"
                 + port
                 + "\n");
-    door = new ControlDoor(boot, core, Runnable::run, ControlDoor.Clock.SYSTEM);
+    door = new ControlServer(boot, core, Runnable::run, ControlServer.Clock.SYSTEM);
     door.serve(loop, boot.requiredAddress("listen.control"));
   }
 
@@ -100,18 +100,18 @@
   }
 
   /** What the frames hold: version 12, and this machine as the only voter. */
-  private static StoreCallMessages.Answer held(final StoreCallMessages.Call call) {
+  private static StoreMessages.StoreResponse held(final StoreMessages.StoreRequest call) {
     final StateStoreMessages.Roster roster =
         new StateStoreMessages.Roster(
             1, List.of(new StateStoreMessages.Voter("127.0.0.1", "a", "r", List.of())));
-    return new StoreCallMessages.Answer(
+    return new StoreMessages.StoreResponse(
         call.number,
         200,
         12,
-        Wire.bytes(
-            new Values.Control(
+        Serializer.bytes(
+            new StoredValues.ControlSnapshot(
                 12,
-                Packing.deflate(BODY.getBytes(StandardCharsets.UTF_8)),
+                Compression.deflate(BODY.getBytes(StandardCharsets.UTF_8)),
                 List.of(),
                 0,
                 roster,
@@ -126,7 +126,7 @@
         null);
   }
 
-  private String replace(final StoreCallMessages.Answer answer) throws IOException {
+  private String replace(final StoreMessages.StoreResponse answer) throws IOException {
     next = answer;
     door.awake();
     door.awake();
@@ -149,11 +149,12 @@
   public void theRefusalNamesVersionAuthorAndTime() throws IOException {
     final String answer =
         replace(
-            new StoreCallMessages.Answer(
+            new StoreMessages.StoreResponse(
                 0,
                 409,
                 12,
-                Wire.bytes(new Values.TakenVersion(12, "dispatch lead", 1_700_000_000_000L)),
+                Serializer.bytes(
+                    new StoredValues.TakenVersion(12, "dispatch lead", 1_700_000_000_000L)),
                 null));
     assertTrue(answer.startsWith("HTTP/1.1 409"), answer);
     assertTrue(
@@ -171,8 +172,8 @@
   public void whatIsNotKnownOfTheOtherIsLeftOut() throws IOException {
     final String answer =
         replace(
-            new StoreCallMessages.Answer(
-                0, 409, 12, Wire.bytes(new Values.TakenVersion(12, "", 0)), null));
+            new StoreMessages.StoreResponse(
+                0, 409, 12, Serializer.bytes(new StoredValues.TakenVersion(12, "", 0)), null));
     assertTrue(
         answer.startsWith("HTTP/1.1 409")
             && answer.contains("0000000c")
@@ -184,12 +185,12 @@
   @Test
   public void theSameAgainIsAcknowledged() throws IOException {
     assertTrue(
-        replace(new StoreCallMessages.Answer(0, 200, 0, null, null)).startsWith("HTTP/1.1 200"));
+        replace(new StoreMessages.StoreResponse(0, 200, 0, null, null)).startsWith("HTTP/1.1 200"));
   }
 
   @Test
   public void whatIsNotDecidedIsLeftUnclear() throws IOException {
     assertTrue(
-        replace(new StoreCallMessages.Answer(0, 504, 0, null, null)).startsWith("HTTP/1.1 504"));
+        replace(new StoreMessages.StoreResponse(0, 504, 0, null, null)).startsWith("HTTP/1.1 504"));
   }
 }
--- a/replay/src/main/java/weldpoint/replay/Call.java
+++ b/replay/src/main/java/weldpoint/replay/Call.java
@@ -1,20 +1,20 @@
 package weldpoint.replay;
 
 import weldpoint.routing.RouteKind;
-import weldpoint.transport.RecordingMessages.Note;
+import weldpoint.transport.RecordingMessages.RequestRecord;
 import weldpoint.upstream.AttemptOutcome;
 
 /**
  * One recorded call on the day's common clock, with what the recording tells of the work it makes.
  */
 final class Call {
-  final Note note;
+  final RequestRecord note;
   final String board;
   final long at;
   final long work;
   final boolean answerLost;
 
-  Call(final Note note, final String board, final long offset, final long usual) {
+  Call(final RequestRecord note, final String board, final long offset, final long usual) {
     this.note = note;
     this.board = board;
     this.at = note.at + offset;
--- a/replay/src/main/java/weldpoint/replay/DayFile.java
+++ b/replay/src/main/java/weldpoint/replay/DayFile.java
@@ -17,8 +17,8 @@
 import java.util.List;
 import java.util.zip.GZIPInputStream;
 import java.util.zip.GZIPOutputStream;
-import weldpoint.common.Breakdown;
-import weldpoint.transport.RecordingMessages.Reel;
+import weldpoint.common.WeldpointException;
+import weldpoint.transport.RecordingMessages.RecordingBatch;
 import weldpoint.transport.RegistryMessages.Registration;
 
 /**
@@ -55,9 +55,9 @@
   /** A reel, with what must be added to its clock to get the collector's. */
   public static final class Turn {
     public final long offset;
-    public final Reel reel;
+    public final RecordingBatch reel;
 
-    public Turn(final long offset, final Reel reel) {
+    public Turn(final long offset, final RecordingBatch reel) {
       this.offset = offset;
       this.reel = reel;
     }
@@ -137,13 +137,13 @@
         in = new BufferedInputStream(new GZIPInputStream(Files.newInputStream(path), 1 << 16));
         final byte[] magic = in.readNBytes(MAGIC.length);
         if (!java.util.Arrays.equals(magic, MAGIC)) {
-          throw new Breakdown(
-              Breakdown.Kind.UNREADABLE,
+          throw new WeldpointException(
+              WeldpointException.Kind.UNREADABLE,
               path + " is no recorded day of this version; record it anew with this release");
         }
       } catch (final IOException problem) {
-        throw new Breakdown(
-            Breakdown.Kind.UNREADABLE,
+        throw new WeldpointException(
+            WeldpointException.Kind.UNREADABLE,
             path
                 + " cannot be read as a recorded day ("
                 + problem.getMessage()
@@ -168,13 +168,13 @@
         ended = part instanceof End;
         return part;
       } catch (final EOFException cut) {
-        throw new Breakdown(
-            Breakdown.Kind.UNREADABLE,
+        throw new WeldpointException(
+            WeldpointException.Kind.UNREADABLE,
             path
                 + " is cut short; end the recording before the file is copied, or record the day anew");
       } catch (final IOException | RuntimeException damaged) {
-        throw new Breakdown(
-            Breakdown.Kind.UNREADABLE,
+        throw new WeldpointException(
+            WeldpointException.Kind.UNREADABLE,
             path
                 + " is damaged ("
                 + damaged.getMessage()
--- a/replay/src/main/java/weldpoint/replay/Replay.java
+++ b/replay/src/main/java/weldpoint/replay/Replay.java
@@ -12,8 +12,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import weldpoint.common.Breakdown;
-import weldpoint.routing.Dialplan;
+import weldpoint.common.WeldpointException;
+import weldpoint.routing.RoutingTable;
 import weldpoint.transport.Protocol;
 import weldpoint.transport.RecordingMessages;
 
@@ -34,7 +34,7 @@
   }
 
   private final Path day;
-  private final Dialplan proposed;
+  private final RoutingTable proposed;
   private final String extra;
   private final Inflater inflater;
   private final long tolerance;
@@ -42,7 +42,7 @@
   /** A replay of a day through this configuration, with these further settings. */
   public Replay(
       final Path day,
-      final Dialplan proposed,
+      final RoutingTable proposed,
       final String extra,
       final long tolerance,
       final Inflater inflater) {
@@ -63,8 +63,8 @@
   /** Plays the day and judges it. */
   public Verdict run() throws IOException {
     if (proposed.all().stream().anyMatch(route -> route.affinity != null)) {
-      throw new Breakdown(
-          Breakdown.Kind.INVALID,
+      throw new WeldpointException(
+          WeldpointException.Kind.INVALID,
           "the proposed configuration ties callers to nodes, and a recorded day does not hold who called; leave affinity out, or try it on a route by a trial");
     }
     final Span first = new Span();
@@ -83,8 +83,8 @@
         .forEach((route, error) -> errors.put(route, Math.max(LEAST_ERROR_MILLIS, error)));
     for (final Map.Entry<String, Long> entry : errors.entrySet()) {
       if (entry.getValue() > tolerance) {
-        throw new Breakdown(
-            Breakdown.Kind.INVALID,
+        throw new WeldpointException(
+            WeldpointException.Kind.INVALID,
             "the model misses the recorded times of route "
                 + entry.getKey()
                 + " by "
@@ -107,8 +107,8 @@
                 errors.getOrDefault(call.note.route, LEAST_ERROR_MILLIS),
                 MOST_LISTED));
     if (second.calls != first.end.notes || second.ended != second.calls) {
-      throw new Breakdown(
-          Breakdown.Kind.UNREADABLE,
+      throw new WeldpointException(
+          WeldpointException.Kind.UNREADABLE,
           "of "
               + first.end.notes
               + " recorded calls "
@@ -163,8 +163,8 @@
       } else {
         span.end = (DayFile.End) part;
         if (span.end.dropped > 0 || !Protocol.list(span.end.silent).isEmpty() || !open.isEmpty()) {
-          throw new Breakdown(
-              Breakdown.Kind.INVALID,
+          throw new WeldpointException(
+              WeldpointException.Kind.INVALID,
               "the recording has gaps: "
                   + span.end.dropped
                   + " calls dropped, silent switchboards "
@@ -177,11 +177,11 @@
     }
 
     private void turn(final DayFile.Turn turn) {
-      final RecordingMessages.Reel reel = turn.reel;
+      final RecordingMessages.RecordingBatch reel = turn.reel;
       final String life = reel.board + "#" + reel.incarnation;
       if (reel.dropped > 0) {
-        throw new Breakdown(
-            Breakdown.Kind.INVALID,
+        throw new WeldpointException(
+            WeldpointException.Kind.INVALID,
             "switchboard "
                 + reel.board
                 + " had to drop "
@@ -201,10 +201,10 @@
         other.board(reel.board, reel.site, reel.region, sites);
       }
       final long[] serial = serials.computeIfAbsent(life, name -> new long[1]);
-      for (final RecordingMessages.Note note : Protocol.list(reel.notes)) {
+      for (final RecordingMessages.RequestRecord note : Protocol.list(reel.notes)) {
         if (note.serial != serial[0] + 1) {
-          throw new Breakdown(
-              Breakdown.Kind.INVALID,
+          throw new WeldpointException(
+              WeldpointException.Kind.INVALID,
               "the recording of "
                   + reel.board
                   + " lacks the calls between "
@@ -228,8 +228,8 @@
 
     private void add(final long at, final Object what) {
       if (at < playedTo) {
-        throw new Breakdown(
-            Breakdown.Kind.INVALID,
+        throw new WeldpointException(
+            WeldpointException.Kind.INVALID,
             "the recording is more than "
                 + SORT_MILLIS
                 + " ms out of order; record the day anew, with fewer exchanges out of reach");
@@ -257,7 +257,7 @@
 
     private void control(final DayFile.Control control) {
       if (control.spec != null) {
-        own.plan(Dialplan.compile(inflater.inflate(control.spec)));
+        own.plan(RoutingTable.compile(inflater.inflate(control.spec)));
       }
       own.control(control.registrations, control.evacuated);
       if (other != null) {
@@ -310,8 +310,8 @@
       }
       pass.finish();
       if (span.end.notes != span.calls) {
-        throw new Breakdown(
-            Breakdown.Kind.UNREADABLE,
+        throw new WeldpointException(
+            WeldpointException.Kind.UNREADABLE,
             "the recording holds "
                 + span.calls
                 + " calls and says "
@@ -319,8 +319,9 @@
                 + "; record the day anew");
       }
       if (span.calls == 0) {
-        throw new Breakdown(
-            Breakdown.Kind.INVALID, "the recording holds no calls; record a day with traffic");
+        throw new WeldpointException(
+            WeldpointException.Kind.INVALID,
+            "the recording holds no calls; record a day with traffic");
       }
     } finally {
       loop.shutdownGracefully(0, 0, java.util.concurrent.TimeUnit.MILLISECONDS);
--- a/replay/src/main/java/weldpoint/replay/World.java
+++ b/replay/src/main/java/weldpoint/replay/World.java
@@ -13,10 +13,10 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.function.Consumer;
-import weldpoint.common.Boot;
-import weldpoint.routing.Binding;
-import weldpoint.routing.Dialplan;
+import weldpoint.common.Settings;
 import weldpoint.routing.Route;
+import weldpoint.routing.RouteBinding;
+import weldpoint.routing.RoutingTable;
 import weldpoint.transport.RegistryMessages.Registration;
 import weldpoint.upstream.Headers;
 import weldpoint.upstream.RetryPolicy;
@@ -52,7 +52,7 @@
   private final String extra;
   private final long seed;
   private final Map<String, UpstreamPool> boards = new HashMap<>();
-  private final Map<String, Boot> boots = new HashMap<>();
+  private final Map<String, Settings> boots = new HashMap<>();
   private final Map<String, Random> chances = new HashMap<>();
   private final Map<String, Model> models = new HashMap<>();
   private final Map<String, Registration> registrations = new HashMap<>();
@@ -63,7 +63,7 @@
                   ? Long.compare(one.at, other.at)
                   : Long.compare(one.order, other.order));
   private List<String> evacuated = List.of();
-  private Dialplan plan;
+  private RoutingTable plan;
   private long now = Long.MIN_VALUE / 2;
   private long order;
 
@@ -73,7 +73,7 @@
     this.seed = seed;
   }
 
-  void plan(final Dialplan given) {
+  void plan(final RoutingTable given) {
     plan = given;
   }
 
@@ -107,8 +107,8 @@
     sites.forEach(
         (place, home) ->
             places.append(places.length() == 0 ? "" : ",").append(place).append(':').append(home));
-    final Boot boot =
-        Boot.parse(
+    final Settings boot =
+        Settings.parse(
             "station.name = replay\nstation.address = "
                 + address
                 + "\nstation.site = "
@@ -173,9 +173,9 @@
     private final List<Upstream> tried = new ArrayList<>();
     private final List<UpstreamPool.Attempt> attempts = new ArrayList<>();
     private final UpstreamPool upstreamPool;
-    private Binding binding;
+    private RouteBinding binding;
     private Route route;
-    private Dialplan.Service service;
+    private RoutingTable.Service service;
     private long cutoff;
     private boolean uncertain;
     private boolean hedged;
@@ -190,7 +190,7 @@
     private void start() {
       final Random chance = chances.get(call.board);
       chance.setSeed(call.note.id.hashCode() * 0x9e3779b97f4a7c15L + seed);
-      binding = new Binding(call.note.host, call.note.target, chance.nextDouble());
+      binding = new RouteBinding(call.note.host, call.note.target, chance.nextDouble());
       if (!plan.interpret(binding)) {
         end(Outcome.End.UNROUTED);
         return;
--- a/replay/src/test/java/weldpoint/replay/DayMaker.java
+++ b/replay/src/test/java/weldpoint/replay/DayMaker.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.Random;
 import weldpoint.routing.RouteKind;
-import weldpoint.transport.RecordingMessages.Note;
-import weldpoint.transport.RecordingMessages.Reel;
+import weldpoint.transport.RecordingMessages.RecordingBatch;
+import weldpoint.transport.RecordingMessages.RequestRecord;
 import weldpoint.transport.RegistryMessages.Registration;
 
 /**
@@ -105,7 +105,7 @@
       for (int slice = 0; slice < hours * 360; slice++) {
         final boolean rush = slice / 360 % 12 == 7;
         final int count = perHour / 360 * (rush ? 3 : 1);
-        final List<List<Note>> notes = new ArrayList<>();
+        final List<List<RequestRecord>> notes = new ArrayList<>();
         for (int board = 0; board < boards; board++) {
           notes.add(new ArrayList<>());
         }
@@ -119,7 +119,7 @@
           notes.get(board).add(note(random, at - 1000L * board, ++serials[board]));
         }
         for (int board = 0; board < boards; board++) {
-          final List<Note> list = notes.get(board);
+          final List<RequestRecord> list = notes.get(board);
           if (skip >= 0 && board == 1 && slice == skip && !list.isEmpty()) {
             list.remove(0);
           }
@@ -127,7 +127,7 @@
           writer.add(
               new DayFile.Turn(
                   1000L * board,
-                  new Reel(
+                  new RecordingBatch(
                       "10.0.0." + (board + 1),
                       board % 2 == 0 ? "port" : "couva",
                       board % 2 == 0 ? "north" : "south",
@@ -144,7 +144,7 @@
     }
   }
 
-  private Note note(final Random random, final long at, final long serial) {
+  private RequestRecord note(final Random random, final long at, final long serial) {
     final boolean write = random.nextInt(10) < 3;
     final String id = String.format("%016x", ++calls * 0x9e3779b97f4a7c15L);
     long work = 60 + random.nextInt(200);
@@ -162,7 +162,7 @@
     final String target =
         (write ? "/confirm/" : "/lookup/") + (random.nextInt(50) == 0 ? "vip/" : "") + "x" + calls;
     paths.put(id, target);
-    return new Note(
+    return new RequestRecord(
         serial,
         at,
         id,
--- a/replay/src/test/java/weldpoint/replay/ReplayTest.java
+++ b/replay/src/test/java/weldpoint/replay/ReplayTest.java
@@ -15,8 +15,8 @@
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
-import weldpoint.common.Breakdown;
-import weldpoint.routing.Dialplan;
+import weldpoint.common.WeldpointException;
+import weldpoint.routing.RoutingTable;
 
 public class ReplayTest {
   private static final int BOARDS = 6;
@@ -42,7 +42,8 @@
   }
 
   private static Verdict replay(final Path day, final String spec) throws IOException {
-    return new Replay(day, Dialplan.compile(DayMaker.bytes(spec)), "", 500, stored -> stored).run();
+    return new Replay(day, RoutingTable.compile(DayMaker.bytes(spec)), "", 500, stored -> stored)
+        .run();
   }
 
   private static Set<String> ids(final Verdict verdict, final Verdict.Change change) {
@@ -155,7 +156,7 @@
     try (DayFile.Reader reader = new DayFile.Reader(done)) {
       final var loop = new io.netty.channel.nio.NioEventLoopGroup(1);
       final World fleet = new World(loop, "", 99);
-      fleet.plan(Dialplan.compile(DayMaker.bytes(proposed)));
+      fleet.plan(RoutingTable.compile(DayMaker.bytes(proposed)));
       for (Object part = reader.next(); part != null; part = reader.next()) {
         if (part instanceof DayFile.Control) {
           fleet.control(((DayFile.Control) part).registrations, null);
@@ -203,30 +204,30 @@
             bad(one -> one.endless = true),
             bad(one -> one.silent = true),
             bad(one -> one.droppedNotes = 4))) {
-      assertThrows(Breakdown.class, () -> replay(path, spec));
+      assertThrows(WeldpointException.class, () -> replay(path, spec));
     }
     final Path cut = folder.resolve("cut");
     final byte[] whole = Files.readAllBytes(day);
     Files.write(cut, java.util.Arrays.copyOf(whole, whole.length / 2));
-    assertThrows(Breakdown.class, () -> replay(cut, spec));
+    assertThrows(WeldpointException.class, () -> replay(cut, spec));
     final byte[] damaged = whole.clone();
     damaged[whole.length / 2] ^= 0x55;
     Files.write(cut, damaged);
-    assertThrows(Breakdown.class, () -> replay(cut, spec));
+    assertThrows(WeldpointException.class, () -> replay(cut, spec));
     Files.write(cut, new byte[] {1, 2, 3});
-    assertThrows(Breakdown.class, () -> replay(cut, spec));
+    assertThrows(WeldpointException.class, () -> replay(cut, spec));
   }
 
   @Test
   public void aRuleThatTiesCallersIsNeverJudgedWithoutThem() {
-    final weldpoint.routing.Dialplan tied =
-        weldpoint.routing.Dialplan.compile(
+    final weldpoint.routing.RoutingTable tied =
+        weldpoint.routing.RoutingTable.compile(
             ("{\"version\":\"1\",\"listeners\":[{\"host\":\"h\",\"rules\":[{\"name\":\"w\",\"routeKind\":\"mutating\",\"match\":{\"pathPrefix\":\"/\"},"
                     + "\"action\":{\"service\":\"s\",\"timeoutMs\":2000,\"maxAttempts\":1,\"affinity\":{\"by\":\"address\"}}}]}],\"pools\":[{\"name\":\"s\"}]}")
                 .getBytes(java.nio.charset.StandardCharsets.UTF_8));
-    final weldpoint.common.Breakdown breakdown =
+    final weldpoint.common.WeldpointException breakdown =
         org.testng.Assert.expectThrows(
-            weldpoint.common.Breakdown.class,
+            weldpoint.common.WeldpointException.class,
             () ->
                 new Replay(java.nio.file.Path.of("no-such-day"), tied, "", 100, bytes -> bytes)
                     .run());
--- a/routing/src/main/java/weldpoint/routing/Affinity.java
+++ b/routing/src/main/java/weldpoint/routing/Affinity.java
@@ -1,6 +1,6 @@
 package weldpoint.routing;
 
-import weldpoint.common.Breakdown;
+import weldpoint.common.WeldpointException;
 
 /**
  * A route's rule that ties each caller to one node: by what a caller is known, and how long a pause
@@ -37,13 +37,13 @@
       final String where, final String by, final String header, final Double pause) {
     final By known = by(by);
     if (known == null) {
-      throw new Breakdown(
-          Breakdown.Kind.INVALID,
+      throw new WeldpointException(
+          WeldpointException.Kind.INVALID,
           where + " has affinity by '" + by + "'; give header, tenant or address");
     }
     if (known == By.HEADER != (header != null)) {
-      throw new Breakdown(
-          Breakdown.Kind.INVALID,
+      throw new WeldpointException(
+          WeldpointException.Kind.INVALID,
           where
               + (known == By.HEADER
                   ? " has affinity by header and names none; name the header"
@@ -55,8 +55,8 @@
         && (header.isEmpty()
             || header.length() > MOST_HEADER
             || !header.matches("[!#$%&'*+.^_`|~0-9A-Za-z-]+"))) {
-      throw new Breakdown(
-          Breakdown.Kind.INVALID,
+      throw new WeldpointException(
+          WeldpointException.Kind.INVALID,
           where
               + " has affinity by the header '"
               + header
@@ -64,8 +64,9 @@
               + MOST_HEADER);
     }
     if (pause != null && !(pause > 0)) {
-      throw new Breakdown(
-          Breakdown.Kind.INVALID, where + " has the pause " + pause + "; give pauseMs above 0");
+      throw new WeldpointException(
+          WeldpointException.Kind.INVALID,
+          where + " has the pause " + pause + "; give pauseMs above 0");
     }
     return new Affinity(
         known, header, pause == null ? USUAL_PAUSE_MILLIS : Math.max(1, pause.longValue()));
@@ -80,8 +81,8 @@
     return null;
   }
 
-  private static Breakdown invalid(final String route, final String what) {
-    return new Breakdown(Breakdown.Kind.INVALID, "route " + route + " " + what);
+  private static WeldpointException invalid(final String route, final String what) {
+    return new WeldpointException(WeldpointException.Kind.INVALID, "route " + route + " " + what);
   }
 
   /** Reads a setting: empty or off for none, otherwise address, tenant or header:NAME. */
--- a/routing/src/main/java/weldpoint/routing/HomeWarnings.java
+++ b/routing/src/main/java/weldpoint/routing/HomeRegionWarnings.java
@@ -15,21 +15,21 @@
  * no region of the deployment, and homes of a tenant and a route that exclude each other. Routes
  * and tenants are compared by their sets of homes, of which there are few.
  */
-public final class HomeWarnings {
-  private HomeWarnings() {}
+public final class HomeRegionWarnings {
+  private HomeRegionWarnings() {}
 
   /**
    * Warnings, one sentence each.
    *
    * @param regions the regions of the deployment; empty where they are not known
    */
-  public static List<String> of(final Dialplan plan, final Collection<String> regions) {
+  public static List<String> of(final RoutingTable plan, final Collection<String> regions) {
     final Map<Set<String>, List<String>> routes = new LinkedHashMap<>();
     for (final Route route : plan.all()) {
       add(routes, Arrays.asList(route.homes), route.name);
     }
     final Map<Set<String>, List<String>> tenants = new LinkedHashMap<>();
-    for (final Dialplan.Tenant tenant : plan.tenants()) {
+    for (final RoutingTable.Tenant tenant : plan.tenants()) {
       add(tenants, tenant.homes(), tenant.name());
     }
     final List<String> warnings = new ArrayList<>();
--- a/routing/src/main/java/weldpoint/routing/Route.java
+++ b/routing/src/main/java/weldpoint/routing/Route.java
@@ -48,7 +48,7 @@
     this.upTo = upTo;
   }
 
-  /** Whether upstreams in this region may serve it; see {@link Binding#home}. */
+  /** Whether upstreams in this region may serve it; see {@link RouteBinding#home}. */
   boolean home(final String region) {
     if (homes.length == 0) {
       return true;
--- a/routing/src/main/java/weldpoint/routing/Binding.java
+++ b/routing/src/main/java/weldpoint/routing/RouteBinding.java
@@ -9,7 +9,7 @@
  * each send. What was fixed when the request came (its deadline, whether it may be repeated, how
  * many tries it has) is none of a binding's business.
  */
-public final class Binding {
+public final class RouteBinding {
   /** Whether the configuration in force lets a request go on as it was begun. */
   public enum Standing {
     /** It may be sent, within the homes in force. */
@@ -42,16 +42,16 @@
   Map<String, Route> prefixes;
   Route route;
   int routed;
-  private Dialplan plan;
-  private Dialplan.Service service;
-  private Dialplan.Tenant tenant;
+  private RoutingTable plan;
+  private RoutingTable.Service service;
+  private RoutingTable.Tenant tenant;
   private String key;
   private boolean keyAsked;
   private boolean everybodys;
   private Standing standing = Standing.BOUND;
 
   /** A request for this host and path; chance, from 0 to 1, decides in a split. */
-  public Binding(final String host, final String target, final double chance) {
+  public RouteBinding(final String host, final String target, final double chance) {
     final int colon = host.lastIndexOf(':');
     this.host = (colon > 0 ? host.substring(0, colon) : host).toLowerCase(java.util.Locale.ROOT);
     final int query = target.indexOf('?');
@@ -61,7 +61,7 @@
   }
 
   /** Takes what a configuration's program has found. */
-  void found(final Dialplan by) {
+  void found(final RoutingTable by) {
     plan = by;
     service = by.services().get(routed);
   }
@@ -73,7 +73,7 @@
   }
 
   /** Sends the request to a service that its route need not lead to, as a trial has it. */
-  public void divert(final Dialplan.Service other) {
+  public void divert(final RoutingTable.Service other) {
     service = other;
   }
 
@@ -95,12 +95,12 @@
   }
 
   /** The service that is to run it. */
-  public Dialplan.Service service() {
+  public RoutingTable.Service service() {
     return service;
   }
 
   /** The tenant; null where it is nobody's. */
-  public Dialplan.Tenant tenant() {
+  public RoutingTable.Tenant tenant() {
     return tenant;
   }
 
@@ -128,7 +128,7 @@
    *
    * @param inForce the configuration in force; null where only the one known counts
    */
-  public boolean follow(final Dialplan inForce) {
+  public boolean follow(final RoutingTable inForce) {
     if (inForce != null && inForce != plan && standing == Standing.BOUND) {
       final Route before = route;
       standing = inForce.findRoute(this) ? judge(inForce, before) : Standing.ROUTE_GONE;
@@ -139,9 +139,9 @@
     return standing == Standing.BOUND;
   }
 
-  private Standing judge(final Dialplan inForce, final Route before) {
-    final Dialplan.Service now = sameService(inForce, service);
-    final Dialplan.Service drawn = sameService(inForce, plan.services().get(routed));
+  private Standing judge(final RoutingTable inForce, final Route before) {
+    final RoutingTable.Service now = sameService(inForce, service);
+    final RoutingTable.Service drawn = sameService(inForce, plan.services().get(routed));
     if (now == null
         || drawn == null
         || !route.leadsTo(drawn.index())
@@ -149,7 +149,7 @@
         || !Objects.equals(route.affinity, before.affinity)) {
       return Standing.ROUTE_CHANGED;
     }
-    final Dialplan.Tenant owner = key == null ? null : inForce.holder(key);
+    final RoutingTable.Tenant owner = key == null ? null : inForce.holder(key);
     if (owner == null && !everybodys && !route.open && !inForce.tenants().isEmpty()) {
       return keyAsked ? Standing.KEY_UNKNOWN : Standing.TENANT_CHANGED;
     }
@@ -164,15 +164,15 @@
   }
 
   /** The service in force of this name; null where there is none, or it is divided otherwise. */
-  private static Dialplan.Service sameService(
-      final Dialplan inForce, final Dialplan.Service known) {
+  private static RoutingTable.Service sameService(
+      final RoutingTable inForce, final RoutingTable.Service known) {
     final int index = inForce.service(known.name());
-    final Dialplan.Service found = index < 0 ? null : inForce.services().get(index);
+    final RoutingTable.Service found = index < 0 ? null : inForce.services().get(index);
     return found == null || found.partitioned() != known.partitioned() ? null : found;
   }
 
   /** Whether a key's tenant is the one it was; a limit that came meanwhile was not asked for. */
-  private boolean sameTenant(final Dialplan.Tenant owner) {
+  private boolean sameTenant(final RoutingTable.Tenant owner) {
     return tenant != null
         && tenant.name().equals(owner.name())
         && (tenant.ratePerSecond() > 0 || owner.ratePerSecond() <= 0);
--- a/routing/src/main/java/weldpoint/routing/Dialplan.java
+++ b/routing/src/main/java/weldpoint/routing/RoutingTable.java
@@ -7,10 +7,10 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import weldpoint.common.Breakdown;
+import weldpoint.common.WeldpointException;
 
 /** A configuration compiled into a small program: names have become dense indices. */
-public final class Dialplan {
+public final class RoutingTable {
   private static final JsonType<SpecDocument> TYPE =
       Jsonb.builder().build().type(SpecDocument.class);
 
@@ -18,14 +18,14 @@
   enum Step {
     FIND_HOST {
       @Override
-      boolean run(final Dialplan plan, final Binding request) {
+      boolean run(final RoutingTable plan, final RouteBinding request) {
         request.prefixes = plan.hosts.get(request.host);
         return request.prefixes != null;
       }
     },
     FIND_LONGEST_PREFIX {
       @Override
-      boolean run(final Dialplan plan, final Binding request) {
+      boolean run(final RoutingTable plan, final RouteBinding request) {
         for (int slash = request.pathEnd;
             slash >= 0;
             slash = request.path.lastIndexOf('/', slash - 1)) {
@@ -43,7 +43,7 @@
     },
     CHOOSE_SERVICE {
       @Override
-      boolean run(final Dialplan plan, final Binding request) {
+      boolean run(final RoutingTable plan, final RouteBinding request) {
         request.routed =
             request.route.services.length == 1
                 ? request.route.services[0]
@@ -52,7 +52,7 @@
       }
     };
 
-    abstract boolean run(Dialplan plan, Binding request);
+    abstract boolean run(RoutingTable plan, RouteBinding request);
   }
 
   private static final Step[] PROGRAM = Step.values();
@@ -93,7 +93,7 @@
   private final long idleMillis;
   private final int routes;
 
-  private Dialplan(
+  private RoutingTable(
       final long version,
       final List<Tenant> tenants,
       final Map<String, Tenant> keys,
@@ -124,14 +124,14 @@
     try {
       return Long.parseUnsignedLong(text, 16);
     } catch (final NumberFormatException | NullPointerException problem) {
-      throw new Breakdown(
-          Breakdown.Kind.UNREADABLE,
+      throw new WeldpointException(
+          WeldpointException.Kind.UNREADABLE,
           "the version '" + text + "' is no number; write it as eight hexadecimal digits");
     }
   }
 
   /** Reads, checks and compiles a configuration. */
-  public static Dialplan compile(final byte[] body) {
+  public static RoutingTable compile(final byte[] body) {
     return compile(read(body));
   }
 
@@ -141,21 +141,22 @@
     try {
       document = TYPE.fromJson(new String(body, StandardCharsets.UTF_8));
     } catch (final RuntimeException problem) {
-      throw new Breakdown(
-          Breakdown.Kind.UNREADABLE,
+      throw new WeldpointException(
+          WeldpointException.Kind.UNREADABLE,
           "the configuration cannot be read whole ("
               + problem.getMessage()
               + "); send complete JSON");
     }
     if (document == null || document.listeners() == null || document.pools() == null) {
-      throw new Breakdown(
-          Breakdown.Kind.UNREADABLE, "the configuration lacks listeners or pools; send it whole");
+      throw new WeldpointException(
+          WeldpointException.Kind.UNREADABLE,
+          "the configuration lacks listeners or pools; send it whole");
     }
     return document;
   }
 
   /** Checks and compiles a configuration that was read. */
-  public static Dialplan compile(final SpecDocument document) {
+  public static RoutingTable compile(final SpecDocument document) {
     final long version = version(document.version());
     final List<Service> services = new ArrayList<>();
     final Map<String, Integer> indices = new HashMap<>();
@@ -194,7 +195,8 @@
     final List<Tenant> tenants = new ArrayList<>();
     final Map<String, Tenant> keys = new HashMap<>();
     tenants(document, tenants, keys);
-    return new Dialplan(version, tenants, keys, hosts, services, indices, document.limits(), count);
+    return new RoutingTable(
+        version, tenants, keys, hosts, services, indices, document.limits(), count);
   }
 
   private static void tenants(
@@ -234,8 +236,8 @@
     }
   }
 
-  private static Breakdown invalid(final String message) {
-    return new Breakdown(Breakdown.Kind.INVALID, message);
+  private static WeldpointException invalid(final String message) {
+    return new WeldpointException(WeldpointException.Kind.INVALID, message);
   }
 
   private static Route route(
@@ -243,8 +245,8 @@
     final String name = rule.name() == null ? "#" + index : rule.name();
     final SpecDocument.Action action = rule.action();
     if (rule.match() == null || rule.match().pathPrefix() == null || action == null) {
-      throw new Breakdown(
-          Breakdown.Kind.UNREADABLE,
+      throw new WeldpointException(
+          WeldpointException.Kind.UNREADABLE,
           "route " + name + " lacks its match or its action; send it whole");
     }
     if (action.timeoutMs() == null || action.timeoutMs() <= 0) {
@@ -292,7 +294,7 @@
   }
 
   /** Runs the program for a request; false where no route matches. */
-  public boolean interpret(final Binding request) {
+  public boolean interpret(final RouteBinding request) {
     for (final Step step : PROGRAM) {
       if (!step.run(this, request)) {
         return false;
@@ -303,7 +305,7 @@
   }
 
   /** Finds the route of a request whose service was chosen before; false where none matches. */
-  boolean findRoute(final Binding request) {
+  boolean findRoute(final RouteBinding request) {
     return Step.FIND_HOST.run(this, request) && Step.FIND_LONGEST_PREFIX.run(this, request);
   }
 
--- a/routing/src/test/java/weldpoint/routing/DialplanTest.java
+++ b/routing/src/test/java/weldpoint/routing/RoutingTableTest.java
@@ -11,36 +11,36 @@
 import java.util.Set;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import weldpoint.common.Breakdown;
+import weldpoint.common.WeldpointException;
 
 /** Compiling, checking and interpreting configurations. */
-public final class DialplanTest {
+public final class RoutingTableTest {
   private static final String GOOD =
       "{\"version\":\"0000000c\",\"limits\":{\"maxHeaderBytes\":16384,\"maxBodyBytes\":1000,\"headerTimeoutMs\":3000,\"idleTimeoutMs\":15000},\"listeners\":[{\"host\":\"a.example\",\"rules\":["
           + "{\"name\":\"r1\",\"routeKind\":\"idempotent\",\"targetLatencyMs\":300,\"priority\":2,\"match\":{\"pathPrefix\":\"/x/\"},\"action\":{\"service\":\"s\",\"timeoutMs\":2000.5,\"maxAttempts\":2,\"homeRegions\":[]},\"unknown\":{\"a\":[1]}},"
           + "{\"name\":\"r2\",\"routeKind\":\"mutating\",\"targetLatencyMs\":400,\"priority\":1,\"match\":{\"pathPrefix\":\"/x/y/\"},\"action\":{\"split\":[{\"service\":\"s\",\"weight\":90},{\"service\":\"t\",\"weight\":10}],\"timeoutMs\":2500,\"maxAttempts\":1,\"homeRegions\":[\"north\"]}}]}],"
           + "\"pools\":[{\"name\":\"s\",\"healthPath\":\"/health\",\"maxConns\":120,\"protocol\":\"h1\",\"tls\":false,\"warmupS\":3.0,\"warmupPerS\":12.0},{\"name\":\"t\",\"maxConns\":120}]}";
 
-  private static Dialplan compile(final String text) {
-    return Dialplan.compile(text.getBytes(StandardCharsets.UTF_8));
+  private static RoutingTable compile(final String text) {
+    return RoutingTable.compile(text.getBytes(StandardCharsets.UTF_8));
   }
 
   @Test
   public void theLongestPrefixOfTheHostWins() {
-    final Dialplan plan = compile(GOOD);
+    final RoutingTable plan = compile(GOOD);
     assertEquals(plan.version(), 12);
-    final Binding deep = new Binding("A.example:80", "/x/y/z?q=/1/", 0.95);
+    final RouteBinding deep = new RouteBinding("A.example:80", "/x/y/z?q=/1/", 0.95);
     assertTrue(plan.interpret(deep));
     assertEquals(deep.route().name, "r2");
     assertFalse(deep.route().kind.repeatable());
     assertEquals(deep.service().name(), "t");
     assertTrue(deep.home("north"));
     assertFalse(deep.home("south"));
-    final Binding shallow = new Binding("a.example", "/x/z", 0.5);
+    final RouteBinding shallow = new RouteBinding("a.example", "/x/z", 0.5);
     assertTrue(plan.interpret(shallow));
     assertEquals(shallow.route().name, "r1");
-    assertFalse(plan.interpret(new Binding("a.example", "/y/z", 0.5)));
-    assertFalse(plan.interpret(new Binding("b.example", "/x/z", 0.5)));
+    assertFalse(plan.interpret(new RouteBinding("a.example", "/y/z", 0.5)));
+    assertFalse(plan.interpret(new RouteBinding("b.example", "/x/z", 0.5)));
   }
 
   @Test
@@ -54,17 +54,17 @@
   @DataProvider
   public Object[][] invalid() {
     return new Object[][] {
-      {GOOD.substring(0, GOOD.length() - 40), Breakdown.Kind.UNREADABLE},
-      {"", Breakdown.Kind.UNREADABLE},
-      {GOOD.replace("\"a.example\"", "\"\""), Breakdown.Kind.INVALID},
-      {GOOD.replace("2000.5", "0"), Breakdown.Kind.INVALID},
+      {GOOD.substring(0, GOOD.length() - 40), WeldpointException.Kind.UNREADABLE},
+      {"", WeldpointException.Kind.UNREADABLE},
+      {GOOD.replace("\"a.example\"", "\"\""), WeldpointException.Kind.INVALID},
+      {GOOD.replace("2000.5", "0"), WeldpointException.Kind.INVALID},
       {
         GOOD.replace("\"service\":\"s\",\"timeoutMs\"", "\"service\":\"u\",\"timeoutMs\""),
-        Breakdown.Kind.INVALID
+        WeldpointException.Kind.INVALID
       },
-      {GOOD.replace("{\"service\":\"t\"", "{\"service\":\"u\""), Breakdown.Kind.INVALID},
-      {GOOD.replace("\"maxAttempts\":1", "\"maxAttempts\":0"), Breakdown.Kind.INVALID},
-      {GOOD.replace("0000000c", "zz"), Breakdown.Kind.UNREADABLE},
+      {GOOD.replace("{\"service\":\"t\"", "{\"service\":\"u\""), WeldpointException.Kind.INVALID},
+      {GOOD.replace("\"maxAttempts\":1", "\"maxAttempts\":0"), WeldpointException.Kind.INVALID},
+      {GOOD.replace("0000000c", "zz"), WeldpointException.Kind.UNREADABLE},
     };
   }
 
@@ -93,7 +93,7 @@
 
   @Test
   public void aSplitKeepsEachCallerOnOneServiceInTheWeightsParts() {
-    final Dialplan plan = compile(tied("{\"by\":\"address\"}"));
+    final RoutingTable plan = compile(tied("{\"by\":\"address\"}"));
     final Route route = plan.route("r2");
     int second = 0;
     for (int caller = 0; caller < 20_000; caller++) {
@@ -122,19 +122,21 @@
 
   @Test(dataProvider = "badAffinity")
   public void aRuleThatCannotHoldIsRefusedWithTheRemedy(final String text, final String remedy) {
-    final Breakdown breakdown = expectThrows(Breakdown.class, () -> compile(text));
-    assertEquals(breakdown.kind(), Breakdown.Kind.INVALID);
+    final WeldpointException breakdown =
+        expectThrows(WeldpointException.class, () -> compile(text));
+    assertEquals(breakdown.kind(), WeldpointException.Kind.INVALID);
     assertTrue(breakdown.getMessage().contains(remedy), breakdown.getMessage());
   }
 
   @Test(dataProvider = "invalid")
-  public void whatIsInvalidIsRefusedWithItsKind(final String text, final Breakdown.Kind kind) {
-    assertEquals(expectThrows(Breakdown.class, () -> compile(text)).kind(), kind);
+  public void whatIsInvalidIsRefusedWithItsKind(
+      final String text, final WeldpointException.Kind kind) {
+    assertEquals(expectThrows(WeldpointException.class, () -> compile(text)).kind(), kind);
   }
 
-  private static Dialplan followed(
+  private static RoutingTable followed(
       final String prefix, final String rule, final String action, final String tenant) {
-    return Dialplan.compile(
+    return RoutingTable.compile(
         ("{\"version\":\"1\",\"tenants\":["
                 + tenant
                 + "],\"listeners\":[{\"host\":\"h\",\"rules\":[{\"name\":\"r\","
@@ -153,13 +155,13 @@
     final String toS = "\"service\":\"s\",";
     final String tenant = "{\"name\":\"t\",\"apiKeys\":[\"k\"]}";
     return new Object[][] {
-      {"/x/", rule, toS, tenant, Binding.Standing.BOUND, Set.of("north", "south")},
+      {"/x/", rule, toS, tenant, RouteBinding.Standing.BOUND, Set.of("north", "south")},
       {
         "/x/",
         rule,
         toS + "\"homeRegions\":[\"north\"],",
         tenant,
-        Binding.Standing.BOUND,
+        RouteBinding.Standing.BOUND,
         Set.of("north")
       },
       {
@@ -167,7 +169,7 @@
         rule,
         toS,
         tenant.replace("}", ",\"homeRegions\":[\"south\"]}"),
-        Binding.Standing.BOUND,
+        RouteBinding.Standing.BOUND,
         Set.of("south")
       },
       {
@@ -175,28 +177,44 @@
         rule,
         toS + "\"homeRegions\":[\"north\"],",
         tenant.replace("}", ",\"homeRegions\":[\"south\"]}"),
-        Binding.Standing.BOUND,
+        RouteBinding.Standing.BOUND,
         Set.of()
       },
-      {"/", rule, toS, tenant, Binding.Standing.BOUND, Set.of("north", "south")},
-      {"/y/", rule, toS, tenant, Binding.Standing.ROUTE_GONE, Set.of()},
-      {"/x/", rule, "\"service\":\"other\",", tenant, Binding.Standing.ROUTE_CHANGED, Set.of()},
+      {"/", rule, toS, tenant, RouteBinding.Standing.BOUND, Set.of("north", "south")},
+      {"/y/", rule, toS, tenant, RouteBinding.Standing.ROUTE_GONE, Set.of()},
+      {
+        "/x/", rule, "\"service\":\"other\",", tenant, RouteBinding.Standing.ROUTE_CHANGED, Set.of()
+      },
       {
         "/x/",
         rule,
         "\"split\":[{\"service\":\"other\",\"weight\":1},{\"service\":\"s\",\"weight\":1}],",
         tenant,
-        Binding.Standing.BOUND,
+        RouteBinding.Standing.BOUND,
         Set.of("north", "south")
       },
-      {"/x/", "\"routeKind\":\"mutating\",", toS, tenant, Binding.Standing.ROUTE_CHANGED, Set.of()},
-      {"/x/", rule, toS, tenant.replace("\"k\"", "\"l\""), Binding.Standing.KEY_UNKNOWN, Set.of()},
+      {
+        "/x/",
+        "\"routeKind\":\"mutating\",",
+        toS,
+        tenant,
+        RouteBinding.Standing.ROUTE_CHANGED,
+        Set.of()
+      },
+      {
+        "/x/",
+        rule,
+        toS,
+        tenant.replace("\"k\"", "\"l\""),
+        RouteBinding.Standing.KEY_UNKNOWN,
+        Set.of()
+      },
       {
         "/x/",
         rule,
         toS,
         tenant.replace("\"t\"", "\"u\""),
-        Binding.Standing.TENANT_CHANGED,
+        RouteBinding.Standing.TENANT_CHANGED,
         Set.of()
       },
       {
@@ -204,7 +222,7 @@
         rule,
         toS,
         tenant.replace("}", ",\"ratePerS\":5}"),
-        Binding.Standing.TENANT_CHANGED,
+        RouteBinding.Standing.TENANT_CHANGED,
         Set.of()
       },
     };
@@ -216,22 +234,23 @@
       final String rule,
       final String action,
       final String tenant,
-      final Binding.Standing standing,
+      final RouteBinding.Standing standing,
       final Set<String> regions) {
-    final Dialplan first =
+    final RoutingTable first =
         followed(
             "/x/",
             "\"routeKind\":\"idempotent\",",
             "\"service\":\"s\",",
             "{\"name\":\"t\",\"apiKeys\":[\"k\"]}");
-    final Binding binding = new Binding("h", "/x/1", 0);
+    final RouteBinding binding = new RouteBinding("h", "/x/1", 0);
     assertTrue(first.interpret(binding));
     binding.identify("k");
     assertTrue(binding.follow(first));
     assertEquals(
-        binding.follow(followed(prefix, rule, action, tenant)), standing == Binding.Standing.BOUND);
+        binding.follow(followed(prefix, rule, action, tenant)),
+        standing == RouteBinding.Standing.BOUND);
     assertEquals(binding.standing(), standing);
-    if (standing == Binding.Standing.BOUND) {
+    if (standing == RouteBinding.Standing.BOUND) {
       final Set<String> allowed = new HashSet<>(List.of("north", "south"));
       allowed.removeIf(region -> !binding.home(region));
       assertEquals(allowed, regions);
@@ -241,7 +260,7 @@
 
   @Test
   public void homesThatLetRequestsBeRefusedAreWarnedOf() {
-    final Dialplan plan =
+    final RoutingTable plan =
         followed(
             "/x/",
             "\"routeKind\":\"idempotent\",",
@@ -249,15 +268,15 @@
             "{\"name\":\"t\",\"homeRegions\":[\"south\"]},{\"name\":\"u\",\"homeRegions\":[\"south\"]},"
                 + "{\"name\":\"v\",\"homeRegions\":[\"north\",\"south\"]},{\"name\":\"w\"}");
     assertEquals(
-        HomeWarnings.of(plan, List.of()),
+        HomeRegionWarnings.of(plan, List.of()),
         List.of(
             "tenant t (and 1 more) may be served in [south] and route r in [north]: all requests"
                 + " of the one on the other are refused"));
-    final List<String> known = HomeWarnings.of(plan, List.of("south"));
+    final List<String> known = HomeRegionWarnings.of(plan, List.of("south"));
     assertEquals(known.size(), 2, known.toString());
     assertTrue(known.get(0).startsWith("route r may be served in [north] only"), known.toString());
     assertEquals(
-        HomeWarnings.of(followed("/x/", "", "\"service\":\"s\",", ""), List.of("south")),
+        HomeRegionWarnings.of(followed("/x/", "", "\"service\":\"s\",", ""), List.of("south")),
         List.of());
   }
 }
--- a/scale/src/main/java/weldpoint/scale/Child.java
+++ b/scale/src/main/java/weldpoint/scale/Child.java
@@ -10,8 +10,8 @@
 import java.util.List;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import weldpoint.common.Boot;
-import weldpoint.common.Breakdown;
+import weldpoint.common.Settings;
+import weldpoint.common.WeldpointException;
 
 /** One real daemon as a process of its own, with what it counts of itself. */
 final class Child {
@@ -53,7 +53,7 @@
                 "weldpoint.cli.Weldpoint",
                 program));
     final ProcessBuilder builder = new ProcessBuilder(words).redirectErrorStream(true);
-    builder.environment().put(Boot.VARIABLE, settings.toString());
+    builder.environment().put(Settings.VARIABLE, settings.toString());
     process = builder.start();
     final Thread reader = new Thread(this::read, "reads-" + program);
     reader.setDaemon(true);
@@ -111,8 +111,8 @@
   /** What the process last counted; fails where it has died. */
   Sample sample() {
     if (!process.isAlive()) {
-      throw new Breakdown(
-          Breakdown.Kind.OUT_OF_REACH,
+      throw new WeldpointException(
+          WeldpointException.Kind.OUT_OF_REACH,
           "a "
               + program
               + " has ended by itself with code "
--- a/scale/src/main/java/weldpoint/scale/Fit.java
+++ b/scale/src/main/java/weldpoint/scale/Fit.java
@@ -1,6 +1,6 @@
 package weldpoint.scale;
 
-import weldpoint.common.Breakdown;
+import weldpoint.common.WeldpointException;
 
 /** A straight line through points by least squares, with what it leaves over. */
 public record Fit(
@@ -17,8 +17,8 @@
   /** The line through these points; fails where they are too few or too near each other. */
   public static Fit of(final double[] sizes, final double[] values) {
     if (sizes.length != values.length || sizes.length < LEAST_POINTS) {
-      throw new Breakdown(
-          Breakdown.Kind.INVALID,
+      throw new WeldpointException(
+          WeldpointException.Kind.INVALID,
           sizes.length + " points give no slope; measure at least " + LEAST_POINTS + " sizes");
     }
     double least = Double.MAX_VALUE;
@@ -32,8 +32,8 @@
       meanValue += values[index] / sizes.length;
     }
     if (!(least >= 0) || most < LEAST_SPAN * Math.max(1e-9, least)) {
-      throw new Breakdown(
-          Breakdown.Kind.INVALID,
+      throw new WeldpointException(
+          WeldpointException.Kind.INVALID,
           "sizes from "
               + least
               + " to "
--- a/scale/src/main/java/weldpoint/scale/HistoryMeasure.java
+++ b/scale/src/main/java/weldpoint/scale/HistoryMeasure.java
@@ -14,7 +14,7 @@
 import weldpoint.audit.AuditReplica;
 import weldpoint.audit.ChangeKind;
 import weldpoint.audit.SegmentStore;
-import weldpoint.transport.Wire;
+import weldpoint.transport.Serializer;
 
 /**
  * The history alone: what entries take on disk and in memory, and what it costs an empty replica to
@@ -99,7 +99,7 @@
       final ArrayDeque<Runnable> queue,
       final long[] wire) {
     wire[0]++;
-    wire[1] += Wire.bytes(message).length;
+    wire[1] += Serializer.bytes(message).length;
     replicas[to].receive(
         "peer", message, answer -> queue.add(() -> pass(replicas, 1 - to, answer, queue, wire)));
   }
--- a/scale/src/main/java/weldpoint/scale/Hollows.java
+++ b/scale/src/main/java/weldpoint/scale/Hollows.java
@@ -11,19 +11,19 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import weldpoint.affinity.Ties;
-import weldpoint.common.Boot;
-import weldpoint.proxy.RegistryLink;
-import weldpoint.proxy.Stream;
-import weldpoint.routing.Dialplan;
+import weldpoint.affinity.AffinityTable;
+import weldpoint.common.Settings;
+import weldpoint.proxy.RegistryClient;
+import weldpoint.proxy.RegistryStream;
+import weldpoint.routing.RoutingTable;
 import weldpoint.transport.Message;
-import weldpoint.transport.Meter;
 import weldpoint.transport.PlacementMessages;
 import weldpoint.transport.Protocol;
 import weldpoint.transport.RegistryMessages;
+import weldpoint.transport.Serializer;
+import weldpoint.transport.TrafficCounters;
+import weldpoint.transport.Transport;
 import weldpoint.transport.TrialMessages;
-import weldpoint.transport.Trunk;
-import weldpoint.transport.Wire;
 
 /**
  * Switchboards without traffic, many to this process: each has its own link, stream and line, the
@@ -33,18 +33,19 @@
   private static final long TICK_MILLIS = 100;
 
   private final class Hollow {
-    private final Trunk trunk;
-    private final RegistryLink link;
-    private final Stream stream;
-    private Ties ties;
+    private final Transport trunk;
+    private final RegistryClient link;
+    private final RegistryStream stream;
+    private AffinityTable ties;
 
-    private Hollow(final Boot boot, final int index, final long incarnation) {
+    private Hollow(final Settings boot, final int index, final long incarnation) {
       trunk =
-          new Trunk(
-              loop, new Protocol.Hello(Wire.PROTOCOL, "switchboard", address(index), incarnation));
-      stream = new Stream(trunk, desk, boot, () -> {});
-      final RegistryMessages.Board self =
-          new RegistryMessages.Board(
+          new Transport(
+              loop,
+              new Protocol.Hello(Serializer.PROTOCOL, "switchboard", address(index), incarnation));
+      stream = new RegistryStream(trunk, desk, boot, () -> {});
+      final RegistryMessages.DaemonEntry self =
+          new RegistryMessages.DaemonEntry(
               address(index),
               address(index) + ":8161",
               boot.site(),
@@ -53,11 +54,11 @@
               false,
               0);
       link =
-          new RegistryLink(
+          new RegistryClient(
               self,
               boot.seeds(),
               new Random(incarnation),
-              new RegistryLink.Outlet() {
+              new RegistryClient.Environment() {
                 @Override
                 public void dial(final String to) {
                   stream.dial(to);
@@ -70,7 +71,7 @@
 
                 @Override
                 public void outlook(
-                    final Dialplan plan,
+                    final RoutingTable plan,
                     final Map<RegistryMessages.Registration, Boolean> changes,
                     final Set<String> evacuated,
                     final Set<String> suspects,
@@ -90,7 +91,7 @@
                 public void placements(final PlacementMessages.Placements placements) {
                   if (ties == null) {
                     ties =
-                        new Ties(
+                        new AffinityTable(
                             self.address, incarnation, boot.affinityLeaseMillis(), stream::send);
                   }
                   ties.take(placements, now());
@@ -113,7 +114,7 @@
       link.start(now());
     }
 
-    private RegistryLink link() {
+    private RegistryClient link() {
       return link;
     }
 
@@ -134,7 +135,7 @@
             return thread;
           });
   private final List<Hollow> hollows = new ArrayList<>();
-  private final List<Boot> boots;
+  private final List<Settings> boots;
   private final AtomicLong admitted = new AtomicLong();
   private final Map<Long, Integer> versions = new java.util.concurrent.ConcurrentHashMap<>();
   private final Map<Long, Integer> placed = new java.util.concurrent.ConcurrentHashMap<>();
@@ -144,7 +145,7 @@
   private long goneMessages;
 
   /** So many switchboards, spread over these places. */
-  Hollows(final List<Boot> boots, final int count) {
+  Hollows(final List<Settings> boots, final int count) {
     this.boots = boots;
     desk.execute(
         () -> {
@@ -205,7 +206,7 @@
         () -> {
           final long[] sums = {goneMessages, gone, 0, 0};
           for (final Hollow one : hollows) {
-            final Meter meter = one.trunk.meter();
+            final TrafficCounters meter = one.trunk.meter();
             sums[0] += meter.messagesIn();
             sums[1] += meter.bytesIn();
             sums[2] += meter.messagesOut();
--- a/scale/src/main/java/weldpoint/scale/ScaleCommand.java
+++ b/scale/src/main/java/weldpoint/scale/ScaleCommand.java
@@ -10,7 +10,7 @@
 import joptsimple.OptionParser;
 import joptsimple.OptionSet;
 import joptsimple.OptionSpec;
-import weldpoint.common.Breakdown;
+import weldpoint.common.WeldpointException;
 
 /**
  * weldpoint scale: measures how state, messages and processor time of each role grow with the size
@@ -70,16 +70,17 @@
       try {
         chosen.add(Series.valueOf(name.toUpperCase(Locale.ROOT)));
       } catch (final IllegalArgumentException unknown) {
-        throw new Breakdown(
-            Breakdown.Kind.USAGE, "'" + name + "' cannot be varied; choose among " + names());
+        throw new WeldpointException(
+            WeldpointException.Kind.USAGE,
+            "'" + name + "' cannot be varied; choose among " + names());
       }
     }
     if (chosen.isEmpty()) {
       chosen.addAll(List.of(Series.values()));
     }
     if (options.has(sizes) && chosen.size() != 1) {
-      throw new Breakdown(
-          Breakdown.Kind.USAGE, "sizes belong to one series; name it with --series");
+      throw new WeldpointException(
+          WeldpointException.Kind.USAGE, "sizes belong to one series; name it with --series");
     }
     final int span = options.valueOf(seconds);
     final int first = options.valueOf(port);
@@ -91,8 +92,8 @@
         || first < 1024
         || first > 65_000
         || !options.nonOptionArguments().isEmpty()) {
-      throw new Breakdown(
-          Breakdown.Kind.USAGE,
+      throw new WeldpointException(
+          WeldpointException.Kind.USAGE,
           "scale takes --seconds from 3 to 120, --warmup from 2 to 120 and --port from 1024 to 65000, and no further words");
     }
     for (final Series one : chosen) {
--- a/scale/src/main/java/weldpoint/scale/ScaleRun.java
+++ b/scale/src/main/java/weldpoint/scale/ScaleRun.java
@@ -16,8 +16,8 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import weldpoint.common.Boot;
-import weldpoint.common.Breakdown;
+import weldpoint.common.Settings;
+import weldpoint.common.WeldpointException;
 
 /**
  * One size: real frames, exchanges and switchboards as processes on loopback addresses, with hollow
@@ -187,8 +187,8 @@
       }
       Thread.sleep(100);
     }
-    throw new Breakdown(
-        Breakdown.Kind.OUT_OF_REACH,
+    throw new WeldpointException(
+        WeldpointException.Kind.OUT_OF_REACH,
         "no configuration was acknowledged in "
             + START_SECONDS
             + " s; run it on a machine with less load");
@@ -229,7 +229,7 @@
    */
   Map<String, Double> measure(final int warmup, final int seconds)
       throws IOException, InterruptedException {
-    final List<Boot> places = new ArrayList<>();
+    final List<Settings> places = new ArrayList<>();
     for (int index = 0; index < sizes.cores(); index++) {
       final String address = core(index);
       final String disk = "station.folder = " + folder.resolve("disk-" + address) + "\n";
@@ -259,7 +259,7 @@
           128);
     }
     for (int index = 0; index < 4; index++) {
-      places.add(Boot.parse(settings("127.0.0.1", place(index), "")));
+      places.add(Settings.parse(settings("127.0.0.1", place(index), "")));
     }
     change();
     final long everyNanos = (long) (BEAT_MILLIS * 1e6 / sizes.upstreams());
@@ -268,8 +268,8 @@
     final long cutoff = System.nanoTime() + TimeUnit.SECONDS.toNanos(START_SECONDS);
     while (hollows.admitted() < sizes.boards() || beats.get() < sizes.upstreams() || !counted()) {
       if (System.nanoTime() > cutoff) {
-        throw new Breakdown(
-            Breakdown.Kind.OUT_OF_REACH,
+        throw new WeldpointException(
+            WeldpointException.Kind.OUT_OF_REACH,
             "after "
                 + START_SECONDS
                 + " s "
@@ -384,8 +384,8 @@
     final double hollow = result.get("hollow " + measure);
     final double real = result.get("switchboard " + measure);
     if (Math.abs(hollow - real) > MOST_APART * real) {
-      throw new Breakdown(
-          Breakdown.Kind.INVALID,
+      throw new WeldpointException(
+          WeldpointException.Kind.INVALID,
           String.format(
               java.util.Locale.ROOT,
               "a hollow switchboard has %.1f %s and a real one %.1f; the run gives no slope",
--- a/scale/src/main/java/weldpoint/scale/Sizes.java
+++ b/scale/src/main/java/weldpoint/scale/Sizes.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import weldpoint.common.Breakdown;
+import weldpoint.common.WeldpointException;
 
 /** The size of one run. */
 public record Sizes(
@@ -61,15 +61,15 @@
         || changesPerSecond > 20
         || returnsPerSecond < 0
         || returnsPerSecond > 200) {
-      throw new Breakdown(
-          Breakdown.Kind.USAGE,
+      throw new WeldpointException(
+          WeldpointException.Kind.USAGE,
           "the size "
               + this
               + " makes no sense; give 1 to 40 cores, at least one real switchboard, upstream, service and route, no more services than upstreams, and up to 20 changes and 200 returns a second");
     }
     if (processes() > MOST_PROCESSES) {
-      throw new Breakdown(
-          Breakdown.Kind.USAGE,
+      throw new WeldpointException(
+          WeldpointException.Kind.USAGE,
           processes()
               + " processes are too many for one machine; keep to "
               + MOST_PROCESSES
@@ -77,8 +77,8 @@
     }
     final long half = memory() / 2;
     if (needs() > half) {
-      throw new Breakdown(
-          Breakdown.Kind.USAGE,
+      throw new WeldpointException(
+          WeldpointException.Kind.USAGE,
           "about "
               + (needs() >> 20)
               + " MB are needed and half of this machine's memory is "
@@ -104,10 +104,11 @@
         }
       }
     } catch (final IOException problem) {
-      throw new Breakdown(
-          Breakdown.Kind.UNREADABLE, "/proc/meminfo cannot be read; run this on Linux");
+      throw new WeldpointException(
+          WeldpointException.Kind.UNREADABLE, "/proc/meminfo cannot be read; run this on Linux");
     }
-    throw new Breakdown(
-        Breakdown.Kind.UNREADABLE, "/proc/meminfo does not tell the memory; run this on Linux");
+    throw new WeldpointException(
+        WeldpointException.Kind.UNREADABLE,
+        "/proc/meminfo does not tell the memory; run this on Linux");
   }
 }
--- a/simulation/src/main/java/weldpoint/simulation/ControlDay.java
+++ b/simulation/src/main/java/weldpoint/simulation/ControlDay.java
@@ -10,7 +10,7 @@
 import java.util.function.Consumer;
 import weldpoint.audit.AuditEntry;
 import weldpoint.audit.ChangeKind;
-import weldpoint.statestore.FrameCore;
+import weldpoint.statestore.StateStoreReplica;
 import weldpoint.transport.RegistryMessages;
 
 /**
@@ -214,7 +214,7 @@
 
   /** Reads the history that the core has decided, where the times of day in it can be relied on. */
   private void history() {
-    FrameCore longest = null;
+    StateStoreReplica longest = null;
     for (final ControlFleet.Machine machine : fleet.core()) {
       if (machine.frame() != null
           && !machine.frame().blank()
--- a/simulation/src/main/java/weldpoint/simulation/ControlFleet.java
+++ b/simulation/src/main/java/weldpoint/simulation/ControlFleet.java
@@ -15,18 +15,18 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.function.Consumer;
-import weldpoint.common.Boot;
-import weldpoint.proxy.RegistryLink;
-import weldpoint.registry.ControlDoor;
+import weldpoint.common.Settings;
+import weldpoint.proxy.RegistryClient;
+import weldpoint.registry.ControlServer;
 import weldpoint.registry.RegistryCore;
-import weldpoint.routing.Dialplan;
-import weldpoint.statestore.FrameCore;
+import weldpoint.routing.RoutingTable;
+import weldpoint.statestore.StateStoreReplica;
 import weldpoint.transport.Message;
 import weldpoint.transport.Protocol;
 import weldpoint.transport.RegistryMessages;
-import weldpoint.transport.StoreCallMessages;
+import weldpoint.transport.Serializer;
+import weldpoint.transport.StoreMessages;
 import weldpoint.transport.TrialMessages;
-import weldpoint.transport.Wire;
 
 /**
  * Whole control sides on a fake clock, a fake network and fake disks, driven by one seed: on each
@@ -154,7 +154,7 @@
     }
 
     /** The frame of the moment; null while there is none. */
-    public FrameCore frame() {
+    public StateStoreReplica frame() {
       return life == null ? null : life.frame;
     }
 
@@ -191,10 +191,10 @@
     private final ArrayDeque<Runnable> inbox = new ArrayDeque<>();
     private long busyUntil;
     private boolean draining;
-    private FrameCore frame;
+    private StateStoreReplica frame;
     private RegistryCore exchange;
-    private ControlDoor door;
-    private RegistryLink link;
+    private ControlServer door;
+    private RegistryClient link;
     private FakeDisk.Writer frameWriter;
     private FakeDisk.Writer exchangeWriter;
     private Dialler boardDialler;
@@ -482,7 +482,7 @@
   byte[] bytes(final Message message) {
     if (message != sealed) {
       sealed = message;
-      sealedBytes = Wire.bytes(message);
+      sealedBytes = Serializer.bytes(message);
     }
     return sealedBytes;
   }
@@ -513,18 +513,19 @@
     return switch (port) {
       case FRAME -> (line, message) -> life.frame.receive(line.from(), message, line::reply, now);
       case FRAME_CALLS ->
-          (line, message) -> life.frame.call((StoreCallMessages.Call) message, line::reply, now);
+          (line, message) ->
+              life.frame.call((StoreMessages.StoreRequest) message, line::reply, now);
       case EXCHANGE ->
           (line, message) -> life.exchange.receive(line.from(), message, line::reply, now);
       case BOARDS ->
           new FakeLine.Ear() {
             @Override
             public void heard(final FakeLine line, final Message message) {
-              if (message instanceof RegistryMessages.BoardState) {
+              if (message instanceof RegistryMessages.DaemonReport) {
                 life.exchange.boardState(
                     line,
-                    ((RegistryMessages.BoardState) message).board,
-                    Protocol.list(((RegistryMessages.BoardState) message).buckets),
+                    ((RegistryMessages.DaemonReport) message).board,
+                    Protocol.list(((RegistryMessages.DaemonReport) message).buckets),
                     now);
               } else {
                 life.exchange.receive(line.from(), message, line::reply, now);
@@ -625,7 +626,7 @@
               }
             };
     life.frame =
-        new FrameCore(
+        new StateStoreReplica(
             machine.address,
             machine.site,
             machine.region,
@@ -635,7 +636,7 @@
             ++incarnations,
             new Random(random.nextLong()),
             machine.seeds,
-            new FrameCore.Outlet() {
+            new StateStoreReplica.Environment() {
               @Override
               public void send(final String to, final Message message) {
                 life.frames.send(to, message);
@@ -687,8 +688,8 @@
             new FakeLine.Ear() {
               @Override
               public void heard(final FakeLine line, final Message message) {
-                if (message instanceof StoreCallMessages.Answer) {
-                  life.exchange.answered(to, (StoreCallMessages.Answer) message, now);
+                if (message instanceof StoreMessages.StoreResponse) {
+                  life.exchange.answered(to, (StoreMessages.StoreResponse) message, now);
                 }
               }
 
@@ -705,14 +706,14 @@
             first && found.isEmpty(),
             BEAT_MILLIS,
             new Random(random.nextLong()),
-            new RegistryCore.Outlet() {
+            new RegistryCore.Environment() {
               @Override
               public boolean member(final String address, final Message message) {
                 return life.members.send(address, message);
               }
 
               @Override
-              public boolean frame(final String address, final StoreCallMessages.Call call) {
+              public boolean frame(final String address, final StoreMessages.StoreRequest call) {
                 return life.calls.send(address, call);
               }
 
@@ -741,8 +742,8 @@
     life.exchange.start(found, now);
     life.exchangeWriter.begin();
     life.door =
-        new ControlDoor(
-            Boot.parse(
+        new ControlServer(
+            Settings.parse(
                 "station.name = one\nstation.address = "
                     + machine.address
                     + "\nstation.site = "
@@ -756,7 +757,7 @@
                     + ":80\n"),
             life.exchange,
             Runnable::run,
-            new ControlDoor.Clock() {
+            new ControlServer.Clock() {
               @Override
               public long steadyMillis() {
                 return now;
@@ -771,8 +772,8 @@
 
   private void startBoard(final Life life) {
     final Machine machine = life.machine;
-    final RegistryMessages.Board self =
-        new RegistryMessages.Board(
+    final RegistryMessages.DaemonEntry self =
+        new RegistryMessages.DaemonEntry(
             machine.address,
             machine.address + ":90",
             machine.site,
@@ -781,11 +782,11 @@
             false,
             0);
     life.link =
-        new RegistryLink(
+        new RegistryClient(
             self,
             machine.seeds,
             new Random(random.nextLong()),
-            new RegistryLink.Outlet() {
+            new RegistryClient.Environment() {
               @Override
               public void dial(final String address) {
                 if (life.boardDialler != null) {
@@ -825,7 +826,7 @@
 
               @Override
               public void outlook(
-                  final Dialplan plan,
+                  final RoutingTable plan,
                   final Map<RegistryMessages.Registration, Boolean> changes,
                   final Set<String> evacuated,
                   final Set<String> suspects,
@@ -1035,7 +1036,7 @@
                           uri,
                           Unpooled.copiedBuffer(body, StandardCharsets.UTF_8)),
                       "10.9.9.9",
-                      new ControlDoor.Caller() {
+                      new ControlServer.ResponseCallback() {
                         private final long readAt = now;
 
                         @Override
--- a/simulation/src/main/java/weldpoint/simulation/FakeLine.java
+++ b/simulation/src/main/java/weldpoint/simulation/FakeLine.java
@@ -3,7 +3,7 @@
 import java.util.ArrayDeque;
 import weldpoint.transport.Message;
 import weldpoint.transport.Protocol;
-import weldpoint.transport.Wire;
+import weldpoint.transport.Serializer;
 
 /**
  * One connection between two programs, as TCP has it: in order, bound to the two lives at its ends.
@@ -103,10 +103,10 @@
         greeted = true;
         ear.opened(FakeLine.this);
       } else {
-        final Message message = (Message) Wire.value(packet.bytes, packet.kind);
-        if (message instanceof Protocol.Ring) {
-          if (!((Protocol.Ring) message).echo) {
-            say(new Protocol.Ring(true));
+        final Message message = (Message) Serializer.value(packet.bytes, packet.kind);
+        if (message instanceof Protocol.KeepAlive) {
+          if (!((Protocol.KeepAlive) message).echo) {
+            say(new Protocol.KeepAlive(true));
           }
           return;
         }
@@ -153,7 +153,7 @@
             }
             ringAt = fleet.now();
             if (this == dialler) {
-              say(new Protocol.Ring(false));
+              say(new Protocol.KeepAlive(false));
             }
             watch();
           });
--- a/simulation/src/main/java/weldpoint/simulation/Fleet.java
+++ b/simulation/src/main/java/weldpoint/simulation/Fleet.java
@@ -12,11 +12,11 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import weldpoint.audit.AuditStore;
-import weldpoint.statestore.Deed;
-import weldpoint.statestore.FrameCore;
+import weldpoint.statestore.StateStoreReplica;
+import weldpoint.statestore.StoreOperation;
 import weldpoint.transport.Message;
-import weldpoint.transport.StoreCallMessages;
-import weldpoint.transport.Wire;
+import weldpoint.transport.Serializer;
+import weldpoint.transport.StoreMessages;
 
 /** Several frames on a fake clock, a fake network and fake disks, driven by one seed. */
 public final class Fleet {
@@ -35,7 +35,7 @@
     private final List<byte[]> written = new ArrayList<>();
     private final List<byte[]> entries = new ArrayList<>();
     private long entriesBase;
-    private FrameCore core;
+    private StateStoreReplica core;
     private FakeHistory store;
     private int life;
     private boolean frozen;
@@ -51,7 +51,7 @@
     }
 
     /** The process of the moment; null while there is none. */
-    public FrameCore core() {
+    public StateStoreReplica core() {
       return core;
     }
   }
@@ -131,7 +131,7 @@
    */
   public interface Meddler {
     /** Takes part in setting up a core: the store and the number of entries to keep are given. */
-    default void prepare(final FrameCore core, final AuditStore store, final long keeps) {
+    default void prepare(final StateStoreReplica core, final AuditStore store, final long keeps) {
       core.history(store, keeps, ENTRY_BYTES);
     }
 
@@ -250,7 +250,7 @@
     machine.written.clear();
     machine.syncedAt = now;
     machine.core =
-        new FrameCore(
+        new StateStoreReplica(
             address,
             machine.site,
             machine.region,
@@ -260,7 +260,7 @@
             ++owners,
             new Random(random.nextLong()),
             seeds,
-            new FrameCore.Outlet() {
+            new StateStoreReplica.Environment() {
               @Override
               public void send(final String to, final Message message) {
                 post(address, life, to, message);
@@ -386,7 +386,7 @@
       final int toLife,
       final boolean bound,
       final Message message) {
-    final byte[] bytes = Wire.bytes(message);
+    final byte[] bytes = Serializer.bytes(message);
     watcher.sent(from, to, message);
     after(
         delay(from, to) + queued(to, bytes.length),
@@ -399,7 +399,7 @@
               || bound && target.life != toLife) {
             return;
           }
-          final Message came = (Message) Wire.value(bytes, message.getClass());
+          final Message came = (Message) Serializer.value(bytes, message.getClass());
           final Message copy = meddler.pass(from, to, came);
           if (copy == null) {
             return;
@@ -435,7 +435,7 @@
     machine.life++;
     for (final Machine other : machines.values()) {
       if (other.core != null && other != machine) {
-        final FrameCore core = other.core;
+        final StateStoreReplica core = other.core;
         after(
             delay(address, other.address),
             () -> {
@@ -547,16 +547,16 @@
    */
   public void call(
       final String at,
-      final Deed deed,
+      final StoreOperation deed,
       final String name,
       final String owner,
       final long first,
       final long second,
       final byte[] body,
-      final Consumer<StoreCallMessages.Answer> then) {
+      final Consumer<StoreMessages.StoreResponse> then) {
     call(
         at,
-        new StoreCallMessages.Call(++calls, deed.ordinal(), name, owner, first, second, body),
+        new StoreMessages.StoreRequest(++calls, deed.ordinal(), name, owner, first, second, body),
         0,
         then);
   }
@@ -564,15 +564,15 @@
   /** Calls the store with a change of routing, in somebody's name. */
   public void change(
       final String at,
-      final Deed deed,
+      final StoreOperation deed,
       final String name,
       final long first,
       final byte[] body,
-      final StoreCallMessages.Cause cause,
-      final Consumer<StoreCallMessages.Answer> then) {
+      final StoreMessages.ChangeOrigin cause,
+      final Consumer<StoreMessages.StoreResponse> then) {
     call(
         at,
-        new StoreCallMessages.Call(++calls, deed.ordinal(), name, null, first, 0, body, cause),
+        new StoreMessages.StoreRequest(++calls, deed.ordinal(), name, null, first, 0, body, cause),
         0,
         then);
   }
@@ -580,11 +580,11 @@
   /** Sends a call that was made before once more, with the same number or another. */
   public void again(
       final String at,
-      final StoreCallMessages.Call call,
-      final Consumer<StoreCallMessages.Answer> then) {
+      final StoreMessages.StoreRequest call,
+      final Consumer<StoreMessages.StoreResponse> then) {
     call(
         at,
-        new StoreCallMessages.Call(
+        new StoreMessages.StoreRequest(
             ++calls,
             call.deed,
             call.name,
@@ -601,13 +601,13 @@
   /** Asks one frame, and only it. */
   public void ask(
       final String at,
-      final Deed deed,
+      final StoreOperation deed,
       final long first,
       final long second,
-      final Consumer<StoreCallMessages.Answer> then) {
+      final Consumer<StoreMessages.StoreResponse> then) {
     call(
         at,
-        new StoreCallMessages.Call(++calls, deed.ordinal(), "", null, first, second, null),
+        new StoreMessages.StoreRequest(++calls, deed.ordinal(), "", null, first, second, null),
         3,
         then);
   }
@@ -615,17 +615,21 @@
   /** Calls the store at one frame only; whatever it says of others is not followed. */
   public void callOnly(
       final String at,
-      final Deed deed,
+      final StoreOperation deed,
       final String name,
-      final Consumer<StoreCallMessages.Answer> then) {
-    call(at, new StoreCallMessages.Call(++calls, deed.ordinal(), name, null, 0, 0, null), 3, then);
+      final Consumer<StoreMessages.StoreResponse> then) {
+    call(
+        at,
+        new StoreMessages.StoreRequest(++calls, deed.ordinal(), name, null, 0, 0, null),
+        3,
+        then);
   }
 
   private void call(
       final String at,
-      final StoreCallMessages.Call call,
+      final StoreMessages.StoreRequest call,
       final int hops,
-      final Consumer<StoreCallMessages.Answer> then) {
+      final Consumer<StoreMessages.StoreResponse> then) {
     after(
         1 + random.nextInt(3),
         () -> {
--- a/simulation/src/main/java/weldpoint/simulation/Text.java
+++ b/simulation/src/main/java/weldpoint/simulation/Text.java
@@ -3,7 +3,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import weldpoint.transport.Packing;
+import weldpoint.transport.Compression;
 
 /** What scripted callers write and read: bodies of the control interface. */
 final class Text {
@@ -36,7 +36,7 @@
 
   /** The tag of a configuration as it travels inside. */
   static String tag(final byte[] spec) {
-    return tag(new String(Packing.inflate(spec), StandardCharsets.UTF_8));
+    return tag(new String(Compression.inflate(spec), StandardCharsets.UTF_8));
   }
 
   /** The version of a configuration. */
--- a/simulation/src/test/java/weldpoint/registry/CopiesTest.java
+++ b/simulation/src/test/java/weldpoint/registry/CopiesTest.java
@@ -15,9 +15,9 @@
 import weldpoint.audit.AuditLog;
 import weldpoint.audit.ChangeKind;
 import weldpoint.simulation.Fleet;
-import weldpoint.statestore.Deed;
-import weldpoint.transport.StoreCallMessages;
-import weldpoint.transport.Wire;
+import weldpoint.statestore.StoreOperation;
+import weldpoint.transport.Serializer;
+import weldpoint.transport.StoreMessages;
 
 /**
  * Three exchanges whose copies of calls are lost, come late by seconds, and cross changes of duty:
@@ -41,7 +41,7 @@
   private static final class World {
     private final Fleet fleet;
     private final boolean identified;
-    private final List<StoreCaller> stores = new ArrayList<>();
+    private final List<StoreClient> stores = new ArrayList<>();
     private final Map<String, Boolean> frozen = new HashMap<>();
     private int begins;
     private int mayHold;
@@ -57,8 +57,8 @@
       }
       for (int index = 0; index < 3; index++) {
         final int which = index;
-        final StoreCaller store =
-            new StoreCaller(
+        final StoreClient store =
+            new StoreClient(
                 MACHINES[index][0],
                 new Random(seed * 31 + index),
                 (address, call) -> send(which, address, call));
@@ -78,16 +78,16 @@
       fleet.after(40, this::tick);
     }
 
-    private boolean send(final int which, final String to, final StoreCallMessages.Call call) {
+    private boolean send(final int which, final String to, final StoreMessages.StoreRequest call) {
       final Random random = fleet.random();
       if (fleet.machines().get(to).core() == null) {
         return false;
       }
-      final StoreCallMessages.Call copy =
+      final StoreMessages.StoreRequest copy =
           identified
               ? call.leaving(fleet.now() - random.nextInt(500), fleet.now())
               : call.from(0).leaving(null, fleet.now());
-      final byte[] bytes = Wire.bytes(copy);
+      final byte[] bytes = Serializer.bytes(copy);
       final int chance = random.nextInt(20);
       if (chance > 0) {
         fleet.after(
@@ -106,7 +106,7 @@
             .get(to)
             .core()
             .call(
-                Wire.value(bytes, StoreCallMessages.Call.class),
+                Serializer.value(bytes, StoreMessages.StoreRequest.class),
                 answer -> {
                   final int chance = fleet.random().nextInt(10);
                   if (chance > 0) {
@@ -119,7 +119,7 @@
       }
     }
 
-    private StoreCaller any() {
+    private StoreClient any() {
       return stores.get(fleet.random().nextInt(stores.size()));
     }
 
@@ -129,7 +129,7 @@
       }
       final String owner = "owner " + ++begins;
       any()
-          .call(Deed.LOCK_BEGIN, "l", owner, 30, 0, null, null, fleet.now(), 900)
+          .call(StoreOperation.LOCK_BEGIN, "l", owner, 30, 0, null, null, fleet.now(), 900)
           .whenComplete(
               (answer, problem) ->
                   mayHold +=
@@ -157,12 +157,13 @@
               });
     }
 
-    private CompletableFuture<StoreCallMessages.Answer> evacuate(
-        final StoreCaller store, final int on, final long cutoff) {
-      final StoreCallMessages.Cause cause = new StoreCallMessages.Cause("operator", "", "", null);
+    private CompletableFuture<StoreMessages.StoreResponse> evacuate(
+        final StoreClient store, final int on, final long cutoff) {
+      final StoreMessages.ChangeOrigin cause =
+          new StoreMessages.ChangeOrigin("operator", "", "", null);
       return store
           .call(
-              Deed.EVACUATION_TICKET,
+              StoreOperation.EVACUATION_TICKET,
               "z",
               null,
               0,
@@ -177,7 +178,7 @@
                       ? CompletableFuture.completedFuture(ticket)
                       : store
                           .call(
-                              Deed.EVACUATE,
+                              StoreOperation.EVACUATE,
                               "z",
                               null,
                               on,
@@ -235,7 +236,7 @@
       for (int round = 0; round < 20 && fence[0] == 0; round++) {
         fleet.call(
             fleet.running().get(round % fleet.running().size()),
-            Deed.LOCK_BEGIN,
+            StoreOperation.LOCK_BEGIN,
             "l",
             "last",
             30,
@@ -300,22 +301,22 @@
     assertEquals(caught, 6);
   }
 
-  private static StoreCallMessages.Call begin(final long number, final long hold) {
-    return new StoreCallMessages.Call(
-            number, Deed.LOCK_BEGIN.ordinal(), "k", "owner " + number, hold, 0, null)
+  private static StoreMessages.StoreRequest begin(final long number, final long hold) {
+    return new StoreMessages.StoreRequest(
+            number, StoreOperation.LOCK_BEGIN.ordinal(), "k", "owner " + number, hold, 0, null)
         .from(9);
   }
 
-  private static StoreCallMessages.Answer ask(
-      final World world, final String at, final StoreCallMessages.Call call) {
-    final StoreCallMessages.Answer[] answer = new StoreCallMessages.Answer[1];
+  private static StoreMessages.StoreResponse ask(
+      final World world, final String at, final StoreMessages.StoreRequest call) {
+    final StoreMessages.StoreResponse[] answer = new StoreMessages.StoreResponse[1];
     world
         .fleet
         .machines()
         .get(at)
         .core()
         .call(
-            Wire.value(Wire.bytes(call), StoreCallMessages.Call.class),
+            Serializer.value(Serializer.bytes(call), StoreMessages.StoreRequest.class),
             one -> answer[0] = one,
             world.fleet.now());
     world.fleet.run(300);
@@ -329,7 +330,7 @@
   private static String holder(final World world, final long number, final long hold) {
     for (int round = 0; round < 40; round++) {
       for (final String address : world.fleet.running()) {
-        final StoreCallMessages.Answer answer =
+        final StoreMessages.StoreResponse answer =
             ask(world, address, begin(number + round, hold).leaving(world.fleet.now(), 0));
         if (answer != null && answer.status == 200) {
           return address;
@@ -342,17 +343,17 @@
   @Test
   public void aCopyOfWhatTheHolderBeforeMayHaveDoneIsLeftUnclear() {
     final World world = new World(5, true);
-    final StoreCallMessages.Call call = begin(1, 200);
+    final StoreMessages.StoreRequest call = begin(1, 200);
     final long sentAt = world.fleet.now();
     final String first = holder(world, 1, 200);
     world.fleet.kill(first, true);
     final String next = holder(world, 100, 100);
     world.fleet.run(300);
-    final StoreCallMessages.Answer copy =
+    final StoreMessages.StoreResponse copy =
         ask(world, next, call.aged(world.fleet.now() - sentAt, 0).leaving(world.fleet.now(), 0));
     assertEquals(copy.status, 504);
     assertEquals(copy.caller, 9);
-    final StoreCallMessages.Answer fresh =
+    final StoreMessages.StoreResponse fresh =
         ask(world, next, begin(203, 100).leaving(world.fleet.now(), 0));
     assertEquals(fresh.status, 200);
     assertEquals(fresh.first, 3, "the copy was carried out after all");
@@ -384,14 +385,14 @@
     final World world = new World(7, true);
     final String at = holder(world, 1, 100);
     world.fleet.run(300);
-    final StoreCallMessages.Answer first =
+    final StoreMessages.StoreResponse first =
         ask(world, at, begin(202, 100).leaving(world.fleet.now(), 0));
     world.fleet.run(300);
-    final StoreCallMessages.Answer other =
+    final StoreMessages.StoreResponse other =
         ask(world, at, begin(203, 100).leaving(world.fleet.now(), 0));
     assertEquals(other.first, first.first + 1);
     world.fleet.run(300);
-    final StoreCallMessages.Answer second =
+    final StoreMessages.StoreResponse second =
         ask(world, at, begin(202, 100).aged(900, 0).leaving(world.fleet.now(), 0));
     assertEquals(second.status, 200);
     assertEquals(second.first, first.first);
--- a/simulation/src/test/java/weldpoint/simulation/BrokenControlTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/BrokenControlTest.java
@@ -16,10 +16,10 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import weldpoint.statestore.Deed;
+import weldpoint.statestore.StoreOperation;
 import weldpoint.transport.Message;
 import weldpoint.transport.StateStoreMessages;
-import weldpoint.transport.StoreCallMessages;
+import weldpoint.transport.StoreMessages;
 
 /**
  * Control sides with one safety mechanism broken, by meddling with what is said: the checker must
@@ -76,7 +76,7 @@
    * whatever the answer said.
    */
   private static final class NeverOvertaken implements ControlFleet.Meddler {
-    private final Map<String, StateStoreMessages.Pulse> pulses = new HashMap<>();
+    private final Map<String, StateStoreMessages.Heartbeat> pulses = new HashMap<>();
 
     @Override
     public void heard(
@@ -88,14 +88,14 @@
                   || message instanceof StateStoreMessages.Accept)) {
         return;
       }
-      if (message instanceof StateStoreMessages.Pulse) {
-        pulses.put(from + ">" + to, (StateStoreMessages.Pulse) message);
-      } else if (message instanceof StateStoreMessages.Pulsed
+      if (message instanceof StateStoreMessages.Heartbeat) {
+        pulses.put(from + ">" + to, (StateStoreMessages.Heartbeat) message);
+      } else if (message instanceof StateStoreMessages.HeartbeatAck
           && pulses.containsKey(to + ">" + from)) {
-        final StateStoreMessages.Pulse pulse = pulses.get(to + ">" + from);
-        final StateStoreMessages.Pulsed pulsed = (StateStoreMessages.Pulsed) message;
+        final StateStoreMessages.Heartbeat pulse = pulses.get(to + ">" + from);
+        final StateStoreMessages.HeartbeatAck pulsed = (StateStoreMessages.HeartbeatAck) message;
         ear.accept(
-            new StateStoreMessages.Pulsed(
+            new StateStoreMessages.HeartbeatAck(
                 pulse.partitions, pulse.ballots, pulsed.incarnation, pulsed.known, pulsed.audited));
         return;
       }
@@ -117,9 +117,9 @@
     public void heard(
         final String from, final String to, final Message message, final Consumer<Message> ear) {
       ear.accept(message);
-      if (message instanceof StoreCallMessages.Call
-          && ((StoreCallMessages.Call) message).deed == Deed.EVACUATE.ordinal()) {
-        final StoreCallMessages.Call call = (StoreCallMessages.Call) message;
+      if (message instanceof StoreMessages.StoreRequest
+          && ((StoreMessages.StoreRequest) message).deed == StoreOperation.EVACUATE.ordinal()) {
+        final StoreMessages.StoreRequest call = (StoreMessages.StoreRequest) message;
         copies.add(() -> ear.accept(known ? call : unknown(call)));
         if (copies.size() > 2) {
           copies.remove(random.nextInt(2)).run();
@@ -127,8 +127,8 @@
       }
     }
 
-    private static StoreCallMessages.Call unknown(final StoreCallMessages.Call call) {
-      return new StoreCallMessages.Call(
+    private static StoreMessages.StoreRequest unknown(final StoreMessages.StoreRequest call) {
+      return new StoreMessages.StoreRequest(
           call.number + 1_000_000,
           call.deed,
           call.name,
@@ -147,9 +147,9 @@
    */
   private static final class OfAnotherLife implements ControlFleet.Meddler {
     private final boolean taken;
-    private final Map<String, StoreCallMessages.Call> calls = new HashMap<>();
-    private final Map<String, StoreCallMessages.Answer> answers = new HashMap<>();
-    private final Map<String, StoreCallMessages.Answer> former = new HashMap<>();
+    private final Map<String, StoreMessages.StoreRequest> calls = new HashMap<>();
+    private final Map<String, StoreMessages.StoreResponse> answers = new HashMap<>();
+    private final Map<String, StoreMessages.StoreResponse> former = new HashMap<>();
 
     private OfAnotherLife(final boolean taken) {
       this.taken = taken;
@@ -171,20 +171,20 @@
     @Override
     public void heard(
         final String from, final String to, final Message message, final Consumer<Message> ear) {
-      if (message instanceof StoreCallMessages.Call) {
+      if (message instanceof StoreMessages.StoreRequest) {
         calls.put(
-            from + " " + ((StoreCallMessages.Call) message).number,
-            (StoreCallMessages.Call) message);
-      } else if (message instanceof StoreCallMessages.Answer
-          && ((StoreCallMessages.Answer) message).status == 200) {
-        final StoreCallMessages.Answer answer = (StoreCallMessages.Answer) message;
-        final StoreCallMessages.Call call = calls.get(to + " " + answer.number);
-        if (call != null && call.deed == Deed.NUMBER.ordinal()) {
-          final StoreCallMessages.Answer old = former.remove(to + " " + call.name);
+            from + " " + ((StoreMessages.StoreRequest) message).number,
+            (StoreMessages.StoreRequest) message);
+      } else if (message instanceof StoreMessages.StoreResponse
+          && ((StoreMessages.StoreResponse) message).status == 200) {
+        final StoreMessages.StoreResponse answer = (StoreMessages.StoreResponse) message;
+        final StoreMessages.StoreRequest call = calls.get(to + " " + answer.number);
+        if (call != null && call.deed == StoreOperation.NUMBER.ordinal()) {
+          final StoreMessages.StoreResponse old = former.remove(to + " " + call.name);
           answers.put(to + " " + call.name, answer);
           if (old != null) {
             ear.accept(
-                new StoreCallMessages.Answer(
+                new StoreMessages.StoreResponse(
                         answer.number, old.status, old.first, old.body, old.holder)
                     .to(taken ? answer.caller : old.caller));
             return;
--- a/simulation/src/test/java/weldpoint/simulation/CatchUpMeasureTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/CatchUpMeasureTest.java
@@ -12,13 +12,13 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 import weldpoint.audit.ConfigurationSummary;
-import weldpoint.routing.Dialplan;
-import weldpoint.statestore.Deed;
+import weldpoint.routing.RoutingTable;
+import weldpoint.statestore.StoreOperation;
 import weldpoint.transport.AuditMessages;
-import weldpoint.transport.Packing;
+import weldpoint.transport.Compression;
+import weldpoint.transport.Serializer;
 import weldpoint.transport.StateStoreMessages;
-import weldpoint.transport.StoreCallMessages;
-import weldpoint.transport.Wire;
+import weldpoint.transport.StoreMessages;
 
 /**
  * Catching up after hundreds and thousands of configurations: a member is killed, cut off and wiped
@@ -83,18 +83,19 @@
   private long change(final Fleet fleet, final long from, final long through, final int routes) {
     for (long version = from + 1; version <= through; version++) {
       final byte[] body = configuration(version, routes);
-      final StoreCallMessages.Cause cause =
-          new StoreCallMessages.Cause(
+      final StoreMessages.ChangeOrigin cause =
+          new StoreMessages.ChangeOrigin(
               "author",
               "10.9.9.9",
               "10.0.1.1",
-              Packing.deflate(Wire.bytes(ConfigurationSummary.of(Dialplan.read(body), body))));
-      final byte[] packed = Packing.deflate(body);
+              Compression.deflate(
+                  Serializer.bytes(ConfigurationSummary.of(RoutingTable.read(body), body))));
+      final byte[] packed = Compression.deflate(body);
       final boolean[] taken = new boolean[1];
       for (int attempt = 0; attempt < 100 && !taken[0]; attempt++) {
         fleet.change(
             SEEDS.get(attempt % 3),
-            Deed.SPEC_REPLACE,
+            StoreOperation.SPEC_REPLACE,
             "",
             version,
             packed,
@@ -110,9 +111,9 @@
   }
 
   private static long bytes(final Fleet fleet) {
-    return fleet.received(MEMBER, StateStoreMessages.Fetched.class)
+    return fleet.received(MEMBER, StateStoreMessages.RecoveryResponse.class)
         + fleet.received(MEMBER, StateStoreMessages.Accept.class)
-        + fleet.received(MEMBER, AuditMessages.AuditPart.class);
+        + fleet.received(MEMBER, AuditMessages.AuditEntries.class);
   }
 
   private static boolean caughtUp(final Fleet fleet) {
@@ -188,7 +189,7 @@
             + " changes of "
             + routes
             + " routes ("
-            + Packing.deflate(configuration(version, routes)).length
+            + Compression.deflate(configuration(version, routes)).length
             + " bytes packed): killed for an eighth "
             + killed[0]
             + " ms "
--- a/simulation/src/test/java/weldpoint/simulation/CatchUpTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/CatchUpTest.java
@@ -12,10 +12,10 @@
 import java.util.TreeMap;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
-import weldpoint.statestore.Deed;
+import weldpoint.statestore.StoreOperation;
 import weldpoint.transport.AuditMessages;
-import weldpoint.transport.Mark;
 import weldpoint.transport.Message;
+import weldpoint.transport.RegisterVersion;
 import weldpoint.transport.StateStoreMessages;
 
 /**
@@ -73,7 +73,7 @@
       for (final Map.Entry<Integer, String> one : new ArrayList<>(open.entrySet())) {
         fleet.call(
             SEEDS.get(0),
-            Deed.CELL_REPLACE,
+            StoreOperation.CELL_REPLACE,
             "g" + one.getKey(),
             one.getValue(),
             -1,
@@ -113,9 +113,9 @@
 
   /** The bytes that the member was sent for catching up. */
   private static long bytes(final Fleet fleet) {
-    return fleet.received(MEMBER, StateStoreMessages.Fetched.class)
+    return fleet.received(MEMBER, StateStoreMessages.RecoveryResponse.class)
         + fleet.received(MEMBER, StateStoreMessages.Accept.class)
-        + fleet.received(MEMBER, AuditMessages.AuditPart.class);
+        + fleet.received(MEMBER, AuditMessages.AuditEntries.class);
   }
 
   private static void restart(final Fleet fleet, final boolean wipe) {
@@ -133,11 +133,11 @@
     restart(fleet, true);
     fleet.link(MEMBER, 100);
     fleet.run(500);
-    final long before = fleet.received(MEMBER, StateStoreMessages.Fetched.class);
+    final long before = fleet.received(MEMBER, StateStoreMessages.RecoveryResponse.class);
     fleet.start(MEMBER, false);
     final long took = untilWhole(fleet, 20_000);
     assertFalse(fleet.machines().get(MEMBER).core().blank(), "still blank after " + took + " ms");
-    final long fetched = fleet.received(MEMBER, StateStoreMessages.Fetched.class) - before;
+    final long fetched = fleet.received(MEMBER, StateStoreMessages.RecoveryResponse.class) - before;
     fleet.run(2000);
     assertTrue(ballots(fleet) - ballots <= 24, "ballots " + (ballots(fleet) - ballots));
     assertTrue(fetched < 950_000, "600 KB of state came as " + fetched + " bytes");
@@ -151,7 +151,7 @@
     restart(fleet, true);
     fleet.link(MEMBER, 200);
     fleet.run(500);
-    final long before = fleet.received(MEMBER, StateStoreMessages.Fetched.class);
+    final long before = fleet.received(MEMBER, StateStoreMessages.RecoveryResponse.class);
     fleet.start(MEMBER, false);
     final boolean[] done = new boolean[1];
     change(fleet, done);
@@ -165,7 +165,7 @@
     final long took = untilWhole(fleet, 20_000);
     done[0] = true;
     assertFalse(fleet.machines().get(MEMBER).core().blank(), "still blank after " + took + " ms");
-    final long fetched = fleet.received(MEMBER, StateStoreMessages.Fetched.class) - before;
+    final long fetched = fleet.received(MEMBER, StateStoreMessages.RecoveryResponse.class) - before;
     assertTrue(
         fetched < 1_500_000, "600 KB of state came, over four lives, as " + fetched + " bytes");
     assertTrue(took < 6000, "took " + took);
@@ -175,7 +175,7 @@
     if (!done[0]) {
       fleet.call(
           SEEDS.get(0),
-          Deed.CELL_REPLACE,
+          StoreOperation.CELL_REPLACE,
           "g" + fleet.random().nextInt(300),
           text(fleet.random(), 100),
           -1,
@@ -210,7 +210,8 @@
       final byte[] body = new byte[length];
       fleet.random().nextBytes(body);
       version[0]++;
-      fleet.call(SEEDS.get(0), Deed.SPEC_REPLACE, "", null, version[0], 0, body, answer -> {});
+      fleet.call(
+          SEEDS.get(0), StoreOperation.SPEC_REPLACE, "", null, version[0], 0, body, answer -> {});
       fleet.after(700, () -> configure(fleet, done, version, length));
     }
   }
@@ -253,7 +254,7 @@
           return new StateStoreMessages.Promise(
               promise.partition,
               promise.ballot,
-              Mark.NONE,
+              RegisterVersion.NONE,
               List.of(),
               promise.incarnation,
               promise.known);
@@ -292,7 +293,7 @@
     for (int group = 0; group < 40; group++) {
       fleet.call(
           MEMBER,
-          Deed.CELL_READ,
+          StoreOperation.CELL_READ,
           "g" + group,
           null,
           0,
@@ -329,7 +330,14 @@
     fleet.run(2000);
     final List<Long> learned = new ArrayList<>();
     fleet.call(
-        SEEDS.get(0), Deed.CONTROL, "", null, 0, 0, null, answer -> learned.add(answer.first));
+        SEEDS.get(0),
+        StoreOperation.CONTROL,
+        "",
+        null,
+        0,
+        0,
+        null,
+        answer -> learned.add(answer.first));
     fleet.run(2000);
     assertTrue(version[0] > 40);
     assertEquals(learned, List.of(version[0]));
@@ -350,7 +358,7 @@
         new Fleet.Meddler() {
           @Override
           public Message pass(final String from, final String to, final Message message) {
-            return lost[0] && to.equals(MEMBER) && message instanceof AuditMessages.AuditPart
+            return lost[0] && to.equals(MEMBER) && message instanceof AuditMessages.AuditEntries
                 ? null
                 : message;
           }
--- a/simulation/src/test/java/weldpoint/simulation/FrameSafetyTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/FrameSafetyTest.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
-import weldpoint.statestore.Deed;
+import weldpoint.statestore.StoreOperation;
 
 /**
  * Five frames under cuts, freezes, kills, power loss, wipes and replacement; what callers saw must
@@ -56,7 +56,7 @@
         case 0 ->
             fleet.call(
                 at,
-                Deed.NUMBER,
+                StoreOperation.NUMBER,
                 name,
                 null,
                 0,
@@ -75,7 +75,7 @@
           final boolean[] answered = new boolean[1];
           fleet.call(
               at,
-              Deed.LOCK_BEGIN,
+              StoreOperation.LOCK_BEGIN,
               name,
               owner,
               800,
@@ -98,7 +98,7 @@
                           fleet.after(1000, () -> busy.remove(name + owner));
                           fleet.call(
                               at,
-                              Deed.LOCK_TICKET,
+                              StoreOperation.LOCK_TICKET,
                               name,
                               owner,
                               0,
@@ -108,7 +108,7 @@
                                 if (ticket.status == 200 && fleet.now() - begunAt < 900) {
                                   fleet.call(
                                       at,
-                                      Deed.LOCK_FINISH,
+                                      StoreOperation.LOCK_FINISH,
                                       name,
                                       owner,
                                       ticket.first,
@@ -120,7 +120,7 @@
                                       () ->
                                           fleet.call(
                                               at,
-                                              Deed.LOCK_FINISH,
+                                              StoreOperation.LOCK_FINISH,
                                               name,
                                               owner,
                                               ticket.first,
@@ -147,7 +147,7 @@
           final long enabled = random.nextBoolean() ? -1 : random.nextInt(4);
           fleet.call(
               at,
-              Deed.CELL_REPLACE,
+              StoreOperation.CELL_REPLACE,
               key.substring(0, 3),
               value,
               enabled,
@@ -166,7 +166,7 @@
           final String key = "g" + random.nextInt(2) + ".k" + random.nextInt(2);
           fleet.call(
               at,
-              Deed.CELL_READ,
+              StoreOperation.CELL_READ,
               key.substring(0, 3),
               null,
               0,
@@ -329,7 +329,7 @@
     for (int index = 0; index < 40; index++) {
       fleet.callOnly(
           few[index % 2],
-          Deed.NUMBER,
+          StoreOperation.NUMBER,
           "n" + index,
           answer -> {
             if (answer.status == 200) {
--- a/simulation/src/test/java/weldpoint/simulation/HistoryTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/HistoryTest.java
@@ -17,16 +17,16 @@
 import weldpoint.audit.AuditStore;
 import weldpoint.audit.ChangeKind;
 import weldpoint.audit.ConfigurationSummary;
-import weldpoint.routing.Dialplan;
-import weldpoint.statestore.BrokenBook;
-import weldpoint.statestore.Deed;
-import weldpoint.statestore.FrameCore;
+import weldpoint.routing.RoutingTable;
+import weldpoint.statestore.BrokenAuditSequencer;
+import weldpoint.statestore.StateStoreReplica;
+import weldpoint.statestore.StoreOperation;
+import weldpoint.transport.Compression;
 import weldpoint.transport.Message;
-import weldpoint.transport.Packing;
 import weldpoint.transport.Protocol;
+import weldpoint.transport.Serializer;
 import weldpoint.transport.StateStoreMessages;
-import weldpoint.transport.StoreCallMessages;
-import weldpoint.transport.Wire;
+import weldpoint.transport.StoreMessages;
 
 /**
  * Two operators change configurations and evacuations over cuts, freezes, power loss, wiped, slow
@@ -73,20 +73,21 @@
         .getBytes(StandardCharsets.UTF_8);
   }
 
-  private static StoreCallMessages.Cause cause(final String author, final byte[] body) {
-    return new StoreCallMessages.Cause(
+  private static StoreMessages.ChangeOrigin cause(final String author, final byte[] body) {
+    return new StoreMessages.ChangeOrigin(
         author,
         "10.9.9.9",
         "10.0.1.1",
         body == null
             ? null
-            : Packing.deflate(Wire.bytes(ConfigurationSummary.of(Dialplan.read(body), body))));
+            : Compression.deflate(
+                Serializer.bytes(ConfigurationSummary.of(RoutingTable.read(body), body))));
   }
 
   private static final class Operators {
     private final Fleet fleet;
     private final HistoryLedger ledger;
-    private final List<StoreCallMessages.Call> earlier = new ArrayList<>();
+    private final List<StoreMessages.StoreRequest> earlier = new ArrayList<>();
     private long version;
     private boolean stopped;
 
@@ -109,26 +110,26 @@
           final long sent = version;
           final byte[] body = body(sent, random.nextInt(3));
           ledger.offered(sent, AuditEntry.digest(body));
-          final StoreCallMessages.Call call =
-              new StoreCallMessages.Call(
+          final StoreMessages.StoreRequest call =
+              new StoreMessages.StoreRequest(
                   0,
-                  Deed.SPEC_REPLACE.ordinal(),
+                  StoreOperation.SPEC_REPLACE.ordinal(),
                   "",
                   null,
                   sent,
                   0,
-                  Packing.deflate(body),
+                  Compression.deflate(body),
                   cause(author, body));
           earlier.add(call);
           fleet.again(at, call, answer -> acknowledge(sent, answer));
         } else if (pick < 7 && !earlier.isEmpty()) {
-          final StoreCallMessages.Call call = earlier.get(random.nextInt(earlier.size()));
+          final StoreMessages.StoreRequest call = earlier.get(random.nextInt(earlier.size()));
           fleet.again(at, call, answer -> acknowledge(call.first, answer));
         } else {
           final String zone = "z" + random.nextInt(2);
           fleet.change(
               at,
-              Deed.EVACUATE,
+              StoreOperation.EVACUATE,
               zone,
               random.nextInt(2),
               null,
@@ -143,7 +144,7 @@
       fleet.after(40 + random.nextInt(120), () -> work(author));
     }
 
-    private void acknowledge(final long sent, final StoreCallMessages.Answer answer) {
+    private void acknowledge(final long sent, final StoreMessages.StoreResponse answer) {
       if (answer.status == 200 && answer.first == sent) {
         ledger.acknowledged(sent);
       }
@@ -207,7 +208,7 @@
     for (int round = 0; round < 40 && version[0] == 0; round++) {
       fleet.call(
           fleet.running().get(round % fleet.running().size()),
-          Deed.SPEC_READ,
+          StoreOperation.SPEC_READ,
           "",
           null,
           0,
@@ -216,7 +217,7 @@
           answer -> {
             if (answer.status == 200) {
               version[0] = answer.first;
-              digest[0] = AuditEntry.digest(Packing.inflate(answer.body));
+              digest[0] = AuditEntry.digest(Compression.inflate(answer.body));
             }
           });
       fleet.run(300);
@@ -329,24 +330,30 @@
     for (int round = 0; round < 3; round++) {
       fleet.change(
           "10.0.1.1",
-          Deed.SPEC_REPLACE,
+          StoreOperation.SPEC_REPLACE,
           "",
           5,
-          Packing.deflate(first),
+          Compression.deflate(first),
           cause("customer desk", first),
           answer -> {});
       fleet.change(
-          "10.0.2.1", Deed.EVACUATE, "z", 1, null, cause("customer desk", null), answer -> {});
+          "10.0.2.1",
+          StoreOperation.EVACUATE,
+          "z",
+          1,
+          null,
+          cause("customer desk", null),
+          answer -> {});
       fleet.run(800);
     }
     final byte[] second = body(9, 2);
     fleet.step("10.0.1.1", -100_000);
     fleet.change(
         "10.0.1.1",
-        Deed.SPEC_REPLACE,
+        StoreOperation.SPEC_REPLACE,
         "",
         9,
-        Packing.deflate(second),
+        Compression.deflate(second),
         cause("dispatch lead", second),
         answer -> {});
     fleet.run(1500);
@@ -383,13 +390,21 @@
               }
 
               @Override
-              public void prepare(final FrameCore core, final AuditStore store, final long keeps) {
-                BrokenBook.silent(core, store, keeps);
+              public void prepare(
+                  final StateStoreReplica core, final AuditStore store, final long keeps) {
+                BrokenAuditSequencer.silent(core, store, keeps);
               }
             },
             2000);
     final byte[] old = body(3, 1);
-    fleet.change("10.0.1.1", Deed.SPEC_REPLACE, "", 3, Packing.deflate(old), null, answer -> {});
+    fleet.change(
+        "10.0.1.1",
+        StoreOperation.SPEC_REPLACE,
+        "",
+        3,
+        Compression.deflate(old),
+        null,
+        answer -> {});
     fleet.run(1000);
     fleet.meddler(new Fleet.Meddler() {});
     for (final String address : fleet.running()) {
@@ -420,11 +435,12 @@
                               && !((StateStoreMessages.Accept) message).establish) {
                             final StateStoreMessages.Accept accept =
                                 (StateStoreMessages.Accept) message;
-                            final List<StateStoreMessages.Entry> entries = new ArrayList<>();
-                            for (final StateStoreMessages.Entry entry :
+                            final List<StateStoreMessages.RegisterEntry> entries =
+                                new ArrayList<>();
+                            for (final StateStoreMessages.RegisterEntry entry :
                                 Protocol.list(accept.entries)) {
                               entries.add(
-                                  new StateStoreMessages.Entry(
+                                  new StateStoreMessages.RegisterEntry(
                                       entry.name,
                                       entry.mark,
                                       entry.base,
@@ -461,8 +477,10 @@
                       new Fleet.Meddler() {
                         @Override
                         public void prepare(
-                            final FrameCore core, final AuditStore store, final long keeps) {
-                          BrokenBook.hasty(core, store, keeps);
+                            final StateStoreReplica core,
+                            final AuditStore store,
+                            final long keeps) {
+                          BrokenAuditSequencer.hasty(core, store, keeps);
                         }
                       },
                       new int[1],
--- a/simulation/src/test/java/weldpoint/simulation/IncarnationTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/IncarnationTest.java
@@ -69,8 +69,8 @@
           new Fleet.Meddler() {
             @Override
             public Message pass(final String from, final String to, final Message message) {
-              if (from.equals(twice) && message instanceof StateStoreMessages.Pulsed) {
-                incarnation[0] = ((StateStoreMessages.Pulsed) message).incarnation;
+              if (from.equals(twice) && message instanceof StateStoreMessages.HeartbeatAck) {
+                incarnation[0] = ((StateStoreMessages.HeartbeatAck) message).incarnation;
               }
               return message;
             }
@@ -108,20 +108,20 @@
     final Fleet fleet = fleet(3, 1);
     wipe(fleet, SEEDS[1]);
     final String late = SEEDS[4];
-    final Map<String, StateStoreMessages.Pulsed> kept = new HashMap<>();
+    final Map<String, StateStoreMessages.HeartbeatAck> kept = new HashMap<>();
     final boolean[] give = new boolean[1];
     final Map<String, List<Long>> lists = new HashMap<>();
     fleet.meddler(
         new Fleet.Meddler() {
           @Override
           public Message pass(final String from, final String to, final Message message) {
-            if (!(message instanceof StateStoreMessages.Pulsed)) {
+            if (!(message instanceof StateStoreMessages.HeartbeatAck)) {
               return message;
             }
             if (from.equals(late) && !give[0]) {
-              kept.put(to, (StateStoreMessages.Pulsed) message);
+              kept.put(to, (StateStoreMessages.HeartbeatAck) message);
             }
-            lists.put(from, ((StateStoreMessages.Pulsed) message).known);
+            lists.put(from, ((StateStoreMessages.HeartbeatAck) message).known);
             return from.equals(late) && give[0] && kept.containsKey(to) ? kept.remove(to) : message;
           }
         });
@@ -129,7 +129,7 @@
     assertTrue(
         kept.values().stream().allMatch(pulsed -> pulsed.known.contains(2L)),
         "nobody knows of the lost disk");
-    final Map<String, StateStoreMessages.Pulsed> copies = new HashMap<>(kept);
+    final Map<String, StateStoreMessages.HeartbeatAck> copies = new HashMap<>(kept);
     replace(fleet, SEEDS[0]);
     kept.clear();
     kept.putAll(copies);
--- a/simulation/src/test/java/weldpoint/simulation/RosterNumberTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/RosterNumberTest.java
@@ -10,8 +10,8 @@
 import org.testng.annotations.Test;
 import weldpoint.transport.Message;
 import weldpoint.transport.Protocol;
+import weldpoint.transport.Serializer;
 import weldpoint.transport.StateStoreMessages;
-import weldpoint.transport.Wire;
 
 /**
  * A roster's number names one roster, whoever has it, and incarnations are those of the voters they
@@ -48,11 +48,11 @@
           public Message pass(final String from, final String to, final Message message) {
             if (message instanceof StateStoreMessages.Accept
                 && !((StateStoreMessages.Accept) message).establish) {
-              for (final StateStoreMessages.Entry entry :
+              for (final StateStoreMessages.RegisterEntry entry :
                   ((StateStoreMessages.Accept) message).entries) {
                 if (entry.name.equals("roster") && entry.whole != null) {
                   final StateStoreMessages.Roster roster =
-                      Wire.value(entry.whole, StateStoreMessages.Roster.class);
+                      Serializer.value(entry.whole, StateStoreMessages.Roster.class);
                   final String before =
                       proposed.putIfAbsent(
                           entry.mark.ballot() + " roster " + roster.number, content(roster));
@@ -69,7 +69,7 @@
                 }
               }
             }
-            return message instanceof StateStoreMessages.RosterNews && random.nextInt(3) == 0
+            return message instanceof StateStoreMessages.RosterUpdate && random.nextInt(3) == 0
                 ? null
                 : message;
           }
--- a/simulation/src/test/java/weldpoint/simulation/RosterTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/RosterTest.java
@@ -12,7 +12,7 @@
 import java.util.TreeMap;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
-import weldpoint.statestore.Deed;
+import weldpoint.statestore.StoreOperation;
 import weldpoint.transport.Message;
 import weldpoint.transport.StateStoreMessages;
 import weldpoint.transport.StateStoreMessages.Roster;
@@ -97,7 +97,7 @@
         final String name = "n" + random.nextInt(3);
         fleet.call(
             running.get(random.nextInt(running.size())),
-            Deed.NUMBER,
+            StoreOperation.NUMBER,
             name,
             null,
             0,
--- a/simulation/src/test/java/weldpoint/simulation/TrialTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/TrialTest.java
@@ -13,18 +13,18 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import weldpoint.common.Breakdown;
-import weldpoint.routing.Dialplan;
-import weldpoint.statestore.Deed;
-import weldpoint.statestore.Values;
+import weldpoint.common.WeldpointException;
+import weldpoint.routing.RoutingTable;
+import weldpoint.statestore.StoreOperation;
+import weldpoint.statestore.StoredValues;
 import weldpoint.transport.Protocol;
+import weldpoint.transport.Serializer;
 import weldpoint.transport.TrialMessages;
 import weldpoint.transport.TrialMessages.Trial;
-import weldpoint.transport.Wire;
-import weldpoint.trial.Count;
-import weldpoint.trial.TrialBook;
-import weldpoint.trial.TrialPanel;
-import weldpoint.trial.Verdict;
+import weldpoint.trial.TrialCoordinator;
+import weldpoint.trial.TrialCounter;
+import weldpoint.trial.TrialTracker;
+import weldpoint.trial.TrialVerdict;
 
 /**
  * Switchboards, exchanges' panels and five frames on one fake clock; scripted upstreams of a new
@@ -33,8 +33,8 @@
 public final class TrialTest {
   private static final String TOKEN = "only-testers";
   private static final long TARGET = 300;
-  private static final Dialplan PLAN =
-      Dialplan.compile(
+  private static final RoutingTable PLAN =
+      RoutingTable.compile(
           ("{\"version\":\"1\",\"listeners\":[{\"host\":\"h\",\"rules\":["
                   + "{\"name\":\"book\",\"routeKind\":\"mutating\",\"targetLatencyMs\":300,\"match\":{\"pathPrefix\":\"/b/\"},\"action\":{\"split\":[{\"service\":\"old\",\"weight\":1},{\"service\":\"new\",\"weight\":1}],\"timeoutMs\":2000,\"maxAttempts\":2}},"
                   + "{\"name\":\"plain\",\"routeKind\":\"mutating\",\"match\":{\"pathPrefix\":\"/p/\"},\"action\":{\"service\":\"old\",\"timeoutMs\":2000,\"maxAttempts\":2}},"
@@ -58,10 +58,10 @@
 
   private static final class Stage {
     final Fleet fleet;
-    final List<TrialBook> books = new ArrayList<>();
+    final List<TrialTracker> books = new ArrayList<>();
     final List<Boolean> cut = new ArrayList<>();
     final List<String> addresses = new ArrayList<>();
-    final TrialPanel panel = new TrialPanel();
+    final TrialCoordinator panel = new TrialCoordinator();
     final Random random;
     final Fault fault;
     final int oneIn;
@@ -85,7 +85,7 @@
       fleet.run(3000);
       for (int index = 0; index < boards; index++) {
         addresses.add("10.1.0." + index);
-        books.add(new TrialBook("10.1.0." + index, 100 + index));
+        books.add(new TrialTracker("10.1.0." + index, 100 + index));
         cut.add(false);
       }
       poll();
@@ -96,7 +96,7 @@
       if (!running.isEmpty()) {
         fleet.call(
             running.get(random.nextInt(running.size())),
-            Deed.CONTROL,
+            StoreOperation.CONTROL,
             "",
             null,
             version,
@@ -104,7 +104,8 @@
             null,
             answer -> {
               if (answer.status == 200) {
-                final Values.Control control = Wire.value(answer.body, Values.Control.class);
+                final StoredValues.ControlSnapshot control =
+                    Serializer.value(answer.body, StoredValues.ControlSnapshot.class);
                 if (control.trialMark > marks) {
                   marks = control.trialMark;
                   panel.take(Protocol.list(control.trials));
@@ -126,12 +127,12 @@
         final List<String> running = fleet.running();
         fleet.call(
             running.get(random.nextInt(running.size())),
-            Deed.TRIAL_WRITE,
+            StoreOperation.TRIAL_WRITE,
             next.route,
             null,
             next.serial - 1,
             0,
-            Wire.bytes(next),
+            Serializer.bytes(next),
             answer -> done[0] |= answer.status == 200);
         fleet.run(100);
       }
@@ -158,12 +159,12 @@
         final List<String> running = fleet.running();
         fleet.call(
             running.get(random.nextInt(running.size())),
-            Deed.TRIAL_WRITE,
+            StoreOperation.TRIAL_WRITE,
             verdict.route,
             null,
             verdict.serial - 1,
             0,
-            Wire.bytes(verdict),
+            Serializer.bytes(verdict),
             answer -> {});
       }
     }
@@ -171,7 +172,7 @@
     /** One write at a switchboard drawn by lot. */
     void traffic(final boolean rehearsal) {
       final int board = random.nextInt(books.size());
-      final TrialBook book = books.get(board);
+      final TrialTracker book = books.get(board);
       final String attempt = "a" + attempts++;
       final String service =
           book.choose(
@@ -187,28 +188,30 @@
           service.equals("new") && fault != Fault.NONE && random.nextInt(oneIn) == 0;
       book.other("new", true);
       if (strikes && fault == Fault.LOSES) {
-        book.ended("book", service, attempt, TrialBook.Fate.LOST, 2000, TARGET);
+        book.ended("book", service, attempt, TrialTracker.WriteOutcome.LOST, 2000, TARGET);
         return;
       }
       book.ended(
           "book",
           service,
           attempt,
-          TrialBook.Fate.CONFIRMED,
+          TrialTracker.WriteOutcome.CONFIRMED,
           strikes && fault == Fault.DELAYS ? 900 : random.nextInt(100) == 0 ? 350 : 120,
           TARGET);
       if (strikes && fault == Fault.DOUBLES) {
         book.surplus(attempt);
       }
       if (strikes && fault == Fault.ELSEWHERE) {
-        final TrialBook other = books.get((board + 1) % books.size());
+        final TrialTracker other = books.get((board + 1) % books.size());
         other.sent("book", "new", attempt);
-        other.ended("book", "new", attempt, TrialBook.Fate.CONFIRMED, 100, TARGET);
+        other.ended("book", "new", attempt, TrialTracker.WriteOutcome.CONFIRMED, 100, TARGET);
       }
     }
 
     int run(final int seconds, final boolean rehearsal) {
-      for (int step = 0; step < seconds * 20 && Verdict.of(trial()) == Verdict.RUNNING; step++) {
+      for (int step = 0;
+          step < seconds * 20 && TrialVerdict.of(trial()) == TrialVerdict.RUNNING;
+          step++) {
         traffic(rehearsal);
         fleet.run(50);
         if (step % 10 == 9) {
@@ -239,12 +242,12 @@
         stage.run(2, false);
         stage.run(10, true);
       }
-      assertEquals(Verdict.of(stage.trial()), Verdict.HELD, fault + " seed " + seed);
+      assertEquals(TrialVerdict.of(stage.trial()), TrialVerdict.HELD, fault + " seed " + seed);
       assertEquals(stage.exposedWithoutToken, 0, fault + " seed " + seed);
       assertFalse(
           Protocol.list(stage.trial().attempts).isEmpty(),
           fault + " seed " + seed + " names no attempt: " + stage.trial().reason);
-      for (final TrialBook book : stage.books) {
+      for (final TrialTracker book : stage.books) {
         assertTrue(book.held("book"));
         assertEquals(book.choose("book", "new", TOKEN, 0), "old");
       }
@@ -274,7 +277,7 @@
               List.of(),
               0));
       stage.run(120, false);
-      assertEquals(Verdict.of(stage.trial()), Verdict.HELD, fault + " seed " + seed);
+      assertEquals(TrialVerdict.of(stage.trial()), TrialVerdict.HELD, fault + " seed " + seed);
       assertTrue(stage.trial().writes > 0);
       exposed += stage.exposedWithoutToken;
     }
@@ -293,7 +296,9 @@
       final Stage stage = new Stage(seed, Fault.NONE, 1, 3);
       stage.begin(0.005);
       stage.run(40, true);
-      for (int step = 1; step <= 3 && Verdict.of(stage.trial()) == Verdict.RUNNING; step++) {
+      for (int step = 1;
+          step <= 3 && TrialVerdict.of(stage.trial()) == TrialVerdict.RUNNING;
+          step++) {
         stage.reports();
         stage.write(stage.panel.advance("book", stage.addresses, true, stage.fleet.now()));
         assertEquals(stage.trial().stage, step);
@@ -301,7 +306,7 @@
           stage.run(step == 1 ? 80 : 20, step == 1);
         }
       }
-      heldFalsely += Verdict.of(stage.trial()) == Verdict.HELD ? 1 : 0;
+      heldFalsely += TrialVerdict.of(stage.trial()) == TrialVerdict.HELD ? 1 : 0;
     }
     assertTrue(heldFalsely <= 4, heldFalsely + " of 40 healthy trials were held");
   }
@@ -316,15 +321,15 @@
     stage.reports();
     assertEquals(
         expectThrows(
-                Breakdown.class,
+                WeldpointException.class,
                 () -> stage.panel.advance("book", stage.addresses, true, stage.fleet.now()))
             .kind(),
-        Breakdown.Kind.CONFLICT);
+        WeldpointException.Kind.CONFLICT);
     stage.cut.set(1, true);
     stage.run(40, true);
     assertTrue(
         expectThrows(
-                Breakdown.class,
+                WeldpointException.class,
                 () -> stage.panel.advance("book", stage.addresses, true, stage.fleet.now()))
             .getMessage()
             .contains("10.1.0.1"));
@@ -332,7 +337,7 @@
     stage.reports();
     assertTrue(
         expectThrows(
-                Breakdown.class,
+                WeldpointException.class,
                 () -> stage.panel.advance("book", stage.addresses, false, stage.fleet.now()))
             .getMessage()
             .contains("settled"));
@@ -345,7 +350,7 @@
     final Trial begun = stage.begin(0.01);
     stage.run(30, true);
     final Trial held = stage.trial();
-    assertEquals(Verdict.of(held), Verdict.HELD);
+    assertEquals(TrialVerdict.of(held), TrialVerdict.HELD);
     assertFalse(
         stage.write(
             new Trial(
@@ -359,12 +364,12 @@
                 1,
                 20,
                 0.01,
-                Verdict.RUNNING.ordinal(),
+                TrialVerdict.RUNNING.ordinal(),
                 "",
                 List.of(),
                 0)));
     expectThrows(
-        Breakdown.class,
+        WeldpointException.class,
         () -> stage.panel.advance("book", stage.addresses, true, stage.fleet.now()));
     for (final String address : stage.fleet.running()) {
       stage.fleet.kill(address, true);
@@ -375,9 +380,9 @@
     stage.old.forEach(report -> stage.panel.report(report, stage.fleet.now()));
     stage.books.get(0).take(List.of(begun), 1);
     assertEquals(stage.books.get(0).choose("book", "new", TOKEN, 0), "old");
-    assertEquals(Verdict.of(stage.trial()), Verdict.HELD);
+    assertEquals(TrialVerdict.of(stage.trial()), TrialVerdict.HELD);
     assertTrue(stage.write(stage.panel.finish("book")));
-    assertEquals(Verdict.of(stage.trial()), Verdict.FINISHED);
+    assertEquals(TrialVerdict.of(stage.trial()), TrialVerdict.FINISHED);
   }
 
   @Test
@@ -402,7 +407,7 @@
       stage.reports();
     }
     stage.fleet.run(600);
-    assertEquals(Verdict.of(stage.trial()), Verdict.HELD);
+    assertEquals(TrialVerdict.of(stage.trial()), TrialVerdict.HELD);
   }
 
   @Test
@@ -411,11 +416,11 @@
     stage.begin(0.005);
     stage.run(20, true);
     stage.reports();
-    final long sent = Count.NEW_SENT.in(stage.panel.sum("book"));
+    final long sent = TrialCounter.NEW_SENT.in(stage.panel.sum("book"));
     final List<TrialMessages.TrialReport> again = new ArrayList<>(stage.old);
     Collections.shuffle(again, stage.random);
     again.forEach(report -> stage.panel.report(report, stage.fleet.now()));
-    assertEquals(Count.NEW_SENT.in(stage.panel.sum("book")), sent);
+    assertEquals(TrialCounter.NEW_SENT.in(stage.panel.sum("book")), sent);
   }
 
   @Test
@@ -423,11 +428,11 @@
     final Stage stage = new Stage(7, Fault.NONE, 1, 3);
     stage.begin(0.01);
     assertTrue(stage.panel.verdicts(PLAN).isEmpty());
-    final Dialplan without =
-        Dialplan.compile(
+    final RoutingTable without =
+        RoutingTable.compile(
             "{\"version\":\"2\",\"listeners\":[],\"pools\":[]}".getBytes(StandardCharsets.UTF_8));
     final Trial ended = stage.panel.verdicts(without).get(0);
-    assertEquals(Verdict.of(ended), Verdict.FINISHED);
+    assertEquals(TrialVerdict.of(ended), TrialVerdict.FINISHED);
     assertTrue(ended.reason.contains("configuration"), ended.reason);
   }
 
@@ -437,10 +442,10 @@
     stage.begin(0.01);
     assertEquals(
         expectThrows(
-                Breakdown.class,
+                WeldpointException.class,
                 () -> stage.panel.begin("book", "old", "new", TOKEN, List.of(10), 20, 0.01, PLAN))
             .kind(),
-        Breakdown.Kind.CONFLICT);
+        WeldpointException.Kind.CONFLICT);
     assertTrue(stage.write(stage.panel.finish("book")));
     assertEquals(
         stage.panel.begin("book", "old", "new", TOKEN, List.of(10), 20, 0.01, PLAN).number, 2);
@@ -451,14 +456,14 @@
     final Stage stage = new Stage(10, Fault.ELSEWHERE, 2, 3);
     stage.begin(0.01);
     stage.run(30, true);
-    assertEquals(Verdict.of(stage.trial()), Verdict.HELD);
+    assertEquals(TrialVerdict.of(stage.trial()), TrialVerdict.HELD);
     assertTrue(stage.write(stage.panel.finish("book")));
     stage.begin(0.01);
     stage.reports();
     stage.fleet.run(600);
     assertEquals(stage.trial().number, 2);
-    assertEquals(Verdict.of(stage.trial()), Verdict.RUNNING);
-    assertEquals(Count.NEW_SENT.in(stage.panel.sum("book")), 0);
+    assertEquals(TrialVerdict.of(stage.trial()), TrialVerdict.RUNNING);
+    assertEquals(TrialCounter.NEW_SENT.in(stage.panel.sum("book")), 0);
   }
 
   @Test
@@ -493,10 +498,10 @@
       final String token,
       final List<Integer> stages,
       final String reason) {
-    final Breakdown breakdown =
+    final WeldpointException breakdown =
         expectThrows(
-            Breakdown.class,
-            () -> new TrialPanel().begin(route, old, fresh, token, stages, 10, 0.01, PLAN));
+            WeldpointException.class,
+            () -> new TrialCoordinator().begin(route, old, fresh, token, stages, 10, 0.01, PLAN));
     assertTrue(breakdown.getMessage().contains(reason), breakdown.getMessage());
     assertTrue(
         breakdown.getMessage().contains(";"), "the remedy is missing: " + breakdown.getMessage());
--- a/simulation/src/test/java/weldpoint/simulation/VersionsTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/VersionsTest.java
@@ -18,17 +18,17 @@
 import weldpoint.audit.CanonicalJson;
 import weldpoint.audit.ChangeKind;
 import weldpoint.audit.ConfigurationSummary;
-import weldpoint.routing.Dialplan;
-import weldpoint.statestore.BrokenBook;
-import weldpoint.statestore.Deed;
-import weldpoint.statestore.FrameCore;
-import weldpoint.statestore.Values;
+import weldpoint.routing.RoutingTable;
+import weldpoint.statestore.BrokenAuditSequencer;
+import weldpoint.statestore.StateStoreReplica;
+import weldpoint.statestore.StoreOperation;
+import weldpoint.statestore.StoredValues;
+import weldpoint.transport.Compression;
 import weldpoint.transport.Message;
-import weldpoint.transport.Packing;
 import weldpoint.transport.Protocol;
+import weldpoint.transport.Serializer;
 import weldpoint.transport.StateStoreMessages;
-import weldpoint.transport.StoreCallMessages;
-import weldpoint.transport.Wire;
+import weldpoint.transport.StoreMessages;
 
 /**
  * Two operators who use the same versions for different configurations, over cuts, freezes, losses
@@ -81,23 +81,24 @@
         .getBytes(StandardCharsets.UTF_8);
   }
 
-  private static StoreCallMessages.Call call(
+  private static StoreMessages.StoreRequest call(
       final long version, final int choice, final boolean rewritten) {
     final byte[] body = body(version, choice, rewritten);
-    final StoreCallMessages.Cause cause =
-        new StoreCallMessages.Cause(
+    final StoreMessages.ChangeOrigin cause =
+        new StoreMessages.ChangeOrigin(
             "operator " + choice,
             "10.9.9.9",
             "10.0.1.1",
-            Packing.deflate(Wire.bytes(ConfigurationSummary.of(Dialplan.read(body), body))));
-    return new StoreCallMessages.Call(
+            Compression.deflate(
+                Serializer.bytes(ConfigurationSummary.of(RoutingTable.read(body), body))));
+    return new StoreMessages.StoreRequest(
         0,
-        Deed.SPEC_REPLACE.ordinal(),
+        StoreOperation.SPEC_REPLACE.ordinal(),
         "",
         null,
         version,
         0,
-        Packing.deflate(body),
+        Compression.deflate(body),
         cause,
         CanonicalJson.digest(body));
   }
@@ -108,13 +109,14 @@
 
   /** What operators were told of each version, and what the history says of it in the end. */
   private static final class Told {
-    private final Map<Long, Map<String, List<StoreCallMessages.Answer>>> answers = new TreeMap<>();
+    private final Map<Long, Map<String, List<StoreMessages.StoreResponse>>> answers =
+        new TreeMap<>();
     private final List<String> breaches = new ArrayList<>();
     private int accepted;
     private int refused;
 
     private void told(
-        final long version, final String content, final StoreCallMessages.Answer answer) {
+        final long version, final String content, final StoreMessages.StoreResponse answer) {
       answers
           .computeIfAbsent(version, key -> new HashMap<>())
           .computeIfAbsent(content, key -> new ArrayList<>())
@@ -142,7 +144,7 @@
                 entry == null ? null : java.util.HexFormat.of().formatHex(entry.content);
             contents.forEach(
                 (content, list) -> {
-                  for (final StoreCallMessages.Answer answer : list) {
+                  for (final StoreMessages.StoreResponse answer : list) {
                     if (entry == null && answer.status == 409) {
                       breaches.add("version " + version + " was refused and stands for nothing");
                     } else if (entry == null && answer.first == version) {
@@ -156,8 +158,8 @@
                               + version
                               + " was acknowledged with another content than it stands for");
                     } else if (entry != null && answer.status == 409) {
-                      final Values.TakenVersion named =
-                          Wire.value(answer.body, Values.TakenVersion.class);
+                      final StoredValues.TakenVersion named =
+                          Serializer.value(answer.body, StoredValues.TakenVersion.class);
                       if (content.equals(stands)) {
                         breaches.add(
                             "version "
@@ -285,7 +287,7 @@
     for (int round = 0; round < 40 && inForce[0] == 0; round++) {
       fleet.call(
           fleet.running().get(round % fleet.running().size()),
-          Deed.SPEC_READ,
+          StoreOperation.SPEC_READ,
           "",
           null,
           0,
@@ -296,7 +298,7 @@
               inForce[0] = answer.first;
               content[0] =
                   java.util.HexFormat.of()
-                      .formatHex(CanonicalJson.digest(Packing.inflate(answer.body)));
+                      .formatHex(CanonicalJson.digest(Compression.inflate(answer.body)));
             }
           });
       fleet.run(300);
@@ -387,8 +389,9 @@
             5,
             new Fleet.Meddler() {
               @Override
-              public void prepare(final FrameCore core, final AuditStore store, final long keeps) {
-                BrokenBook.silent(core, store, keeps);
+              public void prepare(
+                  final StateStoreReplica core, final AuditStore store, final long keeps) {
+                BrokenAuditSequencer.silent(core, store, keeps);
               }
 
               @Override
@@ -397,9 +400,9 @@
                   return message;
                 }
                 final StateStoreMessages.Accept accept = (StateStoreMessages.Accept) message;
-                final List<StateStoreMessages.Entry> entries = new ArrayList<>();
+                final List<StateStoreMessages.RegisterEntry> entries = new ArrayList<>();
                 Protocol.list(accept.entries)
-                    .forEach(entry -> entries.add(BrokenBook.older(entry)));
+                    .forEach(entry -> entries.add(BrokenAuditSequencer.older(entry)));
                 return new StateStoreMessages.Accept(
                     accept.partition,
                     accept.roster,
@@ -430,9 +433,9 @@
                 new Fleet.Meddler() {
                   @Override
                   public void prepare(
-                      final FrameCore core, final AuditStore store, final long keeps) {
+                      final StateStoreReplica core, final AuditStore store, final long keeps) {
                     core.history(store, keeps, Fleet.ENTRY_BYTES);
-                    BrokenBook.heedless(core);
+                    BrokenAuditSequencer.heedless(core);
                   }
                 })
             >= 6);
@@ -445,8 +448,8 @@
                 new Fleet.Meddler() {
                   @Override
                   public void prepare(
-                      final FrameCore core, final AuditStore store, final long keeps) {
-                    BrokenBook.forgetful(core, store, keeps);
+                      final StateStoreReplica core, final AuditStore store, final long keeps) {
+                    BrokenAuditSequencer.forgetful(core, store, keeps);
                   }
                 })
             >= 6);
--- a/simulation/src/test/java/weldpoint/simulation/ZoneLossTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/ZoneLossTest.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
-import weldpoint.statestore.Deed;
+import weldpoint.statestore.StoreOperation;
 import weldpoint.transport.StateStoreMessages.Roster;
 import weldpoint.transport.StateStoreMessages.Voter;
 
@@ -117,7 +117,7 @@
       final String at = fleet.running().get(random.nextInt(fleet.running().size()));
       fleet.call(
           at,
-          Deed.NUMBER,
+          StoreOperation.NUMBER,
           "n" + random.nextInt(3),
           null,
           0,
--- a/simulation/src/test/java/weldpoint/simulation/model/Trace.java
+++ b/simulation/src/test/java/weldpoint/simulation/model/Trace.java
@@ -10,11 +10,11 @@
 import java.util.Map;
 import java.util.Set;
 import weldpoint.simulation.Fleet;
-import weldpoint.statestore.FrameCore;
 import weldpoint.statestore.Kept;
-import weldpoint.transport.Mark;
+import weldpoint.statestore.StateStoreReplica;
 import weldpoint.transport.Message;
 import weldpoint.transport.Protocol;
+import weldpoint.transport.RegisterVersion;
 import weldpoint.transport.StateStoreMessages;
 
 /**
@@ -41,19 +41,19 @@
 
   /** A ballot, as its owner sees it. */
   private static final class Ballot {
-    final Mark mark;
+    final RegisterVersion mark;
     final StateStoreMessages.Roster roster;
     final Map<String, StateStoreMessages.Promise> promises = new HashMap<>();
     final Map<String, Long> counted = new HashMap<>();
     final Set<String> established = new HashSet<>();
     final Map<String, Map<String, Long>> accepted = new HashMap<>();
     final Map<String, Long> proposed = new HashMap<>();
-    List<StateStoreMessages.Entry> own;
-    Mark ownEstablished;
+    List<StateStoreMessages.RegisterEntry> own;
+    RegisterVersion ownEstablished;
     boolean establishes;
     boolean serves;
 
-    Ballot(final Mark mark, final StateStoreMessages.Roster roster) {
+    Ballot(final RegisterVersion mark, final StateStoreMessages.Roster roster) {
       this.mark = mark;
       this.roster = roster;
     }
@@ -62,10 +62,10 @@
   /** One machine: its disk, and what its process of the moment has got. */
   private static final class Machine {
     Kept kept = new Kept(List.of());
-    final Mark[] given = new Mark[FrameCore.PARTITIONS];
-    final Ballot[] ballots = new Ballot[FrameCore.PARTITIONS];
+    final RegisterVersion[] given = new RegisterVersion[StateStoreReplica.PARTITIONS];
+    final Ballot[] ballots = new Ballot[StateStoreReplica.PARTITIONS];
     final Map<String, Long> heard = new HashMap<>();
-    final Map<String, List<StateStoreMessages.Fetched>> fetched = new HashMap<>();
+    final Map<String, List<StateStoreMessages.RecoveryResponse>> fetched = new HashMap<>();
 
     boolean whole() {
       return kept.incarnation() > 0;
@@ -73,7 +73,7 @@
   }
 
   private final Map<String, Machine> machines = new LinkedHashMap<>();
-  private final Map<Mark, String> owners = new HashMap<>();
+  private final Map<RegisterVersion, String> owners = new HashMap<>();
   private final Map<Long, String> rosters = new HashMap<>();
   private final Map<Long, Set<Integer>> settled = new HashMap<>();
   private final EnumMap<Step, Integer> steps = new EnumMap<>(Step.class);
@@ -110,7 +110,7 @@
     final Machine machine = new Machine();
     machine.kept = new Kept(records);
     machines.put(address, machine);
-    for (int partition = 0; partition < FrameCore.PARTITIONS; partition++) {
+    for (int partition = 0; partition < StateStoreReplica.PARTITIONS; partition++) {
       machine.given[partition] = machine.kept.promised(partition);
     }
     known(machine.kept.roster(), address);
@@ -122,7 +122,7 @@
     final Kept.Kind kind = Kept.kind(record);
     if (machine.whole() && (kind == Kept.Kind.PROMISE || kind == Kept.Kind.REGISTERS)) {
       final int partition = Kept.partition(record);
-      final Mark ballot = Kept.ballot(record);
+      final RegisterVersion ballot = Kept.ballot(record);
       must(
           ballot.compareTo(machine.given[partition]) >= 0,
           address,
@@ -174,7 +174,7 @@
     for (final StateStoreMessages.Voter voter : kept.roster().voters) {
       final Map<String, Boolean> pages = new HashMap<>();
       boolean ends = false;
-      for (final StateStoreMessages.Fetched one :
+      for (final StateStoreMessages.RecoveryResponse one :
           machine.fetched.getOrDefault(voter.address, List.of())) {
         if (one.incarnation == kept.incarnation()
             && one.roster.number == kept.roster().number
@@ -196,20 +196,20 @@
             + " of "
             + kept.roster().voters.size()
             + " voters hold");
-    for (int partition = 0; partition < FrameCore.PARTITIONS; partition++) {
+    for (int partition = 0; partition < StateStoreReplica.PARTITIONS; partition++) {
       machine.given[partition] = kept.promised(partition);
     }
   }
 
-  private static boolean covers(final Kept kept, final StateStoreMessages.Fetched told) {
+  private static boolean covers(final Kept kept, final StateStoreMessages.RecoveryResponse told) {
     for (int partition = 0; partition < Protocol.list(told.promised).size(); partition++) {
       if (kept.promised(partition).compareTo(told.promised.get(partition)) < 0
           || kept.established(partition).compareTo(told.established.get(partition)) < 0) {
         return false;
       }
     }
-    for (final StateStoreMessages.Entry entry : Protocol.list(told.entries)) {
-      final int partition = FrameCore.partition(entry.name);
+    for (final StateStoreMessages.RegisterEntry entry : Protocol.list(told.entries)) {
+      final int partition = StateStoreReplica.partition(entry.name);
       if (entry.mark.compareTo(kept.established(partition)) >= 0
           && kept.stored(partition, entry.name).compareTo(entry.mark) < 0) {
         return false;
@@ -242,13 +242,14 @@
       proposes(from, machine, (StateStoreMessages.Accept) message);
     } else if (message instanceof StateStoreMessages.Accepted) {
       accepts(from, machine, (StateStoreMessages.Accepted) message);
-    } else if (message instanceof StateStoreMessages.Pulse) {
-      serves(from, machine, (StateStoreMessages.Pulse) message);
-    } else if (message instanceof StateStoreMessages.Pulsed) {
-      confirms(from, machine, (StateStoreMessages.Pulsed) message);
-    } else if (message instanceof StateStoreMessages.Fetched) {
+    } else if (message instanceof StateStoreMessages.Heartbeat) {
+      serves(from, machine, (StateStoreMessages.Heartbeat) message);
+    } else if (message instanceof StateStoreMessages.HeartbeatAck) {
+      confirms(from, machine, (StateStoreMessages.HeartbeatAck) message);
+    } else if (message instanceof StateStoreMessages.RecoveryResponse) {
       step(Step.FETCH);
-      final StateStoreMessages.Fetched fetched = (StateStoreMessages.Fetched) message;
+      final StateStoreMessages.RecoveryResponse fetched =
+          (StateStoreMessages.RecoveryResponse) message;
       must(machine.whole(), from, "answers a fetch though its own disk is blank");
       must(
           machine.kept.known(to) >= fetched.incarnation,
@@ -264,8 +265,8 @@
             from,
             "tells less than it has promised in partition " + partition);
       }
-    } else if (message instanceof StateStoreMessages.RosterNews) {
-      known(((StateStoreMessages.RosterNews) message).roster, from);
+    } else if (message instanceof StateStoreMessages.RosterUpdate) {
+      known(((StateStoreMessages.RosterUpdate) message).roster, from);
     }
   }
 
@@ -309,11 +310,11 @@
         promise.established.compareTo(machine.kept.established(promise.partition)) >= 0,
         from,
         what + " and hides an establishment");
-    final Map<String, Mark> told = new HashMap<>();
+    final Map<String, RegisterVersion> told = new HashMap<>();
     Protocol.list(promise.entries).forEach(entry -> told.put(entry.name, entry.mark));
-    for (final StateStoreMessages.Entry entry : machine.kept.entries(promise.partition)) {
+    for (final StateStoreMessages.RegisterEntry entry : machine.kept.entries(promise.partition)) {
       must(
-          told.getOrDefault(entry.name, Mark.NONE).compareTo(entry.mark) >= 0,
+          told.getOrDefault(entry.name, RegisterVersion.NONE).compareTo(entry.mark) >= 0,
           from,
           what + " and hides " + entry.name + " at " + entry.mark);
     }
@@ -334,7 +335,7 @@
         from,
         what + " before the establishment is on its disk");
     for (int index = 0; index < Protocol.list(accepted.names).size(); index++) {
-      final Mark mark = accepted.ballot.at(accepted.counts.get(index));
+      final RegisterVersion mark = accepted.ballot.at(accepted.counts.get(index));
       must(
           machine.kept.stored(accepted.partition, accepted.names.get(index)).compareTo(mark) >= 0
               || machine.kept.established(accepted.partition).compareTo(mark) > 0,
@@ -344,12 +345,12 @@
   }
 
   private void confirms(
-      final String from, final Machine machine, final StateStoreMessages.Pulsed pulsed) {
+      final String from, final Machine machine, final StateStoreMessages.HeartbeatAck pulsed) {
     step(Step.CONFIRM);
     votes(from, machine, pulsed.incarnation, pulsed.known, "confirms");
     for (int index = 0; index < Protocol.list(pulsed.partitions).size(); index++) {
       final int partition = pulsed.partitions.get(index);
-      final Mark ballot = pulsed.ballots.get(index);
+      final RegisterVersion ballot = pulsed.ballots.get(index);
       must(
           machine.kept.promised(partition).sameBallot(ballot)
               || machine.kept.promised(partition).compareTo(ballot) < 0,
@@ -391,7 +392,8 @@
         what + " below what it has promised");
     final String owner =
         owners.putIfAbsent(
-            new Mark(prepare.ballot.round, prepare.ballot.owner, prepare.partition), from);
+            new RegisterVersion(prepare.ballot.round, prepare.ballot.owner, prepare.partition),
+            from);
     must(owner == null || owner.equals(from), from, what + ", which " + owner + " has begun");
     final Ballot ballot = new Ballot(prepare.ballot, machine.kept.roster());
     machine.ballots[prepare.partition] = ballot;
@@ -401,7 +403,7 @@
     }
   }
 
-  private Ballot ballot(final Machine machine, final int partition, final Mark mark) {
+  private Ballot ballot(final Machine machine, final int partition, final RegisterVersion mark) {
     final Ballot ballot = machine.ballots[partition];
     return ballot != null && ballot.mark.sameBallot(mark) ? ballot : null;
   }
@@ -425,7 +427,7 @@
       return;
     }
     must(ballot.serves, from, what + " before it serves");
-    for (final StateStoreMessages.Entry entry : Protocol.list(accept.entries)) {
+    for (final StateStoreMessages.RegisterEntry entry : Protocol.list(accept.entries)) {
       final Long before = ballot.proposed.get(entry.name);
       if (before != null && before >= entry.mark.count) {
         continue;
@@ -438,7 +440,8 @@
       if (entry.name.equals("roster")) {
         step(Step.PROPOSE_ROSTER);
         must(
-            settled.getOrDefault(ballot.roster.number, Set.of()).size() == FrameCore.PARTITIONS,
+            settled.getOrDefault(ballot.roster.number, Set.of()).size()
+                == StateStoreReplica.PARTITIONS,
             from,
             what
                 + " a roster while only partitions "
@@ -461,9 +464,9 @@
       final String what) {
     step(Step.ESTABLISH);
     int promised = 0;
-    Mark floor = Mark.NONE;
-    final Map<String, StateStoreMessages.Entry> best = new HashMap<>();
-    final List<StateStoreMessages.Entry> entries = new ArrayList<>();
+    RegisterVersion floor = RegisterVersion.NONE;
+    final Map<String, StateStoreMessages.RegisterEntry> best = new HashMap<>();
+    final List<StateStoreMessages.RegisterEntry> entries = new ArrayList<>();
     for (int place = 0; place < ballot.roster.voters.size(); place++) {
       final String voter = ballot.roster.voters.get(place).address;
       final long counted = accept.counted.get(place);
@@ -509,15 +512,15 @@
         promised >= ballot.roster.majority(),
         from,
         what + " with " + promised + " promises of " + ballot.roster.voters.size());
-    for (final StateStoreMessages.Entry entry : entries) {
-      final StateStoreMessages.Entry other = best.get(entry.name);
+    for (final StateStoreMessages.RegisterEntry entry : entries) {
+      final StateStoreMessages.RegisterEntry other = best.get(entry.name);
       if (entry.mark.compareTo(floor) >= 0
           && (other == null || other.mark.compareTo(entry.mark) < 0)) {
         best.put(entry.name, entry);
       }
     }
     final Set<String> names = new HashSet<>();
-    for (final StateStoreMessages.Entry entry : Protocol.list(accept.entries)) {
+    for (final StateStoreMessages.RegisterEntry entry : Protocol.list(accept.entries)) {
       names.add(entry.name);
       must(
           best.containsKey(entry.name) && Arrays.equals(best.get(entry.name).whole, entry.whole),
@@ -535,7 +538,7 @@
   }
 
   private void serves(
-      final String from, final Machine machine, final StateStoreMessages.Pulse pulse) {
+      final String from, final Machine machine, final StateStoreMessages.Heartbeat pulse) {
     for (int index = 0; index < Protocol.list(pulse.partitions).size(); index++) {
       final int partition = pulse.partitions.get(index);
       final Ballot ballot = ballot(machine, partition, pulse.ballots.get(index));
@@ -617,18 +620,18 @@
           }
         }
       }
-    } else if (message instanceof StateStoreMessages.Pulsed) {
-      final StateStoreMessages.Pulsed pulsed = (StateStoreMessages.Pulsed) message;
+    } else if (message instanceof StateStoreMessages.HeartbeatAck) {
+      final StateStoreMessages.HeartbeatAck pulsed = (StateStoreMessages.HeartbeatAck) message;
       for (int index = 0; index < Protocol.list(pulsed.partitions).size(); index++) {
         if (ballot(machine, pulsed.partitions.get(index), pulsed.ballots.get(index)) != null) {
           hears(machine, pulsed.known);
         }
       }
-    } else if (message instanceof StateStoreMessages.Fetched) {
+    } else if (message instanceof StateStoreMessages.RecoveryResponse) {
       machine
           .fetched
           .computeIfAbsent(from, key -> new ArrayList<>())
-          .add((StateStoreMessages.Fetched) message);
+          .add((StateStoreMessages.RecoveryResponse) message);
     }
   }
 
--- a/simulation/src/test/java/weldpoint/simulation/model/TraceTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/model/TraceTest.java
@@ -10,7 +10,7 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 import weldpoint.simulation.Fleet;
-import weldpoint.statestore.Deed;
+import weldpoint.statestore.StoreOperation;
 import weldpoint.transport.Message;
 import weldpoint.transport.Protocol;
 import weldpoint.transport.StateStoreMessages;
@@ -27,11 +27,12 @@
       final String at = running.get(random.nextInt(running.size()));
       switch (random.nextInt(3)) {
         case 0 ->
-            fleet.call(at, Deed.NUMBER, "n" + random.nextInt(4), null, 0, 0, null, answer -> {});
+            fleet.call(
+                at, StoreOperation.NUMBER, "n" + random.nextInt(4), null, 0, 0, null, answer -> {});
         case 1 ->
             fleet.call(
                 at,
-                Deed.LOCK_BEGIN,
+                StoreOperation.LOCK_BEGIN,
                 "l" + random.nextInt(3),
                 "o" + random.nextInt(3),
                 800,
@@ -41,7 +42,7 @@
         default ->
             fleet.call(
                 at,
-                Deed.CELL_REPLACE,
+                StoreOperation.CELL_REPLACE,
                 "g" + random.nextInt(2),
                 "v" + random.nextInt(1 << 20),
                 -1,
@@ -205,7 +206,7 @@
   }
 
   private static Message asFirst(final Message message) {
-    if (message instanceof StateStoreMessages.Fetch) {
+    if (message instanceof StateStoreMessages.RecoveryRequest) {
       return null;
     } else if (message instanceof StateStoreMessages.Promise) {
       final StateStoreMessages.Promise one = (StateStoreMessages.Promise) message;
@@ -215,9 +216,9 @@
       final StateStoreMessages.Accepted one = (StateStoreMessages.Accepted) message;
       return new StateStoreMessages.Accepted(
           one.partition, one.ballot, one.establish, one.names, one.counts, one.lacking, 1, null);
-    } else if (message instanceof StateStoreMessages.Pulsed) {
-      final StateStoreMessages.Pulsed one = (StateStoreMessages.Pulsed) message;
-      return new StateStoreMessages.Pulsed(one.partitions, one.ballots, 1, null, one.audited);
+    } else if (message instanceof StateStoreMessages.HeartbeatAck) {
+      final StateStoreMessages.HeartbeatAck one = (StateStoreMessages.HeartbeatAck) message;
+      return new StateStoreMessages.HeartbeatAck(one.partitions, one.ballots, 1, null, one.audited);
     } else if (message instanceof StateStoreMessages.Refused) {
       final StateStoreMessages.Refused one = (StateStoreMessages.Refused) message;
       return new StateStoreMessages.Refused(
@@ -305,7 +306,15 @@
       fleet.after(
           call * 4L,
           () ->
-              fleet.call(fleet.running().get(0), Deed.NUMBER, "n", null, 0, 0, null, answer -> {}));
+              fleet.call(
+                  fleet.running().get(0),
+                  StoreOperation.NUMBER,
+                  "n",
+                  null,
+                  0,
+                  0,
+                  null,
+                  answer -> {}));
     }
     fleet.run(1000);
     othersPause(fleet);
--- a/simulation/src/test/java/weldpoint/statestore/Kept.java
+++ b/simulation/src/test/java/weldpoint/statestore/Kept.java
@@ -4,10 +4,10 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import weldpoint.transport.Mark;
 import weldpoint.transport.Protocol;
+import weldpoint.transport.RegisterVersion;
+import weldpoint.transport.Serializer;
 import weldpoint.transport.StateStoreMessages;
-import weldpoint.transport.Wire;
 
 /** What the records on one disk say, as a frame would read them after a loss of power. */
 public final class Kept {
@@ -20,7 +20,7 @@
     KNOWN
   }
 
-  private final Partition[] partitions = new Partition[FrameCore.PARTITIONS];
+  private final Partition[] partitions = new Partition[StateStoreReplica.PARTITIONS];
   private final Map<String, Long> known = new HashMap<>();
   private StateStoreMessages.Roster roster = new StateStoreMessages.Roster(0, List.of());
   private long incarnation;
@@ -35,22 +35,22 @@
 
   /** What a record is about. */
   public static Kind kind(final byte[] record) {
-    return Kind.values()[Wire.value(record, Values.DiskRecord.class).type];
+    return Kind.values()[Serializer.value(record, StoredValues.DiskRecord.class).type];
   }
 
   /** The partition of a promise or of registers. */
   public static int partition(final byte[] record) {
-    return Wire.value(record, Values.DiskRecord.class).partition;
+    return Serializer.value(record, StoredValues.DiskRecord.class).partition;
   }
 
   /** The ballot of a promise or of registers. */
-  public static Mark ballot(final byte[] record) {
-    return Wire.value(record, Values.DiskRecord.class).ballot;
+  public static RegisterVersion ballot(final byte[] record) {
+    return Serializer.value(record, StoredValues.DiskRecord.class).ballot;
   }
 
   /** One more record is lasting. */
   public void take(final byte[] bytes) {
-    final Values.DiskRecord record = Wire.value(bytes, Values.DiskRecord.class);
+    final StoredValues.DiskRecord record = Serializer.value(bytes, StoredValues.DiskRecord.class);
     switch (kind(bytes)) {
       case SELF -> incarnation = record.incarnation;
       case PROMISE -> {
@@ -86,23 +86,23 @@
   }
 
   /** The highest ballot that was promised or accepted. */
-  public Mark promised(final int partition) {
+  public RegisterVersion promised(final int partition) {
     return partitions[partition].promised;
   }
 
   /** The ballot that established the partition here. */
-  public Mark established(final int partition) {
+  public RegisterVersion established(final int partition) {
     return partitions[partition].established;
   }
 
   /** The mark of a register; none where there is none. */
-  public Mark stored(final int partition, final String name) {
-    final Partition.Stored stored = partitions[partition].stored.get(name);
-    return stored == null ? Mark.NONE : stored.mark;
+  public RegisterVersion stored(final int partition, final String name) {
+    final Partition.StoredRegister stored = partitions[partition].stored.get(name);
+    return stored == null ? RegisterVersion.NONE : stored.mark;
   }
 
   /** All registers of a partition. */
-  public List<StateStoreMessages.Entry> entries(final int partition) {
+  public List<StateStoreMessages.RegisterEntry> entries(final int partition) {
     return partitions[partition].entries();
   }
 }
--- a/soak/src/main/java/weldpoint/soak/DaemonProcess.java
+++ b/soak/src/main/java/weldpoint/soak/DaemonProcess.java
@@ -11,8 +11,8 @@
 import java.util.Deque;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import weldpoint.common.Boot;
-import weldpoint.common.Logs;
+import weldpoint.common.Logging;
+import weldpoint.common.Settings;
 
 /**
  * One weldpoint daemon as an operating system process that can be killed, paused, resumed and
@@ -63,8 +63,8 @@
                 "weldpoint.cli.Weldpoint",
                 program));
     final ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
-    builder.environment().put(Boot.VARIABLE, settings.toString());
-    builder.environment().put(Logs.LEVEL_VARIABLE, "FINE");
+    builder.environment().put(Settings.VARIABLE, settings.toString());
+    builder.environment().put(Logging.LEVEL_VARIABLE, "FINE");
     try {
       process = builder.start();
     } catch (final IOException problem) {
--- a/statestore/src/main/java/weldpoint/statestore/AuditBook.java
+++ b/statestore/src/main/java/weldpoint/statestore/AuditSequencer.java
@@ -9,19 +9,19 @@
 import weldpoint.audit.ChangeKind;
 import weldpoint.audit.ConfigurationDifference;
 import weldpoint.audit.ConfigurationSummary;
-import weldpoint.transport.Packing;
+import weldpoint.transport.Compression;
 import weldpoint.transport.Protocol;
+import weldpoint.transport.Serializer;
 import weldpoint.transport.StateStoreMessages;
-import weldpoint.transport.StoreCallMessages;
+import weldpoint.transport.StoreMessages;
 import weldpoint.transport.TrialMessages;
-import weldpoint.transport.Wire;
 
 /**
  * The history as the holder of partition 0 sees it: which entry is the last, and which are not yet
  * in the logs of a majority and therefore travel with the register that changed. One change is
  * under way at a time.
  */
-class AuditBook {
+class AuditSequencer {
   private static final int FIXED_BYTES = 456;
 
   private final int entryBytes;
@@ -33,9 +33,9 @@
   private String digest = AuditEntry.NO_DIGEST;
   private long decided;
   private String decidedDigest = AuditEntry.NO_DIGEST;
-  private Held inFlight;
+  private RegisterState inFlight;
 
-  AuditBook(final int entryBytes) {
+  AuditSequencer(final int entryBytes) {
     this.entryBytes = entryBytes;
   }
 
@@ -43,7 +43,7 @@
    * Begins from what a majority told: the register whose tail reaches furthest carries all that may
    * be missing in logs.
    */
-  void begin(final Iterable<Held> registers) {
+  void begin(final Iterable<RegisterState> registers) {
     tail.clear();
     tailBase = 0;
     tailDigest = AuditEntry.NO_DIGEST;
@@ -51,10 +51,10 @@
     digest = AuditEntry.NO_DIGEST;
     inFlight = null;
     Arrays.fill(logged, 0);
-    Held best = null;
-    for (final Held held : registers) {
+    RegisterState best = null;
+    for (final RegisterState held : registers) {
       if (held.audit != null) {
-        final AuditTail one = Wire.value(held.audit, AuditTail.class);
+        final AuditTail one = Serializer.value(held.audit, AuditTail.class);
         final long reaches = one.base + Protocol.list(one.entries).size();
         if (best == null || reaches > last) {
           best = held;
@@ -66,7 +66,7 @@
         }
       }
     }
-    for (final Held held : registers) {
+    for (final RegisterState held : registers) {
       if (held != best) {
         held.audit = null;
       }
@@ -87,7 +87,7 @@
   }
 
   /** Whether another register's change is under way, so that this one's has to wait. */
-  boolean busy(final Held held) {
+  boolean busy(final RegisterState held) {
     return inFlight != null && inFlight != held;
   }
 
@@ -102,13 +102,13 @@
   /**
    * The change of this register goes out with all entries that are not in the logs of a majority.
    */
-  void propose(final Held held) {
+  void propose(final RegisterState held) {
     inFlight = held;
-    held.audit = Wire.bytes(new AuditTail(tailBase, tailDigest, new ArrayList<>(tail)));
+    held.audit = Serializer.bytes(new AuditTail(tailBase, tailDigest, new ArrayList<>(tail)));
   }
 
   /** The change of this register is on a majority of disks; the entries that it decided. */
-  List<byte[]> commit(final Held held) {
+  List<byte[]> commit(final RegisterState held) {
     if (inFlight != held) {
       return List.of();
     }
@@ -199,8 +199,8 @@
    * What a call changed, as an entry that has no place yet; null where its deed changes no routing.
    */
   AuditEntry.Draft draft(
-      final Deed deed,
-      final StoreCallMessages.Call call,
+      final StoreOperation deed,
+      final StoreMessages.StoreRequest call,
       final Object before,
       final Object after,
       final long number,
@@ -208,10 +208,13 @@
       final long time) {
     final AuditEntry.Draft draft =
         switch (deed) {
-          case SPEC_REPLACE -> configuration((Values.Spec) before, (Values.Spec) after);
+          case SPEC_REPLACE ->
+              configuration(
+                  (StoredValues.StoredConfiguration) before,
+                  (StoredValues.StoredConfiguration) after);
           case EVACUATE ->
               new AuditEntry.Draft(
-                      ((Values.Evacuation) after).on
+                      ((StoredValues.Evacuation) after).on
                           ? ChangeKind.EVACUATION_BEGUN
                           : ChangeKind.EVACUATION_FINISHED,
                       call.name)
@@ -223,13 +226,14 @@
     if (draft == null) {
       return null;
     }
-    final StoreCallMessages.Cause cause = call.cause;
+    final StoreMessages.ChangeOrigin cause = call.cause;
     return cause == null
         ? draft.origin(null, null, null, time)
         : draft.origin(cause.author, cause.caller, cause.taker, time);
   }
 
-  private AuditEntry.Draft configuration(final Values.Spec before, final Values.Spec after) {
+  private AuditEntry.Draft configuration(
+      final StoredValues.StoredConfiguration before, final StoredValues.StoredConfiguration after) {
     final ConfigurationSummary old = summary(before);
     final ConfigurationSummary fresh = summary(after);
     return new AuditEntry.Draft(ChangeKind.CONFIGURATION, "")
@@ -263,19 +267,20 @@
                             : after.reason)));
   }
 
-  private static ConfigurationSummary summary(final Values.Spec spec) {
+  private static ConfigurationSummary summary(final StoredValues.StoredConfiguration spec) {
     return spec == null || spec.summary == null
         ? ConfigurationSummary.none()
-        : Wire.value(Packing.inflate(spec.summary), ConfigurationSummary.class);
+        : Serializer.value(Compression.inflate(spec.summary), ConfigurationSummary.class);
   }
 
   /** The first entry of a store that is older than its history. */
-  AuditEntry.Draft upgrade(final Values.Spec spec, final String taker, final long time) {
+  AuditEntry.Draft upgrade(
+      final StoredValues.StoredConfiguration spec, final String taker, final long time) {
     return new AuditEntry.Draft(ChangeKind.UPGRADE, "")
         .number(spec == null ? 0 : spec.version, 0)
         .origin(weldpoint.audit.Authors.SYSTEM, "", taker, time)
         .line("the store is older than its history; what was changed before is not in it")
-        .digests("", spec == null ? "" : AuditEntry.digest(Packing.inflate(spec.body)))
+        .digests("", spec == null ? "" : AuditEntry.digest(Compression.inflate(spec.body)))
         .content(spec == null ? null : TakenVersions.content(spec));
   }
 
--- a/statestore/src/main/java/weldpoint/statestore/ControlView.java
+++ b/statestore/src/main/java/weldpoint/statestore/ControlView.java
@@ -8,7 +8,7 @@
 import weldpoint.transport.PlacementMessages;
 import weldpoint.transport.RegionMessages;
 import weldpoint.transport.StateStoreMessages;
-import weldpoint.transport.StoreCallMessages;
+import weldpoint.transport.StoreMessages;
 import weldpoint.transport.TrialMessages;
 
 /**
@@ -17,32 +17,32 @@
  * changes with each change of any other register.
  */
 final class ControlView {
-  private static final String EVACUATION = Values.Kind.EVACUATION.register("");
+  private static final String EVACUATION = StoredValues.Kind.EVACUATION.register("");
 
   private final List<String> evacuated = new ArrayList<>();
   private final List<TrialMessages.Trial> trials = new ArrayList<>();
   private final List<RegionMessages.Electorate> electorates = new ArrayList<>();
   private final List<PlacementMessages.Placement> placements = new ArrayList<>();
   private final List<OwnershipMessages.Assignment> assignments = new ArrayList<>();
-  private Values.Spec spec;
+  private StoredValues.StoredConfiguration spec;
   private CacheMessages.Purges purges;
-  private PlacementMessages.Keeper keeper;
+  private PlacementMessages.PlacementOwner keeper;
   private long evacuationMark;
   private long trialMark;
   private long placementMark;
   private long otherMarks;
 
-  ControlView(final Collection<Held> registers) {
-    for (final Held held : registers) {
+  ControlView(final Collection<RegisterState> registers) {
+    for (final RegisterState held : registers) {
       if (held.committed != null) {
         take(held);
       }
     }
   }
 
-  private void take(final Held held) {
+  private void take(final RegisterState held) {
     switch (held.kind) {
-      case SPEC -> spec = (Values.Spec) held.committed;
+      case SPEC -> spec = (StoredValues.StoredConfiguration) held.committed;
       case EVACUATION -> takeEvacuation(held);
       case TRIAL -> {
         trials.add((TrialMessages.Trial) held.committed);
@@ -61,7 +61,7 @@
         placementMark += ((PlacementMessages.Placement) held.committed).serial;
       }
       case KEEPER -> {
-        keeper = (PlacementMessages.Keeper) held.committed;
+        keeper = (PlacementMessages.PlacementOwner) held.committed;
         otherMarks += keeper.serial;
       }
       case OWNERSHIP -> {
@@ -74,8 +74,8 @@
     }
   }
 
-  private void takeEvacuation(final Held held) {
-    final Values.Evacuation evacuation = (Values.Evacuation) held.committed;
+  private void takeEvacuation(final RegisterState held) {
+    final StoredValues.Evacuation evacuation = (StoredValues.Evacuation) held.committed;
     evacuationMark += evacuation.serial;
     if (evacuation.on) {
       evacuated.add(held.name.substring(EVACUATION.length()));
@@ -88,15 +88,16 @@
   }
 
   /** Whether a registry lacks anything: first is its version, second the sum of its marks. */
-  boolean newsFor(final StoreCallMessages.Call call) {
+  boolean newsFor(final StoreMessages.StoreRequest call) {
     final long marks = evacuationMark + trialMark + placementMark + otherMarks;
     return version() > call.first || marks != call.second;
   }
 
   /** What the registry that asked so is told. */
-  Values.Control answer(final StoreCallMessages.Call call, final StateStoreMessages.Roster roster) {
+  StoredValues.ControlSnapshot answer(
+      final StoreMessages.StoreRequest call, final StateStoreMessages.Roster roster) {
     final boolean news = newsFor(call);
-    return new Values.Control(
+    return new StoredValues.ControlSnapshot(
         version(),
         version() > call.first ? spec.body : null,
         evacuated,
--- a/statestore/src/main/java/weldpoint/statestore/Decision.java
+++ b/statestore/src/main/java/weldpoint/statestore/Decision.java
@@ -20,7 +20,7 @@
   final long first;
   final byte[] body;
   final Object value;
-  final Values.Put put;
+  final StoredValues.Put put;
 
   private Decision(
       final Way way,
@@ -28,7 +28,7 @@
       final long first,
       final byte[] body,
       final Object value,
-      final Values.Put put) {
+      final StoredValues.Put put) {
     this.way = way;
     this.status = status;
     this.first = first;
@@ -49,7 +49,7 @@
     return new Decision(Way.TELL, status, first, body, null, null);
   }
 
-  static Decision write(final Object value, final Values.Put put, final long first) {
+  static Decision write(final Object value, final StoredValues.Put put, final long first) {
     return new Decision(Way.WRITE, 200, first, null, value, put);
   }
 
