--- a/statestore/src/main/java/weldpoint/statestore/Departure.java
+++ b/statestore/src/main/java/weldpoint/statestore/GracefulLeave.java
@@ -4,13 +4,13 @@
 import java.util.List;
 
 /** How far a voter is that ends in order: which partitions the others hold without it. */
-final class Departure {
+final class GracefulLeave {
   /** For how long a voter that ends waits for the others. */
   static final long MOST_MILLIS = 2000;
 
   private static final long AGAIN_MILLIS = 150;
 
-  private final boolean[] released = new boolean[FrameCore.PARTITIONS];
+  private final boolean[] released = new boolean[StateStoreReplica.PARTITIONS];
   private Runnable gone;
   private long roster;
   private long begunAt;
--- a/statestore/src/main/java/weldpoint/statestore/Membership.java
+++ b/statestore/src/main/java/weldpoint/statestore/Membership.java
@@ -33,7 +33,7 @@
   private final Map<String, Voter> joiners = new LinkedHashMap<>();
   private final Map<String, Long> joinedAt = new HashMap<>();
   private final Map<String, Voter> descriptions = new HashMap<>();
-  private final long[] settled = new long[FrameCore.PARTITIONS];
+  private final long[] settled = new long[StateStoreReplica.PARTITIONS];
   private long changedAt;
   private long betterSince;
 
@@ -144,7 +144,7 @@
     if (now - changedAt < CHANGE_MILLIS || !whole(roster)) {
       return null;
     }
-    final Roster described = Tokens.described(roster, descriptions);
+    final Roster described = TokenAssignment.described(roster, descriptions);
     final Roster present = described == null ? roster : new Roster(roster.number, described.voters);
     final Set<String> away = new HashSet<>();
     boolean undescribed = false;
@@ -165,7 +165,7 @@
   }
 
   private Roster step(final Roster present, final Set<String> away, final long now) {
-    final List<Voter> best = VoterChoice.best(present.voters, away, newcomers(now), mostVoters);
+    final List<Voter> best = VoterSelection.best(present.voters, away, newcomers(now), mostVoters);
     final List<Voter> in = new ArrayList<>(best);
     in.removeIf(voter -> present.index(voter.address) >= 0);
     final List<Voter> out = new ArrayList<>(present.voters);
@@ -189,8 +189,8 @@
     int zoneSpare = 0;
     int spare = 0;
     for (final Roster next : steps(present, in, out)) {
-      final int nextZoneSpare = VoterChoice.spareAfterZoneLoss(next.voters, away);
-      final int nextSpare = VoterChoice.spare(next.voters, away);
+      final int nextZoneSpare = VoterSelection.spareAfterZoneLoss(next.voters, away);
+      final int nextSpare = VoterSelection.spare(next.voters, away);
       if (nextSpare >= 0
           && (chosen == null
               || nextZoneSpare > zoneSpare
@@ -202,7 +202,7 @@
     }
     if (chosen != null
         && needless
-        && zoneSpare < Math.min(0, VoterChoice.spareAfterZoneLoss(present.voters, away))) {
+        && zoneSpare < Math.min(0, VoterSelection.spareAfterZoneLoss(present.voters, away))) {
       return null;
     }
     return chosen;
@@ -212,11 +212,11 @@
     final List<Roster> steps = new ArrayList<>();
     if (present.voters.size() <= mostVoters) {
       for (final Voter voter : in) {
-        steps.add(Tokens.with(present, voter));
+        steps.add(TokenAssignment.with(present, voter));
       }
     }
     for (final Voter voter : out) {
-      steps.add(Tokens.without(present, voter));
+      steps.add(TokenAssignment.without(present, voter));
     }
     return steps;
   }
--- a/statestore/src/main/java/weldpoint/statestore/Partition.java
+++ b/statestore/src/main/java/weldpoint/statestore/Partition.java
@@ -5,10 +5,10 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import weldpoint.transport.Mark;
+import weldpoint.transport.RegisterVersion;
+import weldpoint.transport.Serializer;
 import weldpoint.transport.StateStoreMessages;
-import weldpoint.transport.StateStoreMessages.Entry;
-import weldpoint.transport.Wire;
+import weldpoint.transport.StateStoreMessages.RegisterEntry;
 
 /**
  * One partition as this daemon sees it: what it has promised and stored, and, where it holds the
@@ -25,12 +25,12 @@
   }
 
   /** A register's value under its mark, with the entries of the history that travel with it. */
-  static final class Stored {
-    final Mark mark;
+  static final class StoredRegister {
+    final RegisterVersion mark;
     final Object value;
     final byte[] audit;
 
-    Stored(final Mark mark, final Object value, final byte[] audit) {
+    StoredRegister(final RegisterVersion mark, final Object value, final byte[] audit) {
       this.mark = mark;
       this.value = value;
       this.audit = audit;
@@ -51,10 +51,14 @@
   static final class Waiter {
     final long needed;
     final long receivedAt;
-    final Held.Work work;
+    final RegisterState.Work work;
     final Runnable then;
 
-    Waiter(final long needed, final long receivedAt, final Held.Work work, final Runnable then) {
+    Waiter(
+        final long needed,
+        final long receivedAt,
+        final RegisterState.Work work,
+        final Runnable then) {
       this.needed = needed;
       this.receivedAt = receivedAt;
       this.work = work;
@@ -63,13 +67,13 @@
   }
 
   final int number;
-  Mark promised = Mark.NONE;
-  Mark established = Mark.NONE;
-  final Map<String, Stored> stored = new HashMap<>();
+  RegisterVersion promised = RegisterVersion.NONE;
+  RegisterVersion established = RegisterVersion.NONE;
+  final Map<String, StoredRegister> stored = new HashMap<>();
   long vacateAt;
   String holder;
   Phase phase = Phase.IDLE;
-  Mark ballot = Mark.NONE;
+  RegisterVersion ballot = RegisterVersion.NONE;
   long count;
   long startedAt;
   long preparedAt;
@@ -81,7 +85,7 @@
   long[] establishSentAt = new long[0];
   boolean[] establishSent = new boolean[0];
   Repair[] repairs = new Repair[0];
-  Map<String, Held> held = new LinkedHashMap<>();
+  Map<String, RegisterState> held = new LinkedHashMap<>();
   long pulseCount;
   long pulsedAt;
   boolean confirmOut;
@@ -98,17 +102,17 @@
   }
 
   /** All that is stored, as it travels. */
-  List<Entry> entries() {
-    final List<Entry> entries = new ArrayList<>(stored.size());
+  List<RegisterEntry> entries() {
+    final List<RegisterEntry> entries = new ArrayList<>(stored.size());
     stored.forEach(
         (name, one) ->
             entries.add(
-                new Entry(
+                new RegisterEntry(
                     name,
                     one.mark,
-                    Mark.NONE,
+                    RegisterVersion.NONE,
                     null,
-                    Values.Kind.of(name).encode(one.value),
+                    StoredValues.Kind.of(name).encode(one.value),
                     one.audit)));
     return entries;
   }
@@ -116,23 +120,33 @@
   /** All that is stored, as records for the disk of about so many bytes each. */
   List<byte[]> records(final int type, final int bytes) {
     final List<byte[]> records = new ArrayList<>();
-    final List<Entry> some = new ArrayList<>();
+    final List<RegisterEntry> some = new ArrayList<>();
     int size = 0;
-    for (final Map.Entry<String, Stored> one : stored.entrySet()) {
-      final byte[] whole = Values.Kind.of(one.getKey()).encode(one.getValue().value);
+    for (final Map.Entry<String, StoredRegister> one : stored.entrySet()) {
+      final byte[] whole = StoredValues.Kind.of(one.getKey()).encode(one.getValue().value);
       if (!some.isEmpty() && size + whole.length > bytes) {
         records.add(
-            Wire.bytes(new Values.DiskRecord(type, number, Mark.NONE, some, null, null, 0)));
+            Serializer.bytes(
+                new StoredValues.DiskRecord(
+                    type, number, RegisterVersion.NONE, some, null, null, 0)));
         some.clear();
         size = 0;
       }
       some.add(
-          new Entry(
-              one.getKey(), one.getValue().mark, Mark.NONE, null, whole, one.getValue().audit));
+          new RegisterEntry(
+              one.getKey(),
+              one.getValue().mark,
+              RegisterVersion.NONE,
+              null,
+              whole,
+              one.getValue().audit));
       size += whole.length;
     }
     if (!some.isEmpty()) {
-      records.add(Wire.bytes(new Values.DiskRecord(type, number, Mark.NONE, some, null, null, 0)));
+      records.add(
+          Serializer.bytes(
+              new StoredValues.DiskRecord(
+                  type, number, RegisterVersion.NONE, some, null, null, 0)));
     }
     return records;
   }
@@ -142,10 +156,10 @@
    * lacking.
    */
   void store(
-      final Mark given,
+      final RegisterVersion given,
       final boolean establish,
-      final List<Entry> entries,
-      final List<Entry> lacking) {
+      final List<RegisterEntry> entries,
+      final List<RegisterEntry> lacking) {
     if (given.compareTo(promised) > 0) {
       promised = given.ballot();
     }
@@ -153,21 +167,22 @@
       stored.values().removeIf(one -> one.mark.compareTo(given.ballot()) < 0);
       established = given.ballot();
     }
-    for (final Entry entry : entries) {
-      final Stored before = stored.get(entry.name);
+    for (final RegisterEntry entry : entries) {
+      final StoredRegister before = stored.get(entry.name);
       if (before != null && before.mark.compareTo(entry.mark) >= 0) {
         continue;
       }
-      final Values.Kind kind = Values.Kind.of(entry.name);
+      final StoredValues.Kind kind = StoredValues.Kind.of(entry.name);
       if (entry.whole != null) {
-        stored.put(entry.name, new Stored(entry.mark, kind.decode(entry.whole), entry.audit));
+        stored.put(
+            entry.name, new StoredRegister(entry.mark, kind.decode(entry.whole), entry.audit));
       } else if (entry.difference != null
-          && (before == null ? Mark.NONE : before.mark).equals(entry.base)) {
+          && (before == null ? RegisterVersion.NONE : before.mark).equals(entry.base)) {
         final boolean unchanged =
             before != null && entry.difference != null && entry.difference.length == 0;
         stored.put(
             entry.name,
-            new Stored(
+            new StoredRegister(
                 entry.mark,
                 unchanged
                     ? before.value
--- a/statestore/src/main/java/weldpoint/statestore/RecentCalls.java
+++ b/statestore/src/main/java/weldpoint/statestore/RecentCalls.java
@@ -3,7 +3,7 @@
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import weldpoint.transport.StoreCallMessages.Call;
+import weldpoint.transport.StoreMessages.StoreRequest;
 
 /**
  * What a holder of a duty has decided of late, by the identity of each call (its caller's
@@ -14,7 +14,7 @@
 final class RecentCalls {
   /**
    * How long a copy can be under way: a caller sends it again for 900 ms at most, and it is void
-   * {@link FrameCore#COPY_MILLIS} after it was sent.
+   * {@link StateStoreReplica#COPY_MILLIS} after it was sent.
    */
   static final long KEEP_MILLIS = 4000;
 
@@ -31,7 +31,7 @@
   private final Map<Identity, Decided> decided = new LinkedHashMap<>();
 
   /** What was decided of a call before; null where nothing is known of it. */
-  Decision before(final Call call) {
+  Decision before(final StoreRequest call) {
     final Decided one =
         call.caller == 0 ? null : decided.get(new Identity(call.caller, call.number));
     return one == null ? null : one.decision;
@@ -47,7 +47,7 @@
   }
 
   /** Remembers what was decided of a call. */
-  void remember(final Call call, final Decision decision, final long now) {
+  void remember(final StoreRequest call, final Decision decision, final long now) {
     if (call.caller != 0) {
       decided.put(
           new Identity(call.caller, call.number),
--- a/statestore/src/main/java/weldpoint/statestore/Recovery.java
+++ b/statestore/src/main/java/weldpoint/statestore/Recovery.java
@@ -11,12 +11,12 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import weldpoint.statestore.Partition.Stored;
-import weldpoint.transport.Mark;
+import weldpoint.statestore.Partition.StoredRegister;
 import weldpoint.transport.Message;
 import weldpoint.transport.Protocol;
+import weldpoint.transport.RegisterVersion;
 import weldpoint.transport.StateStoreMessages;
-import weldpoint.transport.StateStoreMessages.Entry;
+import weldpoint.transport.StateStoreMessages.RegisterEntry;
 import weldpoint.transport.StateStoreMessages.Voter;
 
 /**
@@ -37,36 +37,36 @@
 
   /** What a voter that was asked has told so far. */
   private static final class Source {
-    private final Map<String, Mark> marks = new HashMap<>();
-    private StateStoreMessages.Fetched first;
+    private final Map<String, RegisterVersion> marks = new HashMap<>();
+    private StateStoreMessages.RecoveryResponse first;
     private String after = "";
     private boolean catalogued;
     private boolean heard;
-    private StateStoreMessages.Fetch asked;
+    private StateStoreMessages.RecoveryRequest asked;
     private long askedAt;
     private long pause = PAUSE_MILLIS;
   }
 
   /** A value of which some bytes have come. */
-  private static final class Piece {
-    private final Entry head;
+  private static final class PartialValue {
+    private final RegisterEntry head;
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
 
-    private Piece(final Entry head) {
+    private PartialValue(final RegisterEntry head) {
       this.head = head;
     }
   }
 
   /** A value that is being given out piece by piece. */
-  private record Given(String name, Mark mark, byte[] whole) {}
+  private record OutgoingValue(String name, RegisterVersion mark, byte[] whole) {}
 
-  private final FrameCore core;
+  private final StateStoreReplica core;
   private long enquireNumber;
   private long enquiredAt = Long.MIN_VALUE / 2;
-  private final Map<String, StateStoreMessages.Enquired> enquired = new HashMap<>();
+  private final Map<String, StateStoreMessages.MembershipResponse> enquired = new HashMap<>();
   private final Map<String, Source> sources = new LinkedHashMap<>();
-  private final Map<String, Piece> pieces = new HashMap<>();
-  private final Map<String, Given> given = new HashMap<>();
+  private final Map<String, PartialValue> pieces = new HashMap<>();
+  private final Map<String, OutgoingValue> given = new HashMap<>();
   private final Set<String> fetchers = new HashSet<>();
   private long fetching;
   private boolean fetched;
@@ -81,19 +81,19 @@
   private long bytes;
   private long startedAt;
 
-  Recovery(final FrameCore core) {
+  Recovery(final StateStoreReplica core) {
     this.core = core;
   }
 
   /** The next enquiry; null where the last one is too fresh. */
-  StateStoreMessages.Enquire enquire(final long now) {
+  StateStoreMessages.MembershipRequest enquire(final long now) {
     if (now - enquiredAt < ENQUIRE_MILLIS) {
       return null;
     }
     enquiredAt = now;
     enquireNumber++;
     enquired.clear();
-    return new StateStoreMessages.Enquire(enquireNumber);
+    return new StateStoreMessages.MembershipRequest(enquireNumber);
   }
 
   /**
@@ -112,17 +112,20 @@
   }
 
   void onEnquire(
-      final String from, final StateStoreMessages.Enquire enquire, final Consumer<Message> reply) {
+      final String from,
+      final StateStoreMessages.MembershipRequest enquire,
+      final Consumer<Message> reply) {
     final List<String> holders = new ArrayList<>();
     for (final Partition partition : core.partitions) {
       holders.add(partition.holder == null ? "" : partition.holder);
     }
     reply.accept(
-        new StateStoreMessages.Enquired(
+        new StateStoreMessages.MembershipResponse(
             enquire.number, core.blank, core.roster, core.incarnationOf(from), holders));
   }
 
-  void onEnquired(final String from, final StateStoreMessages.Enquired answer, final long now) {
+  void onEnquired(
+      final String from, final StateStoreMessages.MembershipResponse answer, final long now) {
     if (answer.blank) {
       return;
     }
@@ -148,7 +151,7 @@
     long most = 0;
     int answers = 0;
     for (final Voter voter : core.roster.voters) {
-      final StateStoreMessages.Enquired one = enquired.get(voter.address);
+      final StateStoreMessages.MembershipResponse one = enquired.get(voter.address);
       if (one != null && !voter.address.equals(core.self)) {
         answers++;
         most = Math.max(most, one.incarnation);
@@ -166,7 +169,7 @@
     final Source source = sources.get(from);
     if (source != null && !source.heard) {
       source.heard = true;
-      if (source.asked != null && now - source.askedAt > FrameCore.RESEND_MILLIS / 2) {
+      if (source.asked != null && now - source.askedAt > StateStoreReplica.RESEND_MILLIS / 2) {
         ask(from, source, source.asked, now);
       }
     }
@@ -194,7 +197,9 @@
   // ---- the side that gives
 
   void onFetch(
-      final String from, final StateStoreMessages.Fetch fetch, final Consumer<Message> reply) {
+      final String from,
+      final StateStoreMessages.RecoveryRequest fetch,
+      final Consumer<Message> reply) {
     if (!core.votes() || core.known.containsKey(from) && fetch.incarnation < core.known.get(from)) {
       return;
     }
@@ -213,29 +218,31 @@
       return;
     }
     core.persist(
-        new Values.DiskRecord(FrameCore.KNOWN, 0, null, null, null, from, fetch.incarnation),
+        new StoredValues.DiskRecord(
+            StateStoreReplica.KNOWN, 0, null, null, null, from, fetch.incarnation),
         () -> reply.accept(part(from, fetch)));
   }
 
-  private StateStoreMessages.Fetched part(final String from, final StateStoreMessages.Fetch fetch) {
+  private StateStoreMessages.RecoveryResponse part(
+      final String from, final StateStoreMessages.RecoveryRequest fetch) {
     return Protocol.list(fetch.names).isEmpty() ? page(fetch) : values(from, fetch);
   }
 
-  private StateStoreMessages.Fetched fetched(
-      final StateStoreMessages.Fetch fetch,
-      final List<Entry> entries,
+  private StateStoreMessages.RecoveryResponse fetched(
+      final StateStoreMessages.RecoveryRequest fetch,
+      final List<RegisterEntry> entries,
       final boolean values,
       final boolean more,
       final List<String> absent,
       final int offset,
       final int total) {
-    final List<Mark> promised = new ArrayList<>();
-    final List<Mark> established = new ArrayList<>();
+    final List<RegisterVersion> promised = new ArrayList<>();
+    final List<RegisterVersion> established = new ArrayList<>();
     for (final Partition partition : core.partitions) {
       promised.add(partition.promised);
       established.add(partition.established);
     }
-    return new StateStoreMessages.Fetched(
+    return new StateStoreMessages.RecoveryResponse(
         fetch.incarnation,
         core.roster,
         promised,
@@ -256,31 +263,31 @@
    * The registers behind a name, in their order, until a part is full; values only while there is
    * room for them.
    */
-  private StateStoreMessages.Fetched page(final StateStoreMessages.Fetch fetch) {
-    final TreeMap<String, Stored> all = new TreeMap<>();
+  private StateStoreMessages.RecoveryResponse page(final StateStoreMessages.RecoveryRequest fetch) {
+    final TreeMap<String, StoredRegister> all = new TreeMap<>();
     for (final Partition partition : core.partitions) {
       all.putAll(partition.stored);
     }
-    final List<Entry> entries = new ArrayList<>();
+    final List<RegisterEntry> entries = new ArrayList<>();
     int room = fetch.after.isEmpty() ? FIRST_VALUE_BYTES : 0;
     int names = PART_BYTES;
-    for (final Map.Entry<String, Stored> one : all.tailMap(fetch.after, false).entrySet()) {
+    for (final Map.Entry<String, StoredRegister> one : all.tailMap(fetch.after, false).entrySet()) {
       names -= ENTRY_BYTES + one.getKey().length();
       if (names < 0) {
         return fetched(fetch, entries, false, true, null, 0, 0);
       }
-      final Stored stored = one.getValue();
-      byte[] whole = room > 0 ? Values.Kind.of(one.getKey()).encode(stored.value) : null;
+      final StoredRegister stored = one.getValue();
+      byte[] whole = room > 0 ? StoredValues.Kind.of(one.getKey()).encode(stored.value) : null;
       if (whole != null) {
         final int size = whole.length + (stored.audit == null ? 0 : stored.audit.length);
         whole = size <= room ? whole : null;
         room -= size <= room ? size : 0;
       }
       entries.add(
-          new Entry(
+          new RegisterEntry(
               one.getKey(),
               stored.mark,
-              Mark.NONE,
+              RegisterVersion.NONE,
               null,
               whole,
               whole == null ? null : stored.audit));
@@ -288,20 +295,21 @@
     return fetched(fetch, entries, false, false, null, 0, 0);
   }
 
-  private StateStoreMessages.Fetched values(
-      final String from, final StateStoreMessages.Fetch fetch) {
-    final List<Entry> entries = new ArrayList<>();
+  private StateStoreMessages.RecoveryResponse values(
+      final String from, final StateStoreMessages.RecoveryRequest fetch) {
+    final List<RegisterEntry> entries = new ArrayList<>();
     final List<String> absent = new ArrayList<>();
     int room = PART_BYTES;
     for (final String name : fetch.names) {
-      final Stored stored = core.partitions[FrameCore.partition(name)].stored.get(name);
+      final StoredRegister stored =
+          core.partitions[StateStoreReplica.partition(name)].stored.get(name);
       if (stored == null) {
         absent.add(name);
         continue;
       }
-      Given one = fetch.offset > 0 ? given.get(from) : null;
+      OutgoingValue one = fetch.offset > 0 ? given.get(from) : null;
       if (one == null || !one.name.equals(name) || fetch.offset >= one.whole.length) {
-        one = new Given(name, stored.mark, Values.Kind.of(name).encode(stored.value));
+        one = new OutgoingValue(name, stored.mark, StoredValues.Kind.of(name).encode(stored.value));
       }
       final int size = one.whole.length + (stored.audit == null ? 0 : stored.audit.length);
       if (one.whole.length > PART_BYTES) {
@@ -318,8 +326,13 @@
         return fetched(
             fetch,
             List.of(
-                new Entry(
-                    name, one.mark, Mark.NONE, null, piece, offset == 0 ? stored.audit : null)),
+                new RegisterEntry(
+                    name,
+                    one.mark,
+                    RegisterVersion.NONE,
+                    null,
+                    piece,
+                    offset == 0 ? stored.audit : null)),
             true,
             false,
             absent,
@@ -330,14 +343,16 @@
         break;
       }
       room -= size;
-      entries.add(new Entry(name, one.mark, Mark.NONE, null, one.whole, stored.audit));
+      entries.add(
+          new RegisterEntry(name, one.mark, RegisterVersion.NONE, null, one.whole, stored.audit));
     }
     return fetched(fetch, entries, true, false, absent, 0, 0);
   }
 
   // ---- the side that lacks
 
-  void onFetched(final String from, final StateStoreMessages.Fetched answer, final long now) {
+  void onFetched(
+      final String from, final StateStoreMessages.RecoveryResponse answer, final long now) {
     if (!core.blank || fetched || answer.incarnation != fetching || fetching == 0) {
       return;
     }
@@ -346,7 +361,7 @@
     if (source == null || source.asked == null || source.asked.number != answer.number) {
       return;
     }
-    final List<Entry> entries = Protocol.list(answer.entries);
+    final List<RegisterEntry> entries = Protocol.list(answer.entries);
     parts++;
     if (answer.values) {
       takeValues(source, answer, entries);
@@ -355,7 +370,7 @@
         source.first = answer;
         source.marks.clear();
       }
-      for (final Entry entry : entries) {
+      for (final RegisterEntry entry : entries) {
         source.marks.put(entry.name, entry.mark);
         if (entry.whole != null) {
           keep(entry);
@@ -371,7 +386,9 @@
   }
 
   private void takeValues(
-      final Source source, final StateStoreMessages.Fetched answer, final List<Entry> entries) {
+      final Source source,
+      final StateStoreMessages.RecoveryResponse answer,
+      final List<RegisterEntry> entries) {
     for (final String name : Protocol.list(answer.absent)) {
       source.marks.remove(name);
     }
@@ -379,10 +396,10 @@
       entries.forEach(this::keep);
       return;
     }
-    final Entry entry = entries.get(0);
-    Piece piece = pieces.get(entry.name);
+    final RegisterEntry entry = entries.get(0);
+    PartialValue piece = pieces.get(entry.name);
     if (answer.offset == 0) {
-      piece = new Piece(entry);
+      piece = new PartialValue(entry);
       pieces.put(entry.name, piece);
     }
     if (piece == null
@@ -396,10 +413,10 @@
       pieces.remove(entry.name);
       bytes -= answer.total;
       keep(
-          new Entry(
+          new RegisterEntry(
               entry.name,
               entry.mark,
-              Mark.NONE,
+              RegisterVersion.NONE,
               null,
               piece.bytes.toByteArray(),
               piece.head.audit));
@@ -407,17 +424,17 @@
   }
 
   /** Keeps a value that a voter holds, in memory and on disk, so that it need not come again. */
-  private void keep(final Entry entry) {
-    final Partition partition = core.partitions[FrameCore.partition(entry.name)];
+  private void keep(final RegisterEntry entry) {
+    final Partition partition = core.partitions[StateStoreReplica.partition(entry.name)];
     bytes += entry.whole.length;
-    final Stored before = partition.stored.get(entry.name);
+    final StoredRegister before = partition.stored.get(entry.name);
     if (before != null && before.mark.compareTo(entry.mark) >= 0) {
       return;
     }
     partition.store(entry.mark.ballot(), false, List.of(entry), new ArrayList<>());
     core.persist(
-        new Values.DiskRecord(
-            FrameCore.REGISTERS,
+        new StoredValues.DiskRecord(
+            StateStoreReplica.REGISTERS,
             partition.number,
             entry.mark.ballot(),
             List.of(entry),
@@ -460,12 +477,12 @@
         ask(
             voter.address,
             source,
-            new StateStoreMessages.Fetch(fetching, source.after, null, 0, ++asks),
+            new StateStoreMessages.RecoveryRequest(fetching, source.after, null, 0, ++asks),
             now);
       }
     }
     if (whole.size() >= core.roster.majority()) {
-      final Map<String, Mark> lacking = lacking(whole);
+      final Map<String, RegisterVersion> lacking = lacking(whole);
       if (lacking.isEmpty()) {
         finish(whole, now);
         return;
@@ -484,33 +501,33 @@
   private void ask(
       final String address,
       final Source source,
-      final StateStoreMessages.Fetch fetch,
+      final StateStoreMessages.RecoveryRequest fetch,
       final long now) {
     source.asked = fetch;
     source.askedAt = now;
     core.outlet.send(address, fetch);
   }
 
-  private Mark floor(final Map<String, Source> whole, final int partition) {
-    Mark floor = Mark.NONE;
+  private RegisterVersion floor(final Map<String, Source> whole, final int partition) {
+    RegisterVersion floor = RegisterVersion.NONE;
     for (final Source source : whole.values()) {
-      final Mark established = source.first.established.get(partition);
+      final RegisterVersion established = source.first.established.get(partition);
       floor = established.compareTo(floor) > 0 ? established : floor;
     }
     return floor;
   }
 
   /** The registers that a majority holds under a higher mark than is here. */
-  private Map<String, Mark> lacking(final Map<String, Source> whole) {
-    final Mark[] floors = new Mark[FrameCore.PARTITIONS];
+  private Map<String, RegisterVersion> lacking(final Map<String, Source> whole) {
+    final RegisterVersion[] floors = new RegisterVersion[StateStoreReplica.PARTITIONS];
     for (int index = 0; index < floors.length; index++) {
       floors[index] = floor(whole, index);
     }
-    final Map<String, Mark> lacking = new TreeMap<>();
+    final Map<String, RegisterVersion> lacking = new TreeMap<>();
     for (final Source source : whole.values()) {
-      for (final Map.Entry<String, Mark> one : source.marks.entrySet()) {
-        final int partition = FrameCore.partition(one.getKey());
-        final Stored stored = core.partitions[partition].stored.get(one.getKey());
+      for (final Map.Entry<String, RegisterVersion> one : source.marks.entrySet()) {
+        final int partition = StateStoreReplica.partition(one.getKey());
+        final StoredRegister stored = core.partitions[partition].stored.get(one.getKey());
         if (one.getValue().compareTo(floors[partition]) >= 0
             && (stored == null || stored.mark.compareTo(one.getValue()) < 0)) {
           lacking.merge(
@@ -525,7 +542,7 @@
 
   /** Shares what is lacking among the voters that hold it, one part under way at each. */
   private void askValues(
-      final Map<String, Source> whole, final Map<String, Mark> lacking, final long now) {
+      final Map<String, Source> whole, final Map<String, RegisterVersion> lacking, final long now) {
     final Set<String> taken = new HashSet<>();
     for (final Source source : whole.values()) {
       if (source.asked != null) {
@@ -539,7 +556,7 @@
         continue;
       }
       final List<String> names = new ArrayList<>();
-      for (final Map.Entry<String, Mark> wanted : lacking.entrySet()) {
+      for (final Map.Entry<String, RegisterVersion> wanted : lacking.entrySet()) {
         if (names.size() < share
             && !taken.contains(wanted.getKey())
             && wanted.getValue().equals(source.marks.get(wanted.getKey()))) {
@@ -555,11 +572,11 @@
       }
       if (!names.isEmpty()) {
         taken.addAll(names);
-        final Piece piece = pieces.get(names.get(0));
+        final PartialValue piece = pieces.get(names.get(0));
         ask(
             one.getKey(),
             source,
-            new StateStoreMessages.Fetch(
+            new StateStoreMessages.RecoveryRequest(
                 fetching, "", names, piece == null ? 0 : piece.bytes.size(), ++asks),
             now);
       }
@@ -573,20 +590,20 @@
             core.roster.voters.get(index).address, source.first.known.get(index), Math::max);
       }
       for (final Partition partition : core.partitions) {
-        final Mark promised = source.first.promised.get(partition.number);
+        final RegisterVersion promised = source.first.promised.get(partition.number);
         partition.promised =
             promised.compareTo(partition.promised) > 0 ? promised : partition.promised;
       }
     }
     for (final Partition partition : core.partitions) {
-      final Mark floor = floor(whole, partition.number);
+      final RegisterVersion floor = floor(whole, partition.number);
       partition.established =
           floor.compareTo(partition.established) > 0 ? floor : partition.established;
       partition
           .stored
           .values()
           .removeIf(stored -> stored.mark.compareTo(partition.established) < 0);
-      partition.vacateAt = now + FrameCore.VACANT_MILLIS + core.random.nextInt(300);
+      partition.vacateAt = now + StateStoreReplica.VACANT_MILLIS + core.random.nextInt(300);
     }
     core.incarnation = fetching;
     core.known.remove(core.self);
--- a/statestore/src/main/java/weldpoint/statestore/Held.java
+++ b/statestore/src/main/java/weldpoint/statestore/RegisterState.java
@@ -4,19 +4,23 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import weldpoint.transport.Mark;
-import weldpoint.transport.StoreCallMessages.Answer;
-import weldpoint.transport.StoreCallMessages.Call;
+import weldpoint.transport.RegisterVersion;
+import weldpoint.transport.StoreMessages.StoreRequest;
+import weldpoint.transport.StoreMessages.StoreResponse;
 
 /** A register as the holder of its duty sees it. */
-final class Held {
+final class RegisterState {
   static final class Work {
-    final Call call;
-    final Deed deed;
-    final Consumer<Answer> reply;
+    final StoreRequest call;
+    final StoreOperation deed;
+    final Consumer<StoreResponse> reply;
     final long receivedAt;
 
-    Work(final Call call, final Deed deed, final Consumer<Answer> reply, final long receivedAt) {
+    Work(
+        final StoreRequest call,
+        final StoreOperation deed,
+        final Consumer<StoreResponse> reply,
+        final long receivedAt) {
       this.call = call;
       this.deed = deed;
       this.reply = reply;
@@ -24,22 +28,22 @@
     }
   }
 
-  static final class Proposed {
+  static final class Proposal {
     final Work work;
     final Decision decision;
 
-    Proposed(final Work work, final Decision decision) {
+    Proposal(final Work work, final Decision decision) {
       this.work = work;
       this.decision = decision;
     }
   }
 
   final String name;
-  final Values.Kind kind;
+  final StoredValues.Kind kind;
   final long keepMillis;
-  Mark mark = Mark.NONE;
-  Mark source = Mark.NONE;
-  Mark establishedMark = Mark.NONE;
+  RegisterVersion mark = RegisterVersion.NONE;
+  RegisterVersion source = RegisterVersion.NONE;
+  RegisterVersion establishedMark = RegisterVersion.NONE;
   Object proposed;
   Object committed;
   byte[] audit;
@@ -48,7 +52,7 @@
   final long[] sent = new long[64];
   final long[] sentAt = new long[64];
   final ArrayDeque<Work> waiting = new ArrayDeque<>();
-  final List<Proposed> uponCommit = new ArrayList<>();
+  final List<Proposal> uponCommit = new ArrayList<>();
   final List<Work> parked = new ArrayList<>();
   final ArrayDeque<long[]> putTimes = new ArrayDeque<>();
   long expiresAt;
@@ -56,7 +60,7 @@
   final long ballotRound;
   final TakenVersions versions;
 
-  Held(
+  RegisterState(
       final String name,
       final long keepMillis,
       final long ballotRound,
@@ -64,7 +68,7 @@
     this.versions = versions;
     this.ballotRound = ballotRound;
     this.name = name;
-    this.kind = Values.Kind.of(name);
+    this.kind = StoredValues.Kind.of(name);
     this.keepMillis = keepMillis;
   }
 
@@ -77,6 +81,6 @@
     while (!putTimes.isEmpty() && putTimes.peekFirst()[1] < now - keepMillis) {
       floor = putTimes.pollFirst()[0];
     }
-    return Math.max(floor, committed == null ? 0 : ((Values.Group) committed).floor);
+    return Math.max(floor, committed == null ? 0 : ((StoredValues.CellGroup) committed).floor);
   }
 }
--- a/statestore/src/main/java/weldpoint/statestore/FrameDaemon.java
+++ b/statestore/src/main/java/weldpoint/statestore/StateStoreDaemon.java
@@ -9,23 +9,23 @@
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
 import weldpoint.audit.SegmentStore;
-import weldpoint.common.Boot;
-import weldpoint.common.Breakdown;
-import weldpoint.common.Chance;
-import weldpoint.common.Desk;
-import weldpoint.common.Program;
-import weldpoint.transport.Line;
-import weldpoint.transport.Lines;
+import weldpoint.common.Daemon;
+import weldpoint.common.RandomIds;
+import weldpoint.common.SerialExecutor;
+import weldpoint.common.Settings;
+import weldpoint.common.WeldpointException;
+import weldpoint.transport.Connection;
 import weldpoint.transport.Message;
+import weldpoint.transport.PeerConnections;
 import weldpoint.transport.Protocol;
-import weldpoint.transport.StoreCallMessages;
-import weldpoint.transport.Trunk;
-import weldpoint.transport.Wire;
-import weldpoint.wal.Ring;
-import weldpoint.wal.Tape;
+import weldpoint.transport.Serializer;
+import weldpoint.transport.StoreMessages;
+import weldpoint.transport.Transport;
+import weldpoint.wal.SegmentRing;
+import weldpoint.wal.WriteAheadLog;
 
 /** The store as a process: its core on one thread, its lines on another, its disk on a third. */
-public final class FrameDaemon implements Program {
+public final class StateStoreDaemon implements Daemon {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
   private static final int FILES = 3;
   private static final int FILE_BYTES = 1 << 20;
@@ -33,40 +33,42 @@
   private static final int MOST_VOTERS = 5;
   private static final long TICK_MILLIS = 50;
 
-  private final Boot boot;
-  private final Desk desk = new Desk("frame");
+  private final Settings boot;
+  private final SerialExecutor desk = new SerialExecutor("frame");
   private final EventLoopGroup loop = new NioEventLoopGroup(1);
-  private final FrameCore core;
-  private final Trunk trunk;
-  private final Lines lines;
-  private Tape tape;
+  private final StateStoreReplica core;
+  private final Transport trunk;
+  private final PeerConnections lines;
+  private WriteAheadLog tape;
   private long countersAt;
 
   /** A store for these settings; nothing runs yet. */
-  public FrameDaemon(final Boot boot) {
+  public StateStoreDaemon(final Settings boot) {
     this.boot = boot;
-    final long owner = Chance.fresh();
-    this.trunk = new Trunk(loop, new Protocol.Hello(Wire.PROTOCOL, "frame", boot.address(), owner));
+    final long owner = RandomIds.next();
+    this.trunk =
+        new Transport(
+            loop, new Protocol.Hello(Serializer.PROTOCOL, "frame", boot.address(), owner));
     this.lines =
-        new Lines(
+        new PeerConnections(
             trunk,
             boot.trunkPort(1),
             to ->
-                Trunk.on(
+                Transport.on(
                     desk,
-                    new Trunk.Ear() {
+                    new Transport.Listener() {
                       @Override
-                      public void heard(final Line line, final Message message) {
+                      public void heard(final Connection line, final Message message) {
                         core().receive(to, message, line::send, now());
                       }
 
                       @Override
-                      public void closed(final Line line) {
+                      public void closed(final Connection line) {
                         core().lineClosed(to, now());
                       }
                     }));
     this.core =
-        new FrameCore(
+        new StateStoreReplica(
             boot.address(),
             boot.site(),
             boot.region(),
@@ -76,7 +78,7 @@
             owner,
             new Random(owner),
             boot.seeds(),
-            new FrameCore.Outlet() {
+            new StateStoreReplica.Environment() {
               @Override
               public void send(final String address, final Message message) {
                 lines.send(address, message);
@@ -99,7 +101,7 @@
             });
   }
 
-  private FrameCore core() {
+  private StateStoreReplica core() {
     return core;
   }
 
@@ -110,12 +112,12 @@
   @Override
   public void start() throws IOException, InterruptedException {
     if (boot.folder().isEmpty()) {
-      throw new Breakdown(
-          Breakdown.Kind.SETTING,
+      throw new WeldpointException(
+          WeldpointException.Kind.SETTING,
           "setting station.folder has the value ''; a frame needs a folder on a disk of its own");
     }
-    final Tape.Opened opened =
-        Tape.open(
+    final WriteAheadLog.Opened opened =
+        WriteAheadLog.open(
             Path.of(boot.folder(), "frame"),
             "frame " + boot.address(),
             FILES,
@@ -123,7 +125,7 @@
             MOST_FILE_BYTES,
             desk,
             core::view);
-    final Ring.Found found = opened.found();
+    final SegmentRing.Recovered found = opened.found();
     if (found.lost()) {
       LOGGER.atSevere().log(
           "the disk of %s lost records that had been synced; it counts as blank and is refetched from the other frames",
@@ -144,14 +146,14 @@
     trunk.serve(
         boot.bindAddress(),
         boot.trunkPort(1),
-        Trunk.on(
+        Transport.on(
             desk,
-            new Trunk.Ear() {
+            new Transport.Listener() {
               @Override
-              public void heard(final Line line, final Message message) {
-                if (message instanceof StoreCallMessages.Call) {
+              public void heard(final Connection line, final Message message) {
+                if (message instanceof StoreMessages.StoreRequest) {
                   core.call(
-                      (StoreCallMessages.Call) message,
+                      (StoreMessages.StoreRequest) message,
                       answer -> line.send(answer.at(now())),
                       now());
                 } else {
@@ -183,7 +185,7 @@
   }
 
   @Override
-  public void reload(final Boot news) {
+  public void reload(final Settings news) {
     desk.execute(() -> core.seeds(news.seeds()));
   }
 
@@ -193,7 +195,7 @@
     desk.execute(
         () -> core.leave(() -> loop.schedule(done::countDown, 60, TimeUnit.MILLISECONDS), now()));
     try {
-      done.await(Departure.MOST_MILLIS + 1000, TimeUnit.MILLISECONDS);
+      done.await(GracefulLeave.MOST_MILLIS + 1000, TimeUnit.MILLISECONDS);
     } catch (final InterruptedException ended) {
       Thread.currentThread().interrupt();
     }
--- a/statestore/src/main/java/weldpoint/statestore/FrameCore.java
+++ b/statestore/src/main/java/weldpoint/statestore/StateStoreReplica.java
@@ -17,22 +17,22 @@
 import weldpoint.audit.HeapStore;
 import weldpoint.statestore.Partition.Phase;
 import weldpoint.statestore.Partition.Waiter;
-import weldpoint.transport.Mark;
 import weldpoint.transport.Message;
 import weldpoint.transport.Protocol;
+import weldpoint.transport.RegisterVersion;
+import weldpoint.transport.Serializer;
 import weldpoint.transport.StateStoreMessages;
-import weldpoint.transport.StateStoreMessages.Entry;
+import weldpoint.transport.StateStoreMessages.RegisterEntry;
 import weldpoint.transport.StateStoreMessages.Roster;
 import weldpoint.transport.StateStoreMessages.Voter;
-import weldpoint.transport.StoreCallMessages;
-import weldpoint.transport.Wire;
+import weldpoint.transport.StoreMessages;
 
 /**
  * The store's state and rules: registers under marks, ballots for the duty of writing a partition,
  * and the roster of voters. It knows neither threads nor clocks nor sockets: all that happens comes
  * in through its methods, with the time of a steady clock in milliseconds.
  */
-public final class FrameCore {
+public final class StateStoreReplica {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
   /** How many partitions there are. */
@@ -67,7 +67,7 @@
   private static final long MOST_PAUSE_MILLIS = 6400;
 
   /** What the core does to the world. */
-  public interface Outlet {
+  public interface Environment {
     /** Sends to another frame, where there is a line to it. */
     void send(String address, Message message);
 
@@ -90,7 +90,7 @@
   private final long keepMillis;
   private final long owner;
   final Random random;
-  final Outlet outlet;
+  final Environment outlet;
   private List<String> seeds;
   final Partition[] partitions = new Partition[PARTITIONS];
   final Map<String, Long> known = new HashMap<>();
@@ -99,18 +99,18 @@
   long incarnation;
   boolean blank = true;
   private boolean left;
-  private final Departure departure = new Departure();
+  private final GracefulLeave departure = new GracefulLeave();
   private boolean diskTrouble;
   private long ballots;
   private long commits;
   AuditReplica audit;
   private final Recovery recovery = new Recovery(this);
-  private AuditBook book;
+  private AuditSequencer book;
   private TakenVersions versions;
   private long retention = Long.MAX_VALUE;
 
   /** A core that has read nothing from disk yet. */
-  public FrameCore(
+  public StateStoreReplica(
       final String self,
       final String site,
       final String region,
@@ -120,7 +120,7 @@
       final long owner,
       final Random random,
       final List<String> seeds,
-      final Outlet outlet) {
+      final Environment outlet) {
     this.self = self;
     this.site = site;
     this.region = region;
@@ -142,10 +142,10 @@
    * many bytes. To be called before the start.
    */
   public void history(final AuditStore store, final long entries, final int entryBytes) {
-    history(store, entries, new AuditBook(entryBytes));
+    history(store, entries, new AuditSequencer(entryBytes));
   }
 
-  void history(final AuditStore store, final long entries, final AuditBook given) {
+  void history(final AuditStore store, final long entries, final AuditSequencer given) {
     retention = entries;
     book = given;
     audit =
@@ -160,7 +160,7 @@
 
   /** The partition of a register. */
   public static int partition(final String register) {
-    final Values.Kind kind = Values.Kind.of(register);
+    final StoredValues.Kind kind = StoredValues.Kind.of(register);
     return kind.control() ? 0 : 1 + Math.floorMod(register.hashCode(), PARTITIONS - 1);
   }
 
@@ -178,14 +178,15 @@
    */
   public void start(final List<byte[]> records, final boolean firstStart, final long now) {
     for (final byte[] record : records) {
-      replay(Wire.value(record, Values.DiskRecord.class));
+      replay(Serializer.value(record, StoredValues.DiskRecord.class));
     }
     if (blank && firstStart) {
       blank = false;
       incarnation = 1;
       final List<Voter> voters = new ArrayList<>();
       for (int index = 0; index < seeds.size(); index++) {
-        voters.add(new Voter(seeds.get(index), "", "", Tokens.initial(index, seeds.size())));
+        voters.add(
+            new Voter(seeds.get(index), "", "", TokenAssignment.initial(index, seeds.size())));
       }
       roster = new Roster(1, voters);
     }
@@ -199,7 +200,7 @@
         self, blank, roster.number, roster.voters.size(), incarnation);
   }
 
-  private void replay(final Values.DiskRecord record) {
+  private void replay(final StoredValues.DiskRecord record) {
     switch (record.type) {
       case SELF -> {
         blank = false;
@@ -236,7 +237,7 @@
   public List<byte[]> view() {
     final List<byte[]> records = new ArrayList<>();
     if (!blank) {
-      records.add(Wire.bytes(selfRecord()));
+      records.add(Serializer.bytes(selfRecord()));
     }
     for (final Partition partition : partitions) {
       records.addAll(partition.records(REGISTERS, VIEW_BYTES));
@@ -245,8 +246,8 @@
     return records;
   }
 
-  Values.DiskRecord selfRecord() {
-    return new Values.DiskRecord(SELF, 0, null, null, null, null, incarnation);
+  StoredValues.DiskRecord selfRecord() {
+    return new StoredValues.DiskRecord(SELF, 0, null, null, null, null, incarnation);
   }
 
   /** What is known of the others, the roster, and what was promised and established. */
@@ -254,25 +255,27 @@
     final List<byte[]> records = new ArrayList<>();
     for (final Map.Entry<String, Long> entry : known.entrySet()) {
       records.add(
-          Wire.bytes(
-              new Values.DiskRecord(KNOWN, 0, null, null, null, entry.getKey(), entry.getValue())));
+          Serializer.bytes(
+              new StoredValues.DiskRecord(
+                  KNOWN, 0, null, null, null, entry.getKey(), entry.getValue())));
     }
-    records.add(Wire.bytes(new Values.DiskRecord(ROSTER, 0, null, null, roster, null, 0)));
+    records.add(
+        Serializer.bytes(new StoredValues.DiskRecord(ROSTER, 0, null, null, roster, null, 0)));
     for (final Partition partition : partitions) {
       records.add(
-          Wire.bytes(
-              new Values.DiskRecord(
+          Serializer.bytes(
+              new StoredValues.DiskRecord(
                   PROMISE, partition.number, partition.promised, null, null, null, 0)));
       records.add(
-          Wire.bytes(
-              new Values.DiskRecord(
+          Serializer.bytes(
+              new StoredValues.DiskRecord(
                   REGISTERS, partition.number, partition.established, null, null, null, 1)));
     }
     return records;
   }
 
-  void persist(final Values.DiskRecord record, final Runnable synced) {
-    outlet.append(Wire.bytes(record), synced);
+  void persist(final StoredValues.DiskRecord record, final Runnable synced) {
+    outlet.append(Serializer.bytes(record), synced);
   }
 
   // ---- peers
@@ -346,7 +349,7 @@
           && given >= incarnationOf(address)
           && lastingIncarnations.getOrDefault(address, 1L) < given) {
         lastingIncarnations.put(address, given);
-        persist(new Values.DiskRecord(KNOWN, 0, null, null, null, address, given), () -> {});
+        persist(new StoredValues.DiskRecord(KNOWN, 0, null, null, null, address, given), () -> {});
       }
     }
     learn(roster.number, incarnations);
@@ -361,7 +364,7 @@
     if (next > rising) {
       rising = next;
       persist(
-          new Values.DiskRecord(SELF, 0, null, null, null, null, next),
+          new StoredValues.DiskRecord(SELF, 0, null, null, null, null, next),
           () -> {
             if (next > incarnation) {
               LOGGER.atInfo().log(
@@ -404,45 +407,45 @@
     }
     membership.heard(from, now);
     meet(from);
-    if (message instanceof StateStoreMessages.Enquire) {
-      recovery.onEnquire(from, (StateStoreMessages.Enquire) message, reply);
-    } else if (message instanceof StateStoreMessages.Enquired) {
-      recovery.onEnquired(from, (StateStoreMessages.Enquired) message, now);
-    } else if (message instanceof StateStoreMessages.Fetched) {
-      recovery.onFetched(from, (StateStoreMessages.Fetched) message, now);
+    if (message instanceof StateStoreMessages.MembershipRequest) {
+      recovery.onEnquire(from, (StateStoreMessages.MembershipRequest) message, reply);
+    } else if (message instanceof StateStoreMessages.MembershipResponse) {
+      recovery.onEnquired(from, (StateStoreMessages.MembershipResponse) message, now);
+    } else if (message instanceof StateStoreMessages.RecoveryResponse) {
+      recovery.onFetched(from, (StateStoreMessages.RecoveryResponse) message, now);
     } else if (audit.receive(from, message, reply)) {
       return;
     } else if (blank) {
       return;
-    } else if (message instanceof StateStoreMessages.RosterNews) {
-      adopt(((StateStoreMessages.RosterNews) message).roster, now);
-    } else if (message instanceof StateStoreMessages.Fetch) {
-      recovery.onFetch(from, (StateStoreMessages.Fetch) message, reply);
+    } else if (message instanceof StateStoreMessages.RosterUpdate) {
+      adopt(((StateStoreMessages.RosterUpdate) message).roster, now);
+    } else if (message instanceof StateStoreMessages.RecoveryRequest) {
+      recovery.onFetch(from, (StateStoreMessages.RecoveryRequest) message, reply);
     } else if (message instanceof StateStoreMessages.Join) {
       onJoin((StateStoreMessages.Join) message, now);
     } else if (message instanceof StateStoreMessages.Resign) {
       onResign(from, (StateStoreMessages.Resign) message, reply, now);
     } else if (message instanceof StateStoreMessages.Released) {
       onReleased((StateStoreMessages.Released) message, now);
-    } else if (message instanceof StateStoreMessages.Canvass) {
-      onCanvass((StateStoreMessages.Canvass) message, reply, now);
-    } else if (message instanceof StateStoreMessages.Canvassed) {
-      onCanvassed(from, (StateStoreMessages.Canvassed) message, now);
+    } else if (message instanceof StateStoreMessages.PreVote) {
+      onCanvass((StateStoreMessages.PreVote) message, reply, now);
+    } else if (message instanceof StateStoreMessages.PreVoteResponse) {
+      onCanvassed(from, (StateStoreMessages.PreVoteResponse) message, now);
     } else if (message instanceof StateStoreMessages.Prepare) {
       onPrepare((StateStoreMessages.Prepare) message, reply, now);
     } else if (message instanceof StateStoreMessages.Accept) {
       onAccept(from, (StateStoreMessages.Accept) message, reply, now);
-    } else if (message instanceof StateStoreMessages.Pulse) {
-      onPulse(from, (StateStoreMessages.Pulse) message, reply, now);
+    } else if (message instanceof StateStoreMessages.Heartbeat) {
+      onPulse(from, (StateStoreMessages.Heartbeat) message, reply, now);
     } else if (message instanceof StateStoreMessages.Promise) {
       recovery.votes(from);
       onPromise(from, (StateStoreMessages.Promise) message, now);
     } else if (message instanceof StateStoreMessages.Accepted) {
       recovery.votes(from);
       onAccepted(from, (StateStoreMessages.Accepted) message, now);
-    } else if (message instanceof StateStoreMessages.Pulsed) {
+    } else if (message instanceof StateStoreMessages.HeartbeatAck) {
       recovery.votes(from);
-      onPulsed(from, (StateStoreMessages.Pulsed) message, now);
+      onPulsed(from, (StateStoreMessages.HeartbeatAck) message, now);
     } else if (message instanceof StateStoreMessages.Refused) {
       onRefused(from, (StateStoreMessages.Refused) message, reply, now);
     }
@@ -484,7 +487,7 @@
         partition.establishSent[index] = false;
         partition.establishSentAt[index] = 0;
         partition.repairs[index] = new Partition.Repair();
-        for (final Held held : partition.held.values()) {
+        for (final RegisterState held : partition.held.values()) {
           held.sent[index] = -1;
           held.sentAt[index] = 0;
         }
@@ -493,35 +496,39 @@
   }
 
   private boolean agrees(
-      final long theirs, final Consumer<Message> reply, final int partition, final Mark ballot) {
+      final long theirs,
+      final Consumer<Message> reply,
+      final int partition,
+      final RegisterVersion ballot) {
     if (theirs == roster.number) {
       return votes();
     }
     if (theirs < roster.number) {
-      reply.accept(new StateStoreMessages.RosterNews(roster));
+      reply.accept(new StateStoreMessages.RosterUpdate(roster));
     } else {
       reply.accept(
-          new StateStoreMessages.Refused(partition, ballot, Mark.NONE, roster.number, null));
+          new StateStoreMessages.Refused(
+              partition, ballot, RegisterVersion.NONE, roster.number, null));
     }
     return false;
   }
 
   private void onCanvass(
-      final StateStoreMessages.Canvass canvass, final Consumer<Message> reply, final long now) {
-    if (!agrees(canvass.roster, reply, canvass.partition, Mark.NONE)) {
+      final StateStoreMessages.PreVote canvass, final Consumer<Message> reply, final long now) {
+    if (!agrees(canvass.roster, reply, canvass.partition, RegisterVersion.NONE)) {
       return;
     }
     final Partition partition = partitions[canvass.partition];
     if (partition.phase.ordinal() <= Phase.CANVASSING.ordinal()
         && now - partition.heardAt > HEARD_MILLIS) {
       reply.accept(
-          new StateStoreMessages.Canvassed(
+          new StateStoreMessages.PreVoteResponse(
               canvass.partition, canvass.number, partition.promised.round));
     }
   }
 
   private void onCanvassed(
-      final String from, final StateStoreMessages.Canvassed canvassed, final long now) {
+      final String from, final StateStoreMessages.PreVoteResponse canvassed, final long now) {
     final Partition partition = partitions[canvassed.partition];
     final int place = roster.index(from);
     if (partition.phase != Phase.CANVASSING
@@ -543,7 +550,7 @@
     partition.canvassedAt = now;
     partition.agreed = new boolean[roster.voters.size()];
     broadcast(
-        new StateStoreMessages.Canvass(partition.number, roster.number, partition.canvass), now);
+        new StateStoreMessages.PreVote(partition.number, roster.number, partition.canvass), now);
   }
 
   private long canvasses;
@@ -573,7 +580,7 @@
     partition.vacateAt = Math.max(partition.vacateAt, now + BALLOT_MILLIS + random.nextInt(200));
     partition.heardAt = now;
     persist(
-        new Values.DiskRecord(PROMISE, partition.number, prepare.ballot, null, null, null, 0),
+        new StoredValues.DiskRecord(PROMISE, partition.number, prepare.ballot, null, null, null, 0),
         () -> {
           if (partition.promised.equals(prepare.ballot) && roster.number == prepare.roster) {
             reply.accept(
@@ -626,14 +633,14 @@
     }
     heardHolder(partition, from, now);
     learnLasting(Protocol.list(accept.known));
-    final List<Entry> entries = Protocol.list(accept.entries);
-    final List<Entry> lacking = new ArrayList<>();
+    final List<RegisterEntry> entries = Protocol.list(accept.entries);
+    final List<RegisterEntry> lacking = new ArrayList<>();
     partition.store(accept.ballot, accept.establish, entries, lacking);
     final List<String> names = new ArrayList<>(entries.size());
     final List<Long> counts = new ArrayList<>(entries.size());
     final List<String> lackingNames = new ArrayList<>();
-    final List<Entry> kept = new ArrayList<>(entries.size());
-    for (final Entry entry : entries) {
+    final List<RegisterEntry> kept = new ArrayList<>(entries.size());
+    for (final RegisterEntry entry : entries) {
       if (lacking.contains(entry)) {
         lackingNames.add(entry.name);
       } else {
@@ -643,7 +650,7 @@
       }
     }
     persist(
-        new Values.DiskRecord(
+        new StoredValues.DiskRecord(
             REGISTERS, partition.number, accept.ballot, kept, null, null, accept.establish ? 1 : 0),
         () -> {
           if (roster.number == accept.roster) {
@@ -672,7 +679,7 @@
 
   private void onPulse(
       final String from,
-      final StateStoreMessages.Pulse pulse,
+      final StateStoreMessages.Heartbeat pulse,
       final Consumer<Message> reply,
       final long now) {
     final List<Integer> numbers = Protocol.list(pulse.partitions);
@@ -680,10 +687,10 @@
       return;
     }
     final List<Integer> standing = new ArrayList<>(numbers.size());
-    final List<Mark> ballotsStanding = new ArrayList<>(numbers.size());
+    final List<RegisterVersion> ballotsStanding = new ArrayList<>(numbers.size());
     for (int index = 0; index < numbers.size(); index++) {
       final Partition partition = partitions[numbers.get(index)];
-      final Mark ballot = pulse.ballots.get(index);
+      final RegisterVersion ballot = pulse.ballots.get(index);
       if (partition.promised.sameBallot(ballot)) {
         standing.add(partition.number);
         ballotsStanding.add(ballot);
@@ -699,7 +706,7 @@
       }
     }
     reply.accept(
-        new StateStoreMessages.Pulsed(
+        new StateStoreMessages.HeartbeatAck(
             standing, ballotsStanding, incarnation, knownIncarnations(), audit.log().durable()));
   }
 
@@ -709,7 +716,7 @@
       final Consumer<Message> reply,
       final long now) {
     if (refused.roster < roster.number) {
-      outlet.send(from, new StateStoreMessages.RosterNews(roster));
+      outlet.send(from, new StateStoreMessages.RosterUpdate(roster));
       return;
     }
     learn(refused.roster, refused.known);
@@ -758,7 +765,7 @@
       return;
     }
     persist(
-        new Values.DiskRecord(ROSTER, 0, null, null, news, null, 0),
+        new StoredValues.DiskRecord(ROSTER, 0, null, null, news, null, 0),
         () -> {
           if (news.number <= roster.number) {
             return;
@@ -844,31 +851,31 @@
     if (partition.number == 0) {
       controlParked.clear();
     }
-    for (final Held held : partition.held.values()) {
-      for (final Held.Proposed proposed : held.uponCommit) {
+    for (final RegisterState held : partition.held.values()) {
+      for (final RegisterState.Proposal proposed : held.uponCommit) {
         proposed.work.reply.accept(
-            new StoreCallMessages.Answer(proposed.work.call.number, 504, 0, null, null));
+            new StoreMessages.StoreResponse(proposed.work.call.number, 504, 0, null, null));
       }
-      for (final Held.Work work : held.waiting) {
+      for (final RegisterState.Work work : held.waiting) {
         work.reply.accept(redirect(work.call, partition));
       }
-      for (final Held.Work work : held.parked) {
+      for (final RegisterState.Work work : held.parked) {
         work.reply.accept(redirect(work.call, partition));
       }
     }
     partition.held = new LinkedHashMap<>();
   }
 
-  private static StoreCallMessages.Answer redirect(
-      final StoreCallMessages.Call call, final Partition partition) {
-    return new StoreCallMessages.Answer(call.number, 0, 0, null, partition.holder);
+  private static StoreMessages.StoreResponse redirect(
+      final StoreMessages.StoreRequest call, final Partition partition) {
+    return new StoreMessages.StoreResponse(call.number, 0, 0, null, partition.holder);
   }
 
   private void begin(final Partition partition, final long now) {
     final int size = roster.voters.size();
     highest = Math.max(highest, partition.promised.round);
     highest = Math.max(highest, partition.ballot.round) + 1;
-    partition.ballot = new Mark(highest, owner, 0);
+    partition.ballot = new RegisterVersion(highest, owner, 0);
     partition.phase = Phase.PREPARING;
     partition.startedAt = now;
     partition.promises = new StateStoreMessages.Promise[size];
@@ -973,7 +980,7 @@
     if (count < roster.majority()) {
       return;
     }
-    Mark floor = Mark.NONE;
+    RegisterVersion floor = RegisterVersion.NONE;
     final Long[] counted = new Long[roster.voters.size()];
     Arrays.fill(counted, 0L);
     for (int place = 0; place < partition.promises.length; place++) {
@@ -986,11 +993,11 @@
       }
     }
     partition.counted = List.of(counted);
-    final Map<String, Entry> best = new LinkedHashMap<>();
+    final Map<String, RegisterEntry> best = new LinkedHashMap<>();
     for (final StateStoreMessages.Promise one : partition.promises) {
       if (one != null) {
-        for (final Entry entry : Protocol.list(one.entries)) {
-          final Entry before = best.get(entry.name);
+        for (final RegisterEntry entry : Protocol.list(one.entries)) {
+          final RegisterEntry before = best.get(entry.name);
           if (entry.mark.compareTo(floor) >= 0
               && (before == null || before.mark.compareTo(entry.mark) < 0)) {
             best.put(entry.name, entry);
@@ -999,8 +1006,9 @@
       }
     }
     partition.held = new LinkedHashMap<>();
-    for (final Entry entry : best.values()) {
-      final Held held = new Held(entry.name, keepMillis, partition.ballot.round, versions);
+    for (final RegisterEntry entry : best.values()) {
+      final RegisterState held =
+          new RegisterState(entry.name, keepMillis, partition.ballot.round, versions);
       held.proposed = held.kind.decode(entry.whole);
       held.audit = entry.audit;
       held.source = entry.mark;
@@ -1023,14 +1031,14 @@
   }
 
   private void sendEstablish(final Partition partition, final int place, final long now) {
-    final List<Entry> entries = new ArrayList<>(partition.held.size());
-    for (final Held held : partition.held.values()) {
+    final List<RegisterEntry> entries = new ArrayList<>(partition.held.size());
+    for (final RegisterState held : partition.held.values()) {
       if (held.proposed != null) {
         entries.add(
-            new Entry(
+            new RegisterEntry(
                 held.name,
                 held.mark,
-                Mark.NONE,
+                RegisterVersion.NONE,
                 null,
                 held.kind.encode(held.proposed),
                 held.audit));
@@ -1068,7 +1076,7 @@
     }
     final List<String> names = Protocol.list(accepted.names);
     for (int index = 0; index < names.size(); index++) {
-      final Held held = partition.held.get(names.get(index));
+      final RegisterState held = partition.held.get(names.get(index));
       if (held != null) {
         held.acked[place] = Math.max(held.acked[place], accepted.counts.get(index));
       }
@@ -1078,7 +1086,7 @@
     }
     partition.repairs[place].pause = 0;
     for (final String name : Protocol.list(accepted.lacking)) {
-      final Held held = partition.held.get(name);
+      final RegisterState held = partition.held.get(name);
       if (held != null) {
         sendWhole(partition, held, place, now);
       }
@@ -1089,7 +1097,7 @@
       }
     } else {
       for (final String name : names) {
-        final Held held = partition.held.get(name);
+        final RegisterState held = partition.held.get(name);
         if (held != null) {
           tryCommit(partition, held, now);
         }
@@ -1112,12 +1120,12 @@
     partition.holder = self;
     partition.betterSince = 0;
     membership.settled(partition.number, roster.number);
-    for (final Held held : partition.held.values()) {
+    for (final RegisterState held : partition.held.values()) {
       held.committed = held.proposed;
-      if (held.kind == Values.Kind.LOCK) {
-        held.expiresAt = now + ((Values.Lock) held.committed).holdMillis;
-      } else if (held.kind == Values.Kind.GROUP) {
-        for (final Values.Put put : ((Values.Group) held.committed).history) {
+      if (held.kind == StoredValues.Kind.LOCK) {
+        held.expiresAt = now + ((StoredValues.Lock) held.committed).holdMillis;
+      } else if (held.kind == StoredValues.Kind.GROUP) {
+        for (final StoredValues.Put put : ((StoredValues.CellGroup) held.committed).history) {
           held.putTimes.add(new long[] {put.revision, now});
         }
       }
@@ -1127,7 +1135,7 @@
         self, partition.number, partition.ballot, roster.number, partition.held.size());
     if (partition.number == 0) {
       audit.decided(book.serve(), others());
-      final Held held = partition.held.get("roster");
+      final RegisterState held = partition.held.get("roster");
       if (held != null && ((Roster) held.committed).number > roster.number) {
         announce((Roster) held.committed, now);
       }
@@ -1144,7 +1152,7 @@
     }
     for (final String address : told) {
       if (!address.equals(self)) {
-        outlet.send(address, new StateStoreMessages.RosterNews(news));
+        outlet.send(address, new StateStoreMessages.RosterUpdate(news));
       }
     }
     adopt(news, now);
@@ -1154,7 +1162,7 @@
     partition.pulseCount++;
     partition.pulsedAt = now;
     broadcast(
-        new StateStoreMessages.Pulse(
+        new StateStoreMessages.Heartbeat(
             roster.number,
             List.of(partition.number),
             List.of(partition.ballot.at(partition.pulseCount))),
@@ -1163,7 +1171,7 @@
 
   private void pulseAll(final long now) {
     final List<Integer> numbers = new ArrayList<>();
-    final List<Mark> marks = new ArrayList<>();
+    final List<RegisterVersion> marks = new ArrayList<>();
     if (now - pulsedAllAt < PULSE_MILLIS) {
       return;
     }
@@ -1177,13 +1185,14 @@
       }
     }
     if (!numbers.isEmpty()) {
-      broadcast(new StateStoreMessages.Pulse(roster.number, numbers, marks), now);
+      broadcast(new StateStoreMessages.Heartbeat(roster.number, numbers, marks), now);
     }
   }
 
   private long pulsedAllAt;
 
-  private void onPulsed(final String from, final StateStoreMessages.Pulsed pulsed, final long now) {
+  private void onPulsed(
+      final String from, final StateStoreMessages.HeartbeatAck pulsed, final long now) {
     final int place = roster.index(from);
     final List<Integer> numbers = Protocol.list(pulsed.partitions);
     for (int index = 0; index < numbers.size(); index++) {
@@ -1208,7 +1217,7 @@
     }
     for (int index = 0; index < numbers.size(); index++) {
       final Partition partition = partitions[numbers.get(index)];
-      final Mark mark = pulsed.ballots.get(index);
+      final RegisterVersion mark = pulsed.ballots.get(index);
       if (partition.phase == Phase.SERVING
           && partition.ballot.sameBallot(mark)
           && !restart.contains(partition)) {
@@ -1241,7 +1250,10 @@
   }
 
   private void confirm(
-      final Partition partition, final long now, final Held.Work work, final Runnable then) {
+      final Partition partition,
+      final long now,
+      final RegisterState.Work work,
+      final Runnable then) {
     if (!partition.confirmOut) {
       partition.confirmOut = true;
       partition.waiters.add(new Waiter(partition.pulseCount + 1, now, work, then));
@@ -1255,16 +1267,17 @@
 
   /** A call from an exchange. */
   public void call(
-      final StoreCallMessages.Call call,
-      final Consumer<StoreCallMessages.Answer> line,
+      final StoreMessages.StoreRequest call,
+      final Consumer<StoreMessages.StoreResponse> line,
       final long now) {
-    final Consumer<StoreCallMessages.Answer> reply = answer -> line.accept(answer.to(call.caller));
-    final Deed deed = Deed.of(call.deed);
+    final Consumer<StoreMessages.StoreResponse> reply =
+        answer -> line.accept(answer.to(call.caller));
+    final StoreOperation deed = StoreOperation.of(call.deed);
     if (deed == null) {
-      reply.accept(new StoreCallMessages.Answer(call.number, 400, 0, null, null));
+      reply.accept(new StoreMessages.StoreResponse(call.number, 400, 0, null, null));
       return;
     }
-    if (deed == Deed.HISTORY_READ) {
+    if (deed == StoreOperation.HISTORY_READ) {
       reply.accept(history(call));
       return;
     }
@@ -1272,28 +1285,29 @@
     final Partition partition = partitions[partition(register)];
     if (partition.phase != Phase.SERVING || departure.begun()) {
       reply.accept(
-          new StoreCallMessages.Answer(
+          new StoreMessages.StoreResponse(
               call.number, 0, 0, null, self.equals(partition.holder) ? null : partition.holder));
       return;
     }
-    if (deed == Deed.CONTROL) {
+    if (deed == StoreOperation.CONTROL) {
       control(partition, call, reply, now);
       return;
     }
-    if (deed == Deed.HISTORY_HEAD) {
+    if (deed == StoreOperation.HISTORY_HEAD) {
       head(partition, call, reply, now);
       return;
     }
-    final Held held = held(partition, register);
-    held.waiting.add(new Held.Work(call, deed, reply, now));
+    final RegisterState held = held(partition, register);
+    held.waiting.add(new RegisterState.Work(call, deed, reply, now));
     drain(partition, held, now);
   }
 
-  private Held held(final Partition partition, final String register) {
+  private RegisterState held(final Partition partition, final String register) {
     return partition.held.computeIfAbsent(
         register,
         name -> {
-          final Held held = new Held(name, keepMillis, partition.ballot.round, versions);
+          final RegisterState held =
+              new RegisterState(name, keepMillis, partition.ballot.round, versions);
           held.mark = partition.ballot;
           Arrays.fill(held.acked, -1);
           Arrays.fill(held.sent, -1);
@@ -1301,20 +1315,23 @@
         });
   }
 
-  private static StoreCallMessages.Answer answer(final Held.Work work, final Decision decision) {
-    return new StoreCallMessages.Answer(
+  private static StoreMessages.StoreResponse answer(
+      final RegisterState.Work work, final Decision decision) {
+    return new StoreMessages.StoreResponse(
         work.call.number, decision.status, decision.first, decision.body, null);
   }
 
-  private void drain(final Partition partition, final Held held, final long now) {
+  private void drain(final Partition partition, final RegisterState held, final long now) {
     final boolean waits = held.kind.audited() && book.busy(held);
     Object value = held.committed;
     boolean changed = false;
-    final List<Values.Put> puts = new ArrayList<>();
-    final List<Held.Work> later = new ArrayList<>();
+    final List<StoredValues.Put> puts = new ArrayList<>();
+    final List<RegisterState.Work> later = new ArrayList<>();
     while (!held.waiting.isEmpty()) {
-      final Held.Work work = held.waiting.poll();
-      if (work.deed == Deed.CELL_READ || work.deed == Deed.SPEC_READ || work.deed == Deed.WATCH) {
+      final RegisterState.Work work = held.waiting.poll();
+      if (work.deed == StoreOperation.CELL_READ
+          || work.deed == StoreOperation.SPEC_READ
+          || work.deed == StoreOperation.WATCH) {
         look(partition, held, work, now);
         continue;
       }
@@ -1323,7 +1340,7 @@
         continue;
       }
       if (late(work.call, now)
-          || work.deed == Deed.LOCK_BEGIN && !datable(partition, work.call, now)) {
+          || work.deed == StoreOperation.LOCK_BEGIN && !datable(partition, work.call, now)) {
         work.reply.accept(redirect(work.call, partition));
         continue;
       }
@@ -1345,9 +1362,9 @@
         if (decision.put != null) {
           puts.add(decision.put);
         }
-        held.uponCommit.add(new Held.Proposed(work, decision));
+        held.uponCommit.add(new RegisterState.Proposal(work, decision));
       } else if (changed) {
-        held.uponCommit.add(new Held.Proposed(work, decision));
+        held.uponCommit.add(new RegisterState.Proposal(work, decision));
       } else {
         confirm(partition, now, work, () -> work.reply.accept(answer(work, decision)));
       }
@@ -1359,7 +1376,7 @@
   }
 
   /** Whether a copy was under way for too long; nothing is done for it. */
-  private static boolean late(final StoreCallMessages.Call call, final long now) {
+  private static boolean late(final StoreMessages.StoreRequest call, final long now) {
     return call.clock != null && now - call.clock > COPY_MILLIS;
   }
 
@@ -1368,7 +1385,7 @@
    * that.
    */
   private static boolean datable(
-      final Partition partition, final StoreCallMessages.Call call, final long now) {
+      final Partition partition, final StoreMessages.StoreRequest call, final long now) {
     return call.clock == null
         || call.clock - call.age >= partition.servedAt
         || older(partition, call, now);
@@ -1379,15 +1396,15 @@
    * carried it out.
    */
   private static boolean older(
-      final Partition partition, final StoreCallMessages.Call call, final long now) {
+      final Partition partition, final StoreMessages.StoreRequest call, final long now) {
     return call.age > 0 && now - call.age < partition.servedAt;
   }
 
   private Decision decide(
       final Partition partition,
-      final Held held,
+      final RegisterState held,
       final Object value,
-      final Held.Work work,
+      final RegisterState.Work work,
       final long now) {
     if (!work.deed.once()) {
       return work.deed.decide(held, value, work.call, now);
@@ -1396,7 +1413,7 @@
     if (before != null) {
       return before;
     }
-    if (work.deed == Deed.LOCK_BEGIN && older(partition, work.call, now)
+    if (work.deed == StoreOperation.LOCK_BEGIN && older(partition, work.call, now)
         || partition.recent.full(now)) {
       return Decision.confirm(504, 0);
     }
@@ -1406,7 +1423,10 @@
   }
 
   private void look(
-      final Partition partition, final Held held, final Held.Work work, final long now) {
+      final Partition partition,
+      final RegisterState held,
+      final RegisterState.Work work,
+      final long now) {
     final Decision decision = work.deed.decide(held, held.committed, work.call, now);
     switch (decision.way) {
       case READ ->
@@ -1424,11 +1444,11 @@
 
   private void propose(
       final Partition partition,
-      final Held held,
+      final RegisterState held,
       final Object value,
-      final List<Values.Put> puts,
+      final List<StoredValues.Put> puts,
       final long now) {
-    final Mark base = held.mark;
+    final RegisterVersion base = held.mark;
     final boolean fresh = held.committed == null;
     if (held.kind.audited()) {
       book.propose(held);
@@ -1443,17 +1463,20 @@
         continue;
       }
       final boolean follows = !puts.isEmpty() && !fresh && held.sent[place] == base.count;
-      final Entry entry;
+      final RegisterEntry entry;
       if (follows) {
         if (difference == null) {
-          difference = Wire.bytes(new Values.Difference(puts, ((Values.Group) value).floor));
+          difference =
+              Serializer.bytes(
+                  new StoredValues.GroupDelta(puts, ((StoredValues.CellGroup) value).floor));
         }
-        entry = new Entry(held.name, held.mark, base, difference, null);
+        entry = new RegisterEntry(held.name, held.mark, base, difference, null);
       } else {
         if (whole == null) {
           whole = held.kind.encode(value);
         }
-        entry = new Entry(held.name, held.mark, Mark.NONE, null, whole, held.audit);
+        entry =
+            new RegisterEntry(held.name, held.mark, RegisterVersion.NONE, null, whole, held.audit);
       }
       held.sent[place] = held.mark.count;
       held.sentAt[place] = now;
@@ -1471,7 +1494,7 @@
   }
 
   private void sendWhole(
-      final Partition partition, final Held held, final int place, final long now) {
+      final Partition partition, final RegisterState held, final int place, final long now) {
     if (held.proposed == null) {
       return;
     }
@@ -1486,17 +1509,17 @@
             false,
             partition.counted,
             List.of(
-                new Entry(
+                new RegisterEntry(
                     held.name,
                     held.mark,
-                    Mark.NONE,
+                    RegisterVersion.NONE,
                     null,
                     held.kind.encode(held.proposed),
                     held.audit))),
         now);
   }
 
-  private void tryCommit(final Partition partition, final Held held, final long now) {
+  private void tryCommit(final Partition partition, final RegisterState held, final long now) {
     if (!held.inFlight) {
       return;
     }
@@ -1510,41 +1533,42 @@
     held.inFlight = false;
     held.committed = held.proposed;
     commits++;
-    if (held.kind == Values.Kind.LOCK) {
-      held.expiresAt = Math.max(held.expiresAt, now + ((Values.Lock) held.committed).holdMillis);
-      if (((Values.Lock) held.committed).owner.isEmpty()) {
+    if (held.kind == StoredValues.Kind.LOCK) {
+      held.expiresAt =
+          Math.max(held.expiresAt, now + ((StoredValues.Lock) held.committed).holdMillis);
+      if (((StoredValues.Lock) held.committed).owner.isEmpty()) {
         held.expiresAt = 0;
       }
-    } else if (held.kind == Values.Kind.GROUP) {
-      final Values.Group group = (Values.Group) held.committed;
+    } else if (held.kind == StoredValues.Kind.GROUP) {
+      final StoredValues.CellGroup group = (StoredValues.CellGroup) held.committed;
       final long last = held.putTimes.isEmpty() ? 0 : held.putTimes.peekLast()[0];
-      for (final Values.Put put : group.history) {
+      for (final StoredValues.Put put : group.history) {
         if (put.revision > last) {
           held.putTimes.add(new long[] {put.revision, now});
         }
       }
     }
-    final List<Held.Proposed> answers = new ArrayList<>(held.uponCommit);
+    final List<RegisterState.Proposal> answers = new ArrayList<>(held.uponCommit);
     held.uponCommit.clear();
-    for (final Held.Proposed one : answers) {
+    for (final RegisterState.Proposal one : answers) {
       one.work.reply.accept(answer(one.work, one.decision));
     }
     if (!held.parked.isEmpty()) {
-      final List<Held.Work> parked = new ArrayList<>(held.parked);
+      final List<RegisterState.Work> parked = new ArrayList<>(held.parked);
       held.parked.clear();
-      for (final Held.Work work : parked) {
+      for (final RegisterState.Work work : parked) {
         look(partition, held, work, now);
       }
     }
     if (partition.number == 0) {
-      if (held.kind == Values.Kind.ROSTER) {
+      if (held.kind == StoredValues.Kind.ROSTER) {
         announce((Roster) held.committed, now);
         return;
       }
       wakeControl(partition, now);
       if (held.kind.audited()) {
         audit.decided(book.commit(held), others());
-        for (final Held other : new ArrayList<>(partition.held.values())) {
+        for (final RegisterState other : new ArrayList<>(partition.held.values())) {
           if (other != held && other.kind.audited() && !other.waiting.isEmpty()) {
             drain(partition, other, now);
           }
@@ -1558,10 +1582,10 @@
 
   /** Which number all evacuations and trials together are under. */
   private static long controlMark(
-      final Partition partition, final Held changing, final Object value) {
+      final Partition partition, final RegisterState changing, final Object value) {
     long mark = 0;
-    for (final Held held : partition.held.values()) {
-      mark += Values.serial(held.kind, held == changing ? value : held.committed);
+    for (final RegisterState held : partition.held.values()) {
+      mark += StoredValues.serial(held.kind, held == changing ? value : held.committed);
     }
     return mark;
   }
@@ -1591,7 +1615,7 @@
   }
 
   /** Answers from what is here, whoever holds the duty: entries from first on, second at most. */
-  private StoreCallMessages.Answer history(final StoreCallMessages.Call call) {
+  private StoreMessages.StoreResponse history(final StoreMessages.StoreRequest call) {
     final AuditLog log = audit.log();
     final List<byte[]> entries = new ArrayList<>();
     int bytes = 0;
@@ -1606,29 +1630,30 @@
       bytes += entry.length;
       entries.add(entry);
     }
-    return new StoreCallMessages.Answer(
+    return new StoreMessages.StoreResponse(
         call.number,
         200,
         log.last(),
-        Wire.bytes(
-            new Values.HistoryPart(
+        Serializer.bytes(
+            new StoredValues.HistoryPart(
                 log.base(), log.last(), log.digest(), log.conflicts(), blank, from, entries)),
         null);
   }
 
   private void head(
       final Partition partition,
-      final StoreCallMessages.Call call,
-      final Consumer<StoreCallMessages.Answer> reply,
+      final StoreMessages.StoreRequest call,
+      final Consumer<StoreMessages.StoreResponse> reply,
       final long now) {
-    final Held.Work work = new Held.Work(call, Deed.HISTORY_HEAD, reply, now);
+    final RegisterState.Work work =
+        new RegisterState.Work(call, StoreOperation.HISTORY_HEAD, reply, now);
     confirm(
         partition,
         now,
         work,
         () ->
             reply.accept(
-                new StoreCallMessages.Answer(
+                new StoreMessages.StoreResponse(
                     call.number,
                     200,
                     book.decided(),
@@ -1645,12 +1670,14 @@
     if (!book.idle()) {
       return;
     }
-    final Held held = held(partition, Values.Kind.AUDIT.register(""));
-    final Held spec = partition.held.get(Values.Kind.SPEC.register(""));
+    final RegisterState held = held(partition, StoredValues.Kind.AUDIT.register(""));
+    final RegisterState spec = partition.held.get(StoredValues.Kind.SPEC.register(""));
     if (book.decided() == 0) {
       if (spec != null && spec.committed != null) {
-        book.add(book.upgrade((Values.Spec) spec.committed, self, outlet.timeOfDay()));
-        propose(partition, held, new Values.Retention(0), List.of(), now);
+        book.add(
+            book.upgrade(
+                (StoredValues.StoredConfiguration) spec.committed, self, outlet.timeOfDay()));
+        propose(partition, held, new StoredValues.Retention(0), List.of(), now);
       }
       return;
     }
@@ -1664,21 +1691,22 @@
       final String digest = log.digestAt(through);
       if (digest != null) {
         book.add(book.retention(through, digest, self, outlet.timeOfDay()));
-        propose(partition, held, new Values.Retention(through), List.of(), now);
+        propose(partition, held, new StoredValues.Retention(through), List.of(), now);
       }
     }
   }
 
   // ---- control state for exchanges
 
-  private final List<Held.Work> controlParked = new ArrayList<>();
+  private final List<RegisterState.Work> controlParked = new ArrayList<>();
 
   private void control(
       final Partition partition,
-      final StoreCallMessages.Call call,
-      final Consumer<StoreCallMessages.Answer> reply,
+      final StoreMessages.StoreRequest call,
+      final Consumer<StoreMessages.StoreResponse> reply,
       final long now) {
-    final Held.Work work = new Held.Work(call, Deed.CONTROL, reply, now);
+    final RegisterState.Work work =
+        new RegisterState.Work(call, StoreOperation.CONTROL, reply, now);
     confirm(
         partition,
         now,
@@ -1691,22 +1719,22 @@
   }
 
   private boolean tellControl(
-      final Partition partition, final Held.Work work, final boolean always) {
+      final Partition partition, final RegisterState.Work work, final boolean always) {
     final ControlView view = new ControlView(partition.held.values());
     if (!always && !view.newsFor(work.call)) {
       return false;
     }
-    final Values.Control control = view.answer(work.call, roster);
+    final StoredValues.ControlSnapshot control = view.answer(work.call, roster);
     work.reply.accept(
-        new StoreCallMessages.Answer(
-            work.call.number, 200, view.version(), Wire.bytes(control), null));
+        new StoreMessages.StoreResponse(
+            work.call.number, 200, view.version(), Serializer.bytes(control), null));
     return true;
   }
 
   private void wakeControl(final Partition partition, final long now) {
-    final List<Held.Work> parked = new ArrayList<>(controlParked);
+    final List<RegisterState.Work> parked = new ArrayList<>(controlParked);
     controlParked.clear();
-    for (final Held.Work work : parked) {
+    for (final RegisterState.Work work : parked) {
       if (!tellControl(partition, work, false)) {
         controlParked.add(work);
       }
@@ -1752,7 +1780,7 @@
       }
       LOGGER.atWarning().log(
           "frame %s leaves although partitions %s may be on too few other disks: no holder has said within %s ms that a majority has them without it; bring it back with its disk, or replace it, before another voter is lost",
-          self, departure.open(), Departure.MOST_MILLIS);
+          self, departure.open(), GracefulLeave.MOST_MILLIS);
     }
     resign(true, now);
     left = true;
@@ -1781,7 +1809,7 @@
     if (partition.number == 0 && book.settledWithout(roster, leaver) < book.decided()) {
       return false;
     }
-    for (final Held held : partition.held.values()) {
+    for (final RegisterState held : partition.held.values()) {
       int count = 0;
       for (int place = 0; place < roster.voters.size(); place++) {
         count +=
@@ -1895,17 +1923,17 @@
       if (repair.heardAt <= repair.sentAt || now - repair.sentAt <= repair.pause) {
         continue;
       }
-      final List<Entry> entries = new ArrayList<>();
+      final List<RegisterEntry> entries = new ArrayList<>();
       boolean whole = true;
       int bytes = 0;
-      for (final Held held : partition.held.values()) {
+      for (final RegisterState held : partition.held.values()) {
         if (held.proposed == null || held.acked[place] >= held.mark.count) {
           continue;
         }
         whole &= held.acked[place] >= 0;
         if (bytes < REPAIR_BYTES && now - held.sentAt[place] > RESEND_MILLIS) {
           final boolean renamed = held.acked[place] < 0 && held.mark.equals(held.establishedMark);
-          final byte[] value = renamed ? Values.UNCHANGED : held.kind.encode(held.proposed);
+          final byte[] value = renamed ? StoredValues.UNCHANGED : held.kind.encode(held.proposed);
           bytes +=
               held.name.length()
                   + ENTRY_BYTES
@@ -1913,8 +1941,9 @@
                   + (held.audit == null ? 0 : held.audit.length);
           entries.add(
               renamed
-                  ? new Entry(held.name, held.mark, held.source, value, null, held.audit)
-                  : new Entry(held.name, held.mark, Mark.NONE, null, value, held.audit));
+                  ? new RegisterEntry(held.name, held.mark, held.source, value, null, held.audit)
+                  : new RegisterEntry(
+                      held.name, held.mark, RegisterVersion.NONE, null, value, held.audit));
           held.sent[place] = held.mark.count;
           held.sentAt[place] = now;
         }
@@ -1947,7 +1976,7 @@
 
   private void expire(final Partition partition, final long now) {
     partition.waiters.removeIf(waiter -> now - waiter.receivedAt > STALE_WORK_MILLIS);
-    for (final Held held : partition.held.values()) {
+    for (final RegisterState held : partition.held.values()) {
       if (!held.waiting.isEmpty()) {
         held.waiting.removeIf(work -> now - work.receivedAt > STALE_WORK_MILLIS);
       }
@@ -1958,11 +1987,11 @@
                 return false;
               }
               work.reply.accept(
-                  new StoreCallMessages.Answer(
+                  new StoreMessages.StoreResponse(
                       work.call.number,
                       200,
                       work.call.first,
-                      Wire.bytes(new Values.Events(List.of(), work.call.first)),
+                      Serializer.bytes(new StoredValues.WatchEvents(List.of(), work.call.first)),
                       null));
               return true;
             });
@@ -2001,7 +2030,7 @@
   }
 
   private void outsider(final long now) {
-    final StateStoreMessages.Enquire enquire = recovery.enquire(now);
+    final StateStoreMessages.MembershipRequest enquire = recovery.enquire(now);
     if (enquire == null) {
       return;
     }
@@ -2039,7 +2068,7 @@
     seedsToldAt = now;
     for (final String seed : seeds) {
       if (!seed.equals(self) && roster.index(seed) < 0 && !membership.joiners().contains(seed)) {
-        outlet.send(seed, new StateStoreMessages.RosterNews(roster));
+        outlet.send(seed, new StateStoreMessages.RosterUpdate(roster));
       }
     }
   }
@@ -2048,7 +2077,7 @@
 
   private void changeRoster(final long now) {
     final Partition partition = partitions[0];
-    final Held held = held(partition, "roster");
+    final RegisterState held = held(partition, "roster");
     if (held.inFlight
         || held.committed != null && ((Roster) held.committed).number > roster.number
         || book.settled(roster) < book.decided()) {
--- a/statestore/src/main/java/weldpoint/statestore/Deed.java
+++ b/statestore/src/main/java/weldpoint/statestore/StoreOperation.java
@@ -2,31 +2,32 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import weldpoint.statestore.Values.Evacuation;
-import weldpoint.statestore.Values.Group;
-import weldpoint.statestore.Values.Lock;
-import weldpoint.statestore.Values.Put;
-import weldpoint.statestore.Values.Spec;
+import weldpoint.statestore.StoredValues.CellGroup;
+import weldpoint.statestore.StoredValues.Evacuation;
+import weldpoint.statestore.StoredValues.Lock;
+import weldpoint.statestore.StoredValues.Put;
+import weldpoint.statestore.StoredValues.StoredConfiguration;
 import weldpoint.transport.OwnershipMessages;
 import weldpoint.transport.PlacementMessages;
-import weldpoint.transport.StoreCallMessages.Call;
-import weldpoint.transport.Wire;
+import weldpoint.transport.Serializer;
+import weldpoint.transport.StoreMessages.StoreRequest;
 
 /** What may be asked of the store, each with how it is decided at the holder of the duty. */
-public enum Deed {
+public enum StoreOperation {
   /**
    * Takes a configuration: first is its version, second 1 where a route ties callers to nodes, body
    * its compressed bytes; the answer's first is 0 if it alters nothing, since this or a later one
    * holds. Status 409 if the version stands for another one.
    */
-  SPEC_REPLACE(Values.Kind.SPEC) {
+  SPEC_REPLACE(StoredValues.Kind.SPEC) {
     @Override
-    Decision decide(final Held held, final Object value, final Call call, final long now) {
-      final Spec spec = (Spec) value;
+    Decision decide(
+        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+      final StoredConfiguration spec = (StoredConfiguration) value;
       return spec != null && call.first <= spec.version
           ? held.versions.decide(spec, call)
           : Decision.write(
-              new Spec(
+              new StoredConfiguration(
                   call.first,
                   call.body,
                   call.cause == null ? null : call.cause.extra,
@@ -37,15 +38,16 @@
     }
   },
   /** Reads the configuration: first is its version, body its compressed bytes. */
-  SPEC_READ(Values.Kind.SPEC) {
+  SPEC_READ(StoredValues.Kind.SPEC) {
     @Override
-    Decision decide(final Held held, final Object value, final Call call, final long now) {
+    Decision decide(
+        final RegisterState held, final Object value, final StoreRequest call, final long now) {
       return Decision.read();
     }
 
     @Override
-    Decision read(final Object value, final Call call) {
-      final Spec spec = (Spec) value;
+    Decision read(final Object value, final StoreRequest call) {
+      final StoredConfiguration spec = (StoredConfiguration) value;
       return spec == null
           ? Decision.tell(404, 0, null)
           : Decision.tell(200, spec.version, spec.body);
@@ -55,9 +57,10 @@
    * Begins (first is 1) or finishes (0) the evacuation of a site, under the ticket second; status
    * 410 if another order was decided since the ticket.
    */
-  EVACUATE(Values.Kind.EVACUATION) {
+  EVACUATE(StoredValues.Kind.EVACUATION) {
     @Override
-    Decision decide(final Held held, final Object value, final Call call, final long now) {
+    Decision decide(
+        final RegisterState held, final Object value, final StoreRequest call, final long now) {
       final Evacuation evacuation = value == null ? new Evacuation(false, 0) : (Evacuation) value;
       if (call.caller != 0 && call.second != held.ticket()) {
         return Decision.confirm(410, 0);
@@ -73,14 +76,15 @@
   /**
    * Writes a trial (body), if the one there has the serial first; a held one is never opened again.
    */
-  TRIAL_WRITE(Values.Kind.TRIAL) {
+  TRIAL_WRITE(StoredValues.Kind.TRIAL) {
     @Override
-    Decision decide(final Held held, final Object value, final Call call, final long now) {
+    Decision decide(
+        final RegisterState held, final Object value, final StoreRequest call, final long now) {
       final weldpoint.transport.TrialMessages.Trial before =
           (weldpoint.transport.TrialMessages.Trial) value;
       final weldpoint.transport.TrialMessages.Trial next =
-          Wire.value(call.body, weldpoint.transport.TrialMessages.Trial.class);
-      if (before != null && java.util.Arrays.equals(Wire.bytes(before), call.body)) {
+          Serializer.value(call.body, weldpoint.transport.TrialMessages.Trial.class);
+      if (before != null && java.util.Arrays.equals(Serializer.bytes(before), call.body)) {
         return Decision.confirm(200, before.serial);
       }
       final boolean reopens =
@@ -97,9 +101,10 @@
    * Ends an object (owner its host, body its path) or a label (owner null, body the label) for all
    * caches.
    */
-  PURGE(Values.Kind.PURGES) {
+  PURGE(StoredValues.Kind.PURGES) {
     @Override
-    Decision decide(final Held held, final Object value, final Call call, final long now) {
+    Decision decide(
+        final RegisterState held, final Object value, final StoreRequest call, final long now) {
       final weldpoint.transport.CacheMessages.Purges before =
           value == null
               ? new weldpoint.transport.CacheMessages.Purges(0, 0, List.of())
@@ -122,13 +127,14 @@
     }
   },
   /** Writes who may choose a region's chief (body), if its mark follows the one there. */
-  ELECTORATE(Values.Kind.ELECTORATE) {
+  ELECTORATE(StoredValues.Kind.ELECTORATE) {
     @Override
-    Decision decide(final Held held, final Object value, final Call call, final long now) {
+    Decision decide(
+        final RegisterState held, final Object value, final StoreRequest call, final long now) {
       final weldpoint.transport.RegionMessages.Electorate before =
           (weldpoint.transport.RegionMessages.Electorate) value;
       final weldpoint.transport.RegionMessages.Electorate next =
-          Wire.value(call.body, weldpoint.transport.RegionMessages.Electorate.class);
+          Serializer.value(call.body, weldpoint.transport.RegionMessages.Electorate.class);
       final long mark = before == null ? 0 : before.mark;
       return next.mark == mark + 1
           ? Decision.write(next, null, next.mark)
@@ -139,16 +145,18 @@
    * Waits for control state newer than version first and the marks of evacuations and trials,
    * second.
    */
-  CONTROL(Values.Kind.SPEC) {
+  CONTROL(StoredValues.Kind.SPEC) {
     @Override
-    Decision decide(final Held held, final Object value, final Call call, final long now) {
+    Decision decide(
+        final RegisterState held, final Object value, final StoreRequest call, final long now) {
       return Decision.read();
     }
   },
   /** Takes a lock for first milliseconds. */
-  LOCK_BEGIN(Values.Kind.LOCK) {
+  LOCK_BEGIN(StoredValues.Kind.LOCK) {
     @Override
-    Decision decide(final Held held, final Object value, final Call call, final long now) {
+    Decision decide(
+        final RegisterState held, final Object value, final StoreRequest call, final long now) {
       final Lock lock = value == null ? new Lock("", 0, 0) : (Lock) value;
       if (!lock.owner.isEmpty() && now < held.expiresAt) {
         if (!lock.owner.equals(call.owner)) {
@@ -162,9 +170,10 @@
     }
   },
   /** Renews a lock of fence second for first milliseconds. */
-  LOCK_HEARTBEAT(Values.Kind.LOCK) {
+  LOCK_HEARTBEAT(StoredValues.Kind.LOCK) {
     @Override
-    Decision decide(final Held held, final Object value, final Call call, final long now) {
+    Decision decide(
+        final RegisterState held, final Object value, final StoreRequest call, final long now) {
       final Lock lock = (Lock) value;
       if (lock == null
           || !lock.owner.equals(call.owner)
@@ -179,16 +188,18 @@
    * Asks for a ticket to give a lock back with: it is void once the lock has been granted or
    * renewed again.
    */
-  LOCK_TICKET(Values.Kind.LOCK) {
+  LOCK_TICKET(StoredValues.Kind.LOCK) {
     @Override
-    Decision decide(final Held held, final Object value, final Call call, final long now) {
+    Decision decide(
+        final RegisterState held, final Object value, final StoreRequest call, final long now) {
       return Decision.confirm(200, held.ticket());
     }
   },
   /** Gives a lock of fence second back, under the ticket first. */
-  LOCK_FINISH(Values.Kind.LOCK) {
+  LOCK_FINISH(StoredValues.Kind.LOCK) {
     @Override
-    Decision decide(final Held held, final Object value, final Call call, final long now) {
+    Decision decide(
+        final RegisterState held, final Object value, final StoreRequest call, final long now) {
       final Lock lock = (Lock) value;
       if (call.first != held.ticket()) {
         return Decision.confirm(410, 0);
@@ -199,21 +210,23 @@
     }
   },
   /** Gives the next number. */
-  NUMBER(Values.Kind.NUMBER) {
+  NUMBER(StoredValues.Kind.NUMBER) {
     @Override
-    Decision decide(final Held held, final Object value, final Call call, final long now) {
-      final long next = value == null ? 1 : ((Values.Number) value).value + 1;
-      return Decision.write(new Values.Number(next), null, next);
+    Decision decide(
+        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+      final long next = value == null ? 1 : ((StoredValues.Number) value).value + 1;
+      return Decision.write(new StoredValues.Number(next), null, next);
     }
   },
   /**
    * Puts a value (owner carries it) under a key (body names it); first is the revision it must
    * have, -1 for any.
    */
-  CELL_REPLACE(Values.Kind.GROUP) {
+  CELL_REPLACE(StoredValues.Kind.GROUP) {
     @Override
-    Decision decide(final Held held, final Object value, final Call call, final long now) {
-      final Group group = value == null ? Group.EMPTY : (Group) value;
+    Decision decide(
+        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+      final CellGroup group = value == null ? CellGroup.EMPTY : (CellGroup) value;
       final String name = new String(call.body, java.nio.charset.StandardCharsets.UTF_8);
       final Put before = group.first(name, call.owner);
       if (before != null) {
@@ -229,15 +242,16 @@
     }
   },
   /** Reads a key (body names it). */
-  CELL_READ(Values.Kind.GROUP) {
+  CELL_READ(StoredValues.Kind.GROUP) {
     @Override
-    Decision decide(final Held held, final Object value, final Call call, final long now) {
+    Decision decide(
+        final RegisterState held, final Object value, final StoreRequest call, final long now) {
       return Decision.read();
     }
 
     @Override
-    Decision read(final Object value, final Call call) {
-      final Group group = value == null ? Group.EMPTY : (Group) value;
+    Decision read(final Object value, final StoreRequest call) {
+      final CellGroup group = value == null ? CellGroup.EMPTY : (CellGroup) value;
       final Put put =
           group.cells.get(new String(call.body, java.nio.charset.StandardCharsets.UTF_8));
       return put == null
@@ -247,13 +261,14 @@
     }
   },
   /** Waits second milliseconds for puts above revision first. */
-  WATCH(Values.Kind.GROUP) {
+  WATCH(StoredValues.Kind.GROUP) {
     @Override
-    Decision decide(final Held held, final Object value, final Call call, final long now) {
+    Decision decide(
+        final RegisterState held, final Object value, final StoreRequest call, final long now) {
       if (call.first == 0) {
         return Decision.read();
       }
-      final Group group = value == null ? Group.EMPTY : (Group) value;
+      final CellGroup group = value == null ? CellGroup.EMPTY : (CellGroup) value;
       if (call.first < group.floor) {
         return Decision.confirm(410, group.floor);
       }
@@ -261,26 +276,30 @@
     }
 
     @Override
-    Decision read(final Object value, final Call call) {
-      final Group group = value == null ? Group.EMPTY : (Group) value;
+    Decision read(final Object value, final StoreRequest call) {
+      final CellGroup group = value == null ? CellGroup.EMPTY : (CellGroup) value;
       return Decision.tell(
-          200, group.revision, Wire.bytes(new Values.Events(List.of(), group.revision)));
+          200,
+          group.revision,
+          Serializer.bytes(new StoredValues.WatchEvents(List.of(), group.revision)));
     }
   },
   /**
    * Asks how far the history of routing changes reaches: the answer's first is the last decided
    * entry, its body the digest.
    */
-  HISTORY_HEAD(Values.Kind.AUDIT) {
+  HISTORY_HEAD(StoredValues.Kind.AUDIT) {
     @Override
-    Decision decide(final Held held, final Object value, final Call call, final long now) {
+    Decision decide(
+        final RegisterState held, final Object value, final StoreRequest call, final long now) {
       return Decision.read();
     }
   },
   /** Asks any replica, whoever holds the duty, for second entries of its history from first on. */
-  HISTORY_READ(Values.Kind.AUDIT) {
+  HISTORY_READ(StoredValues.Kind.AUDIT) {
     @Override
-    Decision decide(final Held held, final Object value, final Call call, final long now) {
+    Decision decide(
+        final RegisterState held, final Object value, final StoreRequest call, final long now) {
       return Decision.read();
     }
   },
@@ -288,11 +307,12 @@
    * Writes among which upstreams a service's callers are placed (body), if its serial follows the
    * one there.
    */
-  PLACEMENT_WRITE(Values.Kind.PLACEMENT) {
+  PLACEMENT_WRITE(StoredValues.Kind.PLACEMENT) {
     @Override
-    Decision decide(final Held held, final Object value, final Call call, final long now) {
+    Decision decide(
+        final RegisterState held, final Object value, final StoreRequest call, final long now) {
       final PlacementMessages.Placement next =
-          Wire.value(call.body, PlacementMessages.Placement.class);
+          Serializer.value(call.body, PlacementMessages.Placement.class);
       final long serial = value == null ? 0 : ((PlacementMessages.Placement) value).serial;
       return next.serial == serial + 1
           ? Decision.write(next, null, next.serial)
@@ -300,11 +320,13 @@
     }
   },
   /** Writes which exchange keeps placements (body), if its serial follows the one there. */
-  KEEPER_WRITE(Values.Kind.KEEPER) {
+  KEEPER_WRITE(StoredValues.Kind.KEEPER) {
     @Override
-    Decision decide(final Held held, final Object value, final Call call, final long now) {
-      final PlacementMessages.Keeper next = Wire.value(call.body, PlacementMessages.Keeper.class);
-      final long serial = value == null ? 0 : ((PlacementMessages.Keeper) value).serial;
+    Decision decide(
+        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+      final PlacementMessages.PlacementOwner next =
+          Serializer.value(call.body, PlacementMessages.PlacementOwner.class);
+      final long serial = value == null ? 0 : ((PlacementMessages.PlacementOwner) value).serial;
       return next.serial == serial + 1
           ? Decision.write(next, null, next.serial)
           : Decision.confirm(412, serial);
@@ -314,9 +336,10 @@
    * Asks for a ticket to order a site's evacuation with: it is void once any order for the site was
    * decided, and with the duty.
    */
-  EVACUATION_TICKET(Values.Kind.EVACUATION) {
+  EVACUATION_TICKET(StoredValues.Kind.EVACUATION) {
     @Override
-    Decision decide(final Held held, final Object value, final Call call, final long now) {
+    Decision decide(
+        final RegisterState held, final Object value, final StoreRequest call, final long now) {
       return Decision.confirm(200, held.ticket());
     }
   },
@@ -325,11 +348,12 @@
    * Only the registry that knows the latest assignment can write, so a change by one that has been
    * overtaken never takes effect.
    */
-  OWNERSHIP_WRITE(Values.Kind.OWNERSHIP) {
+  OWNERSHIP_WRITE(StoredValues.Kind.OWNERSHIP) {
     @Override
-    Decision decide(final Held held, final Object value, final Call call, final long now) {
+    Decision decide(
+        final RegisterState held, final Object value, final StoreRequest call, final long now) {
       final OwnershipMessages.Assignment next =
-          Wire.value(call.body, OwnershipMessages.Assignment.class);
+          Serializer.value(call.body, OwnershipMessages.Assignment.class);
       final long serial = value == null ? 0 : ((OwnershipMessages.Assignment) value).serial;
       return next.serial == serial + 1
           ? Decision.write(next, null, next.serial)
@@ -338,24 +362,24 @@
   };
 
   private static final int MOST_PURGES = 200;
-  private static final Deed[] ALL = values();
-  private final Values.Kind kind;
+  private static final StoreOperation[] ALL = values();
+  private final StoredValues.Kind kind;
 
-  Deed(final Values.Kind kind) {
+  StoreOperation(final StoredValues.Kind kind) {
     this.kind = kind;
   }
 
   /** The deed of this number; null where there is none. */
-  public static Deed of(final int number) {
+  public static StoreOperation of(final int number) {
     return number < 0 || number >= ALL.length ? null : ALL[number];
   }
 
   /** The register that a call of this deed concerns. */
   public String register(final String identifier) {
-    return kind == Values.Kind.SPEC
-            || kind == Values.Kind.PURGES
-            || kind == Values.Kind.AUDIT
-            || kind == Values.Kind.KEEPER
+    return kind == StoredValues.Kind.SPEC
+            || kind == StoredValues.Kind.PURGES
+            || kind == StoredValues.Kind.AUDIT
+            || kind == StoredValues.Kind.KEEPER
         ? kind.register("")
         : kind.register(identifier);
   }
@@ -368,14 +392,14 @@
     return this == LOCK_BEGIN || this == NUMBER || this == PURGE;
   }
 
-  abstract Decision decide(Held held, Object value, Call call, long now);
+  abstract Decision decide(RegisterState held, Object value, StoreRequest call, long now);
 
-  Decision read(final Object value, final Call call) {
+  Decision read(final Object value, final StoreRequest call) {
     throw new IllegalStateException(this + " reads nothing");
   }
 
   private static Decision extend(
-      final Held held, final Lock lock, final Call call, final long now) {
+      final RegisterState held, final Lock lock, final StoreRequest call, final long now) {
     held.grants++;
     held.expiresAt = Math.max(held.expiresAt, now + call.first);
     return call.first > lock.holdMillis
@@ -383,7 +407,7 @@
         : Decision.confirm(200, lock.fence);
   }
 
-  static Decision events(final Group group, final long after) {
+  static Decision events(final CellGroup group, final long after) {
     final List<Put> events = new ArrayList<>();
     for (final Put put : group.history) {
       if (put.revision > after) {
@@ -391,6 +415,8 @@
       }
     }
     return Decision.tell(
-        200, group.revision, Wire.bytes(new Values.Events(events, group.revision)));
+        200,
+        group.revision,
+        Serializer.bytes(new StoredValues.WatchEvents(events, group.revision)));
   }
 }
--- a/statestore/src/main/java/weldpoint/statestore/Values.java
+++ b/statestore/src/main/java/weldpoint/statestore/StoredValues.java
@@ -9,32 +9,32 @@
 import weldpoint.transport.PlacementMessages;
 import weldpoint.transport.Protocol;
 import weldpoint.transport.RegionMessages;
+import weldpoint.transport.Serializer;
 import weldpoint.transport.StateStoreMessages;
 import weldpoint.transport.TrialMessages;
-import weldpoint.transport.Wire;
 
 /** The values that registers hold. All are immutable. */
-public final class Values {
+public final class StoredValues {
   /** The difference that leaves a value as it is, under another mark. */
   static final byte[] UNCHANGED = new byte[0];
 
-  private Values() {}
+  private StoredValues() {}
 
   /** The kinds of registers, told apart by the beginning of their names. */
   public enum Kind {
     ROSTER("roster", StateStoreMessages.Roster.class),
-    SPEC("spec", Spec.class),
+    SPEC("spec", StoredConfiguration.class),
     EVACUATION("evacuation/", Evacuation.class),
     TRIAL("trial/", TrialMessages.Trial.class),
     PURGES("purges", CacheMessages.Purges.class),
     ELECTORATE("electorate/", RegionMessages.Electorate.class),
     AUDIT("audit", Retention.class),
     PLACEMENT("placement/", PlacementMessages.Placement.class),
-    KEEPER("keeper", PlacementMessages.Keeper.class),
+    KEEPER("keeper", PlacementMessages.PlacementOwner.class),
     OWNERSHIP("ownership/", OwnershipMessages.Assignment.class),
     LOCK("lock/", Lock.class),
     NUMBER("number/", Number.class),
-    GROUP("group/", Group.class);
+    GROUP("group/", CellGroup.class);
 
     private final String prefix;
     private final Class<?> type;
@@ -71,18 +71,18 @@
 
     /** Reads a whole value. */
     public Object decode(final byte[] bytes) {
-      return this == GROUP ? Group.decode(bytes) : Wire.value(bytes, type);
+      return this == GROUP ? CellGroup.decode(bytes) : Serializer.value(bytes, type);
     }
 
     /** The bytes of a whole value. */
     public byte[] encode(final Object value) {
-      return this == GROUP ? ((Group) value).encode() : Wire.bytes(value);
+      return this == GROUP ? ((CellGroup) value).encode() : Serializer.bytes(value);
     }
 
     /** A value changed by a difference; only groups have them. */
     public Object apply(final Object value, final byte[] difference) {
-      final Difference change = Wire.value(difference, Difference.class);
-      return (value == null ? Group.EMPTY : (Group) value)
+      final GroupDelta change = Serializer.value(difference, GroupDelta.class);
+      return (value == null ? CellGroup.EMPTY : (CellGroup) value)
           .with(Protocol.list(change.puts), change.floor);
     }
   }
@@ -92,14 +92,14 @@
    * summary for the history; whether a route ties callers to nodes; the digest of what it says,
    * null in an older store.
    */
-  public static final class Spec {
+  public static final class StoredConfiguration {
     public final long version;
     public final byte[] body;
     public final byte[] summary;
     public final boolean tied;
     public final byte[] content;
 
-    public Spec(
+    public StoredConfiguration(
         final long version,
         final byte[] body,
         final byte[] summary,
@@ -223,24 +223,24 @@
   }
 
   /** What puts add to a group, and up to which revision its history is forgotten. */
-  public static final class Difference {
+  public static final class GroupDelta {
     public final List<Put> puts;
     public final long floor;
 
-    public Difference(final List<Put> puts, final long floor) {
+    public GroupDelta(final List<Put> puts, final long floor) {
       this.puts = puts;
       this.floor = floor;
     }
   }
 
   /** How a group travels whole. */
-  public static final class Packed {
+  public static final class GroupSnapshot {
     public final List<Put> cells;
     public final List<Put> history;
     public final long revision;
     public final long floor;
 
-    public Packed(
+    public GroupSnapshot(
         final List<Put> cells, final List<Put> history, final long revision, final long floor) {
       this.cells = cells;
       this.history = history;
@@ -250,16 +250,16 @@
   }
 
   /** A group of cells: the present puts by name, and all puts above the floor. */
-  public static final class Group {
+  public static final class CellGroup {
     /** A group that nothing was put to. */
-    public static final Group EMPTY = new Group(Map.of(), List.of(), 0, 0);
+    public static final CellGroup EMPTY = new CellGroup(Map.of(), List.of(), 0, 0);
 
     public final Map<String, Put> cells;
     public final List<Put> history;
     public final long revision;
     public final long floor;
 
-    private Group(
+    private CellGroup(
         final Map<String, Put> cells,
         final List<Put> history,
         final long revision,
@@ -271,7 +271,7 @@
     }
 
     /** This group after further puts, its history forgotten up to the floor. */
-    public Group with(final List<Put> puts, final long newFloor) {
+    public CellGroup with(final List<Put> puts, final long newFloor) {
       final Map<String, Put> nextCells = new LinkedHashMap<>(cells);
       final List<Put> nextHistory = new ArrayList<>(history.size() + puts.size());
       for (final Put put : history) {
@@ -285,7 +285,7 @@
         nextHistory.add(put);
         last = put.revision;
       }
-      return new Group(nextCells, nextHistory, last, Math.max(floor, newFloor));
+      return new CellGroup(nextCells, nextHistory, last, Math.max(floor, newFloor));
     }
 
     /** The first put of this value to this key that is still known; null where there is none. */
@@ -300,21 +300,22 @@
     }
 
     byte[] encode() {
-      return Wire.bytes(new Packed(new ArrayList<>(cells.values()), history, revision, floor));
+      return Serializer.bytes(
+          new GroupSnapshot(new ArrayList<>(cells.values()), history, revision, floor));
     }
 
-    static Group decode(final byte[] bytes) {
-      final Packed packed = Wire.value(bytes, Packed.class);
+    static CellGroup decode(final byte[] bytes) {
+      final GroupSnapshot packed = Serializer.value(bytes, GroupSnapshot.class);
       final Map<String, Put> cells = new LinkedHashMap<>();
       for (final Put put : Protocol.list(packed.cells)) {
         cells.put(put.name, put);
       }
-      return new Group(cells, Protocol.list(packed.history), packed.revision, packed.floor);
+      return new CellGroup(cells, Protocol.list(packed.history), packed.revision, packed.floor);
     }
   }
 
   /** What exchanges learn of control state. */
-  public static final class Control {
+  public static final class ControlSnapshot {
     public final long version;
     public final byte[] spec;
     public final List<String> evacuated;
@@ -327,13 +328,13 @@
     public final boolean tied;
     public final long placementMark;
     public final List<PlacementMessages.Placement> placements;
-    public final PlacementMessages.Keeper keeper;
+    public final PlacementMessages.PlacementOwner keeper;
 
     /** Who holds the keys of divided services; null where nothing is news. */
     public final List<OwnershipMessages.Assignment> assignments;
 
     /** Control state without divided services. */
-    public Control(
+    public ControlSnapshot(
         final long version,
         final byte[] spec,
         final List<String> evacuated,
@@ -346,7 +347,7 @@
         final boolean tied,
         final long placementMark,
         final List<PlacementMessages.Placement> placements,
-        final PlacementMessages.Keeper keeper) {
+        final PlacementMessages.PlacementOwner keeper) {
       this(
           version,
           spec,
@@ -365,7 +366,7 @@
     }
 
     /** Control state. */
-    public Control(
+    public ControlSnapshot(
         final long version,
         final byte[] spec,
         final List<String> evacuated,
@@ -378,7 +379,7 @@
         final boolean tied,
         final long placementMark,
         final List<PlacementMessages.Placement> placements,
-        final PlacementMessages.Keeper keeper,
+        final PlacementMessages.PlacementOwner keeper,
         final List<OwnershipMessages.Assignment> assignments) {
       this.assignments = assignments;
       this.tied = tied;
@@ -398,11 +399,11 @@
   }
 
   /** What a watch answers. */
-  public static final class Events {
+  public static final class WatchEvents {
     public final List<Put> events;
     public final long revision;
 
-    public Events(final List<Put> events, final long revision) {
+    public WatchEvents(final List<Put> events, final long revision) {
       this.events = events;
       this.revision = revision;
     }
@@ -412,8 +413,8 @@
   public static final class DiskRecord {
     public final int type;
     public final int partition;
-    public final weldpoint.transport.Mark ballot;
-    public final List<StateStoreMessages.Entry> entries;
+    public final weldpoint.transport.RegisterVersion ballot;
+    public final List<StateStoreMessages.RegisterEntry> entries;
     public final StateStoreMessages.Roster roster;
     public final String address;
     public final long incarnation;
@@ -421,8 +422,8 @@
     public DiskRecord(
         final int type,
         final int partition,
-        final weldpoint.transport.Mark ballot,
-        final List<StateStoreMessages.Entry> entries,
+        final weldpoint.transport.RegisterVersion ballot,
+        final List<StateStoreMessages.RegisterEntry> entries,
         final StateStoreMessages.Roster roster,
         final String address,
         final long incarnation) {
--- a/statestore/src/main/java/weldpoint/statestore/TakenVersions.java
+++ b/statestore/src/main/java/weldpoint/statestore/TakenVersions.java
@@ -5,12 +5,12 @@
 import weldpoint.audit.AuditLog;
 import weldpoint.audit.CanonicalJson;
 import weldpoint.audit.ChangeKind;
-import weldpoint.common.Breakdown;
-import weldpoint.statestore.Values.Spec;
-import weldpoint.statestore.Values.TakenVersion;
-import weldpoint.transport.Packing;
-import weldpoint.transport.StoreCallMessages.Call;
-import weldpoint.transport.Wire;
+import weldpoint.common.WeldpointException;
+import weldpoint.statestore.StoredValues.StoredConfiguration;
+import weldpoint.statestore.StoredValues.TakenVersion;
+import weldpoint.transport.Compression;
+import weldpoint.transport.Serializer;
+import weldpoint.transport.StoreMessages.StoreRequest;
 
 /**
  * Which content each version of the configuration stands for, as the holder of its register knows
@@ -18,10 +18,10 @@
  * was taken once never stands for anything else.
  */
 class TakenVersions {
-  private final AuditBook book;
+  private final AuditSequencer book;
   private final AuditLog log;
 
-  TakenVersions(final AuditBook book, final AuditLog log) {
+  TakenVersions(final AuditSequencer book, final AuditLog log) {
     this.book = book;
     this.log = log;
   }
@@ -30,7 +30,7 @@
    * What is to be said of a configuration whose version is not above the one held: the same one
    * again, another one, or one that is not known.
    */
-  Decision decide(final Spec held, final Call call) {
+  Decision decide(final StoredConfiguration held, final StoreRequest call) {
     final AuditEntry entry = entry(call.first);
     if (call.first == held.version) {
       return Arrays.equals(content(held), content(call)) ? again() : taken(call.first, entry);
@@ -56,7 +56,8 @@
     return Decision.confirm(
         409,
         version,
-        Wire.bytes(new TakenVersion(version, known ? entry.author : "", known ? entry.time : 0)));
+        Serializer.bytes(
+            new TakenVersion(version, known ? entry.author : "", known ? entry.time : 0)));
   }
 
   private AuditEntry entry(final long version) {
@@ -70,19 +71,19 @@
   }
 
   /** What a configuration says, by the digest of its canonical form. */
-  static byte[] content(final Spec spec) {
+  static byte[] content(final StoredConfiguration spec) {
     return spec.content == null ? content(spec.body) : spec.content;
   }
 
   /** What a configuration that is sent says. */
-  static byte[] content(final Call call) {
+  static byte[] content(final StoreRequest call) {
     return call.content == null ? content(call.body) : call.content;
   }
 
   private static byte[] content(final byte[] packed) {
     try {
-      return CanonicalJson.digest(Packing.inflate(packed));
-    } catch (final Breakdown damaged) {
+      return CanonicalJson.digest(Compression.inflate(packed));
+    } catch (final WeldpointException damaged) {
       return CanonicalJson.digest(packed);
     }
   }
--- a/statestore/src/main/java/weldpoint/statestore/Tokens.java
+++ b/statestore/src/main/java/weldpoint/statestore/TokenAssignment.java
@@ -10,11 +10,11 @@
  * Equal tokens spread over the members, as the paper's third strategy has it: each member keeps Q/S
  * of them.
  */
-public final class Tokens {
+public final class TokenAssignment {
   /** Q, the number of tokens. */
   public static final int COUNT = 64;
 
-  private Tokens() {}
+  private TokenAssignment() {}
 
   /** The tokens that a member takes at the very first start. */
   public static List<Integer> initial(final int index, final int members) {
--- a/statestore/src/main/java/weldpoint/statestore/VoterChoice.java
+++ b/statestore/src/main/java/weldpoint/statestore/VoterSelection.java
@@ -14,10 +14,10 @@
  * they are spread over zones, then over regions. Nothing is exchanged for a choice that is only as
  * good.
  */
-final class VoterChoice {
+final class VoterSelection {
   private static final int LEAST = 3;
 
-  private VoterChoice() {}
+  private VoterSelection() {}
 
   /** How good a set of voters is; the smaller, the better. */
   private record Cost(int crowded, int away, int zones, int regions) {
--- a/statestore/src/test/java/weldpoint/statestore/FencingTest.java
+++ b/statestore/src/test/java/weldpoint/statestore/FencingTest.java
@@ -8,8 +8,8 @@
 import java.util.Random;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import weldpoint.transport.Mark;
 import weldpoint.transport.Message;
+import weldpoint.transport.RegisterVersion;
 import weldpoint.transport.StateStoreMessages;
 
 /**
@@ -18,13 +18,13 @@
  */
 public final class FencingTest {
   private final List<Message> answers = new ArrayList<>();
-  private FrameCore core;
+  private StateStoreReplica core;
 
   @BeforeMethod
   public void start() {
     answers.clear();
     core =
-        new FrameCore(
+        new StateStoreReplica(
             "10.0.0.1",
             "a",
             "r",
@@ -34,7 +34,7 @@
             1,
             new Random(1),
             List.of("10.0.0.1", "10.0.0.2", "10.0.0.3"),
-            new FrameCore.Outlet() {
+            new StateStoreReplica.Environment() {
               @Override
               public void send(final String address, final Message message) {}
 
@@ -57,14 +57,15 @@
 
   private static StateStoreMessages.Accept accept(final long round, final long second) {
     return new StateStoreMessages.Accept(
-        3, 1, new Mark(round, 9, 0), true, List.of(1L, second, 1L), List.of());
+        3, 1, new RegisterVersion(round, 9, 0), true, List.of(1L, second, 1L), List.of());
   }
 
   @Test
   public void aBallotThatCountedAnOvertakenIncarnationIsRefused() {
     assertTrue(say("10.0.0.3", accept(5, 1)) instanceof StateStoreMessages.Accepted);
     assertTrue(
-        say("10.0.0.2", new StateStoreMessages.Fetch(2)) instanceof StateStoreMessages.Fetched);
+        say("10.0.0.2", new StateStoreMessages.RecoveryRequest(2))
+            instanceof StateStoreMessages.RecoveryResponse);
     final Message refused = say("10.0.0.3", accept(6, 1));
     assertTrue(refused instanceof StateStoreMessages.Refused);
     assertEquals(((StateStoreMessages.Refused) refused).known, List.of(1L, 2L, 1L));
@@ -74,24 +75,24 @@
   @Test
   public void aLowerBallotIsRefusedWithTheOnePromised() {
     assertTrue(
-        say("10.0.0.2", new StateStoreMessages.Prepare(3, 1, new Mark(8, 4, 0)))
+        say("10.0.0.2", new StateStoreMessages.Prepare(3, 1, new RegisterVersion(8, 4, 0)))
             instanceof StateStoreMessages.Promise);
     final Message refused = say("10.0.0.3", accept(7, 1));
-    assertEquals(((StateStoreMessages.Refused) refused).promised, new Mark(8, 4, 0));
+    assertEquals(((StateStoreMessages.Refused) refused).promised, new RegisterVersion(8, 4, 0));
   }
 
   @Test
   public void anOldRosterIsAnsweredWithTheNewerOne() {
     final StateStoreMessages.Roster next = new StateStoreMessages.Roster(2, core.roster().voters);
-    assertEquals(say("10.0.0.2", new StateStoreMessages.RosterNews(next)), null);
+    assertEquals(say("10.0.0.2", new StateStoreMessages.RosterUpdate(next)), null);
     final Message answer = say("10.0.0.3", accept(9, 1));
-    assertEquals(((StateStoreMessages.RosterNews) answer).roster.number, 2);
+    assertEquals(((StateStoreMessages.RosterUpdate) answer).roster.number, 2);
   }
 
   @Test
   public void aBlankDiskNeitherPromisesNorAccepts() {
-    final FrameCore blank =
-        new FrameCore(
+    final StateStoreReplica blank =
+        new StateStoreReplica(
             "10.0.0.2",
             "a",
             "r",
@@ -101,7 +102,7 @@
             1,
             new Random(1),
             List.of("10.0.0.1", "10.0.0.2", "10.0.0.3"),
-            new FrameCore.Outlet() {
+            new StateStoreReplica.Environment() {
               @Override
               public void send(final String address, final Message message) {}
 
@@ -116,7 +117,10 @@
     blank.start(List.of(), false, 0);
     answers.clear();
     blank.receive(
-        "10.0.0.1", new StateStoreMessages.Prepare(3, 1, new Mark(8, 4, 0)), answers::add, 10);
+        "10.0.0.1",
+        new StateStoreMessages.Prepare(3, 1, new RegisterVersion(8, 4, 0)),
+        answers::add,
+        10);
     blank.receive("10.0.0.1", accept(8, 1), answers::add, 10);
     assertTrue(answers.isEmpty());
   }
--- a/statestore/src/test/java/weldpoint/statestore/RecentCallsTest.java
+++ b/statestore/src/test/java/weldpoint/statestore/RecentCallsTest.java
@@ -6,15 +6,16 @@
 import static org.testng.Assert.assertTrue;
 
 import org.testng.annotations.Test;
-import weldpoint.transport.StoreCallMessages;
+import weldpoint.transport.StoreMessages;
 
 /**
  * What a holder remembers of calls: by caller and number, as long as a copy can be under way, and
  * never more than it may.
  */
 public final class RecentCallsTest {
-  private static StoreCallMessages.Call call(final long caller, final long number) {
-    return new StoreCallMessages.Call(number, Deed.NUMBER.ordinal(), "n", null, 0, 0, null)
+  private static StoreMessages.StoreRequest call(final long caller, final long number) {
+    return new StoreMessages.StoreRequest(
+            number, StoreOperation.NUMBER.ordinal(), "n", null, 0, 0, null)
         .from(caller);
   }
 
@@ -35,7 +36,7 @@
     recent.remember(call(1, 5), Decision.confirm(200, 77), 1000);
     assertFalse(recent.full(1000 + RecentCalls.KEEP_MILLIS));
     assertEquals(recent.size(), 1);
-    assertTrue(RecentCalls.KEEP_MILLIS >= 900 + FrameCore.COPY_MILLIS);
+    assertTrue(RecentCalls.KEEP_MILLIS >= 900 + StateStoreReplica.COPY_MILLIS);
     assertFalse(recent.full(1001 + RecentCalls.KEEP_MILLIS));
     assertEquals(recent.size(), 0);
   }
--- a/statestore/src/test/java/weldpoint/statestore/ThawTest.java
+++ b/statestore/src/test/java/weldpoint/statestore/ThawTest.java
@@ -13,12 +13,12 @@
 import java.util.function.UnaryOperator;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
-import weldpoint.transport.Mark;
 import weldpoint.transport.Message;
 import weldpoint.transport.Protocol;
+import weldpoint.transport.RegisterVersion;
+import weldpoint.transport.Serializer;
 import weldpoint.transport.StateStoreMessages;
-import weldpoint.transport.StoreCallMessages;
-import weldpoint.transport.Wire;
+import weldpoint.transport.StoreMessages;
 
 /**
  * A holder that stands still at any moment around a call, while another takes its duties over and
@@ -31,7 +31,7 @@
   private record Event(long at, long order, Runnable action) {}
 
   private static final class Frames {
-    final Map<String, FrameCore> cores = new LinkedHashMap<>();
+    final Map<String, StateStoreReplica> cores = new LinkedHashMap<>();
     final Map<String, Map<String, java.util.ArrayDeque<Runnable>>> heldUp = new LinkedHashMap<>();
     final List<String> frozen = new ArrayList<>();
     final PriorityQueue<Event> events =
@@ -50,7 +50,7 @@
         heldUp.put(address, new LinkedHashMap<>());
         cores.put(
             address,
-            new FrameCore(
+            new StateStoreReplica(
                 address,
                 address,
                 "r",
@@ -60,7 +60,7 @@
                 1 + SEEDS.indexOf(address),
                 new Random(seed * 7 + SEEDS.indexOf(address)),
                 SEEDS,
-                new FrameCore.Outlet() {
+                new StateStoreReplica.Environment() {
                   @Override
                   public void send(final String to, final Message message) {
                     post(address, to, message);
@@ -100,7 +100,7 @@
       if (!cores.containsKey(to)) {
         return;
       }
-      final byte[] bytes = Wire.bytes(message);
+      final byte[] bytes = Serializer.bytes(message);
       at(
           to,
           from,
@@ -110,7 +110,7 @@
                   .get(to)
                   .receive(
                       from,
-                      meddler.apply((Message) Wire.value(bytes, message.getClass())),
+                      meddler.apply((Message) Serializer.value(bytes, message.getClass())),
                       answer -> post(to, from, answer),
                       now));
     }
@@ -157,17 +157,17 @@
     }
 
     /** Calls one frame; what it answers is put into the list. */
-    List<StoreCallMessages.Answer> call(
+    List<StoreMessages.StoreResponse> call(
         final String to,
-        final Deed deed,
+        final StoreOperation deed,
         final String name,
         final String owner,
         final long first,
         final long second,
         final String body) {
-      final List<StoreCallMessages.Answer> answers = new ArrayList<>();
-      final StoreCallMessages.Call call =
-          new StoreCallMessages.Call(
+      final List<StoreMessages.StoreResponse> answers = new ArrayList<>();
+      final StoreMessages.StoreRequest call =
+          new StoreMessages.StoreRequest(
               ++calls,
               deed.ordinal(),
               name,
@@ -183,10 +183,10 @@
      * The frame that answers calls for the lock's, the number's and the key's registers; null where
      * none does.
      */
-    String holder(final Deed deed, final String name, final String body) {
+    String holder(final StoreOperation deed, final String name, final String body) {
       for (final String address : SEEDS) {
         if (!frozen.contains(address)) {
-          final List<StoreCallMessages.Answer> answers =
+          final List<StoreMessages.StoreResponse> answers =
               call(address, deed, name, "o", -1, 0, body);
           pass(60);
           if (answers.stream()
@@ -213,41 +213,41 @@
     final Frames frames = new Frames(seed, meddler);
     final List<String> faults = new ArrayList<>();
     frames.pass(3000);
-    final String old = frames.holder(Deed.CELL_READ, "g.", "g.k");
+    final String old = frames.holder(StoreOperation.CELL_READ, "g.", "g.k");
     assertTrue(old != null, "nobody serves");
-    final List<StoreCallMessages.Answer> first =
-        frames.call(old, Deed.CELL_REPLACE, "g.", "one", -1, 0, "g.k");
+    final List<StoreMessages.StoreResponse> first =
+        frames.call(old, StoreOperation.CELL_REPLACE, "g.", "one", -1, 0, "g.k");
     frames.pass(100);
     assertEquals(first.get(0).status, 200);
-    final List<StoreCallMessages.Answer> early =
-        frames.call(old, Deed.CELL_READ, "g.", null, 0, 0, "g.k");
-    final List<StoreCallMessages.Answer> earlyPut =
-        frames.call(old, Deed.CELL_REPLACE, "g.", "late", first.get(0).first, 0, "g.k");
+    final List<StoreMessages.StoreResponse> early =
+        frames.call(old, StoreOperation.CELL_READ, "g.", null, 0, 0, "g.k");
+    final List<StoreMessages.StoreResponse> earlyPut =
+        frames.call(old, StoreOperation.CELL_REPLACE, "g.", "late", first.get(0).first, 0, "g.k");
     frames.pass(1 + seed % 13);
     frames.freeze(old);
     frames.pass(1500);
     String holder = null;
     for (int round = 0; round < 30 && holder == null; round++) {
-      holder = frames.holder(Deed.CELL_READ, "g.", "g.k");
+      holder = frames.holder(StoreOperation.CELL_READ, "g.", "g.k");
       frames.pass(100);
     }
     assertTrue(holder != null && !holder.equals(old), "nobody took over");
-    final List<StoreCallMessages.Answer> newer =
-        frames.call(holder, Deed.CELL_REPLACE, "g.", "two", -1, 0, "g.k");
+    final List<StoreMessages.StoreResponse> newer =
+        frames.call(holder, StoreOperation.CELL_REPLACE, "g.", "two", -1, 0, "g.k");
     frames.pass(100);
     assertEquals(newer.get(0).status, 200);
     final long revision = newer.get(0).first;
-    final List<StoreCallMessages.Answer> queued =
-        frames.call(old, Deed.CELL_READ, "g.", null, 0, 0, "g.k");
-    final List<StoreCallMessages.Answer> queuedPut =
-        frames.call(old, Deed.CELL_REPLACE, "g.", "three", revision - 1, 0, "g.k");
+    final List<StoreMessages.StoreResponse> queued =
+        frames.call(old, StoreOperation.CELL_READ, "g.", null, 0, 0, "g.k");
+    final List<StoreMessages.StoreResponse> queuedPut =
+        frames.call(old, StoreOperation.CELL_REPLACE, "g.", "three", revision - 1, 0, "g.k");
     frames.pass(20);
     frames.thaw(old, seed % 2 == 0);
-    final List<StoreCallMessages.Answer> woken =
-        frames.call(old, Deed.CELL_READ, "g.", null, 0, 0, "g.k");
+    final List<StoreMessages.StoreResponse> woken =
+        frames.call(old, StoreOperation.CELL_READ, "g.", null, 0, 0, "g.k");
     frames.pass(2000);
-    for (final List<StoreCallMessages.Answer> reads : List.of(queued, woken)) {
-      for (final StoreCallMessages.Answer answer : reads) {
+    for (final List<StoreMessages.StoreResponse> reads : List.of(queued, woken)) {
+      for (final StoreMessages.StoreResponse answer : reads) {
         if (answer.status == 404 || answer.status == 200 && answer.first < revision) {
           faults.add(
               "a read that came after revision "
@@ -257,7 +257,7 @@
         }
       }
     }
-    for (final StoreCallMessages.Answer answer : queuedPut) {
+    for (final StoreMessages.StoreResponse answer : queuedPut) {
       if (answer.status == 412 && answer.first < revision
           || answer.status == 200 && answer.first <= revision) {
         faults.add(
@@ -269,12 +269,12 @@
                 + answer.first);
       }
     }
-    for (final StoreCallMessages.Answer answer : earlyPut) {
+    for (final StoreMessages.StoreResponse answer : earlyPut) {
       if (answer.status == 200 && answer.first == revision) {
         faults.add("revision " + revision + " was given twice");
       }
     }
-    for (final StoreCallMessages.Answer answer : early) {
+    for (final StoreMessages.StoreResponse answer : early) {
       if (answer.status == 200 && answer.first < first.get(0).first) {
         faults.add(
             "a read found " + answer.first + " after " + first.get(0).first + " was acknowledged");
@@ -298,13 +298,14 @@
           story(
               seed,
               message -> {
-                if (!(message instanceof StateStoreMessages.Pulsed)) {
+                if (!(message instanceof StateStoreMessages.HeartbeatAck)) {
                   return message;
                 }
-                final StateStoreMessages.Pulsed pulsed = (StateStoreMessages.Pulsed) message;
-                final List<Mark> later = new ArrayList<>();
+                final StateStoreMessages.HeartbeatAck pulsed =
+                    (StateStoreMessages.HeartbeatAck) message;
+                final List<RegisterVersion> later = new ArrayList<>();
                 Protocol.list(pulsed.ballots).forEach(mark -> later.add(mark.at(Long.MAX_VALUE)));
-                return new StateStoreMessages.Pulsed(
+                return new StateStoreMessages.HeartbeatAck(
                     pulsed.partitions, later, pulsed.incarnation, pulsed.known, pulsed.audited);
               }));
     }
--- a/statestore/src/test/java/weldpoint/statestore/VoterChoiceTest.java
+++ b/statestore/src/test/java/weldpoint/statestore/VoterSelectionTest.java
@@ -12,7 +12,7 @@
 import weldpoint.transport.StateStoreMessages.Voter;
 
 /** Who should vote in a small site where somebody is out of reach. */
-public final class VoterChoiceTest {
+public final class VoterSelectionTest {
   private static final int MOST = 5;
 
   private static List<Voter> voters(final String names) {
@@ -42,7 +42,7 @@
   public void anEvenNumberGoesOnWithoutAVoterWhoIsAway(
       final String present, final String away, final String newcomers, final String wanted) {
     final Set<String> chosen = new TreeSet<>();
-    VoterChoice.best(
+    VoterSelection.best(
             voters(present),
             Set.of(
                 Arrays.stream(away.split(" "))
--- a/transport/src/main/java/weldpoint/transport/AuditMessages.java
+++ b/transport/src/main/java/weldpoint/transport/AuditMessages.java
@@ -20,10 +20,10 @@
   }
 
   /** Asks for the history from this entry on. */
-  public static final class AuditAsk implements Message {
+  public static final class AuditRequest implements Message {
     public final long from;
 
-    public AuditAsk(final long from) {
+    public AuditRequest(final long from) {
       this.from = from;
     }
   }
@@ -32,14 +32,14 @@
    * Entries of the history behind the base; whether the sender keeps none before them, and how far
    * it reaches.
    */
-  public static final class AuditPart implements Message {
+  public static final class AuditEntries implements Message {
     public final long base;
     public final String baseDigest;
     public final boolean trimmed;
     public final List<byte[]> entries;
     public final long last;
 
-    public AuditPart(
+    public AuditEntries(
         final long base,
         final String baseDigest,
         final boolean trimmed,
--- a/transport/src/main/java/weldpoint/transport/CacheMessages.java
+++ b/transport/src/main/java/weldpoint/transport/CacheMessages.java
@@ -38,14 +38,14 @@
   }
 
   /** Asks an announcer for an object. */
-  public static final class CopyAsk implements Message {
+  public static final class CacheReadRequest implements Message {
     public final long number;
     public final String service;
     public final String host;
     public final String target;
     public final long waitMillis;
 
-    public CopyAsk(
+    public CacheReadRequest(
         final long number,
         final String service,
         final String host,
@@ -60,13 +60,13 @@
   }
 
   /** The object with its headers; status 0 means that it cannot be had from here now. */
-  public static final class CopyAnswer implements Message {
+  public static final class CacheReadResponse implements Message {
     public final long number;
     public final int status;
     public final List<String> headers;
     public final byte[] body;
 
-    public CopyAnswer(
+    public CacheReadResponse(
         final long number, final int status, final List<String> headers, final byte[] body) {
       this.number = number;
       this.status = status;
--- a/transport/src/main/java/weldpoint/transport/Packing.java
+++ b/transport/src/main/java/weldpoint/transport/Compression.java
@@ -4,14 +4,14 @@
 import java.util.zip.DataFormatException;
 import java.util.zip.Deflater;
 import java.util.zip.Inflater;
-import weldpoint.common.Breakdown;
+import weldpoint.common.WeldpointException;
 
 /**
  * The form in which a configuration is stored and sent: compressed, otherwise as the operator wrote
  * it.
  */
-public final class Packing {
-  private Packing() {}
+public final class Compression {
+  private Compression() {}
 
   /** The compressed form. */
   public static byte[] deflate(final byte[] bytes) {
@@ -37,14 +37,15 @@
       while (!inflater.finished()) {
         final int got = inflater.inflate(chunk);
         if (got == 0 && !inflater.finished() && inflater.needsInput()) {
-          throw new Breakdown(
-              Breakdown.Kind.UNREADABLE, "a stored configuration is cut short; send it again");
+          throw new WeldpointException(
+              WeldpointException.Kind.UNREADABLE,
+              "a stored configuration is cut short; send it again");
         }
         out.write(chunk, 0, got);
       }
     } catch (final DataFormatException problem) {
-      throw new Breakdown(
-          Breakdown.Kind.UNREADABLE, "a stored configuration is damaged; send it again");
+      throw new WeldpointException(
+          WeldpointException.Kind.UNREADABLE, "a stored configuration is damaged; send it again");
     } finally {
       inflater.end();
     }
--- a/transport/src/main/java/weldpoint/transport/Line.java
+++ b/transport/src/main/java/weldpoint/transport/Connection.java
@@ -7,7 +7,7 @@
  * One connection between two programs. Any thread may send; the traffic thread may end it at any
  * moment between.
  */
-public final class Line {
+public final class Connection {
   private static final int MOST_WAITING = 16 << 20;
 
   private final Channel channel;
@@ -17,7 +17,7 @@
   private final PeerClock clock = new PeerClock();
   private Object attachment;
 
-  Line(final Channel channel) {
+  Connection(final Channel channel) {
     this.channel = channel;
   }
 
--- a/transport/src/main/java/weldpoint/transport/KeyMessages.java
+++ b/transport/src/main/java/weldpoint/transport/KeyMessages.java
@@ -65,11 +65,11 @@
   }
 
   /** A proxy asks its registry for a key. */
-  public static final class ClaimAsk implements Message {
+  public static final class ClaimRequest implements Message {
     public final Claim claim;
 
     /** Asks for this claim. */
-    public ClaimAsk(final Claim claim) {
+    public ClaimRequest(final Claim claim) {
       this.claim = claim;
     }
   }
@@ -85,13 +85,13 @@
   }
 
   /** A registry answers a claim; the holder is given where another has the key. */
-  public static final class ClaimAnswer implements Message {
+  public static final class ClaimResponse implements Message {
     public final long number;
     public final int result;
     public final Claim holder;
 
     /** An answer to the claim of this number. */
-    public ClaimAnswer(final long number, final ClaimResult result, final Claim holder) {
+    public ClaimResponse(final long number, final ClaimResult result, final Claim holder) {
       this.number = number;
       this.result = result.ordinal();
       this.holder = holder;
@@ -114,23 +114,23 @@
   }
 
   /** A registry asks the voters' registries to remember claims. */
-  public static final class VoteAsk implements Message {
+  public static final class ClaimVoteRequest implements Message {
     public final List<Claim> claims;
 
     /** Asks for votes on these. */
-    public VoteAsk(final List<Claim> claims) {
+    public ClaimVoteRequest(final List<Claim> claims) {
       this.claims = claims;
     }
   }
 
   /** One vote: granted where no holder is given. */
-  public static final class Vote {
+  public static final class ClaimVote {
     public final long incarnation;
     public final long number;
     public final Claim holder;
 
     /** A vote on the claim of this claimant. */
-    public Vote(final long incarnation, final long number, final Claim holder) {
+    public ClaimVote(final long incarnation, final long number, final Claim holder) {
       this.incarnation = incarnation;
       this.number = number;
       this.holder = holder;
@@ -138,25 +138,25 @@
   }
 
   /** A voter's votes; those that grant are on its disk. */
-  public static final class VoteAnswer implements Message {
+  public static final class ClaimVoteResponse implements Message {
     public final long rosterNumber;
-    public final List<Vote> votes;
+    public final List<ClaimVote> votes;
 
     /** Votes given under a roster. */
-    public VoteAnswer(final long rosterNumber, final List<Vote> votes) {
+    public ClaimVoteResponse(final long rosterNumber, final List<ClaimVote> votes) {
       this.rosterNumber = rosterNumber;
       this.votes = votes;
     }
   }
 
   /** A proxy asks the holder of a key what became of its request. */
-  public static final class OutcomeAsk implements Message {
+  public static final class OutcomeRequest implements Message {
     public final Claim claim;
     public final long fingerprint;
     public final long waitMillis;
 
     /** Asks for the outcome of this claim's request, waiting for it for so long. */
-    public OutcomeAsk(final Claim claim, final long fingerprint, final long waitMillis) {
+    public OutcomeRequest(final Claim claim, final long fingerprint, final long waitMillis) {
       this.claim = claim;
       this.fingerprint = fingerprint;
       this.waitMillis = waitMillis;
@@ -178,14 +178,14 @@
   }
 
   /** The holder's answer; status, headers (name, value, ...) and body where it was answered. */
-  public static final class OutcomeAnswer implements Message {
+  public static final class OutcomeResponse implements Message {
     public final int outcome;
     public final int status;
     public final List<String> headers;
     public final byte[] body;
 
     /** An outcome with the answer that the first request got. */
-    public OutcomeAnswer(
+    public OutcomeResponse(
         final Outcome outcome, final int status, final List<String> headers, final byte[] body) {
       this.outcome = outcome.ordinal();
       this.status = status;
@@ -194,7 +194,7 @@
     }
 
     /** An outcome without an answer. */
-    public OutcomeAnswer(final Outcome outcome) {
+    public OutcomeResponse(final Outcome outcome) {
       this(outcome, 0, null, null);
     }
 
--- a/transport/src/main/java/weldpoint/transport/OwnershipMessages.java
+++ b/transport/src/main/java/weldpoint/transport/OwnershipMessages.java
@@ -130,12 +130,12 @@
   }
 
   /** An assigner tells the other registries that it is at work, or that it ends. */
-  public static final class AssignerPulse implements Message {
+  public static final class AssignerHeartbeat implements Message {
     public final long incarnation;
     public final boolean leaving;
 
     /** A pulse of this life. */
-    public AssignerPulse(final long incarnation, final boolean leaving) {
+    public AssignerHeartbeat(final long incarnation, final boolean leaving) {
       this.incarnation = incarnation;
       this.leaving = leaving;
     }
--- a/transport/src/main/java/weldpoint/transport/Lines.java
+++ b/transport/src/main/java/weldpoint/transport/PeerConnections.java
@@ -6,14 +6,15 @@
 import java.util.function.Function;
 
 /** Lines kept to a wanted set of addresses: missing ones are dialled, others are closed. */
-public final class Lines {
-  private final Trunk trunk;
+public final class PeerConnections {
+  private final Transport trunk;
   private final int port;
-  private final Function<String, Trunk.Ear> ears;
-  private final Map<String, Trunk.Dialler> diallers = new HashMap<>();
+  private final Function<String, Transport.Listener> ears;
+  private final Map<String, Transport.Connector> diallers = new HashMap<>();
 
   /** Lines to this port, each with an ear of its own. */
-  public Lines(final Trunk trunk, final int port, final Function<String, Trunk.Ear> ears) {
+  public PeerConnections(
+      final Transport trunk, final int port, final Function<String, Transport.Listener> ears) {
     this.trunk = trunk;
     this.port = port;
     this.ears = ears;
@@ -41,20 +42,20 @@
    * line to it.
    */
   public long silentMillis(final String address) {
-    final Trunk.Dialler dialler = diallers.get(address);
-    final Line line = dialler == null ? null : dialler.line();
+    final Transport.Connector dialler = diallers.get(address);
+    final Connection line = dialler == null ? null : dialler.line();
     return line == null ? Long.MAX_VALUE / 2 : (System.nanoTime() - line.heardNanos) / 1_000_000;
   }
 
   /** Sends to an address what is made for the line of the moment; false where there is none. */
-  public boolean send(final String address, final Function<Line, Message> made) {
-    final Trunk.Dialler dialler = diallers.get(address);
+  public boolean send(final String address, final Function<Connection, Message> made) {
+    final Transport.Connector dialler = diallers.get(address);
     return dialler != null && dialler.send(made);
   }
 
   /** Sends to an address; false where there is no line to it. */
   public boolean send(final String address, final Message message) {
-    final Trunk.Dialler dialler = diallers.get(address);
+    final Transport.Connector dialler = diallers.get(address);
     return dialler != null && dialler.send(message);
   }
 }
--- a/transport/src/main/java/weldpoint/transport/PermitMessages.java
+++ b/transport/src/main/java/weldpoint/transport/PermitMessages.java
@@ -5,13 +5,13 @@
   private PermitMessages() {}
 
   /** Asks for permits under a name; hops counts the exchanges that passed it on. */
-  public static final class PermitAsk implements Message {
+  public static final class PermitRequest implements Message {
     public final long number;
     public final String name;
     public final int count;
     public final int hops;
 
-    public PermitAsk(final long number, final String name, final int count, final int hops) {
+    public PermitRequest(final long number, final String name, final int count, final int hops) {
       this.number = number;
       this.name = name;
       this.count = count;
@@ -20,13 +20,13 @@
   }
 
   /** How many were granted, under which spec, and how long ago that was known to be the newest. */
-  public static final class PermitAnswer implements Message {
+  public static final class PermitResponse implements Message {
     public final long number;
     public final int granted;
     public final long version;
     public final long ageMillis;
 
-    public PermitAnswer(
+    public PermitResponse(
         final long number, final int granted, final long version, final long ageMillis) {
       this.number = number;
       this.granted = granted;
--- a/transport/src/main/java/weldpoint/transport/PlacementMessages.java
+++ b/transport/src/main/java/weldpoint/transport/PlacementMessages.java
@@ -48,12 +48,12 @@
   }
 
   /** Which exchange, in which life, changes placements and grants leases on them. */
-  public static final class Keeper {
+  public static final class PlacementOwner {
     public final long serial;
     public final String address;
     public final long incarnation;
 
-    public Keeper(final long serial, final String address, final long incarnation) {
+    public PlacementOwner(final long serial, final String address, final long incarnation) {
       this.serial = serial;
       this.address = address;
       this.incarnation = incarnation;
@@ -75,7 +75,7 @@
    * A switchboard asks for a lease; it has the placements under this mark, and has finished what
    * had to be finished for those up to settled. Counts are from its start.
    */
-  public static final class LeaseAsk implements Message {
+  public static final class LeaseRequest implements Message {
     public final long number;
     public final String board;
     public final long incarnation;
@@ -83,7 +83,7 @@
     public final long settled;
     public final List<Long> counts;
 
-    public LeaseAsk(
+    public LeaseRequest(
         final long number,
         final String board,
         final long incarnation,
--- a/transport/src/main/java/weldpoint/transport/Protocol.java
+++ b/transport/src/main/java/weldpoint/transport/Protocol.java
@@ -9,63 +9,63 @@
 public final class Protocol {
   static final Class<?>[] KINDS = {
     Hello.class,
-    Ring.class,
+    KeepAlive.class,
     StateStoreMessages.Prepare.class,
     StateStoreMessages.Promise.class,
     StateStoreMessages.Accept.class,
     StateStoreMessages.Accepted.class,
-    StateStoreMessages.Pulse.class,
-    StateStoreMessages.Pulsed.class,
-    StateStoreMessages.Enquire.class,
-    StateStoreMessages.Enquired.class,
-    StateStoreMessages.Fetch.class,
-    StateStoreMessages.Fetched.class,
-    StateStoreMessages.RosterNews.class,
+    StateStoreMessages.Heartbeat.class,
+    StateStoreMessages.HeartbeatAck.class,
+    StateStoreMessages.MembershipRequest.class,
+    StateStoreMessages.MembershipResponse.class,
+    StateStoreMessages.RecoveryRequest.class,
+    StateStoreMessages.RecoveryResponse.class,
+    StateStoreMessages.RosterUpdate.class,
     StateStoreMessages.Refused.class,
     StateStoreMessages.Join.class,
     StateStoreMessages.Resign.class,
-    StateStoreMessages.Canvass.class,
-    StateStoreMessages.Canvassed.class,
-    StoreCallMessages.Call.class,
-    StoreCallMessages.Answer.class,
+    StateStoreMessages.PreVote.class,
+    StateStoreMessages.PreVoteResponse.class,
+    StoreMessages.StoreRequest.class,
+    StoreMessages.StoreResponse.class,
     RegistryMessages.Gossip.class,
     RegistryMessages.Changes.class,
-    RegistryMessages.Kept.class,
-    RegistryMessages.BoardState.class,
+    RegistryMessages.ChangesAck.class,
+    RegistryMessages.DaemonReport.class,
     RegistryMessages.View.class,
-    RegistryMessages.Reach.class,
+    RegistryMessages.RegistryStatus.class,
     TrialMessages.TrialReport.class,
     CacheMessages.Purges.class,
-    PermitMessages.PermitAsk.class,
-    PermitMessages.PermitAnswer.class,
-    CacheMessages.CopyAsk.class,
-    CacheMessages.CopyAnswer.class,
+    PermitMessages.PermitRequest.class,
+    PermitMessages.PermitResponse.class,
+    CacheMessages.CacheReadRequest.class,
+    CacheMessages.CacheReadResponse.class,
     RegionMessages.Electorate.class,
-    RegionMessages.Stand.class,
-    RegionMessages.Backed.class,
-    RegionMessages.Order.class,
-    RegionMessages.Heeded.class,
-    RecordingMessages.RecordState.class,
-    RecordingMessages.Reel.class,
+    RegionMessages.LeaderVoteRequest.class,
+    RegionMessages.LeaderVoteResponse.class,
+    RegionMessages.LeaderDirective.class,
+    RegionMessages.LeaderDirectiveAck.class,
+    RecordingMessages.RecordingState.class,
+    RecordingMessages.RecordingBatch.class,
     AuditMessages.AuditState.class,
-    AuditMessages.AuditAsk.class,
-    AuditMessages.AuditPart.class,
+    AuditMessages.AuditRequest.class,
+    AuditMessages.AuditEntries.class,
     PlacementMessages.Placements.class,
-    PlacementMessages.LeaseAsk.class,
+    PlacementMessages.LeaseRequest.class,
     PlacementMessages.LeaseGrant.class,
-    RegistryMessages.Neighbours.class,
+    RegistryMessages.SiteProxies.class,
     StateStoreMessages.Released.class,
-    RegistryMessages.StateRead.class,
-    RegistryMessages.StateHeld.class,
-    KeyMessages.ClaimAsk.class,
-    KeyMessages.ClaimAnswer.class,
+    RegistryMessages.ControlStateRequest.class,
+    RegistryMessages.ControlStateResponse.class,
+    KeyMessages.ClaimRequest.class,
+    KeyMessages.ClaimResponse.class,
     KeyMessages.ClaimRelease.class,
-    KeyMessages.VoteAsk.class,
-    KeyMessages.VoteAnswer.class,
-    KeyMessages.OutcomeAsk.class,
-    KeyMessages.OutcomeAnswer.class,
+    KeyMessages.ClaimVoteRequest.class,
+    KeyMessages.ClaimVoteResponse.class,
+    KeyMessages.OutcomeRequest.class,
+    KeyMessages.OutcomeResponse.class,
     OwnershipMessages.Assignments.class,
-    OwnershipMessages.AssignerPulse.class,
+    OwnershipMessages.AssignerHeartbeat.class,
     OwnershipMessages.SlotReport.class,
   };
 
@@ -109,15 +109,15 @@
   }
 
   /** Keeps a line alive; echoed once, with the time of the echoing side's steady clock. */
-  public static final class Ring implements Message {
+  public static final class KeepAlive implements Message {
     public final boolean echo;
     public final Long clock;
 
-    public Ring(final boolean echo) {
+    public KeepAlive(final boolean echo) {
       this(echo, null);
     }
 
-    public Ring(final boolean echo, final Long clock) {
+    public KeepAlive(final boolean echo, final Long clock) {
       this.echo = echo;
       this.clock = clock;
     }
--- a/transport/src/main/java/weldpoint/transport/RecordingMessages.java
+++ b/transport/src/main/java/weldpoint/transport/RecordingMessages.java
@@ -7,11 +7,11 @@
   private RecordingMessages() {}
 
   /** Whether switchboards record what they carry, under a rising mark. */
-  public static final class RecordState implements Message {
+  public static final class RecordingState implements Message {
     public final long mark;
     public final boolean on;
 
-    public RecordState(final long mark, final boolean on) {
+    public RecordingState(final long mark, final boolean on) {
       this.mark = mark;
       this.on = on;
     }
@@ -21,7 +21,7 @@
    * One request as a switchboard carried it; serials of one switchboard's life leave no gap. Tries
    * stand in three lists, in order.
    */
-  public static final class Note {
+  public static final class RequestRecord {
     public final long serial;
     public final long at;
     public final String id;
@@ -39,7 +39,7 @@
     public final long total;
     public final int status;
 
-    public Note(
+    public RequestRecord(
         final long serial,
         final long at,
         final String id,
@@ -79,7 +79,7 @@
    * Notes of one switchboard's life, with its own clock when they were sent, and how many were
    * dropped so far; the last reel of a life says so.
    */
-  public static final class Reel implements Message {
+  public static final class RecordingBatch implements Message {
     public final String board;
     public final String site;
     public final String region;
@@ -87,9 +87,9 @@
     public final long sentAt;
     public final long dropped;
     public final boolean last;
-    public final List<Note> notes;
+    public final List<RequestRecord> notes;
 
-    public Reel(
+    public RecordingBatch(
         final String board,
         final String site,
         final String region,
@@ -97,7 +97,7 @@
         final long sentAt,
         final long dropped,
         final boolean last,
-        final List<Note> notes) {
+        final List<RequestRecord> notes) {
       this.board = board;
       this.site = site;
       this.region = region;
--- a/transport/src/main/java/weldpoint/transport/RegionMessages.java
+++ b/transport/src/main/java/weldpoint/transport/RegionMessages.java
@@ -40,14 +40,14 @@
   }
 
   /** A switchboard stands for chief. */
-  public static final class Stand implements Message {
+  public static final class LeaderVoteRequest implements Message {
     public final String region;
     public final long mark;
     public final long term;
     public final String address;
     public final long incarnation;
 
-    public Stand(
+    public LeaderVoteRequest(
         final String region,
         final long mark,
         final long term,
@@ -62,13 +62,14 @@
   }
 
   /** Whether the sender backs whoever stands. */
-  public static final class Backed implements Message {
+  public static final class LeaderVoteResponse implements Message {
     public final String region;
     public final long mark;
     public final long term;
     public final boolean yes;
 
-    public Backed(final String region, final long mark, final long term, final boolean yes) {
+    public LeaderVoteResponse(
+        final String region, final long mark, final long term, final boolean yes) {
       this.region = region;
       this.mark = mark;
       this.term = term;
@@ -77,7 +78,7 @@
   }
 
   /** What a chief orders, fenced by the electorate's mark and the term. */
-  public static final class Order implements Message {
+  public static final class LeaderDirective implements Message {
     public final String region;
     public final long mark;
     public final long term;
@@ -91,7 +92,7 @@
     public final List<String> suspects;
     public final List<String> uncertain;
 
-    public Order(
+    public LeaderDirective(
         final String region,
         final long mark,
         final long term,
@@ -123,7 +124,7 @@
    * What one switchboard has seen lately: requests by kind, writes refused, what upstreams carried,
    * silent upstreams, writes of unknown fate.
    */
-  public static final class Sight {
+  public static final class ProxyObservations {
     public final long repeatables;
     public final long writes;
     public final long refusedWrites;
@@ -131,7 +132,7 @@
     public final List<String> silent;
     public final List<String> uncertain;
 
-    public Sight(
+    public ProxyObservations(
         final long repeatables,
         final long writes,
         final long refusedWrites,
@@ -148,19 +149,19 @@
   }
 
   /** The sender heeds an order, and tells what it has seen. */
-  public static final class Heeded implements Message {
+  public static final class LeaderDirectiveAck implements Message {
     public final long mark;
     public final long term;
     public final long number;
     public final long askedAt;
-    public final Sight sight;
+    public final ProxyObservations sight;
 
-    public Heeded(
+    public LeaderDirectiveAck(
         final long mark,
         final long term,
         final long number,
         final long askedAt,
-        final Sight sight) {
+        final ProxyObservations sight) {
       this.mark = mark;
       this.term = term;
       this.number = number;
--- a/transport/src/main/java/weldpoint/transport/Mark.java
+++ b/transport/src/main/java/weldpoint/transport/RegisterVersion.java
@@ -1,38 +1,38 @@
 package weldpoint.transport;
 
 /** The version of a register: the ballot that wrote it and a count within that ballot. */
-public final class Mark implements Comparable<Mark> {
+public final class RegisterVersion implements Comparable<RegisterVersion> {
   /** Below every other mark. */
-  public static final Mark NONE = new Mark(0, 0, 0);
+  public static final RegisterVersion NONE = new RegisterVersion(0, 0, 0);
 
   public final long round;
   public final long owner;
   public final long count;
 
   /** A mark of the given ballot. */
-  public Mark(final long round, final long owner, final long count) {
+  public RegisterVersion(final long round, final long owner, final long count) {
     this.round = round;
     this.owner = owner;
     this.count = count;
   }
 
   /** The first mark of this one's ballot. */
-  public Mark ballot() {
-    return count == 0 ? this : new Mark(round, owner, 0);
+  public RegisterVersion ballot() {
+    return count == 0 ? this : new RegisterVersion(round, owner, 0);
   }
 
   /** Another mark of the same ballot. */
-  public Mark at(final long other) {
-    return new Mark(round, owner, other);
+  public RegisterVersion at(final long other) {
+    return new RegisterVersion(round, owner, other);
   }
 
   /** Whether both belong to one ballot. */
-  public boolean sameBallot(final Mark other) {
+  public boolean sameBallot(final RegisterVersion other) {
     return round == other.round && owner == other.owner;
   }
 
   @Override
-  public int compareTo(final Mark other) {
+  public int compareTo(final RegisterVersion other) {
     final int byRound = Long.compare(round, other.round);
     if (byRound != 0) {
       return byRound;
@@ -43,7 +43,7 @@
 
   @Override
   public boolean equals(final Object other) {
-    return other instanceof Mark && compareTo((Mark) other) == 0;
+    return other instanceof RegisterVersion && compareTo((RegisterVersion) other) == 0;
   }
 
   @Override
--- a/transport/src/main/java/weldpoint/transport/RegistryMessages.java
+++ b/transport/src/main/java/weldpoint/transport/RegistryMessages.java
@@ -9,10 +9,10 @@
   private RegistryMessages() {}
 
   /** The switchboards of one site, in an order that all of them are told alike. */
-  public static final class Neighbours implements Message {
+  public static final class SiteProxies implements Message {
     public final List<String> addresses;
 
-    public Neighbours(final List<String> addresses) {
+    public SiteProxies(final List<String> addresses) {
       this.addresses = addresses;
     }
   }
@@ -58,7 +58,7 @@
    * One switchboard, or announcer, as the directory knows it: which configuration and which mark of
    * evacuations and trials it has in force, and for how long.
    */
-  public static final class Board {
+  public static final class DaemonEntry {
     public final String address;
     public final String front;
     public final String site;
@@ -71,7 +71,7 @@
     public final long mark;
     public final long heldMillis;
 
-    public Board(
+    public DaemonEntry(
         final String address,
         final String front,
         final String site,
@@ -82,7 +82,7 @@
       this(address, front, site, region, incarnation, leaving, ageMillis, false);
     }
 
-    public Board(
+    public DaemonEntry(
         final String address,
         final String front,
         final String site,
@@ -94,7 +94,7 @@
       this(address, front, site, region, incarnation, leaving, ageMillis, announcer, 0, 0, 0);
     }
 
-    public Board(
+    public DaemonEntry(
         final String address,
         final String front,
         final String site,
@@ -130,7 +130,7 @@
     public final StateStoreMessages.Roster roster;
     public final List<String> members;
     public final List<Registration> history;
-    public final List<Board> boards;
+    public final List<DaemonEntry> boards;
     public final List<String> beaten;
     public final List<Long> ages;
     public final long version;
@@ -152,7 +152,7 @@
         final StateStoreMessages.Roster roster,
         final List<String> members,
         final List<Registration> history,
-        final List<Board> boards,
+        final List<DaemonEntry> boards,
         final List<String> beaten,
         final List<Long> ages) {
       this(
@@ -166,7 +166,7 @@
         final StateStoreMessages.Roster roster,
         final List<String> members,
         final List<Registration> history,
-        final List<Board> boards,
+        final List<DaemonEntry> boards,
         final List<String> beaten,
         final List<Long> ages,
         final long version,
@@ -204,11 +204,13 @@
     }
   }
 
-  /** Changes pushed at once; acknowledged with {@link Kept} under the number if that is not 0. */
+  /**
+   * Changes pushed at once; acknowledged with {@link ChangesAck} under the number if that is not 0.
+   */
   public static final class Changes implements Message {
     public final long number;
     public final List<Registration> registrations;
-    public final List<Board> boards;
+    public final List<DaemonEntry> boards;
     public final long version;
     public final byte[] spec;
     public final List<String> evacuated;
@@ -217,14 +219,14 @@
     public final long trialMark;
 
     public Changes(
-        final long number, final List<Registration> registrations, final List<Board> boards) {
+        final long number, final List<Registration> registrations, final List<DaemonEntry> boards) {
       this(number, registrations, boards, 0, null, null, 0, null, 0);
     }
 
     public Changes(
         final long number,
         final List<Registration> registrations,
-        final List<Board> boards,
+        final List<DaemonEntry> boards,
         final long version,
         final byte[] spec,
         final List<String> evacuated,
@@ -247,15 +249,15 @@
    * Changes pushed under this number are on the sender's disk; it knows the roster of the number
    * given.
    */
-  public static final class Kept implements Message {
+  public static final class ChangesAck implements Message {
     public final long number;
     public final long rosterNumber;
 
-    public Kept(final long number) {
+    public ChangesAck(final long number) {
       this(number, 0);
     }
 
-    public Kept(final long number, final long rosterNumber) {
+    public ChangesAck(final long number, final long rosterNumber) {
       this.number = number;
       this.rosterNumber = rosterNumber;
     }
@@ -266,7 +268,7 @@
    * evacuations, trials, registrations. It says so what it holds itself, and for how long from now
    * it will confirm no change.
    */
-  public static final class StateRead implements Message {
+  public static final class ControlStateRequest implements Message {
     public final long number;
     public final long rosterNumber;
     public final long version;
@@ -278,7 +280,7 @@
     /** Whether the asker lacks the claims of keys as well. */
     public final boolean claimsToo;
 
-    public StateRead(
+    public ControlStateRequest(
         final long number,
         final long rosterNumber,
         final long version,
@@ -290,7 +292,7 @@
     }
 
     /** A question that says whether claims of keys are wanted too. */
-    public StateRead(
+    public ControlStateRequest(
         final long number,
         final long rosterNumber,
         final long version,
@@ -315,7 +317,7 @@
    * before it came, how long ago it heard of a majority, and for how long from now it will confirm
    * no change, so that the asker may rely on this.
    */
-  public static final class StateHeld implements Message {
+  public static final class ControlStateResponse implements Message {
     public final long number;
     public final StateStoreMessages.Roster roster;
     public final boolean learning;
@@ -332,7 +334,7 @@
     /** The claims of keys, for an asker that lacks them. */
     public final List<KeyMessages.Claim> claims;
 
-    public StateHeld(
+    public ControlStateResponse(
         final long number,
         final StateStoreMessages.Roster roster,
         final boolean learning,
@@ -362,7 +364,7 @@
     }
 
     /** What is held, with the claims of keys. */
-    public StateHeld(
+    public ControlStateResponse(
         final long number,
         final StateStoreMessages.Roster roster,
         final boolean learning,
@@ -396,15 +398,15 @@
    * A switchboard tells of itself; at the opening of a stream also, by digests, which registrations
    * it has.
    */
-  public static final class BoardState implements Message {
-    public final Board board;
+  public static final class DaemonReport implements Message {
+    public final DaemonEntry board;
     public final List<Long> buckets;
 
-    public BoardState(final Board board) {
+    public DaemonReport(final DaemonEntry board) {
       this(board, null);
     }
 
-    public BoardState(final Board board, final List<Long> buckets) {
+    public DaemonReport(final DaemonEntry board, final List<Long> buckets) {
       this.buckets = buckets;
       this.board = board;
     }
@@ -484,7 +486,7 @@
    * An exchange tells how long ago it heard of a majority, how many switchboards there are, and of
    * other exchanges with their places, as region/site.
    */
-  public static final class Reach implements Message {
+  public static final class RegistryStatus implements Message {
     public final long ageMillis;
     public final int boards;
     public final List<String> members;
@@ -501,11 +503,11 @@
     /** The time of the sender's steady clock at which this was said; null where it is not told. */
     public final Long sentClock;
 
-    public Reach(final long ageMillis, final int boards, final List<String> members) {
+    public RegistryStatus(final long ageMillis, final int boards, final List<String> members) {
       this(ageMillis, boards, members, null, null, ageMillis);
     }
 
-    public Reach(
+    public RegistryStatus(
         final long ageMillis,
         final int boards,
         final List<String> members,
@@ -514,7 +516,7 @@
       this(ageMillis, boards, members, announcers, places, ageMillis);
     }
 
-    public Reach(
+    public RegistryStatus(
         final long ageMillis,
         final int boards,
         final List<String> members,
@@ -525,7 +527,7 @@
     }
 
     /** The same with the time up to which all that was acknowledged has been told, and with now. */
-    public Reach(
+    public RegistryStatus(
         final long ageMillis,
         final int boards,
         final List<String> members,
@@ -545,8 +547,8 @@
     }
 
     /** The same as it is to be taken when it has been under way for so long. */
-    public Reach delayed(final long delayMillis) {
-      return new Reach(
+    public RegistryStatus delayed(final long delayMillis) {
+      return new RegistryStatus(
           ageMillis + delayMillis,
           boards,
           members,
--- a/transport/src/main/java/weldpoint/transport/Wire.java
+++ b/transport/src/main/java/weldpoint/transport/Serializer.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 
 /** Turns messages and stored values into bytes and back, by Protostuff. */
-public final class Wire {
+public final class Serializer {
   /** The number of the inner protocol; peers with another one are refused. */
   public static final int PROTOCOL = 1;
 
@@ -21,7 +21,7 @@
     }
   }
 
-  private Wire() {}
+  private Serializer() {}
 
   /** The bytes of a value. */
   @SuppressWarnings("unchecked")
--- a/transport/src/main/java/weldpoint/transport/StateStoreMessages.java
+++ b/transport/src/main/java/weldpoint/transport/StateStoreMessages.java
@@ -49,27 +49,27 @@
   }
 
   /** A register's value under its mark; either whole or as a difference from the base mark. */
-  public static final class Entry {
+  public static final class RegisterEntry {
     public final String name;
-    public final Mark mark;
-    public final Mark base;
+    public final RegisterVersion mark;
+    public final RegisterVersion base;
     public final byte[] difference;
     public final byte[] whole;
     public final byte[] audit;
 
-    public Entry(
+    public RegisterEntry(
         final String name,
-        final Mark mark,
-        final Mark base,
+        final RegisterVersion mark,
+        final RegisterVersion base,
         final byte[] difference,
         final byte[] whole) {
       this(name, mark, base, difference, whole, null);
     }
 
-    public Entry(
+    public RegisterEntry(
         final String name,
-        final Mark mark,
-        final Mark base,
+        final RegisterVersion mark,
+        final RegisterVersion base,
         final byte[] difference,
         final byte[] whole,
         final byte[] audit) {
@@ -86,9 +86,9 @@
   public static final class Prepare implements Message {
     public final int partition;
     public final long roster;
-    public final Mark ballot;
+    public final RegisterVersion ballot;
 
-    public Prepare(final int partition, final long roster, final Mark ballot) {
+    public Prepare(final int partition, final long roster, final RegisterVersion ballot) {
       this.partition = partition;
       this.roster = roster;
       this.ballot = ballot;
@@ -98,17 +98,17 @@
   /** The promise, with all that the sender holds of the partition. */
   public static final class Promise implements Message {
     public final int partition;
-    public final Mark ballot;
-    public final Mark established;
-    public final List<Entry> entries;
+    public final RegisterVersion ballot;
+    public final RegisterVersion established;
+    public final List<RegisterEntry> entries;
     public final long incarnation;
     public final List<Long> known;
 
     public Promise(
         final int partition,
-        final Mark ballot,
-        final Mark established,
-        final List<Entry> entries,
+        final RegisterVersion ballot,
+        final RegisterVersion established,
+        final List<RegisterEntry> entries,
         final long incarnation,
         final List<Long> known) {
       this.partition = partition;
@@ -127,29 +127,29 @@
   public static final class Accept implements Message {
     public final int partition;
     public final long roster;
-    public final Mark ballot;
+    public final RegisterVersion ballot;
     public final boolean establish;
     public final List<Long> counted;
-    public final List<Entry> entries;
+    public final List<RegisterEntry> entries;
     public final List<Long> known;
 
     public Accept(
         final int partition,
         final long roster,
-        final Mark ballot,
+        final RegisterVersion ballot,
         final boolean establish,
         final List<Long> counted,
-        final List<Entry> entries) {
+        final List<RegisterEntry> entries) {
       this(partition, roster, ballot, establish, counted, entries, null);
     }
 
     public Accept(
         final int partition,
         final long roster,
-        final Mark ballot,
+        final RegisterVersion ballot,
         final boolean establish,
         final List<Long> counted,
-        final List<Entry> entries,
+        final List<RegisterEntry> entries,
         final List<Long> known) {
       this.known = known;
       this.partition = partition;
@@ -167,7 +167,7 @@
    */
   public static final class Accepted implements Message {
     public final int partition;
-    public final Mark ballot;
+    public final RegisterVersion ballot;
     public final boolean establish;
     public final List<String> names;
     public final List<Long> counts;
@@ -177,7 +177,7 @@
 
     public Accepted(
         final int partition,
-        final Mark ballot,
+        final RegisterVersion ballot,
         final boolean establish,
         final List<String> names,
         final List<Long> counts,
@@ -196,12 +196,13 @@
   }
 
   /** A holder tells that it still serves these partitions and asks whether its ballots stand. */
-  public static final class Pulse implements Message {
+  public static final class Heartbeat implements Message {
     public final long roster;
     public final List<Integer> partitions;
-    public final List<Mark> ballots;
+    public final List<RegisterVersion> ballots;
 
-    public Pulse(final long roster, final List<Integer> partitions, final List<Mark> ballots) {
+    public Heartbeat(
+        final long roster, final List<Integer> partitions, final List<RegisterVersion> ballots) {
       this.roster = roster;
       this.partitions = partitions;
       this.ballots = ballots;
@@ -212,16 +213,16 @@
    * The ballots that stand, with the count that each pulse carried, and up to where the sender's
    * disk has the history.
    */
-  public static final class Pulsed implements Message {
+  public static final class HeartbeatAck implements Message {
     public final List<Integer> partitions;
-    public final List<Mark> ballots;
+    public final List<RegisterVersion> ballots;
     public final long incarnation;
     public final List<Long> known;
     public final long audited;
 
-    public Pulsed(
+    public HeartbeatAck(
         final List<Integer> partitions,
-        final List<Mark> ballots,
+        final List<RegisterVersion> ballots,
         final long incarnation,
         final List<Long> known,
         final long audited) {
@@ -234,23 +235,23 @@
   }
 
   /** Asks who is on the roster and which incarnation of the sender is known. */
-  public static final class Enquire implements Message {
+  public static final class MembershipRequest implements Message {
     public final long number;
 
-    public Enquire(final long number) {
+    public MembershipRequest(final long number) {
       this.number = number;
     }
   }
 
   /** The answer to an enquiry. */
-  public static final class Enquired implements Message {
+  public static final class MembershipResponse implements Message {
     public final long number;
     public final boolean blank;
     public final Roster roster;
     public final long incarnation;
     public final List<String> holders;
 
-    public Enquired(
+    public MembershipResponse(
         final long number,
         final boolean blank,
         final Roster roster,
@@ -269,7 +270,7 @@
    * in their order, or, where it names registers, for their values; a value is asked for from an
    * offset on where part of it has come.
    */
-  public static final class Fetch implements Message {
+  public static final class RecoveryRequest implements Message {
     public final long incarnation;
     public final String after;
     public final List<String> names;
@@ -277,11 +278,11 @@
     public final long number;
 
     /** Asks for the beginning of the catalogue. */
-    public Fetch(final long incarnation) {
+    public RecoveryRequest(final long incarnation) {
       this(incarnation, "", null, 0, 0);
     }
 
-    public Fetch(
+    public RecoveryRequest(
         final long incarnation,
         final String after,
         final List<String> names,
@@ -301,12 +302,12 @@
    * value; or the values that were named, those that it does not hold being listed apart. Of a
    * value too large for one part, total tells its length and offset where this piece begins.
    */
-  public static final class Fetched implements Message {
+  public static final class RecoveryResponse implements Message {
     public final long incarnation;
     public final Roster roster;
-    public final List<Mark> promised;
-    public final List<Mark> established;
-    public final List<Entry> entries;
+    public final List<RegisterVersion> promised;
+    public final List<RegisterVersion> established;
+    public final List<RegisterEntry> entries;
     public final List<Long> known;
     public final long audited;
     public final String after;
@@ -317,12 +318,12 @@
     public final int total;
     public final long number;
 
-    public Fetched(
+    public RecoveryResponse(
         final long incarnation,
         final Roster roster,
-        final List<Mark> promised,
-        final List<Mark> established,
-        final List<Entry> entries,
+        final List<RegisterVersion> promised,
+        final List<RegisterVersion> established,
+        final List<RegisterEntry> entries,
         final List<Long> known,
         final long audited,
         final String after,
@@ -350,10 +351,10 @@
   }
 
   /** A roster that a majority holds. */
-  public static final class RosterNews implements Message {
+  public static final class RosterUpdate implements Message {
     public final Roster roster;
 
-    public RosterNews(final Roster roster) {
+    public RosterUpdate(final Roster roster) {
       this.roster = roster;
     }
   }
@@ -364,15 +365,15 @@
    */
   public static final class Refused implements Message {
     public final int partition;
-    public final Mark ballot;
-    public final Mark promised;
+    public final RegisterVersion ballot;
+    public final RegisterVersion promised;
     public final long roster;
     public final List<Long> known;
 
     public Refused(
         final int partition,
-        final Mark ballot,
-        final Mark promised,
+        final RegisterVersion ballot,
+        final RegisterVersion promised,
         final long roster,
         final List<Long> known) {
       this.partition = partition;
@@ -415,12 +416,12 @@
   }
 
   /** Asks, before any ballot, whether the voters too find a partition vacant. */
-  public static final class Canvass implements Message {
+  public static final class PreVote implements Message {
     public final int partition;
     public final long roster;
     public final long number;
 
-    public Canvass(final int partition, final long roster, final long number) {
+    public PreVote(final int partition, final long roster, final long number) {
       this.partition = partition;
       this.roster = roster;
       this.number = number;
@@ -428,12 +429,12 @@
   }
 
   /** The sender finds the partition vacant; it tells the highest round that it has promised. */
-  public static final class Canvassed implements Message {
+  public static final class PreVoteResponse implements Message {
     public final int partition;
     public final long number;
     public final long round;
 
-    public Canvassed(final int partition, final long number, final long round) {
+    public PreVoteResponse(final int partition, final long number, final long round) {
       this.partition = partition;
       this.number = number;
       this.round = round;
--- a/transport/src/main/java/weldpoint/transport/StoreCallMessages.java
+++ b/transport/src/main/java/weldpoint/transport/StoreMessages.java
@@ -1,20 +1,21 @@
 package weldpoint.transport;
 
 /** Calls of registries to the state store, and their answers. */
-public final class StoreCallMessages {
-  private StoreCallMessages() {}
+public final class StoreMessages {
+  private StoreMessages() {}
 
   /**
    * Who wants a change of routing: the author named, the address it came from and the daemon that
    * took it; extra is a configuration's summary.
    */
-  public static final class Cause {
+  public static final class ChangeOrigin {
     public final String author;
     public final String caller;
     public final String taker;
     public final byte[] extra;
 
-    public Cause(final String author, final String caller, final String taker, final byte[] extra) {
+    public ChangeOrigin(
+        final String author, final String caller, final String taker, final byte[] extra) {
       this.author = author;
       this.caller = caller;
       this.taker = taker;
@@ -29,7 +30,7 @@
    * where there is none; clock is the latest time of the frame's own steady clock that the caller
    * had heard over this line when it sent this copy.
    */
-  public static final class Call implements Message {
+  public static final class StoreRequest implements Message {
     public final long number;
     public final int deed;
     public final String name;
@@ -37,14 +38,14 @@
     public final long first;
     public final long second;
     public final byte[] body;
-    public final Cause cause;
+    public final ChangeOrigin cause;
     public final byte[] content;
     public final long caller;
     public final long age;
     public final Long clock;
     private final transient long agedAt;
 
-    public Call(
+    public StoreRequest(
         final long number,
         final int deed,
         final String name,
@@ -55,7 +56,7 @@
       this(number, deed, name, owner, first, second, body, null);
     }
 
-    public Call(
+    public StoreRequest(
         final long number,
         final int deed,
         final String name,
@@ -63,11 +64,11 @@
         final long first,
         final long second,
         final byte[] body,
-        final Cause cause) {
+        final ChangeOrigin cause) {
       this(number, deed, name, owner, first, second, body, cause, null);
     }
 
-    public Call(
+    public StoreRequest(
         final long number,
         final int deed,
         final String name,
@@ -75,12 +76,12 @@
         final long first,
         final long second,
         final byte[] body,
-        final Cause cause,
+        final ChangeOrigin cause,
         final byte[] content) {
       this(number, deed, name, owner, first, second, body, cause, content, 0, 0, 0, null);
     }
 
-    private Call(
+    private StoreRequest(
         final long number,
         final int deed,
         final String name,
@@ -88,7 +89,7 @@
         final long first,
         final long second,
         final byte[] body,
-        final Cause cause,
+        final ChangeOrigin cause,
         final byte[] content,
         final long caller,
         final long age,
@@ -110,8 +111,8 @@
     }
 
     /** This call in the name of a caller. */
-    public Call from(final long givenCaller) {
-      return new Call(
+    public StoreRequest from(final long givenCaller) {
+      return new StoreRequest(
           number,
           deed,
           name,
@@ -131,8 +132,8 @@
      * A copy of this call whose first copy that may have been carried out was sent so long before
      * now, by the caller's steady clock.
      */
-    public Call aged(final long givenAge, final long now) {
-      return new Call(
+    public StoreRequest aged(final long givenAge, final long now) {
+      return new StoreRequest(
           number, deed, name, owner, first, second, body, cause, content, caller, givenAge, now,
           clock);
     }
@@ -141,8 +142,8 @@
      * A copy of this call as it leaves now, over a line on which this time of the frame's clock had
      * been heard before.
      */
-    public Call leaving(final Long heardClock, final long now) {
-      return new Call(
+    public StoreRequest leaving(final Long heardClock, final long now) {
+      return new StoreRequest(
           number,
           deed,
           name,
@@ -164,7 +165,7 @@
    * clock; status 0 means that nothing was done and "ask the holder named", or nobody knows one
    * where it is null.
    */
-  public static final class Answer implements Message {
+  public static final class StoreResponse implements Message {
     public final long number;
     public final int status;
     public final long first;
@@ -173,7 +174,7 @@
     public final long caller;
     public final Long clock;
 
-    public Answer(
+    public StoreResponse(
         final long number,
         final int status,
         final long first,
@@ -182,7 +183,7 @@
       this(number, status, first, body, holder, 0, null);
     }
 
-    private Answer(
+    private StoreResponse(
         final long number,
         final int status,
         final long first,
@@ -200,13 +201,13 @@
     }
 
     /** This answer for a caller. */
-    public Answer to(final long givenCaller) {
-      return new Answer(number, status, first, body, holder, givenCaller, clock);
+    public StoreResponse to(final long givenCaller) {
+      return new StoreResponse(number, status, first, body, holder, givenCaller, clock);
     }
 
     /** This answer as it leaves, at this time of its sender's steady clock. */
-    public Answer at(final long millis) {
-      return new Answer(number, status, first, body, holder, caller, millis);
+    public StoreResponse at(final long millis) {
+      return new StoreResponse(number, status, first, body, holder, caller, millis);
     }
   }
 }
--- a/transport/src/main/java/weldpoint/transport/Meter.java
+++ b/transport/src/main/java/weldpoint/transport/TrafficCounters.java
@@ -1,13 +1,13 @@
 package weldpoint.transport;
 
 /** Counts what passes over the inner protocol; written by the traffic thread only. */
-public final class Meter {
+public final class TrafficCounters {
   private volatile long messagesIn;
   private volatile long bytesIn;
   private volatile long messagesOut;
   private volatile long bytesOut;
 
-  Meter() {}
+  TrafficCounters() {}
 
   void in(final long bytes) {
     messagesIn++;
