--- a/transport/src/main/java/weldpoint/transport/Trunk.java
+++ b/transport/src/main/java/weldpoint/transport/Transport.java
@@ -24,22 +24,22 @@
 import java.util.function.Function;
 
 /** The inner protocol over TCP: frames of a length, a kind and a Protostuff body, after a hello. */
-public final class Trunk {
+public final class Transport {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
   private static final int MOST_BYTES = 64 << 20;
   private static final long RING_MILLIS = 500;
   private static final long SILENCE_NANOS = TimeUnit.MILLISECONDS.toNanos(1900);
 
   /** Hears what happens on lines; called on the traffic thread. */
-  public interface Ear {
+  public interface Listener {
     /** The peer has said hello. */
-    default void opened(final Line line) {}
+    default void opened(final Connection line) {}
 
     /** The peer has said something. */
-    void heard(Line line, Message message);
+    void heard(Connection line, Message message);
 
     /** The line has ended. */
-    default void closed(final Line line) {}
+    default void closed(final Connection line) {}
 
     /** The peer's machine answered that nobody listens there. */
     default void refused() {}
@@ -47,21 +47,21 @@
 
   private final EventLoopGroup loop;
   private final Protocol.Hello hello;
-  private final Meter meter = new Meter();
+  private final TrafficCounters meter = new TrafficCounters();
 
   /** What has passed over all lines. */
-  public Meter meter() {
+  public TrafficCounters meter() {
     return meter;
   }
 
   /** A trunk whose lines open with this hello. */
-  public Trunk(final EventLoopGroup loop, final Protocol.Hello hello) {
+  public Transport(final EventLoopGroup loop, final Protocol.Hello hello) {
     this.loop = loop;
     this.hello = hello;
   }
 
   /** Takes calls at an address, and returns once it does. */
-  public void serve(final String address, final int port, final Ear ear)
+  public void serve(final String address, final int port, final Listener ear)
       throws InterruptedException {
     listen(address, port, ear).sync();
   }
@@ -70,7 +70,7 @@
    * Begins to take calls at an address, without waiting: the control thread must never wait for the
    * traffic thread, which may be waiting for it.
    */
-  public ChannelFuture listen(final String address, final int port, final Ear ear) {
+  public ChannelFuture listen(final String address, final int port, final Listener ear) {
     return new ServerBootstrap()
         .group(loop)
         .channel(NioServerSocketChannel.class)
@@ -91,8 +91,9 @@
     return System.nanoTime() / 1_000_000;
   }
 
-  private Line prepare(final SocketChannel channel, final Ear ear, final boolean dialled) {
-    final Line line = new Line(channel);
+  private Connection prepare(
+      final SocketChannel channel, final Listener ear, final boolean dialled) {
+    final Connection line = new Connection(channel);
     if (dialled) {
       line.clock().asked(now());
     }
@@ -100,26 +101,26 @@
         .pipeline()
         .addLast(
             new LengthFieldBasedFrameDecoder(MOST_BYTES, 0, 4, 0, 4),
-            new Encoder(),
-            new Handler(line, ear, dialled));
+            new MessageEncoder(),
+            new ConnectionHandler(line, ear, dialled));
     return line;
   }
 
   /** Keeps a line to an address open until closed. */
-  public Dialler dial(final String address, final int port, final Ear ear) {
-    return new Dialler(address, port, ear);
+  public Connector dial(final String address, final int port, final Listener ear) {
+    return new Connector(address, port, ear);
   }
 
   /** Keeps one outgoing line open, dialling again after it ends. */
-  public final class Dialler {
+  public final class Connector {
     private final String address;
     private final int port;
-    private final Ear ear;
-    private volatile Line line;
+    private final Listener ear;
+    private volatile Connection line;
     private volatile boolean ended;
     private long pauseMillis = 50;
 
-    private Dialler(final String address, final int port, final Ear ear) {
+    private Connector(final String address, final int port, final Listener ear) {
       this.address = address;
       this.port = port;
       this.ear = ear;
@@ -142,9 +143,9 @@
                     protected void initChannel(final SocketChannel channel) {
                       prepare(
                           channel,
-                          new Ear() {
+                          new Listener() {
                             @Override
-                            public void opened(final Line opened) {
+                            public void opened(final Connection opened) {
                               if (take(opened)) {
                                 pauseMillis = 50;
                                 ear.opened(opened);
@@ -154,12 +155,12 @@
                             }
 
                             @Override
-                            public void heard(final Line heard, final Message message) {
+                            public void heard(final Connection heard, final Message message) {
                               ear.heard(heard, message);
                             }
 
                             @Override
-                            public void closed(final Line closed) {
+                            public void closed(final Connection closed) {
                               if (line == closed) {
                                 line = null;
                                 ear.closed(closed);
@@ -186,7 +187,7 @@
     }
 
     /** Takes a line unless the end came first; the two may come from different threads. */
-    private synchronized boolean take(final Line opened) {
+    private synchronized boolean take(final Connection opened) {
       if (!ended) {
         line = opened;
       }
@@ -201,13 +202,13 @@
     }
 
     /** The line, or null while there is none. */
-    public Line line() {
+    public Connection line() {
       return line;
     }
 
     /** Sends where there is a line; tells whether there was one. */
     public boolean send(final Message message) {
-      final Line now = line;
+      final Connection now = line;
       if (now == null) {
         return false;
       }
@@ -216,8 +217,8 @@
     }
 
     /** Sends what is made for the line of the moment; tells whether there was one. */
-    public boolean send(final Function<Line, Message> made) {
-      final Line now = line;
+    public boolean send(final Function<Connection, Message> made) {
+      final Connection now = line;
       if (now == null) {
         return false;
       }
@@ -227,7 +228,7 @@
 
     /** Ends the line for good. */
     public void close() {
-      final Line now;
+      final Connection now;
       synchronized (this) {
         ended = true;
         now = line;
@@ -238,11 +239,11 @@
     }
   }
 
-  private static final class Sealed implements Message {
+  private static final class EncodedMessage implements Message {
     private final int kind;
     private final byte[] body;
 
-    private Sealed(final int kind, final byte[] body) {
+    private EncodedMessage(final int kind, final byte[] body) {
       this.kind = kind;
       this.body = body;
     }
@@ -250,31 +251,31 @@
 
   /** The message as its bytes: what goes to many is then turned into bytes once. */
   public static Message seal(final Message message) {
-    return new Sealed(Wire.number(message), Wire.bytes(message));
+    return new EncodedMessage(Serializer.number(message), Serializer.bytes(message));
   }
 
-  private final class Encoder extends MessageToByteEncoder<Message> {
+  private final class MessageEncoder extends MessageToByteEncoder<Message> {
     @Override
     protected void encode(
         final ChannelHandlerContext context, final Message message, final ByteBuf out) {
-      final boolean sealed = message instanceof Sealed;
-      final byte[] body = sealed ? ((Sealed) message).body : Wire.bytes(message);
+      final boolean sealed = message instanceof EncodedMessage;
+      final byte[] body = sealed ? ((EncodedMessage) message).body : Serializer.bytes(message);
       meter.out(body.length + 5);
       out.ensureWritable(body.length + 5);
       out.writeInt(body.length + 1);
-      out.writeByte(sealed ? ((Sealed) message).kind : Wire.number(message));
+      out.writeByte(sealed ? ((EncodedMessage) message).kind : Serializer.number(message));
       out.writeBytes(body);
     }
   }
 
-  private final class Handler extends ChannelDuplexHandler {
-    private final Line line;
-    private final Ear ear;
+  private final class ConnectionHandler extends ChannelDuplexHandler {
+    private final Connection line;
+    private final Listener ear;
     private final boolean dialled;
     private boolean open;
     private long ringNanos = System.nanoTime();
 
-    private Handler(final Line line, final Ear ear, final boolean dialled) {
+    private ConnectionHandler(final Connection line, final Listener ear, final boolean dialled) {
       this.line = line;
       this.ear = ear;
       this.dialled = dialled;
@@ -303,7 +304,7 @@
                 ringNanos = System.nanoTime();
                 if (dialled) {
                   line.clock().asked(now());
-                  channel.writeAndFlush(new Protocol.Ring(false));
+                  channel.writeAndFlush(new Protocol.KeepAlive(false));
                 }
                 watch(channel);
               },
@@ -316,7 +317,7 @@
       final ByteBuf frame = (ByteBuf) read;
       final Message message;
       try {
-        final Class<?> kind = Wire.kind(frame.readByte());
+        final Class<?> kind = Serializer.kind(frame.readByte());
         if (kind == null) {
           context.close();
           return;
@@ -324,24 +325,24 @@
         meter.in(frame.readableBytes() + 5);
         final byte[] body = new byte[frame.readableBytes()];
         frame.readBytes(body);
-        message = (Message) Wire.value(body, kind);
+        message = (Message) Serializer.value(body, kind);
       } finally {
         frame.release();
       }
       line.heardNanos = System.nanoTime();
-      if (message instanceof Protocol.Ring) {
-        if (((Protocol.Ring) message).echo) {
-          line.heardClock(((Protocol.Ring) message).clock);
-          line.clock().answered(((Protocol.Ring) message).clock, now());
+      if (message instanceof Protocol.KeepAlive) {
+        if (((Protocol.KeepAlive) message).echo) {
+          line.heardClock(((Protocol.KeepAlive) message).clock);
+          line.clock().answered(((Protocol.KeepAlive) message).clock, now());
         } else {
-          context.writeAndFlush(new Protocol.Ring(true, now()));
+          context.writeAndFlush(new Protocol.KeepAlive(true, now()));
         }
       } else if (!open) {
         if (!(message instanceof Protocol.Hello)
-            || ((Protocol.Hello) message).protocol != Wire.PROTOCOL) {
+            || ((Protocol.Hello) message).protocol != Serializer.PROTOCOL) {
           LOGGER.atWarning().log(
               "a peer at %s speaks another inner protocol than %d and was refused; run the same release everywhere",
-              context.channel().remoteAddress(), Wire.PROTOCOL);
+              context.channel().remoteAddress(), Serializer.PROTOCOL);
           context.close();
           return;
         }
@@ -375,20 +376,20 @@
   }
 
   /** An ear that runs everything on another thread, in order. */
-  public static Ear on(final java.util.concurrent.Executor executor, final Ear ear) {
-    return new Ear() {
+  public static Listener on(final java.util.concurrent.Executor executor, final Listener ear) {
+    return new Listener() {
       @Override
-      public void opened(final Line line) {
+      public void opened(final Connection line) {
         executor.execute(() -> ear.opened(line));
       }
 
       @Override
-      public void heard(final Line line, final Message message) {
+      public void heard(final Connection line, final Message message) {
         executor.execute(() -> ear.heard(line, message));
       }
 
       @Override
-      public void closed(final Line line) {
+      public void closed(final Connection line) {
         executor.execute(() -> ear.closed(line));
       }
 
--- a/transport/src/main/java/weldpoint/transport/TrialMessages.java
+++ b/transport/src/main/java/weldpoint/transport/TrialMessages.java
@@ -58,7 +58,7 @@
   /**
    * What one life of a switchboard has counted in one trial, from its beginning: counts only rise.
    */
-  public static final class Tally {
+  public static final class TrialCounts {
     public final String route;
     public final long number;
     public final String board;
@@ -67,7 +67,7 @@
     public final String hold;
     public final List<String> attempts;
 
-    public Tally(
+    public TrialCounts(
         final String route,
         final long number,
         final String board,
@@ -88,10 +88,11 @@
   /** Tallies, with digests of the attempts that were sent to the new version. */
   public static final class TrialReport implements Message {
     public final boolean relayed;
-    public final List<Tally> tallies;
+    public final List<TrialCounts> tallies;
     public final List<Long> digests;
 
-    public TrialReport(final boolean relayed, final List<Tally> tallies, final List<Long> digests) {
+    public TrialReport(
+        final boolean relayed, final List<TrialCounts> tallies, final List<Long> digests) {
       this.relayed = relayed;
       this.tallies = tallies;
       this.digests = digests;
--- a/transport/src/test/java/weldpoint/transport/TrunkTest.java
+++ b/transport/src/test/java/weldpoint/transport/TransportTest.java
@@ -24,7 +24,7 @@
 import org.testng.annotations.Test;
 
 /** The inner protocol: what does not speak it is refused before anything it says is heard. */
-public final class TrunkTest {
+public final class TransportTest {
   private final EventLoopGroup loop = new NioEventLoopGroup(1);
   private final AtomicInteger heard = new AtomicInteger();
   private int port;
@@ -44,13 +44,13 @@
       port = socket.getLocalPort();
     }
     heard.set(0);
-    new Trunk(loop, hello(Wire.PROTOCOL))
+    new Transport(loop, hello(Serializer.PROTOCOL))
         .serve(
             "127.0.0.1",
             port,
-            new Trunk.Ear() {
+            new Transport.Listener() {
               @Override
-              public void heard(final Line line, final Message message) {
+              public void heard(final Connection line, final Message message) {
                 heard.incrementAndGet();
                 line.send(message);
               }
@@ -68,10 +68,10 @@
 
   @DataProvider
   public Object[][] strangers() throws IOException {
-    final Message word = new RegistryMessages.Kept(3);
-    final byte[] kept = frame(Wire.number(word), Wire.bytes(word));
+    final Message word = new RegistryMessages.ChangesAck(3);
+    final byte[] kept = frame(Serializer.number(word), Serializer.bytes(word));
     return new Object[][] {
-      {frame(Wire.number(hello(99)), Wire.bytes(hello(99))), kept},
+      {frame(Serializer.number(hello(99)), Serializer.bytes(hello(99))), kept},
       {kept, kept},
       {frame(200, new byte[0]), kept},
       {new byte[] {127, 127, 127, 127, 1}, kept},
@@ -103,14 +103,14 @@
   public void wordsTravelWholeOverADialledLine()
       throws InterruptedException, ExecutionException, TimeoutException {
     final CompletableFuture<RegistryMessages.Gossip> answer = new CompletableFuture<>();
-    final Trunk.Dialler dialler =
-        new Trunk(loop, hello(Wire.PROTOCOL))
+    final Transport.Connector dialler =
+        new Transport(loop, hello(Serializer.PROTOCOL))
             .dial(
                 "127.0.0.1",
                 port,
-                new Trunk.Ear() {
+                new Transport.Listener() {
                   @Override
-                  public void opened(final Line line) {
+                  public void opened(final Connection line) {
                     line.send(
                         new RegistryMessages.Gossip(
                             1,
@@ -127,7 +127,7 @@
                   }
 
                   @Override
-                  public void heard(final Line line, final Message message) {
+                  public void heard(final Connection line, final Message message) {
                     answer.complete((RegistryMessages.Gossip) message);
                   }
                 });
--- a/transport/src/test/java/weldpoint/transport/TrunkThreadsTest.java
+++ b/transport/src/test/java/weldpoint/transport/TransportThreadsTest.java
@@ -24,9 +24,9 @@
 import org.testng.annotations.Test;
 
 /** The control thread and the traffic thread take turns at the worst points. */
-public final class TrunkThreadsTest {
+public final class TransportThreadsTest {
   private static final Protocol.Hello HELLO =
-      new Protocol.Hello(Wire.PROTOCOL, "exchange", "127.0.0.1", 7);
+      new Protocol.Hello(Serializer.PROTOCOL, "exchange", "127.0.0.1", 7);
 
   private static int port() throws IOException {
     try (ServerSocket socket = new ServerSocket(0)) {
@@ -70,7 +70,7 @@
   @Test
   public void aLineThatEndsWhileAnotherThreadSendsLosesTheMessageAndNothingElse() {
     for (int looks = 0; looks < 3; looks++) {
-      new Line(closingAfter(looks)).send(new Protocol.Ring(false));
+      new Connection(closingAfter(looks)).send(new Protocol.KeepAlive(false));
     }
   }
 
@@ -87,7 +87,8 @@
       final Thread control =
           new Thread(
               () -> {
-                future[0] = new Trunk(loop, HELLO).listen("127.0.0.1", port, (line, message) -> {});
+                future[0] =
+                    new Transport(loop, HELLO).listen("127.0.0.1", port, (line, message) -> {});
                 returned.countDown();
               });
       control.setDaemon(true);
@@ -115,45 +116,45 @@
   public void aLineThatIsEndedWhileItComesUpDoesNotStayOpen()
       throws IOException, InterruptedException {
     final EventLoopGroup loop = new NioEventLoopGroup(1);
-    final Set<Line> open = Collections.synchronizedSet(new HashSet<>());
+    final Set<Connection> open = Collections.synchronizedSet(new HashSet<>());
     final AtomicInteger opened = new AtomicInteger();
     final int port = port();
     try {
-      new Trunk(loop, HELLO)
+      new Transport(loop, HELLO)
           .serve(
               "127.0.0.1",
               port,
-              new Trunk.Ear() {
+              new Transport.Listener() {
                 @Override
-                public void opened(final Line line) {
+                public void opened(final Connection line) {
                   opened.incrementAndGet();
                   open.add(line);
                 }
 
                 @Override
-                public void heard(final Line line, final Message message) {}
+                public void heard(final Connection line, final Message message) {}
 
                 @Override
-                public void closed(final Line line) {
+                public void closed(final Connection line) {
                   open.remove(line);
                 }
               });
       final Random random = new Random(19);
-      final Trunk trunk = new Trunk(loop, HELLO);
+      final Transport trunk = new Transport(loop, HELLO);
       for (int round = 0; round < 400; round++) {
         final CountDownLatch up = new CountDownLatch(1);
-        final Trunk.Dialler dialler =
+        final Transport.Connector dialler =
             trunk.dial(
                 "127.0.0.1",
                 port,
-                new Trunk.Ear() {
+                new Transport.Listener() {
                   @Override
-                  public void opened(final Line line) {
+                  public void opened(final Connection line) {
                     up.countDown();
                   }
 
                   @Override
-                  public void heard(final Line line, final Message message) {}
+                  public void heard(final Connection line, final Message message) {}
                 });
         if (round % 4 == 0) {
           up.await(8, TimeUnit.SECONDS);
--- a/trial/src/main/java/weldpoint/trial/TrialPanel.java
+++ b/trial/src/main/java/weldpoint/trial/TrialCoordinator.java
@@ -5,27 +5,27 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import weldpoint.common.Breakdown;
-import weldpoint.routing.Dialplan;
+import weldpoint.common.WeldpointException;
 import weldpoint.routing.Route;
+import weldpoint.routing.RoutingTable;
 import weldpoint.transport.Protocol;
 import weldpoint.transport.TrialMessages;
-import weldpoint.transport.TrialMessages.Tally;
 import weldpoint.transport.TrialMessages.Trial;
+import weldpoint.transport.TrialMessages.TrialCounts;
 
 /**
  * An exchange's side of trials: it checks orders, gathers what switchboards have counted, and says
  * when a trial has to be held. Everything it knows besides the trials themselves is told again by
  * the switchboards, so nothing of it is kept.
  */
-public final class TrialPanel {
+public final class TrialCoordinator {
   private static final long FRESH_MILLIS = 2500;
   private static final int MOST_DIGESTS = 200_000;
 
-  private record Told(Tally tally, long heardAt) {}
+  private record ReceivedCounts(TrialCounts tally, long heardAt) {}
 
   private final Map<String, Trial> trials = new LinkedHashMap<>();
-  private final Map<String, Map<String, Told>> told = new HashMap<>();
+  private final Map<String, Map<String, ReceivedCounts>> told = new HashMap<>();
   private final Map<Long, String> digests = new LinkedHashMap<>();
   private final List<String> doubles = new ArrayList<>();
   private String doubledRoute;
@@ -52,8 +52,8 @@
     return new ArrayList<>(trials.values());
   }
 
-  private static Breakdown refuse(final String text) {
-    return new Breakdown(Breakdown.Kind.INVALID, text);
+  private static WeldpointException refuse(final String text) {
+    return new WeldpointException(WeldpointException.Kind.INVALID, text);
   }
 
   /** Checks an order to begin, against the configuration in force; a trial that may be written. */
@@ -65,11 +65,11 @@
       final List<Integer> stages,
       final int leastWrites,
       final double lateAllowance,
-      final Dialplan plan) {
+      final RoutingTable plan) {
     final Trial before = trials.get(route);
-    if (before != null && Verdict.of(before) != Verdict.FINISHED) {
-      throw new Breakdown(
-          Breakdown.Kind.CONFLICT,
+    if (before != null && TrialVerdict.of(before) != TrialVerdict.FINISHED) {
+      throw new WeldpointException(
+          WeldpointException.Kind.CONFLICT,
           "route " + route + " is under trial already; finish that one first");
     }
     final String unfit = unfit(route, oldService, newService, plan);
@@ -111,7 +111,7 @@
         0,
         leastWrites,
         lateAllowance,
-        Verdict.RUNNING.ordinal(),
+        TrialVerdict.RUNNING.ordinal(),
         "",
         List.of(),
         0);
@@ -119,7 +119,10 @@
 
   /** Why a trial does not fit a configuration; null where it does. */
   public static String unfit(
-      final String route, final String oldService, final String newService, final Dialplan plan) {
+      final String route,
+      final String oldService,
+      final String newService,
+      final RoutingTable plan) {
     final Route found = plan == null ? null : plan.route(route);
     if (found == null) {
       return "the route " + route + " is not in the configuration in force; name one that is";
@@ -147,7 +150,7 @@
 
   private Trial open(final String route) {
     final Trial trial = trials.get(route);
-    if (trial == null || Verdict.of(trial) == Verdict.FINISHED) {
+    if (trial == null || TrialVerdict.of(trial) == TrialVerdict.FINISHED) {
       throw refuse("no trial is under way on route " + route + "; begin one");
     }
     return trial;
@@ -160,9 +163,9 @@
   public Trial advance(
       final String route, final List<String> live, final boolean settled, final long now) {
     final Trial trial = open(route);
-    if (Verdict.of(trial) == Verdict.HELD) {
-      throw new Breakdown(
-          Breakdown.Kind.CONFLICT,
+    if (TrialVerdict.of(trial) == TrialVerdict.HELD) {
+      throw new WeldpointException(
+          WeldpointException.Kind.CONFLICT,
           "the trial is held for good (" + trial.reason + "); finish it and begin another");
     }
     if (trial.stage + 1 >= trial.stages.size()) {
@@ -171,9 +174,9 @@
     }
     final String missing = undecided(trial, live, settled, now);
     if (missing != null) {
-      throw new Breakdown(Breakdown.Kind.CONFLICT, "undecided: " + missing);
+      throw new WeldpointException(WeldpointException.Kind.CONFLICT, "undecided: " + missing);
     }
-    return next(trial, trial.stage + 1, Verdict.RUNNING, "", List.of());
+    return next(trial, trial.stage + 1, TrialVerdict.RUNNING, "", List.of());
   }
 
   /** What evidence is missing at the present stage; null where there is enough. */
@@ -182,16 +185,16 @@
     if (!settled) {
       return "the core is not settled; wait until it is";
     }
-    final Map<String, Told> reports = told.getOrDefault(trial.route, Map.of());
+    final Map<String, ReceivedCounts> reports = told.getOrDefault(trial.route, Map.of());
     long writes = 0;
     for (final String board : live) {
       boolean fresh = false;
-      for (final Told one : reports.values()) {
-        final long[] counts = Count.array(one.tally.counts);
+      for (final ReceivedCounts one : reports.values()) {
+        final long[] counts = TrialCounter.array(one.tally.counts);
         fresh |=
             one.tally.board.equals(board)
                 && now - one.heardAt < FRESH_MILLIS
-                && Count.STAGE.in(counts) == trial.stage;
+                && TrialCounter.STAGE.in(counts) == trial.stage;
       }
       if (!fresh) {
         return "switchboard "
@@ -199,9 +202,12 @@
             + " has not reported on this stage; wait for it or take it away";
       }
     }
-    for (final Told one : reports.values()) {
-      final long[] counts = Count.array(one.tally.counts);
-      writes += Count.STAGE.in(counts) == trial.stage ? Count.STAGE_CONFIRMED.in(counts) : 0;
+    for (final ReceivedCounts one : reports.values()) {
+      final long[] counts = TrialCounter.array(one.tally.counts);
+      writes +=
+          TrialCounter.STAGE.in(counts) == trial.stage
+              ? TrialCounter.STAGE_CONFIRMED.in(counts)
+              : 0;
     }
     return writes >= trial.leastWrites
         ? null
@@ -222,7 +228,7 @@
     return next(
         open(route),
         trials.get(route).stage,
-        Verdict.FINISHED,
+        TrialVerdict.FINISHED,
         trials.get(route).reason,
         trials.get(route).attempts);
   }
@@ -230,7 +236,7 @@
   private static Trial next(
       final Trial trial,
       final int stage,
-      final Verdict verdict,
+      final TrialVerdict verdict,
       final String reason,
       final List<String> attempts) {
     return new Trial(
@@ -252,7 +258,7 @@
 
   private Trial held(final Trial trial, final String reason, final List<String> attempts) {
     final long[] sum = sum(trial.route);
-    final boolean both = Count.OLD_LOST.in(sum) > 0 && Count.NEW_LOST.in(sum) > 0;
+    final boolean both = TrialCounter.OLD_LOST.in(sum) > 0 && TrialCounter.NEW_LOST.in(sum) > 0;
     return new Trial(
         trial.route,
         trial.number,
@@ -264,26 +270,27 @@
         trial.stage,
         trial.leastWrites,
         trial.lateAllowance,
-        Verdict.HELD.ordinal(),
+        TrialVerdict.HELD.ordinal(),
         both
-            ? reason + " (the old version lost writes too: " + Count.OLD_LOST.in(sum) + ")"
+            ? reason + " (the old version lost writes too: " + TrialCounter.OLD_LOST.in(sum) + ")"
             : reason,
         attempts,
-        Count.NEW_SENT.in(sum));
+        TrialCounter.NEW_SENT.in(sum));
   }
 
   /** Takes what a switchboard has counted; reports may come late, twice and in any order. */
   public void report(final TrialMessages.TrialReport report, final long now) {
-    for (final Tally tally : Protocol.list(report.tallies)) {
+    for (final TrialCounts tally : Protocol.list(report.tallies)) {
       final Trial trial = trials.get(tally.route);
       if (trial == null || trial.number != tally.number) {
         continue;
       }
-      final Map<String, Told> reports =
+      final Map<String, ReceivedCounts> reports =
           told.computeIfAbsent(tally.route, route -> new LinkedHashMap<>());
       final String key = tally.board + "#" + tally.incarnation;
-      final Told before = reports.get(key);
-      reports.put(key, new Told(before == null ? tally : later(before.tally, tally), now));
+      final ReceivedCounts before = reports.get(key);
+      reports.put(
+          key, new ReceivedCounts(before == null ? tally : later(before.tally, tally), now));
       for (final Long digest : Protocol.list(report.digests)) {
         final String other = digests.putIfAbsent(digest, key);
         if (other != null && !other.equals(key)) {
@@ -297,36 +304,37 @@
     }
   }
 
-  private static Tally later(final Tally one, final Tally other) {
-    final long[] left = Count.array(one.counts);
-    final long[] right = Count.array(other.counts);
-    final boolean sameStage = Count.STAGE.in(left) == Count.STAGE.in(right);
-    final boolean laterStage = Count.STAGE.in(right) > Count.STAGE.in(left);
-    final long[] most = Count.none();
+  private static TrialCounts later(final TrialCounts one, final TrialCounts other) {
+    final long[] left = TrialCounter.array(one.counts);
+    final long[] right = TrialCounter.array(other.counts);
+    final boolean sameStage = TrialCounter.STAGE.in(left) == TrialCounter.STAGE.in(right);
+    final boolean laterStage = TrialCounter.STAGE.in(right) > TrialCounter.STAGE.in(left);
+    final long[] most = TrialCounter.none();
     for (int index = 0; index < most.length; index++) {
       most[index] = Math.max(left[index], right[index]);
     }
     if (!sameStage) {
-      most[Count.STAGE_CONFIRMED.ordinal()] = Count.STAGE_CONFIRMED.in(laterStage ? right : left);
+      most[TrialCounter.STAGE_CONFIRMED.ordinal()] =
+          TrialCounter.STAGE_CONFIRMED.in(laterStage ? right : left);
     }
     final boolean fuller =
         Protocol.list(other.attempts).size() >= Protocol.list(one.attempts).size();
-    final Tally held = other.hold != null || one.hold == null && fuller ? other : one;
-    return new Tally(
+    final TrialCounts held = other.hold != null || one.hold == null && fuller ? other : one;
+    return new TrialCounts(
         one.route,
         one.number,
         one.board,
         one.incarnation,
-        Count.list(most),
+        TrialCounter.list(most),
         held.hold,
         held.attempts);
   }
 
   /** The counts of a route's trial over all switchboards. */
   public long[] sum(final String route) {
-    final long[] sum = Count.none();
-    for (final Told one : told.getOrDefault(route, Map.of()).values()) {
-      final long[] counts = Count.array(one.tally.counts);
+    final long[] sum = TrialCounter.none();
+    for (final ReceivedCounts one : told.getOrDefault(route, Map.of()).values()) {
+      final long[] counts = TrialCounter.array(one.tally.counts);
       for (int index = 0; index < sum.length; index++) {
         sum[index] += counts[index];
       }
@@ -335,10 +343,10 @@
   }
 
   /** The trials that have to be held, as they should be written. */
-  public List<Trial> verdicts(final Dialplan plan) {
+  public List<Trial> verdicts(final RoutingTable plan) {
     final List<Trial> list = new ArrayList<>();
     for (final Trial trial : trials.values()) {
-      if (!Verdict.of(trial).open()) {
+      if (!TrialVerdict.of(trial).open()) {
         continue;
       }
       final Trial verdict = verdict(trial, plan);
@@ -349,8 +357,8 @@
     return list;
   }
 
-  private Trial verdict(final Trial trial, final Dialplan plan) {
-    for (final Told one : told.getOrDefault(trial.route, Map.of()).values()) {
+  private Trial verdict(final Trial trial, final RoutingTable plan) {
+    for (final ReceivedCounts one : told.getOrDefault(trial.route, Map.of()).values()) {
       if (one.tally.hold != null) {
         return held(
             trial,
@@ -365,28 +373,31 @@
           new ArrayList<>(doubles.subList(0, Math.min(20, doubles.size()))));
     }
     final long[] sum = sum(trial.route);
-    if (Count.NEW_LOST.in(sum) > 0 || Count.NEW_DOUBLED.in(sum) > 0) {
+    if (TrialCounter.NEW_LOST.in(sum) > 0 || TrialCounter.NEW_DOUBLED.in(sum) > 0) {
       return held(
           trial,
-          "lost or doubled: " + Count.NEW_LOST.in(sum) + " and " + Count.NEW_DOUBLED.in(sum),
+          "lost or doubled: "
+              + TrialCounter.NEW_LOST.in(sum)
+              + " and "
+              + TrialCounter.NEW_DOUBLED.in(sum),
           List.of());
     }
     if (Lateness.tooMany(
-        Count.NEW_LATE.in(sum),
-        Count.NEW_CONFIRMED.in(sum),
-        Count.OLD_LATE.in(sum),
-        Count.OLD_CONFIRMED.in(sum),
+        TrialCounter.NEW_LATE.in(sum),
+        TrialCounter.NEW_CONFIRMED.in(sum),
+        TrialCounter.OLD_LATE.in(sum),
+        TrialCounter.OLD_CONFIRMED.in(sum),
         trial.lateAllowance)) {
       return held(
           trial,
           "late: "
-              + Count.NEW_LATE.in(sum)
+              + TrialCounter.NEW_LATE.in(sum)
               + " of "
-              + Count.NEW_CONFIRMED.in(sum)
+              + TrialCounter.NEW_CONFIRMED.in(sum)
               + " writes, "
-              + Count.OLD_LATE.in(sum)
+              + TrialCounter.OLD_LATE.in(sum)
               + " of "
-              + Count.OLD_CONFIRMED.in(sum)
+              + TrialCounter.OLD_CONFIRMED.in(sum)
               + " on the old version",
           lateAttempts(trial.route));
     }
@@ -394,7 +405,7 @@
       return next(
           trial,
           trial.stage,
-          Verdict.FINISHED,
+          TrialVerdict.FINISHED,
           "a newer configuration no longer has the split: "
               + unfit(trial.route, trial.oldService, trial.newService, plan),
           List.of());
@@ -404,7 +415,7 @@
 
   private List<String> lateAttempts(final String route) {
     final List<String> list = new ArrayList<>();
-    for (final Told one : told.getOrDefault(route, Map.of()).values()) {
+    for (final ReceivedCounts one : told.getOrDefault(route, Map.of()).values()) {
       list.addAll(Protocol.list(one.tally.attempts));
     }
     return list.size() > 20 ? list.subList(0, 20) : list;
@@ -417,7 +428,7 @@
         .forEach(
             (key, one) -> {
               if (one.tally.number == trial.number) {
-                map.put(key, Count.array(one.tally.counts));
+                map.put(key, TrialCounter.array(one.tally.counts));
               }
             });
     return map;
--- a/trial/src/main/java/weldpoint/trial/Count.java
+++ b/trial/src/main/java/weldpoint/trial/TrialCounter.java
@@ -6,7 +6,7 @@
 /**
  * What is counted for each version of a route under trial, writes apart from all other requests.
  */
-public enum Count {
+public enum TrialCounter {
   OLD_SENT,
   OLD_CONFIRMED,
   OLD_LOST,
--- a/trial/src/main/java/weldpoint/trial/TrialBook.java
+++ b/trial/src/main/java/weldpoint/trial/TrialTracker.java
@@ -9,18 +9,18 @@
 import java.util.Set;
 import weldpoint.transport.Protocol;
 import weldpoint.transport.TrialMessages;
-import weldpoint.transport.TrialMessages.Tally;
 import weldpoint.transport.TrialMessages.Trial;
+import weldpoint.transport.TrialMessages.TrialCounts;
 
 /**
  * A switchboard's side of trials: which version a request goes to, what became of it, and holding
  * back at once on its own evidence. It knows neither threads nor clocks.
  */
-public final class TrialBook {
+public final class TrialTracker {
   private static final int MOST_KEPT = 20_000;
 
   /** How a write ended. */
-  public enum Fate {
+  public enum WriteOutcome {
     /** The upstream answered clearly. */
     CONFIRMED,
     /** It was sent, and no clear answer came. */
@@ -29,9 +29,9 @@
     UNSENT,
   }
 
-  private static final class Page {
+  private static final class TrialState {
     Trial trial;
-    final long[] counts = Count.none();
+    final long[] counts = TrialCounter.none();
     final Map<Long, Boolean> sent = new LinkedHashMap<>();
     final Set<Long> answered = new HashSet<>();
     final List<Long> unreported = new ArrayList<>();
@@ -41,12 +41,12 @@
 
   private final String board;
   private final long incarnation;
-  private final Map<String, Page> pages = new HashMap<>();
+  private final Map<String, TrialState> pages = new HashMap<>();
   private long mark = -1;
   private Runnable alarm = () -> {};
 
   /** A book of the switchboard with this address and incarnation. */
-  public TrialBook(final String board, final long incarnation) {
+  public TrialTracker(final String board, final long incarnation) {
     this.board = board;
     this.incarnation = incarnation;
   }
@@ -65,17 +65,17 @@
     final Set<String> there = new HashSet<>();
     for (final Trial trial : trials) {
       there.add(trial.route);
-      Page page = pages.get(trial.route);
+      TrialState page = pages.get(trial.route);
       if (page == null || page.trial.number != trial.number) {
-        page = new Page();
+        page = new TrialState();
         pages.put(trial.route, page);
       }
       if (page.trial == null || trial.serial > page.trial.serial) {
         if (page.trial != null && page.trial.stage != trial.stage) {
-          page.counts[Count.STAGE_CONFIRMED.ordinal()] = 0;
+          page.counts[TrialCounter.STAGE_CONFIRMED.ordinal()] = 0;
         }
         page.trial = trial;
-        page.counts[Count.STAGE.ordinal()] = trial.stage;
+        page.counts[TrialCounter.STAGE.ordinal()] = trial.stage;
       }
     }
     pages.keySet().retainAll(there);
@@ -88,8 +88,8 @@
 
   /** Whether a route is under trial. */
   public boolean covers(final String route) {
-    final Page page = pages.get(route);
-    return page != null && Verdict.of(page.trial) != Verdict.FINISHED;
+    final TrialState page = pages.get(route);
+    return page != null && TrialVerdict.of(page.trial) != TrialVerdict.FINISHED;
   }
 
   /**
@@ -99,7 +99,7 @@
    */
   public String choose(
       final String route, final String chosen, final String token, final double chance) {
-    final Page page = pages.get(route);
+    final TrialState page = pages.get(route);
     if (page == null) {
       return chosen;
     }
@@ -107,11 +107,11 @@
     if (!covers(route) || !chosen.equals(trial.oldService) && !chosen.equals(trial.newService)) {
       return chosen;
     }
-    if (page.hold != null || Verdict.of(trial) == Verdict.HELD) {
+    if (page.hold != null || TrialVerdict.of(trial) == TrialVerdict.HELD) {
       return trial.oldService;
     }
     if (token != null && !trial.token.isEmpty() && trial.token.equals(token)) {
-      Count.NEW_REHEARSED.more(page.counts);
+      TrialCounter.NEW_REHEARSED.more(page.counts);
       return trial.newService;
     }
     return chance * 100 < Protocol.list(trial.stages).get(trial.stage)
@@ -127,8 +127,8 @@
     return hash ^ hash >>> 29;
   }
 
-  private Page page(final String route, final String service) {
-    final Page page = covers(route) ? pages.get(route) : null;
+  private TrialState page(final String route, final String service) {
+    final TrialState page = covers(route) ? pages.get(route) : null;
     return page != null
             && (service.equals(page.trial.newService) || service.equals(page.trial.oldService))
         ? page
@@ -137,12 +137,12 @@
 
   /** A write goes to one of the two versions. */
   public void sent(final String route, final String service, final String attempt) {
-    final Page page = page(route, service);
+    final TrialState page = page(route, service);
     if (page == null) {
       return;
     }
     final boolean fresh = service.equals(page.trial.newService);
-    (fresh ? Count.NEW_SENT : Count.OLD_SENT).more(page.counts);
+    (fresh ? TrialCounter.NEW_SENT : TrialCounter.OLD_SENT).more(page.counts);
     final long digest = digest(attempt);
     final Boolean before = page.sent.put(digest, fresh);
     if (page.sent.size() > MOST_KEPT) {
@@ -163,30 +163,30 @@
       final String route,
       final String service,
       final String attempt,
-      final Fate fate,
+      final WriteOutcome fate,
       final long took,
       final long target) {
-    final Page page = page(route, service);
+    final TrialState page = page(route, service);
     if (page == null) {
       return;
     }
     final boolean fresh = service.equals(page.trial.newService);
     switch (fate) {
       case CONFIRMED -> {
-        (fresh ? Count.NEW_CONFIRMED : Count.OLD_CONFIRMED).more(page.counts);
+        (fresh ? TrialCounter.NEW_CONFIRMED : TrialCounter.OLD_CONFIRMED).more(page.counts);
         page.answered.add(digest(attempt));
         if (fresh) {
-          Count.STAGE_CONFIRMED.more(page.counts);
+          TrialCounter.STAGE_CONFIRMED.more(page.counts);
         }
         if (took > target) {
-          (fresh ? Count.NEW_LATE : Count.OLD_LATE).more(page.counts);
+          (fresh ? TrialCounter.NEW_LATE : TrialCounter.OLD_LATE).more(page.counts);
           if (fresh) {
             late(page, attempt);
           }
         }
       }
       case LOST -> {
-        (fresh ? Count.NEW_LOST : Count.OLD_LOST).more(page.counts);
+        (fresh ? TrialCounter.NEW_LOST : TrialCounter.OLD_LOST).more(page.counts);
         if (fresh) {
           hold(page, "lost: a write was sent to " + service + " and no clear answer came", attempt);
         }
@@ -198,7 +198,7 @@
   /** An answer came for an attempt that had been answered, or is not the one due. */
   public void surplus(final String attempt) {
     final long digest = digest(attempt);
-    for (final Page page : pages.values()) {
+    for (final TrialState page : pages.values()) {
       final Boolean fresh = page.sent.get(digest);
       if (fresh != null && page.answered.contains(digest)) {
         doubled(page, fresh, attempt);
@@ -208,39 +208,39 @@
 
   /** Counts a request of another kind at a service that is on trial. */
   public void other(final String service, final boolean good) {
-    for (final Page page : pages.values()) {
+    for (final TrialState page : pages.values()) {
       if (service.equals(page.trial.oldService)) {
-        (good ? Count.OLD_OTHERS : Count.OLD_OTHERS_FAILED).more(page.counts);
+        (good ? TrialCounter.OLD_OTHERS : TrialCounter.OLD_OTHERS_FAILED).more(page.counts);
       } else if (service.equals(page.trial.newService)) {
-        (good ? Count.NEW_OTHERS : Count.NEW_OTHERS_FAILED).more(page.counts);
+        (good ? TrialCounter.NEW_OTHERS : TrialCounter.NEW_OTHERS_FAILED).more(page.counts);
       }
     }
   }
 
-  private void doubled(final Page page, final boolean fresh, final String attempt) {
-    (fresh ? Count.NEW_DOUBLED : Count.OLD_DOUBLED).more(page.counts);
+  private void doubled(final TrialState page, final boolean fresh, final String attempt) {
+    (fresh ? TrialCounter.NEW_DOUBLED : TrialCounter.OLD_DOUBLED).more(page.counts);
     if (fresh) {
       hold(page, "doubled: one attempt was run or answered more than once", attempt);
     }
   }
 
-  private void late(final Page page, final String attempt) {
+  private void late(final TrialState page, final String attempt) {
     if (Lateness.tooMany(
-        Count.NEW_LATE.in(page.counts),
-        Count.NEW_CONFIRMED.in(page.counts),
-        Count.OLD_LATE.in(page.counts),
-        Count.OLD_CONFIRMED.in(page.counts),
+        TrialCounter.NEW_LATE.in(page.counts),
+        TrialCounter.NEW_CONFIRMED.in(page.counts),
+        TrialCounter.OLD_LATE.in(page.counts),
+        TrialCounter.OLD_CONFIRMED.in(page.counts),
         page.trial.lateAllowance)) {
       hold(
           page,
           "late: "
-              + Count.NEW_LATE.in(page.counts)
+              + TrialCounter.NEW_LATE.in(page.counts)
               + " of "
-              + Count.NEW_CONFIRMED.in(page.counts)
+              + TrialCounter.NEW_CONFIRMED.in(page.counts)
               + " writes were late on one switchboard, "
-              + Count.OLD_LATE.in(page.counts)
+              + TrialCounter.OLD_LATE.in(page.counts)
               + " of "
-              + Count.OLD_CONFIRMED.in(page.counts)
+              + TrialCounter.OLD_CONFIRMED.in(page.counts)
               + " on the old version",
           attempt);
     } else if (page.attempts.size() < 20) {
@@ -248,7 +248,7 @@
     }
   }
 
-  private void hold(final Page page, final String reason, final String attempt) {
+  private void hold(final TrialState page, final String reason, final String attempt) {
     if (page.hold == null) {
       page.hold = reason;
       page.attempts.clear();
@@ -267,16 +267,16 @@
     if (pages.isEmpty()) {
       return null;
     }
-    final List<Tally> tallies = new ArrayList<>();
+    final List<TrialCounts> tallies = new ArrayList<>();
     final List<Long> digests = new ArrayList<>();
-    for (final Page page : pages.values()) {
+    for (final TrialState page : pages.values()) {
       tallies.add(
-          new Tally(
+          new TrialCounts(
               page.trial.route,
               page.trial.number,
               board,
               incarnation,
-              Count.list(page.counts),
+              TrialCounter.list(page.counts),
               page.hold,
               new ArrayList<>(page.attempts)));
       if (all) {
@@ -296,7 +296,7 @@
 
   /** Whether the new version gets anything from this switchboard, besides the rehearsal. */
   public boolean held(final String route) {
-    final Page page = pages.get(route);
-    return page != null && (page.hold != null || Verdict.of(page.trial) == Verdict.HELD);
+    final TrialState page = pages.get(route);
+    return page != null && (page.hold != null || TrialVerdict.of(page.trial) == TrialVerdict.HELD);
   }
 }
--- a/trial/src/main/java/weldpoint/trial/Verdict.java
+++ b/trial/src/main/java/weldpoint/trial/TrialVerdict.java
@@ -3,7 +3,7 @@
 import weldpoint.transport.TrialMessages.Trial;
 
 /** Where a trial stands. */
-public enum Verdict {
+public enum TrialVerdict {
   /** Under way. */
   RUNNING(true),
   /** Held back for good: the new version gets nothing. */
@@ -11,10 +11,10 @@
   /** Finished by the operator or by a configuration that changed the route. */
   FINISHED(false);
 
-  private static final Verdict[] ALL = values();
+  private static final TrialVerdict[] ALL = values();
   private final boolean open;
 
-  Verdict(final boolean open) {
+  TrialVerdict(final boolean open) {
     this.open = open;
   }
 
@@ -24,7 +24,7 @@
   }
 
   /** The verdict of a trial. */
-  public static Verdict of(final Trial trial) {
+  public static TrialVerdict of(final Trial trial) {
     return ALL[trial.verdict];
   }
 }
--- a/upstream/src/main/java/weldpoint/upstream/Budget.java
+++ b/upstream/src/main/java/weldpoint/upstream/RetryBudget.java
@@ -5,7 +5,7 @@
  * first window of a life the share of the slack grows from nothing to what caution leaves beside
  * that of earlier lives, so that no number of restarts within a window exceeds the budget.
  */
-public final class Budget {
+public final class RetryBudget {
   private static final int SLICES = 20;
   private static final double CAUTION = 0.7;
 
@@ -26,7 +26,7 @@
    * @param bornAt when this process started, in milliseconds of its steady clock; long ago where no
    *     earlier life of it can have sent anything
    */
-  public Budget(
+  public RetryBudget(
       final double ratio, final double slack, final long windowMillis, final long bornAt) {
     this.windowMillis = windowMillis;
     this.bornAt = bornAt;
--- a/upstream/src/main/java/weldpoint/upstream/ColdBound.java
+++ b/upstream/src/main/java/weldpoint/upstream/SlowStartLimiter.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Random;
-import weldpoint.common.Rank;
+import weldpoint.common.RendezvousHash;
 
 /**
  * This switchboard's part of what all of them together may send to one cold upstream. The bound of
@@ -13,7 +13,7 @@
  * upstream have one token each. A token is used once a second at most, counted from the moment at
  * which the request was really sent, so no second sees more requests than there are tokens.
  */
-final class ColdBound {
+final class SlowStartLimiter {
   private static final long SECOND_MILLIS = 1020;
   private static final double CAUTION = 0.9;
   private static final long FRESH_MILLIS = 3000;
@@ -34,7 +34,7 @@
   private long nextLeaves = Long.MAX_VALUE;
   private int lists = 1;
 
-  ColdBound(
+  SlowStartLimiter(
       final String self,
       final String site,
       final int sites,
@@ -163,10 +163,10 @@
   }
 
   private int rank(final String upstream) {
-    final long mine = Rank.of(upstream, self);
+    final long mine = RendezvousHash.of(upstream, self);
     int before = 0;
     for (final String address : neighbours.keySet()) {
-      final long one = Rank.of(upstream, address);
+      final long one = RendezvousHash.of(upstream, address);
       if (!address.equals(self) && (one < mine || one == mine && address.compareTo(self) < 0)) {
         before++;
       }
--- a/upstream/src/main/java/weldpoint/upstream/UpstreamPool.java
+++ b/upstream/src/main/java/weldpoint/upstream/UpstreamPool.java
@@ -21,11 +21,11 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.function.Consumer;
-import weldpoint.common.Boot;
-import weldpoint.routing.Binding;
-import weldpoint.routing.Dialplan;
+import weldpoint.common.Settings;
 import weldpoint.routing.Route;
+import weldpoint.routing.RouteBinding;
 import weldpoint.routing.RouteKind;
+import weldpoint.routing.RoutingTable;
 
 /**
  * The upstreams of all services, their connections, and the choice among them. All of it lives on
@@ -44,17 +44,17 @@
   private final String site;
   private final String region;
   private final Map<String, String> regions;
-  private final Boot boot;
+  private final Settings boot;
   private final Random random;
   private final Map<String, Upstream> upstreams = new HashMap<>();
   private final Map<String, List<Upstream>> services = new HashMap<>();
   private final Map<String, Upstream.Fill> fills = new HashMap<>();
-  private final Map<String, Budget> budgets = new HashMap<>();
+  private final Map<String, RetryBudget> budgets = new HashMap<>();
   private final Map<String, Double> usual = new HashMap<>();
   private final Map<String, Quiet> quiets = new HashMap<>();
   private Set<String> evacuated = Set.of();
-  private Dialplan inForce;
-  private final ColdBound coldBound;
+  private RoutingTable inForce;
+  private final SlowStartLimiter coldBound;
   private final UpstreamSubsets subsets;
   private double ordered;
   private Set<String> orderedSuspects = Set.of();
@@ -63,7 +63,7 @@
   private long bornAt = Long.MIN_VALUE / 2;
 
   /** No upstreams yet. */
-  public UpstreamPool(final EventLoopGroup loop, final Boot boot, final Random random) {
+  public UpstreamPool(final EventLoopGroup loop, final Settings boot, final Random random) {
     this.boot = boot;
     this.site = boot.site();
     this.region = boot.region();
@@ -71,7 +71,7 @@
     this.random = random;
     this.subsets = new UpstreamSubsets(boot);
     this.coldBound =
-        new ColdBound(
+        new SlowStartLimiter(
             boot.address(),
             boot.site(),
             regions.size(),
@@ -131,7 +131,7 @@
   }
 
   /** Takes the configuration in force, of which every choice and every late send is judged. */
-  public void configuration(final Dialplan plan) {
+  public void configuration(final RoutingTable plan) {
     inForce = plan;
   }
 
@@ -199,10 +199,12 @@
   }
 
   /** The budget of a service. */
-  public Budget budget(final String service) {
+  public RetryBudget budget(final String service) {
     return budgets.computeIfAbsent(
         service,
-        name -> new Budget(boot.retryRatio(), boot.retrySlack(), boot.retryWindowMillis(), bornAt));
+        name ->
+            new RetryBudget(
+                boot.retryRatio(), boot.retrySlack(), boot.retryWindowMillis(), bornAt));
   }
 
   /** This process may have had an earlier life, which spent of the same budgets. */
@@ -273,12 +275,12 @@
   }
 
   /** Chooses an upstream for a request, not among those tried before. */
-  public Choice choose(final Binding binding, final List<Upstream> tried, final long now) {
+  public Choice choose(final RouteBinding binding, final List<Upstream> tried, final long now) {
     chosen = null;
     if (!binding.follow(inForce)) {
       return Choice.NONE;
     }
-    final Dialplan.Service service = binding.service();
+    final RoutingTable.Service service = binding.service();
     final Route route = binding.route();
     subsets.update(services.values());
     final UpstreamSubsets.Tiers tiers = subsets.tiers(service.name());
@@ -347,14 +349,14 @@
 
   /** Chooses this very upstream for a write that is tied to it, or none. */
   public Choice pinned(
-      final Binding binding, final String id, final long pauseMillis, final long now) {
+      final RouteBinding binding, final String id, final long pauseMillis, final long now) {
     chosen = null;
     final Upstream upstream = upstreams.get(id);
     final Choice allowed = allowed(upstream, binding);
     if (allowed != Choice.CHOSEN) {
       return allowed;
     }
-    final Dialplan.Service service = binding.service();
+    final RoutingTable.Service service = binding.service();
     reserves = true;
     upstream.tied(now, pauseMillis);
     if (!coldAdmits(upstream, service, now)
@@ -371,14 +373,14 @@
    * Chooses this very upstream for a request whose key it holds, or none: nobody else may run it,
    * so it is given more than an upstream that has others beside it.
    */
-  public Choice holder(final Binding binding, final String id, final long now) {
+  public Choice holder(final RouteBinding binding, final String id, final long now) {
     chosen = null;
     final Upstream upstream = upstreams.get(id);
     final Choice allowed = allowed(upstream, binding);
     if (allowed != Choice.CHOSEN) {
       return allowed;
     }
-    final Dialplan.Service service = binding.service();
+    final RoutingTable.Service service = binding.service();
     final double most =
         upstream.capacity * RetryPolicy.room(binding.route(), rank(binding)) * HOLDER_ROOM;
     if (!coldAdmits(upstream, service, now) || upstream.known(now) >= most) {
@@ -390,7 +392,7 @@
   }
 
   /** Whether this very upstream may run a request, and if not, whether only homes forbid it. */
-  private Choice allowed(final Upstream upstream, final Binding binding) {
+  private Choice allowed(final Upstream upstream, final RouteBinding binding) {
     if (upstream == null
         || !binding.follow(inForce)
         || !upstream.service.equals(binding.service().name())
@@ -401,7 +403,7 @@
   }
 
   /** Whether an upstream may run a request at all, however full it is. */
-  private boolean mayRun(final Upstream upstream, final Binding binding) {
+  private boolean mayRun(final Upstream upstream, final RouteBinding binding) {
     return available(upstream) && binding.home(upstream.region);
   }
 
@@ -410,7 +412,7 @@
   }
 
   /** Why there is no upstream for a request: homes, where one outside of them is available. */
-  private Choice noneMayRun(final Binding binding) {
+  private Choice noneMayRun(final RouteBinding binding) {
     boolean outside = false;
     for (final Upstream upstream : services.getOrDefault(binding.service().name(), List.of())) {
       if (!available(upstream)) {
@@ -424,7 +426,7 @@
     return outside ? Choice.OUTSIDE_HOMES : Choice.NONE;
   }
 
-  private static int rank(final Binding binding) {
+  private static int rank(final RouteBinding binding) {
     return binding.tenant() == null ? 0 : binding.tenant().priority();
   }
 
@@ -440,13 +442,13 @@
   private boolean reserves;
 
   private boolean coldAdmits(
-      final Upstream upstream, final Dialplan.Service service, final long now) {
+      final Upstream upstream, final RoutingTable.Service service, final long now) {
     return !upstream.cold(now)
         || service.warmupPerSecond() <= 0
         || coldBound.admits(upstream, service.warmupPerSecond(), ordered, now);
   }
 
-  private void paced(final Upstream upstream, final Dialplan.Service service, final long now) {
+  private void paced(final Upstream upstream, final RoutingTable.Service service, final long now) {
     if (upstream.cold(now) && service.warmupPerSecond() > 0) {
       coldBound.sent(upstream, service.warmupPerSecond(), ordered, now);
     }
@@ -458,11 +460,11 @@
 
   private Upstream sample(
       final List<Upstream> all,
-      final Binding binding,
+      final RouteBinding binding,
       final List<Upstream> tried,
       final Width width,
       final long now) {
-    final Dialplan.Service service = binding.service();
+    final RoutingTable.Service service = binding.service();
     final Route route = binding.route();
     final List<Upstream> fit = new ArrayList<>();
     for (final Upstream upstream : all) {
@@ -515,7 +517,8 @@
     }
   }
 
-  private boolean doubt(final Upstream upstream, final Dialplan.Service service, final long now) {
+  private boolean doubt(
+      final Upstream upstream, final RoutingTable.Service service, final long now) {
     return upstream.doubtful(now, usual(service.name()))
         || quiet(upstream.site).doubtful(now, usual(service.name()));
   }
@@ -603,7 +606,7 @@
   /** Sends a request that was never sent before. */
   public Attempt send(
       final Upstream upstream,
-      final Binding binding,
+      final RouteBinding binding,
       final FullHttpRequest request,
       final String id,
       final long now,
@@ -621,7 +624,7 @@
    */
   public Attempt send(
       final Upstream upstream,
-      final Binding binding,
+      final RouteBinding binding,
       final FullHttpRequest request,
       final String id,
       final List<Attempt> earlier,
@@ -678,7 +681,7 @@
 
   private void connect(
       final Upstream upstream,
-      final Binding binding,
+      final RouteBinding binding,
       final Attempt attempt,
       final FullHttpRequest request,
       final String id,
--- a/upstream/src/main/java/weldpoint/upstream/UpstreamSubsets.java
+++ b/upstream/src/main/java/weldpoint/upstream/UpstreamSubsets.java
@@ -6,8 +6,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import weldpoint.common.Boot;
-import weldpoint.common.Rank;
+import weldpoint.common.RendezvousHash;
+import weldpoint.common.Settings;
 
 /**
  * This proxy's own subset of every large service: few upstreams, so that their connections are used
@@ -48,12 +48,12 @@
     }
   }
 
-  private final Boot boot;
+  private final Settings boot;
   private final Map<String, Tiers> tiers = new HashMap<>();
   private List<String> neighbours = List.of();
   private boolean outdated = true;
 
-  UpstreamSubsets(final Boot boot) {
+  UpstreamSubsets(final Settings boot) {
     this.boot = boot;
   }
 
@@ -125,7 +125,8 @@
   }
 
   private void takeNearestByRank(final String site, final List<Upstream> upstreams) {
-    upstreams.sort(Comparator.comparingLong(upstream -> Rank.of(upstream.id, boot.address())));
+    upstreams.sort(
+        Comparator.comparingLong(upstream -> RendezvousHash.of(upstream.id, boot.address())));
     final int most = site.equals(boot.site()) ? boot.choiceWidth() : (boot.choiceWidth() + 1) / 2;
     upstreams.subList(0, Math.min(most, upstreams.size())).forEach(upstream -> upstream.own = true);
   }
@@ -155,7 +156,8 @@
    */
   private static void takeStretch(
       final List<Upstream> list, final double position, final double wanted) {
-    list.sort(Comparator.comparingLong(upstream -> Rank.of(upstream.id, upstream.service)));
+    list.sort(
+        Comparator.comparingLong(upstream -> RendezvousHash.of(upstream.id, upstream.service)));
     final int size = list.size();
     final int width = (int) Math.min(size, Math.max(LEAST_WIDTH, wanted));
     final int from = (int) (position * size);
--- a/upstream/src/test/java/weldpoint/upstream/BudgetTest.java
+++ b/upstream/src/test/java/weldpoint/upstream/RetryBudgetTest.java
@@ -8,22 +8,22 @@
 import org.testng.annotations.Test;
 
 /** The shares of all switchboards together stay within the budget in every sliding window. */
-public final class BudgetTest {
+public final class RetryBudgetTest {
   @Test
   public void allSharesTogetherKeepTheBudgetInEveryWindow() {
     final int boards = 10;
     final double ratio = 0.2;
     final double slack = 60;
-    final List<Budget> budgets = new ArrayList<>();
+    final List<RetryBudget> budgets = new ArrayList<>();
     for (int index = 0; index < boards; index++) {
-      budgets.add(new Budget(ratio, slack, 10_000, Long.MIN_VALUE / 2));
+      budgets.add(new RetryBudget(ratio, slack, 10_000, Long.MIN_VALUE / 2));
     }
     final List<long[]> events = new ArrayList<>();
     final Random random = new Random(3);
     int taken = 0;
     for (long now = 100_000; now < 160_000; now += 10) {
       final boolean busy = now / 7000 % 2 == 0;
-      for (final Budget budget : budgets) {
+      for (final RetryBudget budget : budgets) {
         if (random.nextDouble() < (busy ? 0.6 : 0.05)) {
           budget.request(now);
           events.add(new long[] {now, 0});
@@ -54,15 +54,15 @@
     final double ratio = 0.2;
     final double slack = 60;
     final Random random = new Random(seed);
-    final List<Budget> budgets = new ArrayList<>();
+    final List<RetryBudget> budgets = new ArrayList<>();
     for (int index = 0; index < boards; index++) {
-      budgets.add(new Budget(ratio, slack, 10_000, Long.MIN_VALUE / 2));
+      budgets.add(new RetryBudget(ratio, slack, 10_000, Long.MIN_VALUE / 2));
     }
     final List<long[]> events = new ArrayList<>();
     for (long now = 100_000; now < 140_000; now += 5) {
       for (int index = 0; index < boards; index++) {
         if (random.nextInt(lifeMillis / 5) == 0) {
-          budgets.set(index, new Budget(ratio, slack, 10_000, now));
+          budgets.set(index, new RetryBudget(ratio, slack, 10_000, now));
         }
         if (random.nextInt(50) == 0) {
           budgets.get(index).request(now);
--- a/upstream/src/test/java/weldpoint/upstream/ColdBoundTest.java
+++ b/upstream/src/test/java/weldpoint/upstream/SlowStartLimiterTest.java
@@ -12,23 +12,23 @@
 import java.util.Random;
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.Test;
-import weldpoint.common.Boot;
-import weldpoint.routing.Binding;
-import weldpoint.routing.Dialplan;
+import weldpoint.common.Settings;
+import weldpoint.routing.RouteBinding;
+import weldpoint.routing.RoutingTable;
 import weldpoint.transport.RegistryMessages.Registration;
 
 /**
  * What a large fleet sends together to an upstream that turns cold: in no second more than its
  * bound, and still enough.
  */
-public final class ColdBoundTest {
+public final class SlowStartLimiterTest {
   private static final int FLEET = 55;
   private static final int SITES = 4;
   private static final double RATE = 5.3;
   private static final double BOUND = RATE * 1.5 + 8;
   private final EventLoopGroup loop = new NioEventLoopGroup(1);
-  private final Dialplan plan =
-      Dialplan.compile(
+  private final RoutingTable plan =
+      RoutingTable.compile(
           ("{\"version\":\"1\",\"listeners\":[{\"host\":\"h\",\"rules\":[{\"name\":\"any\",\"routeKind\":\"idempotent\",\"match\":{\"pathPrefix\":\"/\"},"
                   + "\"action\":{\"service\":\"s\",\"timeoutMs\":2000,\"maxAttempts\":2}}]}],\"pools\":[{\"name\":\"s\",\"warmupPerS\":"
                   + RATE
@@ -43,7 +43,7 @@
   private UpstreamPool board(final int index) {
     return new UpstreamPool(
         loop,
-        Boot.parse(
+        Settings.parse(
             "station.name = one\nstation.address = "
                 + address(index)
                 + "\nstation.site = s"
@@ -89,7 +89,7 @@
 
   private void choose(
       final UpstreamPool upstreamPool, final List<List<Long>> sent, final long now) {
-    final Binding binding = new Binding("h", "/x", 0);
+    final RouteBinding binding = new RouteBinding("h", "/x", 0);
     plan.interpret(binding);
     if (upstreamPool.choose(binding, List.of(), now) == UpstreamPool.Choice.CHOSEN) {
       sent.get(Integer.parseInt(upstreamPool.chosen().id().substring(2))).add(now);
@@ -191,7 +191,7 @@
   @Test
   public void theSitesPartsAddUpToTheTokens() {
     for (int sites = 1; sites <= 12; sites++) {
-      final ColdBound bound = new ColdBound("a", "s", sites, 1.5, 8, new Random(1));
+      final SlowStartLimiter bound = new SlowStartLimiter("a", "s", sites, 1.5, 8, new Random(1));
       for (int tokens = 1; tokens < 60; tokens++) {
         final int sum = bound.part(true, tokens) + (sites - 1) * bound.part(false, tokens);
         assertEquals(sum, tokens, sites + " sites");
@@ -202,7 +202,7 @@
 
   @Test
   public void aSmallerCountThanLatelyToldIsNotBelieved() {
-    final ColdBound bound = new ColdBound("a", "s", 4, 1.5, 8, new Random(1));
+    final SlowStartLimiter bound = new SlowStartLimiter("a", "s", 4, 1.5, 8, new Random(1));
     bound.told(55, 0);
     bound.told(3, 1000);
     assertEquals(bound.switchboards(), 55);
@@ -212,7 +212,7 @@
 
   @Test
   public void aRequestThatWaitsForItsConnectionKeepsItsTokenUntilItIsSent() {
-    final ColdBound bound = new ColdBound("a", "s", 1, 1.5, 8, new Random(1));
+    final SlowStartLimiter bound = new SlowStartLimiter("a", "s", 1, 1.5, 8, new Random(1));
     bound.settled(10);
     final Upstream upstream =
         new Upstream(new Registration("i", "s", "10.9.0.1:80", "s", "v", 6, 0, 1, 0, 0), "r", 0);
--- a/upstream/src/test/java/weldpoint/upstream/UpstreamPoolTest.java
+++ b/upstream/src/test/java/weldpoint/upstream/UpstreamPoolTest.java
@@ -28,9 +28,9 @@
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import weldpoint.common.Boot;
-import weldpoint.routing.Binding;
-import weldpoint.routing.Dialplan;
+import weldpoint.common.Settings;
+import weldpoint.routing.RouteBinding;
+import weldpoint.routing.RoutingTable;
 import weldpoint.transport.RegistryMessages.Registration;
 
 /**
@@ -39,10 +39,10 @@
  */
 public final class UpstreamPoolTest {
   private final EventLoopGroup loop = new NioEventLoopGroup(1);
-  private final Dialplan plan = plan(tenant(List.of()), "");
+  private final RoutingTable plan = plan(tenant(List.of()), "");
 
-  private static Dialplan plan(final String tenants, final String homesOfAny) {
-    return Dialplan.compile(
+  private static RoutingTable plan(final String tenants, final String homesOfAny) {
+    return RoutingTable.compile(
         ("{\"version\":\"1\","
                 + tenants
                 + "\"listeners\":[{\"host\":\"h\",\"rules\":[{\"name\":\"r\",\"routeKind\":\"mutating\",\"match\":{\"pathPrefix\":\"/\"},"
@@ -61,7 +61,7 @@
   private UpstreamPool upstreamPool(final long seed) {
     return new UpstreamPool(
         loop,
-        Boot.parse(
+        Settings.parse(
             "station.name = one\nstation.address = 10.0.0.1\nstation.site = a\nstation.region = north\ntrunk.ports = 7000,7015\ntrunk.seeds = 10.0.0.1:80\nsites = a:north,b:south\n"),
         new Random(seed));
   }
@@ -74,12 +74,12 @@
         open);
   }
 
-  private Binding request(final String path) {
+  private RouteBinding request(final String path) {
     return request(plan, path);
   }
 
-  private static Binding request(final Dialplan plan, final String path) {
-    final Binding binding = new Binding("h", path, 0);
+  private static RouteBinding request(final RoutingTable plan, final String path) {
+    final RouteBinding binding = new RouteBinding("h", path, 0);
     plan.interpret(binding);
     binding.identify("k");
     return binding;
@@ -127,7 +127,7 @@
       final String path, final List<String> tenantHomes, final Set<String> allowed) {
     final UpstreamPool upstreamPool = upstreamPool(1);
     upstreamPool.apply(List.of(change("n", "a", 0, true), change("s", "b", 0, true)), 1000);
-    final Binding binding = request(plan(tenant(tenantHomes), ""), path);
+    final RouteBinding binding = request(plan(tenant(tenantHomes), ""), path);
     final Set<String> chosen = new HashSet<>();
     final List<Upstream> tried = new ArrayList<>();
     while (upstreamPool.choose(binding, tried, 1000) == UpstreamPool.Choice.CHOSEN) {
@@ -153,7 +153,7 @@
   @Test
   public void homesThatComeWhileAConnectionIsOpenedBind()
       throws IOException, InterruptedException, ExecutionException, TimeoutException {
-    final Dialplan routeHomed = plan("", "\"homeRegions\":[\"south\"],");
+    final RoutingTable routeHomed = plan("", "\"homeRegions\":[\"south\"],");
     assertEquals(
         sent("/any/x", Long.MAX_VALUE, pool -> pool.configuration(plan)), "UNCERTAIN bytes");
     assertEquals(
@@ -201,7 +201,7 @@
     final UpstreamPool upstreamPool =
         new UpstreamPool(
             loop,
-            Boot.parse(
+            Settings.parse(
                 "station.name = one\nstation.address = 10.1."
                     + index % 4
                     + "."
@@ -289,8 +289,8 @@
   }
 
   private static weldpoint.routing.Route ranked(final String kind, final int priority) {
-    final Dialplan one =
-        Dialplan.compile(
+    final RoutingTable one =
+        RoutingTable.compile(
             ("{\"version\":\"1\",\"listeners\":[{\"host\":\"h\",\"rules\":[{\"name\":\"r\",\"routeKind\":\""
                     + kind
                     + "\",\"priority\":"
@@ -305,8 +305,8 @@
     final UpstreamPool upstreamPool = upstreamPool(5);
     upstreamPool.apply(List.of(change("n", "a", 0, true)), 0);
     upstreamPool.switchboards(1);
-    final Binding write = request("/x");
-    final Binding look = request("/any/x");
+    final RouteBinding write = request("/x");
+    final RouteBinding look = request("/any/x");
     final List<UpstreamPool.Attempt> under = new ArrayList<>();
     long now = 10_000;
     for (int index = 0; index < 30; index++) {
@@ -357,7 +357,7 @@
       final UpstreamPool upstreamPool =
           new UpstreamPool(
               loop,
-              Boot.parse(
+              Settings.parse(
                   "station.name = one\nstation.address = "
                       + address
                       + "\nstation.site = a\nstation.region = north\ntrunk.ports = 7000,7015\ntrunk.seeds = 10.0.0.1:80\nsites = a:north,b:south\n"),
@@ -434,7 +434,7 @@
                             0),
                         true)),
                 1000);
-            final Binding binding = request(path);
+            final RouteBinding binding = request(path);
             assertEquals(upstreamPool.choose(binding, List.of(), 1000), UpstreamPool.Choice.CHOSEN);
             upstreamPool.send(
                 upstreamPool.chosen(),
--- a/wal/src/main/java/weldpoint/wal/FolderFiles.java
+++ b/wal/src/main/java/weldpoint/wal/DirectoryFiles.java
@@ -8,14 +8,14 @@
 import java.nio.file.StandardOpenOption;
 
 /** The files of a ring in a folder. */
-public final class FolderFiles implements Ring.Files {
+public final class DirectoryFiles implements SegmentRing.Files {
   private static final int CHUNK = 1 << 18;
 
   private final Path folder;
   private final FileChannel[] channels;
 
   /** Files in this folder, which is made where it is missing. */
-  public FolderFiles(final Path folder, final int count) throws IOException {
+  public DirectoryFiles(final Path folder, final int count) throws IOException {
     this.folder = folder;
     this.channels = new FileChannel[count];
     Files.createDirectories(folder);
--- a/wal/src/main/java/weldpoint/wal/Ring.java
+++ b/wal/src/main/java/weldpoint/wal/SegmentRing.java
@@ -7,7 +7,7 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.zip.CRC32;
-import weldpoint.common.Breakdown;
+import weldpoint.common.WeldpointException;
 
 /**
  * The format on disk: a ring of preallocated files. Each file opens with a snapshot of the live
@@ -17,7 +17,7 @@
  * whose store this is, and ends with the number up to which it reaches and a checksum of the whole.
  * A state that outgrows half a file goes on in larger files, up to a bound.
  */
-public final class Ring {
+public final class SegmentRing {
   /** The format that is written; it and the ones before it are read. */
   public static final int FORMAT = 2;
 
@@ -55,7 +55,7 @@
    * What was found at opening: nothing ever written, or records that had been synced and cannot be
    * read.
    */
-  public record Found(boolean blank, boolean lost, List<byte[]> records) {}
+  public record Recovered(boolean blank, boolean lost, List<byte[]> records) {}
 
   private final Files files;
   private final String owner;
@@ -75,7 +75,7 @@
   private volatile long diskBytes;
 
   /** A ring of an owner, with so many files of this size, none of which grows beyond the most. */
-  public Ring(
+  public SegmentRing(
       final Files files, final String owner, final int count, final int size, final int most) {
     this.files = files;
     this.owner = owner;
@@ -207,8 +207,8 @@
     final ByteBuffer header = ByteBuffer.wrap(payload);
     final int format = header.getInt();
     if (format > FORMAT) {
-      throw new Breakdown(
-          Breakdown.Kind.UNREADABLE,
+      throw new WeldpointException(
+          WeldpointException.Kind.UNREADABLE,
           "the store of "
               + owner
               + " is of format "
@@ -220,8 +220,8 @@
     final String whose =
         new String(payload, Integer.BYTES, payload.length - Integer.BYTES, StandardCharsets.UTF_8);
     if (!whose.equals(owner)) {
-      throw new Breakdown(
-          Breakdown.Kind.UNREADABLE,
+      throw new WeldpointException(
+          WeldpointException.Kind.UNREADABLE,
           "the folder of "
               + owner
               + " holds the store of "
@@ -239,7 +239,7 @@
    * Reads what is there: the newest snapshot that is whole, with its tail. Nothing may be appended
    * before {@link #begin}.
    */
-  public Found open() throws IOException {
+  public Recovered open() throws IOException {
     final List<long[]> order = new ArrayList<>();
     long stray = -1;
     int missing = 0;
@@ -282,7 +282,7 @@
     if (best == null) {
       file = count - 1;
     }
-    return new Found(best == null, lost, best == null ? List.of() : best.records);
+    return new Recovered(best == null, lost, best == null ? List.of() : best.records);
   }
 
   /** Preallocates the files and starts a fresh one with this snapshot of the state. */
@@ -383,7 +383,7 @@
         flush();
         buffer = ByteBuffer.allocate(Math.max(WINDOW, bytes));
       }
-      Ring.this.put(buffer, type, record);
+      SegmentRing.this.put(buffer, type, record);
     }
 
     private void flush() throws IOException {
--- a/wal/src/main/java/weldpoint/wal/Tape.java
+++ b/wal/src/main/java/weldpoint/wal/WriteAheadLog.java
@@ -10,29 +10,30 @@
 import java.util.function.Supplier;
 
 /** The thread that writes a ring: records that wait are written and synced together. */
-public final class Tape {
+public final class WriteAheadLog {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
   private static final long RETRY_MILLIS = 200;
 
-  private record Item(byte[] record, Runnable synced) {}
+  private record PendingAppend(byte[] record, Runnable synced) {}
 
-  private final Ring ring;
+  private final SegmentRing ring;
   private final Executor owner;
   private final Supplier<List<byte[]>> view;
-  private List<Item> waiting = new ArrayList<>();
+  private List<PendingAppend> waiting = new ArrayList<>();
   private volatile long busySince;
   private volatile boolean refusing;
   private volatile long syncs;
 
   /** A tape whose callbacks and views run on the owner's thread. */
-  public Tape(final Ring ring, final Executor owner, final Supplier<List<byte[]>> view) {
+  public WriteAheadLog(
+      final SegmentRing ring, final Executor owner, final Supplier<List<byte[]>> view) {
     this.ring = ring;
     this.owner = owner;
     this.view = view;
   }
 
   /** A tape that was opened, and what was found on it. */
-  public record Opened(Tape tape, Ring.Found found) {}
+  public record Opened(WriteAheadLog tape, SegmentRing.Recovered found) {}
 
   /**
    * Opens the ring of an owner in a folder, of so many files that begin with these bytes and grow
@@ -47,9 +48,10 @@
       final Executor owner,
       final Supplier<List<byte[]>> view)
       throws IOException {
-    final Ring ring = new Ring(new FolderFiles(folder, files), whose, files, bytes, most);
-    final Ring.Found found = ring.open();
-    return new Opened(new Tape(ring, owner, view), found);
+    final SegmentRing ring =
+        new SegmentRing(new DirectoryFiles(folder, files), whose, files, bytes, most);
+    final SegmentRing.Recovered found = ring.open();
+    return new Opened(new WriteAheadLog(ring, owner, view), found);
   }
 
   /** Starts the thread; the ring must have been opened. */
@@ -62,7 +64,7 @@
   /** Writes a record; the callback runs once it is lasting. */
   public void append(final byte[] record, final Runnable synced) {
     synchronized (this) {
-      waiting.add(new Item(record, synced));
+      waiting.add(new PendingAppend(record, synced));
       notifyAll();
     }
   }
@@ -108,7 +110,7 @@
     return future.join();
   }
 
-  private void attempt(final Deed deed) throws InterruptedException {
+  private void attempt(final DiskOperation deed) throws InterruptedException {
     while (true) {
       busySince = System.nanoTime();
       try {
@@ -132,7 +134,7 @@
     }
   }
 
-  private interface Deed {
+  private interface DiskOperation {
     void run() throws IOException;
   }
 
@@ -140,7 +142,7 @@
     try {
       attempt(() -> ring.begin(ownersView()));
       while (true) {
-        final List<Item> batch;
+        final List<PendingAppend> batch;
         synchronized (this) {
           while (waiting.isEmpty()) {
             wait();
@@ -149,12 +151,12 @@
           waiting = new ArrayList<>();
         }
         final List<byte[]> records = new ArrayList<>(batch.size());
-        for (final Item item : batch) {
+        for (final PendingAppend item : batch) {
           records.add(item.record);
         }
         if (!ring.fits(records)) {
           final long before = ring.diskBytes();
-          attempt(() -> ring.turnOver(ownersView(), Ring.bytes(records)));
+          attempt(() -> ring.turnOver(ownersView(), SegmentRing.bytes(records)));
           if (ring.diskBytes() > before) {
             LOGGER.atInfo().log(
                 "the state has outgrown its files: a snapshot of %s KB, %s KB of disk from now on, %s at most",
@@ -164,7 +166,7 @@
         attempt(() -> ring.append(records));
         owner.execute(
             () -> {
-              for (final Item item : batch) {
+              for (final PendingAppend item : batch) {
                 item.synced.run();
               }
             });
--- a/wal/src/test/java/weldpoint/wal/PowerLossTest.java
+++ b/wal/src/test/java/weldpoint/wal/PowerLossTest.java
@@ -31,7 +31,7 @@
     NO_TAIL
   }
 
-  private static final class Disk implements Ring.Files {
+  private static final class Disk implements SegmentRing.Files {
     final byte[][] seen = new byte[COUNT][];
     final byte[][] lasting = new byte[COUNT][];
     final boolean[] named = new boolean[COUNT];
@@ -144,8 +144,8 @@
     long written = 0;
     for (int life = 0; life < 8; life++) {
       disk.refusals = 0;
-      final Ring ring = new Ring(disk, "frame 10.0.0.4", COUNT, SIZE, MOST);
-      final Ring.Found found = ring.open();
+      final SegmentRing ring = new SegmentRing(disk, "frame 10.0.0.4", COUNT, SIZE, MOST);
+      final SegmentRing.Recovered found = ring.open();
       final List<byte[]> records =
           variant == Variant.NO_TAIL
               ? found.records().subList(0, Math.min(keep, found.records().size()))
@@ -184,7 +184,7 @@
             news.add(bytes(written + news.size() + 1, random.nextInt(200)));
           }
           if (!ring.fits(news)) {
-            ring.turnOver(state, Ring.bytes(news));
+            ring.turnOver(state, SegmentRing.bytes(news));
           }
           written += news.size();
           ring.append(news);
--- a/wal/src/test/java/weldpoint/wal/RingTest.java
+++ b/wal/src/test/java/weldpoint/wal/SegmentRingTest.java
@@ -12,16 +12,16 @@
 import java.util.Arrays;
 import java.util.List;
 import org.testng.annotations.Test;
-import weldpoint.common.Breakdown;
+import weldpoint.common.WeldpointException;
 
 /** The ring cut at every byte, damaged, turned over, and on a disk that refuses. */
-public final class RingTest {
+public final class SegmentRingTest {
   private static final int COUNT = 3;
   private static final int SIZE = 4096;
   private static final int MOST = 1 << 20;
   private static final String OWNER = "frame 10.0.0.4";
 
-  private static final class Memory implements Ring.Files {
+  private static final class Memory implements SegmentRing.Files {
     final byte[][] files = new byte[COUNT][];
     boolean refuses;
     int named;
@@ -81,7 +81,7 @@
   }
 
   private static List<String> read(final Memory memory, final boolean[] lost) throws IOException {
-    final Ring.Found found = new Ring(memory, OWNER, COUNT, SIZE, MOST).open();
+    final SegmentRing.Recovered found = new SegmentRing(memory, OWNER, COUNT, SIZE, MOST).open();
     lost[0] = found.lost();
     final List<String> texts = new ArrayList<>();
     found.records().forEach(record -> texts.add(new String(record, StandardCharsets.UTF_8)));
@@ -91,7 +91,7 @@
   @Test
   public void aTornTailIsDroppedAndNothingBeforeIt() throws IOException {
     final Memory memory = new Memory();
-    final Ring ring = new Ring(memory, OWNER, COUNT, SIZE, MOST);
+    final SegmentRing ring = new SegmentRing(memory, OWNER, COUNT, SIZE, MOST);
     assertTrue(ring.open().blank());
     ring.begin(List.of(bytes("view")));
     ring.append(List.of(bytes("one"), bytes("two")));
@@ -117,7 +117,7 @@
   @Test
   public void aSyncedRecordThatIsDamagedMakesTheDiskCountAsLost() throws IOException {
     final Memory memory = new Memory();
-    final Ring ring = new Ring(memory, OWNER, COUNT, SIZE, MOST);
+    final SegmentRing ring = new SegmentRing(memory, OWNER, COUNT, SIZE, MOST);
     ring.open();
     ring.begin(List.of(bytes("view")));
     ring.append(List.of(bytes("first")));
@@ -135,13 +135,13 @@
   @Test
   public void theRingTurnsAndCarriesTheLiveStateForward() throws IOException {
     final Memory memory = new Memory();
-    final Ring ring = new Ring(memory, OWNER, COUNT, SIZE, MOST);
+    final SegmentRing ring = new SegmentRing(memory, OWNER, COUNT, SIZE, MOST);
     ring.open();
     ring.begin(List.of(bytes("0")));
     for (int index = 1; index < 500; index++) {
       final List<byte[]> records = List.of(bytes("" + index));
       if (!ring.fits(records)) {
-        ring.turnOver(List.of(bytes("" + (index - 1))), Ring.bytes(records));
+        ring.turnOver(List.of(bytes("" + (index - 1))), SegmentRing.bytes(records));
       }
       ring.append(records);
       final boolean[] lost = new boolean[1];
@@ -154,7 +154,7 @@
   @Test
   public void aRefusedWriteIsTriedAgainInTheSamePlace() throws IOException {
     final Memory memory = new Memory();
-    final Ring ring = new Ring(memory, OWNER, COUNT, SIZE, MOST);
+    final SegmentRing ring = new SegmentRing(memory, OWNER, COUNT, SIZE, MOST);
     ring.open();
     ring.begin(List.of(bytes("view")));
     memory.refuses = true;
@@ -179,7 +179,7 @@
    */
   private static Memory filled(final boolean tail) throws IOException {
     final Memory memory = new Memory();
-    final Ring ring = new Ring(memory, OWNER, COUNT, SIZE, MOST);
+    final SegmentRing ring = new SegmentRing(memory, OWNER, COUNT, SIZE, MOST);
     ring.open();
     ring.begin(List.of(bytes("old")));
     ring.append(List.of(bytes("one")));
@@ -244,7 +244,7 @@
   public void aStateThatOutgrowsItsFileGoesOnAndShrinksAgainWithinABoundOfDisk()
       throws IOException {
     final Memory memory = new Memory();
-    final Ring ring = new Ring(memory, OWNER, COUNT, SIZE, MOST);
+    final SegmentRing ring = new SegmentRing(memory, OWNER, COUNT, SIZE, MOST);
     ring.open();
     ring.begin(List.of());
     final List<byte[]> state = new ArrayList<>();
@@ -252,7 +252,7 @@
     for (int index = 0; index < 4000; index++) {
       final List<byte[]> news = List.of(bytes("record " + index));
       if (!ring.fits(news)) {
-        ring.turnOver(state, Ring.bytes(news));
+        ring.turnOver(state, SegmentRing.bytes(news));
       }
       ring.append(news);
       state.add(news.get(0));
@@ -273,7 +273,7 @@
   @Test
   public void aStateBeyondTheBoundIsRefusedWithTheRemedyAndNothingOfItIsUsed() throws IOException {
     final Memory memory = new Memory();
-    final Ring ring = new Ring(memory, OWNER, COUNT, SIZE, 4 * SIZE);
+    final SegmentRing ring = new SegmentRing(memory, OWNER, COUNT, SIZE, 4 * SIZE);
     ring.open();
     ring.begin(List.of(bytes("small")));
     ring.append(List.of(bytes("tail")));
@@ -290,24 +290,26 @@
   @Test
   public void aStoreOfALaterFormatOrOfAnotherMachineIsRefusedWithTheRemedy() throws IOException {
     final Memory memory = filled(true);
-    final Breakdown foreign =
+    final WeldpointException foreign =
         org.testng.Assert.expectThrows(
-            Breakdown.class, () -> new Ring(memory, "frame 10.0.0.9", COUNT, SIZE, MOST).open());
+            WeldpointException.class,
+            () -> new SegmentRing(memory, "frame 10.0.0.9", COUNT, SIZE, MOST).open());
     assertTrue(
         foreign.getMessage().contains("holds the store of " + OWNER)
             && foreign.getMessage().contains("give"),
         foreign.getMessage());
     final int at = place(memory, 1, OWNER) - Integer.BYTES;
-    memory.files[1][at + 3] = Ring.FORMAT + 1;
+    memory.files[1][at + 3] = SegmentRing.FORMAT + 1;
     final ByteBuffer buffer = ByteBuffer.wrap(memory.files[1]);
     final java.util.zip.CRC32 sum = new java.util.zip.CRC32();
     sum.update(memory.files[1], 12, 28 + buffer.getInt(4));
     buffer.putInt(8, (int) sum.getValue());
-    final Breakdown later =
+    final WeldpointException later =
         org.testng.Assert.expectThrows(
-            Breakdown.class, () -> new Ring(memory, OWNER, COUNT, SIZE, MOST).open());
+            WeldpointException.class,
+            () -> new SegmentRing(memory, OWNER, COUNT, SIZE, MOST).open());
     assertTrue(
-        later.getMessage().contains("format " + (Ring.FORMAT + 1))
+        later.getMessage().contains("format " + (SegmentRing.FORMAT + 1))
             && later.getMessage().contains("run the release"),
         later.getMessage());
   }
@@ -347,11 +349,11 @@
     final boolean[] lost = new boolean[1];
     assertEquals(read(memory, lost), List.of("view", "one"));
     assertFalse(lost[0]);
-    final Ring ring = new Ring(memory, OWNER, COUNT, SIZE, MOST);
+    final SegmentRing ring = new SegmentRing(memory, OWNER, COUNT, SIZE, MOST);
     assertFalse(ring.open().blank());
     ring.begin(List.of(bytes("view"), bytes("one")));
     assertEquals(memory.named, 1);
-    final Ring again = new Ring(memory, OWNER, COUNT, SIZE, MOST);
+    final SegmentRing again = new SegmentRing(memory, OWNER, COUNT, SIZE, MOST);
     again.open();
     again.begin(List.of(bytes("view"), bytes("one")));
     assertEquals(memory.named, 1, "names that are lasting cost no further sync");
@@ -361,7 +363,7 @@
   @Test
   public void nothingIsAppendedAfterASnapshotThatFailed() throws IOException {
     final Memory memory = filled(true);
-    final Ring ring = new Ring(memory, OWNER, COUNT, SIZE, MOST);
+    final SegmentRing ring = new SegmentRing(memory, OWNER, COUNT, SIZE, MOST);
     ring.open();
     ring.begin(List.of(bytes("a")));
     memory.refuses = true;
--- a/wal/src/test/java/weldpoint/wal/TapeTest.java
+++ b/wal/src/test/java/weldpoint/wal/WriteAheadLogTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.Test;
 
 /** A tape in a real folder whose state outgrows its files. */
-public final class TapeTest {
+public final class WriteAheadLogTest {
   private static final int BYTES = 1 << 16;
   private static final int MOST = 1 << 22;
 
@@ -28,8 +28,8 @@
   public void aStateThatOutgrowsItsFilesIsReadAgain() throws Exception {
     final Path folder = Files.createTempDirectory("tape").resolve("frame");
     final List<byte[]> state = new CopyOnWriteArrayList<>();
-    final Tape.Opened opened =
-        Tape.open(
+    final WriteAheadLog.Opened opened =
+        WriteAheadLog.open(
             folder, "frame 10.0.0.4", 3, BYTES, MOST, Runnable::run, () -> List.copyOf(state));
     assertTrue(opened.found().blank());
     opened.tape().start("tape");
@@ -43,8 +43,8 @@
       }
     }
     assertTrue(synced.await(60, TimeUnit.SECONDS), "not all became lasting");
-    final Tape.Opened again =
-        Tape.open(folder, "frame 10.0.0.4", 3, BYTES, MOST, Runnable::run, List::of);
+    final WriteAheadLog.Opened again =
+        WriteAheadLog.open(folder, "frame 10.0.0.4", 3, BYTES, MOST, Runnable::run, List::of);
     assertFalse(again.found().lost());
     final java.util.Set<String> read = new java.util.TreeSet<>();
     again
