--- a/cli/src/main/java/weldpoint/cli/Caller.java
+++ b/cli/src/main/java/weldpoint/cli/ControlClient.java
@@ -13,7 +13,7 @@
 import weldpoint.common.WeldpointException;
 
 /** Calls the control interface of one of several exchanges: the first that gives a clear answer. */
-final class Caller {
+final class ControlClient {
   private static final Duration PATIENCE = Duration.ofSeconds(3);
 
   private final List<String> addresses;
@@ -21,12 +21,12 @@
   private final HttpClient client =
       HttpClient.newBuilder().connectTimeout(PATIENCE).version(HttpClient.Version.HTTP_1_1).build();
 
-  Caller(final List<String> addresses) {
+  ControlClient(final List<String> addresses) {
     this(addresses, null);
   }
 
   /** Calls in somebody's name; null where nothing is changed. */
-  Caller(final List<String> addresses, final String author) {
+  ControlClient(final List<String> addresses, final String author) {
     this.addresses = addresses;
     this.author = author;
   }
--- a/cli/src/main/java/weldpoint/cli/HistoryCommand.java
+++ b/cli/src/main/java/weldpoint/cli/HistoryCommand.java
@@ -66,15 +66,16 @@
           WeldpointException.Kind.USAGE,
           "history takes either --control HOST:PORT,... or --at HOST:PORT, and no further words");
     }
-    final Caller caller =
-        new Caller(options.has(at) ? List.of(options.valueOf(at)) : options.valuesOf(control));
+    final ControlClient caller =
+        new ControlClient(
+            options.has(at) ? List.of(options.valueOf(at)) : options.valuesOf(control));
     return options.has(reach)
         ? reach(caller, options, out, problems)
         : list(caller, options, out, problems);
   }
 
   private int list(
-      final Caller caller,
+      final ControlClient caller,
       final OptionSet options,
       final PrintStream out,
       final PrintStream problems)
@@ -130,7 +131,7 @@
   }
 
   private int reach(
-      final Caller caller,
+      final ControlClient caller,
       final OptionSet options,
       final PrintStream out,
       final PrintStream problems)
--- a/cli/src/main/java/weldpoint/cli/RecordCommand.java
+++ b/cli/src/main/java/weldpoint/cli/RecordCommand.java
@@ -15,7 +15,7 @@
 import joptsimple.OptionSpec;
 import weldpoint.common.WeldpointException;
 import weldpoint.registry.RecordingBuffer;
-import weldpoint.replay.DayFile;
+import weldpoint.replay.RecordingFile;
 import weldpoint.transport.Protocol;
 import weldpoint.transport.RegistryMessages;
 import weldpoint.transport.Serializer;
@@ -52,7 +52,7 @@
 
   /** Follows one recording. */
   static final class Collector {
-    private final DayFile.Writer writer;
+    private final RecordingFile.Writer writer;
     private final Map<String, Long> offsets = new HashMap<>();
     private final Map<String, Integer> known = new LinkedHashMap<>();
     private final Set<String> open = new HashSet<>();
@@ -62,7 +62,7 @@
     private long notes;
     private long clockError;
 
-    Collector(final DayFile.Writer writer) {
+    Collector(final RecordingFile.Writer writer) {
       this.writer = writer;
     }
 
@@ -87,7 +87,7 @@
       if (spec || !changes.isEmpty() || !sites.equals(evacuated)) {
         version = Math.max(version, drained.version);
         writer.add(
-            new DayFile.Control(
+            new RecordingFile.ControlSnapshot(
                 asked,
                 spec ? drained.spec : null,
                 changes,
@@ -105,7 +105,7 @@
         } else {
           open.add(life);
         }
-        writer.add(new DayFile.Turn(offsets.get(life), kept.reel));
+        writer.add(new RecordingFile.TimedBatch(offsets.get(life), kept.reel));
       }
     }
 
@@ -114,8 +114,8 @@
       return open.isEmpty();
     }
 
-    DayFile.End end() {
-      return new DayFile.End(
+    RecordingFile.Trailer end() {
+      return new RecordingFile.Trailer(
           notes,
           droppedBy.values().stream().mapToLong(count -> count).sum(),
           clockError,
@@ -137,7 +137,7 @@
           "record takes one action: record begin|status|end --control HOST:PORT,...");
     }
     final List<String> addresses = options.valuesOf(control);
-    final Caller caller = new Caller(addresses);
+    final ControlClient caller = new ControlClient(addresses);
     if (action == Action.STATUS || action == Action.END) {
       out.println(caller.call(action == Action.END ? "record.end" : "record.status", "all", ""));
       return 0;
@@ -148,7 +148,7 @@
           "record begin needs --file FILE, where the day is to be written");
     }
     out.println(caller.call("record.begin", "all", ""));
-    try (DayFile.Writer writer = new DayFile.Writer(Path.of(options.valueOf(file)))) {
+    try (RecordingFile.Writer writer = new RecordingFile.Writer(Path.of(options.valueOf(file)))) {
       return collect(options, addresses, caller, writer, out);
     }
   }
@@ -156,8 +156,8 @@
   private int collect(
       final OptionSet options,
       final List<String> addresses,
-      final Caller caller,
-      final DayFile.Writer writer,
+      final ControlClient caller,
+      final RecordingFile.Writer writer,
       final PrintStream out)
       throws IOException, InterruptedException {
     final Collector collector = new Collector(writer);
@@ -174,7 +174,7 @@
         try {
           final RecordingBuffer.Collection drained =
               Serializer.value(
-                  new Caller(List.of(address)).bytes("record.drain", "all"),
+                  new ControlClient(List.of(address)).bytes("record.drain", "all"),
                   RecordingBuffer.Collection.class);
           collector.add(address, drained, asked, System.nanoTime() / 1_000_000);
           on |= drained.on;
@@ -197,7 +197,7 @@
         }
       }
     }
-    final DayFile.End end = collector.end();
+    final RecordingFile.Trailer end = collector.end();
     writer.add(end);
     out.printf(
         "recorded %d calls, dropped %d, clocks agree within %d ms, not ended: %s, exchanges not heard at the end: %s%n",
--- a/cli/src/main/java/weldpoint/cli/ReplayCommand.java
+++ b/cli/src/main/java/weldpoint/cli/ReplayCommand.java
@@ -13,8 +13,8 @@
 import weldpoint.common.Settings;
 import weldpoint.common.WeldpointException;
 import weldpoint.replay.Replay;
+import weldpoint.replay.ReplayComparison;
 import weldpoint.replay.ReportDocument;
-import weldpoint.replay.Verdict;
 import weldpoint.routing.RoutingTable;
 import weldpoint.transport.Compression;
 
@@ -59,7 +59,7 @@
       final String extra =
           options.has(settings) ? Files.readString(Path.of(options.valueOf(settings))) : "";
       Settings.parse(BASE + extra);
-      final Verdict verdict =
+      final ReplayComparison verdict =
           new Replay(
                   Path.of(names.get(0).toString()),
                   RoutingTable.compile(Files.readAllBytes(proposed)),
--- a/cli/src/main/java/weldpoint/cli/StatusCommand.java
+++ b/cli/src/main/java/weldpoint/cli/StatusCommand.java
@@ -35,7 +35,7 @@
           WeldpointException.Kind.USAGE,
           "status takes --control HOST:PORT,... and no further words");
     }
-    final String text = new Caller(options.valuesOf(control)).call("status.read", "", "");
+    final String text = new ControlClient(options.valuesOf(control)).call("status.read", "", "");
     final ControlApi.StatusResponse answer = STATUS.fromJson(text);
     if (options.has(json)) {
       out.println(text);
--- a/cli/src/main/java/weldpoint/cli/TrialCommand.java
+++ b/cli/src/main/java/weldpoint/cli/TrialCommand.java
@@ -72,7 +72,7 @@
       parser
           .accepts("author", "who wants it; the user's name by default")
           .withRequiredArg()
-          .defaultsTo(Caller.user());
+          .defaultsTo(ControlClient.user());
   private final OptionSpec<Void> json = parser.accepts("json", "prints JSON");
 
   int run(final String[] words, final PrintStream out) throws InterruptedException {
@@ -112,7 +112,7 @@
           default -> "";
         };
     final String answer =
-        new Caller(
+        new ControlClient(
                 options.valuesOf(control), action == Action.STATUS ? null : options.valueOf(author))
             .call(
                 "trial." + action.name().toLowerCase(java.util.Locale.ROOT),
--- a/cli/src/test/java/weldpoint/scale/ScaleTest.java
+++ b/cli/src/test/java/weldpoint/scale/ScaleTest.java
@@ -21,14 +21,14 @@
 public final class ScaleTest {
   @Test
   public void aLineIsFoundAndWhatItLeavesOverIsTold() {
-    final Fit exact = Fit.of(new double[] {10, 40, 160}, new double[] {25, 85, 325});
+    final LinearFit exact = LinearFit.of(new double[] {10, 40, 160}, new double[] {25, 85, 325});
     assertEquals(exact.slope(), 2, 1e-9);
     assertEquals(exact.fixed(), 5, 1e-9);
     assertEquals(exact.worst(), 0, 1e-9);
     assertEquals(exact.explained(), 1, 1e-9);
     assertEquals(exact.at(16_000), 32_005, 1e-6);
     assertEquals(exact.beyond(16_000), 100, 1e-9);
-    final Fit noisy = Fit.of(new double[] {1, 2, 3, 4}, new double[] {2, 1, 4, 3});
+    final LinearFit noisy = LinearFit.of(new double[] {1, 2, 3, 4}, new double[] {2, 1, 4, 3});
     assertEquals(noisy.slope(), 0.6, 1e-9);
     assertEquals(noisy.fixed(), 1, 1e-9);
     assertEquals(noisy.worst(), 1.2, 1e-9);
@@ -39,13 +39,14 @@
   public void tooFewOrTooNearSizesGiveNoSlope() {
     assertTrue(
         expectThrows(
-                WeldpointException.class, () -> Fit.of(new double[] {1, 9}, new double[] {1, 2}))
+                WeldpointException.class,
+                () -> LinearFit.of(new double[] {1, 9}, new double[] {1, 2}))
             .getMessage()
             .contains("at least 3"));
     assertTrue(
         expectThrows(
                 WeldpointException.class,
-                () -> Fit.of(new double[] {10, 20, 30}, new double[] {1, 2, 3}))
+                () -> LinearFit.of(new double[] {10, 20, 30}, new double[] {1, 2, 3}))
             .getMessage()
             .contains("too near"));
   }
@@ -53,17 +54,17 @@
   @DataProvider
   public Object[][] senseless() {
     return new Object[][] {
-      {new Sizes(0, 1, 1, 1, 1, 1, 0, 0, false), "makes no sense"},
-      {new Sizes(1, 1, 1, 1, 2, 1, 0, 0, false), "makes no sense"},
-      {new Sizes(1, 1, 1, 1, 1, 1, -1, 0, false), "makes no sense"},
-      {new Sizes(40, 1, 150, 1, 1, 1, 0, 0, false), "too many"},
-      {new Sizes(3, 100_000_000, 1, 1, 1, 1, 0, 0, false), "half of this machine's memory"},
+      {new FleetSize(0, 1, 1, 1, 1, 1, 0, 0, false), "makes no sense"},
+      {new FleetSize(1, 1, 1, 1, 2, 1, 0, 0, false), "makes no sense"},
+      {new FleetSize(1, 1, 1, 1, 1, 1, -1, 0, false), "makes no sense"},
+      {new FleetSize(40, 1, 150, 1, 1, 1, 0, 0, false), "too many"},
+      {new FleetSize(3, 100_000_000, 1, 1, 1, 1, 0, 0, false), "half of this machine's memory"},
     };
   }
 
   @Test(dataProvider = "senseless")
   public void sizesBeyondTheMachineOrWithoutSenseAreRefusedBeforeAnythingStarts(
-      final Sizes sizes, final String reason) {
+      final FleetSize sizes, final String reason) {
     final WeldpointException breakdown = expectThrows(WeldpointException.class, sizes::checked);
     assertEquals(breakdown.kind(), WeldpointException.Kind.USAGE);
     assertTrue(breakdown.getMessage().contains(reason), breakdown.getMessage());
@@ -97,7 +98,7 @@
       throws IOException, InterruptedException {
     final long before = ProcessHandle.current().children().filter(ProcessHandle::isAlive).count();
     final Map<String, Double> figures;
-    try (ScaleRun run = new ScaleRun(new Sizes(1, 3, 1, 5, 1, 2, 0.5, 0, false), freePorts())) {
+    try (ScaleRun run = new ScaleRun(new FleetSize(1, 3, 1, 5, 1, 2, 0.5, 0, false), freePorts())) {
       figures = run.measure(3, 6);
     }
     assertTrue(figures.get("hollow bytes-in/s") > 0, figures.toString());
--- a/replay/src/main/java/weldpoint/replay/Outcome.java
+++ b/replay/src/main/java/weldpoint/replay/CallOutcome.java
@@ -1,7 +1,7 @@
 package weldpoint.replay;
 
 /** What became of one call in one world. */
-final class Outcome {
+final class CallOutcome {
   /** How it ended. */
   enum End {
     SERVED,
--- a/replay/src/main/java/weldpoint/replay/Call.java
+++ b/replay/src/main/java/weldpoint/replay/RecordedCall.java
@@ -7,14 +7,14 @@
 /**
  * One recorded call on the day's common clock, with what the recording tells of the work it makes.
  */
-final class Call {
+final class RecordedCall {
   final RequestRecord note;
   final String board;
   final long at;
   final long work;
   final boolean answerLost;
 
-  Call(final RequestRecord note, final String board, final long offset, final long usual) {
+  RecordedCall(final RequestRecord note, final String board, final long offset, final long usual) {
     this.note = note;
     this.board = board;
     this.at = note.at + offset;
--- a/replay/src/main/java/weldpoint/replay/DayFile.java
+++ b/replay/src/main/java/weldpoint/replay/RecordingFile.java
@@ -25,22 +25,22 @@
  * A recorded day on disk: compressed, each part delimited, with an end that says how much there
  * must be.
  */
-public final class DayFile {
+public final class RecordingFile {
   private static final byte[] MAGIC = "weldpoint day 1\n".getBytes(StandardCharsets.UTF_8);
 
-  private DayFile() {}
+  private RecordingFile() {}
 
   /**
    * What was in force from a moment on; what did not change is null. Clocks are those of whoever
    * collected the day.
    */
-  public static final class Control {
+  public static final class ControlSnapshot {
     public final long at;
     public final byte[] spec;
     public final List<Registration> registrations;
     public final List<String> evacuated;
 
-    public Control(
+    public ControlSnapshot(
         final long at,
         final byte[] spec,
         final List<Registration> registrations,
@@ -53,11 +53,11 @@
   }
 
   /** A reel, with what must be added to its clock to get the collector's. */
-  public static final class Turn {
+  public static final class TimedBatch {
     public final long offset;
     public final RecordingBatch reel;
 
-    public Turn(final long offset, final RecordingBatch reel) {
+    public TimedBatch(final long offset, final RecordingBatch reel) {
       this.offset = offset;
       this.reel = reel;
     }
@@ -67,13 +67,13 @@
    * The end of a whole recording: how many notes it holds, how many were dropped, and how well
    * clocks agree.
    */
-  public static final class End {
+  public static final class Trailer {
     public final long notes;
     public final long dropped;
     public final long clockError;
     public final List<String> silent;
 
-    public End(
+    public Trailer(
         final long notes, final long dropped, final long clockError, final List<String> silent) {
       this.notes = notes;
       this.dropped = dropped;
@@ -83,9 +83,9 @@
   }
 
   private enum Kind {
-    CONTROL(Control.class),
-    TURN(Turn.class),
-    END(End.class);
+    CONTROL(ControlSnapshot.class),
+    TURN(TimedBatch.class),
+    END(Trailer.class);
 
     private final Class<?> type;
 
@@ -165,7 +165,7 @@
           throw new IOException("an unknown part " + kind);
         }
         final Object part = part(Kind.values()[kind].type);
-        ended = part instanceof End;
+        ended = part instanceof Trailer;
         return part;
       } catch (final EOFException cut) {
         throw new WeldpointException(
--- a/replay/src/main/java/weldpoint/replay/Replay.java
+++ b/replay/src/main/java/weldpoint/replay/Replay.java
@@ -57,11 +57,11 @@
     private final Errors errors = new Errors();
     private long calls;
     private long ended;
-    private DayFile.End end;
+    private RecordingFile.Trailer end;
   }
 
   /** Plays the day and judges it. */
-  public Verdict run() throws IOException {
+  public ReplayComparison run() throws IOException {
     if (proposed.all().stream().anyMatch(route -> route.affinity != null)) {
       throw new WeldpointException(
           WeldpointException.Kind.INVALID,
@@ -72,7 +72,9 @@
         first,
         true,
         (call, own, other) -> {
-          if (own.end == Outcome.End.SERVED && call.note.status >= 200 && call.note.status < 300) {
+          if (own.end == CallOutcome.End.SERVED
+              && call.note.status >= 200
+              && call.note.status < 300) {
             first.errors.add(call.note.route, Math.abs(own.total - call.note.total));
           }
         });
@@ -94,7 +96,7 @@
                 + "; record a day with fewer breakdowns, or allow more with --error-ms");
       }
     }
-    final Verdict verdict = new Verdict(errors, first.end.clockError);
+    final ReplayComparison verdict = new ReplayComparison(errors, first.end.clockError);
     final Span second = new Span();
     pass(
         second,
@@ -119,14 +121,14 @@
   }
 
   private interface Compared {
-    void ended(Call call, Outcome own, Outcome other);
+    void ended(RecordedCall call, CallOutcome own, CallOutcome other);
   }
 
   private final class Pass {
     private final EventLoopGroup loop;
     private final Span span;
-    private final World own;
-    private final World other;
+    private final ReplaySimulator own;
+    private final ReplaySimulator other;
     private final Compared compared;
     private final PriorityQueue<Object[]> waiting =
         new PriorityQueue<>(
@@ -146,8 +148,8 @@
         final EventLoopGroup loop, final Span span, final boolean alone, final Compared compared) {
       this.loop = loop;
       this.span = span;
-      this.own = new World(loop, "", 7);
-      this.other = alone ? null : new World(loop, extra, 7);
+      this.own = new ReplaySimulator(loop, "", 7);
+      this.other = alone ? null : new ReplaySimulator(loop, extra, 7);
       this.compared = compared;
       if (other != null) {
         other.plan(proposed);
@@ -155,13 +157,13 @@
     }
 
     private void take(final Object part) {
-      if (part instanceof DayFile.Control) {
-        final DayFile.Control control = (DayFile.Control) part;
+      if (part instanceof RecordingFile.ControlSnapshot) {
+        final RecordingFile.ControlSnapshot control = (RecordingFile.ControlSnapshot) part;
         add(control.at, control);
-      } else if (part instanceof DayFile.Turn) {
-        turn((DayFile.Turn) part);
+      } else if (part instanceof RecordingFile.TimedBatch) {
+        turn((RecordingFile.TimedBatch) part);
       } else {
-        span.end = (DayFile.End) part;
+        span.end = (RecordingFile.Trailer) part;
         if (span.end.dropped > 0 || !Protocol.list(span.end.silent).isEmpty() || !open.isEmpty()) {
           throw new WeldpointException(
               WeldpointException.Kind.INVALID,
@@ -176,7 +178,7 @@
       }
     }
 
-    private void turn(final DayFile.Turn turn) {
+    private void turn(final RecordingFile.TimedBatch turn) {
       final RecordingMessages.RecordingBatch reel = turn.reel;
       final String life = reel.board + "#" + reel.incarnation;
       if (reel.dropped > 0) {
@@ -214,8 +216,8 @@
                   + "; record the day anew");
         }
         serial[0] = note.serial;
-        final Call call =
-            new Call(
+        final RecordedCall call =
+            new RecordedCall(
                 note, reel.board, turn.offset, usual.getOrDefault(note.service, 100.0).longValue());
         if (call.work > 0 && note.status >= 200 && note.status < 300) {
           usual.merge(
@@ -247,15 +249,15 @@
         if (other != null) {
           other.until(at);
         }
-        if (next[2] instanceof DayFile.Control) {
-          control((DayFile.Control) next[2]);
+        if (next[2] instanceof RecordingFile.ControlSnapshot) {
+          control((RecordingFile.ControlSnapshot) next[2]);
         } else {
-          call((Call) next[2]);
+          call((RecordedCall) next[2]);
         }
       }
     }
 
-    private void control(final DayFile.Control control) {
+    private void control(final RecordingFile.ControlSnapshot control) {
       if (control.spec != null) {
         own.plan(RoutingTable.compile(inflater.inflate(control.spec)));
       }
@@ -265,9 +267,9 @@
       }
     }
 
-    private void call(final Call call) {
+    private void call(final RecordedCall call) {
       span.calls++;
-      final Outcome[] both = new Outcome[2];
+      final CallOutcome[] both = new CallOutcome[2];
       final Consumer<Integer> ended =
           which -> {
             if (both[0] != null && (other == null || both[1] != null)) {
@@ -303,7 +305,7 @@
   private void pass(final Span span, final boolean alone, final Compared compared)
       throws IOException {
     final EventLoopGroup loop = new NioEventLoopGroup(1);
-    try (DayFile.Reader reader = new DayFile.Reader(day)) {
+    try (RecordingFile.Reader reader = new RecordingFile.Reader(day)) {
       final Pass pass = new Pass(loop, span, alone, compared);
       for (Object part = reader.next(); part != null; part = reader.next()) {
         pass.take(part);
--- a/replay/src/main/java/weldpoint/replay/Verdict.java
+++ b/replay/src/main/java/weldpoint/replay/ReplayComparison.java
@@ -8,7 +8,7 @@
 import weldpoint.routing.RouteKind;
 
 /** What a replay found: writes one by one, other calls in sums. */
-public final class Verdict {
+public final class ReplayComparison {
   /** What proposed settings would do to a call. */
   public enum Change {
     /** Another service or region would serve it. */
@@ -39,7 +39,7 @@
   }
 
   /** One write and what would change for it. */
-  public record Line(
+  public record ChangedWrite(
       String id,
       String board,
       String route,
@@ -63,7 +63,7 @@
 
   private final Map<String, Long> errors;
   private final long clockError;
-  private final List<Line> lines = new ArrayList<>();
+  private final List<ChangedWrite> lines = new ArrayList<>();
   private final Map<Change, Long> writeCounts = new TreeMap<>();
   private final Map<String, Sum> sums = new TreeMap<>();
   private long writes;
@@ -73,21 +73,22 @@
   private long unlisted;
   private long unrouted;
 
-  Verdict(final Map<String, Long> errors, final long clockError) {
+  ReplayComparison(final Map<String, Long> errors, final long clockError) {
     this.errors = errors;
     this.clockError = clockError;
   }
 
-  private static List<Change> changes(final Outcome own, final Outcome other, final long error) {
+  private static List<Change> changes(
+      final CallOutcome own, final CallOutcome other, final long error) {
     final List<Change> changes = new ArrayList<>(2);
-    if (other.end == Outcome.End.UNROUTED && own.end != Outcome.End.UNROUTED) {
+    if (other.end == CallOutcome.End.UNROUTED && own.end != CallOutcome.End.UNROUTED) {
       changes.add(Change.UNROUTED);
-    } else if (other.end == Outcome.End.REFUSED && own.end != Outcome.End.REFUSED) {
+    } else if (other.end == CallOutcome.End.REFUSED && own.end != CallOutcome.End.REFUSED) {
       changes.add(Change.REFUSED);
-    } else if (other.end == Outcome.End.LOST && own.end != Outcome.End.LOST) {
+    } else if (other.end == CallOutcome.End.LOST && own.end != CallOutcome.End.LOST) {
       changes.add(Change.LOST);
-    } else if (own.end == Outcome.End.SERVED
-        && other.end == Outcome.End.SERVED
+    } else if (own.end == CallOutcome.End.SERVED
+        && other.end == CallOutcome.End.SERVED
         && other.total > own.total + error) {
       changes.add(Change.LONGER);
     }
@@ -107,7 +108,11 @@
   }
 
   void add(
-      final Call call, final Outcome own, final Outcome other, final long error, final int most) {
+      final RecordedCall call,
+      final CallOutcome own,
+      final CallOutcome other,
+      final long error,
+      final int most) {
     final List<Change> changes = changes(own, other, error);
     if (!call.write()) {
       others++;
@@ -141,7 +146,7 @@
     harmed += harms ? 1 : 0;
     if (lines.size() < most) {
       lines.add(
-          new Line(
+          new ChangedWrite(
               call.note.id,
               call.board,
               call.note.route,
@@ -165,7 +170,7 @@
   }
 
   /** The writes for which something would change. */
-  public List<Line> lines() {
+  public List<ChangedWrite> lines() {
     return lines;
   }
 
@@ -203,7 +208,7 @@
           "writes %-10s %d%n",
           change.name().toLowerCase(java.util.Locale.ROOT), writeCounts.getOrDefault(change, 0L));
     }
-    for (final Line line : lines) {
+    for (final ChangedWrite line : lines) {
       out.printf(
           "  %s at %s on %s: %s; before %s after %d ms, proposed %s after %d ms%n",
           line.id,
@@ -246,7 +251,7 @@
   /** The report for machines. */
   public ReportDocument document() {
     final List<ReportDocument.Write> list = new ArrayList<>();
-    for (final Line line : lines) {
+    for (final ChangedWrite line : lines) {
       final List<String> names = new ArrayList<>();
       line.changes.forEach(change -> names.add(change.name()));
       list.add(
--- a/replay/src/main/java/weldpoint/replay/World.java
+++ b/replay/src/main/java/weldpoint/replay/ReplaySimulator.java
@@ -29,7 +29,7 @@
  * choice of upstreams, budgets and rules for further tries, before scripted upstreams whose work
  * the recording tells.
  */
-final class World {
+final class ReplaySimulator {
   private static final long MARGIN_MILLIS = 15;
   private static final int QUEUE = 2;
 
@@ -67,7 +67,7 @@
   private long now = Long.MIN_VALUE / 2;
   private long order;
 
-  World(final EventLoopGroup loop, final String extra, final long seed) {
+  ReplaySimulator(final EventLoopGroup loop, final String extra, final long seed) {
     this.loop = loop;
     this.extra = extra;
     this.seed = seed;
@@ -162,14 +162,14 @@
   }
 
   /** Plays a call; whoever is given hears of its outcome exactly once. */
-  void play(final Call call, final Consumer<Outcome> done) {
+  void play(final RecordedCall call, final Consumer<CallOutcome> done) {
     new Course(call, done).start();
   }
 
   private final class Course {
-    private final Call call;
-    private final Consumer<Outcome> done;
-    private final Outcome outcome = new Outcome();
+    private final RecordedCall call;
+    private final Consumer<CallOutcome> done;
+    private final CallOutcome outcome = new CallOutcome();
     private final List<Upstream> tried = new ArrayList<>();
     private final List<UpstreamPool.Attempt> attempts = new ArrayList<>();
     private final UpstreamPool upstreamPool;
@@ -181,7 +181,7 @@
     private boolean hedged;
     private boolean over;
 
-    private Course(final Call call, final Consumer<Outcome> done) {
+    private Course(final RecordedCall call, final Consumer<CallOutcome> done) {
       this.call = call;
       this.done = done;
       this.upstreamPool = boards.get(call.board);
@@ -192,7 +192,7 @@
       chance.setSeed(call.note.id.hashCode() * 0x9e3779b97f4a7c15L + seed);
       binding = new RouteBinding(call.note.host, call.note.target, chance.nextDouble());
       if (!plan.interpret(binding)) {
-        end(Outcome.End.UNROUTED);
+        end(CallOutcome.End.UNROUTED);
         return;
       }
       route = binding.route();
@@ -206,7 +206,7 @@
       upstreamPool.budget(service.name()).request(now);
       after(cutoff - now, this::giveUp);
       if (!attempt(false)) {
-        end(Outcome.End.REFUSED);
+        end(CallOutcome.End.REFUSED);
       }
     }
 
@@ -309,23 +309,23 @@
       }
       if (end == UpstreamConnection.End.ANSWERED && ran) {
         outcome.region = boots.get(call.board).sites().getOrDefault(upstream.site(), "");
-        end(Outcome.End.SERVED);
+        end(CallOutcome.End.SERVED);
         return;
       }
       uncertain |= ran;
       if (RetryPolicy.mayGoOn(route, uncertain) && attempt(true) || running() > 0) {
         return;
       }
-      end(uncertain ? Outcome.End.LOST : Outcome.End.REFUSED);
+      end(uncertain ? CallOutcome.End.LOST : CallOutcome.End.REFUSED);
     }
 
     private void giveUp() {
       if (!over) {
-        end(uncertain || running() > 0 ? Outcome.End.LOST : Outcome.End.REFUSED);
+        end(uncertain || running() > 0 ? CallOutcome.End.LOST : CallOutcome.End.REFUSED);
       }
     }
 
-    private void end(final Outcome.End end) {
+    private void end(final CallOutcome.End end) {
       over = true;
       outcome.end = end;
       outcome.total = now - call.at;
--- a/replay/src/test/java/weldpoint/replay/DayMaker.java
+++ b/replay/src/test/java/weldpoint/replay/RecordingGenerator.java
@@ -17,7 +17,7 @@
  * Makes recorded days by a plain rule of its own: a call takes its work, sometimes an answer is
  * lost.
  */
-final class DayMaker {
+final class RecordingGenerator {
   static final String CONFIRM = "r-confirm";
   static final String LOOKUP = "r-lookup";
   private static final int UPSTREAMS = 20;
@@ -69,7 +69,7 @@
   void write(final Path path, final long seed, final int boards, final int hours, final int perHour)
       throws IOException {
     final Random random = new Random(seed);
-    try (DayFile.Writer writer = new DayFile.Writer(path)) {
+    try (RecordingFile.Writer writer = new RecordingFile.Writer(path)) {
       final List<Registration> upstreams = new ArrayList<>();
       for (int index = 0; index < UPSTREAMS; index++) {
         upstreams.add(
@@ -99,7 +99,7 @@
       }
       upstreams.add(new Registration("s0", "small", "10.9.2.1:80", "port", "v1", 2, 0, 1, 0, 0));
       writer.add(
-          new DayFile.Control(
+          new RecordingFile.ControlSnapshot(
               0, bytes(spec(1, "mutating", 2, 1000, "desk", "")), upstreams, List.of()));
       final long[] serials = new long[boards];
       for (int slice = 0; slice < hours * 360; slice++) {
@@ -125,7 +125,7 @@
           }
           final boolean last = slice == hours * 360 - 1 && !(silent && board == 0);
           writer.add(
-              new DayFile.Turn(
+              new RecordingFile.TimedBatch(
                   1000L * board,
                   new RecordingBatch(
                       "10.0.0." + (board + 1),
@@ -139,7 +139,7 @@
         }
       }
       if (!endless) {
-        writer.add(new DayFile.End(calls + (misnumber >= 0 ? 1 : 0), 0, 3, null));
+        writer.add(new RecordingFile.Trailer(calls + (misnumber >= 0 ? 1 : 0), 0, 3, null));
       }
     }
   }
--- a/replay/src/test/java/weldpoint/replay/ReplayTest.java
+++ b/replay/src/test/java/weldpoint/replay/ReplayTest.java
@@ -22,7 +22,7 @@
   private static final int BOARDS = 6;
   private Path folder;
   private Path day;
-  private final DayMaker maker = new DayMaker();
+  private final RecordingGenerator maker = new RecordingGenerator();
 
   @BeforeClass
   public void record() throws IOException {
@@ -41,12 +41,14 @@
     Files.delete(folder);
   }
 
-  private static Verdict replay(final Path day, final String spec) throws IOException {
-    return new Replay(day, RoutingTable.compile(DayMaker.bytes(spec)), "", 500, stored -> stored)
+  private static ReplayComparison replay(final Path day, final String spec) throws IOException {
+    return new Replay(
+            day, RoutingTable.compile(RecordingGenerator.bytes(spec)), "", 500, stored -> stored)
         .run();
   }
 
-  private static Set<String> ids(final Verdict verdict, final Verdict.Change change) {
+  private static Set<String> ids(
+      final ReplayComparison verdict, final ReplayComparison.Change change) {
     final Set<String> ids = new TreeSet<>();
     verdict
         .lines()
@@ -61,7 +63,8 @@
 
   @Test
   public void theDaysOwnSettingsChangeNothingAndEveryWriteIsCountedOnce() throws IOException {
-    final Verdict verdict = replay(day, DayMaker.spec(2, "mutating", 2, 1000, "desk", ""));
+    final ReplayComparison verdict =
+        replay(day, RecordingGenerator.spec(2, "mutating", 2, 1000, "desk", ""));
     assertEquals(verdict.lines(), List.of());
     assertEquals(verdict.code(), 0);
     assertEquals(verdict.writes(), maker.writes);
@@ -72,12 +75,13 @@
 
   @Test
   public void aWriteRouteDeclaredRepeatableDoublesExactlyTheSlowAndTheLost() throws IOException {
-    final Verdict verdict = replay(day, DayMaker.spec(2, "idempotent", 2, 1000, "desk", ""));
+    final ReplayComparison verdict =
+        replay(day, RecordingGenerator.spec(2, "idempotent", 2, 1000, "desk", ""));
     final Set<String> expected = new TreeSet<>(maker.lost);
     expected.addAll(maker.slow);
     assertEquals(verdict.code(), 1);
-    assertEquals(ids(verdict, Verdict.Change.RUN_TWICE), expected);
-    assertEquals(ids(verdict, Verdict.Change.SENT_TWICE), expected);
+    assertEquals(ids(verdict, ReplayComparison.Change.RUN_TWICE), expected);
+    assertEquals(ids(verdict, ReplayComparison.Change.SENT_TWICE), expected);
   }
 
   @Test
@@ -91,14 +95,16 @@
         });
     final String rule =
         "{\"name\":\"r-vip\",\"routeKind\":\"mutating\",\"targetLatencyMs\":1000,\"match\":{\"pathPrefix\":\"/confirm/vip/\"},\"action\":{\"service\":\"%s\",\"timeoutMs\":4000,\"maxAttempts\":2}},";
-    final Verdict moved =
-        replay(day, DayMaker.spec(2, "mutating", 2, 1000, "desk", String.format(rule, "other")));
-    assertEquals(ids(moved, Verdict.Change.ELSEWHERE), vip);
+    final ReplayComparison moved =
+        replay(
+            day,
+            RecordingGenerator.spec(2, "mutating", 2, 1000, "desk", String.format(rule, "other")));
+    assertEquals(ids(moved, ReplayComparison.Change.ELSEWHERE), vip);
     assertEquals(moved.code(), 0, "to go elsewhere is shown, and harms nothing");
-    final Verdict cutShort =
+    final ReplayComparison cutShort =
         replay(
             day,
-            DayMaker.spec(
+            RecordingGenerator.spec(
                 2,
                 "mutating",
                 2,
@@ -107,11 +113,11 @@
                 String.format(rule, "desk").replace("4000", "500")));
     final Set<String> lateVip = new TreeSet<>(vip);
     lateVip.retainAll(new HashSet<>(maker.slow));
-    assertEquals(ids(cutShort, Verdict.Change.LOST), lateVip);
-    final Verdict unrouted =
+    assertEquals(ids(cutShort, ReplayComparison.Change.LOST), lateVip);
+    final ReplayComparison unrouted =
         replay(
             day,
-            DayMaker.spec(2, "mutating", 2, 1000, "desk", "")
+            RecordingGenerator.spec(2, "mutating", 2, 1000, "desk", "")
                 .replace("/confirm/", "/confirm/vip/"));
     final Set<String> left = new TreeSet<>();
     maker.paths.forEach(
@@ -120,26 +126,29 @@
             left.add(id);
           }
         });
-    assertEquals(ids(unrouted, Verdict.Change.UNROUTED), left);
+    assertEquals(ids(unrouted, ReplayComparison.Change.UNROUTED), left);
     assertEquals(unrouted.code(), 1);
-    final Verdict gone =
+    final ReplayComparison gone =
         replay(
-            day, DayMaker.spec(2, "mutating", 2, 1000, "desk", "").replace("/lookup/", "/look/"));
+            day,
+            RecordingGenerator.spec(2, "mutating", 2, 1000, "desk", "")
+                .replace("/lookup/", "/look/"));
     assertEquals(gone.code(), 1, "a route that lookups used and that is gone is no clean verdict");
     assertFalse(
         gone.lines().stream()
-            .anyMatch(line -> line.changes().stream().anyMatch(Verdict.Change::harms)));
+            .anyMatch(line -> line.changes().stream().anyMatch(ReplayComparison.Change::harms)));
   }
 
   @Test
   public void whereOnlyLookupsWaitItPassesAndSaysSo() throws IOException {
-    final Verdict verdict = replay(day, DayMaker.spec(2, "mutating", 1, 1000, "small", ""));
+    final ReplayComparison verdict =
+        replay(day, RecordingGenerator.spec(2, "mutating", 1, 1000, "small", ""));
     assertEquals(verdict.code(), 0);
     assertTrue(
         verdict.waiting() > 20, "one small upstream makes lookups wait: " + verdict.waiting());
     assertFalse(
         verdict.lines().stream()
-            .anyMatch(line -> line.changes().stream().anyMatch(Verdict.Change::harms)));
+            .anyMatch(line -> line.changes().stream().anyMatch(ReplayComparison.Change::harms)));
     final java.io.ByteArrayOutputStream text = new java.io.ByteArrayOutputStream();
     verdict.print(new java.io.PrintStream(text));
     assertTrue(text.toString().contains("only lookups and downloads wait"), text.toString());
@@ -147,28 +156,28 @@
 
   @Test
   public void thePredictionMeetsTheDeed() throws IOException {
-    final DayMaker deed = new DayMaker();
+    final RecordingGenerator deed = new RecordingGenerator();
     final Path done = folder.resolve("deed");
     deed.write(done, 11, BOARDS, 24, 1800);
-    final String proposed = DayMaker.spec(2, "idempotent", 2, 1000, "desk", "");
-    final Set<String> predicted = ids(replay(day, proposed), Verdict.Change.RUN_TWICE);
+    final String proposed = RecordingGenerator.spec(2, "idempotent", 2, 1000, "desk", "");
+    final Set<String> predicted = ids(replay(day, proposed), ReplayComparison.Change.RUN_TWICE);
     final Set<String> happened = new TreeSet<>();
-    try (DayFile.Reader reader = new DayFile.Reader(done)) {
+    try (RecordingFile.Reader reader = new RecordingFile.Reader(done)) {
       final var loop = new io.netty.channel.nio.NioEventLoopGroup(1);
-      final World fleet = new World(loop, "", 99);
-      fleet.plan(RoutingTable.compile(DayMaker.bytes(proposed)));
+      final ReplaySimulator fleet = new ReplaySimulator(loop, "", 99);
+      fleet.plan(RoutingTable.compile(RecordingGenerator.bytes(proposed)));
       for (Object part = reader.next(); part != null; part = reader.next()) {
-        if (part instanceof DayFile.Control) {
-          fleet.control(((DayFile.Control) part).registrations, null);
-        } else if (part instanceof DayFile.Turn) {
-          final DayFile.Turn turn = (DayFile.Turn) part;
+        if (part instanceof RecordingFile.ControlSnapshot) {
+          fleet.control(((RecordingFile.ControlSnapshot) part).registrations, null);
+        } else if (part instanceof RecordingFile.TimedBatch) {
+          final RecordingFile.TimedBatch turn = (RecordingFile.TimedBatch) part;
           fleet.board(
               turn.reel.board,
               turn.reel.site,
               turn.reel.region,
               java.util.Map.of("port", "north", "couva", "south"));
           for (final var note : weldpoint.transport.Protocol.list(turn.reel.notes)) {
-            final Call call = new Call(note, turn.reel.board, turn.offset, 100);
+            final RecordedCall call = new RecordedCall(note, turn.reel.board, turn.offset, 100);
             fleet.until(call.at);
             fleet.play(
                 call,
@@ -186,8 +195,8 @@
     assertEquals(predicted, happened);
   }
 
-  private Path bad(final java.util.function.Consumer<DayMaker> fault) throws IOException {
-    final DayMaker broken = new DayMaker();
+  private Path bad(final java.util.function.Consumer<RecordingGenerator> fault) throws IOException {
+    final RecordingGenerator broken = new RecordingGenerator();
     fault.accept(broken);
     final Path path = folder.resolve("bad-" + System.nanoTime());
     broken.write(path, 3, 3, 1, 3600);
@@ -196,7 +205,7 @@
 
   @Test
   public void partialRecordingsAreNeverJudged() throws IOException {
-    final String spec = DayMaker.spec(2, "mutating", 2, 1000, "desk", "");
+    final String spec = RecordingGenerator.spec(2, "mutating", 2, 1000, "desk", "");
     for (final Path path :
         List.of(
             bad(one -> one.skip = 30),
--- a/scale/src/main/java/weldpoint/scale/Sizes.java
+++ b/scale/src/main/java/weldpoint/scale/FleetSize.java
@@ -6,7 +6,7 @@
 import weldpoint.common.WeldpointException;
 
 /** The size of one run. */
-public record Sizes(
+public record FleetSize(
     int cores,
     int boards,
     int realBoards,
@@ -22,7 +22,7 @@
   private static final long HOLLOW_BYTES = 400L << 10;
 
   /** A size without tenants. */
-  public Sizes(
+  public FleetSize(
       final int cores,
       final int boards,
       final int realBoards,
@@ -46,7 +46,7 @@
   }
 
   /** This size, checked against what the machine has. */
-  public Sizes checked() {
+  public FleetSize checked() {
     if (cores < 1
         || cores > 40
         || boards < 0
--- a/scale/src/main/java/weldpoint/scale/HistoryMeasure.java
+++ b/scale/src/main/java/weldpoint/scale/HistoryMeasurement.java
@@ -20,8 +20,8 @@
  * The history alone: what entries take on disk and in memory, and what it costs an empty replica to
  * have them.
  */
-final class HistoryMeasure {
-  private HistoryMeasure() {}
+final class HistoryMeasurement {
+  private HistoryMeasurement() {}
 
   private static SegmentStore store(final Path folder, final int entries) throws IOException {
     final SegmentStore store =
--- a/scale/src/main/java/weldpoint/scale/Fit.java
+++ b/scale/src/main/java/weldpoint/scale/LinearFit.java
@@ -3,7 +3,7 @@
 import weldpoint.common.WeldpointException;
 
 /** A straight line through points by least squares, with what it leaves over. */
-public record Fit(
+public record LinearFit(
     double slope,
     double fixed,
     double worst,
@@ -15,7 +15,7 @@
   private static final double LEAST_SPAN = 4;
 
   /** The line through these points; fails where they are too few or too near each other. */
-  public static Fit of(final double[] sizes, final double[] values) {
+  public static LinearFit of(final double[] sizes, final double[] values) {
     if (sizes.length != values.length || sizes.length < LEAST_POINTS) {
       throw new WeldpointException(
           WeldpointException.Kind.INVALID,
@@ -59,7 +59,7 @@
       worst = Math.max(worst, Math.abs(rest));
       left += rest * rest;
     }
-    return new Fit(
+    return new LinearFit(
         slope, fixed, worst, total == 0 ? 1 : 1 - left / total, least, most, sizes.length);
   }
 
--- a/scale/src/main/java/weldpoint/scale/Child.java
+++ b/scale/src/main/java/weldpoint/scale/MeasuredProcess.java
@@ -14,7 +14,7 @@
 import weldpoint.common.WeldpointException;
 
 /** One real daemon as a process of its own, with what it counts of itself. */
-final class Child {
+final class MeasuredProcess {
   private static final Pattern TRUNK =
       Pattern.compile("trunk-in (\\d+) (\\d+) trunk-out (\\d+) (\\d+)");
 
@@ -33,7 +33,8 @@
   private volatile Sample counted;
   private volatile String last = "";
 
-  Child(final String program, final Path settings, final int heapMegabytes) throws IOException {
+  MeasuredProcess(final String program, final Path settings, final int heapMegabytes)
+      throws IOException {
     this.program = program;
     final List<String> words =
         new ArrayList<>(
--- a/scale/src/main/java/weldpoint/scale/ScaleCommand.java
+++ b/scale/src/main/java/weldpoint/scale/ScaleCommand.java
@@ -168,7 +168,7 @@
     for (final String name : names) {
       final double[] values =
           results.stream().mapToDouble(one -> one.getOrDefault(name, 0.0)).toArray();
-      final Fit fit = Fit.of(at, values);
+      final LinearFit fit = LinearFit.of(at, values);
       final StringBuilder points = new StringBuilder();
       for (final double value : values) {
         points.append(String.format(Locale.ROOT, "%12.2f", value));
--- a/scale/src/main/java/weldpoint/scale/ScaleRun.java
+++ b/scale/src/main/java/weldpoint/scale/ScaleRun.java
@@ -29,10 +29,10 @@
   private static final double MOST_APART = 0.25;
   private static final int BEAT_MILLIS = 1500;
 
-  private final Sizes sizes;
+  private final FleetSize sizes;
   private final int ports;
   private final Path folder;
-  private final List<Child> children = new ArrayList<>();
+  private final List<MeasuredProcess> children = new ArrayList<>();
   private final HttpClient client =
       HttpClient.newBuilder()
           .version(HttpClient.Version.HTTP_1_1)
@@ -48,11 +48,11 @@
           });
   private final AtomicLong beats = new AtomicLong();
   private final AtomicLong beatsFailed = new AtomicLong();
-  private Hollows hollows;
+  private SimulatedProxies hollows;
   private long version;
   private int nextUpstream;
 
-  ScaleRun(final Sizes sizes, final int ports) throws IOException {
+  ScaleRun(final FleetSize sizes, final int ports) throws IOException {
     this.sizes = sizes.checked();
     this.ports = ports;
     this.folder = Files.createTempDirectory("weldpoint-scale");
@@ -106,7 +106,7 @@
       throws IOException {
     final Path file = folder.resolve(program + "-" + address);
     Files.writeString(file, settings(address, place, extra));
-    children.add(new Child(program, file, heap));
+    children.add(new MeasuredProcess(program, file, heap));
   }
 
   private String control(final int index) {
@@ -264,7 +264,7 @@
     change();
     final long everyNanos = (long) (BEAT_MILLIS * 1e6 / sizes.upstreams());
     clock.scheduleAtFixedRate(this::beat, 0, Math.max(20_000, everyNanos), TimeUnit.NANOSECONDS);
-    hollows = new Hollows(places, sizes.boards());
+    hollows = new SimulatedProxies(places, sizes.boards());
     final long cutoff = System.nanoTime() + TimeUnit.SECONDS.toNanos(START_SECONDS);
     while (hollows.admitted() < sizes.boards() || beats.get() < sizes.upstreams() || !counted()) {
       if (System.nanoTime() > cutoff) {
@@ -287,7 +287,7 @@
   }
 
   private boolean counted() {
-    for (final Child child : children) {
+    for (final MeasuredProcess child : children) {
       if (child.sample() == null) {
         return false;
       }
@@ -296,7 +296,7 @@
   }
 
   private Map<String, Double> window(final int seconds) throws InterruptedException {
-    final List<Child.Sample> before = new ArrayList<>();
+    final List<MeasuredProcess.Sample> before = new ArrayList<>();
     children.forEach(child -> before.add(child.sample()));
     final long[] hollowBefore = hollows.in();
     final long beatsBefore = beats.get();
@@ -329,9 +329,9 @@
     final Map<String, double[]> sums = new LinkedHashMap<>();
     final Map<String, Integer> counts = new LinkedHashMap<>();
     for (int index = 0; index < children.size(); index++) {
-      final Child child = children.get(index);
-      final Child.Sample one = before.get(index);
-      final Child.Sample two = child.sample();
+      final MeasuredProcess child = children.get(index);
+      final MeasuredProcess.Sample one = before.get(index);
+      final MeasuredProcess.Sample two = child.sample();
       final double span = (two.atNanos() - one.atNanos()) / 1e9;
       final double[] values = {
         (two.cpuMillis() - one.cpuMillis()) / span,
@@ -401,15 +401,15 @@
     if (hollows != null) {
       hollows.end();
     }
-    children.forEach(Child::end);
+    children.forEach(MeasuredProcess::end);
     try {
-      for (int wait = 0; wait < 60 && children.stream().anyMatch(Child::alive); wait++) {
+      for (int wait = 0; wait < 60 && children.stream().anyMatch(MeasuredProcess::alive); wait++) {
         Thread.sleep(50);
       }
     } catch (final InterruptedException ended) {
       Thread.currentThread().interrupt();
     }
-    children.forEach(Child::kill);
+    children.forEach(MeasuredProcess::kill);
     try (java.util.stream.Stream<Path> files = Files.walk(folder)) {
       files.sorted(java.util.Comparator.reverseOrder()).forEach(file -> file.toFile().delete());
     } catch (final IOException left) {
--- a/scale/src/main/java/weldpoint/scale/Hollows.java
+++ b/scale/src/main/java/weldpoint/scale/SimulatedProxies.java
@@ -29,16 +29,16 @@
  * Switchboards without traffic, many to this process: each has its own link, stream and line, the
  * very code of a real one.
  */
-final class Hollows {
+final class SimulatedProxies {
   private static final long TICK_MILLIS = 100;
 
-  private final class Hollow {
+  private final class SimulatedProxy {
     private final Transport trunk;
     private final RegistryClient link;
     private final RegistryStream stream;
     private AffinityTable ties;
 
-    private Hollow(final Settings boot, final int index, final long incarnation) {
+    private SimulatedProxy(final Settings boot, final int index, final long incarnation) {
       trunk =
           new Transport(
               loop,
@@ -134,7 +134,7 @@
             thread.setDaemon(true);
             return thread;
           });
-  private final List<Hollow> hollows = new ArrayList<>();
+  private final List<SimulatedProxy> hollows = new ArrayList<>();
   private final List<Settings> boots;
   private final AtomicLong admitted = new AtomicLong();
   private final Map<Long, Integer> versions = new java.util.concurrent.ConcurrentHashMap<>();
@@ -145,16 +145,16 @@
   private long goneMessages;
 
   /** So many switchboards, spread over these places. */
-  Hollows(final List<Settings> boots, final int count) {
+  SimulatedProxies(final List<Settings> boots, final int count) {
     this.boots = boots;
     desk.execute(
         () -> {
           for (int index = 0; index < count; index++) {
-            hollows.add(new Hollow(boots.get(index % boots.size()), index, ++incarnations));
+            hollows.add(new SimulatedProxy(boots.get(index % boots.size()), index, ++incarnations));
           }
         });
     loop.scheduleAtFixedRate(
-        () -> desk.execute(() -> hollows.forEach(Hollow::tick)),
+        () -> desk.execute(() -> hollows.forEach(SimulatedProxy::tick)),
         TICK_MILLIS,
         TICK_MILLIS,
         TimeUnit.MILLISECONDS);
@@ -174,11 +174,12 @@
         () -> {
           if (!hollows.isEmpty()) {
             final int index = next++ % hollows.size();
-            final Hollow before = hollows.get(index);
+            final SimulatedProxy before = hollows.get(index);
             gone += before.trunk.meter().bytesIn();
             goneMessages += before.trunk.meter().messagesIn();
             before.stream.close();
-            hollows.set(index, new Hollow(boots.get(index % boots.size()), index, ++incarnations));
+            hollows.set(
+                index, new SimulatedProxy(boots.get(index % boots.size()), index, ++incarnations));
           }
         });
   }
@@ -205,7 +206,7 @@
     desk.execute(
         () -> {
           final long[] sums = {goneMessages, gone, 0, 0};
-          for (final Hollow one : hollows) {
+          for (final SimulatedProxy one : hollows) {
             final TrafficCounters meter = one.trunk.meter();
             sums[0] += meter.messagesIn();
             sums[1] += meter.bytesIn();
--- a/simulation/src/main/java/weldpoint/simulation/ControlLedger.java
+++ b/simulation/src/main/java/weldpoint/simulation/ControlPlaneChecker.java
@@ -14,7 +14,7 @@
  * promised. The content of a configuration is named by a tag that is part of it. Each breach is a
  * line.
  */
-public final class ControlLedger {
+public final class ControlPlaneChecker {
   /** What became of one content that was sent under a number. */
   private static final class Sent {
     final long firstSentAt;
--- a/simulation/src/main/java/weldpoint/simulation/ControlFleet.java
+++ b/simulation/src/main/java/weldpoint/simulation/ControlPlaneSimulation.java
@@ -33,7 +33,7 @@
  * core machine a frame and an exchange with its door, on the others a switchboard's link. All run
  * the product's own code.
  */
-public final class ControlFleet {
+public final class ControlPlaneSimulation {
   /** How often the steps of a life that are due by time are run. */
   private static final long TICK_MILLIS = 50;
 
@@ -49,7 +49,7 @@
   private record Event(long at, long order, Runnable deed) {}
 
   /** What the rig's user is told of switchboards. */
-  public interface Watcher {
+  public interface Observer {
     /** A switchboard has taken a configuration up; the first of its life makes it ready. */
     void takenUp(Machine board, long life, long startedAt, long version, byte[] spec);
 
@@ -61,7 +61,7 @@
   }
 
   /** What a test may do to messages on their way; it stands for a broken variant. */
-  public interface Meddler {
+  public interface FaultInjector {
     /** A machine's processes start. */
     default void started(final String machine) {}
 
@@ -103,12 +103,12 @@
     final String site;
     final String region;
     final boolean core;
-    final FakeDisk disk = new FakeDisk(ControlFleet.this);
-    final FakeDisk.Records frameRecords = disk.new Records();
-    final FakeDisk.Records exchangeRecords = disk.new Records();
-    final FakeDisk.Entries entries = disk.new Entries();
+    final SimulatedDisk disk = new SimulatedDisk(ControlPlaneSimulation.this);
+    final SimulatedDisk.Records frameRecords = disk.new Records();
+    final SimulatedDisk.Records exchangeRecords = disk.new Records();
+    final SimulatedDisk.Entries entries = disk.new Entries();
     List<String> seeds;
-    private Life life;
+    private Incarnation life;
     private boolean powered = true;
     private int frozen;
     private long slowMillis;
@@ -122,7 +122,7 @@
       this.site = site;
       this.region = region;
       this.core = core;
-      this.seeds = ControlFleet.this.seeds;
+      this.seeds = ControlPlaneSimulation.this.seeds;
     }
 
     /** Its address. */
@@ -185,7 +185,7 @@
   }
 
   /** One life of a machine's programs. */
-  final class Life {
+  final class Incarnation {
     private final Machine machine;
     private final long startedAt = now;
     private final ArrayDeque<Runnable> inbox = new ArrayDeque<>();
@@ -195,19 +195,19 @@
     private RegistryCore exchange;
     private ControlServer door;
     private RegistryClient link;
-    private FakeDisk.Writer frameWriter;
-    private FakeDisk.Writer exchangeWriter;
-    private Dialler boardDialler;
+    private SimulatedDisk.Writer frameWriter;
+    private SimulatedDisk.Writer exchangeWriter;
+    private Connector boardDialler;
     private long version;
     private Set<String> evacuated = Set.of();
     private final Map<String, RegistryMessages.Registration> upstreams = new LinkedHashMap<>();
     private byte[] lastSpec;
-    private final List<FakeLine> lines = new ArrayList<>();
-    private final Lines frames = new Lines(this, Port.FRAME);
-    private final Lines members = new Lines(this, Port.EXCHANGE);
-    private final Lines calls = new Lines(this, Port.FRAME_CALLS);
+    private final List<SimulatedConnection> lines = new ArrayList<>();
+    private final Connections frames = new Connections(this, Port.FRAME);
+    private final Connections members = new Connections(this, Port.EXCHANGE);
+    private final Connections calls = new Connections(this, Port.FRAME_CALLS);
 
-    private Life(final Machine machine) {
+    private Incarnation(final Machine machine) {
       this.machine = machine;
     }
 
@@ -262,16 +262,20 @@
   }
 
   /** Keeps one line to an address open, dialling again after it ends. */
-  private final class Dialler {
-    private final Life life;
+  private final class Connector {
+    private final Incarnation life;
     private final String to;
     private final Port port;
-    private final FakeLine.Ear ear;
-    private FakeLine line;
+    private final SimulatedConnection.Receiver ear;
+    private SimulatedConnection line;
     private boolean ended;
     private long pause = DIAL_MILLIS;
 
-    private Dialler(final Life life, final String to, final Port port, final FakeLine.Ear ear) {
+    private Connector(
+        final Incarnation life,
+        final String to,
+        final Port port,
+        final SimulatedConnection.Receiver ear) {
       this.life = life;
       this.to = to;
       this.port = port;
@@ -304,9 +308,9 @@
               life,
               to,
               port,
-              new FakeLine.Ear() {
+              new SimulatedConnection.Receiver() {
                 @Override
-                public void opened(final FakeLine opened) {
+                public void opened(final SimulatedConnection opened) {
                   if (ended) {
                     opened.close();
                     return;
@@ -316,12 +320,12 @@
                 }
 
                 @Override
-                public void heard(final FakeLine heard, final Message message) {
+                public void heard(final SimulatedConnection heard, final Message message) {
                   ear.heard(heard, message);
                 }
 
                 @Override
-                public void closed(final FakeLine closed) {
+                public void closed(final SimulatedConnection closed) {
                   line = null;
                   if (!ended) {
                     ear.closed(closed);
@@ -333,7 +337,7 @@
     }
 
     /** A line that is given up before its hello is dialled again. */
-    private void watchGreeting(final FakeLine opening) {
+    private void watchGreeting(final SimulatedConnection opening) {
       after(
           100,
           () -> {
@@ -375,20 +379,20 @@
   }
 
   /** Lines kept to a wanted set of addresses. */
-  private final class Lines {
-    private final Life life;
+  private final class Connections {
+    private final Incarnation life;
     private final Port port;
-    private final Map<String, Dialler> diallers = new LinkedHashMap<>();
-    private java.util.function.Function<String, FakeLine.Ear> ears;
+    private final Map<String, Connector> diallers = new LinkedHashMap<>();
+    private java.util.function.Function<String, SimulatedConnection.Receiver> ears;
 
-    private Lines(final Life life, final Port port) {
+    private Connections(final Incarnation life, final Port port) {
       this.life = life;
       this.port = port;
     }
 
     private void keep(final List<String> addresses) {
       for (final String address : addresses) {
-        diallers.computeIfAbsent(address, to -> new Dialler(life, to, port, ears.apply(to)));
+        diallers.computeIfAbsent(address, to -> new Connector(life, to, port, ears.apply(to)));
       }
       diallers
           .entrySet()
@@ -403,7 +407,7 @@
     }
 
     private boolean send(final String address, final Message message) {
-      final Dialler dialler = diallers.get(address);
+      final Connector dialler = diallers.get(address);
       return dialler != null && dialler.send(message);
     }
   }
@@ -418,8 +422,8 @@
   private final Map<String, Machine> machines = new LinkedHashMap<>();
   private final Map<String, Integer> cuts = new HashMap<>();
   private final List<String> seeds;
-  private final Watcher watcher;
-  private Meddler meddler = new Meddler() {};
+  private final Observer watcher;
+  private FaultInjector meddler = new FaultInjector() {};
   private long now = 1_000_000;
   private long order;
   private int lineNumbers;
@@ -428,14 +432,14 @@
   private byte[] sealedBytes;
 
   /** A fleet without machines. */
-  public ControlFleet(final long seed, final List<String> seeds, final Watcher watcher) {
+  public ControlPlaneSimulation(final long seed, final List<String> seeds, final Observer watcher) {
     this.random = new Random(seed);
     this.seeds = seeds;
     this.watcher = watcher;
   }
 
   /** Lets a test meddle. */
-  public void meddler(final Meddler given) {
+  public void meddler(final FaultInjector given) {
     meddler = given;
   }
 
@@ -490,26 +494,30 @@
   void heard(
       final String from,
       final String to,
-      final FakeLine line,
+      final SimulatedConnection line,
       final Message message,
       final Consumer<Message> ear) {
     meddler.heard(from, to, message, ear);
   }
 
-  private FakeLine open(final Life from, final String to, final Port port, final FakeLine.Ear ear) {
-    final Life target = machines.get(to).life;
-    final FakeLine line =
-        new FakeLine(this, ++lineNumbers, from, ear, target, listener(target, port));
-    from.lines.removeIf(FakeLine::over);
+  private SimulatedConnection open(
+      final Incarnation from,
+      final String to,
+      final Port port,
+      final SimulatedConnection.Receiver ear) {
+    final Incarnation target = machines.get(to).life;
+    final SimulatedConnection line =
+        new SimulatedConnection(this, ++lineNumbers, from, ear, target, listener(target, port));
+    from.lines.removeIf(SimulatedConnection::over);
     from.lines.add(line);
     if (from != target) {
-      target.lines.removeIf(FakeLine::over);
+      target.lines.removeIf(SimulatedConnection::over);
       target.lines.add(line);
     }
     return line;
   }
 
-  private FakeLine.Ear listener(final Life life, final Port port) {
+  private SimulatedConnection.Receiver listener(final Incarnation life, final Port port) {
     return switch (port) {
       case FRAME -> (line, message) -> life.frame.receive(line.from(), message, line::reply, now);
       case FRAME_CALLS ->
@@ -518,9 +526,9 @@
       case EXCHANGE ->
           (line, message) -> life.exchange.receive(line.from(), message, line::reply, now);
       case BOARDS ->
-          new FakeLine.Ear() {
+          new SimulatedConnection.Receiver() {
             @Override
-            public void heard(final FakeLine line, final Message message) {
+            public void heard(final SimulatedConnection line, final Message message) {
               if (message instanceof RegistryMessages.DaemonReport) {
                 life.exchange.boardState(
                     line,
@@ -533,7 +541,7 @@
             }
 
             @Override
-            public void closed(final FakeLine line) {
+            public void closed(final SimulatedConnection line) {
               life.exchange.streamClosed(line, line.from(), now);
             }
           };
@@ -573,7 +581,7 @@
     machine.powered = true;
     machine.lives++;
     meddler.started(machine.address);
-    final Life life = new Life(machine);
+    final Incarnation life = new Incarnation(machine);
     machine.life = life;
     if (machine.core) {
       startFrame(life, first);
@@ -584,7 +592,7 @@
     tick(life);
   }
 
-  private void tick(final Life life) {
+  private void tick(final Incarnation life) {
     after(
         TICK_MILLIS,
         () -> {
@@ -609,19 +617,19 @@
         });
   }
 
-  private void startFrame(final Life life, final boolean first) {
+  private void startFrame(final Incarnation life, final boolean first) {
     final Machine machine = life.machine;
     final List<byte[]> found = machine.frameRecords.lasting();
     life.frames.ears =
         to ->
-            new FakeLine.Ear() {
+            new SimulatedConnection.Receiver() {
               @Override
-              public void heard(final FakeLine line, final Message message) {
+              public void heard(final SimulatedConnection line, final Message message) {
                 life.frame.receive(to, message, line::send, now);
               }
 
               @Override
-              public void closed(final FakeLine line) {
+              public void closed(final SimulatedConnection line) {
                 life.frame.lineClosed(to, now);
               }
             };
@@ -663,38 +671,38 @@
     life.frameWriter.begin();
   }
 
-  private void startExchange(final Life life, final boolean first) {
+  private void startExchange(final Incarnation life, final boolean first) {
     final Machine machine = life.machine;
     life.members.ears =
         to ->
-            new FakeLine.Ear() {
+            new SimulatedConnection.Receiver() {
               @Override
-              public void opened(final FakeLine line) {
+              public void opened(final SimulatedConnection line) {
                 life.exchange.memberOpened(to, now);
               }
 
               @Override
-              public void heard(final FakeLine line, final Message message) {
+              public void heard(final SimulatedConnection line, final Message message) {
                 life.exchange.receive(to, message, line::send, now);
               }
 
               @Override
-              public void closed(final FakeLine line) {
+              public void closed(final SimulatedConnection line) {
                 life.exchange.memberClosed(to, now);
               }
             };
     life.calls.ears =
         to ->
-            new FakeLine.Ear() {
+            new SimulatedConnection.Receiver() {
               @Override
-              public void heard(final FakeLine line, final Message message) {
+              public void heard(final SimulatedConnection line, final Message message) {
                 if (message instanceof StoreMessages.StoreResponse) {
                   life.exchange.answered(to, (StoreMessages.StoreResponse) message, now);
                 }
               }
 
               @Override
-              public void closed(final FakeLine line) {
+              public void closed(final SimulatedConnection line) {
                 life.exchange.frameClosed(to, now);
               }
             };
@@ -719,7 +727,7 @@
 
               @Override
               public void board(final Object stream, final Message message) {
-                ((FakeLine) stream).reply(message);
+                ((SimulatedConnection) stream).reply(message);
               }
 
               @Override
@@ -770,7 +778,7 @@
             });
   }
 
-  private void startBoard(final Life life) {
+  private void startBoard(final Incarnation life) {
     final Machine machine = life.machine;
     final RegistryMessages.DaemonEntry self =
         new RegistryMessages.DaemonEntry(
@@ -793,18 +801,18 @@
                   life.boardDialler.close();
                 }
                 life.boardDialler =
-                    new Dialler(
+                    new Connector(
                         life,
                         address,
                         Port.BOARDS,
-                        new FakeLine.Ear() {
+                        new SimulatedConnection.Receiver() {
                           @Override
-                          public void opened(final FakeLine line) {
+                          public void opened(final SimulatedConnection line) {
                             life.link.opened(now);
                           }
 
                           @Override
-                          public void heard(final FakeLine line, final Message message) {
+                          public void heard(final SimulatedConnection line, final Message message) {
                             if (message instanceof RegistryMessages.View
                                 && ((RegistryMessages.View) message).spec != null) {
                               life.lastSpec = ((RegistryMessages.View) message).spec;
@@ -813,7 +821,7 @@
                           }
 
                           @Override
-                          public void closed(final FakeLine line) {
+                          public void closed(final SimulatedConnection line) {
                             life.link.closed(now);
                           }
                         });
@@ -872,7 +880,7 @@
    * nobody is told.
    */
   public void kill(final Machine machine, final boolean power) {
-    final Life life = machine.life;
+    final Incarnation life = machine.life;
     if (life == null) {
       machine.powered &= !power;
       return;
@@ -890,7 +898,7 @@
 
   /** Asks the processes of a machine to end; they are gone a little later. */
   public void stop(final Machine machine, final Runnable then) {
-    final Life life = machine.life;
+    final Incarnation life = machine.life;
     if (life == null) {
       then.run();
       return;
@@ -954,7 +962,9 @@
     if (!cut(from, to)) {
       cuts.remove(from.address + ">" + to.address);
       if (from.life != null) {
-        from.life.lines.stream().filter(line -> line.joins(to)).forEach(FakeLine::healed);
+        from.life.lines.stream()
+            .filter(line -> line.joins(to))
+            .forEach(SimulatedConnection::healed);
       }
     }
   }
@@ -962,7 +972,7 @@
   /** Resets a share of a machine's connections. */
   public void reset(final Machine machine, final double share, final Random chance) {
     if (machine.life != null) {
-      for (final FakeLine line : new ArrayList<>(machine.life.lines)) {
+      for (final SimulatedConnection line : new ArrayList<>(machine.life.lines)) {
         if (chance.nextDouble() < share) {
           line.reset();
         }
@@ -973,7 +983,7 @@
   /** Gives a machine other seeds, by its settings file and SIGHUP. */
   public void seeds(final Machine machine, final List<String> given) {
     machine.seeds = given;
-    final Life life = machine.life;
+    final Incarnation life = machine.life;
     if (life != null) {
       life.run(
           () -> {
@@ -990,7 +1000,7 @@
   // ---- outside calls
 
   /** One call that is under way. */
-  public final class Calling {
+  public final class PendingCall {
     private long closedAt = Long.MAX_VALUE;
 
     /**
@@ -1006,13 +1016,13 @@
    * A call over HTTP to a machine's door, from a caller whom no cut concerns; the answer is given
    * once, unless it never comes.
    */
-  public Calling http(
+  public PendingCall http(
       final String to,
       final HttpMethod method,
       final String uri,
       final String body,
       final Consumer<Reply> then) {
-    final Calling calling = new Calling();
+    final PendingCall calling = new PendingCall();
     final Machine machine = machines.get(to);
     final long trip = 1 + random.nextInt(12);
     after(
@@ -1021,7 +1031,7 @@
           if (machine == null || !machine.powered) {
             return;
           }
-          final Life life = machine.life;
+          final Incarnation life = machine.life;
           if (life == null || life.door == null) {
             after(trip, () -> then.accept(Reply.FAILED));
             return;
@@ -1073,7 +1083,7 @@
   /** Where the process ends before it has answered, the caller's connection fails. */
   private void broken(
       final Machine machine,
-      final Life life,
+      final Incarnation life,
       final boolean[] done,
       final long trip,
       final Consumer<Reply> then) {
--- a/simulation/src/main/java/weldpoint/simulation/ControlSearch.java
+++ b/simulation/src/main/java/weldpoint/simulation/ControlSearch.java
@@ -16,12 +16,12 @@
   private static final int MOST_MINUTES = 1440;
 
   private final PrintStream out;
-  private final Map<Trouble.Kind, Integer> played = new EnumMap<>(Trouble.Kind.class);
+  private final Map<Fault.Kind, Integer> played = new EnumMap<>(Fault.Kind.class);
   private long first = 1;
   private long days = -1;
   private long minutes = -1;
-  private Trouble.Kind kind;
-  private ControlPlan single;
+  private Fault.Kind kind;
+  private SimulationPlan single;
   private volatile long count;
   private volatile boolean concluded;
   private long answers;
@@ -70,9 +70,9 @@
       switch (name) {
         case "--days" -> days = within(name, value, 1, MOST_DAYS);
         case "--minutes" -> minutes = within(name, value, 1, MOST_MINUTES);
-        case "--seed" -> first = ControlPlan.number(name, value);
-        case "--kind" -> kind = ControlPlan.kind(value);
-        case "--day" -> single = ControlPlan.parse(value);
+        case "--seed" -> first = SimulationPlan.number(name, value);
+        case "--kind" -> kind = SimulationPlan.kind(value);
+        case "--day" -> single = SimulationPlan.parse(value);
         default -> throw new IllegalArgumentException("'" + name + "' is unknown");
       }
     }
@@ -86,7 +86,7 @@
 
   private static long within(
       final String name, final String value, final long least, final long most) {
-    final long number = ControlPlan.number(name, value);
+    final long number = SimulationPlan.number(name, value);
     if (number < least || number > most) {
       throw new IllegalArgumentException(
           name + " is " + number + "; give " + least + " to " + most);
@@ -95,7 +95,7 @@
   }
 
   private int replay() {
-    final ControlDay.Outcome outcome = ControlDay.play(single);
+    final SimulationRun.Outcome outcome = SimulationRun.play(single);
     count = 1;
     outcome.breaches().forEach(out::println);
     out.println(
@@ -115,15 +115,15 @@
     for (long seed = first;
         days < 0 ? System.nanoTime() - begun < minutes * 60_000_000_000L : count < days;
         seed++) {
-      final ControlPlan plan = ControlPlan.drawn(seed);
+      final SimulationPlan plan = SimulationPlan.drawn(seed);
       if (kind != null && plan.troubles().stream().noneMatch(trouble -> trouble.kind() == kind)) {
         continue;
       }
-      final ControlDay.Outcome outcome = ControlDay.play(plan);
+      final SimulationRun.Outcome outcome = SimulationRun.play(plan);
       count++;
       answers += outcome.answers();
       plan.troubles().stream()
-          .map(Trouble::kind)
+          .map(Fault::kind)
           .distinct()
           .forEach(one -> played.merge(one, 1, Integer::sum));
       if (!outcome.breaches().isEmpty()) {
@@ -131,9 +131,9 @@
         out.println("seed " + seed + " breaks a promise:");
         outcome.breaches().stream().limit(5).forEach(breach -> out.println("  " + breach));
         out.println("the day as drawn: " + plan);
-        final ControlPlan shorter = Shrinker.shrink(plan, outcome, ControlDay::play);
+        final SimulationPlan shorter = PlanShrinker.shrink(plan, outcome, SimulationRun::play);
         out.println("the shortened day: --day '" + shorter + "'");
-        ControlDay.play(shorter).breaches().stream()
+        SimulationRun.play(shorter).breaches().stream()
             .limit(5)
             .forEach(breach -> out.println("  " + breach));
         return 1;
--- a/simulation/src/main/java/weldpoint/simulation/Trouble.java
+++ b/simulation/src/main/java/weldpoint/simulation/Fault.java
@@ -6,7 +6,7 @@
 import java.util.Random;
 
 /** One trouble of a day: what happens, when, for how long, and a seed for what it picks. */
-public record Trouble(Kind kind, long atMillis, long forMillis, long seed) {
+public record Fault(Kind kind, long atMillis, long forMillis, long seed) {
   /** How long a machine that is started again takes at most until its processes run. */
   private static final int START_MILLIS = 1200;
 
@@ -15,9 +15,9 @@
     /** Machines are killed, or lose power. */
     NODE_KILL {
       @Override
-      void strike(final ControlDay day, final Trouble trouble, final Random random) {
+      void strike(final SimulationRun day, final Fault trouble, final Random random) {
         final boolean power = random.nextBoolean();
-        for (final ControlFleet.Machine machine :
+        for (final ControlPlaneSimulation.Machine machine :
             day.draw(day.all(), 1 + random.nextInt(2), random)) {
           day.down(machine, power, power ? trouble.forMillis : 200 + random.nextInt(START_MILLIS));
         }
@@ -26,7 +26,7 @@
     /** All core machines are killed, or lose power. */
     HERD_KILL {
       @Override
-      void strike(final ControlDay day, final Trouble trouble, final Random random) {
+      void strike(final SimulationRun day, final Fault trouble, final Random random) {
         final boolean power = random.nextBoolean();
         day.fleet()
             .core()
@@ -36,12 +36,12 @@
     /** The machines are stopped in order, one after the other, and start again. */
     ROLL_TERM {
       @Override
-      void strike(final ControlDay day, final Trouble trouble, final Random random) {
-        final List<ControlFleet.Machine> order =
+      void strike(final SimulationRun day, final Fault trouble, final Random random) {
+        final List<ControlPlaneSimulation.Machine> order =
             new ArrayList<>(random.nextBoolean() ? day.fleet().core() : day.all());
         final long gap = Math.max(600, trouble.forMillis / order.size());
         for (int index = 0; index < order.size(); index++) {
-          final ControlFleet.Machine machine = order.get(index);
+          final ControlPlaneSimulation.Machine machine = order.get(index);
           day.fleet()
               .after(index * gap, () -> day.restart(machine, 100 + random.nextInt(START_MILLIS)));
         }
@@ -53,7 +53,7 @@
      */
     REPLACE_CORE {
       @Override
-      void strike(final ControlDay day, final Trouble trouble, final Random random) {
+      void strike(final SimulationRun day, final Fault trouble, final Random random) {
         day.replace(random.nextBoolean(), 500 + random.nextInt(1500), random);
       }
     },
@@ -62,7 +62,7 @@
      */
     AFTER_ACK_KILL {
       @Override
-      void strike(final ControlDay day, final Trouble trouble, final Random random) {
+      void strike(final SimulationRun day, final Fault trouble, final Random random) {
         final int count = 1 + random.nextInt(2);
         final boolean power = random.nextInt(4) > 0;
         day.uponAck(
@@ -83,7 +83,7 @@
     /** The same, and the disks are lost; the other core machines may lose power too. */
     AFTER_ACK_WIPE {
       @Override
-      void strike(final ControlDay day, final Trouble trouble, final Random random) {
+      void strike(final SimulationRun day, final Fault trouble, final Random random) {
         final int count = 1 + random.nextInt(2);
         final boolean others = random.nextBoolean();
         day.uponAck(
@@ -92,7 +92,7 @@
                     .after(
                         random.nextInt(5),
                         () -> {
-                          final List<ControlFleet.Machine> hit =
+                          final List<ControlPlaneSimulation.Machine> hit =
                               day.with(by, Math.min(count, day.mayLose()), random);
                           hit.forEach(
                               machine ->
@@ -112,8 +112,9 @@
     /** A disk takes no more bytes. */
     DISK_FULL {
       @Override
-      void strike(final ControlDay day, final Trouble trouble, final Random random) {
-        for (final ControlFleet.Machine machine : day.draw(day.fleet().core(), 1, random)) {
+      void strike(final SimulationRun day, final Fault trouble, final Random random) {
+        for (final ControlPlaneSimulation.Machine machine :
+            day.draw(day.fleet().core(), 1, random)) {
           machine.disk.full++;
           day.fleet().after(trouble.forMillis, () -> machine.disk.full--);
         }
@@ -122,8 +123,8 @@
     /** A disk takes thirty times as long. */
     DISK_SLOW {
       @Override
-      void strike(final ControlDay day, final Trouble trouble, final Random random) {
-        for (final ControlFleet.Machine machine :
+      void strike(final SimulationRun day, final Fault trouble, final Random random) {
+        for (final ControlPlaneSimulation.Machine machine :
             day.draw(day.fleet().core(), 1 + random.nextInt(2), random)) {
           machine.disk.syncMillis *= 30;
           day.fleet().after(trouble.forMillis, () -> machine.disk.syncMillis /= 30);
@@ -133,8 +134,9 @@
     /** A disk answers nothing. */
     DISK_STALL {
       @Override
-      void strike(final ControlDay day, final Trouble trouble, final Random random) {
-        for (final ControlFleet.Machine machine : day.draw(day.fleet().core(), 1, random)) {
+      void strike(final SimulationRun day, final Fault trouble, final Random random) {
+        for (final ControlPlaneSimulation.Machine machine :
+            day.draw(day.fleet().core(), 1, random)) {
           machine.disk.stalled++;
           day.fleet().after(trouble.forMillis, () -> machine.disk.stalled--);
         }
@@ -143,9 +145,9 @@
     /** The time of day jumps, and jumps back. */
     CLOCK_STEP {
       @Override
-      void strike(final ControlDay day, final Trouble trouble, final Random random) {
+      void strike(final SimulationRun day, final Fault trouble, final Random random) {
         final long step = random.nextBoolean() ? 2000 : -2000;
-        for (final ControlFleet.Machine machine : day.draw(day.all(), 3, random)) {
+        for (final ControlPlaneSimulation.Machine machine : day.draw(day.all(), 3, random)) {
           day.fleet().step(machine, step);
           day.fleet().after(trouble.forMillis, () -> day.fleet().step(machine, -step));
         }
@@ -154,7 +156,7 @@
     /** A zone loses power; its machines come back within 1.5 s of each other. */
     ZONE_LOSS {
       @Override
-      void strike(final ControlDay day, final Trouble trouble, final Random random) {
+      void strike(final SimulationRun day, final Fault trouble, final Random random) {
         day.zone(random)
             .forEach(machine -> day.down(machine, true, trouble.forMillis + random.nextInt(1500)));
       }
@@ -162,9 +164,9 @@
     /** A zone is cut off from the others. */
     ZONE_CUT {
       @Override
-      void strike(final ControlDay day, final Trouble trouble, final Random random) {
-        final List<ControlFleet.Machine> inside = day.zone(random);
-        for (final ControlFleet.Machine machine : day.all()) {
+      void strike(final SimulationRun day, final Fault trouble, final Random random) {
+        final List<ControlPlaneSimulation.Machine> inside = day.zone(random);
+        for (final ControlPlaneSimulation.Machine machine : day.all()) {
           if (!inside.contains(machine)) {
             inside.forEach(one -> day.cut(one, machine, true, true, trouble.forMillis));
           }
@@ -177,12 +179,12 @@
      */
     CORE_CUT {
       @Override
-      void strike(final ControlDay day, final Trouble trouble, final Random random) {
-        final List<ControlFleet.Machine> off =
+      void strike(final SimulationRun day, final Fault trouble, final Random random) {
+        final List<ControlPlaneSimulation.Machine> off =
             day.draw(day.fleet().core(), 1 + random.nextInt(2), random);
         final int how = random.nextInt(4);
         final boolean towards = how != 1 || random.nextBoolean();
-        for (final ControlFleet.Machine machine : day.fleet().core()) {
+        for (final ControlPlaneSimulation.Machine machine : day.fleet().core()) {
           if (!off.contains(machine)) {
             off.forEach(
                 one -> day.cut(one, machine, towards, how != 1 || !towards, trouble.forMillis));
@@ -190,7 +192,7 @@
         }
         if (how == 2) {
           day.newSeeds(off);
-          final List<ControlFleet.Machine> others = day.draw(day.all(), 2, random);
+          final List<ControlPlaneSimulation.Machine> others = day.draw(day.all(), 2, random);
           others.removeAll(off);
           others.forEach(machine -> day.down(machine, false, 200 + random.nextInt(START_MILLIS)));
         } else if (how == 3) {
@@ -210,8 +212,9 @@
     /** Switchboards are cut off from all core machines. */
     NODE_CUT {
       @Override
-      void strike(final ControlDay day, final Trouble trouble, final Random random) {
-        for (final ControlFleet.Machine board : day.draw(day.fleet().boards(), 2, random)) {
+      void strike(final SimulationRun day, final Fault trouble, final Random random) {
+        for (final ControlPlaneSimulation.Machine board :
+            day.draw(day.fleet().boards(), 2, random)) {
           day.fleet()
               .core()
               .forEach(machine -> day.cut(board, machine, true, true, trouble.forMillis));
@@ -221,8 +224,8 @@
     /** Machines stand still. */
     NODE_FREEZE {
       @Override
-      void strike(final ControlDay day, final Trouble trouble, final Random random) {
-        for (final ControlFleet.Machine machine :
+      void strike(final SimulationRun day, final Fault trouble, final Random random) {
+        for (final ControlPlaneSimulation.Machine machine :
             day.draw(
                 random.nextInt(4) == 0 ? day.all() : day.fleet().core(),
                 1 + random.nextInt(2),
@@ -235,9 +238,9 @@
     /** Machines run slowly. */
     NODE_SLOW {
       @Override
-      void strike(final ControlDay day, final Trouble trouble, final Random random) {
+      void strike(final SimulationRun day, final Fault trouble, final Random random) {
         final long slow = 5 + random.nextInt(60);
-        for (final ControlFleet.Machine machine :
+        for (final ControlPlaneSimulation.Machine machine :
             day.draw(day.all(), 1 + random.nextInt(2), random)) {
           day.fleet().slow(machine, slow);
           day.fleet().after(trouble.forMillis, () -> day.fleet().slow(machine, -slow));
@@ -247,8 +250,8 @@
     /** Connections are reset. */
     RESET_CONNS {
       @Override
-      void strike(final ControlDay day, final Trouble trouble, final Random random) {
-        for (final ControlFleet.Machine machine : day.draw(day.all(), 3, random)) {
+      void strike(final SimulationRun day, final Fault trouble, final Random random) {
+        for (final ControlPlaneSimulation.Machine machine : day.draw(day.all(), 3, random)) {
           day.fleet().reset(machine, 0.5, random);
         }
       }
@@ -256,14 +259,14 @@
     /** The settings name other seeds. */
     SEED_TURNOVER {
       @Override
-      void strike(final ControlDay day, final Trouble trouble, final Random random) {
+      void strike(final SimulationRun day, final Fault trouble, final Random random) {
         day.newSeeds(day.draw(day.fleet().core(), 3, random));
       }
     },
     /** Most acknowledgements to the operator are lost. */
     ACK_LOST {
       @Override
-      void strike(final ControlDay day, final Trouble trouble, final Random random) {
+      void strike(final SimulationRun day, final Fault trouble, final Random random) {
         day.loseAcks(1);
         day.fleet().after(trouble.forMillis, () -> day.loseAcks(-1));
       }
@@ -271,7 +274,7 @@
     /** Machines get SIGHUP with the settings they have. */
     HUP {
       @Override
-      void strike(final ControlDay day, final Trouble trouble, final Random random) {
+      void strike(final SimulationRun day, final Fault trouble, final Random random) {
         day.draw(day.all(), 3, random)
             .forEach(machine -> day.fleet().seeds(machine, machine.seeds));
       }
@@ -282,11 +285,11 @@
       return name().toLowerCase(Locale.ROOT);
     }
 
-    abstract void strike(ControlDay day, Trouble trouble, Random random);
+    abstract void strike(SimulationRun day, Fault trouble, Random random);
   }
 
   /** Brings the trouble about. */
-  void strike(final ControlDay day) {
+  void strike(final SimulationRun day) {
     kind.strike(day, this, new Random(seed));
   }
 
--- a/simulation/src/main/java/weldpoint/simulation/Shrinker.java
+++ b/simulation/src/main/java/weldpoint/simulation/PlanShrinker.java
@@ -3,21 +3,21 @@
 import java.util.function.Function;
 
 /** Makes a day that breaks a promise shorter, as long as it still breaks one of the same kind. */
-final class Shrinker {
+final class PlanShrinker {
   private static final int MOST_PLAYS = 60;
   private static final long SHORTEST_MILLIS = 100;
   private static final long MARGIN_MILLIS = 100;
 
-  private final Function<ControlPlan, ControlDay.Outcome> play;
+  private final Function<SimulationPlan, SimulationRun.Outcome> play;
   private final String kind;
-  private ControlPlan best;
-  private ControlDay.Outcome outcome;
+  private SimulationPlan best;
+  private SimulationRun.Outcome outcome;
   private int plays;
 
-  private Shrinker(
-      final ControlPlan plan,
-      final ControlDay.Outcome outcome,
-      final Function<ControlPlan, ControlDay.Outcome> play) {
+  private PlanShrinker(
+      final SimulationPlan plan,
+      final SimulationRun.Outcome outcome,
+      final Function<SimulationPlan, SimulationRun.Outcome> play) {
     this.best = plan;
     this.outcome = outcome;
     this.play = play;
@@ -25,11 +25,11 @@
   }
 
   /** The shortest day that was found, after a bounded number of plays. */
-  static ControlPlan shrink(
-      final ControlPlan plan,
-      final ControlDay.Outcome outcome,
-      final Function<ControlPlan, ControlDay.Outcome> play) {
-    final Shrinker shrinker = new Shrinker(plan, outcome, play);
+  static SimulationPlan shrink(
+      final SimulationPlan plan,
+      final SimulationRun.Outcome outcome,
+      final Function<SimulationPlan, SimulationRun.Outcome> play) {
+    final PlanShrinker shrinker = new PlanShrinker(plan, outcome, play);
     shrinker.shrink();
     return shrinker.best;
   }
@@ -39,12 +39,12 @@
     return breach.replaceAll("at [0-9]+:", "").replaceAll("\\b[a-z]*[0-9][0-9a-z./-]*", "*");
   }
 
-  private boolean keeps(final ControlPlan candidate) {
+  private boolean keeps(final SimulationPlan candidate) {
     if (candidate.equals(best) || plays >= MOST_PLAYS) {
       return false;
     }
     plays++;
-    final ControlDay.Outcome played = play.apply(candidate);
+    final SimulationRun.Outcome played = play.apply(candidate);
     if (played.breaches().stream().noneMatch(breach -> kind(breach).equals(kind))) {
       return false;
     }
@@ -63,13 +63,13 @@
       shorter |= until >= 1000 && until < best.lasts() && keeps(best.lasting(until));
       shorter |= best.lasts() > 2000 && keeps(best.lasting(best.lasts() * 3 / 4));
       for (int index = 0; index < best.troubles().size(); index++) {
-        final Trouble one = best.troubles().get(index);
+        final Fault one = best.troubles().get(index);
         shorter |=
             one.forMillis() / 2 >= SHORTEST_MILLIS
                 && keeps(
                     best.with(
                         index,
-                        new Trouble(one.kind(), one.atMillis(), one.forMillis() / 2, one.seed())));
+                        new Fault(one.kind(), one.atMillis(), one.forMillis() / 2, one.seed())));
       }
     }
   }
--- a/simulation/src/main/java/weldpoint/simulation/Text.java
+++ b/simulation/src/main/java/weldpoint/simulation/RequestBodies.java
@@ -6,12 +6,12 @@
 import weldpoint.transport.Compression;
 
 /** What scripted callers write and read: bodies of the control interface. */
-final class Text {
+final class RequestBodies {
   private static final Pattern TAG = Pattern.compile("\"name\":\"tag-(\\w+)\"");
   private static final Pattern VERSION = Pattern.compile("\"version\":\"(\\w+)\"");
   private static final Pattern LOCATION = Pattern.compile("http://([0-9.]+)(?::[0-9]+)?(/.*)");
 
-  private Text() {}
+  private RequestBodies() {}
 
   /** A configuration whose content is named by a tag. */
   static String configuration(final long version, final String tag, final String flaw) {
--- a/simulation/src/main/java/weldpoint/simulation/Ledger.java
+++ b/simulation/src/main/java/weldpoint/simulation/SequentialModelChecker.java
@@ -6,15 +6,15 @@
 import java.util.Map;
 
 /** What callers saw, checked against a sequential model; each breach is a line. */
-public final class Ledger {
-  private record Given(long value, long sentAt, long answeredAt) {}
+public final class SequentialModelChecker {
+  private record IssuedNumber(long value, long sentAt, long answeredAt) {}
 
-  private record Grip(String owner, long fence, long from, long until) {}
+  private record LockHold(String owner, long fence, long from, long until) {}
 
   private record Put(long revision, long answeredAt) {}
 
-  private final Map<String, List<Given>> rising = new HashMap<>();
-  private final Map<String, List<Grip>> grips = new HashMap<>();
+  private final Map<String, List<IssuedNumber>> rising = new HashMap<>();
+  private final Map<String, List<LockHold>> grips = new HashMap<>();
   private final Map<String, List<Put>> puts = new HashMap<>();
   private final Map<String, String> values = new HashMap<>();
   private final Map<String, Boolean> refused = new HashMap<>();
@@ -27,8 +27,8 @@
    */
   public void given(final String name, final long value, final long sentAt, final long answeredAt) {
     answers++;
-    final List<Given> list = rising.computeIfAbsent(name, key -> new ArrayList<>());
-    for (final Given before : list) {
+    final List<IssuedNumber> list = rising.computeIfAbsent(name, key -> new ArrayList<>());
+    for (final IssuedNumber before : list) {
       if (before.value == value) {
         breaches.add(name + " gave " + value + " twice");
       } else if (before.answeredAt < sentAt && before.value > value
@@ -36,7 +36,7 @@
         breaches.add(name + " gave " + value + " though " + before.value + " had been given");
       }
     }
-    list.add(new Given(value, sentAt, answeredAt));
+    list.add(new IssuedNumber(value, sentAt, answeredAt));
   }
 
   /** A lock was taken, for the caller's own count of its time. */
@@ -47,9 +47,9 @@
       final long sentAt,
       final long answeredAt,
       final long hold) {
-    final List<Grip> list = grips.computeIfAbsent(lock, key -> new ArrayList<>());
+    final List<LockHold> list = grips.computeIfAbsent(lock, key -> new ArrayList<>());
     final long until = sentAt + hold;
-    for (final Grip before : list) {
+    for (final LockHold before : list) {
       if (before.fence == fence && !before.owner.equals(owner)) {
         breaches.add(lock + " gave fence " + fence + " to two");
       }
@@ -81,7 +81,7 @@
       }
     }
     if (answeredAt < until) {
-      list.add(new Grip(owner, fence, answeredAt, until));
+      list.add(new LockHold(owner, fence, answeredAt, until));
     }
     answers++;
   }
@@ -93,7 +93,7 @@
         .replaceAll(
             grip ->
                 grip.owner.equals(owner) && grip.fence == fence
-                    ? new Grip(owner, fence, grip.from, Math.min(grip.until, at))
+                    ? new LockHold(owner, fence, grip.from, Math.min(grip.until, at))
                     : grip);
   }
 
--- a/simulation/src/main/java/weldpoint/simulation/Applications.java
+++ b/simulation/src/main/java/weldpoint/simulation/SimulatedApplications.java
@@ -15,7 +15,7 @@
  * Applications that take locks, ask for numbers, put and read keys, and watch groups, as the pages
  * say.
  */
-final class Applications {
+final class SimulatedApplications {
   private static final Pattern EVENT =
       Pattern.compile("\\{\"name\":\"([^\"]*)\",\"value\":\"([^\"]*)\",\"revision\":(\\d+)\\}");
   private static final long HOLD_MILLIS = 1500;
@@ -26,11 +26,11 @@
 
   private record Seen(long after, long revision, List<Long> revisions) {}
 
-  private final ControlFleet fleet;
-  private final ControlLedger control;
-  private final Ledger ledger = new Ledger();
+  private final ControlPlaneSimulation fleet;
+  private final ControlPlaneChecker control;
+  private final SequentialModelChecker ledger = new SequentialModelChecker();
   private final Random random;
-  private final Caller caller;
+  private final SimulatedClient caller;
   private final Map<String, Long> known = new HashMap<>();
   private final Map<String, TreeMap<Long, String>> acked = new HashMap<>();
   private final Map<String, List<Seen>> seen = new HashMap<>();
@@ -39,11 +39,11 @@
   private int told;
   private boolean ended;
 
-  Applications(
-      final ControlFleet fleet,
-      final ControlLedger control,
+  SimulatedApplications(
+      final ControlPlaneSimulation fleet,
+      final ControlPlaneChecker control,
       final Random random,
-      final Caller caller) {
+      final SimulatedClient caller) {
     this.fleet = fleet;
     this.control = control;
     this.random = random;
@@ -101,13 +101,13 @@
       final String of,
       final String body,
       final long patience,
-      final Consumer<Caller.End> then) {
+      final Consumer<SimulatedClient.End> then) {
     caller.call(
         null,
         HttpMethod.POST,
         "/api/rpc?call=" + call + "&of=" + of,
         body,
-        Caller.SILENCE_MILLIS,
+        SimulatedClient.SILENCE_MILLIS,
         patience,
         NOTHING,
         end -> {
@@ -132,7 +132,7 @@
             fleet.after(200 + random.nextInt(400), () -> take(lock, owner));
             return;
           }
-          final long fence = Text.number(end.body(), "fenceNumber");
+          final long fence = RequestBodies.number(end.body(), "fenceNumber");
           ledger.taken(lock, owner, fence, end.sentAt(), fleet.now(), HOLD_MILLIS);
           hold(lock, owner, fence, end.sentAt() + HOLD_MILLIS, random.nextInt(4));
         });
@@ -170,7 +170,7 @@
                     + ",\"holdMs\":"
                     + HOLD_MILLIS
                     + "}",
-                Caller.SILENCE_MILLIS,
+                SimulatedClient.SILENCE_MILLIS,
                 Math.max(1, until - sentAt),
                 NOTHING,
                 end -> {
@@ -217,13 +217,16 @@
         HttpMethod.POST,
         "/api/numbers/" + name,
         "{}",
-        Caller.SILENCE_MILLIS,
+        SimulatedClient.SILENCE_MILLIS,
         3000,
         NOTHING,
         end -> {
           if (end.good()) {
             ledger.given(
-                "number " + name, Text.number(end.body(), "value"), end.sentAt(), fleet.now());
+                "number " + name,
+                RequestBodies.number(end.body(), "value"),
+                end.sentAt(),
+                fleet.now());
             note();
           }
         });
@@ -249,7 +252,7 @@
         PUT_MILLIS,
         end -> {
           if (end.good()) {
-            final long given = Text.number(end.body(), "revision");
+            final long given = RequestBodies.number(end.body(), "revision");
             ledger.put(key, value, given, fleet.now());
             ledger.given("group " + group, given, end.firstSentAt(), fleet.now());
             acked.computeIfAbsent(group, name -> new TreeMap<>()).put(given, value);
@@ -262,7 +265,7 @@
             }
           } else if (end.status() == 412) {
             ledger.turnedAway(value);
-            known.merge(key, Text.number(end.body(), "revision"), Math::max);
+            known.merge(key, RequestBodies.number(end.body(), "revision"), Math::max);
           }
         });
     fleet.after(20 + random.nextInt(200), this::put);
@@ -280,8 +283,8 @@
         3000,
         end -> {
           if (end.good()) {
-            final String value = Text.word(end.body(), "value");
-            final long revision = Text.number(end.body(), "revision");
+            final String value = RequestBodies.word(end.body(), "value");
+            final long revision = RequestBodies.number(end.body(), "revision");
             ledger.read(key, value, revision, end.sentAt());
             known.merge(key, revision, Math::max);
             shown(key, value, revision);
@@ -310,14 +313,15 @@
         HttpMethod.GET,
         "/api/watch/" + group + "?after=" + after + "&waitMs=" + WATCH_MILLIS,
         "",
-        Caller.SILENCE_MILLIS + WATCH_MILLIS,
+        SimulatedClient.SILENCE_MILLIS + WATCH_MILLIS,
         1,
         NOTHING,
         end -> {
           long next = after;
           long since = givenAt;
           if (end.good()) {
-            next = Text.number(end.body().substring(end.body().lastIndexOf(']')), "revision");
+            next =
+                RequestBodies.number(end.body().substring(end.body().lastIndexOf(']')), "revision");
             since = end.sentAt();
             if (next < after) {
               control.breach(
--- a/simulation/src/main/java/weldpoint/simulation/Caller.java
+++ b/simulation/src/main/java/weldpoint/simulation/SimulatedClient.java
@@ -11,7 +11,7 @@
  * Somebody outside who calls doors as the pages say: a second of silence, then another daemon, with
  * a pause that grows.
  */
-final class Caller {
+final class SimulatedClient {
   static final long SILENCE_MILLIS = 1000;
   private static final int MOST_REDIRECTS = 2;
   private static final int MOST_REFUSALS = 3;
@@ -26,12 +26,13 @@
     }
   }
 
-  private final ControlFleet fleet;
+  private final ControlPlaneSimulation fleet;
   private final Random random;
   private final Supplier<List<String>> list;
   private double loss;
 
-  Caller(final ControlFleet fleet, final Random random, final Supplier<List<String>> list) {
+  SimulatedClient(
+      final ControlPlaneSimulation fleet, final Random random, final Supplier<List<String>> list) {
     this.fleet = fleet;
     this.random = random;
     this.list = list;
@@ -95,8 +96,8 @@
       final Runnable uponTry,
       final Consumer<End> then) {
     attempt(
-        Text.host(location),
-        Text.path(location, uri),
+        RequestBodies.host(location),
+        RequestBodies.path(location, uri),
         tries,
         redirects,
         refusals,
@@ -145,7 +146,7 @@
       again.accept(refusals);
       return;
     }
-    final ControlFleet.Calling calling =
+    final ControlPlaneSimulation.PendingCall calling =
         fleet.http(
             to,
             method,
--- a/simulation/src/main/java/weldpoint/simulation/FakeLine.java
+++ b/simulation/src/main/java/weldpoint/simulation/SimulatedConnection.java
@@ -10,27 +10,27 @@
  * What meets a cut waits and arrives once the cut is healed, unless the line was given up
  * meanwhile; an end that hears nothing closes it.
  */
-final class FakeLine {
+final class SimulatedConnection {
   private static final long RING_MILLIS = 500;
   private static final long SILENCE_MILLIS = 1900;
   private static final Object OPEN = new Object();
   private static final Object CLOSE = new Object();
 
   /** What one end does with what comes. */
-  interface Ear {
-    default void opened(final FakeLine line) {}
+  interface Receiver {
+    default void opened(final SimulatedConnection line) {}
 
-    void heard(FakeLine line, Message message);
+    void heard(SimulatedConnection line, Message message);
 
-    default void closed(final FakeLine line) {}
+    default void closed(final SimulatedConnection line) {}
   }
 
   private record Packet(Object marker, Class<?> kind, byte[] bytes) {}
 
   /** One end. */
-  private final class End {
-    final ControlFleet.Life life;
-    final Ear ear;
+  private final class Endpoint {
+    final ControlPlaneSimulation.Incarnation life;
+    final Receiver ear;
     boolean open = true;
     boolean greeted;
     long heardAt;
@@ -38,19 +38,19 @@
     long arrivesAt;
     final ArrayDeque<Packet> held = new ArrayDeque<>();
 
-    End(final ControlFleet.Life life, final Ear ear) {
+    Endpoint(final ControlPlaneSimulation.Incarnation life, final Receiver ear) {
       this.life = life;
       this.ear = ear;
       heardAt = fleet.now();
       ringAt = fleet.now();
     }
 
-    End other() {
+    Endpoint other() {
       return this == dialler ? acceptor : dialler;
     }
 
     void put(final Packet packet) {
-      final End to = other();
+      final Endpoint to = other();
       if (!held.isEmpty() || fleet.cut(life.machine(), to.life.machine())) {
         held.add(packet);
         return;
@@ -59,7 +59,7 @@
     }
 
     private void arrive(final Packet packet) {
-      final End to = other();
+      final Endpoint to = other();
       arrivesAt = Math.max(arrivesAt, fleet.now() + fleet.delay(life.machine(), to.life.machine()));
       fleet.after(arrivesAt - fleet.now(), () -> to.arrived(packet));
     }
@@ -97,11 +97,11 @@
       if (packet.marker == CLOSE) {
         open = false;
         if (greeted) {
-          ear.closed(FakeLine.this);
+          ear.closed(SimulatedConnection.this);
         }
       } else if (packet.marker == OPEN) {
         greeted = true;
-        ear.opened(FakeLine.this);
+        ear.opened(SimulatedConnection.this);
       } else {
         final Message message = (Message) Serializer.value(packet.bytes, packet.kind);
         if (message instanceof Protocol.KeepAlive) {
@@ -113,9 +113,9 @@
         fleet.heard(
             other().life.machine().address,
             life.machine().address,
-            FakeLine.this,
+            SimulatedConnection.this,
             message,
-            heard -> ear.heard(FakeLine.this, heard));
+            heard -> ear.heard(SimulatedConnection.this, heard));
       }
     }
 
@@ -130,7 +130,7 @@
         open = false;
         put(new Packet(CLOSE, null, null));
         if (greeted && life.lives()) {
-          ear.closed(FakeLine.this);
+          ear.closed(SimulatedConnection.this);
         }
       }
     }
@@ -160,22 +160,22 @@
     }
   }
 
-  private final ControlFleet fleet;
+  private final ControlPlaneSimulation fleet;
   private final int number;
-  private final End dialler;
-  private final End acceptor;
+  private final Endpoint dialler;
+  private final Endpoint acceptor;
 
-  FakeLine(
-      final ControlFleet fleet,
+  SimulatedConnection(
+      final ControlPlaneSimulation fleet,
       final int number,
-      final ControlFleet.Life from,
-      final Ear fromEar,
-      final ControlFleet.Life to,
-      final Ear toEar) {
+      final ControlPlaneSimulation.Incarnation from,
+      final Receiver fromEar,
+      final ControlPlaneSimulation.Incarnation to,
+      final Receiver toEar) {
     this.fleet = fleet;
     this.number = number;
-    dialler = new End(from, fromEar);
-    acceptor = new End(to, toEar);
+    dialler = new Endpoint(from, fromEar);
+    acceptor = new Endpoint(to, toEar);
     dialler.put(new Packet(OPEN, null, null));
     acceptor.life.run(
         () -> {
@@ -227,7 +227,7 @@
   }
 
   /** One of the lives has ended while its machine runs on: the other end is told. */
-  void ended(final ControlFleet.Life life) {
+  void ended(final ControlPlaneSimulation.Incarnation life) {
     if (dialler.life == life && dialler.open) {
       dialler.open = false;
       dialler.put(new Packet(CLOSE, null, null));
@@ -243,7 +243,7 @@
     acceptor.healed();
   }
 
-  boolean joins(final ControlFleet.Machine machine) {
+  boolean joins(final ControlPlaneSimulation.Machine machine) {
     return dialler.life.machine() == machine || acceptor.life.machine() == machine;
   }
 
--- a/simulation/src/main/java/weldpoint/simulation/FakeDisk.java
+++ b/simulation/src/main/java/weldpoint/simulation/SimulatedDisk.java
@@ -9,16 +9,16 @@
  * A disk of one machine: what was synced outlives the process, what was only written may outlive
  * its kill but not a loss of power.
  */
-final class FakeDisk {
+final class SimulatedDisk {
   private static final int TURN_RECORDS = 400;
   private static final long RETRY_MILLIS = 200;
 
-  private final ControlFleet fleet;
+  private final ControlPlaneSimulation fleet;
   long syncMillis = 2;
   int full;
   int stalled;
 
-  FakeDisk(final ControlFleet fleet) {
+  SimulatedDisk(final ControlPlaneSimulation fleet) {
     this.fleet = fleet;
   }
 
@@ -46,7 +46,7 @@
   final class Writer {
     private final Records records;
     private final Supplier<List<byte[]>> view;
-    private final ControlFleet.Life life;
+    private final ControlPlaneSimulation.Incarnation life;
     private final List<byte[]> waiting = new ArrayList<>();
     private final List<Runnable> callbacks = new ArrayList<>();
     private List<byte[]> written = List.of();
@@ -55,7 +55,10 @@
     private long busySince = -1;
     private boolean refusing;
 
-    Writer(final Records records, final ControlFleet.Life life, final Supplier<List<byte[]>> view) {
+    Writer(
+        final Records records,
+        final ControlPlaneSimulation.Incarnation life,
+        final Supplier<List<byte[]>> view) {
       this.records = records;
       this.life = life;
       this.view = view;
@@ -151,12 +154,12 @@
   /** The history as one life of a program sees it. */
   final class EntryStore implements AuditStore {
     private final Entries entries;
-    private final ControlFleet.Life life;
+    private final ControlPlaneSimulation.Incarnation life;
     private final List<byte[]> all;
     private long syncedAt;
     private long base;
 
-    EntryStore(final Entries entries, final ControlFleet.Life life) {
+    EntryStore(final Entries entries, final ControlPlaneSimulation.Incarnation life) {
       this.entries = entries;
       this.life = life;
       this.all = new ArrayList<>(entries.lasting);
--- a/simulation/src/main/java/weldpoint/simulation/Operators.java
+++ b/simulation/src/main/java/weldpoint/simulation/SimulatedOperators.java
@@ -10,7 +10,7 @@
  * Operators as the pages have them: changes, races under one number, old and bad ones, evacuations,
  * reading back; up to eight orders under way.
  */
-final class Operators {
+final class SimulatedOperators {
   private static final int MOST_UNDER_WAY = 8;
   private static final long ACK_DEADLINE_MILLIS = 5000;
   private static final String[] FLAWS = {
@@ -19,9 +19,9 @@
 
   private record Change(long version, String tag, String flaw) {}
 
-  private final ControlFleet fleet;
-  private final ControlLedger ledger;
-  private final Caller caller;
+  private final ControlPlaneSimulation fleet;
+  private final ControlPlaneChecker ledger;
+  private final SimulatedClient caller;
   private final Random random;
   private final List<String> zones;
   private final List<Change> past = new ArrayList<>();
@@ -31,11 +31,11 @@
   private int tags;
   private boolean ended;
 
-  Operators(
-      final ControlFleet fleet,
-      final ControlLedger ledger,
+  SimulatedOperators(
+      final ControlPlaneSimulation fleet,
+      final ControlPlaneChecker ledger,
       final Random random,
-      final Caller caller,
+      final SimulatedClient caller,
       final List<String> zones) {
     this.fleet = fleet;
     this.ledger = ledger;
@@ -83,7 +83,8 @@
   }
 
   /** Sends a change; whoever waits is told how it ended. */
-  private void send(final Change change, final long patience, final Consumer<Caller.End> then) {
+  private void send(
+      final Change change, final long patience, final Consumer<SimulatedClient.End> then) {
     underWay++;
     if (change.flaw.isEmpty()) {
       past.add(change);
@@ -92,8 +93,8 @@
         null,
         HttpMethod.POST,
         "/api/rpc?call=configuration.replace",
-        Text.configuration(change.version, change.tag, change.flaw),
-        Caller.SILENCE_MILLIS,
+        RequestBodies.configuration(change.version, change.tag, change.flaw),
+        SimulatedClient.SILENCE_MILLIS,
         patience,
         () -> ledger.sent(change.version, change.tag, change.flaw.isEmpty(), fleet.now()),
         end -> {
@@ -115,7 +116,7 @@
       return;
     }
     if (underWay < MOST_UNDER_WAY) {
-      final Consumer<Caller.End> nothing = end -> {};
+      final Consumer<SimulatedClient.End> nothing = end -> {};
       switch (random.nextInt(10)) {
         case 0 -> {
           final Change one = next("");
@@ -145,14 +146,15 @@
         end -> fleet.after(200 + random.nextInt(2500), () -> evacuate(zone, end.good() != on)));
   }
 
-  private void order(final String zone, final boolean on, final Consumer<Caller.End> then) {
+  private void order(
+      final String zone, final boolean on, final Consumer<SimulatedClient.End> then) {
     final int order = ledger.ordered(zone, on, fleet.now());
     caller.call(
         null,
         HttpMethod.POST,
         "/api/rpc?call=evacuation." + (on ? "begin" : "finish") + "&of=" + zone,
         "",
-        Caller.SILENCE_MILLIS,
+        SimulatedClient.SILENCE_MILLIS,
         ACK_DEADLINE_MILLIS,
         () -> {},
         end -> {
@@ -172,18 +174,22 @@
   }
 
   /** Reads the configuration back. */
-  void readOnce(final long patience, final Consumer<Caller.End> then) {
+  void readOnce(final long patience, final Consumer<SimulatedClient.End> then) {
     caller.call(
         null,
         HttpMethod.POST,
         "/api/rpc?call=configuration.read",
         "",
-        Caller.SILENCE_MILLIS,
+        SimulatedClient.SILENCE_MILLIS,
         patience,
         () -> {},
         end -> {
           if (end.good()) {
-            ledger.read(Text.version(end.body()), Text.tag(end.body()), end.sentAt(), fleet.now());
+            ledger.read(
+                RequestBodies.version(end.body()),
+                RequestBodies.tag(end.body()),
+                end.sentAt(),
+                fleet.now());
           } else if (end.status() == 404) {
             ledger.readNothing(end.sentAt(), fleet.now());
           }
@@ -192,7 +198,7 @@
   }
 
   /** One change more, when all is calm. */
-  void last(final Consumer<Caller.End> then) {
+  void last(final Consumer<SimulatedClient.End> then) {
     send(next(""), ACK_DEADLINE_MILLIS, then);
   }
 }
--- a/simulation/src/main/java/weldpoint/simulation/Upstreams.java
+++ b/simulation/src/main/java/weldpoint/simulation/SimulatedUpstreams.java
@@ -6,12 +6,12 @@
 import java.util.Random;
 
 /** Upstreams that beat, drain and sign off as the pages say; some crash. */
-final class Upstreams {
+final class SimulatedUpstreams {
   private static final long BEAT_MILLIS = 1500;
   private static final long DRAIN_MILLIS = 2500;
   private static final String[] ZONES = {"a", "b", "c"};
 
-  private final class Upstream {
+  private final class SimulatedUpstream {
     final String id;
     final String address;
     final String zone;
@@ -22,7 +22,7 @@
     boolean gone;
     String target;
 
-    Upstream(final int number) {
+    SimulatedUpstream(final int number) {
       id = "i-" + number;
       address = "10.128.0." + number + ":8080";
       zone = ZONES[number % 3];
@@ -48,14 +48,14 @@
           HttpMethod.POST,
           "/api/rpc?call=instances.heartbeat&of=" + id,
           body,
-          Caller.SILENCE_MILLIS,
+          SimulatedClient.SILENCE_MILLIS,
           4000,
           () -> {},
           end -> {
             target = null;
             if (end.good()) {
               goodAt = fleet.now();
-              final String named = Text.word(end.body(), "beatTarget");
+              final String named = RequestBodies.word(end.body(), "beatTarget");
               target = named == null ? null : named.substring(0, named.indexOf(':'));
               if (drains) {
                 leftAcked = true;
@@ -78,7 +78,7 @@
           HttpMethod.POST,
           "/api/rpc?call=instances.deregister&of=" + id,
           "",
-          Caller.SILENCE_MILLIS,
+          SimulatedClient.SILENCE_MILLIS,
           4000,
           () -> {},
           end -> {
@@ -88,18 +88,18 @@
     }
   }
 
-  private final ControlFleet fleet;
-  private final ControlLedger ledger;
+  private final ControlPlaneSimulation fleet;
+  private final ControlPlaneChecker ledger;
   private final Random random;
-  private final Caller caller;
-  private final List<Upstream> all = new ArrayList<>();
+  private final SimulatedClient caller;
+  private final List<SimulatedUpstream> all = new ArrayList<>();
   private boolean ended;
 
-  Upstreams(
-      final ControlFleet fleet,
-      final ControlLedger ledger,
+  SimulatedUpstreams(
+      final ControlPlaneSimulation fleet,
+      final ControlPlaneChecker ledger,
       final Random random,
-      final Caller caller) {
+      final SimulatedClient caller) {
     this.fleet = fleet;
     this.ledger = ledger;
     this.random = random;
@@ -114,7 +114,7 @@
   }
 
   private void born() {
-    final Upstream one = new Upstream(all.size() + 1);
+    final SimulatedUpstream one = new SimulatedUpstream(all.size() + 1);
     all.add(one);
     fleet.after(random.nextInt(1500), one::beat);
   }
@@ -126,10 +126,10 @@
           if (ended) {
             return;
           }
-          final List<Upstream> present =
+          final List<SimulatedUpstream> present =
               all.stream().filter(one -> !one.gone && !one.draining).toList();
           if (present.size() > 2) {
-            final Upstream one = present.get(random.nextInt(present.size()));
+            final SimulatedUpstream one = present.get(random.nextInt(present.size()));
             if (random.nextInt(4) == 0) {
               one.gone = true;
             } else {
@@ -150,8 +150,8 @@
    * In the calm at the end: a switchboard has each upstream that beats, and none that left with an
    * acknowledgement.
    */
-  void check(final ControlFleet.Machine board) {
-    for (final Upstream one : all) {
+  void check(final ControlPlaneSimulation.Machine board) {
+    for (final SimulatedUpstream one : all) {
       final boolean known = board.upstreams().containsKey(one.id);
       if (one.leftAcked && known) {
         ledger.breach(
--- a/simulation/src/main/java/weldpoint/simulation/ControlPlan.java
+++ b/simulation/src/main/java/weldpoint/simulation/SimulationPlan.java
@@ -9,16 +9,16 @@
  * What a day is made of: the seed of its traffic and network, its core machines, its length, and
  * its troubles.
  */
-public record ControlPlan(long seed, int cores, long lasts, List<Trouble> troubles) {
+public record SimulationPlan(long seed, int cores, long lasts, List<Fault> troubles) {
   private static final long LONGEST = 600_000;
-  private static final Trouble.Kind[] KINDS = Trouble.Kind.values();
+  private static final Fault.Kind[] KINDS = Fault.Kind.values();
 
   /** The day that a seed stands for: a trouble alone, one that comes twice, or several together. */
-  public static ControlPlan drawn(final long seed) {
+  public static SimulationPlan drawn(final long seed) {
     final Random random = new Random(seed * 0x9e3779b97f4a7c15L + 17);
     final int cores = random.nextInt(4) == 0 ? 3 : 5 + random.nextInt(2);
-    final List<Trouble> troubles = new ArrayList<>();
-    final Trouble.Kind one = KINDS[(int) Math.floorMod(seed, KINDS.length)];
+    final List<Fault> troubles = new ArrayList<>();
+    final Fault.Kind one = KINDS[(int) Math.floorMod(seed, KINDS.length)];
     final long at = 2000 + random.nextInt(3000);
     troubles.add(trouble(one, at, random));
     switch (random.nextInt(4)) {
@@ -36,11 +36,11 @@
       }
       default -> {}
     }
-    return new ControlPlan(seed, cores, 16_000 + random.nextInt(8000), List.copyOf(troubles));
+    return new SimulationPlan(seed, cores, 16_000 + random.nextInt(8000), List.copyOf(troubles));
   }
 
-  private static Trouble trouble(final Trouble.Kind kind, final long at, final Random random) {
-    return new Trouble(
+  private static Fault trouble(final Fault.Kind kind, final long at, final Random random) {
+    return new Fault(
         kind,
         at,
         500 + random.nextInt(random.nextInt(3) == 0 ? 10_000 : 4000),
@@ -48,7 +48,7 @@
   }
 
   /** Reads a day as {@link #toString} writes it; what makes no sense is refused with the remedy. */
-  public static ControlPlan parse(final String text) {
+  public static SimulationPlan parse(final String text) {
     final String[] words = text.strip().split("\\s+");
     if (words.length < 3) {
       throw new IllegalArgumentException(
@@ -66,7 +66,7 @@
       throw new IllegalArgumentException(
           "lasts is " + lasts + "; give 1000 to " + LONGEST + " milliseconds");
     }
-    final List<Trouble> troubles = new ArrayList<>();
+    final List<Fault> troubles = new ArrayList<>();
     for (int index = 3; index < words.length; index++) {
       final java.util.regex.Matcher matcher =
           java.util.regex.Pattern.compile("([a-z_]+)@(-?\\w+)\\+(-?\\w+)#(-?\\w+)")
@@ -77,8 +77,8 @@
                 + words[index]
                 + "' cannot be read; write it as kind@start+length#seed, in milliseconds");
       }
-      final Trouble one =
-          new Trouble(
+      final Fault one =
+          new Fault(
               kind(matcher.group(1)),
               number("the start of " + words[index], matcher.group(2)),
               number("the length of " + words[index], matcher.group(3)),
@@ -96,7 +96,7 @@
       }
       troubles.add(one);
     }
-    return new ControlPlan(seed, (int) cores, lasts, List.copyOf(troubles));
+    return new SimulationPlan(seed, (int) cores, lasts, List.copyOf(troubles));
   }
 
   private static String value(final String word, final String name) {
@@ -121,9 +121,9 @@
   }
 
   /** The kind of trouble of this name. */
-  static Trouble.Kind kind(final String name) {
+  static Fault.Kind kind(final String name) {
     final List<String> names = new ArrayList<>();
-    for (final Trouble.Kind kind : KINDS) {
+    for (final Fault.Kind kind : KINDS) {
       if (kind.word().equals(name)) {
         return kind;
       }
@@ -134,22 +134,22 @@
   }
 
   /** The day without one of its troubles. */
-  ControlPlan without(final int index) {
-    final List<Trouble> fewer = new ArrayList<>(troubles);
+  SimulationPlan without(final int index) {
+    final List<Fault> fewer = new ArrayList<>(troubles);
     fewer.remove(index);
-    return new ControlPlan(seed, cores, lasts, List.copyOf(fewer));
+    return new SimulationPlan(seed, cores, lasts, List.copyOf(fewer));
   }
 
   /** The day with one trouble in the place of another. */
-  ControlPlan with(final int index, final Trouble other) {
-    final List<Trouble> changed = new ArrayList<>(troubles);
+  SimulationPlan with(final int index, final Fault other) {
+    final List<Fault> changed = new ArrayList<>(troubles);
     changed.set(index, other);
-    return new ControlPlan(seed, cores, lasts, List.copyOf(changed));
+    return new SimulationPlan(seed, cores, lasts, List.copyOf(changed));
   }
 
   /** The day with another length. */
-  ControlPlan lasting(final long millis) {
-    return new ControlPlan(
+  SimulationPlan lasting(final long millis) {
+    return new SimulationPlan(
         seed,
         cores,
         millis,
--- a/simulation/src/main/java/weldpoint/simulation/ControlDay.java
+++ b/simulation/src/main/java/weldpoint/simulation/SimulationRun.java
@@ -17,7 +17,7 @@
  * Plays one day: a fleet from its first start, operators, upstreams and applications, its troubles,
  * and a calm end at which all must be well.
  */
-public final class ControlDay {
+public final class SimulationRun {
   private static final String[] ZONES = {"a", "b", "c"};
   private static final int BOARDS = 3;
   private static final long STALENESS_MILLIS = 3000;
@@ -32,44 +32,51 @@
    */
   public record Outcome(List<String> breaches, long firstBreachAt, long answers) {}
 
-  private final ControlPlan plan;
-  private final ControlFleet fleet;
-  private final ControlLedger ledger = new ControlLedger();
-  private final Operators operators;
-  private final Upstreams upstreams;
-  private final Applications applications;
-  private final Map<ControlFleet.Machine, Long> lostUntil = new HashMap<>();
+  private final SimulationPlan plan;
+  private final ControlPlaneSimulation fleet;
+  private final ControlPlaneChecker ledger = new ControlPlaneChecker();
+  private final SimulatedOperators operators;
+  private final SimulatedUpstreams upstreams;
+  private final SimulatedApplications applications;
+  private final Map<ControlPlaneSimulation.Machine, Long> lostUntil = new HashMap<>();
   private final long beganAt;
   private List<String> list = List.of();
   private int losing;
   private int born;
   private boolean calm;
 
-  private ControlDay(final ControlPlan plan, final ControlFleet.Meddler meddler) {
+  private SimulationRun(
+      final SimulationPlan plan, final ControlPlaneSimulation.FaultInjector meddler) {
     this.plan = plan;
     final List<String> seeds = List.of(address(0), address(1), address(2));
     fleet =
-        new ControlFleet(
+        new ControlPlaneSimulation(
             plan.seed(),
             seeds,
-            new ControlFleet.Watcher() {
+            new ControlPlaneSimulation.Observer() {
               @Override
               public void takenUp(
-                  final ControlFleet.Machine board,
+                  final ControlPlaneSimulation.Machine board,
                   final long life,
                   final long startedAt,
                   final long version,
                   final byte[] spec) {
                 ledger.takenUp(
-                    board.address(), life, startedAt, version, Text.tag(spec), fleet().now());
+                    board.address(),
+                    life,
+                    startedAt,
+                    version,
+                    RequestBodies.tag(spec),
+                    fleet().now());
               }
 
               @Override
-              public void evacuated(final ControlFleet.Machine board, final Set<String> zones) {}
+              public void evacuated(
+                  final ControlPlaneSimulation.Machine board, final Set<String> zones) {}
 
               @Override
               public void upstream(
-                  final ControlFleet.Machine board,
+                  final ControlPlaneSimulation.Machine board,
                   final RegistryMessages.Registration registration,
                   final boolean open) {}
             });
@@ -84,21 +91,23 @@
       fleet.add("10.1." + index + ".1", ZONES[index], region(ZONES[index]), false);
     }
     final Random random = new Random(plan.seed() + 1);
-    final Caller operator = new Caller(fleet, new Random(random.nextLong()), () -> list);
+    final SimulatedClient operator =
+        new SimulatedClient(fleet, new Random(random.nextLong()), () -> list);
     operators =
-        new Operators(fleet, ledger, new Random(random.nextLong()), operator, List.of("a", "b"));
+        new SimulatedOperators(
+            fleet, ledger, new Random(random.nextLong()), operator, List.of("a", "b"));
     upstreams =
-        new Upstreams(
+        new SimulatedUpstreams(
             fleet,
             ledger,
             new Random(random.nextLong()),
-            new Caller(fleet, new Random(random.nextLong()), () -> list));
+            new SimulatedClient(fleet, new Random(random.nextLong()), () -> list));
     applications =
-        new Applications(
+        new SimulatedApplications(
             fleet,
             ledger,
             new Random(random.nextLong()),
-            new Caller(fleet, new Random(random.nextLong()), () -> list));
+            new SimulatedClient(fleet, new Random(random.nextLong()), () -> list));
   }
 
   private static String address(final int index) {
@@ -110,13 +119,14 @@
   }
 
   /** Plays a day. */
-  public static Outcome play(final ControlPlan plan) {
+  public static Outcome play(final SimulationPlan plan) {
     return play(plan, null);
   }
 
   /** Plays a day with somebody who meddles with messages. */
-  public static Outcome play(final ControlPlan plan, final ControlFleet.Meddler meddler) {
-    return new ControlDay(plan, meddler).play();
+  public static Outcome play(
+      final SimulationPlan plan, final ControlPlaneSimulation.FaultInjector meddler) {
+    return new SimulationRun(plan, meddler).play();
   }
 
   private Outcome play() {
@@ -131,7 +141,7 @@
     upstreams.begin();
     applications.begin();
     fleet.run(START_MILLIS - 500);
-    for (final Trouble trouble : plan.troubles()) {
+    for (final Fault trouble : plan.troubles()) {
       fleet.after(trouble.atMillis(), () -> trouble.strike(this));
     }
     fleet.run(plan.lasts());
@@ -158,7 +168,7 @@
   private void end() {
     fleet.after(0, operators::end);
     long longest = 0;
-    for (final Trouble trouble : plan.troubles()) {
+    for (final Fault trouble : plan.troubles()) {
       longest =
           Math.max(longest, trouble.atMillis() + trouble.forMillis() + SLACK_MILLIS - plan.lasts());
     }
@@ -178,7 +188,7 @@
               read -> {
                 done[1] = read.good();
                 if (read.good()) {
-                  ledger.finalRead(Text.version(read.body()), fleet.now());
+                  ledger.finalRead(RequestBodies.version(read.body()), fleet.now());
                 }
               });
         });
@@ -192,7 +202,7 @@
     } else if (!done[1]) {
       ledger.breach(fleet.now(), "the configuration could not be read back in the calm at the end");
     }
-    for (final ControlFleet.Machine board : fleet.boards()) {
+    for (final ControlPlaneSimulation.Machine board : fleet.boards()) {
       if (board.version() < Math.max(highest, done[0] ? ledger.highestAcked() : 0)) {
         ledger.breach(
             fleet.now(),
@@ -215,7 +225,7 @@
   /** Reads the history that the core has decided, where the times of day in it can be relied on. */
   private void history() {
     StateStoreReplica longest = null;
-    for (final ControlFleet.Machine machine : fleet.core()) {
+    for (final ControlPlaneSimulation.Machine machine : fleet.core()) {
       if (machine.frame() != null
           && !machine.frame().blank()
           && (longest == null || machine.frame().history().last() > longest.history().last())) {
@@ -223,8 +233,7 @@
       }
     }
     if (longest == null
-        || plan.troubles().stream()
-            .anyMatch(trouble -> trouble.kind() == Trouble.Kind.CLOCK_STEP)) {
+        || plan.troubles().stream().anyMatch(trouble -> trouble.kind() == Fault.Kind.CLOCK_STEP)) {
       return;
     }
     for (long sequence = longest.history().base() + 1;
@@ -241,26 +250,27 @@
 
   // ---- what troubles use
 
-  ControlFleet fleet() {
+  ControlPlaneSimulation fleet() {
     return fleet;
   }
 
   /** All machines that have not been removed. */
-  List<ControlFleet.Machine> all() {
+  List<ControlPlaneSimulation.Machine> all() {
     return fleet.machines().values().stream().filter(machine -> !machine.removed()).toList();
   }
 
   /** So many of these, by lot. */
-  List<ControlFleet.Machine> draw(
-      final List<ControlFleet.Machine> from, final int count, final Random random) {
-    final List<ControlFleet.Machine> drawn = new ArrayList<>(from);
+  List<ControlPlaneSimulation.Machine> draw(
+      final List<ControlPlaneSimulation.Machine> from, final int count, final Random random) {
+    final List<ControlPlaneSimulation.Machine> drawn = new ArrayList<>(from);
     Collections.shuffle(drawn, random);
     return new ArrayList<>(drawn.subList(0, Math.min(count, drawn.size())));
   }
 
   /** The machine at this address and, by lot, other core machines, so many together. */
-  List<ControlFleet.Machine> with(final String address, final int count, final Random random) {
-    final List<ControlFleet.Machine> drawn = draw(fleet.core(), plan.cores() + 4, random);
+  List<ControlPlaneSimulation.Machine> with(
+      final String address, final int count, final Random random) {
+    final List<ControlPlaneSimulation.Machine> drawn = draw(fleet.core(), plan.cores() + 4, random);
     drawn.sort(
         (one, other) ->
             Boolean.compare(other.address().equals(address), one.address().equals(address)));
@@ -268,13 +278,14 @@
   }
 
   /** The machines of a zone, by lot. */
-  List<ControlFleet.Machine> zone(final Random random) {
+  List<ControlPlaneSimulation.Machine> zone(final Random random) {
     final String zone = ZONES[random.nextInt(ZONES.length)];
     return all().stream().filter(machine -> machine.site().equals(zone)).toList();
   }
 
   /** Ends a machine's processes; they start again after a while. */
-  void down(final ControlFleet.Machine machine, final boolean power, final long forMillis) {
+  void down(
+      final ControlPlaneSimulation.Machine machine, final boolean power, final long forMillis) {
     if (calm || machine.removed()) {
       return;
     }
@@ -283,7 +294,7 @@
   }
 
   /** Stops a machine's processes in order; they start again after a while. */
-  void restart(final ControlFleet.Machine machine, final long forMillis) {
+  void restart(final ControlPlaneSimulation.Machine machine, final long forMillis) {
     if (!calm && machine.runs()) {
       fleet.stop(machine, () -> fleet.after(forMillis, () -> fleet.start(machine, false)));
     }
@@ -299,7 +310,7 @@
   }
 
   /** A machine loses power and its disk; it comes back empty after a while. */
-  void wiped(final ControlFleet.Machine machine, final long forMillis) {
+  void wiped(final ControlPlaneSimulation.Machine machine, final long forMillis) {
     if (calm || mayLose() == 0 || machine.removed()) {
       return;
     }
@@ -321,8 +332,9 @@
     if (calm || mayLose() == 0) {
       return;
     }
-    final ControlFleet.Machine gone = draw(fleet.core(), 1, random).get(0);
-    final ControlFleet.Machine next = fleet.add("10.0.9." + ++born, gone.site(), gone.region, true);
+    final ControlPlaneSimulation.Machine gone = draw(fleet.core(), 1, random).get(0);
+    final ControlPlaneSimulation.Machine next =
+        fleet.add("10.0.9." + ++born, gone.site(), gone.region, true);
     next.seeds = gone.seeds;
     lostUntil.put(gone, Long.MAX_VALUE);
     if (planned) {
@@ -349,8 +361,8 @@
 
   /** Cuts the way between two machines, in one direction or both, for a while. */
   void cut(
-      final ControlFleet.Machine one,
-      final ControlFleet.Machine other,
+      final ControlPlaneSimulation.Machine one,
+      final ControlPlaneSimulation.Machine other,
       final boolean there,
       final boolean back,
       final long forMillis) {
@@ -365,10 +377,10 @@
   }
 
   /** Gives all machines new seeds, beginning with these. */
-  void newSeeds(final List<ControlFleet.Machine> first) {
+  void newSeeds(final List<ControlPlaneSimulation.Machine> first) {
     final List<String> seeds = new ArrayList<>();
     first.forEach(machine -> seeds.add(machine.address()));
-    for (final ControlFleet.Machine machine : fleet.core()) {
+    for (final ControlPlaneSimulation.Machine machine : fleet.core()) {
       if (seeds.size() < 3 && !seeds.contains(machine.address())) {
         seeds.add(machine.address());
       }
--- a/simulation/src/main/java/weldpoint/simulation/Fleet.java
+++ b/simulation/src/main/java/weldpoint/simulation/StateStoreSimulation.java
@@ -19,7 +19,7 @@
 import weldpoint.transport.StoreMessages;
 
 /** Several frames on a fake clock, a fake network and fake disks, driven by one seed. */
-public final class Fleet {
+public final class StateStoreSimulation {
   private static final long HISTORY_MILLIS = 20_000;
   private static final long DISK_BYTES = 2 << 20;
 
@@ -129,7 +129,7 @@
    * What a test may do to a core before it starts, and to a message on its way; null as the message
    * loses it.
    */
-  public interface Meddler {
+  public interface FaultInjector {
     /** Takes part in setting up a core: the store and the number of entries to keep are given. */
     default void prepare(final StateStoreReplica core, final AuditStore store, final long keeps) {
       core.history(store, keeps, ENTRY_BYTES);
@@ -142,7 +142,7 @@
   }
 
   /** Sees all that cores send to each other, get, and put on disk. */
-  public interface Watcher {
+  public interface Observer {
     /** A core starts, and its disk holds these records. */
     default void started(final String address, final List<byte[]> records) {}
 
@@ -162,17 +162,17 @@
   /** The most bytes of an entry of the history here. */
   public static final int ENTRY_BYTES = 1024;
 
-  private Meddler meddler = new Meddler() {};
-  private Watcher watcher = new Watcher() {};
+  private FaultInjector meddler = new FaultInjector() {};
+  private Observer watcher = new Observer() {};
   private long keeps = 2000;
 
   /** Lets a test meddle. */
-  public void meddler(final Meddler given) {
+  public void meddler(final FaultInjector given) {
     meddler = given;
   }
 
   /** Lets a test watch. */
-  public void watcher(final Watcher given) {
+  public void watcher(final Observer given) {
     watcher = given;
   }
 
@@ -201,7 +201,7 @@
    * A fleet whose disks sync before they say so; a broken one, for the checks to catch, says so at
    * once.
    */
-  public Fleet(final long seed, final List<String> seeds, final boolean syncsFirst) {
+  public StateStoreSimulation(final long seed, final List<String> seeds, final boolean syncsFirst) {
     this.random = new Random(seed);
     this.seeds = seeds;
     this.syncsFirst = syncsFirst;
--- a/simulation/src/test/java/weldpoint/registry/CopiesTest.java
+++ b/simulation/src/test/java/weldpoint/registry/CopiesTest.java
@@ -14,7 +14,7 @@
 import weldpoint.audit.AuditEntry;
 import weldpoint.audit.AuditLog;
 import weldpoint.audit.ChangeKind;
-import weldpoint.simulation.Fleet;
+import weldpoint.simulation.StateStoreSimulation;
 import weldpoint.statestore.StoreOperation;
 import weldpoint.transport.Serializer;
 import weldpoint.transport.StoreMessages;
@@ -39,7 +39,7 @@
   }
 
   private static final class World {
-    private final Fleet fleet;
+    private final StateStoreSimulation fleet;
     private final boolean identified;
     private final List<StoreClient> stores = new ArrayList<>();
     private final Map<String, Boolean> frozen = new HashMap<>();
@@ -50,7 +50,7 @@
 
     private World(final long seed, final boolean identified) {
       this.identified = identified;
-      fleet = new Fleet(seed, SEEDS, true);
+      fleet = new StateStoreSimulation(seed, SEEDS, true);
       for (final String[] machine : MACHINES) {
         fleet.add(machine[0], machine[1], machine[2]);
         fleet.start(machine[0], true);
--- a/simulation/src/test/java/weldpoint/simulation/BrokenControlTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/BrokenControlTest.java
@@ -35,15 +35,15 @@
   }
 
   /** A door that answers a read with what was last read there, where no majority can be asked. */
-  private static final class AnswersAlone implements ControlFleet.Meddler {
-    private final Map<String, ControlFleet.Reply> last = new HashMap<>();
+  private static final class AnswersAlone implements ControlPlaneSimulation.FaultInjector {
+    private final Map<String, ControlPlaneSimulation.Reply> last = new HashMap<>();
 
     @Override
     public void answered(
         final String machine,
         final String uri,
-        final ControlFleet.Reply reply,
-        final Consumer<ControlFleet.Reply> caller) {
+        final ControlPlaneSimulation.Reply reply,
+        final Consumer<ControlPlaneSimulation.Reply> caller) {
       if (uri.contains("configuration.read")) {
         if (reply.status() == 200) {
           last.put(machine, reply);
@@ -57,16 +57,16 @@
   }
 
   /** A door that acknowledges a configuration which was refused, as though its number were free. */
-  private static final class AcknowledgesTwice implements ControlFleet.Meddler {
+  private static final class AcknowledgesTwice implements ControlPlaneSimulation.FaultInjector {
     @Override
     public void answered(
         final String machine,
         final String uri,
-        final ControlFleet.Reply reply,
-        final Consumer<ControlFleet.Reply> caller) {
+        final ControlPlaneSimulation.Reply reply,
+        final Consumer<ControlPlaneSimulation.Reply> caller) {
       caller.accept(
           uri.contains("configuration.replace") && reply.status() == 409
-              ? new ControlFleet.Reply(200, "{}", null)
+              ? new ControlPlaneSimulation.Reply(200, "{}", null)
               : reply);
     }
   }
@@ -75,7 +75,7 @@
    * A holder of a duty who heeds no other ballot, and for whom each pulse counts as confirmed,
    * whatever the answer said.
    */
-  private static final class NeverOvertaken implements ControlFleet.Meddler {
+  private static final class NeverOvertaken implements ControlPlaneSimulation.FaultInjector {
     private final Map<String, StateStoreMessages.Heartbeat> pulses = new HashMap<>();
 
     @Override
@@ -104,7 +104,7 @@
   }
 
   /** Orders on zones reach the store a second time, seconds later, as calls that nobody knows. */
-  private static final class DelayedCopies implements ControlFleet.Meddler {
+  private static final class DelayedCopies implements ControlPlaneSimulation.FaultInjector {
     private final boolean known;
     private final Random random = new Random(1);
     private final List<Runnable> copies = new ArrayList<>();
@@ -145,7 +145,7 @@
    * number of its own: under its own name too, so that it takes it, or under that of the life which
    * asked.
    */
-  private static final class OfAnotherLife implements ControlFleet.Meddler {
+  private static final class OfAnotherLife implements ControlPlaneSimulation.FaultInjector {
     private final boolean taken;
     private final Map<String, StoreMessages.StoreRequest> calls = new HashMap<>();
     private final Map<String, StoreMessages.StoreResponse> answers = new HashMap<>();
@@ -196,7 +196,7 @@
   }
 
   /** A disk that says of its last records that they are lasting while they still wait in memory. */
-  private static final class SyncsLate implements ControlFleet.Meddler {
+  private static final class SyncsLate implements ControlPlaneSimulation.FaultInjector {
     private static final int WAITING = 30;
     private final Map<String, ArrayDeque<byte[]>> waiting = new HashMap<>();
 
@@ -222,9 +222,9 @@
     }
   }
 
-  private static LongFunction<ControlPlan> days(final String troubles) {
+  private static LongFunction<SimulationPlan> days(final String troubles) {
     return seed ->
-        ControlPlan.parse(
+        SimulationPlan.parse(
             "seed="
                 + seed
                 + " cores=5 lasts=16000 "
@@ -236,37 +236,37 @@
     return new Object[][] {
       {
         "an answer with authority without a majority since the question",
-        (Supplier<ControlFleet.Meddler>) AnswersAlone::new,
+        (Supplier<ControlPlaneSimulation.FaultInjector>) AnswersAlone::new,
         days("core_cut@3000+6000#SEED"),
         "a read sent at"
       },
       {
         "a number acknowledged twice with different content",
-        (Supplier<ControlFleet.Meddler>) AcknowledgesTwice::new,
+        (Supplier<ControlPlaneSimulation.FaultInjector>) AcknowledgesTwice::new,
         days(""),
         "with two contents"
       },
       {
         "a stale holder that serves on after thawing",
-        (Supplier<ControlFleet.Meddler>) NeverOvertaken::new,
+        (Supplier<ControlPlaneSimulation.FaultInjector>) NeverOvertaken::new,
         days("node_freeze@2000+2500#SEED node_freeze@6000+2500#1SEED node_freeze@11000+2500#2SEED"),
         "though"
       },
       {
         "a call carried out a second time from a delayed copy",
-        (Supplier<ControlFleet.Meddler>) () -> new DelayedCopies(false),
+        (Supplier<ControlPlaneSimulation.FaultInjector>) () -> new DelayedCopies(false),
         days(""),
         "which no order of its orders allows"
       },
       {
         "an answer given to the number of another life",
-        (Supplier<ControlFleet.Meddler>) () -> new OfAnotherLife(true),
+        (Supplier<ControlPlaneSimulation.FaultInjector>) () -> new OfAnotherLife(true),
         days("roll_term@2000+6000#SEED"),
         "gave"
       },
       {
         "a record that counts before it is synced",
-        (Supplier<ControlFleet.Meddler>) SyncsLate::new,
+        (Supplier<ControlPlaneSimulation.FaultInjector>) SyncsLate::new,
         days("herd_kill@4000+1000#SEED herd_kill@8000+1000#1SEED"),
         "though"
       },
@@ -276,14 +276,14 @@
   @Test(dataProvider = "variants")
   public void aBrokenMechanismIsNoticed(
       final String name,
-      final Supplier<ControlFleet.Meddler> variant,
-      final LongFunction<ControlPlan> days,
+      final Supplier<ControlPlaneSimulation.FaultInjector> variant,
+      final LongFunction<SimulationPlan> days,
       final String breach) {
     int caught = 0;
     for (long seed = 1; seed <= DAYS; seed++) {
-      final ControlPlan plan = days.apply(seed);
+      final SimulationPlan plan = days.apply(seed);
       caught +=
-          ControlDay.play(plan, variant.get()).breaches().stream()
+          SimulationRun.play(plan, variant.get()).breaches().stream()
                   .anyMatch(line -> line.contains(breach))
               ? 1
               : 0;
@@ -294,12 +294,12 @@
   @Test(dataProvider = "variants")
   public void theSameDaysAreWholeWithoutTheFault(
       final String name,
-      final Supplier<ControlFleet.Meddler> variant,
-      final LongFunction<ControlPlan> days,
+      final Supplier<ControlPlaneSimulation.FaultInjector> variant,
+      final LongFunction<SimulationPlan> days,
       final String breach) {
     for (long seed = 1; seed <= WHOLE_DAYS; seed++) {
-      final ControlPlan plan = days.apply(seed);
-      assertEquals(ControlDay.play(plan).breaches(), List.of(), "--day '" + plan + "'");
+      final SimulationPlan plan = days.apply(seed);
+      assertEquals(SimulationRun.play(plan).breaches(), List.of(), "--day '" + plan + "'");
     }
   }
 
@@ -307,10 +307,10 @@
   public void copiesAndAnswersUnderTheirOwnNamesDoNoHarm() {
     for (long seed = 1; seed <= DAYS; seed++) {
       final List<String> copies =
-          ControlDay.play(days("").apply(seed), new DelayedCopies(true)).breaches();
+          SimulationRun.play(days("").apply(seed), new DelayedCopies(true)).breaches();
       assertTrue(copies.isEmpty(), "seed " + seed + ": " + copies);
       final List<String> answers =
-          ControlDay.play(days("roll_term@2000+6000#SEED").apply(seed), new OfAnotherLife(false))
+          SimulationRun.play(days("roll_term@2000+6000#SEED").apply(seed), new OfAnotherLife(false))
               .breaches();
       assertTrue(answers.isEmpty(), "seed " + seed + ": " + answers);
     }
@@ -318,14 +318,14 @@
 
   @Test
   public void aDayThatBreaksAPromiseIsShortened() {
-    final ControlPlan plan =
-        ControlPlan.parse(
+    final SimulationPlan plan =
+        SimulationPlan.parse(
             "seed=3 cores=5 lasts=16000 hup@1000+500#1 core_cut@3000+6000#3 clock_step@4000+2000#2 seed_turnover@9000+500#4");
-    final ControlDay.Outcome outcome = ControlDay.play(plan, new AnswersAlone());
-    final ControlPlan shorter =
-        Shrinker.shrink(plan, outcome, one -> ControlDay.play(one, new AnswersAlone()));
+    final SimulationRun.Outcome outcome = SimulationRun.play(plan, new AnswersAlone());
+    final SimulationPlan shorter =
+        PlanShrinker.shrink(plan, outcome, one -> SimulationRun.play(one, new AnswersAlone()));
     assertTrue(
-        ControlDay.play(shorter, new AnswersAlone()).breaches().size() > 0, shorter.toString());
+        SimulationRun.play(shorter, new AnswersAlone()).breaches().size() > 0, shorter.toString());
     assertTrue(
         shorter.troubles().size() <= 1 && shorter.lasts() < plan.lasts(), shorter.toString());
   }
--- a/simulation/src/test/java/weldpoint/simulation/CatchUpMeasureTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/CatchUpMeasureTest.java
@@ -80,7 +80,8 @@
   }
 
   /** Sends configurations until the last is acknowledged. */
-  private long change(final Fleet fleet, final long from, final long through, final int routes) {
+  private long change(
+      final StateStoreSimulation fleet, final long from, final long through, final int routes) {
     for (long version = from + 1; version <= through; version++) {
       final byte[] body = configuration(version, routes);
       final StoreMessages.ChangeOrigin cause =
@@ -110,19 +111,19 @@
     return through;
   }
 
-  private static long bytes(final Fleet fleet) {
+  private static long bytes(final StateStoreSimulation fleet) {
     return fleet.received(MEMBER, StateStoreMessages.RecoveryResponse.class)
         + fleet.received(MEMBER, StateStoreMessages.Accept.class)
         + fleet.received(MEMBER, AuditMessages.AuditEntries.class);
   }
 
-  private static boolean caughtUp(final Fleet fleet) {
+  private static boolean caughtUp(final StateStoreSimulation fleet) {
     return !fleet.machines().get(MEMBER).core().blank()
         && fleet.machines().get(MEMBER).core().history().durable()
             == fleet.machines().get(SEEDS.get(0)).core().history().durable();
   }
 
-  private static long[] catchUp(final Fleet fleet) {
+  private static long[] catchUp(final StateStoreSimulation fleet) {
     final long from = fleet.now();
     final long before = bytes(fleet);
     fleet.start(MEMBER, false);
@@ -146,7 +147,7 @@
    * the changes, and of a wiped disk.
    */
   private long[] measure(final int changes, final int routes) {
-    final Fleet fleet = new Fleet(11, SEEDS, true);
+    final StateStoreSimulation fleet = new StateStoreSimulation(11, SEEDS, true);
     fleet.keeps(RETENTION);
     for (final String[] machine : MACHINES) {
       fleet.add(machine[0], machine[1], machine[2]);
--- a/simulation/src/test/java/weldpoint/simulation/CatchUpTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/CatchUpTest.java
@@ -38,8 +38,8 @@
     java.util.logging.Logger.getLogger("").setLevel(java.util.logging.Level.SEVERE);
   }
 
-  private static Fleet fleet(final long seed) {
-    final Fleet fleet = new Fleet(seed, SEEDS, true);
+  private static StateStoreSimulation fleet(final long seed) {
+    final StateStoreSimulation fleet = new StateStoreSimulation(seed, SEEDS, true);
     for (final String[] machine : MACHINES) {
       fleet.add(machine[0], machine[1], machine[2]);
     }
@@ -63,7 +63,7 @@
    * Puts one key into each of so many groups, again where an answer did not come; returns how many
    * puts were acknowledged.
    */
-  private static int put(final Fleet fleet, final int groups, final int length) {
+  private static int put(final StateStoreSimulation fleet, final int groups, final int length) {
     final Map<Integer, String> open = new TreeMap<>();
     for (int group = 0; group < groups; group++) {
       open.put(group, text(fleet.random(), length));
@@ -93,7 +93,7 @@
     return groups - open.size();
   }
 
-  private static long untilWhole(final Fleet fleet, final long most) {
+  private static long untilWhole(final StateStoreSimulation fleet, final long most) {
     final long from = fleet.now();
     while (fleet.now() - from < most
         && (fleet.machines().get(MEMBER).core() == null
@@ -103,7 +103,7 @@
     return fleet.now() - from;
   }
 
-  private static long ballots(final Fleet fleet) {
+  private static long ballots(final StateStoreSimulation fleet) {
     long ballots = 0;
     for (final String seed : SEEDS) {
       ballots += fleet.machines().get(seed).core().ballots();
@@ -112,13 +112,13 @@
   }
 
   /** The bytes that the member was sent for catching up. */
-  private static long bytes(final Fleet fleet) {
+  private static long bytes(final StateStoreSimulation fleet) {
     return fleet.received(MEMBER, StateStoreMessages.RecoveryResponse.class)
         + fleet.received(MEMBER, StateStoreMessages.Accept.class)
         + fleet.received(MEMBER, AuditMessages.AuditEntries.class);
   }
 
-  private static void restart(final Fleet fleet, final boolean wipe) {
+  private static void restart(final StateStoreSimulation fleet, final boolean wipe) {
     fleet.kill(MEMBER, true);
     if (wipe) {
       fleet.wipe(MEMBER);
@@ -127,7 +127,7 @@
 
   @Test
   public void aLostDiskIsFilledAgainOverASlowLinkUnderOneIncarnation() {
-    final Fleet fleet = fleet(1);
+    final StateStoreSimulation fleet = fleet(1);
     assertEquals(put(fleet, 300, 1000), 300);
     final long ballots = ballots(fleet);
     restart(fleet, true);
@@ -146,7 +146,7 @@
 
   @Test
   public void aFetchGoesOnWhereItStoodAfterChangesAndRestarts() {
-    final Fleet fleet = fleet(2);
+    final StateStoreSimulation fleet = fleet(2);
     assertEquals(put(fleet, 300, 1000), 300);
     restart(fleet, true);
     fleet.link(MEMBER, 200);
@@ -171,7 +171,7 @@
     assertTrue(took < 6000, "took " + took);
   }
 
-  private static void change(final Fleet fleet, final boolean[] done) {
+  private static void change(final StateStoreSimulation fleet, final boolean[] done) {
     if (!done[0]) {
       fleet.call(
           SEEDS.get(0),
@@ -188,7 +188,7 @@
 
   @Test
   public void aValueLargerThanAPartComesInPiecesWhileItChanges() {
-    final Fleet fleet = fleet(3);
+    final StateStoreSimulation fleet = fleet(3);
     final boolean[] done = new boolean[1];
     final long[] version = new long[1];
     configure(fleet, done, version, 200_000);
@@ -205,7 +205,10 @@
   }
 
   private static void configure(
-      final Fleet fleet, final boolean[] done, final long[] version, final int length) {
+      final StateStoreSimulation fleet,
+      final boolean[] done,
+      final long[] version,
+      final int length) {
     if (!done[0]) {
       final byte[] body = new byte[length];
       fleet.random().nextBytes(body);
@@ -217,7 +220,7 @@
   }
 
   private static long missed(final int changes) {
-    final Fleet fleet = fleet(4);
+    final StateStoreSimulation fleet = fleet(4);
     assertEquals(put(fleet, 600, 500), 600);
     restart(fleet, false);
     fleet.run(3000);
@@ -245,8 +248,8 @@
   }
 
   /** Makes one frame a candidate that ignores what the others promised to hold. */
-  private static Fleet.Meddler leadsWithOldState(final String candidate) {
-    return new Fleet.Meddler() {
+  private static StateStoreSimulation.FaultInjector leadsWithOldState(final String candidate) {
+    return new StateStoreSimulation.FaultInjector() {
       @Override
       public Message pass(final String from, final String to, final Message message) {
         if (message instanceof StateStoreMessages.Promise && to.equals(candidate)) {
@@ -269,7 +272,7 @@
    * reach, has led.
    */
   private static int behind(final boolean broken) {
-    final Fleet fleet = fleet(5);
+    final StateStoreSimulation fleet = fleet(5);
     if (broken) {
       fleet.meddler(leadsWithOldState(MEMBER));
     }
@@ -321,7 +324,7 @@
 
   @Test
   public void anExchangeThatWasAwayLearnsTheNewestConfigurationAtOnce() {
-    final Fleet fleet = fleet(6);
+    final StateStoreSimulation fleet = fleet(6);
     final boolean[] done = new boolean[1];
     final long[] version = new long[1];
     configure(fleet, done, version, 300);
@@ -345,7 +348,7 @@
 
   @Test
   public void aMemberThatRestartsBeforeItsHistoryIsThereDoesNotCountYet() {
-    final Fleet fleet = fleet(7);
+    final StateStoreSimulation fleet = fleet(7);
     final boolean[] done = new boolean[1];
     final long[] version = new long[1];
     configure(fleet, done, version, 300);
@@ -355,7 +358,7 @@
     restart(fleet, true);
     final boolean[] lost = {true};
     fleet.meddler(
-        new Fleet.Meddler() {
+        new StateStoreSimulation.FaultInjector() {
           @Override
           public Message pass(final String from, final String to, final Message message) {
             return lost[0] && to.equals(MEMBER) && message instanceof AuditMessages.AuditEntries
--- a/simulation/src/test/java/weldpoint/simulation/ControlRigTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/ControlRigTest.java
@@ -24,16 +24,16 @@
 
   @Test
   public void everyPromiseIsKeptWhateverFails() {
-    final Set<Trouble.Kind> played = EnumSet.noneOf(Trouble.Kind.class);
+    final Set<Fault.Kind> played = EnumSet.noneOf(Fault.Kind.class);
     long answers = 0;
     for (long seed = 1; seed <= DAYS; seed++) {
-      final ControlPlan plan = ControlPlan.drawn(seed);
-      final ControlDay.Outcome outcome = ControlDay.play(plan);
+      final SimulationPlan plan = SimulationPlan.drawn(seed);
+      final SimulationRun.Outcome outcome = SimulationRun.play(plan);
       assertEquals(outcome.breaches(), List.of(), "--day '" + plan + "'");
       plan.troubles().forEach(trouble -> played.add(trouble.kind()));
       answers += outcome.answers();
     }
-    assertEquals(played, EnumSet.allOf(Trouble.Kind.class));
+    assertEquals(played, EnumSet.allOf(Fault.Kind.class));
     assertTrue(answers > DAYS * 1000L, "only " + answers + " answers");
   }
 
@@ -82,6 +82,6 @@
 
   @Test(dataProvider = "kept")
   public void aDayThatOnceBrokeAPromiseIsWhole(final String story, final String day) {
-    assertEquals(ControlDay.play(ControlPlan.parse(day)).breaches(), List.of(), story);
+    assertEquals(SimulationRun.play(SimulationPlan.parse(day)).breaches(), List.of(), story);
   }
 }
--- a/simulation/src/test/java/weldpoint/simulation/ControlSearchTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/ControlSearchTest.java
@@ -28,9 +28,9 @@
   @Test
   public void aDayPlaysTheSameEachTime() {
     for (long seed = 100; seed < 104; seed++) {
-      final ControlPlan plan = ControlPlan.drawn(seed);
-      final ControlDay.Outcome first = ControlDay.play(plan);
-      assertEquals(ControlDay.play(plan), first, plan.toString());
+      final SimulationPlan plan = SimulationPlan.drawn(seed);
+      final SimulationRun.Outcome first = SimulationRun.play(plan);
+      assertEquals(SimulationRun.play(plan), first, plan.toString());
       assertTrue(first.answers() > 300, plan + " gave only " + first.answers() + " answers");
     }
   }
@@ -38,8 +38,8 @@
   @Test
   public void aDayIsReadAsItIsWritten() {
     for (long seed = 1; seed < 200; seed++) {
-      final ControlPlan plan = ControlPlan.drawn(seed);
-      assertEquals(ControlPlan.parse(plan.toString()), plan);
+      final SimulationPlan plan = SimulationPlan.drawn(seed);
+      assertEquals(SimulationPlan.parse(plan.toString()), plan);
     }
   }
 
--- a/simulation/src/test/java/weldpoint/simulation/FrameSafetyTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/FrameSafetyTest.java
@@ -32,8 +32,8 @@
     java.util.logging.Logger.getLogger("").setLevel(java.util.logging.Level.SEVERE);
   }
 
-  private static Fleet fleet(final long seed, final boolean syncsFirst) {
-    final Fleet fleet = new Fleet(seed, SEEDS, syncsFirst);
+  private static StateStoreSimulation fleet(final long seed, final boolean syncsFirst) {
+    final StateStoreSimulation fleet = new StateStoreSimulation(seed, SEEDS, syncsFirst);
     for (final String[] machine : MACHINES) {
       fleet.add(machine[0], machine[1], machine[2]);
     }
@@ -45,7 +45,10 @@
   }
 
   private static void traffic(
-      final Fleet fleet, final Ledger ledger, final int[] count, final Set<String> busy) {
+      final StateStoreSimulation fleet,
+      final SequentialModelChecker ledger,
+      final int[] count,
+      final Set<String> busy) {
     final Random random = fleet.random();
     final long sentAt = fleet.now();
     final List<String> running = fleet.running();
@@ -187,7 +190,7 @@
     fleet.after(20, () -> traffic(fleet, ledger, count, busy));
   }
 
-  private static void trouble(final Fleet fleet) {
+  private static void trouble(final StateStoreSimulation fleet) {
     final Random random = fleet.random();
     final List<String> running = fleet.running();
     final String one = running.get(random.nextInt(running.size()));
@@ -222,8 +225,8 @@
   }
 
   private static List<String> play(final long seed, final int[] answers) {
-    final Fleet fleet = fleet(seed, true);
-    final Ledger ledger = new Ledger();
+    final StateStoreSimulation fleet = fleet(seed, true);
+    final SequentialModelChecker ledger = new SequentialModelChecker();
     final int[] count = new int[1];
     final Set<String> busy = new HashSet<>();
     traffic(fleet, ledger, count, busy);
@@ -247,8 +250,8 @@
   }
 
   private static List<String> powerOutages(final long seed, final boolean syncsFirst) {
-    final Fleet fleet = fleet(seed, syncsFirst);
-    final Ledger ledger = new Ledger();
+    final StateStoreSimulation fleet = fleet(seed, syncsFirst);
+    final SequentialModelChecker ledger = new SequentialModelChecker();
     traffic(fleet, ledger, new int[1], new HashSet<>());
     for (int round = 0; round < 3; round++) {
       fleet.machines().keySet().forEach(address -> fleet.disk(address, 400));
@@ -279,9 +282,9 @@
 
   @Test
   public void allFiveBecomeVotersAndServe() {
-    final Fleet fleet = fleet(7, true);
+    final StateStoreSimulation fleet = fleet(7, true);
     int serving = 0;
-    for (final Fleet.Machine machine : fleet.machines().values()) {
+    for (final StateStoreSimulation.Machine machine : fleet.machines().values()) {
       assertEquals(machine.core().roster().voters.size(), 5);
       serving += machine.core().serving();
     }
@@ -290,7 +293,7 @@
 
   @Test
   public void anEmptyMachineTakesTheDeadOnesPlaceAndTokens() {
-    final Fleet fleet = fleet(8, true);
+    final StateStoreSimulation fleet = fleet(8, true);
     fleet.kill("10.0.2.1", true);
     fleet.run(1000);
     fleet.add("10.0.2.9", "b", "y");
@@ -315,7 +318,7 @@
 
   @Test
   public void theMinorityAcknowledgesNothing() {
-    final Fleet fleet = fleet(9, true);
+    final StateStoreSimulation fleet = fleet(9, true);
     final String[] few = {"10.0.1.1", "10.0.1.2"};
     for (final String one : few) {
       for (final String other : fleet.running()) {
--- a/simulation/src/test/java/weldpoint/simulation/HistoryLedger.java
+++ b/simulation/src/test/java/weldpoint/simulation/HistoryChecker.java
@@ -16,7 +16,7 @@
  * Checks histories: what was acknowledged is in them once, what was ever seen in one stays, and all
  * replicas agree to the byte.
  */
-final class HistoryLedger {
+final class HistoryChecker {
   private final Map<Long, byte[]> seen = new HashMap<>();
   private final Map<Long, Boolean> acknowledged = new LinkedHashMap<>();
   private final Map<String, Integer> evacuations = new HashMap<>();
--- a/simulation/src/test/java/weldpoint/simulation/HistoryTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/HistoryTest.java
@@ -48,8 +48,9 @@
     java.util.logging.Logger.getLogger("").setLevel(java.util.logging.Level.OFF);
   }
 
-  private static Fleet fleet(final long seed, final Fleet.Meddler meddler, final long keeps) {
-    final Fleet fleet = new Fleet(seed, SEEDS, true);
+  private static StateStoreSimulation fleet(
+      final long seed, final StateStoreSimulation.FaultInjector meddler, final long keeps) {
+    final StateStoreSimulation fleet = new StateStoreSimulation(seed, SEEDS, true);
     if (meddler != null) {
       fleet.meddler(meddler);
     }
@@ -85,13 +86,13 @@
   }
 
   private static final class Operators {
-    private final Fleet fleet;
-    private final HistoryLedger ledger;
+    private final StateStoreSimulation fleet;
+    private final HistoryChecker ledger;
     private final List<StoreMessages.StoreRequest> earlier = new ArrayList<>();
     private long version;
     private boolean stopped;
 
-    private Operators(final Fleet fleet, final HistoryLedger ledger) {
+    private Operators(final StateStoreSimulation fleet, final HistoryChecker ledger) {
       this.fleet = fleet;
       this.ledger = ledger;
     }
@@ -151,7 +152,7 @@
     }
   }
 
-  private static void trouble(final Fleet fleet) {
+  private static void trouble(final StateStoreSimulation fleet) {
     final Random random = fleet.random();
     final List<String> running = fleet.running();
     final String one = running.get(random.nextInt(running.size()));
@@ -192,8 +193,8 @@
     fleet.after(2500, fleet::heal);
   }
 
-  private static void watch(final Fleet fleet, final HistoryLedger ledger) {
-    for (final Fleet.Machine machine : fleet.machines().values()) {
+  private static void watch(final StateStoreSimulation fleet, final HistoryChecker ledger) {
+    for (final StateStoreSimulation.Machine machine : fleet.machines().values()) {
       if (machine.core() != null) {
         ledger.look(machine.address, machine.core().history());
       }
@@ -201,7 +202,8 @@
     fleet.after(400, () -> watch(fleet, ledger));
   }
 
-  private static List<String> finish(final Fleet fleet, final HistoryLedger ledger) {
+  private static List<String> finish(
+      final StateStoreSimulation fleet, final HistoryChecker ledger) {
     final long[] version = new long[1];
     final String[] digest = {""};
     final Map<String, Long> serials = new HashMap<>();
@@ -235,9 +237,12 @@
   }
 
   private static List<String> play(
-      final long seed, final Fleet.Meddler meddler, final int[] changes, final long keeps) {
-    final Fleet fleet = fleet(seed, meddler, keeps);
-    final HistoryLedger ledger = new HistoryLedger();
+      final long seed,
+      final StateStoreSimulation.FaultInjector meddler,
+      final int[] changes,
+      final long keeps) {
+    final StateStoreSimulation fleet = fleet(seed, meddler, keeps);
+    final HistoryChecker ledger = new HistoryChecker();
     final Operators operators = new Operators(fleet, ledger);
     operators.work("dispatch lead");
     operators.work("legacy clerk");
@@ -267,8 +272,8 @@
   @Test
   public void trimmingIsAlikeEverywhereAndNeverForgetsWhatIsYoung() {
     for (long seed = 100; seed < 110; seed++) {
-      final Fleet fleet = fleet(seed, null, 30);
-      final HistoryLedger ledger = new HistoryLedger();
+      final StateStoreSimulation fleet = fleet(seed, null, 30);
+      final HistoryChecker ledger = new HistoryChecker();
       final Operators operators = new Operators(fleet, ledger);
       operators.work("one");
       watch(fleet, ledger);
@@ -283,7 +288,7 @@
       final List<String> breaches = finish(fleet, ledger);
       assertTrue(breaches.isEmpty(), "seed " + seed + ": " + breaches);
       long base = -1;
-      for (final Fleet.Machine machine : fleet.machines().values()) {
+      for (final StateStoreSimulation.Machine machine : fleet.machines().values()) {
         final AuditLog log = machine.core().history();
         assertTrue(
             base < 0 || base == log.base(),
@@ -299,8 +304,8 @@
 
   @Test
   public void aReplacedAndAWipedReplicaGiveTheSameHistory() {
-    final Fleet fleet = fleet(7, null, 2000);
-    final HistoryLedger ledger = new HistoryLedger();
+    final StateStoreSimulation fleet = fleet(7, null, 2000);
+    final HistoryChecker ledger = new HistoryChecker();
     final Operators operators = new Operators(fleet, ledger);
     operators.work("one");
     fleet.run(4000);
@@ -325,7 +330,7 @@
 
   @Test
   public void aChangeThatAltersNothingMakesNoEntryAndTheAuthorIsInIt() {
-    final Fleet fleet = fleet(9, null, 2000);
+    final StateStoreSimulation fleet = fleet(9, null, 2000);
     final byte[] first = body(5, 0);
     for (int round = 0; round < 3; round++) {
       fleet.change(
@@ -380,10 +385,10 @@
 
   @Test
   public void anOlderStoreBeginsItsHistoryBySayingSo() {
-    final Fleet fleet =
+    final StateStoreSimulation fleet =
         fleet(
             11,
-            new Fleet.Meddler() {
+            new StateStoreSimulation.FaultInjector() {
               @Override
               public Message pass(final String from, final String to, final Message message) {
                 return message;
@@ -406,7 +411,7 @@
         null,
         answer -> {});
     fleet.run(1000);
-    fleet.meddler(new Fleet.Meddler() {});
+    fleet.meddler(new StateStoreSimulation.FaultInjector() {});
     for (final String address : fleet.running()) {
       fleet.kill(address, false);
       fleet.after(100, () -> fleet.start(address, false));
@@ -427,7 +432,7 @@
       caught +=
           play(
                       seed,
-                      new Fleet.Meddler() {
+                      new StateStoreSimulation.FaultInjector() {
                         @Override
                         public Message pass(
                             final String from, final String to, final Message message) {
@@ -474,7 +479,7 @@
       caught +=
           play(
                       seed,
-                      new Fleet.Meddler() {
+                      new StateStoreSimulation.FaultInjector() {
                         @Override
                         public void prepare(
                             final StateStoreReplica core,
--- a/simulation/src/test/java/weldpoint/simulation/IncarnationTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/IncarnationTest.java
@@ -19,8 +19,8 @@
   };
   private static final String[] SPARES = {"10.0.1.6", "10.0.1.7", "10.0.1.8"};
 
-  private static Fleet fleet(final long seed, final int spares) {
-    final Fleet fleet = new Fleet(seed, List.of(SEEDS), true);
+  private static StateStoreSimulation fleet(final long seed, final int spares) {
+    final StateStoreSimulation fleet = new StateStoreSimulation(seed, List.of(SEEDS), true);
     for (final String address : SEEDS) {
       fleet.add(address, "zone-" + address, "x");
       fleet.start(address, true);
@@ -33,7 +33,7 @@
     return fleet;
   }
 
-  private static void wipe(final Fleet fleet, final String address) {
+  private static void wipe(final StateStoreSimulation fleet, final String address) {
     fleet.kill(address, true);
     fleet.wipe(address);
     fleet.run(300);
@@ -42,7 +42,7 @@
   }
 
   /** Replaces a voter, which is lost for good, by a machine that waits. */
-  private static void replace(final Fleet fleet, final String address) {
+  private static void replace(final StateStoreSimulation fleet, final String address) {
     fleet.kill(address, true);
     fleet.run(9000);
     final StateStoreMessages.Roster roster = roster(fleet);
@@ -50,7 +50,7 @@
     assertEquals(roster.voters.size(), 5);
   }
 
-  private static StateStoreMessages.Roster roster(final Fleet fleet) {
+  private static StateStoreMessages.Roster roster(final StateStoreSimulation fleet) {
     return fleet.machines().get(fleet.running().get(0)).core().roster();
   }
 
@@ -62,11 +62,11 @@
   @Test
   public void anIncarnationIsTakenOnceThoughAllWhoHeardOfItAreGone() {
     for (long seed = 1; seed <= 5; seed++) {
-      final Fleet fleet = fleet(seed, 3);
+      final StateStoreSimulation fleet = fleet(seed, 3);
       final String twice = SEEDS[0];
       final long[] incarnation = new long[1];
       fleet.meddler(
-          new Fleet.Meddler() {
+          new StateStoreSimulation.FaultInjector() {
             @Override
             public Message pass(final String from, final String to, final Message message) {
               if (from.equals(twice) && message instanceof StateStoreMessages.HeartbeatAck) {
@@ -105,14 +105,14 @@
    */
   @Test
   public void aLateListOfIncarnationsIsNotReadAsOneOfOtherVoters() {
-    final Fleet fleet = fleet(3, 1);
+    final StateStoreSimulation fleet = fleet(3, 1);
     wipe(fleet, SEEDS[1]);
     final String late = SEEDS[4];
     final Map<String, StateStoreMessages.HeartbeatAck> kept = new HashMap<>();
     final boolean[] give = new boolean[1];
     final Map<String, List<Long>> lists = new HashMap<>();
     fleet.meddler(
-        new Fleet.Meddler() {
+        new StateStoreSimulation.FaultInjector() {
           @Override
           public Message pass(final String from, final String to, final Message message) {
             if (!(message instanceof StateStoreMessages.HeartbeatAck)) {
--- a/simulation/src/test/java/weldpoint/simulation/RosterNumberTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/RosterNumberTest.java
@@ -37,13 +37,14 @@
    * second one says that the first was decided.
    */
   private static List<String> slowAdoptions(final long seed) {
-    final Fleet fleet = new Fleet(seed, List.of("10.0.1.1", "10.0.1.2", "10.0.2.1"), true);
+    final StateStoreSimulation fleet =
+        new StateStoreSimulation(seed, List.of("10.0.1.1", "10.0.1.2", "10.0.2.1"), true);
     final Random random = fleet.random();
     final Map<Long, String> rosters = new HashMap<>();
     final Map<String, String> proposed = new HashMap<>();
     final List<String> breaches = new ArrayList<>();
     fleet.meddler(
-        new Fleet.Meddler() {
+        new StateStoreSimulation.FaultInjector() {
           @Override
           public Message pass(final String from, final String to, final Message message) {
             if (message instanceof StateStoreMessages.Accept
@@ -88,7 +89,7 @@
     }
     for (int step = 0; step < 300; step++) {
       fleet.run(50);
-      for (final Fleet.Machine machine : fleet.machines().values()) {
+      for (final StateStoreSimulation.Machine machine : fleet.machines().values()) {
         if (machine.core() != null) {
           final StateStoreMessages.Roster roster = machine.core().roster();
           final String before = rosters.putIfAbsent(roster.number, content(roster));
--- a/simulation/src/test/java/weldpoint/simulation/RosterTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/RosterTest.java
@@ -50,9 +50,9 @@
   };
 
   private static final class Play {
-    private final Fleet fleet;
+    private final StateStoreSimulation fleet;
     private final Random random;
-    private final Ledger ledger = new Ledger();
+    private final SequentialModelChecker ledger = new SequentialModelChecker();
     private final List<String> machines = new ArrayList<>();
     private int added = 100;
     private long answeredAt;
@@ -64,7 +64,7 @@
       for (int zone = 0; zone < 3; zone++) {
         seeds.add(address(zone, 1));
       }
-      fleet = new Fleet(seed, seeds, true);
+      fleet = new StateStoreSimulation(seed, seeds, true);
       for (int zone = 0; zone < counts.length; zone++) {
         for (int place = 1; place <= counts[zone]; place++) {
           add(address(zone, place));
@@ -116,7 +116,7 @@
 
     private Roster roster() {
       Roster newest = new Roster(0, List.of());
-      for (final Fleet.Machine machine : fleet.machines().values()) {
+      for (final StateStoreSimulation.Machine machine : fleet.machines().values()) {
         if (machine.core() != null && machine.core().roster().number > newest.number) {
           newest = machine.core().roster();
         }
@@ -277,7 +277,7 @@
     final Play play = new Play(seed, 3, 3, 3, 2);
     if (!told) {
       play.fleet.meddler(
-          new Fleet.Meddler() {
+          new StateStoreSimulation.FaultInjector() {
             @Override
             public Message pass(final String from, final String to, final Message message) {
               if (!(message instanceof StateStoreMessages.Accept)) {
--- a/simulation/src/test/java/weldpoint/simulation/TrialTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/TrialTest.java
@@ -57,7 +57,7 @@
   }
 
   private static final class Stage {
-    final Fleet fleet;
+    final StateStoreSimulation fleet;
     final List<TrialTracker> books = new ArrayList<>();
     final List<Boolean> cut = new ArrayList<>();
     final List<String> addresses = new ArrayList<>();
@@ -76,7 +76,8 @@
       this.fault = fault;
       this.oneIn = oneIn;
       this.random = new Random(seed);
-      this.fleet = new Fleet(seed, List.of("10.0.1.1", "10.0.2.1", "10.0.3.1"), true);
+      this.fleet =
+          new StateStoreSimulation(seed, List.of("10.0.1.1", "10.0.2.1", "10.0.3.1"), true);
       final String[] sites = {"a", "b", "c"};
       for (int index = 0; index < 3; index++) {
         fleet.add("10.0." + (index + 1) + ".1", sites[index], "x");
@@ -396,7 +397,8 @@
     }
     assertTrue(stage.books.get(0).held("book") && stage.books.get(1).held("book"));
     stage.cut.set(0, false);
-    for (final Fleet.Machine machine : new ArrayList<>(stage.fleet.machines().values())) {
+    for (final StateStoreSimulation.Machine machine :
+        new ArrayList<>(stage.fleet.machines().values())) {
       if (machine.core().serving() > 0) {
         stage.fleet.kill(machine.address, true);
         break;
--- a/simulation/src/test/java/weldpoint/simulation/VersionsTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/VersionsTest.java
@@ -50,8 +50,9 @@
     java.util.logging.Logger.getLogger("").setLevel(java.util.logging.Level.OFF);
   }
 
-  private static Fleet fleet(final long seed, final Fleet.Meddler meddler) {
-    final Fleet fleet = new Fleet(seed, SEEDS, true);
+  private static StateStoreSimulation fleet(
+      final long seed, final StateStoreSimulation.FaultInjector meddler) {
+    final StateStoreSimulation fleet = new StateStoreSimulation(seed, SEEDS, true);
     if (meddler != null) {
       fleet.meddler(meddler);
     }
@@ -193,12 +194,12 @@
   }
 
   private static final class Operators {
-    private final Fleet fleet;
+    private final StateStoreSimulation fleet;
     private final Told told;
     private long version;
     private boolean stopped;
 
-    private Operators(final Fleet fleet, final Told told) {
+    private Operators(final StateStoreSimulation fleet, final Told told) {
       this.fleet = fleet;
       this.told = told;
     }
@@ -234,7 +235,7 @@
     }
   }
 
-  private static void trouble(final Fleet fleet) {
+  private static void trouble(final StateStoreSimulation fleet) {
     final Random random = fleet.random();
     final List<String> running = fleet.running();
     final String one = running.get(random.nextInt(running.size()));
@@ -269,8 +270,8 @@
   }
 
   private static List<String> play(
-      final long seed, final Fleet.Meddler meddler, final int[] counts) {
-    final Fleet fleet = fleet(seed, meddler);
+      final long seed, final StateStoreSimulation.FaultInjector meddler, final int[] counts) {
+    final StateStoreSimulation fleet = fleet(seed, meddler);
     final Told told = new Told();
     final Operators operators = new Operators(fleet, told);
     operators.work();
@@ -323,7 +324,7 @@
   @Test
   public void ofTwoThatRaceOneIsTakenAndTheOtherRefused() {
     for (long seed = 1; seed <= 20; seed++) {
-      final Fleet fleet = fleet(seed, null);
+      final StateStoreSimulation fleet = fleet(seed, null);
       final int[] statuses = new int[2];
       for (int choice = 0; choice < 2; choice++) {
         race(fleet, choice, statuses);
@@ -334,7 +335,8 @@
     }
   }
 
-  private static void race(final Fleet fleet, final int choice, final int[] statuses) {
+  private static void race(
+      final StateStoreSimulation fleet, final int choice, final int[] statuses) {
     if (statuses[choice] == 0) {
       fleet.again(
           fleet.running().get(fleet.random().nextInt(6)),
@@ -345,7 +347,10 @@
   }
 
   private static int status(
-      final Fleet fleet, final long version, final int choice, final boolean rewritten) {
+      final StateStoreSimulation fleet,
+      final long version,
+      final int choice,
+      final boolean rewritten) {
     final int[] status = new int[1];
     fleet.again(
         fleet.running().get(fleet.random().nextInt(fleet.running().size())),
@@ -357,7 +362,7 @@
 
   @Test
   public void theSameIsAcknowledgedAgainUnderLaterVersionsAfterRestartsAndWipes() {
-    final Fleet fleet = fleet(3, null);
+    final StateStoreSimulation fleet = fleet(3, null);
     assertEquals(status(fleet, 4, 0, false), 200);
     assertEquals(status(fleet, 4, 0, true), 200);
     assertEquals(status(fleet, 4, 1, false), 409);
@@ -384,10 +389,10 @@
 
   @Test
   public void anOlderStoresConfigurationIsComparedByItsBody() {
-    final Fleet fleet =
+    final StateStoreSimulation fleet =
         fleet(
             5,
-            new Fleet.Meddler() {
+            new StateStoreSimulation.FaultInjector() {
               @Override
               public void prepare(
                   final StateStoreReplica core, final AuditStore store, final long keeps) {
@@ -413,7 +418,7 @@
               }
             });
     assertEquals(status(fleet, 4, 0, false), 200);
-    fleet.meddler(new Fleet.Meddler() {});
+    fleet.meddler(new StateStoreSimulation.FaultInjector() {});
     for (final String address : fleet.running()) {
       fleet.kill(address, false);
       fleet.after(100, () -> fleet.start(address, false));
@@ -430,11 +435,11 @@
   public void aHolderThatAcknowledgesWhateverIsNotNewIsCaught() {
     assertTrue(
         caught(
-                new Fleet.Meddler() {
+                new StateStoreSimulation.FaultInjector() {
                   @Override
                   public void prepare(
                       final StateStoreReplica core, final AuditStore store, final long keeps) {
-                    core.history(store, keeps, Fleet.ENTRY_BYTES);
+                    core.history(store, keeps, StateStoreSimulation.ENTRY_BYTES);
                     BrokenAuditSequencer.heedless(core);
                   }
                 })
@@ -445,7 +450,7 @@
   public void aHolderThatForgetsWhatOlderVersionsStandForIsCaught() {
     assertTrue(
         caught(
-                new Fleet.Meddler() {
+                new StateStoreSimulation.FaultInjector() {
                   @Override
                   public void prepare(
                       final StateStoreReplica core, final AuditStore store, final long keeps) {
@@ -455,7 +460,7 @@
             >= 6);
   }
 
-  private static int caught(final Fleet.Meddler meddler) {
+  private static int caught(final StateStoreSimulation.FaultInjector meddler) {
     int caught = 0;
     for (long seed = 1; seed <= 6; seed++) {
       caught += play(seed, meddler, new int[2]).isEmpty() ? 0 : 1;
--- a/simulation/src/test/java/weldpoint/simulation/ZoneLossTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/ZoneLossTest.java
@@ -51,8 +51,8 @@
       return all;
     }
 
-    Fleet fleet(final long seed, final List<String> seeds) {
-      final Fleet fleet = new Fleet(seed, seeds, true);
+    StateStoreSimulation fleet(final long seed, final List<String> seeds) {
+      final StateStoreSimulation fleet = new StateStoreSimulation(seed, seeds, true);
       for (final String address : addresses()) {
         final int zone = zone(address);
         fleet.add(address, "z" + zone, "r" + zone % regions);
@@ -93,9 +93,9 @@
     java.util.logging.Logger.getLogger("").setLevel(java.util.logging.Level.SEVERE);
   }
 
-  private static Roster newest(final Fleet fleet) {
+  private static Roster newest(final StateStoreSimulation fleet) {
     Roster newest = new Roster(0, List.of());
-    for (final Fleet.Machine machine : fleet.machines().values()) {
+    for (final StateStoreSimulation.Machine machine : fleet.machines().values()) {
       if (machine.core() != null && machine.core().roster().number > newest.number) {
         newest = machine.core().roster();
       }
@@ -111,7 +111,7 @@
     return zones;
   }
 
-  private static boolean answers(final Fleet fleet, final Random random) {
+  private static boolean answers(final StateStoreSimulation fleet, final Random random) {
     final boolean[] ok = new boolean[1];
     for (int tries = 0; tries < 20 && !ok[0]; tries++) {
       final String at = fleet.running().get(random.nextInt(fleet.running().size()));
@@ -137,7 +137,7 @@
       final long back,
       final boolean disks,
       final Outcome outcome) {
-    final Fleet fleet = layout.fleet(seed, seeds);
+    final StateStoreSimulation fleet = layout.fleet(seed, seeds);
     for (final String address : order) {
       fleet.start(address, true);
       fleet.run(seed % 2 == 0 ? 0 : fleet.random().nextInt(40));
--- a/simulation/src/test/java/weldpoint/simulation/model/Variant.java
+++ b/simulation/src/test/java/weldpoint/simulation/model/BrokenRule.java
@@ -1,7 +1,7 @@
 package weldpoint.simulation.model;
 
 /** A rule that is broken on purpose, for the search to catch. */
-public enum Variant {
+public enum BrokenRule {
   /** A promise is answered before it is on disk, and a loss of power takes it back. */
   PROMISE_NOT_SYNCED,
   /** Promises, acceptances and confirmations of an overtaken incarnation count. */
--- a/simulation/src/test/java/weldpoint/simulation/model/Model.java
+++ b/simulation/src/test/java/weldpoint/simulation/model/Model.java
@@ -66,7 +66,7 @@
   private static final int PROMISE_BYTES = 5;
   private static final int ANSWER_BYTES = 3;
 
-  private final Bounds bounds;
+  private final SearchBounds bounds;
   private final int nodes;
   private final int ballots;
   private final int writes;
@@ -86,7 +86,7 @@
   private final int[] back;
   private final boolean[] used;
 
-  Model(final Bounds bounds) {
+  Model(final SearchBounds bounds) {
     this.bounds = bounds;
     nodes = bounds.nodes();
     ballots = bounds.ballots();
@@ -124,7 +124,7 @@
     final byte[] s = new byte[size];
     s[WIPES] = (byte) bounds.wipes();
     s[DECIDED] = 1;
-    s[LOSSES] = (byte) (bounds.has(Variant.PROMISE_NOT_SYNCED) ? 2 : 0);
+    s[LOSSES] = (byte) (bounds.has(BrokenRule.PROMISE_NOT_SYNCED) ? 2 : 0);
     for (int node = 0; node < nodes; node++) {
       final int at = node(node);
       s[at + NUMBER] = 1;
@@ -384,7 +384,7 @@
       end(next, node, 0);
     }
     next[at + PROMISED] = (byte) ballot;
-    if (!bounds.has(Variant.PROMISE_NOT_SYNCED)) {
+    if (!bounds.has(BrokenRule.PROMISE_NOT_SYNCED)) {
       next[at + SYNCED] = (byte) ballot;
     }
     if (heard) {
@@ -440,7 +440,7 @@
       }
       final int slot = from + promises + node * PROMISE_BYTES;
       if (has(set, node)) {
-        if (s[slot] < most && !bounds.has(Variant.OVERTAKEN_COUNTED)) {
+        if (s[slot] < most && !bounds.has(BrokenRule.OVERTAKEN_COUNTED)) {
           return;
         }
         most = Math.max(most, s[slot]);
@@ -455,7 +455,7 @@
         best = Math.max(best, s[from + promises + node * PROMISE_BYTES + 2]);
       }
     }
-    if (best < floor * 4 && !(bounds.has(Variant.FLOOR_IGNORED) && best > 0)) {
+    if (best < floor * 4 && !(bounds.has(BrokenRule.FLOOR_IGNORED) && best > 0)) {
       best = floor * 4;
     }
     next[from + PARENT] = (byte) best;
@@ -497,7 +497,7 @@
         || last(ballot) && s[from + PHASE] != ESTABLISHING) {
       return;
     }
-    if (!bounds.has(Variant.OVERTAKEN_COUNTED)) {
+    if (!bounds.has(BrokenRule.OVERTAKEN_COUNTED)) {
       for (int other = 0; other < nodes; other++) {
         if (s[from + counted + other] > 0
             && s[from + counted + other] < incarnation(s, at, other)) {
@@ -529,12 +529,12 @@
           if (s[at + STORED] < ballot * 4) {
             if (written(s, ballot * 4)) {
               next[at + STORED] = (byte) (ballot * 4);
-            } else if (!bounds.has(Variant.FLOOR_IGNORED)) {
+            } else if (!bounds.has(BrokenRule.FLOOR_IGNORED)) {
               next[at + STORED] = 0;
             }
           }
         }
-        if (!bounds.has(Variant.INCARNATIONS_NOT_CARRIED)) {
+        if (!bounds.has(BrokenRule.INCARNATIONS_NOT_CARRIED)) {
           learn(next, node, s, from + knew, carried(s[from + UNDER_VOTERS]));
         }
       } else if (s[at + STORED] < ballot * 4 + count) {
@@ -557,7 +557,7 @@
 
   /** Of which nodes the incarnations are carried on. */
   private int carried(final int voters) {
-    return bounds.has(Variant.INCARNATIONS_OF_VOTERS_CARRIED) ? voters : (1 << nodes) - 1;
+    return bounds.has(BrokenRule.INCARNATIONS_OF_VOTERS_CARRIED) ? voters : (1 << nodes) - 1;
   }
 
   private void learn(
@@ -588,7 +588,7 @@
       for (int other = 0; other < nodes; other++) {
         counts &= !has(mask, other) || unpack(s, slot + 1, other) <= s[from + knew + other];
       }
-      count += counts || bounds.has(Variant.OVERTAKEN_COUNTED) ? 1 : 0;
+      count += counts || bounds.has(BrokenRule.OVERTAKEN_COUNTED) ? 1 : 0;
     }
     return count >= majority(mask);
   }
@@ -600,7 +600,7 @@
       return;
     }
     final int value = from + VALUES + 2 * count;
-    if (!bounds.has(Variant.CHANGE_BEFORE_ADOPTION)
+    if (!bounds.has(BrokenRule.CHANGE_BEFORE_ADOPTION)
         && roster(s, ballot * 4 + count) / 256 > s[from + UNDER]) {
       return;
     }
@@ -639,7 +639,7 @@
     }
     final byte[] next = s.clone();
     next[from + ASKED] = 1;
-    final boolean answers = bounds.has(Variant.ANSWER_WITHOUT_MAJORITY);
+    final boolean answers = bounds.has(BrokenRule.ANSWER_WITHOUT_MAJORITY);
     sink.next(
         next,
         () -> "node " + (s[from + OWNER] - 1) + " is asked under ballot " + ballot,
@@ -729,7 +729,7 @@
 
   /** Whether a node may adopt a roster before it has to: only then does that allow anything. */
   private boolean alone(final byte[] s) {
-    boolean needed = bounds.ballotless() || bounds.has(Variant.CHANGE_NOT_SETTLED);
+    boolean needed = bounds.ballotless() || bounds.has(BrokenRule.CHANGE_NOT_SETTLED);
     for (int node = 0; node < nodes; node++) {
       needed |= s[node(node) + STAGE] == REFETCHING;
     }
@@ -747,7 +747,7 @@
     for (int node = 0; node < nodes; node++) {
       under += has(mask, node) && votes(s, node) && s[node(node) + NUMBER] == number ? 1 : 0;
     }
-    boolean settled = s[SETTLED] == number || bounds.has(Variant.CHANGE_NOT_SETTLED);
+    boolean settled = s[SETTLED] == number || bounds.has(BrokenRule.CHANGE_NOT_SETTLED);
     for (int ballot = 1; ballot <= ballots; ballot++) {
       settled |= s[ballot(ballot) + SERVED] == 1 && s[ballot(ballot) + UNDER] == number;
     }
@@ -794,7 +794,7 @@
           final byte[] next = s.clone();
           next[SETTLED] = (byte) number;
           for (int node = 0; node < nodes; node++) {
-            if (has(accepting, node) && !bounds.has(Variant.INCARNATIONS_NOT_CARRIED)) {
+            if (has(accepting, node) && !bounds.has(BrokenRule.INCARNATIONS_NOT_CARRIED)) {
               learn(next, node, knows, 0, carried(mask));
             }
           }
@@ -942,7 +942,7 @@
       String wrong = null;
       final int mask = next[at + VOTERS];
       if (Integer.bitCount(next[at + FETCHED] & mask & 0xff)
-          >= (bounds.has(Variant.VOTES_BEFORE_REFETCH) ? 1 : majority(mask))) {
+          >= (bounds.has(BrokenRule.VOTES_BEFORE_REFETCH) ? 1 : majority(mask))) {
         next[at + STAGE] = WHOLE;
         next[at + INCARNATION] = s[at + FETCHING];
         next[at + FETCHING] = 0;
