--- a/simulation/src/test/java/weldpoint/simulation/model/ModelTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/model/ModelTest.java
@@ -21,18 +21,18 @@
   @DataProvider
   public Object[] sound() {
     return new Object[] {
-      Bounds.still("3 nodes, 3 ballots, 1 write each, 1 disk lost", 3, 3, 1, 1),
-      Bounds.still("3 nodes, 2 ballots, 1 write each, 2 disks lost", 3, 2, 1, 2),
-      Bounds.still("3 nodes, 3 ballots, 2 writes each", 3, 3, 2, 0),
-      Bounds.still("4 nodes, 3 ballots, 1 write each", 4, 3, 1, 0),
-      Bounds.still(
+      SearchBounds.still("3 nodes, 3 ballots, 1 write each, 1 disk lost", 3, 3, 1, 1),
+      SearchBounds.still("3 nodes, 2 ballots, 1 write each, 2 disks lost", 3, 2, 1, 2),
+      SearchBounds.still("3 nodes, 3 ballots, 2 writes each", 3, 3, 2, 0),
+      SearchBounds.still("4 nodes, 3 ballots, 1 write each", 4, 3, 1, 0),
+      SearchBounds.still(
               "5 nodes, 2 ballots, 1 write each, 1 disk lost, from where the first ballot serves",
               5,
               2,
               1,
               1)
           .served(0b111),
-      Bounds.still(
+      SearchBounds.still(
               "3 to 4 voters, 3 ballots, 1 write each, from where the first ballot serves",
               4,
               3,
@@ -40,7 +40,7 @@
               0)
           .rosters(0b111, ALL)
           .served(0b11),
-      Bounds.still(
+      SearchBounds.still(
               "3 to 4 voters, 2 ballots, 1 write each, 1 disk lost, from where the first ballot serves",
               4,
               2,
@@ -48,7 +48,7 @@
               1)
           .rosters(0b111, ALL)
           .served(0b11),
-      Bounds.still(
+      SearchBounds.still(
               "4 to 5 to 4 voters, a ballot for each roster, 1 write each, from where the first ballot serves",
               5,
               3,
@@ -57,23 +57,24 @@
           .rosters(ALL, 0b11111, 0b11110)
           .served(0b111)
           .aBallotEach(),
-      Bounds.still(
+      SearchBounds.still(
               "the roster itself, of 3 to 5 voters out of 5, 3 ballots, 2 writes each", 5, 3, 2, 0)
           .rostersInRegister(0b111, ALL, 0b10111, 0b11111),
-      Bounds.still("reads, 3 nodes, 2 ballots, 1 write each, 1 disk lost", 3, 2, 1, 1).read(),
-      Bounds.still("reads, 3 to 4 voters, 2 ballots, 1 write each", 4, 2, 1, 0)
+      SearchBounds.still("reads, 3 nodes, 2 ballots, 1 write each, 1 disk lost", 3, 2, 1, 1).read(),
+      SearchBounds.still("reads, 3 to 4 voters, 2 ballots, 1 write each", 4, 2, 1, 0)
           .rosters(0b111, ALL)
           .read(),
-      Bounds.still(
+      SearchBounds.still(
               "incarnations, 3 to 4 to 5 to 4 to 3 voters, 2 disks lost by one node", 5, 0, 0, 2)
           .rosters(0b111, ALL, 0b11111, 0b11101, 0b11001)
           .withoutBallots()
           .wipeable(1),
-      Bounds.still("incarnations, a voter leaves and comes back, 2 disks lost by it", 5, 0, 0, 2)
+      SearchBounds.still(
+              "incarnations, a voter leaves and comes back, 2 disks lost by it", 5, 0, 0, 2)
           .rosters(0b111, ALL, 0b1110, 0b11110, 0b11100)
           .withoutBallots()
           .wipeable(1),
-      Bounds.still(
+      SearchBounds.still(
               "4 to 3 to 4 voters, a ballot for each roster, 1 write each, from where the first ballot serves",
               5,
               3,
@@ -82,7 +83,7 @@
           .rosters(ALL, 0b1110, 0b11110)
           .served(0b111)
           .aBallotEach(),
-      Bounds.still("incarnations, 5 to 6 to 5 voters, 2 disks lost by one node", 6, 0, 0, 2)
+      SearchBounds.still("incarnations, 5 to 6 to 5 voters, 2 disks lost by one node", 6, 0, 0, 2)
           .rosters(0b11111, 0b111111, 0b111110)
           .withoutBallots()
           .wipeable(1)
@@ -90,7 +91,7 @@
   }
 
   @Test(dataProvider = "sound")
-  public void nothingAcknowledgedIsLostAndNoNumberNamesTwoRosters(final Bounds bounds) {
+  public void nothingAcknowledgedIsLostAndNoNumberNamesTwoRosters(final SearchBounds bounds) {
     final Search.Result result = Search.run(bounds, MOST);
     print(result);
     assertNull(result.breach(), result.trace().toString());
@@ -100,37 +101,40 @@
   @DataProvider
   public Object[] broken() {
     return new Object[] {
-      Bounds.still("3 nodes, 2 ballots", 3, 2, 1, 0).broken(Variant.PROMISE_NOT_SYNCED),
-      Bounds.still("3 nodes, 2 ballots, 1 disk lost", 3, 2, 1, 1).broken(Variant.OVERTAKEN_COUNTED),
-      Bounds.still("3 to 4 to 5 voters", 5, 2, 1, 0)
+      SearchBounds.still("3 nodes, 2 ballots", 3, 2, 1, 0).broken(BrokenRule.PROMISE_NOT_SYNCED),
+      SearchBounds.still("3 nodes, 2 ballots, 1 disk lost", 3, 2, 1, 1)
+          .broken(BrokenRule.OVERTAKEN_COUNTED),
+      SearchBounds.still("3 to 4 to 5 voters", 5, 2, 1, 0)
           .rosters(0b111, ALL, 0b11111)
           .served(0b11)
-          .broken(Variant.CHANGE_NOT_SETTLED),
-      Bounds.still("3 to 4 voters", 5, 1, 2, 0)
+          .broken(BrokenRule.CHANGE_NOT_SETTLED),
+      SearchBounds.still("3 to 4 voters", 5, 1, 2, 0)
           .rostersInRegister(0b111, ALL, 0b10111)
-          .broken(Variant.CHANGE_BEFORE_ADOPTION),
-      Bounds.still("3 nodes, 2 ballots, 1 disk lost", 3, 2, 1, 1)
-          .broken(Variant.VOTES_BEFORE_REFETCH),
-      Bounds.still("3 nodes, 2 ballots", 3, 2, 1, 0).read().broken(Variant.ANSWER_WITHOUT_MAJORITY),
-      Bounds.still("3 nodes, 3 ballots", 3, 3, 1, 0).broken(Variant.FLOOR_IGNORED),
-      Bounds.still("3 to 4 to 5 to 4 to 3 voters, 2 disks lost", 5, 0, 0, 2)
+          .broken(BrokenRule.CHANGE_BEFORE_ADOPTION),
+      SearchBounds.still("3 nodes, 2 ballots, 1 disk lost", 3, 2, 1, 1)
+          .broken(BrokenRule.VOTES_BEFORE_REFETCH),
+      SearchBounds.still("3 nodes, 2 ballots", 3, 2, 1, 0)
+          .read()
+          .broken(BrokenRule.ANSWER_WITHOUT_MAJORITY),
+      SearchBounds.still("3 nodes, 3 ballots", 3, 3, 1, 0).broken(BrokenRule.FLOOR_IGNORED),
+      SearchBounds.still("3 to 4 to 5 to 4 to 3 voters, 2 disks lost", 5, 0, 0, 2)
           .rosters(0b111, ALL, 0b11111, 0b11101, 0b11001)
           .withoutBallots()
           .wipeable(1)
-          .broken(Variant.INCARNATIONS_NOT_CARRIED),
-      Bounds.still("a voter leaves and comes back, 2 disks lost", 5, 0, 0, 2)
+          .broken(BrokenRule.INCARNATIONS_NOT_CARRIED),
+      SearchBounds.still("a voter leaves and comes back, 2 disks lost", 5, 0, 0, 2)
           .rosters(0b111, ALL, 0b1110, 0b11110, 0b11100)
           .withoutBallots()
           .wipeable(1)
-          .broken(Variant.INCARNATIONS_OF_VOTERS_CARRIED),
-      Bounds.still("one voter of 5 replaced by another in one step", 6, 2, 1, 0)
+          .broken(BrokenRule.INCARNATIONS_OF_VOTERS_CARRIED),
+      SearchBounds.still("one voter of 5 replaced by another in one step", 6, 2, 1, 0)
           .rosters(0b11111, 0b101111)
           .served(0b111)
     };
   }
 
   @Test(dataProvider = "broken")
-  public void aBrokenRuleIsFound(final Bounds bounds) {
+  public void aBrokenRuleIsFound(final SearchBounds bounds) {
     final Search.Result result = Search.run(bounds, MOST);
     print(result);
     assertNotNull(result.breach(), "the broken rule was not noticed: " + result);
@@ -139,10 +143,10 @@
 
   @Test
   public void everyRuleHasItsBrokenVariant() {
-    for (final Variant variant : Variant.values()) {
+    for (final BrokenRule variant : BrokenRule.values()) {
       int count = 0;
       for (final Object bounds : broken()) {
-        count += ((Bounds) bounds).has(variant) ? 1 : 0;
+        count += ((SearchBounds) bounds).has(variant) ? 1 : 0;
       }
       assertEquals(count, 1, variant.toString());
     }
@@ -151,13 +155,13 @@
   /** The same states are visited each time, in the same order. */
   @Test
   public void aSearchGivesTheSameVerdictEachTime() {
-    final Bounds bounds = Bounds.still("3 nodes, 2 ballots, 1 disk lost", 3, 2, 1, 1);
+    final SearchBounds bounds = SearchBounds.still("3 nodes, 2 ballots, 1 disk lost", 3, 2, 1, 1);
     final Search.Result one = Search.run(bounds, MOST);
     final Search.Result other = Search.run(bounds, MOST);
     assertEquals(one.states(), other.states());
     assertEquals(
-        Search.run(bounds.broken(Variant.OVERTAKEN_COUNTED), MOST).trace(),
-        Search.run(bounds.broken(Variant.OVERTAKEN_COUNTED), MOST).trace());
+        Search.run(bounds.broken(BrokenRule.OVERTAKEN_COUNTED), MOST).trace(),
+        Search.run(bounds.broken(BrokenRule.OVERTAKEN_COUNTED), MOST).trace());
   }
 
   /**
@@ -166,8 +170,9 @@
    */
   @Test
   public void likeNodesAreTakenForOneAnother() {
-    final Search.Result alike = Search.run(Bounds.still("3 alike", 3, 2, 1, 0), MOST);
-    final Search.Result apart = Search.run(Bounds.still("3 apart", 3, 2, 1, 0).toldApart(), MOST);
+    final Search.Result alike = Search.run(SearchBounds.still("3 alike", 3, 2, 1, 0), MOST);
+    final Search.Result apart =
+        Search.run(SearchBounds.still("3 apart", 3, 2, 1, 0).toldApart(), MOST);
     assertTrue(apart.whole() && apart.breach() == null && alike.whole());
     assertTrue(
         apart.states() > 3 * alike.states() && apart.states() <= 6 * alike.states(),
@@ -180,11 +185,11 @@
       throw new SkipException("long; search it with -Dmodel.long=true");
     }
     final int most = Integer.getInteger("model.states", 20_000_000);
-    final Bounds[] further = {
-      Bounds.still(
+    final SearchBounds[] further = {
+      SearchBounds.still(
               "5 nodes, 3 ballots, 1 write each, from where the first ballot serves", 5, 3, 1, 0)
           .served(0b111),
-      Bounds.still(
+      SearchBounds.still(
               "5 to 6 to 5 voters, a ballot for each roster, 1 write each, from where the first ballot serves",
               6,
               3,
@@ -193,10 +198,10 @@
           .rosters(0b11111, 0b111111, 0b111110)
           .served(0b111)
           .aBallotEach(),
-      Bounds.still(
+      SearchBounds.still(
               "the roster itself, 3 to 4 voters, 2 ballots, 2 writes each, 1 disk lost", 4, 2, 2, 1)
           .rostersInRegister(0b111, ALL, 0b11),
-      Bounds.still(
+      SearchBounds.still(
               "reads, 3 to 4 voters, 3 ballots, 1 write each, from where the first ballot serves",
               4,
               3,
@@ -205,14 +210,14 @@
           .rosters(0b111, ALL)
           .read()
           .served(0b11),
-      Bounds.still("3 nodes, 3 ballots, 1 write each, 2 disks lost", 3, 3, 1, 2),
-      Bounds.still(
+      SearchBounds.still("3 nodes, 3 ballots, 1 write each, 2 disks lost", 3, 3, 1, 2),
+      SearchBounds.still(
               "incarnations, 3 to 4 to 5 to 4 to 3 voters, 2 disks lost by two nodes", 5, 0, 0, 2)
           .rosters(0b111, ALL, 0b11111, 0b11101, 0b11001)
           .withoutBallots()
           .wipeable(0b1001)
     };
-    for (final Bounds bounds : further) {
+    for (final SearchBounds bounds : further) {
       final Search.Result result = Search.run(bounds, most);
       print(result);
       assertNull(result.breach(), result.trace().toString());
--- a/simulation/src/test/java/weldpoint/simulation/model/Search.java
+++ b/simulation/src/test/java/weldpoint/simulation/model/Search.java
@@ -61,7 +61,7 @@
   }
 
   /** Searches within bounds, and stops at the first breach or when so many states were seen. */
-  public static Result run(final Bounds bounds, final int most) {
+  public static Result run(final SearchBounds bounds, final int most) {
     return new Search(new Model(bounds), most).run(bounds.name());
   }
 
--- a/simulation/src/test/java/weldpoint/simulation/model/Bounds.java
+++ b/simulation/src/test/java/weldpoint/simulation/model/SearchBounds.java
@@ -28,7 +28,7 @@
  *     it
  * @param variants the rules that are broken
  */
-public record Bounds(
+public record SearchBounds(
     String name,
     int nodes,
     int ballots,
@@ -43,11 +43,11 @@
     boolean reads,
     boolean staged,
     boolean ballotless,
-    Set<Variant> variants) {
+    Set<BrokenRule> variants) {
   /** Bounds with one roster. */
-  public static Bounds still(
+  public static SearchBounds still(
       final String name, final int nodes, final int ballots, final int writes, final int wipes) {
-    return new Bounds(
+    return new SearchBounds(
         name,
         nodes,
         ballots,
@@ -62,12 +62,12 @@
         false,
         false,
         false,
-        EnumSet.noneOf(Variant.class));
+        EnumSet.noneOf(BrokenRule.class));
   }
 
   /** The same with other rosters. */
-  public Bounds rosters(final int... masks) {
-    return new Bounds(
+  public SearchBounds rosters(final int... masks) {
+    return new SearchBounds(
         name,
         nodes,
         ballots,
@@ -86,8 +86,8 @@
   }
 
   /** The same with the roster in the register. */
-  public Bounds rostersInRegister(final int... masks) {
-    return new Bounds(
+  public SearchBounds rostersInRegister(final int... masks) {
+    return new SearchBounds(
         name,
         nodes,
         ballots,
@@ -106,8 +106,8 @@
   }
 
   /** The same from where the first ballot serves. */
-  public Bounds served(final int mask) {
-    return new Bounds(
+  public SearchBounds served(final int mask) {
+    return new SearchBounds(
         name,
         nodes,
         ballots,
@@ -126,8 +126,8 @@
   }
 
   /** The same with reads. */
-  public Bounds read() {
-    return new Bounds(
+  public SearchBounds read() {
+    return new SearchBounds(
         name,
         nodes,
         ballots,
@@ -146,8 +146,8 @@
   }
 
   /** The same without ballots. */
-  public Bounds withoutBallots() {
-    return new Bounds(
+  public SearchBounds withoutBallots() {
+    return new SearchBounds(
         name,
         nodes,
         0,
@@ -166,8 +166,8 @@
   }
 
   /** The same with another highest incarnation. */
-  public Bounds incarnations(final int most) {
-    return new Bounds(
+  public SearchBounds incarnations(final int most) {
+    return new SearchBounds(
         name,
         nodes,
         ballots,
@@ -186,8 +186,8 @@
   }
 
   /** The same with rules broken. */
-  public Bounds broken(final Variant one) {
-    return new Bounds(
+  public SearchBounds broken(final BrokenRule one) {
+    return new SearchBounds(
         name + ", broken: " + one,
         nodes,
         ballots,
@@ -206,8 +206,8 @@
   }
 
   /** The same with like nodes told apart. */
-  public Bounds toldApart() {
-    return new Bounds(
+  public SearchBounds toldApart() {
+    return new SearchBounds(
         name,
         nodes,
         ballots,
@@ -226,8 +226,8 @@
   }
 
   /** The same where each roster has one ballot. */
-  public Bounds aBallotEach() {
-    return new Bounds(
+  public SearchBounds aBallotEach() {
+    return new SearchBounds(
         name,
         nodes,
         ballots,
@@ -246,8 +246,8 @@
   }
 
   /** The same where only these nodes lose their disks. */
-  public Bounds wipeable(final int mask) {
-    return new Bounds(
+  public SearchBounds wipeable(final int mask) {
+    return new SearchBounds(
         name,
         nodes,
         ballots,
@@ -265,7 +265,7 @@
         variants);
   }
 
-  boolean has(final Variant variant) {
+  boolean has(final BrokenRule variant) {
     return variants.contains(variant);
   }
 }
--- a/simulation/src/test/java/weldpoint/simulation/model/Trace.java
+++ b/simulation/src/test/java/weldpoint/simulation/model/Trace.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import weldpoint.simulation.Fleet;
-import weldpoint.statestore.Kept;
+import weldpoint.simulation.StateStoreSimulation;
+import weldpoint.statestore.DiskContents;
 import weldpoint.statestore.StateStoreReplica;
 import weldpoint.transport.Message;
 import weldpoint.transport.Protocol;
@@ -22,7 +22,7 @@
  * allows each: by what is lasting on the sender's own disk at that moment, and by what the sender
  * got from others before.
  */
-final class Trace implements Fleet.Watcher {
+final class Trace implements StateStoreSimulation.Observer {
   /** The steps of the model that are recognised. */
   enum Step {
     BEGIN,
@@ -61,7 +61,7 @@
 
   /** One machine: its disk, and what its process of the moment has got. */
   private static final class Machine {
-    Kept kept = new Kept(List.of());
+    DiskContents kept = new DiskContents(List.of());
     final RegisterVersion[] given = new RegisterVersion[StateStoreReplica.PARTITIONS];
     final Ballot[] ballots = new Ballot[StateStoreReplica.PARTITIONS];
     final Map<String, Long> heard = new HashMap<>();
@@ -108,7 +108,7 @@
   @Override
   public void started(final String address, final List<byte[]> records) {
     final Machine machine = new Machine();
-    machine.kept = new Kept(records);
+    machine.kept = new DiskContents(records);
     machines.put(address, machine);
     for (int partition = 0; partition < StateStoreReplica.PARTITIONS; partition++) {
       machine.given[partition] = machine.kept.promised(partition);
@@ -119,10 +119,11 @@
   @Override
   public void appended(final String address, final byte[] record) {
     final Machine machine = machine(address);
-    final Kept.Kind kind = Kept.kind(record);
-    if (machine.whole() && (kind == Kept.Kind.PROMISE || kind == Kept.Kind.REGISTERS)) {
-      final int partition = Kept.partition(record);
-      final RegisterVersion ballot = Kept.ballot(record);
+    final DiskContents.Kind kind = DiskContents.kind(record);
+    if (machine.whole()
+        && (kind == DiskContents.Kind.PROMISE || kind == DiskContents.Kind.REGISTERS)) {
+      final int partition = DiskContents.partition(record);
+      final RegisterVersion ballot = DiskContents.ballot(record);
       must(
           ballot.compareTo(machine.given[partition]) >= 0,
           address,
@@ -142,17 +143,17 @@
     final boolean before = machine.whole();
     final long number = machine.kept.roster().number;
     machine.kept.take(record);
-    final Kept.Kind kind = Kept.kind(record);
+    final DiskContents.Kind kind = DiskContents.kind(record);
     if (!before) {
       if (machine.whole()) {
         countsAgain(address, machine);
       }
       return;
     }
-    if (kind == Kept.Kind.PROMISE) {
-      final int partition = Kept.partition(record);
+    if (kind == DiskContents.Kind.PROMISE) {
+      final int partition = DiskContents.partition(record);
       final Ballot ballot = machine.ballots[partition];
-      if (ballot != null && ballot.mark.equals(Kept.ballot(record))) {
+      if (ballot != null && ballot.mark.equals(DiskContents.ballot(record))) {
         ballot.own = machine.kept.entries(partition);
         ballot.ownEstablished = machine.kept.established(partition);
       }
@@ -169,7 +170,7 @@
    */
   private void countsAgain(final String address, final Machine machine) {
     step(Step.COUNT_AGAIN);
-    final Kept kept = machine.kept;
+    final DiskContents kept = machine.kept;
     int told = 0;
     for (final StateStoreMessages.Voter voter : kept.roster().voters) {
       final Map<String, Boolean> pages = new HashMap<>();
@@ -201,7 +202,8 @@
     }
   }
 
-  private static boolean covers(final Kept kept, final StateStoreMessages.RecoveryResponse told) {
+  private static boolean covers(
+      final DiskContents kept, final StateStoreMessages.RecoveryResponse told) {
     for (int partition = 0; partition < Protocol.list(told.promised).size(); partition++) {
       if (kept.promised(partition).compareTo(told.promised.get(partition)) < 0
           || kept.established(partition).compareTo(told.established.get(partition)) < 0) {
--- a/simulation/src/test/java/weldpoint/simulation/model/TraceTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/model/TraceTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Random;
 import org.testng.annotations.Test;
-import weldpoint.simulation.Fleet;
+import weldpoint.simulation.StateStoreSimulation;
 import weldpoint.statestore.StoreOperation;
 import weldpoint.transport.Message;
 import weldpoint.transport.Protocol;
@@ -20,7 +20,7 @@
   private static final List<String> SEEDS = List.of("10.0.1.1", "10.0.1.2", "10.0.2.1");
   private static final String[] OTHERS = {"10.0.2.2", "10.0.3.1", "10.0.3.2", "10.0.1.3"};
 
-  private static void traffic(final Fleet fleet) {
+  private static void traffic(final StateStoreSimulation fleet) {
     final Random random = fleet.random();
     final List<String> running = fleet.running();
     if (!running.isEmpty()) {
@@ -54,7 +54,8 @@
     fleet.after(25, () -> traffic(fleet));
   }
 
-  private static void again(final Fleet fleet, final String address, final boolean wipe) {
+  private static void again(
+      final StateStoreSimulation fleet, final String address, final boolean wipe) {
     fleet.kill(address, true);
     if (wipe) {
       fleet.wipe(address);
@@ -68,7 +69,7 @@
         });
   }
 
-  private static void trouble(final Fleet fleet) {
+  private static void trouble(final StateStoreSimulation fleet) {
     final Random random = fleet.random();
     final List<String> running = new ArrayList<>(fleet.running());
     Collections.shuffle(running, random);
@@ -100,13 +101,13 @@
     fleet.after(2500, fleet::heal);
   }
 
-  private static Fleet fleet(
+  private static StateStoreSimulation fleet(
       final long seed,
       final boolean syncsFirst,
       final int others,
-      final Fleet.Meddler meddler,
+      final StateStoreSimulation.FaultInjector meddler,
       final Trace trace) {
-    final Fleet fleet = new Fleet(seed, SEEDS, syncsFirst);
+    final StateStoreSimulation fleet = new StateStoreSimulation(seed, SEEDS, syncsFirst);
     fleet.watcher(trace);
     if (meddler != null) {
       fleet.meddler(meddler);
@@ -125,9 +126,12 @@
   }
 
   private static Trace day(
-      final long seed, final boolean syncsFirst, final Fleet.Meddler meddler, final int rounds) {
+      final long seed,
+      final boolean syncsFirst,
+      final StateStoreSimulation.FaultInjector meddler,
+      final int rounds) {
     final Trace trace = new Trace();
-    final Fleet fleet = fleet(seed, syncsFirst, OTHERS.length, meddler, trace);
+    final StateStoreSimulation fleet = fleet(seed, syncsFirst, OTHERS.length, meddler, trace);
     for (int round = 0; round < rounds; round++) {
       fleet.run(1500);
       trouble(fleet);
@@ -167,12 +171,12 @@
   @Test
   public void anOvertakenPromiseThatCountsIsSeen() {
     final Trace trace = new Trace();
-    final Fleet fleet =
+    final StateStoreSimulation fleet =
         fleet(
             1,
             true,
             2,
-            new Fleet.Meddler() {
+            new StateStoreSimulation.FaultInjector() {
               @Override
               public Message pass(final String from, final String to, final Message message) {
                 return to.equals(SEEDS.get(0)) ? asFirst(message) : message;
@@ -194,7 +198,7 @@
   }
 
   /** All but the first core stand still in turn, so that the first wins their partitions. */
-  private static void othersPause(final Fleet fleet) {
+  private static void othersPause(final StateStoreSimulation fleet) {
     for (final String address : fleet.running()) {
       if (!address.equals(SEEDS.get(0))) {
         fleet.freeze(address, true);
@@ -235,12 +239,12 @@
   @Test
   public void anEstablishmentOfLessThanWasToldIsSeen() {
     final Trace trace = new Trace();
-    final Fleet fleet =
+    final StateStoreSimulation fleet =
         fleet(
             2,
             true,
             2,
-            new Fleet.Meddler() {
+            new StateStoreSimulation.FaultInjector() {
               @Override
               public Message pass(final String from, final String to, final Message message) {
                 if (to.equals(SEEDS.get(0)) && message instanceof StateStoreMessages.Accept) {
@@ -274,12 +278,12 @@
   @Test
   public void aCommitWithoutAMajorityIsSeen() {
     final Trace trace = new Trace();
-    final Fleet fleet =
+    final StateStoreSimulation fleet =
         fleet(
             1,
             true,
             2,
-            new Fleet.Meddler() {
+            new StateStoreSimulation.FaultInjector() {
               @Override
               public Message pass(final String from, final String to, final Message message) {
                 if (to.equals(SEEDS.get(0))
--- a/simulation/src/test/java/weldpoint/statestore/BrokenAuditSequencer.java
+++ b/simulation/src/test/java/weldpoint/statestore/BrokenAuditSequencer.java
@@ -2,7 +2,7 @@
 
 import weldpoint.audit.AuditEntry;
 import weldpoint.audit.AuditStore;
-import weldpoint.simulation.Fleet;
+import weldpoint.simulation.StateStoreSimulation;
 
 /** Holders that keep the history wrongly, for the checks to catch. */
 public final class BrokenAuditSequencer {
@@ -13,7 +13,7 @@
     core.history(
         store,
         keeps,
-        new AuditSequencer(Fleet.ENTRY_BYTES) {
+        new AuditSequencer(StateStoreSimulation.ENTRY_BYTES) {
           @Override
           boolean busy(final RegisterState held) {
             return false;
@@ -42,10 +42,10 @@
   /** A holder that knows what the version held stands for, but of older ones nothing. */
   public static void forgetful(
       final StateStoreReplica core, final AuditStore store, final long keeps) {
-    core.history(store, keeps, Fleet.ENTRY_BYTES);
+    core.history(store, keeps, StateStoreSimulation.ENTRY_BYTES);
     core.versions(
         new TakenVersions(
-            new AuditSequencer(Fleet.ENTRY_BYTES),
+            new AuditSequencer(StateStoreSimulation.ENTRY_BYTES),
             new weldpoint.audit.AuditLog("none", new weldpoint.audit.HeapStore(), () -> {})));
   }
 
@@ -74,7 +74,7 @@
     core.history(
         store,
         keeps,
-        new AuditSequencer(Fleet.ENTRY_BYTES) {
+        new AuditSequencer(StateStoreSimulation.ENTRY_BYTES) {
           @Override
           void add(final AuditEntry.Draft draft) {}
 
--- a/simulation/src/test/java/weldpoint/statestore/Kept.java
+++ b/simulation/src/test/java/weldpoint/statestore/DiskContents.java
@@ -10,7 +10,7 @@
 import weldpoint.transport.StateStoreMessages;
 
 /** What the records on one disk say, as a frame would read them after a loss of power. */
-public final class Kept {
+public final class DiskContents {
   /** What a record is about. */
   public enum Kind {
     SELF,
@@ -26,7 +26,7 @@
   private long incarnation;
 
   /** A disk with these records. */
-  public Kept(final List<byte[]> records) {
+  public DiskContents(final List<byte[]> records) {
     for (int index = 0; index < partitions.length; index++) {
       partitions[index] = new Partition(index);
     }
--- a/soak/src/main/java/weldpoint/soak/Call.java
+++ b/soak/src/main/java/weldpoint/soak/ClientCall.java
@@ -9,4 +9,5 @@
  * @param sentAt when it was sent, in milliseconds of the steady clock
  * @param reply what the client heard
  */
-record Call(String attemptId, String key, boolean repeatable, long sentAt, Reply reply) {}
+record ClientCall(
+    String attemptId, String key, boolean repeatable, long sentAt, ClientReply reply) {}
--- a/soak/src/main/java/weldpoint/soak/Reply.java
+++ b/soak/src/main/java/weldpoint/soak/ClientReply.java
@@ -7,7 +7,7 @@
  * @param seal the upstream's seal; empty where the answer bears none
  * @param body the body as text
  */
-record Reply(int status, String seal, String body) {
+record ClientReply(int status, String seal, String body) {
   /** No complete answer. */
-  static final Reply NONE = new Reply(0, "", "");
+  static final ClientReply NONE = new ClientReply(0, "", "");
 }
--- a/soak/src/main/java/weldpoint/soak/Trouble.java
+++ b/soak/src/main/java/weldpoint/soak/Fault.java
@@ -4,7 +4,7 @@
 import java.util.Random;
 
 /** A trouble that a soak brings about and takes back. */
-enum Trouble {
+enum Fault {
   /** A proxy is killed and started again. */
   PROXY_KILL,
   /** A proxy is asked to end and started again. */
@@ -57,7 +57,7 @@
   LATE_FIRST_BEAT;
 
   /** One trouble that is in force. */
-  interface InForce {
+  interface ActiveFault {
     /** Takes the trouble back. */
     void end();
   }
@@ -76,7 +76,7 @@
   private static final int[] IDLE_MILLIS = {400, 1000, 15_000};
 
   /** Brings it about at a place that is drawn. */
-  InForce begin(final LocalFleet fleet, final Random random) {
+  ActiveFault begin(final LocalFleet fleet, final Random random) {
     return switch (this) {
       case PROXY_KILL -> killed(List.of(drawn(fleet.proxies(), random)));
       case PROXY_RESTART -> terminated(drawn(fleet.proxies(), random));
@@ -139,7 +139,7 @@
       }
       case CONFIGURATION -> {
         fleet.sendNextConfiguration(
-            IDLE_MILLIS[random.nextInt(IDLE_MILLIS.length)], Homes.drawn(random));
+            IDLE_MILLIS[random.nextInt(IDLE_MILLIS.length)], HomeRegions.drawn(random));
         yield () -> {};
       }
       case SECOND_COPIES -> doubled(List.of(drawn(fleet.upstreams(), random)));
@@ -193,22 +193,22 @@
     return those.get(random.nextInt(those.size()));
   }
 
-  private static InForce doubled(final List<RecordingUpstream> upstreams) {
+  private static ActiveFault doubled(final List<RecordingUpstream> upstreams) {
     upstreams.forEach(upstream -> upstream.secondCopies(DOUBLED_ANSWERS));
     return () -> upstreams.forEach(upstream -> upstream.secondCopies(0));
   }
 
-  private static InForce killed(final List<DaemonProcess> processes) {
+  private static ActiveFault killed(final List<DaemonProcess> processes) {
     processes.forEach(DaemonProcess::kill);
     return () -> processes.forEach(DaemonProcess::startIfDown);
   }
 
-  private static InForce terminated(final DaemonProcess process) {
+  private static ActiveFault terminated(final DaemonProcess process) {
     process.terminate();
     return process::startIfDown;
   }
 
-  private static InForce frozen(final DaemonProcess process) {
+  private static ActiveFault frozen(final DaemonProcess process) {
     process.pause();
     return process::resume;
   }
--- a/soak/src/main/java/weldpoint/soak/HeldKeys.java
+++ b/soak/src/main/java/weldpoint/soak/GrantedKeys.java
@@ -8,7 +8,7 @@
  * The keys that one stand-in upstream holds: grants with rising fences that run out by a clock of
  * its own, which may be slow, and releases that wait for the work under way.
  */
-final class HeldKeys {
+final class GrantedKeys {
   /** How many keys there are. */
   static final int KEYS = 65_536;
 
@@ -42,7 +42,7 @@
   private final List<Event> events = new ArrayList<>();
   private volatile String instance;
   private final double slowness;
-  private final HolderJudge judge;
+  private final ExclusiveHolderChecker judge;
   private final long[] until = new long[KEYS];
   private final long[] fences = new long[KEYS];
   private final int[] running = new int[KEYS];
@@ -52,7 +52,7 @@
    *
    * @param slowness how much longer than told a grant holds, as a factor
    */
-  HeldKeys(final String instance, final double slowness, final HolderJudge judge) {
+  GrantedKeys(final String instance, final double slowness, final ExclusiveHolderChecker judge) {
     this.instance = instance;
     this.slowness = slowness;
     this.judge = judge;
@@ -165,23 +165,23 @@
    * changes what an upstream holds does so under the judge's lock, so that a beginning is compared
    * with what the others hold at that very moment, however busy the machine is.
    */
-  static final class HolderJudge {
-    private final List<HeldKeys> all = new ArrayList<>();
+  static final class ExclusiveHolderChecker {
+    private final List<GrantedKeys> all = new ArrayList<>();
     private final List<String> broken = new ArrayList<>();
 
-    private synchronized void join(final HeldKeys one) {
+    private synchronized void join(final GrantedKeys one) {
       all.add(one);
     }
 
-    private void began(final HeldKeys one, final int key, final long now) {
-      for (final HeldKeys other : all) {
+    private void began(final GrantedKeys one, final int key, final long now) {
+      for (final GrantedKeys other : all) {
         if (other != one && other.holds(key, now)) {
           broken.add(now + " two holders: " + evidence(key, one, other));
         }
       }
     }
 
-    private static String evidence(final int key, final HeldKeys one, final HeldKeys other) {
+    private static String evidence(final int key, final GrantedKeys one, final GrantedKeys other) {
       final List<String> lines = new ArrayList<>();
       lines.add(
           "key "
--- a/soak/src/main/java/weldpoint/soak/Homes.java
+++ b/soak/src/main/java/weldpoint/soak/HomeRegions.java
@@ -9,7 +9,7 @@
  * @param route the route's
  * @param tenant the tenant's
  */
-record Homes(List<String> route, List<String> tenant) {
+record HomeRegions(List<String> route, List<String> tenant) {
   /** The region of two zones of three. */
   static final String NEAR = "home";
 
@@ -17,14 +17,14 @@
   static final String FAR = "away";
 
   /** No homes. */
-  static final Homes NONE = new Homes(List.of(), List.of());
+  static final HomeRegions NONE = new HomeRegions(List.of(), List.of());
 
   private static final List<List<String>> CHOICES =
       List.of(List.of(), List.of(NEAR), List.of(FAR), List.of(NEAR, FAR));
 
   /** Homes that are drawn. */
-  static Homes drawn(final Random random) {
-    return new Homes(
+  static HomeRegions drawn(final Random random) {
+    return new HomeRegions(
         CHOICES.get(random.nextInt(CHOICES.size())), CHOICES.get(random.nextInt(CHOICES.size())));
   }
 
@@ -51,5 +51,5 @@
    * @param sentAt when it was sent first, in milliseconds of the steady clock
    * @param acknowledgedAt when it was acknowledged; {@link Long#MAX_VALUE} where it was not
    */
-  record Change(int version, Homes homes, long sentAt, long acknowledgedAt) {}
+  record Change(int version, HomeRegions homes, long sentAt, long acknowledgedAt) {}
 }
--- a/soak/src/main/java/weldpoint/soak/HttpCaller.java
+++ b/soak/src/main/java/weldpoint/soak/HttpCaller.java
@@ -14,8 +14,8 @@
 
   private HttpCaller() {}
 
-  /** Sends one request; {@link Reply#NONE} where no whole answer came in time. */
-  static Reply call(
+  /** Sends one request; {@link ClientReply#NONE} where no whole answer came in time. */
+  static ClientReply call(
       final String address,
       final String method,
       final String target,
@@ -39,23 +39,23 @@
       socket.getOutputStream().flush();
       return read(socket.getInputStream());
     } catch (final IOException unanswered) {
-      return Reply.NONE;
+      return ClientReply.NONE;
     }
   }
 
-  private static Reply read(final InputStream in) throws IOException {
+  private static ClientReply read(final InputStream in) throws IOException {
     final String text = new String(in.readAllBytes(), StandardCharsets.ISO_8859_1);
     final int end = text.indexOf("\r\n\r\n");
     if (end < 0 || !text.startsWith("HTTP/1.1 ")) {
-      return Reply.NONE;
+      return ClientReply.NONE;
     }
     final String head = text.substring(0, end + 2);
     final String body = text.substring(end + 4);
     final String length = header(head, "content-length");
     if (!length.isEmpty() && Integer.parseInt(length) != body.length()) {
-      return Reply.NONE;
+      return ClientReply.NONE;
     }
-    return new Reply(
+    return new ClientReply(
         Integer.parseInt(head.substring(9, 12)), header(head, "weldpoint-server-seal"), body);
   }
 
--- a/soak/src/main/java/weldpoint/soak/Pull.java
+++ b/soak/src/main/java/weldpoint/soak/LargeDownload.java
@@ -9,4 +9,4 @@
  * @param endedAt when its answer was whole, or its connection ended, or the client gave up
  * @param whole whether a complete answer came
  */
-record Pull(String attemptId, int proxy, long sentAt, long endedAt, boolean whole) {}
+record LargeDownload(String attemptId, int proxy, long sentAt, long endedAt, boolean whole) {}
--- a/soak/src/main/java/weldpoint/soak/LocalFleet.java
+++ b/soak/src/main/java/weldpoint/soak/LocalFleet.java
@@ -89,14 +89,15 @@
   private final List<RecordingUpstream> keyHolders = new ArrayList<>();
   private final List<TcpRelay> coreRelays = new ArrayList<>();
   private final List<TcpRelay> keyRelays = new ArrayList<>();
-  private final HeldKeys.HolderJudge holderJudge = new HeldKeys.HolderJudge();
+  private final GrantedKeys.ExclusiveHolderChecker holderJudge =
+      new GrantedKeys.ExclusiveHolderChecker();
   private final Map<Integer, Integer> lives = new ConcurrentHashMap<>();
   private final java.util.concurrent.atomic.AtomicInteger versions =
       new java.util.concurrent.atomic.AtomicInteger(1);
   private final java.util.Set<Integer> draining = ConcurrentHashMap.newKeySet();
-  private final ConcurrentLinkedQueue<Homes.Change> homeChanges =
+  private final ConcurrentLinkedQueue<HomeRegions.Change> homeChanges =
       new ConcurrentLinkedQueue<>(
-          List.of(new Homes.Change(1, Homes.NONE, Long.MIN_VALUE, Long.MIN_VALUE)));
+          List.of(new HomeRegions.Change(1, HomeRegions.NONE, Long.MIN_VALUE, Long.MIN_VALUE)));
   private final AtomicLong beats = new AtomicLong();
   private final AtomicLong calls = new AtomicLong();
   private final ScheduledExecutorService clock =
@@ -162,8 +163,8 @@
   private void keyHolders(final long seed) throws IOException {
     for (int index = 0; index < size.keyHolders(); index++) {
       final String host = "127.9.6." + (1 + index);
-      final HeldKeys keys =
-          new HeldKeys("k-" + index, index % 2 == 0 ? SLOW_CLOCK : 1, holderJudge);
+      final GrantedKeys keys =
+          new GrantedKeys("k-" + index, index % 2 == 0 ? SLOW_CLOCK : 1, holderJudge);
       keyHolders.add(
           new RecordingUpstream("k-" + index, host, port, records, seed * 37 + index, keys));
       final TcpRelay relay =
@@ -211,27 +212,28 @@
    *
    * @param idleMillis how long a connection of a client may rest
    */
-  void sendNextConfiguration(final int idleMillis, final Homes homes) {
+  void sendNextConfiguration(final int idleMillis, final HomeRegions homes) {
     final int version = versions.incrementAndGet();
     final long sentAt = Clock.millis();
-    homeChanges.add(new Homes.Change(version, homes, sentAt, Long.MAX_VALUE));
+    homeChanges.add(new HomeRegions.Change(version, homes, sentAt, Long.MAX_VALUE));
     clock.execute(
         () -> {
           final String body = Workload.configuration(version, idleMillis, homes);
           if (control(version, "configuration.replace", body).status() == 200) {
-            homeChanges.add(new Homes.Change(version, homes, sentAt, Clock.millis()));
+            homeChanges.add(new HomeRegions.Change(version, homes, sentAt, Clock.millis()));
           }
         });
   }
 
   /** The configurations that were sent; one that was acknowledged stands twice. */
-  List<Homes.Change> homeChanges() {
+  List<HomeRegions.Change> homeChanges() {
     return new ArrayList<>(homeChanges);
   }
 
   /** The region of a stand-in upstream that is not divided by key. */
   static String regionOf(final String instance) {
-    return Homes.region(Integer.parseInt(instance.substring(instance.indexOf('-') + 1)) % ZONES);
+    return HomeRegions.region(
+        Integer.parseInt(instance.substring(instance.indexOf('-') + 1)) % ZONES);
   }
 
   /** The first beat of a life that has ended comes from the address of a drawn upstream. */
@@ -301,7 +303,7 @@
             + "\nstation.site = zone-"
             + index % ZONES
             + "\nstation.region = "
-            + Homes.region(index % ZONES)
+            + HomeRegions.region(index % ZONES)
             + "\nstation.voter = true\nstation.first-start = true\n"
             + "trunk.ports = "
             + (port + 1)
@@ -391,7 +393,7 @@
   }
 
   /** Makes one call of the control interface. */
-  Reply control(final int registry, final String call, final String body) {
+  ClientReply control(final int registry, final String call, final String body) {
     return HttpCaller.call(
         control(registry),
         "POST",
@@ -467,7 +469,7 @@
   }
 
   /** Sends a request to a proxy; {@code key} and {@code apiKey} may be empty. */
-  Reply request(
+  ClientReply request(
       final int proxy,
       final String path,
       final String attemptId,
@@ -489,16 +491,16 @@
   }
 
   /** Sends a request for a key of the divided service to a proxy. */
-  Reply shelfRequest(final int proxy, final String attemptId, final String shardKey) {
+  ClientReply shelfRequest(final int proxy, final String attemptId, final String shardKey) {
     return shelfCall(proxy, "GET", SHELF_PATH, attemptId, shardKey);
   }
 
   /** Sends a request that changes a key of the divided service, and may run at most once. */
-  Reply shelfWrite(final int proxy, final String attemptId, final String shardKey) {
+  ClientReply shelfWrite(final int proxy, final String attemptId, final String shardKey) {
     return shelfCall(proxy, "POST", SHELF_WRITE_PATH, attemptId, shardKey);
   }
 
-  private Reply shelfCall(
+  private ClientReply shelfCall(
       final int proxy,
       final String method,
       final String path,
@@ -516,7 +518,7 @@
   }
 
   /** All runs that the upstreams noted so far. */
-  List<Run> runs() {
+  List<UpstreamRun> runs() {
     return new ArrayList<>(records.runs());
   }
 
--- a/soak/src/main/java/weldpoint/soak/RecordingUpstream.java
+++ b/soak/src/main/java/weldpoint/soak/RecordingUpstream.java
@@ -26,7 +26,7 @@
   private final UpstreamServer server;
   private final Records records;
   private final Random random;
-  private final HeldKeys heldKeys;
+  private final GrantedKeys heldKeys;
   private final AtomicLong grants = new AtomicLong();
   private final AtomicLong turnedAway = new AtomicLong();
   private volatile int workMillis = 20;
@@ -39,7 +39,7 @@
    * @param runs requests that began to run
    * @param answered when a run's answer was written whole, by attempt id
    */
-  record Records(ConcurrentLinkedQueue<Run> runs, Map<String, Long> answered) {}
+  record Records(ConcurrentLinkedQueue<UpstreamRun> runs, Map<String, Long> answered) {}
 
   RecordingUpstream(
       final String instance,
@@ -58,7 +58,7 @@
       final int port,
       final Records records,
       final long seed,
-      final HeldKeys heldKeys)
+      final GrantedKeys heldKeys)
       throws IOException {
     this.heldKeys = heldKeys;
     this.instance = instance;
@@ -189,7 +189,7 @@
     records
         .runs()
         .add(
-            new Run(
+            new UpstreamRun(
                 instance,
                 attemptId,
                 request.header("Idempotency-Key"),
--- a/soak/src/main/java/weldpoint/soak/SlowReader.java
+++ b/soak/src/main/java/weldpoint/soak/SlowReader.java
@@ -29,13 +29,13 @@
 
   private final LocalFleet fleet;
   private final Random random;
-  private final Collection<Pull> pulls;
+  private final Collection<LargeDownload> pulls;
   private final BooleanSupplier over;
 
   SlowReader(
       final LocalFleet fleet,
       final long seed,
-      final Collection<Pull> pulls,
+      final Collection<LargeDownload> pulls,
       final BooleanSupplier over) {
     this.fleet = fleet;
     this.random = new Random(seed);
@@ -109,7 +109,7 @@
     } catch (final IOException ended) {
       whole = false;
     }
-    pulls.add(new Pull(attemptId, proxy, sentAt, Clock.millis(), whole));
+    pulls.add(new LargeDownload(attemptId, proxy, sentAt, Clock.millis(), whole));
     return keeps;
   }
 
--- a/soak/src/main/java/weldpoint/soak/Bounds.java
+++ b/soak/src/main/java/weldpoint/soak/SoakChecker.java
@@ -13,18 +13,18 @@
  * runs once, all answers to it are one, what was refused did not run, and no tenant runs more than
  * its limit in any window.
  */
-final class Bounds {
-  private Bounds() {}
+final class SoakChecker {
+  private SoakChecker() {}
 
   /** Each key that ran more than once within a span of milliseconds, with its runs. */
-  static List<String> doubledKeys(final List<Run> runs, final long spanMillis) {
-    final Map<String, Run> last = new HashMap<>();
+  static List<String> doubledKeys(final List<UpstreamRun> runs, final long spanMillis) {
+    final Map<String, UpstreamRun> last = new HashMap<>();
     final List<String> broken = new ArrayList<>();
-    for (final Run run : runs) {
+    for (final UpstreamRun run : runs) {
       if (run.key().isEmpty()) {
         continue;
       }
-      final Run before = last.put(run.tenant() + "/" + run.key(), run);
+      final UpstreamRun before = last.put(run.tenant() + "/" + run.key(), run);
       if (before != null && run.startedAt() - before.startedAt() < spanMillis) {
         broken.add("two runs of one key: " + before + " and " + run);
       }
@@ -33,11 +33,12 @@
   }
 
   /** The most runs of a tenant in any window of this many milliseconds. */
-  static int mostInWindow(final List<Run> runs, final String tenant, final long windowMillis) {
+  static int mostInWindow(
+      final List<UpstreamRun> runs, final String tenant, final long windowMillis) {
     final List<Long> times =
         runs.stream()
             .filter(run -> run.tenant().equals(tenant))
-            .map(Run::startedAt)
+            .map(UpstreamRun::startedAt)
             .sorted()
             .toList();
     int most = 0;
@@ -52,11 +53,11 @@
   }
 
   /** Requests that run once at most, were refused with a promise (429, 503) and ran. */
-  static List<String> brokenPromises(final List<Call> calls, final List<Run> runs) {
+  static List<String> brokenPromises(final List<ClientCall> calls, final List<UpstreamRun> runs) {
     final Set<String> ran = new HashSet<>();
     runs.forEach(run -> ran.add(run.attemptId()));
     final List<String> broken = new ArrayList<>();
-    for (final Call call : calls) {
+    for (final ClientCall call : calls) {
       final int status = call.reply().status();
       final boolean promised = status == 429 || status == 503;
       if (promised && !call.repeatable() && ran.contains(call.attemptId())) {
@@ -67,11 +68,11 @@
   }
 
   /** Requests that may run once at most and ran more than once. */
-  static List<String> doubledRequests(final List<Call> calls, final List<Run> runs) {
+  static List<String> doubledRequests(final List<ClientCall> calls, final List<UpstreamRun> runs) {
     final Map<String, Integer> counts = new HashMap<>();
     runs.forEach(run -> counts.merge(run.attemptId(), 1, Integer::sum));
     final List<String> broken = new ArrayList<>();
-    for (final Call call : calls) {
+    for (final ClientCall call : calls) {
       final int ran = counts.getOrDefault(call.attemptId(), 0);
       if (!call.repeatable() && ran > 1) {
         broken.add(ran + " runs of one request: " + call);
@@ -85,13 +86,13 @@
    * without having been killed or frozen from {@code contactMillis} before the request to its end.
    */
   static List<String> cutAnswers(
-      final List<Pull> pulls,
+      final List<LargeDownload> pulls,
       final Map<String, Long> answered,
       final Disturbances disturbances,
       final long deadlineMillis,
       final long contactMillis) {
     final List<String> broken = new ArrayList<>();
-    for (final Pull pull : pulls) {
+    for (final LargeDownload pull : pulls) {
       final Long answeredAt = answered.get(pull.attemptId());
       if (!pull.whole()
           && answeredAt != null
@@ -111,20 +112,20 @@
   }
 
   /** Keys whose successes differ, or bear the seal of no run of theirs. */
-  static List<String> strangeAnswers(final List<Call> calls, final List<Run> runs) {
+  static List<String> strangeAnswers(final List<ClientCall> calls, final List<UpstreamRun> runs) {
     final Map<String, Set<String>> seals = new HashMap<>();
-    for (final Run run : runs) {
+    for (final UpstreamRun run : runs) {
       seals
           .computeIfAbsent(run.key(), key -> new HashSet<>())
           .add(run.instance() + "." + run.attemptId());
     }
-    final Map<String, Reply> first = new HashMap<>();
+    final Map<String, ClientReply> first = new HashMap<>();
     final List<String> broken = new ArrayList<>();
-    for (final Call call : calls) {
+    for (final ClientCall call : calls) {
       if (call.key().isEmpty() || call.reply().status() != 200) {
         continue;
       }
-      final Reply before = first.putIfAbsent(call.key(), call.reply());
+      final ClientReply before = first.putIfAbsent(call.key(), call.reply());
       if (before != null && !before.equals(call.reply())) {
         broken.add("two answers to one key: " + before + " and " + call);
       }
@@ -143,20 +144,20 @@
    * @param regionOf the region of an upstream
    */
   static List<String> outsideHomes(
-      final List<Run> runs,
-      final List<Homes.Change> changes,
+      final List<UpstreamRun> runs,
+      final List<HomeRegions.Change> changes,
       final Function<String, String> regionOf,
       final long boundMillis) {
     final List<String> broken = new ArrayList<>();
-    for (final Run run : runs) {
+    for (final UpstreamRun run : runs) {
       int oldest = 0;
-      for (final Homes.Change change : changes) {
+      for (final HomeRegions.Change change : changes) {
         if (change.acknowledgedAt() < run.startedAt() - boundMillis) {
           oldest = Math.max(oldest, change.version());
         }
       }
       boolean allowed = false;
-      for (final Homes.Change change : changes) {
+      for (final HomeRegions.Change change : changes) {
         allowed |=
             change.version() >= oldest
                 && change.sentAt() <= run.startedAt()
--- a/soak/src/main/java/weldpoint/soak/SoakRun.java
+++ b/soak/src/main/java/weldpoint/soak/SoakRun.java
@@ -32,7 +32,7 @@
   /** The most runs of the limited tenant in a window, by the users' rule. */
   static final int ALLOWED = (int) ((Workload.RATE * 5 + Workload.BURST) * 1.1 + 20);
 
-  private record Lasting(long until, Trouble trouble, Trouble.InForce inForce) {}
+  private record TimedFault(long until, Fault trouble, Fault.ActiveFault inForce) {}
 
   /**
    * What a soak found.
@@ -54,7 +54,7 @@
   record Verdict(
       long seed,
       List<String> broken,
-      Map<Trouble, Integer> troubles,
+      Map<Fault, Integer> troubles,
       int calls,
       int served,
       int keyedRuns,
@@ -70,7 +70,7 @@
   private final LocalFleet.Size size;
   private final long troubledMillis;
   private final Random random;
-  private final Map<Trouble, Integer> counts = new EnumMap<>(Trouble.class);
+  private final Map<Fault, Integer> counts = new EnumMap<>(Fault.class);
   private final List<String> notes = new ArrayList<>();
   private long calmSince;
 
@@ -85,7 +85,7 @@
   Verdict play() throws IOException, InterruptedException {
     try (LocalFleet fleet = new LocalFleet(size, seed)) {
       fleet.start(Workload.configuration());
-      fleet.keyHolders().forEach(holder -> holder.full(Trouble.USUALLY_TURNED_AWAY));
+      fleet.keyHolders().forEach(holder -> holder.full(Fault.USUALLY_TURNED_AWAY));
       final Workload workload = new Workload(fleet);
       workload.start(CLIENTS, seed);
       trouble(fleet);
@@ -100,14 +100,14 @@
   private void changeHomes(final LocalFleet fleet) throws InterruptedException {
     calmSince = Clock.millis();
     for (int change = 0; change < CALM_CHANGES; change++) {
-      fleet.sendNextConfiguration(IDLE_MILLIS, Homes.drawn(random));
+      fleet.sendNextConfiguration(IDLE_MILLIS, HomeRegions.drawn(random));
       Thread.sleep(CONFIGURATION_MILLIS + BETWEEN_CHANGES_MILLIS);
     }
   }
 
   private void trouble(final LocalFleet fleet) throws InterruptedException {
-    final PriorityQueue<Lasting> lasting =
-        new PriorityQueue<>(Comparator.comparingLong(Lasting::until));
+    final PriorityQueue<TimedFault> lasting =
+        new PriorityQueue<>(Comparator.comparingLong(TimedFault::until));
     final long began = Clock.millis();
     long next = began;
     while (Clock.millis() - began < troubledMillis) {
@@ -116,13 +116,13 @@
         lasting.poll().inForce().end();
       }
       if (now >= next && lasting.size() < MOST_AT_ONCE) {
-        final Trouble trouble = Trouble.values()[random.nextInt(Trouble.values().length)];
+        final Fault trouble = Fault.values()[random.nextInt(Fault.values().length)];
         final int millis =
             LEAST_LASTING_MILLIS + random.nextInt(MOST_LASTING_MILLIS - LEAST_LASTING_MILLIS);
         next = now + random.nextInt(MOST_BETWEEN_MILLIS);
         counts.merge(trouble, 1, Integer::sum);
         notes.add(now + " " + trouble + " for " + millis + " ms");
-        lasting.add(new Lasting(now + millis, trouble, trouble.begin(fleet, random)));
+        lasting.add(new TimedFault(now + millis, trouble, trouble.begin(fleet, random)));
       }
       Thread.sleep(STEP_MILLIS);
     }
@@ -140,33 +140,33 @@
   }
 
   private Verdict judge(final LocalFleet fleet, final Workload workload) {
-    final List<Run> runs = fleet.runs();
-    final List<Call> calls = workload.calls();
-    final List<String> broken = new ArrayList<>(Bounds.doubledKeys(runs, KEY_SPAN_MILLIS));
-    broken.addAll(Bounds.brokenPromises(calls, runs));
-    broken.addAll(Bounds.strangeAnswers(calls, runs));
-    broken.addAll(Bounds.doubledRequests(calls, runs));
-    final List<Pull> pulls = workload.pulls();
+    final List<UpstreamRun> runs = fleet.runs();
+    final List<ClientCall> calls = workload.calls();
+    final List<String> broken = new ArrayList<>(SoakChecker.doubledKeys(runs, KEY_SPAN_MILLIS));
+    broken.addAll(SoakChecker.brokenPromises(calls, runs));
+    broken.addAll(SoakChecker.strangeAnswers(calls, runs));
+    broken.addAll(SoakChecker.doubledRequests(calls, runs));
+    final List<LargeDownload> pulls = workload.pulls();
     broken.addAll(
-        Bounds.cutAnswers(
+        SoakChecker.cutAnswers(
             pulls,
             fleet.answered(),
             (proxy, from, to) -> fleet.proxies().get(proxy).disturbed(from, to),
             SlowReader.DEADLINE_MILLIS,
             CONTACT_MILLIS));
-    final List<Run> homed =
+    final List<UpstreamRun> homed =
         runs.stream()
             .filter(run -> run.tenant().equals(Workload.HOMED_TENANT))
             .filter(run -> run.startedAt() >= calmSince)
             .toList();
     broken.addAll(
-        Bounds.outsideHomes(
+        SoakChecker.outsideHomes(
             homed, fleet.homeChanges(), LocalFleet::regionOf, CONFIGURATION_MILLIS));
     broken.addAll(fleet.twoHolders());
     if (!fleet.twoHolders().isEmpty()) {
       fleet.registries().forEach(registry -> broken.addAll(keyCalls(registry)));
     }
-    final int most = Bounds.mostInWindow(runs, Workload.LIMITED_TENANT, QUOTA_WINDOW_MILLIS);
+    final int most = SoakChecker.mostInWindow(runs, Workload.LIMITED_TENANT, QUOTA_WINDOW_MILLIS);
     if (most > ALLOWED) {
       broken.add(most + " runs of the limited tenant in a window, allowed " + ALLOWED);
     }
@@ -182,7 +182,7 @@
     }
     final int served = (int) calls.stream().filter(call -> call.reply().status() == 200).count();
     final int keyed = (int) runs.stream().filter(run -> !run.key().isEmpty()).count();
-    final List<Reply> replies = workload.fetched();
+    final List<ClientReply> replies = workload.fetched();
     final int fetched = (int) replies.stream().filter(reply -> reply.status() == 200).count();
     return new Verdict(
         seed,
@@ -196,7 +196,7 @@
         fetched,
         fleet.twoHolders().size(),
         pulls.size(),
-        (int) pulls.stream().filter(Pull::whole).count(),
+        (int) pulls.stream().filter(LargeDownload::whole).count(),
         homed.size());
   }
 }
--- a/soak/src/main/java/weldpoint/soak/Run.java
+++ b/soak/src/main/java/weldpoint/soak/UpstreamRun.java
@@ -9,4 +9,4 @@
  * @param tenant the tenant that the proxy named; empty where it named none
  * @param startedAt when the run began, in milliseconds of the steady clock
  */
-record Run(String instance, String attemptId, String key, String tenant, long startedAt) {}
+record UpstreamRun(String instance, String attemptId, String key, String tenant, long startedAt) {}
--- a/soak/src/main/java/weldpoint/soak/Workload.java
+++ b/soak/src/main/java/weldpoint/soak/Workload.java
@@ -33,9 +33,9 @@
   private static final int READ_PAUSE_MILLIS = 60;
 
   private final LocalFleet fleet;
-  private final ConcurrentLinkedQueue<Call> calls = new ConcurrentLinkedQueue<>();
-  private final ConcurrentLinkedQueue<Reply> fetched = new ConcurrentLinkedQueue<>();
-  private final ConcurrentLinkedQueue<Pull> pulls = new ConcurrentLinkedQueue<>();
+  private final ConcurrentLinkedQueue<ClientCall> calls = new ConcurrentLinkedQueue<>();
+  private final ConcurrentLinkedQueue<ClientReply> fetched = new ConcurrentLinkedQueue<>();
+  private final ConcurrentLinkedQueue<LargeDownload> pulls = new ConcurrentLinkedQueue<>();
   private final List<Thread> threads = new ArrayList<>();
   private volatile boolean over;
 
@@ -51,7 +51,7 @@
 
   /** The configuration that the workload needs. */
   static String configuration() {
-    return configuration(1, IDLE_MILLIS, Homes.NONE);
+    return configuration(1, IDLE_MILLIS, HomeRegions.NONE);
   }
 
   /**
@@ -59,7 +59,7 @@
    *
    * @param idleMillis how long a connection of a client may rest
    */
-  static String configuration(final int version, final int idleMillis, final Homes homes) {
+  static String configuration(final int version, final int idleMillis, final HomeRegions homes) {
     final String action = "\"action\":{\"service\":\"desk\",\"timeoutMs\":1500,\"maxAttempts\":2}";
     return "{\"version\":\""
         + String.format("%08x", version)
@@ -75,7 +75,7 @@
         + "},{\"name\":\"free\",\"apiKeys\":[\"key-f\"]},{\"name\":\""
         + HOMED_TENANT
         + "\",\"homeRegions\":"
-        + Homes.json(homes.tenant())
+        + HomeRegions.json(homes.tenant())
         + ",\"apiKeys\":[\""
         + HOMED
         + "\"]}],\"listeners\":[{\"host\":\""
@@ -94,7 +94,7 @@
         + "\"match\":{\"pathPrefix\":\""
         + LocalFleet.HOMED_PATH
         + "\"},\"action\":{\"service\":\"desk\",\"homeRegions\":"
-        + Homes.json(homes.route())
+        + HomeRegions.json(homes.route())
         + ",\"timeoutMs\":1500,\"maxAttempts\":3}"
         + "},{\"name\":\"shelf\",\"routeKind\":\"egress\",\"targetLatencyMs\":1000,"
         + "\"match\":{\"pathPrefix\":\""
@@ -154,9 +154,9 @@
   private void call(final int proxy, final String key) {
     final String attemptId = fleet.attemptId();
     final long sentAt = Clock.millis();
-    final Reply reply =
+    final ClientReply reply =
         fleet.request(proxy, LocalFleet.WRITE_PATH + "1", attemptId, key, FREE, DEADLINE_MILLIS);
-    calls.add(new Call(attemptId, key, false, sentAt, reply));
+    calls.add(new ClientCall(attemptId, key, false, sentAt, reply));
   }
 
   private void read(final long seed) {
@@ -164,7 +164,7 @@
     while (!over) {
       final String attemptId = fleet.attemptId();
       final long sentAt = Clock.millis();
-      final Reply reply =
+      final ClientReply reply =
           fleet.request(
               random.nextInt(fleet.size().proxies()),
               LocalFleet.READ_PATH + "1",
@@ -172,7 +172,7 @@
               "",
               LIMITED,
               DEADLINE_MILLIS);
-      calls.add(new Call(attemptId, "", true, sentAt, reply));
+      calls.add(new ClientCall(attemptId, "", true, sentAt, reply));
       pause(random.nextInt(READ_PAUSE_MILLIS));
     }
   }
@@ -183,7 +183,7 @@
     while (!over) {
       final String attemptId = fleet.attemptId();
       final long sentAt = Clock.millis();
-      final Reply reply =
+      final ClientReply reply =
           fleet.request(
               random.nextInt(fleet.size().proxies()),
               LocalFleet.HOMED_PATH + "1",
@@ -191,7 +191,7 @@
               "",
               HOMED,
               DEADLINE_MILLIS);
-      calls.add(new Call(attemptId, "", false, sentAt, reply));
+      calls.add(new ClientCall(attemptId, "", false, sentAt, reply));
       pause(random.nextInt(READ_PAUSE_MILLIS));
     }
   }
@@ -201,8 +201,8 @@
     final Random random = new Random(seed ^ 0x5eed);
     while (!over) {
       final int key =
-          random.nextInt(3) == 0 ? random.nextInt(HOT_KEYS) : random.nextInt(HeldKeys.KEYS);
-      final Reply reply =
+          random.nextInt(3) == 0 ? random.nextInt(HOT_KEYS) : random.nextInt(GrantedKeys.KEYS);
+      final ClientReply reply =
           fleet.shelfRequest(
               random.nextInt(fleet.size().proxies()), fleet.attemptId(), Integer.toString(key));
       fetched.add(reply);
@@ -216,23 +216,23 @@
     while (!over) {
       final String attemptId = fleet.attemptId();
       final long sentAt = Clock.millis();
-      final Reply reply =
+      final ClientReply reply =
           fleet.shelfWrite(
               random.nextInt(fleet.size().proxies()),
               attemptId,
-              Integer.toString(random.nextInt(HeldKeys.KEYS)));
-      calls.add(new Call(attemptId, "", false, sentAt, reply));
+              Integer.toString(random.nextInt(GrantedKeys.KEYS)));
+      calls.add(new ClientCall(attemptId, "", false, sentAt, reply));
       pause(random.nextInt(READ_PAUSE_MILLIS));
     }
   }
 
   /** What slow clients of large answers had. */
-  List<Pull> pulls() {
+  List<LargeDownload> pulls() {
     return new ArrayList<>(pulls);
   }
 
   /** What clients of the divided service heard. */
-  List<Reply> fetched() {
+  List<ClientReply> fetched() {
     return new ArrayList<>(fetched);
   }
 
@@ -253,7 +253,7 @@
   }
 
   /** All requests that were answered or given up. */
-  List<Call> calls() {
+  List<ClientCall> calls() {
     return new ArrayList<>(calls);
   }
 }
--- a/soak/src/test/java/weldpoint/soak/DividedServiceTest.java
+++ b/soak/src/test/java/weldpoint/soak/DividedServiceTest.java
@@ -42,7 +42,7 @@
   private int served(final int requests) {
     int served = 0;
     for (int index = 0; index < requests; index++) {
-      final String key = Integer.toString(index * KEY_STEP % HeldKeys.KEYS);
+      final String key = Integer.toString(index * KEY_STEP % GrantedKeys.KEYS);
       served += fleet.shelfRequest(index % 2, fleet.attemptId(), key).status() == 200 ? 1 : 0;
     }
     return served;
@@ -57,7 +57,7 @@
   @Test
   public void aRequestWithoutAProperKeyIsTurnedAwayWithAReason() {
     for (final String bad : List.of("", "65536", "-1", "abc")) {
-      final Reply reply = fleet.shelfRequest(0, fleet.attemptId(), bad);
+      final ClientReply reply = fleet.shelfRequest(0, fleet.attemptId(), bad);
       assertEquals(reply.status(), 400, reply.toString());
       assertTrue(reply.body().contains("Weldpoint-Shard-Key"), reply.toString());
     }
--- a/soak/src/test/java/weldpoint/soak/FleetBoundsTest.java
+++ b/soak/src/test/java/weldpoint/soak/FleetBoundsTest.java
@@ -35,23 +35,24 @@
     fleet.close();
   }
 
-  private Reply book(final int proxy, final String key) {
+  private ClientReply book(final int proxy, final String key) {
     return fleet.request(
         proxy, LocalFleet.WRITE_PATH + "1", fleet.attemptId(), key, "key-f", DEADLINE_MILLIS);
   }
 
   @Test
   public void aKeyThatHasRunDoesNotRunAgainThroughAnotherProxy() {
-    final Reply first = book(0, "move-1");
+    final ClientReply first = book(0, "move-1");
     assertEquals(first.status(), 200, first.toString());
     book(1, "move-1");
-    final List<Run> runs = fleet.runs().stream().filter(run -> run.key().equals("move-1")).toList();
+    final List<UpstreamRun> runs =
+        fleet.runs().stream().filter(run -> run.key().equals("move-1")).toList();
     assertEquals(runs.size(), 1, runs.toString());
   }
 
   @Test
   public void aRepeatGetsTheFirstOnesAnswerThroughEveryProxy() {
-    final Reply first = book(0, "move-2");
+    final ClientReply first = book(0, "move-2");
     assertEquals(first.status(), 200, first.toString());
     assertEquals(book(0, "move-2"), first);
     assertEquals(book(1, "move-2"), first);
@@ -59,7 +60,7 @@
 
   @Test
   public void aKeyIsOneTenantsAndOneRequests() {
-    final Reply first = book(0, "move-3");
+    final ClientReply first = book(0, "move-3");
     assertEquals(first.status(), 200, first.toString());
     final String path = LocalFleet.WRITE_PATH + "2";
     final int proxy = 1;
@@ -77,16 +78,16 @@
   public void aRepeatWaitsForARequestThatIsStillAtWork() throws Exception {
     fleet.upstreams().forEach(upstream -> upstream.workMillis(600));
     try {
-      final java.util.concurrent.CompletableFuture<Reply> first =
+      final java.util.concurrent.CompletableFuture<ClientReply> first =
           java.util.concurrent.CompletableFuture.supplyAsync(() -> book(0, "move-4"));
       Thread.sleep(200);
-      final Reply second = book(1, "move-4");
+      final ClientReply second = book(1, "move-4");
       assertEquals(second.status(), 200, second.toString());
       assertEquals(second, first.get());
     } finally {
       fleet.upstreams().forEach(upstream -> upstream.workMillis(20));
     }
-    assertEquals(Bounds.doubledKeys(fleet.runs(), 60_000), List.of());
+    assertEquals(SoakChecker.doubledKeys(fleet.runs(), 60_000), List.of());
   }
 
   @Test
@@ -110,7 +111,7 @@
     }
     callers.shutdown();
     assertTrue(callers.awaitTermination(30, TimeUnit.SECONDS));
-    final int most = Bounds.mostInWindow(fleet.runs(), "limited", WINDOW_MILLIS);
+    final int most = SoakChecker.mostInWindow(fleet.runs(), "limited", WINDOW_MILLIS);
     assertTrue(most <= ALLOWED, most + " runs in a window, allowed " + ALLOWED);
     assertTrue(most >= RATE * 5, "only " + most + " runs in a window, owed " + RATE * 5);
   }
--- a/soak/src/test/java/weldpoint/soak/SoakTest.java
+++ b/soak/src/test/java/weldpoint/soak/SoakTest.java
@@ -25,31 +25,32 @@
     assertTrue(verdict.homedRuns() > 10, "homes were judged: " + verdict.homedRuns());
   }
 
-  private static Run run(final String attemptId, final String key, final long at) {
-    return new Run("i-1", attemptId, key, "limited", at);
+  private static UpstreamRun run(final String attemptId, final String key, final long at) {
+    return new UpstreamRun("i-1", attemptId, key, "limited", at);
   }
 
-  private static Call call(
+  private static ClientCall call(
       final String attemptId, final String key, final int status, final String seal) {
-    return new Call(attemptId, key, false, 0, new Reply(status, seal, "done"));
+    return new ClientCall(attemptId, key, false, 0, new ClientReply(status, seal, "done"));
   }
 
   @Test
   public void theJudgeSeesDoubledKeys() {
-    final List<Run> runs = List.of(run("1", "k", 0), run("2", "k", 59_999));
-    assertEquals(Bounds.doubledKeys(runs, 60_000).size(), 1);
-    assertEquals(Bounds.doubledKeys(runs, 59_000), List.of());
+    final List<UpstreamRun> runs = List.of(run("1", "k", 0), run("2", "k", 59_999));
+    assertEquals(SoakChecker.doubledKeys(runs, 60_000).size(), 1);
+    assertEquals(SoakChecker.doubledKeys(runs, 59_000), List.of());
   }
 
   @Test
   public void theJudgeSeesRefusalsThatRanAndAnswersOfNoRun() {
-    final List<Run> runs = List.of(run("1", "k", 0));
-    assertEquals(Bounds.brokenPromises(List.of(call("1", "k", 503, "")), runs).size(), 1);
-    assertEquals(Bounds.brokenPromises(List.of(call("1", "k", 502, "")), runs), List.of());
-    assertEquals(Bounds.strangeAnswers(List.of(call("1", "k", 200, "i-1.1")), runs), List.of());
-    assertEquals(Bounds.strangeAnswers(List.of(call("2", "k", 200, "i-1.2")), runs).size(), 1);
+    final List<UpstreamRun> runs = List.of(run("1", "k", 0));
+    assertEquals(SoakChecker.brokenPromises(List.of(call("1", "k", 503, "")), runs).size(), 1);
+    assertEquals(SoakChecker.brokenPromises(List.of(call("1", "k", 502, "")), runs), List.of());
     assertEquals(
-        Bounds.strangeAnswers(
+        SoakChecker.strangeAnswers(List.of(call("1", "k", 200, "i-1.1")), runs), List.of());
+    assertEquals(SoakChecker.strangeAnswers(List.of(call("2", "k", 200, "i-1.2")), runs).size(), 1);
+    assertEquals(
+        SoakChecker.strangeAnswers(
                 List.of(call("1", "k", 200, "i-1.1"), call("2", "k", 200, "i-1.x")), runs)
             .size(),
         2);
@@ -58,22 +59,23 @@
   @Test
   public void theJudgeSeesAnswersThatWereCutWithoutACause() {
     final Map<String, Long> answered = Map.of("1", 500L);
-    final List<Pull> cut = List.of(new Pull("1", 0, 400, 900, false));
+    final List<LargeDownload> cut = List.of(new LargeDownload("1", 0, 400, 900, false));
     assertEquals(cuts(cut, answered, 5000).size(), 1);
     assertEquals(cuts(cut, Map.of(), 5000), List.of(), "no upstream had answered");
     assertEquals(cuts(cut, answered, 600), List.of(), "the proxy was killed");
     assertEquals(cuts(cut, answered, -3000), List.of(), "the proxy was frozen shortly before");
     assertEquals(cuts(cut, answered, -4000).size(), 1, "the proxy was frozen long before");
     assertEquals(
-        cuts(List.of(new Pull("1", 0, 400, 2900, false)), answered, 5000),
+        cuts(List.of(new LargeDownload("1", 0, 400, 2900, false)), answered, 5000),
         List.of(),
         "its time was over");
-    assertEquals(cuts(List.of(new Pull("1", 0, 400, 900, true)), answered, 5000), List.of());
+    assertEquals(
+        cuts(List.of(new LargeDownload("1", 0, 400, 900, true)), answered, 5000), List.of());
   }
 
   private static List<String> cuts(
-      final List<Pull> pulls, final Map<String, Long> answered, final long disturbedAt) {
-    return Bounds.cutAnswers(
+      final List<LargeDownload> pulls, final Map<String, Long> answered, final long disturbedAt) {
+    return SoakChecker.cutAnswers(
         pulls,
         answered,
         (proxy, from, to) -> disturbedAt >= from && disturbedAt <= to,
@@ -83,19 +85,19 @@
 
   @Test
   public void theJudgeSeesRequestsThatRanTwice() {
-    final List<Run> runs = List.of(run("1", "", 0), run("1", "", 10));
-    assertEquals(Bounds.doubledRequests(List.of(call("1", "", 200, "")), runs).size(), 1);
-    assertEquals(Bounds.doubledRequests(List.of(call("2", "", 200, "")), runs), List.of());
+    final List<UpstreamRun> runs = List.of(run("1", "", 0), run("1", "", 10));
+    assertEquals(SoakChecker.doubledRequests(List.of(call("1", "", 200, "")), runs).size(), 1);
+    assertEquals(SoakChecker.doubledRequests(List.of(call("2", "", 200, "")), runs), List.of());
   }
 
   @Test
   public void theJudgeSeesRunsOutsideOfTheHomesInForce() {
-    final Homes near = new Homes(List.of(), List.of(Homes.NEAR));
-    final List<Homes.Change> changes =
+    final HomeRegions near = new HomeRegions(List.of(), List.of(HomeRegions.NEAR));
+    final List<HomeRegions.Change> changes =
         List.of(
-            new Homes.Change(1, Homes.NONE, 0, 0),
-            new Homes.Change(2, near, 10_000, Long.MAX_VALUE),
-            new Homes.Change(2, near, 10_000, 10_100));
+            new HomeRegions.Change(1, HomeRegions.NONE, 0, 0),
+            new HomeRegions.Change(2, near, 10_000, Long.MAX_VALUE),
+            new HomeRegions.Change(2, near, 10_000, 10_100));
     assertEquals(outside(changes, "i-2", 13_200).size(), 1);
     assertEquals(outside(changes, "i-2", 13_000), List.of(), "the bound is not over");
     assertEquals(outside(changes, "i-1", 13_200), List.of(), "in its homes");
@@ -103,16 +105,16 @@
   }
 
   private static List<String> outside(
-      final List<Homes.Change> changes, final String instance, final long at) {
-    final Run run = new Run(instance, "1", "", Workload.HOMED_TENANT, at);
-    return Bounds.outsideHomes(List.of(run), changes, LocalFleet::regionOf, 3000);
+      final List<HomeRegions.Change> changes, final String instance, final long at) {
+    final UpstreamRun run = new UpstreamRun(instance, "1", "", Workload.HOMED_TENANT, at);
+    return SoakChecker.outsideHomes(List.of(run), changes, LocalFleet::regionOf, 3000);
   }
 
   @Test
   public void theJudgeCountsWindowsThatSlide() {
-    final List<Run> runs =
+    final List<UpstreamRun> runs =
         List.of(run("1", "", 0), run("2", "", 4000), run("3", "", 4999), run("4", "", 5000));
-    assertEquals(Bounds.mostInWindow(runs, "limited", 5000), 3);
-    assertEquals(Bounds.mostInWindow(runs, "another", 5000), 0);
+    assertEquals(SoakChecker.mostInWindow(runs, "limited", 5000), 3);
+    assertEquals(SoakChecker.mostInWindow(runs, "another", 5000), 0);
   }
 }
