--- a/affinity/src/main/java/weldpoint/affinity/AffinityTable.java
+++ b/affinity/src/main/java/weldpoint/affinity/AffinityTable.java
@@ -179,25 +179,25 @@
       final String nodeId,
       final Predicate<PlacementMember> may,
       final long deadline) {
-    final PendingWrite tie =
+    final PendingWrite pendingWrite =
         new PendingWrite(service, caller, nodeId, may, deadline + FINISH_MILLIS);
-    ties.add(tie);
-    return tie;
+    ties.add(pendingWrite);
+    return pendingWrite;
   }
 
   /** Time has passed, or something ended. */
   public void tick(final long now) {
     boolean pending = false;
     for (final Iterator<PendingWrite> all = ties.iterator(); all.hasNext(); ) {
-      final PendingWrite tie = all.next();
-      if (tie.over || now >= tie.until) {
+      final PendingWrite pendingWrite = all.next();
+      if (pendingWrite.over || now >= pendingWrite.until) {
         all.remove();
         continue;
       }
-      final Epoch epoch = epochs.get(tie.service);
+      final Epoch epoch = epochs.get(pendingWrite.service);
       if (epoch != null && epoch.next != null) {
-        final PlacementMember then = epoch.next.choose(tie.caller, tie.may);
-        pending |= then == null || !then.id.equals(tie.node);
+        final PlacementMember then = epoch.next.choose(pendingWrite.caller, pendingWrite.may);
+        pending |= then == null || !then.id.equals(pendingWrite.node);
       }
     }
     if (!pending) {
--- a/affinity/src/test/java/weldpoint/affinity/AffinitySimulation.java
+++ b/affinity/src/test/java/weldpoint/affinity/AffinitySimulation.java
@@ -58,7 +58,7 @@
     boolean running;
     boolean frozen;
     boolean cut;
-    AffinityTable ties;
+    AffinityTable affinity;
     Registry exchange;
     final List<Runnable> held = new ArrayList<>();
 
@@ -69,7 +69,7 @@
 
   private final class Registry {
     final String address;
-    PlacementCoordinator keeper;
+    PlacementCoordinator coordinator;
     long incarnation;
     boolean running;
     boolean cut;
@@ -225,7 +225,7 @@
                 });
           }
         };
-    exchange.keeper =
+    exchange.coordinator =
         flaw == Flaw.NO_CONFIRMATION
             ? new PlacementCoordinator(
                 exchange.address, exchange.incarnation, LEASE, BATCH, writer) {
@@ -256,7 +256,7 @@
                 () -> {
                   if (exchange.running && exchange.incarnation == incarnation) {
                     exchange.confirmedAt = Math.max(exchange.confirmedAt, asked);
-                    if (exchange.keeper.take(given, named, mark, now)) {
+                    if (exchange.coordinator.take(given, named, mark, now)) {
                       boards.forEach(board -> push(exchange, board));
                     }
                   }
@@ -274,9 +274,10 @@
 
   private void push(final Registry exchange, final Proxy board) {
     if (board.running && board.exchange == exchange) {
-      final PlacementMessages.Placements told = exchange.keeper.placements();
+      final PlacementMessages.Placements told = exchange.coordinator.placements();
       final int life = board.life;
-      after(2 + random.nextInt(8), () -> fromCore(board, life, () -> board.ties.take(told, now)));
+      after(
+          2 + random.nextInt(8), () -> fromCore(board, life, () -> board.affinity.take(told, now)));
     }
   }
 
@@ -302,7 +303,7 @@
     board.frozen = false;
     board.held.clear();
     final int life = ++board.life;
-    board.ties =
+    board.affinity =
         ties(
             board,
             ask -> {
@@ -316,21 +317,23 @@
                     if (!near.running) {
                       return;
                     }
-                    if (near.keeper.keeps()) {
-                      answer(board, life, near.keeper.ask(ask, near.confirmedAt, now));
+                    if (near.coordinator.keeps()) {
+                      answer(board, life, near.coordinator.ask(ask, near.confirmedAt, now));
                     } else {
                       for (final Registry other : exchanges) {
                         if (other != near
                             && other.running
                             && !other.cut
                             && !near.cut
-                            && other.address.equals(near.keeper.keeper())) {
+                            && other.address.equals(near.coordinator.keeper())) {
                           after(
                               2 + random.nextInt(8),
                               () -> {
                                 if (other.running) {
                                   answer(
-                                      board, life, other.keeper.ask(ask, other.confirmedAt, now));
+                                      board,
+                                      life,
+                                      other.coordinator.ask(ask, other.confirmedAt, now));
                                 }
                               });
                         }
@@ -355,7 +358,9 @@
   }
 
   private void answer(final Proxy board, final int life, final PlacementMessages.LeaseGrant grant) {
-    after(2 + random.nextInt(8), () -> fromCore(board, life, () -> board.ties.granted(grant, now)));
+    after(
+        2 + random.nextInt(8),
+        () -> fromCore(board, life, () -> board.affinity.granted(grant, now)));
   }
 
   private void tick(final Proxy board, final int life) {
@@ -368,7 +373,7 @@
                 board.exchange = exchanges.get(random.nextInt(exchanges.size()));
               }
               push(board.exchange, board);
-              board.ties.tick(now);
+              board.affinity.tick(now);
             }
             tick(board, life);
           }
@@ -381,15 +386,15 @@
         () -> {
           for (final Registry exchange : exchanges) {
             if (exchange.running) {
-              exchange.keeper.wanted(Map.of(SERVICE, members()), LONGEST);
+              exchange.coordinator.wanted(Map.of(SERVICE, members()), LONGEST);
               boolean reachable = false;
               for (final Registry other : exchanges) {
                 reachable |=
-                    other.address.equals(exchange.keeper.keeper())
+                    other.address.equals(exchange.coordinator.keeper())
                         && other.running
                         && (other == exchange || !other.cut && !exchange.cut);
               }
-              exchange.keeper.tick(true, reachable, now - exchange.confirmedAt < 1000, now);
+              exchange.coordinator.tick(true, reachable, now - exchange.confirmedAt < 1000, now);
             }
           }
           loop();
@@ -416,7 +421,7 @@
       final String id,
       final long arrivedAt) {
     final long hash = Rendezvous.caller(SERVICE, caller);
-    final WriteDecision verdict = board.ties.decide(SERVICE, hash, member -> true, now);
+    final WriteDecision verdict = board.affinity.decide(SERVICE, hash, member -> true, now);
     if (verdict != WriteDecision.GO) {
       if (verdict.passing() && now - arrivedAt < 200) {
         after(25, () -> toBoard(board, life, () -> send(board, life, caller, id, arrivedAt)));
@@ -425,11 +430,11 @@
       }
       return;
     }
-    final Node node = nodes.get(board.ties.node().id);
+    final Node node = nodes.get(board.affinity.node().id);
     final long deadline = now + LONGEST;
-    final AffinityTable.PendingWrite tie =
-        board.ties.begin(SERVICE, hash, node.id, member -> true, deadline);
-    arrive(board, life, caller, id, node, tie, deadline, false);
+    final AffinityTable.PendingWrite pendingWrite =
+        board.affinity.begin(SERVICE, hash, node.id, member -> true, deadline);
+    arrive(board, life, caller, id, node, pendingWrite, deadline, false);
   }
 
   private void refused(final String id, final WriteDecision verdict) {
@@ -446,7 +451,7 @@
       final String caller,
       final String id,
       final Node node,
-      final AffinityTable.PendingWrite tie,
+      final AffinityTable.PendingWrite pendingWrite,
       final long deadline,
       final boolean again) {
     after(
@@ -460,7 +465,7 @@
                         board,
                         life,
                         () -> {
-                          tie.ended();
+                          pendingWrite.ended();
                           refused(id, WriteDecision.DECLINED);
                         }));
             return;
@@ -474,7 +479,7 @@
                         board,
                         life,
                         () -> {
-                          tie.ended();
+                          pendingWrite.ended();
                           final List<Node> others = new ArrayList<>(nodes.values());
                           others.removeIf(other -> !other.running || other == node);
                           if (flaw == Flaw.DECLINED_ELSEWHERE && !again && !others.isEmpty()) {
@@ -484,7 +489,7 @@
                                 caller,
                                 id,
                                 others.get(random.nextInt(others.size())),
-                                tie,
+                                pendingWrite,
                                 deadline,
                                 true);
                           } else {
@@ -493,7 +498,7 @@
                         }));
             return;
           }
-          work(board, life, caller, id, node, tie, deadline);
+          work(board, life, caller, id, node, pendingWrite, deadline);
         });
   }
 
@@ -503,7 +508,7 @@
       final String caller,
       final String id,
       final Node node,
-      final AffinityTable.PendingWrite tie,
+      final AffinityTable.PendingWrite pendingWrite,
       final long deadline) {
     if (runs.merge(id, 1, Integer::sum) > 1) {
       breaches.add(id + " ran twice");
@@ -542,7 +547,7 @@
                         if (lost) {
                           uncertainCount++;
                         } else {
-                          tie.ended();
+                          pendingWrite.ended();
                           confirmed.add(id);
                           confirmedCount++;
                         }
--- a/affinity/src/test/java/weldpoint/affinity/AffinityTest.java
+++ b/affinity/src/test/java/weldpoint/affinity/AffinityTest.java
@@ -167,47 +167,50 @@
   @Test
   public void anOlderPlacementAndAnotherLifesLeaseAreNotTaken() {
     final List<PlacementMessages.LeaseRequest> asks = new ArrayList<>();
-    final AffinityTable ties = new AffinityTable("b", 7, 2000, asks::add);
-    ties.take(
+    final AffinityTable affinity = new AffinityTable("b", 7, 2000, asks::add);
+    affinity.take(
         new PlacementMessages.Placements(
             5, List.of(new PlacementMessages.Placement("desk", 3, 3, members(2, 4), false, null))),
         1000);
-    ties.take(
+    affinity.take(
         new PlacementMessages.Placements(
             4, List.of(new PlacementMessages.Placement("desk", 4, 4, members(1, 4), false, null))),
         1000);
-    assertEquals(ties.epoch("desk"), 3);
-    assertEquals(ties.decide("desk", 1, member -> true, 1000), WriteDecision.NO_LEASE);
-    ties.granted(new PlacementMessages.LeaseGrant(asks.get(0).number, "b", 6, 2000), 1010);
-    assertFalse(ties.leased(1010));
-    ties.tick(1300);
-    ties.granted(
+    assertEquals(affinity.epoch("desk"), 3);
+    assertEquals(affinity.decide("desk", 1, member -> true, 1000), WriteDecision.NO_LEASE);
+    affinity.granted(new PlacementMessages.LeaseGrant(asks.get(0).number, "b", 6, 2000), 1010);
+    assertFalse(affinity.leased(1010));
+    affinity.tick(1300);
+    affinity.granted(
         new PlacementMessages.LeaseGrant(asks.get(asks.size() - 1).number, "b", 7, 2000), 1310);
-    assertEquals(ties.decide("desk", 1, member -> true, 1310), WriteDecision.GO);
+    assertEquals(affinity.decide("desk", 1, member -> true, 1310), WriteDecision.GO);
     assertEquals(
-        ties.decide("desk", 1, member -> true, 3300),
+        affinity.decide("desk", 1, member -> true, 3300),
         WriteDecision.NO_LEASE,
         "a process that slept must not send on waking");
-    assertEquals(ties.decide("other", 1, member -> true, 1310), WriteDecision.NO_PLACEMENT);
-    assertEquals(ties.decide("desk", 1, member -> false, 1310), WriteDecision.NO_NODE);
+    assertEquals(affinity.decide("other", 1, member -> true, 1310), WriteDecision.NO_PLACEMENT);
+    assertEquals(affinity.decide("desk", 1, member -> false, 1310), WriteDecision.NO_NODE);
   }
 
   @Test
   public void aKeeperGrantsNothingOnAnOlderMarkNorWithoutAMajority() {
-    final PlacementCoordinator keeper = new PlacementCoordinator("e", 1, 2000, 100, null);
-    keeper.take(
+    final PlacementCoordinator coordinator = new PlacementCoordinator("e", 1, 2000, 100, null);
+    coordinator.take(
         List.of(new PlacementMessages.Placement("desk", 2, 2, members(2, 4), false, null)),
         new PlacementMessages.PlacementOwner(1, "e", 1),
         2,
         1000);
     assertEquals(
-        keeper.ask(new PlacementMessages.LeaseRequest(1, "b", 1, 1, 1, null), 1000, 1100).millis,
+        coordinator.ask(new PlacementMessages.LeaseRequest(1, "b", 1, 1, 1, null), 1000, 1100)
+            .millis,
         0);
     assertEquals(
-        keeper.ask(new PlacementMessages.LeaseRequest(2, "b", 1, 2, 2, null), 1000, 1100).millis,
+        coordinator.ask(new PlacementMessages.LeaseRequest(2, "b", 1, 2, 2, null), 1000, 1100)
+            .millis,
         1900);
     assertEquals(
-        keeper.ask(new PlacementMessages.LeaseRequest(3, "b", 1, 2, 2, null), 1000, 3100).millis,
+        coordinator.ask(new PlacementMessages.LeaseRequest(3, "b", 1, 2, 2, null), 1000, 3100)
+            .millis,
         0);
     final PlacementCoordinator other = new PlacementCoordinator("f", 1, 2000, 100, null);
     other.take(List.of(), new PlacementMessages.PlacementOwner(1, "e", 1), 2, 1000);
--- a/audit/src/test/java/weldpoint/audit/AuditTest.java
+++ b/audit/src/test/java/weldpoint/audit/AuditTest.java
@@ -312,12 +312,12 @@
   @Test(dataProvider = "badAuthors")
   public void anAuthorThatIsNoNameIsRefusedWithTheRemedy(
       final String name, final int times, final String reason) {
-    final WeldpointException breakdown =
+    final WeldpointException exception =
         expectThrows(WeldpointException.class, () -> Authors.check(name, times));
-    assertEquals(breakdown.kind().status(), 400);
+    assertEquals(exception.kind().status(), 400);
     assertTrue(
-        breakdown.getMessage().contains(reason) && breakdown.getMessage().contains(Authors.HEADER),
-        breakdown.getMessage());
+        exception.getMessage().contains(reason) && exception.getMessage().contains(Authors.HEADER),
+        exception.getMessage());
   }
 
   @Test
--- a/cache/src/main/java/weldpoint/cache/CacheDaemon.java
+++ b/cache/src/main/java/weldpoint/cache/CacheDaemon.java
@@ -34,42 +34,53 @@
   private static final long TICK_MILLIS = 100;
   private static final long COUNTERS_MILLIS = 10_000;
 
-  private final Settings boot;
-  private final SerialExecutor desk = new SerialExecutor("announcer");
+  private final Settings settings;
+  private final SerialExecutor executor = new SerialExecutor("announcer");
   private final EventLoopGroup loop = new NioEventLoopGroup(1);
-  private final Transport trunk;
+  private final Transport transport;
   private final UpstreamPool upstreamPool;
   private final PermitPool permits;
-  private final OriginFetcher reader;
-  private final SharedCache core;
-  private final RegistryClient link;
+  private final OriginFetcher fetcher;
+  private final SharedCache cache;
+  private final RegistryClient registry;
   private final RegistryStream stream;
 
   /** A cache for these settings; nothing runs yet. */
-  public CacheDaemon(final Settings boot) {
-    this.boot = boot;
+  public CacheDaemon(final Settings settings) {
+    this.settings = settings;
     final long incarnation = RandomIds.next();
     final Random random = new Random(incarnation);
-    this.trunk =
+    this.transport =
         new Transport(
             loop,
-            new Protocol.Hello(Serializer.PROTOCOL, "announcer", boot.address(), incarnation));
-    this.upstreamPool = new UpstreamPool(loop, boot, random);
+            new Protocol.Hello(Serializer.PROTOCOL, "announcer", settings.address(), incarnation));
+    this.upstreamPool = new UpstreamPool(loop, settings, random);
     this.stream =
         new RegistryStream(
-            trunk, desk, boot, () -> loop.execute(() -> permits().sweep(true, now())));
+            transport, executor, settings, () -> loop.execute(() -> permits().sweep(true, now())));
     this.permits = new PermitPool(stream::send);
-    this.reader = new OriginFetcher(loop, boot, upstreamPool, permits, random);
-    this.core =
+    this.fetcher = new OriginFetcher(loop, settings, upstreamPool, permits, random);
+    this.cache =
         new SharedCache(
-            boot.copyBytes(), boot.purgeFirmMillis(), boot.purgeTrustMillis(), now(), reader);
+            settings.copyBytes(),
+            settings.purgeFirmMillis(),
+            settings.purgeTrustMillis(),
+            now(),
+            fetcher);
     final RegistryMessages.DaemonEntry self =
         new RegistryMessages.DaemonEntry(
-            boot.address(), "", boot.site(), boot.region(), incarnation, false, 0, true);
-    this.link =
+            settings.address(),
+            "",
+            settings.site(),
+            settings.region(),
+            incarnation,
+            false,
+            0,
+            true);
+    this.registry =
         new RegistryClient(
-            self, boot.seeds(), new Random(incarnation + 1), new ClientEnvironment());
-    stream.link(link);
+            self, settings.seeds(), new Random(incarnation + 1), new ClientEnvironment());
+    stream.registry(registry);
   }
 
   private final class ClientEnvironment implements RegistryClient.Environment {
@@ -96,7 +107,7 @@
 
     @Override
     public void outlook(
-        final RoutingTable plan,
+        final RoutingTable routingTable,
         final Map<RegistryMessages.Registration, Boolean> changes,
         final Set<String> evacuated,
         final Set<String> suspects,
@@ -106,9 +117,9 @@
           (registration, open) -> list.add(new UpstreamPool.Change(registration, open)));
       loop.execute(
           () -> {
-            if (plan != null) {
-              core.take(plan);
-              upstreamPool.configuration(plan);
+            if (routingTable != null) {
+              cache.take(routingTable);
+              upstreamPool.configuration(routingTable);
             }
             upstreamPool.apply(list, now());
             if (evacuated != null) {
@@ -127,26 +138,26 @@
 
     @Override
     public void purges(final CacheMessages.Purges purges) {
-      loop.execute(() -> core.purged(purges));
+      loop.execute(() -> cache.purged(purges));
     }
 
     @Override
     public void reached(final long ageMillis, final int boards, final List<String> announcers) {
       loop.execute(
           () -> {
-            core.reached(ageMillis, now());
-            reader.announcers(announcers.size());
+            cache.reached(ageMillis, now());
+            fetcher.announcers(announcers.size());
           });
     }
 
     @Override
-    public void permitted(final PermitMessages.PermitResponse answer) {
-      loop.execute(() -> permits.answered(answer));
+    public void permitted(final PermitMessages.PermitResponse response) {
+      loop.execute(() -> permits.answered(response));
     }
 
     @Override
     public void admitted() {
-      LOGGER.atInfo().log("announcer %s has a view", boot.name());
+      LOGGER.atInfo().log("announcer %s has a view", settings.name());
     }
   }
 
@@ -160,23 +171,23 @@
 
   @Override
   public void start() throws InterruptedException {
-    trunk.serve(
-        boot.address(),
-        boot.trunkPort(2),
+    transport.serve(
+        settings.address(),
+        settings.trunkPort(2),
         new Transport.Listener() {
           @Override
-          public void heard(final Connection line, final Message message) {
+          public void heard(final Connection connection, final Message message) {
             if (message instanceof CacheMessages.CacheReadRequest) {
-              core.ask((CacheMessages.CacheReadRequest) message, line::send, now());
+              cache.ask((CacheMessages.CacheReadRequest) message, connection::send, now());
             }
           }
         });
-    desk.execute(() -> link.start(now()));
+    executor.execute(() -> registry.start(now()));
     loop.scheduleAtFixedRate(
         () -> {
           permits.sweep(false, now());
           upstreamPool.sweep(now());
-          desk.execute(() -> link.tick(now()));
+          executor.execute(() -> registry.tick(now()));
         },
         TICK_MILLIS,
         TICK_MILLIS,
@@ -185,7 +196,7 @@
         () ->
             LOGGER.atInfo().log(
                 "counters: %s read %s held %s %s",
-                core.counters(), reader.sent, reader.held, permits.counters()),
+                cache.counters(), fetcher.sent, fetcher.held, permits.counters()),
         COUNTERS_MILLIS,
         COUNTERS_MILLIS,
         TimeUnit.MILLISECONDS);
@@ -193,14 +204,14 @@
 
   @Override
   public void reload(final Settings news) {
-    desk.execute(() -> link.seeds(news.seeds()));
+    executor.execute(() -> registry.seeds(news.seeds()));
   }
 
   @Override
   public void stop() {
-    desk.execute(() -> link.leave(now()));
+    executor.execute(() -> registry.leave(now()));
     try {
-      Thread.sleep(Math.min(1500, Math.max(300, boot.graceMillis() - 1000)));
+      Thread.sleep(Math.min(1500, Math.max(300, settings.graceMillis() - 1000)));
     } catch (final InterruptedException ended) {
       Thread.currentThread().interrupt();
     }
--- a/cache/src/main/java/weldpoint/cache/CacheStore.java
+++ b/cache/src/main/java/weldpoint/cache/CacheStore.java
@@ -26,16 +26,16 @@
     return copies.get(key);
   }
 
-  void put(final CachedObject copy) {
-    remove(copy.key);
-    if (copy.bytes() > mostBytes) {
+  void put(final CachedObject object) {
+    remove(object.key);
+    if (object.bytes() > mostBytes) {
       return;
     }
-    copies.put(copy.key, copy);
-    bytes += copy.bytes();
-    places.computeIfAbsent(copy.place, place -> new HashSet<>()).add(copy.key);
-    for (final String label : copy.labels) {
-      labels.computeIfAbsent(label, name -> new HashSet<>()).add(copy.key);
+    copies.put(object.key, object);
+    bytes += object.bytes();
+    places.computeIfAbsent(object.place, place -> new HashSet<>()).add(object.key);
+    for (final String label : object.labels) {
+      labels.computeIfAbsent(label, name -> new HashSet<>()).add(object.key);
     }
     final Iterator<CachedObject> oldest =
         new java.util.ArrayList<>(
@@ -47,13 +47,13 @@
   }
 
   void remove(final String key) {
-    final CachedObject copy = copies.remove(key);
-    if (copy == null) {
+    final CachedObject object = copies.remove(key);
+    if (object == null) {
       return;
     }
-    bytes -= copy.bytes();
-    forget(places, copy.place, key);
-    for (final String label : copy.labels) {
+    bytes -= object.bytes();
+    forget(places, object.place, key);
+    for (final String label : object.labels) {
       forget(labels, label, key);
     }
   }
@@ -78,9 +78,9 @@
 
   /** Removes all copies of which something holds. */
   void removeIf(final Predicate<CachedObject> condition) {
-    for (final CachedObject copy : new java.util.ArrayList<>(copies.values())) {
-      if (condition.test(copy)) {
-        remove(copy.key);
+    for (final CachedObject object : new java.util.ArrayList<>(copies.values())) {
+      if (condition.test(object)) {
+        remove(object.key);
       }
     }
   }
--- a/cache/src/main/java/weldpoint/cache/OriginFetcher.java
+++ b/cache/src/main/java/weldpoint/cache/OriginFetcher.java
@@ -44,7 +44,7 @@
   private static final int MOST_TRIES = 3;
 
   private final EventLoopGroup loop;
-  private final Settings boot;
+  private final Settings settings;
   private final UpstreamPool upstreamPool;
   private final PermitPool permits;
   private final Random random;
@@ -57,12 +57,12 @@
 
   OriginFetcher(
       final EventLoopGroup loop,
-      final Settings boot,
+      final Settings settings,
       final UpstreamPool upstreamPool,
       final PermitPool permits,
       final Random random) {
     this.loop = loop;
-    this.boot = boot;
+    this.settings = settings;
     this.upstreamPool = upstreamPool;
     this.permits = permits;
     this.random = random;
@@ -90,16 +90,16 @@
   }
 
   private boolean own(final RoutingTable.Service service, final long now) {
-    final long window = boot.originWindowMillis() + RateLimit.ORIGIN_TRANSIT_MILLIS;
-    if (announcers == 0 || !boot.firstStart() && now - openedAt < window) {
+    final long window = settings.originWindowMillis() + RateLimit.ORIGIN_TRANSIT_MILLIS;
+    if (announcers == 0 || !settings.firstStart() && now - openedAt < window) {
       return false;
     }
     final double limit =
         RateLimit.CACHE_SHARE
             * service.ratePerSecond()
-            * boot.originWindowMillis()
+            * settings.originWindowMillis()
             / 1000.0
-            * boot.originOvershoot()
+            * settings.originOvershoot()
             / announcers;
     return counters
             .computeIfAbsent(service.name(), name -> new SlidingWindowCounter(window))
--- a/cache/src/main/java/weldpoint/cache/SharedCache.java
+++ b/cache/src/main/java/weldpoint/cache/SharedCache.java
@@ -52,11 +52,11 @@
   }
 
   private record Waiter(
-      CacheReadRequest ask, Consumer<CacheReadResponse> reply, long mark, long cutoff) {}
+      CacheReadRequest request, Consumer<CacheReadResponse> reply, long mark, long cutoff) {}
 
   private static final class Fetch {
     final RouteBinding binding;
-    final CacheReadRequest ask;
+    final CacheReadRequest request;
     final String key;
     final String place;
     final long startedAt;
@@ -66,29 +66,29 @@
 
     Fetch(
         final RouteBinding binding,
-        final CacheReadRequest ask,
+        final CacheReadRequest request,
         final String key,
         final long startedAt,
         final long mark,
         final CachedObject before) {
       this.binding = binding;
-      this.ask = ask;
+      this.request = request;
       this.key = key;
-      this.place = place(ask.host, ask.target);
+      this.place = place(request.host, request.target);
       this.startedAt = startedAt;
       this.mark = mark;
       this.before = before;
     }
   }
 
-  private final Environment outlet;
+  private final Environment environment;
   private final CacheStore shelf;
   private static final long HEARD_MILLIS = 1000;
 
   private final long firmMillis;
   private final long trustMillis;
   private final Map<String, Fetch> fetches = new HashMap<>();
-  private RoutingTable plan;
+  private RoutingTable routingTable;
   private List<CacheMessages.Purge> purges = List.of();
   private long floor;
   private long mark;
@@ -108,9 +108,9 @@
       final long firmMillis,
       final long trustMillis,
       final long now,
-      final Environment outlet) {
+      final Environment environment) {
     this.firmMillis = firmMillis;
-    this.outlet = outlet;
+    this.environment = environment;
     this.shelf = new CacheStore(mostBytes);
     this.trustMillis = trustMillis;
     this.knownAt = now - trustMillis;
@@ -119,9 +119,9 @@
 
   /** Takes a configuration; copies whose routes have got home regions are dropped. */
   public void take(final RoutingTable given) {
-    plan = given;
+    routingTable = given;
     if (given.all().stream().anyMatch(route -> route.homes.length > 0)) {
-      shelf.removeIf(copy -> bind(copy.service, copy.host, copy.target) == null);
+      shelf.removeIf(object -> bind(object.service, object.host, object.target) == null);
     }
   }
 
@@ -164,22 +164,23 @@
 
   /** A switchboard asks for an object; it hears exactly once. */
   public void ask(
-      final CacheReadRequest ask, final Consumer<CacheReadResponse> reply, final long now) {
-    serve(new Waiter(ask, reply, mark, now + ask.waitMillis), now);
+      final CacheReadRequest request, final Consumer<CacheReadResponse> reply, final long now) {
+    serve(new Waiter(request, reply, mark, now + request.waitMillis), now);
   }
 
   private void serve(final Waiter waiter, final long now) {
-    final CacheReadRequest ask = waiter.ask;
-    final RouteBinding binding = bind(ask.service, ask.host, ask.target);
+    final CacheReadRequest request = waiter.request;
+    final RouteBinding binding = bind(request.service, request.host, request.target);
     if (binding == null || !trusts(now)) {
-      waiter.reply.accept(new CacheReadResponse(ask.number, 0, null, null));
+      waiter.reply.accept(new CacheReadResponse(request.number, 0, null, null));
       return;
     }
-    final String key = ask.service + ' ' + ask.host.toLowerCase(Locale.ROOT) + ask.target;
-    final CachedObject copy = shelf.get(key);
-    if (copy != null && now - copy.startedAt < binding.route().cacheMillis) {
+    final String key =
+        request.service + ' ' + request.host.toLowerCase(Locale.ROOT) + request.target;
+    final CachedObject object = shelf.get(key);
+    if (object != null && now - object.startedAt < binding.route().cacheMillis) {
       hits++;
-      waiter.reply.accept(answer(ask, copy));
+      waiter.reply.accept(answer(request, object));
       return;
     }
     final Fetch running = fetches.get(key);
@@ -188,14 +189,14 @@
       return;
     }
     misses++;
-    final Fetch fetch = new Fetch(binding, ask, key, now, mark, copy);
+    final Fetch fetch = new Fetch(binding, request, key, now, mark, object);
     fetch.waiters.add(waiter);
     fetches.put(key, fetch);
-    outlet.fetch(
+    environment.fetch(
         binding,
-        ask.host,
-        ask.target,
-        copy == null ? null : copy.etag,
+        request.host,
+        request.target,
+        object == null ? null : object.etag,
         fetch.waiters::size,
         waiter.cutoff,
         fetched -> fetched(fetch, fetched));
@@ -213,24 +214,25 @@
 
   /** What the configuration says of an object; null where no copy of it may be kept. */
   private RouteBinding bind(final String serviceName, final String host, final String target) {
-    final int service = plan == null ? -1 : plan.service(serviceName);
+    final int service = routingTable == null ? -1 : routingTable.service(serviceName);
     if (service < 0) {
       return null;
     }
     final RouteBinding binding = new RouteBinding(host, target, 0);
-    if (!plan.interpret(binding)
+    if (!routingTable.interpret(binding)
         || binding.route().kind != RouteKind.CACHEABLE
         || binding.route().cacheMillis <= 0
         || binding.homed()) {
       return null;
     }
     binding.forEverybody();
-    binding.divert(plan.services().get(service));
+    binding.divert(routingTable.services().get(service));
     return binding;
   }
 
-  private static CacheReadResponse answer(final CacheReadRequest ask, final CachedObject copy) {
-    return new CacheReadResponse(ask.number, 200, copy.headers, copy.body);
+  private static CacheReadResponse answer(
+      final CacheReadRequest request, final CachedObject object) {
+    return new CacheReadResponse(request.number, 200, object.headers, object.body);
   }
 
   /**
@@ -257,27 +259,27 @@
     if (fetches.get(fetch.key) == fetch) {
       fetches.remove(fetch.key);
     }
-    if (!fetch.binding.follow(plan) || fetch.binding.homed()) {
+    if (!fetch.binding.follow(routingTable) || fetch.binding.homed()) {
       for (final Waiter waiter : fetch.waiters) {
-        waiter.reply.accept(new CacheReadResponse(waiter.ask.number, 0, null, null));
+        waiter.reply.accept(new CacheReadResponse(waiter.request.number, 0, null, null));
       }
       return;
     }
-    CachedObject copy = null;
+    CachedObject object = null;
     if (fetched.status == 304 && fetch.before != null) {
       final String tag = header(fetched.headers, "etag");
       if (tag == null || tag.equals(fetch.before.etag)) {
-        copy = fetch.before.renewed(fetch.startedAt, fetch.mark);
+        object = fetch.before.renewed(fetch.startedAt, fetch.mark);
         renewals++;
       }
     } else if (fetched.status == 200) {
       final String labels = header(fetched.headers, "weldpoint-labels");
-      copy =
+      object =
           new CachedObject(
               fetch.key,
-              fetch.ask.service,
-              fetch.ask.host,
-              fetch.ask.target,
+              fetch.request.service,
+              fetch.request.host,
+              fetch.request.target,
               fetch.place,
               fetched.headers,
               fetched.body,
@@ -287,28 +289,28 @@
               fetch.mark);
     }
     final long voidedBy =
-        copy == null ? 0 : named(knownAtStart(fetch.mark), fetch.place, copy.labels);
-    if (copy != null
-        && copy.etag != null
-        && header(copy.headers, "weldpoint-labels") != null
+        object == null ? 0 : named(knownAtStart(fetch.mark), fetch.place, object.labels);
+    if (object != null
+        && object.etag != null
+        && header(object.headers, "weldpoint-labels") != null
         && voidedBy == 0) {
       final CachedObject present = shelf.get(fetch.key);
-      if (present == null || present.startedAt <= copy.startedAt) {
-        shelf.put(copy);
+      if (present == null || present.startedAt <= object.startedAt) {
+        shelf.put(object);
       }
     }
     for (final Waiter waiter : fetch.waiters) {
-      if (copy == null) {
+      if (object == null) {
         waiter.reply.accept(
             new CacheReadResponse(
-                waiter.ask.number,
+                waiter.request.number,
                 fetched.status == 304 ? 503 : fetched.status,
                 fetched.headers,
                 fetched.body));
       } else if (waiter.mark < voidedBy || voidedBy == 0) {
-        waiter.reply.accept(answer(waiter.ask, copy));
+        waiter.reply.accept(answer(waiter.request, object));
       } else {
-        waiter.reply.accept(new CacheReadResponse(waiter.ask.number, 503, null, null));
+        waiter.reply.accept(new CacheReadResponse(waiter.request.number, 503, null, null));
       }
     }
   }
--- a/cache/src/test/java/weldpoint/cache/OriginFetcherTest.java
+++ b/cache/src/test/java/weldpoint/cache/OriginFetcherTest.java
@@ -78,26 +78,26 @@
       thread.setDaemon(true);
       thread.start();
     }
-    final Settings boot =
+    final Settings settings =
         Settings.parse(
             "station.name = one\nstation.address = 127.0.0.1\nstation.site = a\nstation.region = r\ntrunk.ports = 7000,7015\ntrunk.seeds = 127.0.0.1:80\nsites = a:r\nbound.retry-slack = 1000\n");
-    final RoutingTable plan =
+    final RoutingTable routingTable =
         RoutingTable.compile(
             ("{\"version\":\"1\",\"listeners\":[{\"host\":\"h\",\"rules\":[{\"name\":\"r\",\"routeKind\":\"idempotent\",\"targetLatencyMs\":100,\"match\":{\"pathPrefix\":\"/\"},\"action\":{\"service\":\"s\",\"timeoutMs\":1500,\"maxAttempts\":"
                     + most
                     + "}}]}],\"pools\":[{\"name\":\"s\"}]}")
                 .getBytes(StandardCharsets.UTF_8));
-    final UpstreamPool upstreamPool = new UpstreamPool(loop, boot, new Random(1));
-    final OriginFetcher reader =
+    final UpstreamPool upstreamPool = new UpstreamPool(loop, settings, new Random(1));
+    final OriginFetcher fetcher =
         new OriginFetcher(
-            loop, boot, upstreamPool, new PermitPool(message -> false), new Random(1));
+            loop, settings, upstreamPool, new PermitPool(message -> false), new Random(1));
     final CompletableFuture<Integer> status = new CompletableFuture<>();
     loop.execute(
         () -> {
           upstreamPool.apply(changes, System.nanoTime() / 1_000_000);
           final RouteBinding binding = new RouteBinding("h", "/x", 0);
-          plan.interpret(binding);
-          reader.fetch(
+          routingTable.interpret(binding);
+          fetcher.fetch(
               binding,
               "h",
               "/x",
--- a/cache/src/test/java/weldpoint/cache/SharedCacheTest.java
+++ b/cache/src/test/java/weldpoint/cache/SharedCacheTest.java
@@ -44,7 +44,7 @@
     private final long[] knownPurgedTo = new long[6];
     private long now = 1_000_000;
     private long order;
-    private SharedCache core;
+    private SharedCache cache;
     private long life;
     private long told;
     int breaches;
@@ -63,7 +63,7 @@
     private void restart() {
       life++;
       told = 0;
-      core =
+      cache =
           lateMark
               ? new SharedCache(100_000, 60_000, 60_000, now, this) {
                 @Override
@@ -72,15 +72,15 @@
                 }
               }
               : new SharedCache(100_000, 60_000, 60_000, now, this);
-      core.take(RoutingTable.compile(SPEC.getBytes(StandardCharsets.UTF_8)));
-      core.reached(0, now);
+      cache.take(RoutingTable.compile(SPEC.getBytes(StandardCharsets.UTF_8)));
+      cache.reached(0, now);
       tell();
     }
 
     private void tell() {
       final List<Purge> list =
           new ArrayList<>(purges.subList(Math.max(0, purges.size() - 4), purges.size()));
-      core.purged(
+      cache.purged(
           new CacheMessages.Purges(
               list.isEmpty() ? 0 : list.get(0).serial - 1, purges.size(), list));
       told = purges.size();
@@ -137,14 +137,14 @@
       final int object = random.nextInt(6);
       final long askedAt = now;
       final long purgedTo = knownPurgedTo[object];
-      core.ask(
+      cache.ask(
           new CacheReadRequest(order, "media", "quay.example", "/a/" + object, 3000),
-          answer -> {
-            if (answer.status != 200) {
+          response -> {
+            if (response.status != 200) {
               return;
             }
             answers++;
-            final int version = Integer.parseInt(new String(answer.body, StandardCharsets.UTF_8));
+            final int version = Integer.parseInt(new String(response.body, StandardCharsets.UTF_8));
             final List<Long> history = since.get(object);
             final long replacedAt =
                 version < history.size() ? history.get(version) : Long.MAX_VALUE;
@@ -165,7 +165,7 @@
           event.deed.run();
         }
         now = next;
-        core.reached(0, now);
+        cache.reached(0, now);
         final int what = random.nextInt(100);
         if (what < 70) {
           ask();
@@ -237,73 +237,73 @@
   @Test
   public void oneFetchServesAllWhoWaitAndAFailureFailsOnlyThem() {
     final List<Consumer<SharedCache.FetchResult>> fetches = new ArrayList<>();
-    final SharedCache core =
+    final SharedCache cache =
         new SharedCache(
             1000,
             1700,
             5000,
             0,
             (binding, host, target, etag, weight, cutoff, done) -> fetches.add(done));
-    core.take(RoutingTable.compile(SPEC.getBytes(StandardCharsets.UTF_8)));
-    core.reached(0, 0);
+    cache.take(RoutingTable.compile(SPEC.getBytes(StandardCharsets.UTF_8)));
+    cache.reached(0, 0);
     final List<CacheReadResponse> answers = new ArrayList<>();
     for (int index = 0; index < 3; index++) {
-      core.ask(
+      cache.ask(
           new CacheReadRequest(index, "media", "quay.example", "/a/x", 1000), answers::add, 10);
     }
     assertEquals(fetches.size(), 1);
     fetches.get(0).accept(new SharedCache.FetchResult(503, null, null));
     assertEquals(answers.size(), 3);
-    core.ask(new CacheReadRequest(9, "media", "quay.example", "/a/x", 1000), answers::add, 20);
+    cache.ask(new CacheReadRequest(9, "media", "quay.example", "/a/x", 1000), answers::add, 20);
     fetches.get(1).accept(new SharedCache.FetchResult(200, List.of("ETag", "e"), new byte[] {1}));
     assertEquals(answers.get(3).status, 200);
-    assertEquals(core.copies(), 0, "an answer without labels is given and not kept");
-    core.ask(new CacheReadRequest(10, "media", "quay.example", "/b/x", 1000), answers::add, 30);
-    core.ask(new CacheReadRequest(11, "media", "quay.example", "/a/x", 1000), answers::add, 6000);
+    assertEquals(cache.copies(), 0, "an answer without labels is given and not kept");
+    cache.ask(new CacheReadRequest(10, "media", "quay.example", "/b/x", 1000), answers::add, 30);
+    cache.ask(new CacheReadRequest(11, "media", "quay.example", "/a/x", 1000), answers::add, 6000);
     assertEquals(answers.get(4).status, 0, "no such route");
     assertEquals(answers.get(5).status, 0, "purges may have been missed");
-    assertNotNull(core.counters());
+    assertNotNull(cache.counters());
   }
 
   @Test
   public void copiesAreWithheldWhenNobodySpeaksAndForALittleLongerWhileAnExchangeDoes() {
     final List<Consumer<SharedCache.FetchResult>> fetches = new ArrayList<>();
-    final SharedCache core =
+    final SharedCache cache =
         new SharedCache(
             100_000,
             1700,
             9000,
             0,
             (binding, host, target, etag, weight, cutoff, done) -> fetches.add(done));
-    core.take(RoutingTable.compile(SPEC.getBytes(StandardCharsets.UTF_8)));
-    core.reached(200, 1000);
+    cache.take(RoutingTable.compile(SPEC.getBytes(StandardCharsets.UTF_8)));
+    cache.reached(200, 1000);
     final List<Integer> statuses = new ArrayList<>();
-    core.ask(
+    cache.ask(
         new CacheReadRequest(1, "media", "quay.example", "/a/x", 1000),
-        answer -> statuses.add(answer.status),
+        response -> statuses.add(response.status),
         1000);
     fetches
         .get(0)
         .accept(
             new SharedCache.FetchResult(
                 200, List.of("ETag", "e", "Weldpoint-Labels", "all"), new byte[] {1}));
-    core.ask(
+    cache.ask(
         new CacheReadRequest(2, "media", "quay.example", "/a/x", 1000),
-        answer -> statuses.add(answer.status),
+        response -> statuses.add(response.status),
         2400);
-    core.ask(
+    cache.ask(
         new CacheReadRequest(3, "media", "quay.example", "/a/x", 1000),
-        answer -> statuses.add(answer.status),
+        response -> statuses.add(response.status),
         2600);
-    core.reached(4000, 4800);
-    core.ask(
+    cache.reached(4000, 4800);
+    cache.ask(
         new CacheReadRequest(4, "media", "quay.example", "/a/x", 1000),
-        answer -> statuses.add(answer.status),
+        response -> statuses.add(response.status),
         5000);
-    core.reached(9100, 9900);
-    core.ask(
+    cache.reached(9100, 9900);
+    cache.ask(
         new CacheReadRequest(5, "media", "quay.example", "/a/x", 1000),
-        answer -> statuses.add(answer.status),
+        response -> statuses.add(response.status),
         9900);
     assertEquals(statuses, List.of(200, 200, 0, 200, 0));
   }
@@ -319,28 +319,28 @@
   @Test
   public void noCopyIsKeptOrGivenOnceItsRouteHasHomes() {
     final List<Consumer<SharedCache.FetchResult>> fetches = new ArrayList<>();
-    final SharedCache core =
+    final SharedCache cache =
         new SharedCache(
             100_000,
             60_000,
             60_000,
             0,
             (binding, host, target, etag, weight, cutoff, done) -> fetches.add(done));
-    core.take(RoutingTable.compile(SPEC.getBytes(StandardCharsets.UTF_8)));
-    core.reached(0, 0);
+    cache.take(RoutingTable.compile(SPEC.getBytes(StandardCharsets.UTF_8)));
+    cache.reached(0, 0);
     final List<Integer> statuses = new ArrayList<>();
     final SharedCache.FetchResult whole =
         new SharedCache.FetchResult(
             200, List.of("ETag", "e", "Weldpoint-Labels", "all"), new byte[] {1});
-    core.ask(ask(1, "/a/x"), answer -> statuses.add(answer.status), 10);
+    cache.ask(ask(1, "/a/x"), response -> statuses.add(response.status), 10);
     fetches.get(0).accept(whole);
-    core.ask(ask(2, "/a/y"), answer -> statuses.add(answer.status), 20);
-    assertEquals(core.copies(), 1);
-    core.take(homed());
-    assertEquals(core.copies(), 0, "a copy taken before");
+    cache.ask(ask(2, "/a/y"), response -> statuses.add(response.status), 20);
+    assertEquals(cache.copies(), 1);
+    cache.take(homed());
+    assertEquals(cache.copies(), 0, "a copy taken before");
     fetches.get(1).accept(whole);
-    core.ask(ask(3, "/a/x"), answer -> statuses.add(answer.status), 30);
-    assertEquals(core.copies(), 0, "a fetch that was under way");
+    cache.ask(ask(3, "/a/x"), response -> statuses.add(response.status), 30);
+    assertEquals(cache.copies(), 0, "a fetch that was under way");
     assertEquals(fetches.size(), 2, "nothing is fetched any more");
     assertEquals(statuses, List.of(200, 0, 0));
   }
@@ -351,18 +351,18 @@
     final String tenants = "\"tenants\":[{\"name\":\"t\",\"apiKeys\":[\"k\"]}],\"listeners\"";
     final String before = SPEC.replace("\"listeners\"", tenants);
     final List<Consumer<SharedCache.FetchResult>> fetches = new ArrayList<>();
-    final SharedCache core =
+    final SharedCache cache =
         new SharedCache(
             100_000,
             60_000,
             60_000,
             0,
             (binding, host, target, etag, weight, cutoff, done) -> fetches.add(done));
-    core.take(RoutingTable.compile(before.getBytes(StandardCharsets.UTF_8)));
-    core.reached(0, 0);
+    cache.take(RoutingTable.compile(before.getBytes(StandardCharsets.UTF_8)));
+    cache.reached(0, 0);
     final List<Integer> statuses = new ArrayList<>();
-    core.ask(ask(1, "/a/x"), answer -> statuses.add(answer.status), 10);
-    core.take(
+    cache.ask(ask(1, "/a/x"), response -> statuses.add(response.status), 10);
+    cache.take(
         RoutingTable.compile(
             before
                 .replace("\"version\":\"1\"", "\"version\":\"2\"")
@@ -373,7 +373,7 @@
             new SharedCache.FetchResult(
                 200, List.of("ETag", "e", "Weldpoint-Labels", "all"), new byte[] {1}));
     assertEquals(statuses, List.of(200));
-    assertEquals(core.copies(), 1);
+    assertEquals(cache.copies(), 1);
   }
 
   private static CacheReadRequest ask(final long number, final String target) {
--- a/cli/src/main/java/weldpoint/cli/Demo.java
+++ b/cli/src/main/java/weldpoint/cli/Demo.java
@@ -90,10 +90,10 @@
   /** Starts everything, sends a configuration, a beat and some requests; prints what came back. */
   int run(final boolean stay) throws IOException, InterruptedException {
     final int trunk = 20_000 + new java.security.SecureRandom().nextInt(20_000);
-    final Settings boot = boot(trunk);
-    new StateStoreDaemon(boot).start();
-    new RegistryDaemon(boot).start();
-    new ProxyDaemon(boot).start();
+    final Settings settings = boot(trunk);
+    new StateStoreDaemon(settings).start();
+    new RegistryDaemon(settings).start();
+    new ProxyDaemon(settings).start();
     standIn(ports[3], 0);
     final String spec =
         "{\"version\":\"00000001\",\"limits\":{\"maxHeaderBytes\":16384,\"maxBodyBytes\":1048576,\"headerTimeoutMs\":3000,\"idleTimeoutMs\":15000},\"listeners\":[{\"host\":\"demo.example\",\"rules\":["
@@ -167,10 +167,10 @@
    * is held in the rehearsal.
    */
   int trial() throws IOException, InterruptedException {
-    final Settings boot = boot(20_000 + (int) (weldpoint.common.RandomIds.next() % 20_000));
-    new StateStoreDaemon(boot).start();
-    new RegistryDaemon(boot).start();
-    new ProxyDaemon(boot).start();
+    final Settings settings = boot(20_000 + (int) (weldpoint.common.RandomIds.next() % 20_000));
+    new StateStoreDaemon(settings).start();
+    new RegistryDaemon(settings).start();
+    new ProxyDaemon(settings).start();
     standIn(ports[3], 0);
     standIn(ports[4], 4);
     final String split =
@@ -288,10 +288,10 @@
    * node after each.
    */
   int affinity() throws IOException, InterruptedException {
-    final Settings boot = boot(20_000 + (int) (weldpoint.common.RandomIds.next() % 20_000));
-    new StateStoreDaemon(boot).start();
-    new RegistryDaemon(boot).start();
-    new ProxyDaemon(boot).start();
+    final Settings settings = boot(20_000 + (int) (weldpoint.common.RandomIds.next() % 20_000));
+    new StateStoreDaemon(settings).start();
+    new RegistryDaemon(settings).start();
+    new ProxyDaemon(settings).start();
     for (int node = 1; node <= 3; node++) {
       standIn(ports[2 + node], 0);
     }
@@ -409,8 +409,8 @@
     System.out.println("$ weldpoint trial " + String.join(" ", words));
     try {
       return new TrialCommand().run(words, System.out);
-    } catch (final WeldpointException breakdown) {
-      System.out.println("refused: " + breakdown.getMessage());
+    } catch (final WeldpointException exception) {
+      System.out.println("refused: " + exception.getMessage());
       return 1;
     }
   }
--- a/cli/src/main/java/weldpoint/cli/RecordCommand.java
+++ b/cli/src/main/java/weldpoint/cli/RecordCommand.java
@@ -95,17 +95,17 @@
         evacuated = sites;
       }
       for (final RecordingBuffer.CollectedBatch kept : Protocol.list(drained.reels)) {
-        final String life = kept.reel.board + "#" + kept.reel.incarnation;
-        final long offset = asked - kept.ageMillis - kept.reel.sentAt;
+        final String life = kept.batch.board + "#" + kept.batch.incarnation;
+        final long offset = asked - kept.ageMillis - kept.batch.sentAt;
         offsets.merge(life, offset, Math::min);
         clockError = Math.max(clockError, now - asked);
-        notes += Protocol.list(kept.reel.notes).size();
-        if (kept.reel.last) {
+        notes += Protocol.list(kept.batch.notes).size();
+        if (kept.batch.last) {
           open.remove(life);
         } else {
           open.add(life);
         }
-        writer.add(new RecordingFile.TimedBatch(offsets.get(life), kept.reel));
+        writer.add(new RecordingFile.TimedBatch(offsets.get(life), kept.batch));
       }
     }
 
--- a/cli/src/main/java/weldpoint/cli/Weldpoint.java
+++ b/cli/src/main/java/weldpoint/cli/Weldpoint.java
@@ -161,16 +161,16 @@
                 WeldpointException.Kind.UNREADABLE,
                 "the file " + file + " cannot be read; name a readable file");
           }
-          final RoutingTable plan = RoutingTable.compile(Files.readAllBytes(file));
+          final RoutingTable routingTable = RoutingTable.compile(Files.readAllBytes(file));
           System.out.println(
               "version "
-                  + Long.toHexString(plan.version())
+                  + Long.toHexString(routingTable.version())
                   + ", "
-                  + plan.routes()
+                  + routingTable.routes()
                   + " routes, "
-                  + plan.services().size()
+                  + routingTable.services().size()
                   + " services");
-          HomeRegionWarnings.of(plan, regions())
+          HomeRegionWarnings.of(routingTable, regions())
               .forEach(text -> System.out.println("warning: " + text));
         } else {
           throw new WeldpointException(
@@ -229,9 +229,9 @@
           try {
             program.reload(Settings.load());
             LOGGER.atInfo().log("the settings were read again");
-          } catch (final WeldpointException breakdown) {
+          } catch (final WeldpointException exception) {
             LOGGER.atWarning().log(
-                "the settings were not taken, the old ones stay: %s", breakdown.getMessage());
+                "the settings were not taken, the old ones stay: %s", exception.getMessage());
           }
         };
     sun.misc.Signal.handle(new sun.misc.Signal("HUP"), signal -> again.run());
@@ -294,9 +294,9 @@
     } catch (final OptionException problem) {
       System.err.print(problem.getMessage() + "\n" + usage());
       return BAD_USAGE;
-    } catch (final WeldpointException breakdown) {
-      System.err.println("weldpoint: " + breakdown.getMessage());
-      return breakdown.kind() == WeldpointException.Kind.USAGE ? BAD_USAGE : 1;
+    } catch (final WeldpointException exception) {
+      System.err.println("weldpoint: " + exception.getMessage());
+      return exception.kind() == WeldpointException.Kind.USAGE ? BAD_USAGE : 1;
     } catch (final IOException problem) {
       System.err.println("weldpoint: " + problem.getMessage());
       return 1;
--- a/cli/src/test/java/weldpoint/scale/ScaleTest.java
+++ b/cli/src/test/java/weldpoint/scale/ScaleTest.java
@@ -65,9 +65,9 @@
   @Test(dataProvider = "senseless")
   public void sizesBeyondTheMachineOrWithoutSenseAreRefusedBeforeAnythingStarts(
       final FleetSize sizes, final String reason) {
-    final WeldpointException breakdown = expectThrows(WeldpointException.class, sizes::checked);
-    assertEquals(breakdown.kind(), WeldpointException.Kind.USAGE);
-    assertTrue(breakdown.getMessage().contains(reason), breakdown.getMessage());
+    final WeldpointException exception = expectThrows(WeldpointException.class, sizes::checked);
+    assertEquals(exception.kind(), WeldpointException.Kind.USAGE);
+    assertTrue(exception.getMessage().contains(reason), exception.getMessage());
   }
 
   @DataProvider
@@ -85,12 +85,12 @@
 
   @Test(dataProvider = "badCalls")
   public void aCallThatMakesNoSenseEndsWithItsRemedy(final String[] words, final String reason) {
-    final WeldpointException breakdown =
+    final WeldpointException exception =
         expectThrows(
             WeldpointException.class,
             () -> new ScaleCommand().run(words, new PrintStream(new ByteArrayOutputStream())));
-    assertEquals(breakdown.kind(), WeldpointException.Kind.USAGE);
-    assertTrue(breakdown.getMessage().contains(reason), breakdown.getMessage());
+    assertEquals(exception.kind(), WeldpointException.Kind.USAGE);
+    assertTrue(exception.getMessage().contains(reason), exception.getMessage());
   }
 
   @Test
--- a/common/src/main/java/weldpoint/common/Daemon.java
+++ b/common/src/main/java/weldpoint/common/Daemon.java
@@ -8,7 +8,7 @@
   void start() throws IOException, InterruptedException;
 
   /** Takes what may change while it runs. */
-  void reload(Settings news);
+  void reload(Settings settings);
 
   /** Leaves in order; returns when the process may end. */
   void stop();
--- a/common/src/main/java/weldpoint/common/Settings.java
+++ b/common/src/main/java/weldpoint/common/Settings.java
@@ -94,9 +94,9 @@
       }
       values.put(line.substring(0, equals).strip(), line.substring(equals + 1).strip());
     }
-    final Settings boot = new Settings(values);
-    boot.check();
-    return boot;
+    final Settings settings = new Settings(values);
+    settings.check();
+    return settings;
   }
 
   private void check() {
--- a/common/src/test/java/weldpoint/common/SettingsTest.java
+++ b/common/src/test/java/weldpoint/common/SettingsTest.java
@@ -16,11 +16,11 @@
 
   @Test
   public void goodSettingsAreRead() {
-    final Settings boot = Settings.parse(GOOD);
-    assertEquals(boot.seeds(), java.util.List.of("10.0.0.1", "10.0.0.2"));
-    assertEquals(boot.trunkPort(1), 7001);
-    assertEquals(boot.sites().get("b"), "q");
-    assertEquals(boot.beatMillis(), 1500);
+    final Settings settings = Settings.parse(GOOD);
+    assertEquals(settings.seeds(), java.util.List.of("10.0.0.1", "10.0.0.2"));
+    assertEquals(settings.trunkPort(1), 7001);
+    assertEquals(settings.sites().get("b"), "q");
+    assertEquals(settings.beatMillis(), 1500);
   }
 
   @Test
@@ -34,13 +34,13 @@
         WeldpointException.class,
         () -> Settings.parse(GOOD + "ownership.late-ms = -1\n").ownershipLateMillis());
     for (final String bad : new String[] {"10", "5000"}) {
-      final WeldpointException breakdown =
+      final WeldpointException exception =
           expectThrows(
               WeldpointException.class,
               () ->
                   Settings.parse(
                       GOOD + "bound.hold-limit-ms = 4500\nownership.hold-ms = " + bad + "\n"));
-      assertTrue(breakdown.getMessage().contains("bound.hold-limit-ms"), breakdown.getMessage());
+      assertTrue(exception.getMessage().contains("bound.hold-limit-ms"), exception.getMessage());
     }
   }
 
@@ -61,10 +61,10 @@
   @Test(dataProvider = "bad")
   public void aBadValueIsNamedWithItsFieldAndRemedy(
       final String from, final String to, final String field) {
-    final WeldpointException breakdown =
+    final WeldpointException exception =
         expectThrows(WeldpointException.class, () -> Settings.parse(GOOD.replace(from, to)));
-    assertEquals(breakdown.kind(), WeldpointException.Kind.SETTING);
-    assertTrue(breakdown.getMessage().contains(field), breakdown.getMessage());
-    assertTrue(breakdown.getMessage().contains(";"), breakdown.getMessage());
+    assertEquals(exception.kind(), WeldpointException.Kind.SETTING);
+    assertTrue(exception.getMessage().contains(field), exception.getMessage());
+    assertTrue(exception.getMessage().contains(";"), exception.getMessage());
   }
 }
--- a/metrics/src/main/java/weldpoint/metrics/PrometheusFormat.java
+++ b/metrics/src/main/java/weldpoint/metrics/PrometheusFormat.java
@@ -23,7 +23,7 @@
   static byte[] text(final List<Metric> figures) {
     final Map<String, List<Metric>> byName = new LinkedHashMap<>();
     figures.forEach(
-        figure -> byName.computeIfAbsent(figure.name(), name -> new ArrayList<>()).add(figure));
+        metric -> byName.computeIfAbsent(metric.name(), name -> new ArrayList<>()).add(metric));
     final List<Metric> violations = new ArrayList<>();
     Invariant.counts()
         .forEach(
@@ -55,11 +55,11 @@
   private static MetricSnapshot counter(final List<Metric> same) {
     final CounterSnapshot.Builder builder =
         CounterSnapshot.builder().name(same.get(0).name()).help(same.get(0).help());
-    for (final Metric figure : same) {
+    for (final Metric metric : same) {
       builder.dataPoint(
           CounterSnapshot.CounterDataPointSnapshot.builder()
-              .value(figure.value())
-              .labels(labels(figure))
+              .value(metric.value())
+              .labels(labels(metric))
               .build());
     }
     return builder.build();
@@ -68,19 +68,19 @@
   private static MetricSnapshot gauge(final List<Metric> same) {
     final GaugeSnapshot.Builder builder =
         GaugeSnapshot.builder().name(same.get(0).name()).help(same.get(0).help());
-    for (final Metric figure : same) {
+    for (final Metric metric : same) {
       builder.dataPoint(
           GaugeSnapshot.GaugeDataPointSnapshot.builder()
-              .value(figure.value())
-              .labels(labels(figure))
+              .value(metric.value())
+              .labels(labels(metric))
               .build());
     }
     return builder.build();
   }
 
-  private static Labels labels(final Metric figure) {
+  private static Labels labels(final Metric metric) {
     final Labels.Builder builder = Labels.builder();
-    figure.labels().forEach(builder::label);
+    metric.labels().forEach(builder::label);
     return builder.build();
   }
 }
--- a/ownership/src/main/java/weldpoint/ownership/Assigner.java
+++ b/ownership/src/main/java/weldpoint/ownership/Assigner.java
@@ -64,8 +64,8 @@
   private final String service;
   private final String self;
   private final long incarnation;
-  private final GrantTimings times;
-  private final Environment outlet;
+  private final GrantTimings timings;
+  private final Environment environment;
   private final AssignerCounts counts = new AssignerCounts();
   private final SlotLoads loads = new SlotLoads();
   private final Map<String, Contact> contacts = new HashMap<>();
@@ -75,7 +75,7 @@
   private final Map<Integer, String> transfers = new HashMap<>();
   private final Map<Integer, String> targets = new HashMap<>();
   private Map<String, Member> knownMembers = Map.of();
-  private OutstandingGrants ledger;
+  private OutstandingGrants grants;
   private Assignment assignment;
   private long termSince;
   private long term;
@@ -87,14 +87,14 @@
       final String service,
       final String self,
       final long incarnation,
-      final GrantTimings times,
-      final Environment outlet) {
+      final GrantTimings timings,
+      final Environment environment) {
     this.service = service;
     this.self = self;
     this.incarnation = incarnation;
-    this.times = times;
-    this.outlet = outlet;
-    this.ledger = new OutstandingGrants(times);
+    this.timings = timings;
+    this.environment = environment;
+    this.grants = new OutstandingGrants(timings);
     java.util.Arrays.fill(movedAt, Long.MIN_VALUE / 2);
   }
 
@@ -130,7 +130,7 @@
     term++;
     termSince = now;
     movePauseUntil = now + CALM_MILLIS;
-    ledger = new OutstandingGrants(times);
+    grants = new OutstandingGrants(timings);
     transfers.clear();
     targets.clear();
     contacts.clear();
@@ -147,7 +147,7 @@
 
   /** Counts what another assigner, or an earlier life of this one, may have granted. */
   protected void inherit(final KeyRange range, final long now) {
-    ledger.inherited(range, now);
+    grants.inherited(range, now);
   }
 
   /** A range stands so in the register since now, or did before. */
@@ -204,7 +204,8 @@
     }
     writing = true;
     final long serial = assignment == null ? 1 : assignment.serial + 1;
-    outlet.write(new Assignment(service, serial, self, incarnation, ranges), () -> writing = false);
+    environment.write(
+        new Assignment(service, serial, self, incarnation, ranges), () -> writing = false);
   }
 
   /**
@@ -215,7 +216,7 @@
    */
   public void tick(final List<Member> members, final long confirmedAt, final long now) {
     loads.decay(now);
-    final long actsUntil = confirmedAt + times.leaseMillis();
+    final long actsUntil = confirmedAt + timings.leaseMillis();
     if (!acts() || now >= actsUntil) {
       return;
     }
@@ -240,17 +241,17 @@
 
   private void renew(final KeyRange range, final long actsUntil, final long now) {
     final int slot = KeySpace.slot(range.first);
-    if (now < dueAt[slot] || ledger.underWay(range)) {
+    if (now < dueAt[slot] || grants.underWay(range)) {
       return;
     }
     final long sentTerm = term;
-    final OutstandingGrants sentLedger = ledger;
-    ledger.sending(range, now);
-    outlet.grant(
+    final OutstandingGrants sentLedger = grants;
+    grants.sending(range, now);
+    environment.grant(
         range,
         Math.min(actsUntil, now + RETRY_MILLIS),
         result -> {
-          sentLedger.ended(range, result.end(), outlet.now());
+          sentLedger.ended(range, result.end(), environment.now());
           counts.grant(result.end());
           if (term == sentTerm) {
             granted(range, result);
@@ -261,7 +262,7 @@
   private void granted(final KeyRange range, final CallResult result) {
     final boolean done = result.end() == CallResult.End.DONE;
     heard(range.holder, done);
-    final long next = outlet.now() + (done ? times.renewMillis() : RETRY_MILLIS);
+    final long next = environment.now() + (done ? timings.renewMillis() : RETRY_MILLIS);
     for (int slot = KeySpace.slot(range.first); slot <= KeySpace.slot(range.last); slot++) {
       dueAt[slot] = Math.max(dueAt[slot], next);
     }
@@ -275,9 +276,9 @@
       return;
     }
     if (contact.failures++ == 0) {
-      contact.failingSince = outlet.now();
+      contact.failingSince = environment.now();
     }
-    contact.failedAt = outlet.now();
+    contact.failedAt = environment.now();
     if (contact.failures == FAILURES_TO_SILENCE) {
       contact.silences++;
       contact.proven = false;
@@ -322,17 +323,17 @@
     final int slot = KeySpace.slot(range.first);
     if (now < dueAt[slot]
         || releaseOut[slot]
-        || ledger.free(range, now)
-        || ledger.underWay(range)
+        || grants.free(range, now)
+        || grants.underWay(range)
         || !mayRelease(range, now)) {
       return;
     }
     final long sentTerm = term;
     releaseOut[slot] = true;
-    outlet.release(
+    environment.release(
         range,
         Math.min(actsUntil, now + RETRY_MILLIS),
-        now + times.holdMillis(),
+        now + timings.holdMillis(),
         result -> {
           counts.release(result.end());
           if (term == sentTerm) {
@@ -346,7 +347,7 @@
    * a higher fence, or all of them have arrived or been lost.
    */
   private boolean mayRelease(final KeyRange range, final long now) {
-    return ledger.acknowledgedAt(range) >= termSince || now > times.predecessorSilent(termSince);
+    return grants.acknowledgedAt(range) >= termSince || now > timings.predecessorSilent(termSince);
   }
 
   private void releaseEnded(final KeyRange range, final CallResult result) {
@@ -356,12 +357,12 @@
     final int slot = KeySpace.slot(range.first);
     releaseOut[slot] = false;
     if (result.end() == CallResult.End.DONE) {
-      ledger.released(range);
+      grants.released(range);
       if (result.transfer() != null && !ended(range.holder)) {
         transfers.put(slot, result.transfer());
       }
     } else {
-      dueAt[slot] = outlet.now() + RETRY_MILLIS;
+      dueAt[slot] = environment.now() + RETRY_MILLIS;
     }
   }
 
@@ -427,7 +428,7 @@
 
   /** Whether a range that is being given up may get another holder. */
   protected boolean mayPass(final KeyRange range, final long now) {
-    return ledger.free(range, now);
+    return grants.free(range, now);
   }
 
   private KeyRange passed(
@@ -459,8 +460,8 @@
     final boolean silent =
         contact != null
             && contact.failures >= FAILURES_TO_SILENCE
-            && now - contact.failingSince >= times.patienceMillis()
-            && now - ledger.acknowledgedAt(range) >= times.patienceMillis();
+            && now - contact.failingSince >= timings.patienceMillis()
+            && now - grants.acknowledgedAt(range) >= timings.patienceMillis();
     return silent ? MoveReason.SILENT : null;
   }
 
@@ -530,7 +531,7 @@
   }
 
   private boolean acknowledged(final KeyRange range) {
-    return ledger.acknowledgedAt(range) >= termSince;
+    return grants.acknowledgedAt(range) >= termSince;
   }
 
   // ---- what operators and tests look at
@@ -539,7 +540,8 @@
   public int keysWithoutHolder(final long now) {
     int keys = 0;
     for (final KeyRange range : assignment == null ? List.<KeyRange>of() : assignment.ranges()) {
-      final boolean held = range.held() && now - ledger.acknowledgedAt(range) <= times.holdMillis();
+      final boolean held =
+          range.held() && now - grants.acknowledgedAt(range) <= timings.holdMillis();
       keys += held ? 0 : range.last - range.first + 1;
     }
     return keys;
--- a/ownership/src/main/java/weldpoint/ownership/OutstandingGrants.java
+++ b/ownership/src/main/java/weldpoint/ownership/OutstandingGrants.java
@@ -13,15 +13,15 @@
   private static final Invariant ONE_HOLDER = Invariant.named("one holder per key");
   private static final long NEVER = Long.MIN_VALUE / 2;
 
-  private final GrantTimings times;
+  private final GrantTimings timings;
   private final String[] holder = new String[KeySpace.SLOTS];
   private final long[] possibleUntil = new long[KeySpace.SLOTS];
   private final int[] underWay = new int[KeySpace.SLOTS];
   private final long[] acknowledgedAt = new long[KeySpace.SLOTS];
   private final boolean[] released = new boolean[KeySpace.SLOTS];
 
-  OutstandingGrants(final GrantTimings times) {
-    this.times = times;
+  OutstandingGrants(final GrantTimings timings) {
+    this.timings = timings;
     Arrays.fill(possibleUntil, NEVER);
     Arrays.fill(acknowledgedAt, NEVER);
   }
@@ -30,7 +30,7 @@
   void inherited(final KeyRange range, final long now) {
     for (int slot = firstSlot(range); slot <= lastSlot(range); slot++) {
       holder[slot] = range.holder;
-      possibleUntil[slot] = times.surelyOver(times.predecessorSilent(now));
+      possibleUntil[slot] = timings.surelyOver(timings.predecessorSilent(now));
       acknowledgedAt[slot] = NEVER;
       released[slot] = false;
     }
@@ -61,10 +61,10 @@
       }
       if (end == CallResult.End.DONE) {
         acknowledgedAt[slot] = now;
-        possibleUntil[slot] = Math.max(possibleUntil[slot], times.surelyOver(now));
+        possibleUntil[slot] = Math.max(possibleUntil[slot], timings.surelyOver(now));
       } else if (end == CallResult.End.UNKNOWN) {
-        final long countedBy = times.surelyCounted(now);
-        possibleUntil[slot] = Math.max(possibleUntil[slot], times.surelyOver(countedBy));
+        final long countedBy = timings.surelyCounted(now);
+        possibleUntil[slot] = Math.max(possibleUntil[slot], timings.surelyOver(countedBy));
       }
     }
   }
--- a/ownership/src/main/java/weldpoint/ownership/OwnershipCoordinator.java
+++ b/ownership/src/main/java/weldpoint/ownership/OwnershipCoordinator.java
@@ -50,7 +50,7 @@
 
   private final String self;
   private final long incarnation;
-  private final GrantTimings times;
+  private final GrantTimings timings;
   private final Consumer<AssignerHeartbeat> pulses;
   private final Function<String, Assigner> maker;
   private final Map<String, Assigner> assigners = new TreeMap<>();
@@ -66,27 +66,27 @@
   public OwnershipCoordinator(
       final String self,
       final long incarnation,
-      final GrantTimings times,
-      final Assigner.Environment outlet,
+      final GrantTimings timings,
+      final Assigner.Environment environment,
       final Consumer<AssignerHeartbeat> pulses) {
     this(
         self,
         incarnation,
-        times,
+        timings,
         pulses,
-        service -> new Assigner(service, self, incarnation, times, outlet));
+        service -> new Assigner(service, self, incarnation, timings, environment));
   }
 
   /** A registry's part with assigners of another make, for tests. */
   OwnershipCoordinator(
       final String self,
       final long incarnation,
-      final GrantTimings times,
+      final GrantTimings timings,
       final Consumer<AssignerHeartbeat> pulses,
       final Function<String, Assigner> maker) {
     this.self = self;
     this.incarnation = incarnation;
-    this.times = times;
+    this.timings = timings;
     this.pulses = pulses;
     this.maker = maker;
   }
@@ -197,7 +197,7 @@
       final Function<String, List<Member>> members,
       final Position position,
       final long now) {
-    final boolean confirmed = now - position.confirmedAt() < times.leaseMillis();
+    final boolean confirmed = now - position.confirmedAt() < timings.leaseMillis();
     if (position.place() < 0 || !confirmed || now < takeOverPause) {
       return;
     }
@@ -263,8 +263,8 @@
         continue;
       }
       final String service = entry.getKey();
-      for (final Metric figure : assigner.counts().figures()) {
-        figures.add(figure.with("service", service));
+      for (final Metric metric : assigner.counts().figures()) {
+        figures.add(metric.with("service", service));
       }
       figures.add(
           Metric.gauge(
--- a/ownership/src/test/java/weldpoint/ownership/OutstandingGrantsTest.java
+++ b/ownership/src/test/java/weldpoint/ownership/OutstandingGrantsTest.java
@@ -18,11 +18,11 @@
       new KeyRange(0, 65_535, "k-1", "10.0.0.1:80", 7, RangeState.HELD, null);
 
   private static boolean freeAt(final CallResult.End end, final long now) {
-    final OutstandingGrants ledger =
+    final OutstandingGrants grants =
         new OutstandingGrants(GrantTimings.of(HOLD_MILLIS, LATE_MILLIS));
-    ledger.sending(RANGE, SENT_AT);
-    ledger.ended(RANGE, end, ENDED_AT);
-    return ledger.free(RANGE, now);
+    grants.sending(RANGE, SENT_AT);
+    grants.ended(RANGE, end, ENDED_AT);
+    return grants.free(RANGE, now);
   }
 
   /** Guards against OWNER: a grant that was read after its reset outlasted the wait for it. */
--- a/ownership/src/test/java/weldpoint/ownership/OwnershipSimulation.java
+++ b/ownership/src/test/java/weldpoint/ownership/OwnershipSimulation.java
@@ -114,9 +114,9 @@
     Registry(final int place, final long incarnation) {
       this.address = "r" + place;
       this.incarnation = incarnation;
-      final GrantTimings times = GrantTimings.of(HOLD_MILLIS, LATE_MILLIS);
+      final GrantTimings timings = GrantTimings.of(HOLD_MILLIS, LATE_MILLIS);
       this.coordinator =
-          new OwnershipCoordinator(address, incarnation, times, this::pulse, this::assigner);
+          new OwnershipCoordinator(address, incarnation, timings, this::pulse, this::assigner);
     }
 
     private Assigner assigner(final String service) {
@@ -287,18 +287,18 @@
         final String service,
         final String self,
         final long incarnation,
-        final GrantTimings times,
-        final Environment outlet) {
+        final GrantTimings timings,
+        final Environment environment) {
       super(
           service,
           self,
           incarnation,
           switch (broken) {
-            case NO_MARGIN -> new NoMargin().times(times);
-            case NOTHING_LATE -> GrantTimings.of(times.holdMillis(), 0);
-            default -> times;
+            case NO_MARGIN -> new NoMargin().times(timings);
+            case NOTHING_LATE -> GrantTimings.of(timings.holdMillis(), 0);
+            default -> timings;
           },
-          outlet);
+          environment);
     }
 
     @Override
@@ -318,8 +318,8 @@
   private static final class NoMargin {
     private static final double SHORT = 0.85;
 
-    GrantTimings times(final GrantTimings times) {
-      return new GrantTimings((long) (times.holdMillis() * SHORT), times.leaseMillis(), 0, 0);
+    GrantTimings times(final GrantTimings timings) {
+      return new GrantTimings((long) (timings.holdMillis() * SHORT), timings.leaseMillis(), 0, 0);
     }
   }
 
--- a/proxy/src/main/java/weldpoint/proxy/CacheClient.java
+++ b/proxy/src/main/java/weldpoint/proxy/CacheClient.java
@@ -37,7 +37,7 @@
   }
 
   private static final class PendingRequest {
-    final CacheReadRequest ask;
+    final CacheReadRequest request;
     final Consumer<CacheReadResponse> asker;
     final List<String> order;
     final long cutoff;
@@ -46,11 +46,11 @@
     long sentAt;
 
     PendingRequest(
-        final CacheReadRequest ask,
+        final CacheReadRequest request,
         final Consumer<CacheReadResponse> asker,
         final List<String> order,
         final long cutoff) {
-      this.ask = ask;
+      this.request = request;
       this.asker = asker;
       this.order = order;
       this.cutoff = cutoff;
@@ -107,7 +107,7 @@
             asker,
             order,
             now + waitMillis);
-    pending.put(one.ask.number, one);
+    pending.put(one.request.number, one);
     send(one, now);
   }
 
@@ -126,34 +126,34 @@
   private void send(final PendingRequest one, final long now) {
     while (one.next < one.order.size() && now < one.cutoff) {
       final String address = one.order.get(one.next++);
-      if (lines.send(address, one.ask)) {
+      if (lines.send(address, one.request)) {
         one.at = address;
         one.sentAt = now;
         return;
       }
     }
-    pending.remove(one.ask.number);
+    pending.remove(one.request.number);
     missed++;
-    one.asker.accept(new CacheReadResponse(one.ask.number, 0, null, null));
+    one.asker.accept(new CacheReadResponse(one.request.number, 0, null, null));
   }
 
   /** An announcer has answered. */
-  void heard(final String address, final CacheReadResponse answer, final long now) {
+  void heard(final String address, final CacheReadResponse response, final long now) {
     final Place place = places.get(address);
     if (place != null) {
       place.doubtfulUntil = 0;
     }
-    final PendingRequest one = pending.get(answer.number);
-    if (one == null || answer.status == 0 && !address.equals(one.at)) {
+    final PendingRequest one = pending.get(response.number);
+    if (one == null || response.status == 0 && !address.equals(one.at)) {
       return;
     }
-    if (answer.status == 0) {
+    if (response.status == 0) {
       send(one, now);
       return;
     }
-    pending.remove(answer.number);
+    pending.remove(response.number);
     answered++;
-    one.asker.accept(answer);
+    one.asker.accept(response);
   }
 
   /** The line to an announcer has ended. */
--- a/proxy/src/main/java/weldpoint/proxy/ClientConnection.java
+++ b/proxy/src/main/java/weldpoint/proxy/ClientConnection.java
@@ -112,9 +112,9 @@
           if (body == null) {
             body = context.alloc().buffer(content.readableBytes());
           }
-          if (proxyContext.plan != null
+          if (proxyContext.routingTable != null
               && body.readableBytes() + content.readableBytes()
-                  > proxyContext.plan.maxBodyBytes()) {
+                  > proxyContext.routingTable.maxBodyBytes()) {
             refuse(
                 HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE,
                 "the body is too large; send less",
@@ -168,8 +168,8 @@
           true);
       return;
     }
-    if (proxyContext.plan != null
-        && HttpUtil.getContentLength(request, 0L) > proxyContext.plan.maxBodyBytes()) {
+    if (proxyContext.routingTable != null
+        && HttpUtil.getContentLength(request, 0L) > proxyContext.routingTable.maxBodyBytes()) {
       refuse(
           HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE,
           "the body is too large; send less",
@@ -335,17 +335,17 @@
       context.close();
       return;
     }
-    if (trip != null || closing || proxyContext.plan == null) {
+    if (trip != null || closing || proxyContext.routingTable == null) {
       return;
     }
-    if (reading && now - since > proxyContext.plan.headerMillis()) {
+    if (reading && now - since > proxyContext.routingTable.headerMillis()) {
       refuse(
           HttpResponseStatus.REQUEST_TIMEOUT,
           "the request came too slowly; send it faster",
           null,
           true);
     } else if (!reading
-        && (now - since > proxyContext.plan.idleMillis()
+        && (now - since > proxyContext.routingTable.idleMillis()
             || proxyContext.leaving && now - since > LEAVING_IDLE_MILLIS)) {
       closing = true;
       context.close();
@@ -357,7 +357,8 @@
    * wait as long as a connection may be idle.
    */
   private void endOverdueAnswer(final long now) {
-    final long spare = proxyContext.plan == null ? LINGER_MILLIS : proxyContext.plan.idleMillis();
+    final long spare =
+        proxyContext.routingTable == null ? LINGER_MILLIS : proxyContext.routingTable.idleMillis();
     if (now - answerDeadline > spare) {
       closing = true;
       context.close();
--- a/proxy/src/main/java/weldpoint/proxy/ControlUpdate.java
+++ b/proxy/src/main/java/weldpoint/proxy/ControlUpdate.java
@@ -8,7 +8,7 @@
 
 /** What the control thread hands to the traffic thread; parts that did not change are null. */
 record ControlUpdate(
-    RoutingTable plan,
+    RoutingTable routingTable,
     List<UpstreamPool.Change> changes,
     Set<String> evacuated,
     Set<String> suspects,
--- a/proxy/src/main/java/weldpoint/proxy/IdempotentRequests.java
+++ b/proxy/src/main/java/weldpoint/proxy/IdempotentRequests.java
@@ -79,7 +79,7 @@
   private final String self;
   private final long incarnation;
   private final long window;
-  private final Environment outlet;
+  private final Environment environment;
   private final Map<Long, PendingClaim> pending = new HashMap<>();
   private final Map<Digest, IdempotentRequest> runs = new HashMap<>();
   private final ArrayDeque<IdempotentRequest> oldest = new ArrayDeque<>();
@@ -95,11 +95,11 @@
 
   /** Requests of the proxy at this address, in this life; a key is one request's for a window. */
   IdempotentRequests(
-      final String self, final long incarnation, final long window, final Environment outlet) {
+      final String self, final long incarnation, final long window, final Environment environment) {
     this.self = self;
     this.incarnation = incarnation;
     this.window = window;
-    this.outlet = outlet;
+    this.environment = environment;
   }
 
   /** A request with a key has come, which is not sent after the cutoff. */
@@ -119,7 +119,7 @@
     request.askedAt = now;
     request.claims++;
     pending.put(claim.number, new PendingClaim(request, claim));
-    if (!outlet.registry(new ClaimRequest(claim))) {
+    if (!environment.registry(new ClaimRequest(claim))) {
       pending.remove(claim.number);
       neverRan.put(claim.number, now + window);
       unavailable(request);
@@ -140,7 +140,7 @@
     if (first.outcome() != Outcome.NEVER_RAN) {
       repeated(request, first);
     } else if (request.claims < MOST_CLAIMS) {
-      outlet.later(() -> again(request), AGAIN_MILLIS);
+      environment.later(() -> again(request), AGAIN_MILLIS);
     } else {
       unavailable(request);
     }
@@ -191,7 +191,7 @@
     if (holder.proxy.equals(self)) {
       outcome(holder, request.key.fingerprint(), first -> ended(request, first));
     } else {
-      outlet.outcome(
+      environment.outcome(
           holder,
           request.key.fingerprint(),
           Math.max(1, request.cutoff - now),
@@ -204,7 +204,7 @@
     final IdempotentRequest run = runs.get(new Digest(claim.high, claim.low));
     final boolean own = claim.incarnation == incarnation;
     if (own && pending.containsKey(claim.number)) {
-      outlet.later(() -> outcome(claim, fingerprint, hears), AGAIN_MILLIS);
+      environment.later(() -> outcome(claim, fingerprint, hears), AGAIN_MILLIS);
     } else if (own && neverRan.containsKey(claim.number)) {
       hears.accept(new OutcomeResponse(Outcome.NEVER_RAN));
     } else if (run == null || !run.claim().sameClaimant(claim)) {
@@ -279,7 +279,7 @@
   }
 
   private void settle() {
-    if (!owed.isEmpty() && outlet.registry(new ClaimRelease(new ArrayList<>(owed)))) {
+    if (!owed.isEmpty() && environment.registry(new ClaimRelease(new ArrayList<>(owed)))) {
       owed.clear();
     }
   }
--- a/proxy/src/main/java/weldpoint/proxy/OutcomeClient.java
+++ b/proxy/src/main/java/weldpoint/proxy/OutcomeClient.java
@@ -21,32 +21,32 @@
   private static final long LEAST_WAIT_MILLIS = 200;
   private static final long CONNECT_MILLIS = 500;
 
-  private final Transport trunk;
-  private final Settings boot;
+  private final Transport transport;
+  private final Settings settings;
   private final EventLoopGroup loop;
   private final ProxyContext proxyContext;
 
   OutcomeClient(
-      final Transport trunk,
-      final Settings boot,
+      final Transport transport,
+      final Settings settings,
       final EventLoopGroup loop,
       final ProxyContext proxyContext) {
-    this.trunk = trunk;
-    this.boot = boot;
+    this.transport = transport;
+    this.settings = settings;
     this.loop = loop;
     this.proxyContext = proxyContext;
   }
 
   /** Takes the questions of other proxies from now on. */
   void serve() throws InterruptedException {
-    trunk.serve(
-        boot.address(),
-        boot.trunkPort(PORT),
+    transport.serve(
+        settings.address(),
+        settings.trunkPort(PORT),
         new Transport.Listener() {
           @Override
-          public void heard(final Connection line, final Message message) {
+          public void heard(final Connection connection, final Message message) {
             if (message instanceof OutcomeRequest) {
-              answer((OutcomeRequest) message, line::send);
+              answer((OutcomeRequest) message, connection::send);
             }
           }
         });
@@ -81,24 +81,24 @@
       final long waitMillis,
       final Consumer<OutcomeResponse> hears) {
     final PendingQuery question = new PendingQuery(hears);
-    question.dialler =
-        trunk.dial(
+    question.connector =
+        transport.dial(
             holder.proxy,
-            boot.trunkPort(PORT),
+            settings.trunkPort(PORT),
             new Transport.Listener() {
               @Override
-              public void opened(final Connection line) {
+              public void opened(final Connection connection) {
                 question.opened = true;
-                line.send(new OutcomeRequest(holder, fingerprint, waitMillis));
+                connection.send(new OutcomeRequest(holder, fingerprint, waitMillis));
               }
 
               @Override
-              public void closed(final Connection line) {
+              public void closed(final Connection connection) {
                 question.over(new OutcomeResponse(Outcome.UNCERTAIN));
               }
 
               @Override
-              public void heard(final Connection line, final Message message) {
+              public void heard(final Connection connection, final Message message) {
                 if (message instanceof OutcomeResponse) {
                   question.over((OutcomeResponse) message);
                 }
@@ -120,7 +120,7 @@
 
   private static final class PendingQuery {
     private final Consumer<OutcomeResponse> hears;
-    private Transport.Connector dialler;
+    private Transport.Connector connector;
     private boolean opened;
     private boolean over;
 
@@ -131,7 +131,7 @@
     void over(final OutcomeResponse answer) {
       if (!over) {
         over = true;
-        dialler.close();
+        connector.close();
         hears.accept(answer);
       }
     }
--- a/proxy/src/main/java/weldpoint/proxy/PermitPool.java
+++ b/proxy/src/main/java/weldpoint/proxy/PermitPool.java
@@ -52,11 +52,11 @@
   }
 
   /** An answer has come. */
-  public void answered(final PermitResponse answer) {
-    final PendingRequest one = pending.remove(answer.number);
+  public void answered(final PermitResponse response) {
+    final PendingRequest one = pending.remove(response.number);
     if (one != null) {
-      denied += answer.granted > 0 ? 0 : 1;
-      one.asker.answered(answer.granted, answer.version, one.askedAt - answer.ageMillis);
+      denied += response.granted > 0 ? 0 : 1;
+      one.asker.answered(response.granted, response.version, one.askedAt - response.ageMillis);
     }
   }
 
--- a/proxy/src/main/java/weldpoint/proxy/ProxiedRequest.java
+++ b/proxy/src/main/java/weldpoint/proxy/ProxiedRequest.java
@@ -80,7 +80,7 @@
   private Affinity affinity;
   private PartitionedRequestKey heldKey;
   private long caller;
-  private AffinityTable.PendingWrite tie;
+  private AffinityTable.PendingWrite pendingWrite;
   private int untied;
   private Recorder.Draft draft;
   private ScheduledFuture<?> timer;
@@ -100,13 +100,13 @@
   }
 
   void start() {
-    final RoutingTable plan = proxyContext.plan;
-    if (plan == null) {
+    final RoutingTable routingTable = proxyContext.routingTable;
+    if (routingTable == null) {
       refuse("no configuration is in force yet; come back shortly", "0.3");
       return;
     }
     if (!proxyContext.proof.holds(ProxyContext.now())) {
-      awaitProof(plan);
+      awaitProof(routingTable);
       return;
     }
     if (proxyContext.open.unwrittenBytes() > proxyContext.mostUnwrittenBytes) {
@@ -114,7 +114,7 @@
       return;
     }
     final RouteBinding bound = newBinding();
-    if (!plan.interpret(bound)) {
+    if (!routingTable.interpret(bound)) {
       finish();
       session.refuse(
           HttpResponseStatus.NOT_FOUND, "no route matches; check host and path", null, closeAfter);
@@ -131,7 +131,7 @@
     }
     binding = bound;
     route = bound.route();
-    if (!plan.tenants().isEmpty() && !admit()) {
+    if (!routingTable.tenants().isEmpty() && !admit()) {
       return;
     }
     affinity = Affinity.inForce(route, proxyContext.usual);
@@ -150,14 +150,14 @@
     }
     if (!proxyContext.trials.idle() && proxyContext.trials.covers(route.name)) {
       final int other =
-          plan.service(
+          routingTable.service(
               proxyContext.trials.choose(
                   route.name,
                   service().name(),
                   request.headers().get(Headers.TRIAL_TOKEN),
                   chance));
       if (other >= 0) {
-        binding.divert(plan.services().get(other));
+        binding.divert(routingTable.services().get(other));
       }
       trialled = true;
     }
@@ -177,7 +177,7 @@
     }
     final long waits = Headers.millis(request.headers(), Headers.DEADLINE, route.timeoutMillis);
     cutoff = arrivedAt + Math.max(1, Math.min(waits, route.timeoutMillis) - MARGIN_MILLIS);
-    if (proxyContext.once != null) {
+    if (proxyContext.uncertainWrites != null) {
       if (route.kind.repeatable()) {
         proxyContext.seenRepeatables++;
       } else {
@@ -232,10 +232,10 @@
    * Waits for the next proof that nothing acknowledged is missing here, for as long as a client can
    * still be served in time elsewhere, and refuses then.
    */
-  private void awaitProof(final RoutingTable plan) {
+  private void awaitProof(final RoutingTable routingTable) {
     final RouteBinding probable = newBinding();
     final long waits =
-        plan.interpret(probable) ? probable.route().targetMillis / 4 : PROOF_WAIT_MILLIS;
+        routingTable.interpret(probable) ? probable.route().targetMillis / 4 : PROOF_WAIT_MILLIS;
     final Runnable again =
         () -> {
           if (!over) {
@@ -298,7 +298,7 @@
    */
   private boolean bound() {
     final boolean proved = proxyContext.proof.holds(ProxyContext.now());
-    if (proved && binding.follow(proxyContext.plan)) {
+    if (proved && binding.follow(proxyContext.routingTable)) {
       return true;
     }
     if (over || running() > 0) {
@@ -360,7 +360,7 @@
     }
     if (proxyContext.strict
         && (arrivedAt - confirmedAt > proxyContext.revokeMillis - REVOKE_MARGIN_MILLIS
-            || version > proxyContext.plan.version())) {
+            || version > proxyContext.routingTable.version())) {
       refuse("it cannot be told now whether the key still holds; come back", retryAfter());
     } else if (!bound()) {
       return;
@@ -559,7 +559,7 @@
     }
     final WriteDecision verdict = tied();
     if (verdict == WriteDecision.GO) {
-      proxyContext.ties.count(verdict);
+      proxyContext.affinity.count(verdict);
       return;
     }
     final long waited = ProxyContext.now() - arrivedAt;
@@ -577,8 +577,8 @@
     if (over) {
       return;
     }
-    if (proxyContext.ties != null) {
-      proxyContext.ties.count(verdict);
+    if (proxyContext.affinity != null) {
+      proxyContext.affinity.count(verdict);
     }
     if (verdict == WriteDecision.OUTSIDE_HOMES) {
       refuse(RefusalCounts.Reason.OUTSIDE_HOMES, verdict.reason());
@@ -589,25 +589,25 @@
 
   /** Whether the tied write went out, and if not, why. */
   private WriteDecision tied() {
-    if (proxyContext.ties == null) {
+    if (proxyContext.affinity == null) {
       return WriteDecision.NO_PLACEMENT;
     }
     final long now = ProxyContext.now();
     final Predicate<PlacementMessages.PlacementMember> may =
         member -> binding.home(proxyContext.upstreamPool.region(member.site));
-    final WriteDecision verdict = proxyContext.ties.decide(service().name(), caller, may, now);
+    final WriteDecision verdict = proxyContext.affinity.decide(service().name(), caller, may, now);
     if (verdict != WriteDecision.GO) {
       return verdict == WriteDecision.NO_NODE && binding.homed()
           ? WriteDecision.OUTSIDE_HOMES
           : verdict;
     }
-    final String node = proxyContext.ties.node().id;
+    final String node = proxyContext.affinity.node().id;
     final UpstreamPool.Choice choice =
         proxyContext.upstreamPool.pinned(binding, node, affinity.pauseMillis(), now);
     if (choice != UpstreamPool.Choice.CHOSEN) {
       return choice == UpstreamPool.Choice.FULL ? WriteDecision.FULL : WriteDecision.LEAVING;
     }
-    tie = proxyContext.ties.begin(service().name(), caller, node, may, cutoff);
+    pendingWrite = proxyContext.affinity.begin(service().name(), caller, node, may, cutoff);
     transmit(proxyContext.upstreamPool.chosen(), now);
     return WriteDecision.GO;
   }
@@ -683,9 +683,9 @@
   }
 
   private boolean transmit(final Upstream upstream, final long now) {
-    if (proxyContext.once != null
+    if (proxyContext.uncertainWrites != null
         && !route.kind.repeatable()
-        && !proxyContext.once.begin(request.headers().get(Headers.ATTEMPT_ID))) {
+        && !proxyContext.uncertainWrites.begin(request.headers().get(Headers.ATTEMPT_ID))) {
       fail(
           HttpResponseStatus.BAD_GATEWAY,
           "this write was sent before and may have run; ask what became of it");
@@ -736,18 +736,20 @@
                 heldKey.ended(
                     proxyContext.owners, service().name(), fate, head, ProxyContext.now() - now);
               }
-              if (tie != null && end != UpstreamConnection.End.UNCERTAIN) {
-                tie.ended();
-                proxyContext.ties.tick(ProxyContext.now());
+              if (pendingWrite != null && end != UpstreamConnection.End.UNCERTAIN) {
+                pendingWrite.ended();
+                proxyContext.affinity.tick(ProxyContext.now());
               }
               if (draft != null) {
                 draft.ended(recorded, end, head, ProxyContext.now());
               }
-              if (proxyContext.once != null && !route.kind.repeatable() && attemptId != null) {
+              if (proxyContext.uncertainWrites != null
+                  && !route.kind.repeatable()
+                  && attemptId != null) {
                 if (fate == AttemptOutcome.NOT_RUN) {
-                  proxyContext.once.notRun(attemptId);
+                  proxyContext.uncertainWrites.notRun(attemptId);
                 } else {
-                  proxyContext.once.ran(
+                  proxyContext.uncertainWrites.ran(
                       attemptId, fate == AttemptOutcome.ANSWERED, ProxyContext.now());
                 }
               }
@@ -1017,8 +1019,8 @@
     } else if (uncertain || running() > 0) {
       if (running() > 0) {
         tell(TrialTracker.WriteOutcome.LOST);
-        if (proxyContext.once != null && !route.kind.repeatable()) {
-          proxyContext.once.ran(
+        if (proxyContext.uncertainWrites != null && !route.kind.repeatable()) {
+          proxyContext.uncertainWrites.ran(
               request.headers().get(Headers.ATTEMPT_ID), false, ProxyContext.now());
         }
       }
@@ -1036,11 +1038,11 @@
       if (attempt.unwritten()) {
         attempt.abandon();
         unproved--;
-        if (tie != null) {
-          tie.ended();
+        if (pendingWrite != null) {
+          pendingWrite.ended();
         }
-        if (proxyContext.once != null && !route.kind.repeatable()) {
-          proxyContext.once.notRun(request.headers().get(Headers.ATTEMPT_ID));
+        if (proxyContext.uncertainWrites != null && !route.kind.repeatable()) {
+          proxyContext.uncertainWrites.notRun(request.headers().get(Headers.ATTEMPT_ID));
         }
       }
     }
@@ -1068,8 +1070,9 @@
   }
 
   private void dropUnheard() {
-    if (running() > 0 && proxyContext.once != null) {
-      proxyContext.once.ran(request.headers().get(Headers.ATTEMPT_ID), false, ProxyContext.now());
+    if (running() > 0 && proxyContext.uncertainWrites != null) {
+      proxyContext.uncertainWrites.ran(
+          request.headers().get(Headers.ATTEMPT_ID), false, ProxyContext.now());
     }
     for (final UpstreamPool.Attempt attempt : attempts) {
       attempt.abandon();
--- a/proxy/src/main/java/weldpoint/proxy/ProxyContext.java
+++ b/proxy/src/main/java/weldpoint/proxy/ProxyContext.java
@@ -23,19 +23,19 @@
   final TrialTracker trials;
   final Random random;
   final EventLoopGroup loop;
-  RoutingTable plan;
+  RoutingTable routingTable;
   PermitPool permits;
   IdempotentRequests keys;
   List<String> keyHeaders = List.of();
-  AffinityTable ties;
+  AffinityTable affinity;
   final KeyOwners owners = new KeyOwners();
   Affinity usual;
   long tieWaitMillis;
   final AffinityKeys callers = new AffinityKeys();
   Runnable uponTies;
-  UncertainWrites once;
+  UncertainWrites uncertainWrites;
   Recorder recorder;
-  RegionMessages.LeaderDirective order;
+  RegionMessages.LeaderDirective directive;
   long seenRepeatables;
   long seenWrites;
   long refusedWrites;
@@ -59,25 +59,25 @@
 
   ProxyContext(
       final EventLoopGroup loop,
-      final Settings boot,
+      final Settings settings,
       final Random random,
       final TrialTracker trials) {
     this.trials = trials;
     this.loop = loop;
     this.random = random;
-    this.upstreamPool = new UpstreamPool(loop, boot, random);
+    this.upstreamPool = new UpstreamPool(loop, settings, random);
     this.upstreamPool.surplus(trials::surplus);
-    this.usual = Affinity.setting("affinity.default", boot.affinityUsual());
-    this.tieWaitMillis = boot.affinityWaitMillis();
-    this.strict = boot.strictRevocation();
-    this.revokeMillis = boot.revokeMillis();
-    this.proof = new ControlProof(boot.obeyMillis(), boot.contactMillis());
+    this.usual = Affinity.setting("affinity.default", settings.affinityUsual());
+    this.tieWaitMillis = settings.affinityWaitMillis();
+    this.strict = settings.strictRevocation();
+    this.revokeMillis = settings.revokeMillis();
+    this.proof = new ControlProof(settings.obeyMillis(), settings.contactMillis());
   }
 
   /** Takes the orders of a chief; null where none are in force any longer. */
   void ordered(final RegionMessages.LeaderDirective given, final String self) {
-    order = given;
-    once.elsewhere(given == null ? java.util.List.of() : Protocol.list(given.uncertain));
+    directive = given;
+    uncertainWrites.elsewhere(given == null ? java.util.List.of() : Protocol.list(given.uncertain));
     upstreamPool.ordered(
         given == null ? 0 : RegionAssessment.part(given, self),
         given == null
@@ -87,27 +87,27 @@
 
   /** What was seen since the last time. */
   RegionMessages.ProxyObservations sight(final long now) {
-    final RegionMessages.ProxyObservations sight =
+    final RegionMessages.ProxyObservations observations =
         new RegionMessages.ProxyObservations(
             seenRepeatables,
             seenWrites,
             refusedWrites,
             served - servedBefore,
             upstreamPool.silent(now),
-            once.unsure(now, UNSURE_MILLIS));
+            uncertainWrites.unsure(now, UNSURE_MILLIS));
     seenRepeatables = 0;
     seenWrites = 0;
     refusedWrites = 0;
     servedBefore = served;
-    return sight;
+    return observations;
   }
 
   /** Whether a chief's order lets this kind in now. */
   boolean admits(final RouteKind kind) {
-    return order == null
+    return directive == null
         || !kind.repeatable()
-        || order.admission >= 1
-        || random.nextDouble() < order.admission;
+        || directive.admission >= 1
+        || random.nextDouble() < directive.admission;
   }
 
   private static final long UNSURE_MILLIS = 30_000;
@@ -119,13 +119,15 @@
 
   void take(final ControlUpdate outlook) {
     final long now = now();
-    if (outlook.plan() != null && (plan == null || outlook.plan().version() > plan.version())) {
-      final boolean first = plan == null;
-      plan = outlook.plan();
-      upstreamPool.configuration(plan);
-      if (ties == null
+    if (outlook.routingTable() != null
+        && (routingTable == null || outlook.routingTable().version() > routingTable.version())) {
+      final boolean first = routingTable == null;
+      routingTable = outlook.routingTable();
+      upstreamPool.configuration(routingTable);
+      if (affinity == null
           && uponTies != null
-          && plan.all().stream().anyMatch(route -> Affinity.inForce(route, usual) != null)) {
+          && routingTable.all().stream()
+              .anyMatch(route -> Affinity.inForce(route, usual) != null)) {
         uponTies.run();
       }
       if (first && uponPlan != null) {
--- a/proxy/src/main/java/weldpoint/proxy/ProxyDaemon.java
+++ b/proxy/src/main/java/weldpoint/proxy/ProxyDaemon.java
@@ -67,12 +67,12 @@
   private static final long ROUND_MILLIS = 50;
   private static final long TIE_MILLIS = 50;
 
-  private final Settings boot;
-  private final SerialExecutor desk = new SerialExecutor("switchboard");
+  private final Settings settings;
+  private final SerialExecutor executor = new SerialExecutor("switchboard");
   private final EventLoopGroup loop = new NioEventLoopGroup(1);
   private final Transport trunk;
   private final ProxyContext proxyContext;
-  private final RegistryClient link;
+  private final RegistryClient registry;
   private final Set<ClientConnection> sessions = new HashSet<>();
   private final RegistryStream stream;
   private volatile Channel doors;
@@ -80,22 +80,26 @@
   private final long incarnation;
 
   /** A proxy for these settings; nothing runs yet. */
-  public ProxyDaemon(final Settings boot) {
-    this.boot = boot;
+  public ProxyDaemon(final Settings settings) {
+    this.settings = settings;
     this.incarnation = RandomIds.next();
     this.trunk =
         new Transport(
             loop,
-            new Protocol.Hello(Serializer.PROTOCOL, "switchboard", boot.address(), incarnation));
+            new Protocol.Hello(
+                Serializer.PROTOCOL, "switchboard", settings.address(), incarnation));
     this.proxyContext =
         new ProxyContext(
-            loop, boot, new Random(incarnation), new TrialTracker(boot.address(), incarnation));
+            loop,
+            settings,
+            new Random(incarnation),
+            new TrialTracker(settings.address(), incarnation));
     this.proxyContext.trials.alarm(() -> report(false));
     this.stream =
         new RegistryStream(
             trunk,
-            desk,
-            boot,
+            executor,
+            settings,
             () -> {
               if (proxyContext().permits != null) {
                 loop.execute(() -> sweepAsks(true));
@@ -103,17 +107,17 @@
             });
     final RegistryMessages.DaemonEntry self =
         new RegistryMessages.DaemonEntry(
-            boot.address(),
-            boot.requiredAddress("listen.traffic").toString(),
-            boot.site(),
-            boot.region(),
+            settings.address(),
+            settings.requiredAddress("listen.traffic").toString(),
+            settings.site(),
+            settings.region(),
             incarnation,
             false,
             0);
-    this.link =
+    this.registry =
         new RegistryClient(
             self,
-            boot.seeds(),
+            settings.seeds(),
             new Random(incarnation + 1),
             new RegistryClient.Environment() {
               @Override
@@ -139,7 +143,7 @@
 
               @Override
               public void outlook(
-                  final RoutingTable plan,
+                  final RoutingTable routingTable,
                   final Map<RegistryMessages.Registration, Boolean> changes,
                   final Set<String> evacuated,
                   final Set<String> suspects,
@@ -151,8 +155,8 @@
                     () ->
                         proxyContext.take(
                             new ControlUpdate(
-                                plan, list, evacuated, suspects, switchboards, null, -1)));
-                if (plan != null || evacuated != null) {
+                                routingTable, list, evacuated, suspects, switchboards, null, -1)));
+                if (routingTable != null || evacuated != null) {
                   inForce();
                 }
               }
@@ -177,7 +181,7 @@
                 loop.execute(
                     () -> {
                       ties();
-                      proxyContext.ties.take(placements, ProxyContext.now());
+                      proxyContext.affinity.take(placements, ProxyContext.now());
                     });
               }
 
@@ -190,8 +194,8 @@
               public void leased(final PlacementMessages.LeaseGrant grant) {
                 loop.execute(
                     () -> {
-                      if (proxyContext.ties != null) {
-                        proxyContext.ties.granted(grant, ProxyContext.now());
+                      if (proxyContext.affinity != null) {
+                        proxyContext.affinity.granted(grant, ProxyContext.now());
                       }
                     });
               }
@@ -212,7 +216,7 @@
               public void reached(
                   final long ageMillis, final int boards, final List<String> announcers) {
                 if (chief != null) {
-                  chief.core(ageMillis, ProxyContext.now());
+                  chief.election(ageMillis, ProxyContext.now());
                 }
                 if (proxyContext.recordings != null) {
                   loop.execute(
@@ -245,16 +249,16 @@
                 loop.execute(() -> report(true));
               }
             });
-    stream.link(link);
+    stream.registry(registry);
     proxyContext.uponTies = this::ties;
     proxyContext.uponPlan = this::openFront;
   }
 
   /** Notes what is in force, once the traffic thread has taken what was handed to it. */
   private void inForce() {
-    final long version = link.version();
-    final long mark = link.mark();
-    loop.execute(() -> desk.execute(() -> link.inForce(version, mark, ProxyContext.now())));
+    final long version = registry.version();
+    final long mark = registry.mark();
+    loop.execute(() -> executor.execute(() -> registry.inForce(version, mark, ProxyContext.now())));
   }
 
   ProxyContext proxyContext() {
@@ -263,26 +267,26 @@
 
   @Override
   public void start() throws InterruptedException {
-    final Settings.Address readiness = boot.requiredAddress("listen.readiness");
-    if (boot.chief()) {
-      chief = new RegionLeaderService(boot, trunk, desk, loop, proxyContext, incarnation);
+    final Settings.Address readiness = settings.requiredAddress("listen.readiness");
+    if (settings.chief()) {
+      chief = new RegionLeaderService(settings, trunk, executor, loop, proxyContext, incarnation);
     }
-    if (!boot.firstStart()) {
+    if (!settings.firstStart()) {
       proxyContext.upstreamPool.restarted(ProxyContext.now());
     }
     permits();
     keys();
-    if (boot.content()) {
+    if (settings.content()) {
       content();
     }
-    if (boot.metricsPort() > 0) {
+    if (settings.metricsPort() > 0) {
       MetricsServer.serve(
           loop,
-          boot.address(),
-          boot.metricsPort(),
+          settings.address(),
+          settings.metricsPort(),
           () -> CompletableFuture.completedFuture(figures()));
     }
-    desk.execute(() -> link.start(ProxyContext.now()));
+    executor.execute(() -> registry.start(ProxyContext.now()));
     new ServerBootstrap()
         .group(loop)
         .channel(NioServerSocketChannel.class)
@@ -315,26 +319,29 @@
                 proxyContext.repeated,
                 proxyContext.open.count(),
                 proxyContext.upstreamPool.count()
-                    + (proxyContext.ties == null
+                    + (proxyContext.affinity == null
                         ? ""
-                        : " " + proxyContext.ties.counters(ProxyContext.now()))
+                        : " " + proxyContext.affinity.counters(ProxyContext.now()))
                     + (chief == null ? "" : " " + chief.counters())
                     + proxyContext.keys.counters(),
-                proxyContext.plan == null ? "none" : Long.toHexString(proxyContext.plan.version()),
+                proxyContext.routingTable == null
+                    ? "none"
+                    : Long.toHexString(proxyContext.routingTable.version()),
                 proxyContext.proof.ageMillis(ProxyContext.now()),
-                trunk.meter()),
-        boot.countersMillis(),
-        boot.countersMillis(),
+                trunk.trafficCounters()),
+        settings.countersMillis(),
+        settings.countersMillis(),
         TimeUnit.MILLISECONDS);
   }
 
   /** Takes to tying callers to nodes. */
   private void ties() {
-    if (proxyContext.ties == null) {
-      proxyContext.ties =
-          new AffinityTable(boot.address(), incarnation, boot.affinityLeaseMillis(), stream::send);
+    if (proxyContext.affinity == null) {
+      proxyContext.affinity =
+          new AffinityTable(
+              settings.address(), incarnation, settings.affinityLeaseMillis(), stream::send);
       loop.scheduleAtFixedRate(
-          () -> proxyContext.ties.tick(ProxyContext.now()),
+          () -> proxyContext.affinity.tick(ProxyContext.now()),
           TIE_MILLIS,
           TIE_MILLIS,
           TimeUnit.MILLISECONDS);
@@ -343,7 +350,8 @@
 
   private void record(final RecordingMessages.RecordingState state) {
     if (state.on && proxyContext.recorder == null) {
-      proxyContext.recorder = new Recorder(boot.address(), boot.site(), boot.region(), incarnation);
+      proxyContext.recorder =
+          new Recorder(settings.address(), settings.site(), settings.region(), incarnation);
       loop.scheduleAtFixedRate(
           () -> {
             proxyContext.recorder.flush(ProxyContext.now(), stream::send);
@@ -377,7 +385,9 @@
             proxyContext.open.unwrittenBytes()));
     figures.add(
         Metric.counter(
-            "weldpoint_registry_moves", "Times that another registry was dialled.", link.moves()));
+            "weldpoint_registry_moves",
+            "Times that another registry was dialled.",
+            registry.moves()));
     figures.add(
         Metric.counter(
             "weldpoint_key_waits",
@@ -403,13 +413,13 @@
 
   /** Takes to claiming idempotency keys. */
   private void keys() throws InterruptedException {
-    final OutcomeClient lines = new OutcomeClient(trunk, boot, loop, proxyContext);
-    proxyContext.keyHeaders = boot.keyHeaders();
+    final OutcomeClient lines = new OutcomeClient(trunk, settings, loop, proxyContext);
+    proxyContext.keyHeaders = settings.keyHeaders();
     proxyContext.keys =
         new IdempotentRequests(
-            boot.address(),
+            settings.address(),
             incarnation,
-            boot.keyWindowMillis(),
+            settings.keyWindowMillis(),
             new IdempotentRequests.Environment() {
               @Override
               public boolean registry(final Message message) {
@@ -434,14 +444,14 @@
   }
 
   private void content() {
-    final weldpoint.transport.PeerConnections lines =
+    final weldpoint.transport.PeerConnections connections =
         new weldpoint.transport.PeerConnections(
             trunk,
-            boot.trunkPort(2),
+            settings.trunkPort(2),
             to ->
                 new Transport.Listener() {
                   @Override
-                  public void heard(final Connection line, final Message message) {
+                  public void heard(final Connection connection, final Message message) {
                     if (message instanceof CacheMessages.CacheReadResponse) {
                       proxyContext.recordings.heard(
                           to, (CacheMessages.CacheReadResponse) message, ProxyContext.now());
@@ -449,7 +459,7 @@
                   }
 
                   @Override
-                  public void closed(final Connection line) {
+                  public void closed(final Connection connection) {
                     proxyContext.recordings.closed(to, ProxyContext.now());
                   }
                 });
@@ -458,17 +468,17 @@
             new CacheClient.Connections() {
               @Override
               public void keep(final List<String> addresses) {
-                lines.keep(addresses);
+                connections.keep(addresses);
               }
 
               @Override
               public boolean send(final String address, final Message message) {
-                return lines.send(address, message);
+                return connections.send(address, message);
               }
 
               @Override
               public long silentMillis(final String address) {
-                return lines.silentMillis(address);
+                return connections.silentMillis(address);
               }
             });
     loop.scheduleAtFixedRate(
@@ -478,15 +488,15 @@
   private void report(final boolean all) {
     final TrialMessages.TrialReport report = proxyContext.trials.report(all);
     if (report != null) {
-      desk.execute(() -> stream.send(report));
+      executor.execute(() -> stream.send(report));
     }
   }
 
   private void openFront() {
-    final Settings.Address front = boot.requiredAddress("listen.traffic");
+    final Settings.Address front = settings.requiredAddress("listen.traffic");
     final ServerBootstrap server = new ServerBootstrap();
-    if (boot.transferBytes() > 0) {
-      server.childOption(ChannelOption.SO_SNDBUF, boot.transferBytes());
+    if (settings.transferBytes() > 0) {
+      server.childOption(ChannelOption.SO_SNDBUF, settings.transferBytes());
     }
     server
         .group(loop)
@@ -502,7 +512,9 @@
                 sessions.add(session);
                 channel.closeFuture().addListener(closed -> sessions.remove(session));
                 final int most =
-                    proxyContext.plan == null ? MOST_HEADER : proxyContext.plan.maxHeaderBytes();
+                    proxyContext.routingTable == null
+                        ? MOST_HEADER
+                        : proxyContext.routingTable.maxHeaderBytes();
                 channel
                     .pipeline()
                     .addLast(
@@ -523,7 +535,7 @@
   }
 
   private void tick() {
-    desk.execute(() -> link.tick(ProxyContext.now()));
+    executor.execute(() -> registry.tick(ProxyContext.now()));
     sweepAsks(false);
   }
 
@@ -545,7 +557,7 @@
   private final class Readiness extends SimpleChannelInboundHandler<HttpRequest> {
     @Override
     protected void channelRead0(final ChannelHandlerContext context, final HttpRequest request) {
-      final boolean ready = proxyContext.plan != null && !proxyContext.leaving;
+      final boolean ready = proxyContext.routingTable != null && !proxyContext.leaving;
       final DefaultFullHttpResponse response =
           new DefaultFullHttpResponse(
               HttpVersion.HTTP_1_1,
@@ -569,15 +581,15 @@
 
   @Override
   public void reload(final Settings news) {
-    desk.execute(() -> link.seeds(news.seeds()));
+    executor.execute(() -> registry.seeds(news.seeds()));
   }
 
   @Override
   public void stop() {
     final long began = ProxyContext.now();
-    desk.execute(() -> link.leave(ProxyContext.now()));
+    executor.execute(() -> registry.leave(ProxyContext.now()));
     loop.execute(() -> proxyContext.leaving = true);
-    final long longest = Math.max(500, boot.graceMillis() - 700);
+    final long longest = Math.max(500, settings.graceMillis() - 700);
     try {
       Thread.sleep(Math.min(LINGER_MILLIS, longest));
       final Channel open = doors;
--- a/proxy/src/main/java/weldpoint/proxy/RegionLeaderService.java
+++ b/proxy/src/main/java/weldpoint/proxy/RegionLeaderService.java
@@ -27,102 +27,107 @@
   private static final int PORT = 3;
   private static final long TICK_MILLIS = 200;
 
-  private final Settings boot;
-  private final Transport trunk;
+  private final Settings settings;
+  private final Transport transport;
   private final Executor desk;
   private final EventLoopGroup loop;
   private final ProxyContext proxyContext;
-  private final PeerConnections lines;
+  private final PeerConnections connections;
   private final Map<String, Connection> incoming = new HashMap<>();
-  private final LeaderElection core;
+  private final LeaderElection election;
   private boolean serves;
-  private volatile RegionMessages.ProxyObservations sight =
+  private volatile RegionMessages.ProxyObservations observations =
       new RegionMessages.ProxyObservations(0, 0, 0, 0, null, null);
   private volatile String counters = "chief CORE";
 
   RegionLeaderService(
-      final Settings boot,
-      final Transport trunk,
+      final Settings settings,
+      final Transport transport,
       final Executor desk,
       final EventLoopGroup loop,
       final ProxyContext proxyContext,
       final long incarnation) {
-    this.boot = boot;
-    this.trunk = trunk;
+    this.settings = settings;
+    this.transport = transport;
     this.desk = desk;
     this.loop = loop;
     this.proxyContext = proxyContext;
-    proxyContext.once = new UncertainWrites();
-    this.lines =
+    proxyContext.uncertainWrites = new UncertainWrites();
+    this.connections =
         new PeerConnections(
-            trunk,
-            boot.trunkPort(PORT),
+            transport,
+            settings.trunkPort(PORT),
             to ->
                 Transport.on(
                     desk,
                     new Transport.Listener() {
                       @Override
-                      public void opened(final Connection line) {
-                        core().opened(to);
+                      public void opened(final Connection connection) {
+                        election().opened(to);
                       }
 
                       @Override
-                      public void heard(final Connection line, final Message message) {
-                        core().receive(to, line.peer().incarnation, message, ProxyContext.now());
+                      public void heard(final Connection connection, final Message message) {
+                        election()
+                            .receive(
+                                to, connection.peer().incarnation, message, ProxyContext.now());
                       }
                     }));
-    this.core =
+    this.election =
         new LeaderElection(
-            boot.address(),
+            settings.address(),
             incarnation,
-            boot.region(),
+            settings.region(),
             new LeaderElection.ElectionTimeouts(
-                true, boot.chiefWaitMillis(), boot.chiefTenureMillis(), boot.chiefPulseMillis()),
+                true,
+                settings.chiefWaitMillis(),
+                settings.chiefTenureMillis(),
+                settings.chiefPulseMillis()),
             new Random(incarnation + 2),
             ProxyContext.now(),
             new LeaderElection.Environment() {
               @Override
               public void peers(final List<String> addresses) {
-                lines.keep(addresses);
+                connections.keep(addresses);
               }
 
               @Override
               public boolean send(final String address, final Message message) {
-                if (lines.send(address, message)) {
+                if (connections.send(address, message)) {
                   return true;
                 }
-                final Connection line = incoming.get(address);
-                if (line != null) {
-                  line.send(message);
+                final Connection connection = incoming.get(address);
+                if (connection != null) {
+                  connection.send(message);
                 }
-                return line != null;
+                return connection != null;
               }
 
               @Override
               public RegionMessages.ProxyObservations sight() {
-                final RegionMessages.ProxyObservations seen = sight;
-                loop.execute(() -> sight = proxyContext.sight(ProxyContext.now()));
+                final RegionMessages.ProxyObservations seen = observations;
+                loop.execute(() -> observations = proxyContext.sight(ProxyContext.now()));
                 return seen;
               }
 
               @Override
-              public void ordered(final RegionMessages.LeaderDirective order) {
-                loop.execute(() -> proxyContext.ordered(order, boot.address()));
+              public void ordered(final RegionMessages.LeaderDirective directive) {
+                loop.execute(() -> proxyContext.ordered(directive, settings.address()));
               }
             });
     loop.scheduleAtFixedRate(
         () -> desk.execute(this::tick), TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  private LeaderElection core() {
-    return core;
+  private LeaderElection election() {
+    return election;
   }
 
   private void tick() {
     final long now = ProxyContext.now();
-    core.tick(now);
-    counters = core.counters(now);
-    if (!serves && core.phase() != weldpoint.regionleader.LeaderPhase.CORE) {
+    election.tick(now);
+    counters = election.counters(now);
+    if (!serves && election.phase() != weldpoint.regionleader.LeaderPhase.CORE) {
       serves = true;
       serve()
           .addListener(
@@ -130,7 +135,7 @@
                 if (!bound.isSuccess()) {
                   LOGGER.atWarning().withCause(bound.cause()).log(
                       "the port %s cannot be listened at; free it, or no chief can reach this switchboard",
-                      boot.trunkPort(PORT));
+                      settings.trunkPort(PORT));
                   desk.execute(() -> serves = false);
                 }
               });
@@ -138,36 +143,39 @@
   }
 
   private ChannelFuture serve() {
-    return trunk.listen(
-        boot.address(),
-        boot.trunkPort(PORT),
+    return transport.listen(
+        settings.address(),
+        settings.trunkPort(PORT),
         Transport.on(
             desk,
             new Transport.Listener() {
               @Override
-              public void opened(final Connection line) {
-                incoming.put(line.peer().address, line);
+              public void opened(final Connection connection) {
+                incoming.put(connection.peer().address, connection);
               }
 
               @Override
-              public void heard(final Connection line, final Message message) {
-                core.receive(
-                    line.peer().address, line.peer().incarnation, message, ProxyContext.now());
+              public void heard(final Connection connection, final Message message) {
+                election.receive(
+                    connection.peer().address,
+                    connection.peer().incarnation,
+                    message,
+                    ProxyContext.now());
               }
 
               @Override
-              public void closed(final Connection line) {
-                incoming.remove(line.peer().address, line);
+              public void closed(final Connection connection) {
+                incoming.remove(connection.peer().address, connection);
               }
             }));
   }
 
   void electorate(final RegionMessages.Electorate electorate) {
-    core.electorate(electorate);
+    election.electorate(electorate);
   }
 
-  void core(final long ageMillis, final long now) {
-    core.core(now - ageMillis, now);
+  void election(final long ageMillis, final long now) {
+    election.core(now - ageMillis, now);
   }
 
   String counters() {
--- a/proxy/src/main/java/weldpoint/proxy/RegistryClient.java
+++ b/proxy/src/main/java/weldpoint/proxy/RegistryClient.java
@@ -75,7 +75,7 @@
 
     /** Tells the traffic thread. */
     void outlook(
-        RoutingTable plan,
+        RoutingTable routingTable,
         Map<Registration, Boolean> changes,
         Set<String> evacuated,
         Set<String> suspects,
@@ -112,7 +112,7 @@
     default void claimed(final KeyMessages.ClaimResponse answer) {}
 
     /** An answer to an ask for permits. */
-    default void permitted(final PermitMessages.PermitResponse answer) {}
+    default void permitted(final PermitMessages.PermitResponse response) {}
 
     /**
      * All that was acknowledged anywhere before this time of the own steady clock, in milliseconds,
@@ -124,7 +124,7 @@
     void admitted();
   }
 
-  private final Environment outlet;
+  private final Environment environment;
   private final Random random;
   private final DaemonEntry self;
   private final RegistryAddresses addresses;
@@ -155,10 +155,10 @@
       final DaemonEntry self,
       final List<String> seeds,
       final Random random,
-      final Environment outlet) {
+      final Environment environment) {
     this.self = self;
     this.random = random;
-    this.outlet = outlet;
+    this.environment = environment;
     this.addresses = new RegistryAddresses(self, seeds, random);
   }
 
@@ -197,14 +197,14 @@
     viewed = false;
     open = false;
     nearAt = now + NEAR_MILLIS + random.nextInt((int) NEAR_MILLIS);
-    outlet.dial(current);
+    environment.dial(current);
   }
 
   private void endApproach() {
     seeking = false;
     if (approached != null) {
       approached = null;
-      outlet.abandonApproach();
+      environment.abandonApproach();
     }
   }
 
@@ -219,7 +219,7 @@
       return true;
     }
     final String another = addresses.next(current, approached, now);
-    if (!outlet.approach(another)) {
+    if (!environment.approach(another)) {
       return false;
     }
     if (seeking) {
@@ -260,7 +260,7 @@
 
   private void tell(final long now) {
     toldAt = now;
-    outlet.send(new RegistryMessages.DaemonReport(state(now)));
+    environment.send(new RegistryMessages.DaemonReport(state(now)));
   }
 
   private DaemonEntry state(final long now) {
@@ -283,7 +283,7 @@
     heardAt = now;
     open = true;
     toldAt = now;
-    outlet.send(greeting(now));
+    environment.send(greeting(now));
   }
 
   /** The line has ended. */
@@ -308,34 +308,34 @@
       trialMark = Math.max(trialMark, ((RegistryMessages.View) message).trialMark);
       take((RegistryMessages.View) message);
       if (((RegistryMessages.View) message).trialMark >= 0) {
-        outlet.trials(
+        environment.trials(
             Protocol.list(((RegistryMessages.View) message).trials),
             ((RegistryMessages.View) message).trialMark);
       }
       if (first) {
-        outlet.admitted();
+        environment.admitted();
       }
     } else if (message instanceof CacheMessages.Purges) {
-      outlet.purges((CacheMessages.Purges) message);
+      environment.purges((CacheMessages.Purges) message);
     } else if (message instanceof RegistryMessages.SiteProxies) {
-      outlet.neighbours(Protocol.list(((RegistryMessages.SiteProxies) message).addresses));
+      environment.neighbours(Protocol.list(((RegistryMessages.SiteProxies) message).addresses));
     } else if (message instanceof PlacementMessages.Placements) {
-      outlet.placements((PlacementMessages.Placements) message);
+      environment.placements((PlacementMessages.Placements) message);
     } else if (message instanceof Assignments) {
-      outlet.assignments(Protocol.list(((Assignments) message).assignments));
+      environment.assignments(Protocol.list(((Assignments) message).assignments));
     } else if (message instanceof PlacementMessages.LeaseGrant) {
-      outlet.leased((PlacementMessages.LeaseGrant) message);
+      environment.leased((PlacementMessages.LeaseGrant) message);
     } else if (message instanceof RegionMessages.Electorate) {
-      outlet.electorate((RegionMessages.Electorate) message);
+      environment.electorate((RegionMessages.Electorate) message);
     } else if (message instanceof RecordingMessages.RecordingState) {
-      outlet.recording((RecordingMessages.RecordingState) message);
+      environment.recording((RecordingMessages.RecordingState) message);
     } else if (message instanceof KeyMessages.ClaimResponse) {
-      outlet.claimed((KeyMessages.ClaimResponse) message);
+      environment.claimed((KeyMessages.ClaimResponse) message);
     } else if (message instanceof PermitMessages.PermitResponse) {
-      outlet.permitted((PermitMessages.PermitResponse) message);
+      environment.permitted((PermitMessages.PermitResponse) message);
     } else if (message instanceof RegistryMessages.RegistryStatus) {
       final RegistryMessages.RegistryStatus reach = (RegistryMessages.RegistryStatus) message;
-      outlet.reached(reach.ageMillis, reach.boards, Protocol.list(reach.announcers));
+      environment.reached(reach.ageMillis, reach.boards, Protocol.list(reach.announcers));
       final List<String> members = Protocol.list(reach.members);
       addresses.reachable(members);
       for (int index = 0; index < Protocol.list(reach.places).size(); index++) {
@@ -345,7 +345,7 @@
         open = false;
         return;
       }
-      outlet.outlook(null, Map.of(), null, null, reach.boards);
+      environment.outlook(null, Map.of(), null, null, reach.boards);
       if (reach.contactMillis <= STALE_MILLIS) {
         disappointments = 0;
         approach(now);
@@ -372,7 +372,7 @@
             current, now - lastProvedAt, now - provedAt);
       }
       lastProvedAt = provedAt;
-      outlet.proved(provedAt);
+      environment.proved(provedAt);
     }
   }
 
@@ -382,7 +382,7 @@
       addresses.failed(approached, now);
     }
     final String another = addresses.next(current, approached, now);
-    if (outlet.approach(another)) {
+    if (environment.approach(another)) {
       approached = another;
       approachedAt = now;
     } else {
@@ -400,7 +400,7 @@
     if (nearer == null) {
       return;
     }
-    if (outlet.approach(nearer)) {
+    if (environment.approach(nearer)) {
       approached = nearer;
       approachedAt = now;
       return;
@@ -410,17 +410,17 @@
   }
 
   private void take(final RegistryMessages.View view) {
-    RoutingTable plan = null;
+    RoutingTable routingTable = null;
     if (view.spec != null && view.version > version) {
       try {
-        plan = RoutingTable.compile(Compression.inflate(view.spec));
+        routingTable = RoutingTable.compile(Compression.inflate(view.spec));
         version = view.version;
         LOGGER.atInfo().log(
             "spec %s is in force with %s routes, from %s, dialled %s ms ago",
-            Long.toHexString(version), plan.routes(), current, heardAt - dialledAt);
-      } catch (final WeldpointException breakdown) {
+            Long.toHexString(version), routingTable.routes(), current, heardAt - dialledAt);
+      } catch (final WeldpointException exception) {
         LOGGER.atSevere().log(
-            "spec %s was not taken: %s", Long.toHexString(view.version), breakdown.getMessage());
+            "spec %s was not taken: %s", Long.toHexString(view.version), exception.getMessage());
       }
     }
     final Map<Registration, Boolean> changes = new java.util.LinkedHashMap<>();
@@ -442,8 +442,8 @@
       evacuationMark = view.evacuationMark;
       evacuated = new HashSet<>(Protocol.list(view.evacuated));
     }
-    outlet.outlook(
-        plan,
+    environment.outlook(
+        routingTable,
         changes,
         evacuated,
         view.suspectsGiven ? new HashSet<>(Protocol.list(view.suspects)) : null,
@@ -489,12 +489,12 @@
 
   /** The registry said itself that it had heard no majority for so long. */
   public void majorityLost(final long ageMillis) {
-    outlet.coreUnsettled(ageMillis);
+    environment.coreUnsettled(ageMillis);
   }
 
   /** No registry listens at this address, though its machine answers. */
   public void refused(final String address, final long now) {
-    outlet.coreUnsettled(0);
+    environment.coreUnsettled(0);
     addresses.failed(address, now);
     if (address.equals(current) && !viewed && !open) {
       dialledAt = Math.min(dialledAt, now - VIEW_MILLIS + REFUSED_PAUSE_MILLIS);
--- a/proxy/src/main/java/weldpoint/proxy/RegistryStream.java
+++ b/proxy/src/main/java/weldpoint/proxy/RegistryStream.java
@@ -20,28 +20,31 @@
   /** A registry that reads from a majority each half second has lost it after two reads. */
   private static final long MAJORITY_LOST_MILLIS = 1000;
 
-  private final Transport trunk;
+  private final Transport transport;
   private final Executor desk;
   private final int port;
   private final Runnable ended;
-  private RegistryClient link;
-  private volatile Transport.Connector dialler;
+  private RegistryClient registry;
+  private volatile Transport.Connector connector;
   private final List<Transport.Connector> beside = new ArrayList<>();
 
   /**
    * A stream without a line; whoever is given is told on the control thread when a line has ended.
    */
   public RegistryStream(
-      final Transport trunk, final Executor desk, final Settings boot, final Runnable ended) {
-    this.trunk = trunk;
+      final Transport transport,
+      final Executor desk,
+      final Settings settings,
+      final Runnable ended) {
+    this.transport = transport;
     this.desk = desk;
-    this.port = boot.trunkPort(0);
+    this.port = settings.trunkPort(0);
     this.ended = ended;
   }
 
   /** Takes the link that hears what comes. */
-  public void link(final RegistryClient given) {
-    link = given;
+  public void registry(final RegistryClient given) {
+    registry = given;
   }
 
   /**
@@ -58,14 +61,14 @@
 
   private void arrive(
       final String address, final Transport.Connector winner, final RegistryMessages.View view) {
-    final Transport.Connector before = dialler;
-    dialler = winner;
+    final Transport.Connector before = connector;
+    connector = winner;
     beside.remove(winner);
     abandonApproach();
     if (before != null) {
       before.close();
     }
-    link.arrived(address, view, ProxyContext.now());
+    registry.arrived(address, view, ProxyContext.now());
     ended.run();
   }
 
@@ -78,35 +81,35 @@
   /** Makes this exchange the one there is a line to. */
   public void dial(final String address) {
     abandonApproach();
-    if (dialler != null) {
-      dialler.close();
+    if (connector != null) {
+      connector.close();
     }
-    dialler = line(address);
+    connector = line(address);
   }
 
   /** A line to this exchange, heard while it is the one there is or one beside it. */
   private Transport.Connector line(final String address) {
     final Transport.Connector[] mine = new Transport.Connector[1];
     mine[0] =
-        trunk.dial(
+        transport.dial(
             address,
             port,
             Transport.on(
                 desk,
                 new Transport.Listener() {
                   @Override
-                  public void opened(final Connection line) {
+                  public void opened(final Connection connection) {
                     if (beside.contains(mine[0])) {
-                      line.send(link.greeting(ProxyContext.now()));
-                    } else if (dialler == mine[0]) {
-                      link.opened(ProxyContext.now());
+                      connection.send(registry.greeting(ProxyContext.now()));
+                    } else if (connector == mine[0]) {
+                      registry.opened(ProxyContext.now());
                     }
                   }
 
                   @Override
-                  public void heard(final Connection line, final Message message) {
-                    if (dialler == mine[0]) {
-                      take(line.clock(), message, ProxyContext.now());
+                  public void heard(final Connection connection, final Message message) {
+                    if (connector == mine[0]) {
+                      take(connection.clock(), message, ProxyContext.now());
                     } else if (beside.contains(mine[0])
                         && message instanceof RegistryMessages.View) {
                       arrive(address, mine[0], (RegistryMessages.View) message);
@@ -115,13 +118,13 @@
 
                   @Override
                   public void refused() {
-                    link.refused(address, ProxyContext.now());
+                    registry.refused(address, ProxyContext.now());
                   }
 
                   @Override
-                  public void closed(final Connection line) {
-                    if (dialler == mine[0]) {
-                      link.closed(ProxyContext.now());
+                  public void closed(final Connection connection) {
+                    if (connector == mine[0]) {
+                      registry.closed(ProxyContext.now());
                       ended.run();
                     }
                   }
@@ -135,28 +138,28 @@
    */
   void take(final PeerClock clock, final Message message, final long now) {
     if (!(message instanceof RegistryMessages.RegistryStatus)) {
-      link.heard(message, now);
+      registry.heard(message, now);
       return;
     }
     final RegistryMessages.RegistryStatus reach = (RegistryMessages.RegistryStatus) message;
     final Long provedAt =
         reach.confirmedClock == null ? null : clock.notAfter(reach.confirmedClock, now);
     if (provedAt != null) {
-      link.proved(provedAt, now);
+      registry.proved(provedAt, now);
     }
     final Long saidAt = reach.sentClock == null ? null : clock.notAfter(reach.sentClock, now);
     final long delayMillis = saidAt == null ? 0 : Math.max(0, now - saidAt);
     if (saidAt != null && reach.contactMillis >= MAJORITY_LOST_MILLIS) {
-      link.majorityLost(reach.contactMillis + delayMillis);
+      registry.majorityLost(reach.contactMillis + delayMillis);
     }
-    link.heard(reach.delayed(delayMillis), now);
+    registry.heard(reach.delayed(delayMillis), now);
   }
 
   /** Ends the line for good. */
   public void close() {
     abandonApproach();
-    final Transport.Connector present = dialler;
-    dialler = null;
+    final Transport.Connector present = connector;
+    connector = null;
     if (present != null) {
       present.close();
     }
@@ -164,7 +167,7 @@
 
   /** Sends where there is a line; tells whether there was one. */
   public boolean send(final Message message) {
-    final Transport.Connector present = dialler;
+    final Transport.Connector present = connector;
     return present != null && present.send(message);
   }
 }
--- a/proxy/src/test/java/weldpoint/proxy/AtMostOnceTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/AtMostOnceTest.java
@@ -65,10 +65,10 @@
 
   @BeforeMethod
   public void open() throws InterruptedException {
-    final Settings boot =
+    final Settings settings =
         Settings.parse(
             "station.name = one\nstation.address = 127.0.0.1\nstation.site = a\nstation.region = r\ntrunk.ports = 7000,7015\ntrunk.seeds = 127.0.0.1:80\nsites = a:r\nbound.retry-slack = 100000\n");
-    proxyContext = new ProxyContext(loop, boot, new Random(1), new TrialTracker("one", 1));
+    proxyContext = new ProxyContext(loop, settings, new Random(1), new TrialTracker("one", 1));
     arrivals.set(0);
     front =
         new ServerBootstrap()
@@ -137,7 +137,7 @@
       changes.add(change(from + index, true));
     }
     arrivals.set(0);
-    final RoutingTable plan =
+    final RoutingTable routingTable =
         RoutingTable.compile(
             ("{\"version\":\"1\",\"limits\":{\"maxHeaderBytes\":16384,\"maxBodyBytes\":67108864,\"headerTimeoutMs\":3000,\"idleTimeoutMs\":15000},\"listeners\":[{\"host\":\"h\",\"rules\":["
                     + rule("w", "mutating", 5000, 3000, 3)
@@ -151,7 +151,10 @@
                     + rule("z", "idempotent", 60, 200, 3)
                     + "]}],\"pools\":[{\"name\":\"s\"}]}")
                 .getBytes(StandardCharsets.UTF_8));
-    loop.submit(() -> proxyContext.take(new ControlUpdate(plan, changes, null, null, 1, null, -1)))
+    loop.submit(
+            () ->
+                proxyContext.take(
+                    new ControlUpdate(routingTable, changes, null, null, 1, null, -1)))
         .sync();
   }
 
--- a/proxy/src/test/java/weldpoint/proxy/ClientConnectionTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/ClientConnectionTest.java
@@ -27,7 +27,7 @@
   }
 
   private EmbeddedChannel channel() {
-    final Settings boot =
+    final Settings settings =
         Settings.parse(
             "station.name = one\nstation.address = 10.0.0.1\nstation.site = a\nstation.region = r\ntrunk.ports = 7000,7015\ntrunk.seeds = 10.0.0.1:80\n");
     return new EmbeddedChannel(
@@ -35,7 +35,7 @@
         new HttpResponseEncoder(),
         new ClientConnection(
             new ProxyContext(
-                loop, boot, new Random(1), new weldpoint.trial.TrialTracker("one", 1))));
+                loop, settings, new Random(1), new weldpoint.trial.TrialTracker("one", 1))));
   }
 
   private static String answer(final EmbeddedChannel channel) {
--- a/proxy/src/test/java/weldpoint/proxy/ConfigurationAtSendTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/ConfigurationAtSendTest.java
@@ -297,7 +297,7 @@
         List.of(new PlacementMessages.PlacementMember(TestProxy.UPSTREAM, 4, "b"));
     onLoop(
         () -> {
-          final AffinityTable ties = proxy.proxyContext().ties;
+          final AffinityTable ties = proxy.proxyContext().affinity;
           ties.take(
               new PlacementMessages.Placements(
                   1, List.of(new PlacementMessages.Placement("s", 1, 1, members, false, null))),
@@ -344,7 +344,7 @@
   private void attach(final Wait wait) {
     final ProxyContext context = proxy.proxyContext();
     context.tieWaitMillis = 2000;
-    context.ties = new AffinityTable("127.0.0.1", 1, 4000, ask -> {});
+    context.affinity = new AffinityTable("127.0.0.1", 1, 4000, ask -> {});
     context.permits = new PermitPool(this::take);
     if (wait == Wait.CLAIM) {
       context.keyHeaders = List.of("Idempotency-Key");
--- a/proxy/src/test/java/weldpoint/proxy/IdempotentRequestsTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/IdempotentRequestsTest.java
@@ -255,8 +255,8 @@
     runs.sweep(false, now + 10 * WINDOW);
     assertTrue(
         runs.figures().stream()
-            .filter(figure -> figure.name().equals("weldpoint_keyed_bytes"))
-            .allMatch(figure -> figure.value() == 0));
+            .filter(metric -> metric.name().equals("weldpoint_keyed_bytes"))
+            .allMatch(metric -> metric.value() == 0));
   }
 
   private static IdempotencyKey key(final String header, final String value, final String tenant) {
--- a/proxy/src/test/java/weldpoint/proxy/ProxiedRequestTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/ProxiedRequestTest.java
@@ -65,10 +65,10 @@
 
   @BeforeMethod
   public void open() throws InterruptedException {
-    final Settings boot =
+    final Settings settings =
         Settings.parse(
             "station.name = one\nstation.address = 127.0.0.1\nstation.site = a\nstation.region = r\ntrunk.ports = 7000,7015\ntrunk.seeds = 127.0.0.1:80\nsites = a:r\nbound.retry-slack = 100\n");
-    proxyContext = new ProxyContext(loop, boot, new Random(1), new TrialTracker("one", 1));
+    proxyContext = new ProxyContext(loop, settings, new Random(1), new TrialTracker("one", 1));
     arrivals = new AtomicInteger();
     front =
         new ServerBootstrap()
@@ -106,7 +106,7 @@
       thread.setDaemon(true);
       thread.start();
     }
-    final RoutingTable plan =
+    final RoutingTable routingTable =
         RoutingTable.compile(
             ("{\"version\":\"1\",\"listeners\":[{\"host\":\"h\",\"rules\":["
                     + "{\"name\":\"w\",\"routeKind\":\"mutating\",\"targetLatencyMs\":5000,\"match\":{\"pathPrefix\":\"/w/\"},\"action\":{\"service\":\"s\",\"timeoutMs\":3000,\"maxAttempts\":3}},"
@@ -118,7 +118,10 @@
             new UpstreamPool.Change(registrations[0], true),
             new UpstreamPool.Change(registrations[1], true),
             new UpstreamPool.Change(registrations[2], true));
-    loop.submit(() -> proxyContext.take(new ControlUpdate(plan, changes, null, null, 1, null, -1)))
+    loop.submit(
+            () ->
+                proxyContext.take(
+                    new ControlUpdate(routingTable, changes, null, null, 1, null, -1)))
         .sync();
   }
 
@@ -209,7 +212,7 @@
     loop.submit(
             () -> {
               final long[] number = new long[1];
-              proxyContext.ties =
+              proxyContext.affinity =
                   new AffinityTable("127.0.0.1", 1, 4000, ask -> number[0] = ask.number);
               final List<PlacementMessages.PlacementMember> members =
                   List.of(
@@ -218,7 +221,7 @@
                       new PlacementMessages.PlacementMember("i-2", 4, "a"));
               final List<PlacementMessages.PlacementMember> next =
                   List.of(new PlacementMessages.PlacementMember("i-9", 4, "a"));
-              proxyContext.ties.take(
+              proxyContext.affinity.take(
                   new PlacementMessages.Placements(
                       1,
                       List.of(
@@ -226,7 +229,7 @@
                               "s", 1, 1, members, moving, moving ? next : null))),
                   ProxyContext.now());
               if (leased) {
-                proxyContext.ties.granted(
+                proxyContext.affinity.granted(
                     new PlacementMessages.LeaseGrant(number[0], "127.0.0.1", 1, 4000),
                     ProxyContext.now());
               }
--- a/proxy/src/test/java/weldpoint/proxy/ProxyThreadsTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/ProxyThreadsTest.java
@@ -32,7 +32,7 @@
                 "station.name = one\nstation.address = 127.0.0.1\nstation.site = a\nstation.region = r\ntrunk.ports = 7000,7015\ntrunk.seeds = 127.0.0.1:80\nlisten.traffic = 127.0.0.1:"
                     + front
                     + "\n"));
-    final RoutingTable plan =
+    final RoutingTable routingTable =
         RoutingTable.compile(
             "{\"version\":\"1\",\"listeners\":[],\"pools\":[]}".getBytes(StandardCharsets.UTF_8));
     daemon
@@ -42,7 +42,7 @@
             () ->
                 daemon
                     .proxyContext()
-                    .take(new ControlUpdate(plan, List.of(), null, null, 1, null, -1)))
+                    .take(new ControlUpdate(routingTable, List.of(), null, null, 1, null, -1)))
         .sync();
     final long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(8);
     boolean open = false;
--- a/proxy/src/test/java/weldpoint/proxy/RegistryClientTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/RegistryClientTest.java
@@ -45,7 +45,7 @@
     specs.clear();
     open.clear();
     dialled.clear();
-    final RegistryClient link =
+    final RegistryClient registry =
         new RegistryClient(
             new RegistryMessages.DaemonEntry("10.0.0.9", "10.0.0.9:80", "a", "r", 1, false, 0),
             List.of("e1", "e2", "e3"),
@@ -72,13 +72,13 @@
 
               @Override
               public void outlook(
-                  final RoutingTable plan,
+                  final RoutingTable routingTable,
                   final Map<Registration, Boolean> changes,
                   final Set<String> sites,
                   final Set<String> suspects,
                   final int switchboards) {
-                if (plan != null) {
-                  specs.add(plan.version());
+                if (routingTable != null) {
+                  specs.add(routingTable.version());
                 }
                 changes.forEach((registration, opened) -> open.put(registration.id, opened));
                 if (sites != null) {
@@ -92,8 +92,8 @@
               @Override
               public void admitted() {}
             });
-    link.start(0);
-    return link;
+    registry.start(0);
+    return registry;
   }
 
   private static RegistryMessages.View view(
@@ -125,34 +125,34 @@
 
   @Test
   public void nothingOlderIsTakenFromAnotherExchange() {
-    final RegistryClient link = link();
-    link.heard(view(5, 2, List.of("a"), upstream(LifecycleStage.DRAINING, 3)), 10);
-    link.closed(20);
-    link.heard(view(4, 1, List.of(), upstream(LifecycleStage.JOINED, 9)), 30);
+    final RegistryClient registry = link();
+    registry.heard(view(5, 2, List.of("a"), upstream(LifecycleStage.DRAINING, 3)), 10);
+    registry.closed(20);
+    registry.heard(view(4, 1, List.of(), upstream(LifecycleStage.JOINED, 9)), 30);
     assertEquals(specs, List.of(5L));
     assertEquals(evacuated, Set.of("a"));
     assertNotEquals(open.get("i"), Boolean.TRUE);
-    link.heard(view(6, 3, List.of()), 40);
+    registry.heard(view(6, 3, List.of()), 40);
     assertEquals(specs, List.of(5L, 6L));
     assertEquals(evacuated, Set.of());
   }
 
   @Test
   public void aSilentOrStaleExchangeIsLeft() {
-    final RegistryClient link = link();
-    link.heard(view(5, 0, List.of()), 10);
-    link.heard(new RegistryMessages.RegistryStatus(100, 3, List.of("e1", "e2", "e3")), 500);
-    link.tick(1000);
+    final RegistryClient registry = link();
+    registry.heard(view(5, 0, List.of()), 10);
+    registry.heard(new RegistryMessages.RegistryStatus(100, 3, List.of("e1", "e2", "e3")), 500);
+    registry.tick(1000);
     assertEquals(dialled.size(), 1);
-    link.tick(2100);
+    registry.tick(2100);
     assertEquals(dialled.size(), 2);
     assertNotEquals(dialled.get(0), dialled.get(1));
-    link.heard(view(5, 0, List.of()), 2200);
-    link.heard(new RegistryMessages.RegistryStatus(9000, 3, List.of()), 2400);
+    registry.heard(view(5, 0, List.of()), 2200);
+    registry.heard(new RegistryMessages.RegistryStatus(9000, 3, List.of()), 2400);
     assertEquals(dialled.size(), 3);
     for (long now = 2600; now < 5000; now += 200) {
-      link.heard(view(5, 0, List.of()), now);
-      link.heard(new RegistryMessages.RegistryStatus(9000, 3, List.of()), now);
+      registry.heard(view(5, 0, List.of()), now);
+      registry.heard(new RegistryMessages.RegistryStatus(9000, 3, List.of()), now);
     }
     assertTrue(dialled.size() <= 6, "glances slow down while all are stale: " + dialled.size());
   }
@@ -179,29 +179,29 @@
   private static final List<String> MEMBERS = List.of("e1", "e2", "e3", "here");
   private static final List<String> PLACES = List.of("q/x", "q/y", "q/z", "r/a");
 
-  private static void reach(final RegistryClient link, final long from, final long until) {
+  private static void reach(final RegistryClient registry, final long from, final long until) {
     for (long now = from; now < until; now += 500) {
-      link.heard(new RegistryMessages.RegistryStatus(100, 3, MEMBERS, null, PLACES), now);
-      link.tick(now);
+      registry.heard(new RegistryMessages.RegistryStatus(100, 3, MEMBERS, null, PLACES), now);
+      registry.tick(now);
     }
   }
 
   @Test
   public void itKeepsItsStreamUntilTheNearerOneHasGivenAView() {
-    final RegistryClient link = linkOfTwoLines();
+    final RegistryClient registry = linkOfTwoLines();
     try {
-      link.opened(10);
-      link.heard(view(5, 0, List.of()), 20);
-      reach(link, 500, 9000);
+      registry.opened(10);
+      registry.heard(view(5, 0, List.of()), 20);
+      reach(registry, 500, 9000);
       assertEquals(approached, List.of("here"));
       assertEquals(dialled.size(), 1, "the stream there is was not left");
-      link.heard(view(6, 1, List.of()), 9100);
+      registry.heard(view(6, 1, List.of()), 9100);
       assertEquals(specs, List.of(5L, 6L), "what comes meanwhile is taken");
-      link.arrived("here", view(6, 1, List.of()), 9200);
-      reach(link, 9500, 40_000);
+      registry.arrived("here", view(6, 1, List.of()), 9200);
+      reach(registry, 9500, 40_000);
       assertEquals(dialled.size(), 1, "the nearer one is the stream now");
       assertEquals(approached, List.of("here"));
-      link.closed(40_000);
+      registry.closed(40_000);
       assertEquals(dialled.size(), 2);
       assertNotEquals(dialled.get(1), "here");
     } finally {
@@ -215,19 +215,19 @@
    */
   @Test
   public void aSilentStreamIsKeptUntilAnotherOneHasGivenAView() {
-    final RegistryClient link = linkOfTwoLines();
+    final RegistryClient registry = linkOfTwoLines();
     try {
-      link.opened(10);
-      link.heard(view(5, 0, List.of()), 20);
+      registry.opened(10);
+      registry.heard(view(5, 0, List.of()), 20);
       for (long now = 100; now <= 4000; now += 100) {
-        link.tick(now);
+        registry.tick(now);
       }
       assertTrue(!approached.isEmpty(), "another one is sought");
       assertEquals(dialled.size(), 1, "the stream there is was not left: " + dialled);
       assertTrue(approached.size() >= 3, "one more is tried each time: " + approached);
-      link.heard(view(6, 1, List.of()), 4100);
+      registry.heard(view(6, 1, List.of()), 4100);
       assertEquals(abandoned, 1, "it speaks again");
-      link.tick(4200);
+      registry.tick(4200);
       assertEquals(dialled.size(), 1);
     } finally {
       twoLines = false;
@@ -236,11 +236,11 @@
 
   @Test
   public void aNearerOneThatGivesNoViewCostsNothing() {
-    final RegistryClient link = linkOfTwoLines();
+    final RegistryClient registry = linkOfTwoLines();
     try {
-      link.opened(10);
-      link.heard(view(5, 0, List.of()), 20);
-      reach(link, 500, 16_000);
+      registry.opened(10);
+      registry.heard(view(5, 0, List.of()), 20);
+      reach(registry, 500, 16_000);
       assertEquals(approached.size(), 1);
       assertEquals(abandoned, 1);
       assertEquals(dialled.size(), 1, "the stream there is was not left");
@@ -251,16 +251,16 @@
 
   @Test
   public void itMovesOnceToAnExchangeOfItsOwnZoneAndStays() {
-    final RegistryClient link = link();
+    final RegistryClient registry = link();
     final List<String> members = List.of("e1", "e2", "e3", "near", "here");
     final List<String> places = List.of("q/x", "q/y", "q/z", "r/b", "r/a");
-    link.opened(10);
-    link.heard(view(5, 0, List.of()), 20);
+    registry.opened(10);
+    registry.heard(view(5, 0, List.of()), 20);
     for (long now = 500; now < 60_000; now += 500) {
-      link.heard(new RegistryMessages.RegistryStatus(100, 3, members, null, places), now);
-      link.tick(now);
+      registry.heard(new RegistryMessages.RegistryStatus(100, 3, members, null, places), now);
+      registry.tick(now);
       if (dialled.size() == 2) {
-        link.heard(view(5, 0, List.of()), now + 10);
+        registry.heard(view(5, 0, List.of()), now + 10);
       }
     }
     assertEquals(dialled.size(), 2, dialled.toString());
@@ -275,19 +275,19 @@
    */
   @Test
   public void aStreamThatEndedIsSoughtAtSeveralRegistriesAtOnce() {
-    final RegistryClient link = linkOfTwoLines();
+    final RegistryClient registry = linkOfTwoLines();
     try {
-      link.opened(10);
-      link.heard(view(5, 0, List.of()), 20);
-      link.heard(new RegistryMessages.RegistryStatus(100, 3, MEMBERS), 500);
-      link.closed(600);
+      registry.opened(10);
+      registry.heard(view(5, 0, List.of()), 20);
+      registry.heard(new RegistryMessages.RegistryStatus(100, 3, MEMBERS), 500);
+      registry.closed(600);
       for (long now = 700; now <= 600 + WITHIN_MILLIS; now += 100) {
-        link.tick(now);
+        registry.tick(now);
       }
       final java.util.Set<String> sought = new java.util.HashSet<>(approached);
       sought.add(dialled.get(dialled.size() - 1));
       assertTrue(sought.size() >= 3, "sought at " + sought);
-      link.arrived(approached.get(0), view(6, 1, List.of()), 1700);
+      registry.arrived(approached.get(0), view(6, 1, List.of()), 1700);
       assertEquals(specs, List.of(5L, 6L));
     } finally {
       twoLines = false;
@@ -300,17 +300,17 @@
    */
   @Test
   public void aRegistryThatLostTheMajorityIsKeptUntilAnotherOneHasGivenAView() {
-    final RegistryClient link = linkOfTwoLines();
+    final RegistryClient registry = linkOfTwoLines();
     try {
-      link.opened(10);
-      link.heard(view(5, 0, List.of()), 20);
+      registry.opened(10);
+      registry.heard(view(5, 0, List.of()), 20);
       for (long now = 500; now <= 3000; now += 500) {
-        link.heard(new RegistryMessages.RegistryStatus(9000, 3, MEMBERS), now);
-        link.tick(now);
+        registry.heard(new RegistryMessages.RegistryStatus(9000, 3, MEMBERS), now);
+        registry.tick(now);
       }
       assertEquals(dialled.size(), 1, "the stream there is was left: " + dialled);
       assertTrue(!approached.isEmpty(), "another one is sought");
-      link.heard(view(6, 1, List.of()), 3100);
+      registry.heard(view(6, 1, List.of()), 3100);
       assertEquals(specs, List.of(5L, 6L), "what comes meanwhile is taken");
     } finally {
       twoLines = false;
@@ -320,25 +320,25 @@
   /** Guards against DRAIN: registries that are gone for good are dialled again each time. */
   @Test
   public void aRegistryThatGaveNoViewIsDialledAfterTheOthers() {
-    final RegistryClient link = linkOfTwoLines();
+    final RegistryClient registry = linkOfTwoLines();
     try {
-      link.opened(10);
-      link.heard(view(5, 0, List.of()), 20);
-      link.heard(new RegistryMessages.RegistryStatus(100, 3, List.of("e4", "e5", "e6")), 500);
-      link.closed(600);
+      registry.opened(10);
+      registry.heard(view(5, 0, List.of()), 20);
+      registry.heard(new RegistryMessages.RegistryStatus(100, 3, List.of("e4", "e5", "e6")), 500);
+      registry.closed(600);
       long now = 700;
       for (; approached.size() < 3; now += 100) {
-        link.tick(now);
+        registry.tick(now);
         assertTrue(now < 5000, "sought only at " + approached);
       }
       final String silent = approached.get(0);
       final String found = approached.get(2);
-      link.arrived(found, view(6, 1, List.of()), now);
+      registry.arrived(found, view(6, 1, List.of()), now);
       approached.clear();
-      link.closed(now + 1000);
+      registry.closed(now + 1000);
       final long again = now + 1000;
       for (now = again; now < again + 600; now += 100) {
-        link.tick(now);
+        registry.tick(now);
       }
       assertTrue(
           !approached.contains(silent) && !silent.equals(dialled.get(dialled.size() - 1)),
@@ -354,15 +354,15 @@
    */
   @Test
   public void registriesThatAreGoneAreDialledAfterThoseThatAreThere() {
-    final RegistryClient link = linkOfTwoLines();
+    final RegistryClient registry = linkOfTwoLines();
     try {
-      link.opened(10);
-      link.heard(view(5, 0, List.of()), 20);
-      link.heard(new RegistryMessages.RegistryStatus(100, 3, MEMBERS), 500);
-      link.heard(new RegistryMessages.RegistryStatus(100, 3, List.of("n1", "n2")), 1000);
-      link.closed(1100);
+      registry.opened(10);
+      registry.heard(view(5, 0, List.of()), 20);
+      registry.heard(new RegistryMessages.RegistryStatus(100, 3, MEMBERS), 500);
+      registry.heard(new RegistryMessages.RegistryStatus(100, 3, List.of("n1", "n2")), 1000);
+      registry.closed(1100);
       for (long now = 1200; now <= 1500; now += 100) {
-        link.tick(now);
+        registry.tick(now);
       }
       final List<String> sought = new ArrayList<>(approached);
       sought.add(dialled.get(dialled.size() - 1));
--- a/proxy/src/test/java/weldpoint/proxy/RegistryStreamTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/RegistryStreamTest.java
@@ -33,7 +33,7 @@
 
     @Override
     public void outlook(
-        final RoutingTable plan,
+        final RoutingTable routingTable,
         final Map<Registration, Boolean> changes,
         final Set<String> evacuated,
         final Set<String> suspects,
@@ -67,7 +67,7 @@
    */
   @Test
   public void agesAreCountedFromWhenTheyWereSaid() {
-    final RegistryClient link =
+    final RegistryClient registry =
         new RegistryClient(
             new RegistryMessages.DaemonEntry("10.0.0.9", "10.0.0.9:80", "a", "r", 1, false, 0),
             List.of("e1", "e2"),
@@ -75,8 +75,8 @@
             new RecordingEnvironment());
     final RegistryStream stream =
         new RegistryStream(null, null, weldpoint.common.Settings.parse(SETTINGS), () -> {});
-    stream.link(link);
-    link.start(0);
+    stream.registry(registry);
+    registry.start(0);
     final PeerClock clock = new PeerClock();
     clock.asked(100);
     clock.answered(100 + PEER_AHEAD_MILLIS, 110);
--- a/proxy/src/test/java/weldpoint/proxy/TestProxy.java
+++ b/proxy/src/test/java/weldpoint/proxy/TestProxy.java
@@ -64,7 +64,7 @@
    */
   void serve(final String rule, final String pool, final int idleMillis, final int upstreamPort)
       throws InterruptedException {
-    final RoutingTable plan =
+    final RoutingTable routingTable =
         RoutingTable.compile(
             ("{\"version\":\"1\",\"limits\":{\"maxHeaderBytes\":16384,\"maxBodyBytes\":1048576,\"headerTimeoutMs\":3000,\"idleTimeoutMs\":"
                     + idleMillis
@@ -82,7 +82,9 @@
     proxyContext()
         .loop
         .submit(
-            () -> proxyContext().take(new ControlUpdate(plan, changes, null, null, 1, null, -1)))
+            () ->
+                proxyContext()
+                    .take(new ControlUpdate(routingTable, changes, null, null, 1, null, -1)))
         .sync();
     proxyContext()
         .loop
@@ -92,13 +94,15 @@
   /** Puts a whole configuration, as JSON, and changes of upstreams in force. */
   void configure(final String configuration, final UpstreamPool.Change... changes)
       throws InterruptedException {
-    final RoutingTable plan = RoutingTable.compile(configuration.getBytes(StandardCharsets.UTF_8));
+    final RoutingTable routingTable =
+        RoutingTable.compile(configuration.getBytes(StandardCharsets.UTF_8));
     proxyContext()
         .loop
         .submit(
             () ->
                 proxyContext()
-                    .take(new ControlUpdate(plan, List.of(changes), null, null, 1, null, -1)))
+                    .take(
+                        new ControlUpdate(routingTable, List.of(changes), null, null, 1, null, -1)))
         .sync();
   }
 
--- a/ratelimit/src/main/java/weldpoint/ratelimit/QuotaAllocator.java
+++ b/ratelimit/src/main/java/weldpoint/ratelimit/QuotaAllocator.java
@@ -16,7 +16,7 @@
   private static final int MANY_TENANTS = 10_000;
   private static final long FORGET_MILLIS = 10_000;
 
-  private final Settings boot;
+  private final Settings settings;
   private final long startedAt;
   private final boolean firstStart;
   private final Map<String, TenantShare> tenants = new HashMap<>();
@@ -30,8 +30,8 @@
    * An allocator of a process that starts now; at the very first start of the system nothing can
    * have been given before.
    */
-  public QuotaAllocator(final Settings boot, final boolean firstStart, final long now) {
-    this.boot = boot;
+  public QuotaAllocator(final Settings settings, final boolean firstStart, final long now) {
+    this.settings = settings;
     this.firstStart = firstStart;
     this.startedAt = now;
   }
@@ -40,11 +40,11 @@
   public int grant(
       final String permit,
       final int count,
-      final RoutingTable plan,
+      final RoutingTable routingTable,
       final QuotaShare part,
       final long now) {
     final RateLimit limit = RateLimit.of(permit);
-    if (limit == null || plan == null || part.parts() < 1 || count < 1) {
+    if (limit == null || routingTable == null || part.parts() < 1 || count < 1) {
       return 0;
     }
     if (part.since() != partSince) {
@@ -54,8 +54,8 @@
     final String name = limit.bare(permit);
     final int taken =
         limit == RateLimit.TENANT
-            ? grantTenant(plan.tenant(name), count, part, now)
-            : grantOrigin(plan, name, count, part, now);
+            ? grantTenant(routingTable.tenant(name), count, part, now)
+            : grantOrigin(routingTable, name, count, part, now);
     granted += taken;
     refused += count - taken;
     return taken;
@@ -73,7 +73,7 @@
       forgotAt = now;
       tenants.values().removeIf(share -> share.idle(now));
     }
-    final RateLimit.TenantLimit limit = RateLimit.TenantLimit.of(boot, tenant, part.parts());
+    final RateLimit.TenantLimit limit = RateLimit.TenantLimit.of(settings, tenant, part.parts());
     return tenants
         .computeIfAbsent(tenant.name(), name -> share(limit.capacity(), part))
         .take(count, limit.perMilli(), limit.capacity(), now);
@@ -81,31 +81,31 @@
 
   /** A share is full at the system's first start, and empty at any other start. */
   private TenantShare share(final double capacity, final QuotaShare part) {
-    final long window = boot.quotaWindowMillis();
+    final long window = settings.quotaWindowMillis();
     return firstStart && part.since() <= startedAt
         ? new TenantShare(capacity, startedAt, window)
         : new TenantShare(0, Math.max(startedAt, part.since()), window);
   }
 
   private int grantOrigin(
-      final RoutingTable plan,
+      final RoutingTable routingTable,
       final String name,
       final int count,
       final QuotaShare part,
       final long now) {
-    final int service = plan.service(name);
+    final int service = routingTable.service(name);
     if (service < 0) {
       return 0;
     }
-    final double rate = plan.services().get(service).ratePerSecond();
+    final double rate = routingTable.services().get(service).ratePerSecond();
     if (rate <= 0) {
       return count;
     }
-    final long window = boot.originWindowMillis() + RateLimit.ORIGIN_TRANSIT_MILLIS;
+    final long window = settings.originWindowMillis() + RateLimit.ORIGIN_TRANSIT_MILLIS;
     final boolean earlierLife = !firstStart && now - startedAt < window;
     final boolean newPart = !firstStart && part.since() > startedAt && now - part.since() < window;
     final double allowed =
-        earlierLife || newPart ? 0 : RateLimit.originAllowance(boot, rate) / part.parts();
+        earlierLife || newPart ? 0 : RateLimit.originAllowance(settings, rate) / part.parts();
     return origins
         .computeIfAbsent(name, unused -> new SlidingWindowCounter(window))
         .take(count, allowed, now);
--- a/ratelimit/src/main/java/weldpoint/ratelimit/RateLimit.java
+++ b/ratelimit/src/main/java/weldpoint/ratelimit/RateLimit.java
@@ -57,10 +57,11 @@
    */
   record TenantLimit(double perMilli, double capacity) {
     /** Parts that could not save up a few permits take them from their rate. */
-    static TenantLimit of(final Settings boot, final RoutingTable.Tenant tenant, final int parts) {
-      final double window = boot.quotaWindowMillis();
-      final double overshoot = 1 + boot.quotaOvershoot();
-      final double burst = tenant.burst() * overshoot + boot.quotaTolerance();
+    static TenantLimit of(
+        final Settings settings, final RoutingTable.Tenant tenant, final int parts) {
+      final double window = settings.quotaWindowMillis();
+      final double overshoot = 1 + settings.quotaOvershoot();
+      final double burst = tenant.burst() * overshoot + settings.quotaTolerance();
       final double inWindow = tenant.ratePerSecond() / 1000 * window * overshoot + burst;
       final double capacity = Math.max(burst, Math.min(inWindow / 2, LEAST_CAPACITY * parts));
       final double share = TENANT_SHARE / parts;
@@ -69,8 +70,12 @@
   }
 
   /** How many requests an origin may receive in one window through permits of registries. */
-  static double originAllowance(final Settings boot, final double ratePerSecond) {
-    final double share = boot.content() ? ORIGIN_SHARE_BESIDE_CACHES : ORIGIN_SHARE_ALONE;
-    return share * ratePerSecond * boot.originWindowMillis() / 1000.0 * boot.originOvershoot();
+  static double originAllowance(final Settings settings, final double ratePerSecond) {
+    final double share = settings.content() ? ORIGIN_SHARE_BESIDE_CACHES : ORIGIN_SHARE_ALONE;
+    return share
+        * ratePerSecond
+        * settings.originWindowMillis()
+        / 1000.0
+        * settings.originOvershoot();
   }
 }
--- a/ratelimit/src/test/java/weldpoint/ratelimit/QuotaAllocatorTest.java
+++ b/ratelimit/src/test/java/weldpoint/ratelimit/QuotaAllocatorTest.java
@@ -39,7 +39,7 @@
    * and again within one window: the most granted in any window.
    */
   private static int most(
-      final Settings boot,
+      final Settings settings,
       final String permit,
       final long seed,
       final long window,
@@ -49,7 +49,7 @@
     final QuotaAllocator[] allocators = new QuotaAllocator[parts];
     final long[] since = new long[parts];
     for (int index = 0; index < parts; index++) {
-      allocators[index] = new QuotaAllocator(boot, true, 0);
+      allocators[index] = new QuotaAllocator(settings, true, 0);
     }
     final ArrayDeque<long[]> granted = new ArrayDeque<>();
     int inWindow = 0;
@@ -57,7 +57,7 @@
     for (long now = 1; now < 60_000; now += 1 + random.nextInt(4)) {
       final int at = random.nextInt(parts);
       if (random.nextInt(lifeMillis) == 0) {
-        allocators[at] = new QuotaAllocator(boot, false, now);
+        allocators[at] = new QuotaAllocator(settings, false, now);
         since[at] = random.nextBoolean() ? now + 1 : 0;
       }
       final int count =
@@ -156,9 +156,9 @@
   public void tenantsWithOneKeyAreRefused() {
     try {
       plan("{\"name\":\"a\",\"apiKeys\":[\"k\"]},{\"name\":\"b\",\"apiKeys\":[\"k\"]}");
-    } catch (final WeldpointException breakdown) {
-      assertEquals(breakdown.kind(), WeldpointException.Kind.INVALID);
-      assertTrue(!breakdown.getMessage().contains("\"k\""), "a key is never shown");
+    } catch (final WeldpointException exception) {
+      assertEquals(exception.kind(), WeldpointException.Kind.INVALID);
+      assertTrue(!exception.getMessage().contains("\"k\""), "a key is never shown");
       return;
     }
     throw new AssertionError("two tenants share a key");
--- a/regionleader/src/main/java/weldpoint/regionleader/LeaderElection.java
+++ b/regionleader/src/main/java/weldpoint/regionleader/LeaderElection.java
@@ -44,7 +44,7 @@
     RegionMessages.ProxyObservations sight();
 
     /** The orders in force have changed; null where there are none. */
-    void ordered(LeaderDirective order);
+    void ordered(LeaderDirective directive);
   }
 
   private final String self;
@@ -52,7 +52,7 @@
   private final String region;
   private final ElectionTimeouts terms;
   private final Random random;
-  private final Environment outlet;
+  private final Environment environment;
   private final Map<String, LeaderDirectiveAck> heeded = new HashMap<>();
   private final Map<String, Long> heardOf = new HashMap<>();
   private final Set<String> backers = new HashSet<>();
@@ -72,7 +72,7 @@
   private long heedUntil;
   private long pulsedAt;
   private long electedAt;
-  private LeaderDirective order;
+  private LeaderDirective directive;
   private long refused;
   private long elections;
 
@@ -84,13 +84,13 @@
       final ElectionTimeouts terms,
       final Random random,
       final long now,
-      final Environment outlet) {
+      final Environment environment) {
     this.self = self;
     this.incarnation = incarnation;
     this.region = region;
     this.terms = terms;
     this.random = random;
-    this.outlet = outlet;
+    this.environment = environment;
     this.coreAt = now;
   }
 
@@ -161,12 +161,12 @@
     phase = next;
     chief = who;
     since = now;
-    if (!next.ordered() && order != null) {
-      order = null;
-      outlet.ordered(null);
+    if (!next.ordered() && directive != null) {
+      directive = null;
+      environment.ordered(null);
     }
     if (next != LeaderPhase.ACTING && next != LeaderPhase.STANDING) {
-      outlet.peers(List.of());
+      environment.peers(List.of());
     }
     if (next != LeaderPhase.ACTING) {
       heeded.clear();
@@ -228,9 +228,10 @@
     backers.clear();
     backers.add(self);
     enter(LeaderPhase.STANDING, null, now);
-    outlet.peers(others());
+    environment.peers(others());
     for (final String other : others()) {
-      outlet.send(other, new LeaderVoteRequest(region, electorate.mark, term, self, incarnation));
+      environment.send(
+          other, new LeaderVoteRequest(region, electorate.mark, term, self, incarnation));
     }
     elected(now);
   }
@@ -259,23 +260,23 @@
 
   private void pulse(final long now) {
     pulsedAt = now;
-    final RegionMessages.ProxyObservations own = outlet.sight();
+    final RegionMessages.ProxyObservations own = environment.sight();
     final List<RegionMessages.ProxyObservations> sights = new ArrayList<>();
     final List<String> addresses = new ArrayList<>();
     sights.add(own);
     addresses.add(self);
     heeded.forEach(
         (address, one) -> {
-          if (one.sight != null
+          if (one.observations != null
               && now - heardOf.getOrDefault(address, Long.MIN_VALUE / 2) < terms.tenureMillis) {
-            sights.add(one.sight);
+            sights.add(one.observations);
             addresses.add(address);
           }
         });
-    final RegionAssessment duties =
+    final RegionAssessment assessment =
         RegionAssessment.of(
             sights, addresses, Protocol.list(electorate.electors).size(), electorate.regionPart);
-    order =
+    directive =
         new LeaderDirective(
             region,
             chiefMark,
@@ -284,23 +285,24 @@
             incarnation,
             ++orderNumber,
             now,
-            duties.admission(),
-            duties.addresses(),
-            duties.parts(),
-            duties.suspects(),
-            duties.uncertain());
-    outlet.ordered(order);
+            assessment.admission(),
+            assessment.addresses(),
+            assessment.parts(),
+            assessment.suspects(),
+            assessment.uncertain());
+    environment.ordered(directive);
     for (final String other : others()) {
-      outlet.send(other, order);
+      environment.send(other, directive);
     }
   }
 
   /** There is a line to another switchboard: it hears what the others have heard before. */
   public void opened(final String address) {
     if (phase == LeaderPhase.STANDING) {
-      outlet.send(address, new LeaderVoteRequest(region, electorate.mark, term, self, incarnation));
-    } else if (phase == LeaderPhase.ACTING && order != null) {
-      outlet.send(address, order);
+      environment.send(
+          address, new LeaderVoteRequest(region, electorate.mark, term, self, incarnation));
+    } else if (phase == LeaderPhase.ACTING && directive != null) {
+      environment.send(address, directive);
     }
   }
 
@@ -366,7 +368,7 @@
     } else if (!same || !elector(from, life)) {
       refused++;
     }
-    outlet.send(
+    environment.send(
         from,
         new LeaderVoteResponse(region, electorate == null ? 0 : electorate.mark, stand.term, yes));
   }
@@ -397,12 +399,12 @@
     term = Math.max(term, given.term);
     heedUntil = now + terms.tenureMillis;
     enter(LeaderPhase.FOLLOWING, from, now);
-    order = given;
-    outlet.ordered(given);
-    outlet.send(
+    directive = given;
+    environment.ordered(given);
+    environment.send(
         from,
         new LeaderDirectiveAck(
-            given.mark, given.term, given.number, given.askedAt, outlet.sight()));
+            given.mark, given.term, given.number, given.askedAt, environment.sight()));
   }
 
   /** How this switchboard stands. */
@@ -416,8 +418,8 @@
   }
 
   /** The orders in force; null where there are none. */
-  public LeaderDirective order() {
-    return order;
+  public LeaderDirective directive() {
+    return directive;
   }
 
   /** The mark and term under which the present chief acts. */
--- a/regionleader/src/main/java/weldpoint/regionleader/RegionAssessment.java
+++ b/regionleader/src/main/java/weldpoint/regionleader/RegionAssessment.java
@@ -37,15 +37,15 @@
     long refusedWrites = 0;
     final Map<String, Integer> silent = new HashMap<>();
     final List<String> uncertain = new ArrayList<>();
-    for (final ProxyObservations sight : sights) {
-      demand += sight.repeatables + sight.writes;
-      writes += sight.writes;
-      refusedWrites += sight.refusedWrites;
-      room += sight.carried;
-      for (final String id : Protocol.list(sight.silent)) {
+    for (final ProxyObservations observations : sights) {
+      demand += observations.repeatables + observations.writes;
+      writes += observations.writes;
+      refusedWrites += observations.refusedWrites;
+      room += observations.carried;
+      for (final String id : Protocol.list(observations.silent)) {
         silent.merge(id, 1, Integer::sum);
       }
-      for (final String id : Protocol.list(sight.uncertain)) {
+      for (final String id : Protocol.list(observations.uncertain)) {
         if (uncertain.size() < MOST_UNCERTAIN) {
           uncertain.add(id);
         }
@@ -63,8 +63,8 @@
     final double admission = refusedWrites == 0 ? 1 : Math.max(0, Math.min(1, left / repeatables));
     final List<Double> parts = new ArrayList<>();
     double sum = 0;
-    for (final ProxyObservations sight : sights) {
-      final double one = 1 + sight.repeatables + sight.writes;
+    for (final ProxyObservations observations : sights) {
+      final double one = 1 + observations.repeatables + observations.writes;
       parts.add(one);
       sum += one;
     }
@@ -77,8 +77,8 @@
   }
 
   /** One switchboard's part under an order; 0 where the order gives it none. */
-  public static double part(final RegionMessages.LeaderDirective order, final String address) {
-    final int index = Protocol.list(order.addresses).indexOf(address);
-    return index < 0 ? 0 : order.parts.get(index);
+  public static double part(final RegionMessages.LeaderDirective directive, final String address) {
+    final int index = Protocol.list(directive.addresses).indexOf(address);
+    return index < 0 ? 0 : directive.parts.get(index);
   }
 }
--- a/regionleader/src/test/java/weldpoint/regionleader/LeaderElectionTest.java
+++ b/regionleader/src/test/java/weldpoint/regionleader/LeaderElectionTest.java
@@ -34,11 +34,11 @@
       region.run(12_000);
       assertEquals(region.acting().size(), 1, "seed " + seed);
       final String chief = region.acting().get(0).address;
-      region.boards.values().forEach(board -> assertEquals(board.core.chief(), chief));
+      region.boards.values().forEach(board -> assertEquals(board.election.chief(), chief));
       region.coreUp = true;
       region.run(200);
       assertTrue(region.acting().isEmpty(), "seed " + seed);
-      region.boards.values().forEach(board -> assertEquals(board.order, null));
+      region.boards.values().forEach(board -> assertEquals(board.directive, null));
       assertTrue(region.breaches.isEmpty(), "seed " + seed + region.breaches);
     }
   }
@@ -77,13 +77,13 @@
       region.coreUp = false;
       region.run(12_000);
       final SimulatedRegion.Proxy first = region.acting().get(0);
-      final long[] fence = first.core.fence();
+      final long[] fence = first.election.fence();
       first.frozen = true;
       region.run(15_000);
       assertEquals(region.acting().size(), 1, "seed " + seed);
       final SimulatedRegion.Proxy second = region.acting().get(0);
       assertNotEquals(second.address, first.address);
-      assertTrue(second.core.fence()[1] > fence[1]);
+      assertTrue(second.election.fence()[1] > fence[1]);
       first.frozen = false;
       region.run(5000);
       assertEquals(region.acting().size(), 1, "seed " + seed);
@@ -103,27 +103,27 @@
       found = board == chief ? found : board;
     }
     final SimulatedRegion.Proxy follower = found;
-    final long term = chief.core.fence()[1];
-    final LeaderDirective held = follower.core.order();
-    final long before = follower.core.refused();
-    follower.core.receive(
+    final long term = chief.election.fence()[1];
+    final LeaderDirective held = follower.election.directive();
+    final long before = follower.election.refused();
+    follower.election.receive(
         chief.address,
         chief.life,
         new LeaderDirective(
             "south", 1, term + 1, chief.address, chief.life, 99, 0, 0, null, null, null, null),
         region.now);
-    follower.core.receive(
+    follower.election.receive(
         chief.address,
         chief.life,
         new LeaderDirective(
             "north", 0, term + 1, chief.address, chief.life, 99, 0, 0, null, null, null, null),
         region.now);
-    follower.core.receive(
+    follower.election.receive(
         "10.0.0.99",
         7,
         new LeaderDirective("north", 1, term + 1, "10.0.0.99", 7, 99, 0, 0, null, null, null, null),
         region.now);
-    follower.core.receive(
+    follower.election.receive(
         chief.address,
         chief.life + 1000,
         new LeaderDirective(
@@ -140,17 +140,17 @@
             null,
             null),
         region.now);
-    follower.core.receive(
+    follower.election.receive(
         chief.address,
         chief.life,
         new LeaderDirective(
             "north", 1, term, chief.address, chief.life, 1, 0, 0, null, null, null, null),
         region.now);
-    assertEquals(follower.core.order(), held, "nothing of that is taken");
-    assertEquals(follower.core.refused() - before, 5);
-    follower.core.receive(
+    assertEquals(follower.election.directive(), held, "nothing of that is taken");
+    assertEquals(follower.election.refused() - before, 5);
+    follower.election.receive(
         "10.0.0.99", 7, new LeaderVoteRequest("north", 1, term + 9, "10.0.0.99", 7), region.now);
-    assertEquals(follower.core.chief(), chief.address);
+    assertEquals(follower.election.chief(), chief.address);
   }
 
   /**
@@ -178,7 +178,7 @@
     region.coreUp = false;
     region.run(10_000);
     if (twoChiefs) {
-      region.boards.values().forEach(board -> board.once.elsewhere(List.of()));
+      region.boards.values().forEach(board -> board.uncertainWrites.elsewhere(List.of()));
       region.cut = pair -> low(pair[0]) != low(pair[1]);
       region.elect(2 + seed);
     }
@@ -239,13 +239,13 @@
         new RegionMessages.ProxyObservations(900, 40, 5, 300, List.of("u1"), List.of("w1"));
     final RegionMessages.ProxyObservations calm =
         new RegionMessages.ProxyObservations(100, 10, 0, 100, List.of("u1", "u2"), null);
-    final RegionAssessment duties =
+    final RegionAssessment assessment =
         RegionAssessment.of(List.of(crowded, calm), List.of("a", "b"), 3, 0.6);
-    assertEquals(duties.admission(), (0.9 * 400 - 50) / 1000, 1e-9);
-    assertEquals(duties.suspects(), List.of("u1"));
-    assertEquals(duties.uncertain(), List.of("w1"));
-    assertEquals(duties.parts().stream().mapToDouble(part -> part).sum(), 0.6 * 2 / 3, 1e-9);
-    assertTrue(duties.parts().get(0) > 5 * duties.parts().get(1));
+    assertEquals(assessment.admission(), (0.9 * 400 - 50) / 1000, 1e-9);
+    assertEquals(assessment.suspects(), List.of("u1"));
+    assertEquals(assessment.uncertain(), List.of("w1"));
+    assertEquals(assessment.parts().stream().mapToDouble(part -> part).sum(), 0.6 * 2 / 3, 1e-9);
+    assertTrue(assessment.parts().get(0) > 5 * assessment.parts().get(1));
     assertEquals(
         RegionAssessment.of(List.of(calm), List.of("b"), 3, 0.6).admission(),
         1.0,
--- a/regionleader/src/test/java/weldpoint/regionleader/SimulatedRegion.java
+++ b/regionleader/src/test/java/weldpoint/regionleader/SimulatedRegion.java
@@ -31,9 +31,9 @@
   final class Proxy {
     final String address;
     long life;
-    LeaderElection core;
-    UncertainWrites once = new UncertainWrites();
-    LeaderDirective order;
+    LeaderElection election;
+    UncertainWrites uncertainWrites = new UncertainWrites();
+    LeaderDirective directive;
     boolean up = true;
     boolean frozen;
     int inFlight;
@@ -50,11 +50,11 @@
 
     void boot() {
       life = ++lives;
-      order = null;
-      once = new UncertainWrites();
+      directive = null;
+      uncertainWrites = new UncertainWrites();
       inFlight = 0;
       up = true;
-      core =
+      election =
           new LeaderElection(
               address,
               life,
@@ -77,25 +77,26 @@
 
                 @Override
                 public RegionMessages.ProxyObservations sight() {
-                  final RegionMessages.ProxyObservations sight =
+                  final RegionMessages.ProxyObservations observations =
                       new RegionMessages.ProxyObservations(
                           repeatables,
                           writes,
                           refusedWrites,
                           carried,
                           null,
-                          once.unsure(now, 30_000));
+                          uncertainWrites.unsure(now, 30_000));
                   repeatables = 0;
                   writes = 0;
                   refusedWrites = 0;
                   carried = 0;
-                  return sight;
+                  return observations;
                 }
 
                 @Override
                 public void ordered(final LeaderDirective given) {
-                  order = given;
-                  once.elsewhere(given == null ? List.of() : Protocol.list(given.uncertain));
+                  directive = given;
+                  uncertainWrites.elsewhere(
+                      given == null ? List.of() : Protocol.list(given.uncertain));
                 }
               });
     }
@@ -140,7 +141,7 @@
     final List<Elector> electors = new ArrayList<>();
     boards.values().forEach(board -> electors.add(new Elector(board.address, board.life)));
     final Electorate electorate = new Electorate("north", mark, electors, 0.5);
-    boards.values().forEach(board -> board.core.electorate(electorate));
+    boards.values().forEach(board -> board.election.electorate(electorate));
   }
 
   void after(final long millis, final Runnable deed) {
@@ -171,7 +172,7 @@
             if (board.frozen) {
               deliver(from, life, to, message, 50);
             } else {
-              board.core.receive(from, life, message, now);
+              board.election.receive(from, life, message, now);
             }
           }
         });
@@ -193,9 +194,9 @@
       for (final Proxy board : boards.values()) {
         if (board.up && !board.frozen) {
           if (coreUp) {
-            board.core.core(now, now);
+            board.election.core(now, now);
           }
-          board.core.tick(now);
+          board.election.tick(now);
         }
       }
       look();
@@ -206,8 +207,8 @@
 
   private void look() {
     for (final Proxy board : boards.values()) {
-      if (board.up && board.core.phase() == LeaderPhase.ACTING) {
-        final String fence = board.core.fence()[0] + "/" + board.core.fence()[1];
+      if (board.up && board.election.phase() == LeaderPhase.ACTING) {
+        final String fence = board.election.fence()[0] + "/" + board.election.fence()[1];
         final String before = chiefOf.putIfAbsent(fence, board.address + "#" + board.life);
         if (before != null && !before.equals(board.address + "#" + board.life)) {
           breaches.add("two chiefs under " + fence + ": " + before + " and " + board.address);
@@ -235,7 +236,7 @@
       board.repeatables++;
     }
     final boolean letIn =
-        write || board.order == null || random.nextDouble() < board.order.admission;
+        write || board.directive == null || random.nextDouble() < board.directive.admission;
     if (!letIn || busy >= capacity + (write ? capacity / 4 : 0)) {
       if (write) {
         refusedWrites++;
@@ -259,7 +260,7 @@
     if (left == 0 || !board.up || board.life != life) {
       return;
     }
-    if (write && !onceBroken.test(id) && !board.once.begin(id)) {
+    if (write && !onceBroken.test(id) && !board.uncertainWrites.begin(id)) {
       return;
     }
     busy++;
@@ -274,7 +275,7 @@
           }
           board.carried++;
           if (write) {
-            board.once.ran(id, !lost, now);
+            board.uncertainWrites.ran(id, !lost, now);
           }
           if (!lost) {
             confirmed.merge(write ? name : "lookup", 1, Integer::sum);
@@ -287,7 +288,7 @@
   List<Proxy> acting() {
     final List<Proxy> list = new ArrayList<>();
     for (final Proxy board : boards.values()) {
-      if (board.up && !board.frozen && board.core.phase() == LeaderPhase.ACTING) {
+      if (board.up && !board.frozen && board.election.phase() == LeaderPhase.ACTING) {
         list.add(board);
       }
     }
--- a/registry/src/main/java/weldpoint/registry/AssignerEnvironment.java
+++ b/registry/src/main/java/weldpoint/registry/AssignerEnvironment.java
@@ -14,13 +14,13 @@
   private static final long WRITE_MILLIS = 900;
 
   private final StoreClient store;
-  private final KeyGrantClient upstreams;
+  private final KeyGrantClient grantClient;
   private final LongSupplier clock;
 
   AssignerEnvironment(
-      final StoreClient store, final KeyGrantClient upstreams, final LongSupplier clock) {
+      final StoreClient store, final KeyGrantClient grantClient, final LongSupplier clock) {
     this.store = store;
-    this.upstreams = upstreams;
+    this.grantClient = grantClient;
     this.clock = clock;
   }
 
@@ -47,7 +47,7 @@
 
   @Override
   public void grant(final KeyRange range, final long sendBy, final Consumer<CallResult> done) {
-    upstreams.grant(range, sendBy, done);
+    grantClient.grant(range, sendBy, done);
   }
 
   @Override
@@ -56,6 +56,6 @@
       final long sendBy,
       final long answerBy,
       final Consumer<CallResult> done) {
-    upstreams.release(range, sendBy, answerBy, done);
+    grantClient.release(range, sendBy, answerBy, done);
   }
 }
