--- a/registry/src/main/java/weldpoint/registry/ControlCall.java
+++ b/registry/src/main/java/weldpoint/registry/ControlCall.java
@@ -19,38 +19,41 @@
   BEAT("instances.heartbeat", CutOff.RUN_UNANSWERED) {
     @Override
     ControlCommand decode(
-        final ControlServer door, final String id, final byte[] body, final Origin origin) {
-      return door.beat(id, ControlServer.read(ControlApi.BEAT, body));
+        final ControlServer server, final String id, final byte[] body, final Origin origin) {
+      return server.beat(id, ControlServer.read(ControlApi.BEAT, body));
     }
   },
   DEREGISTER("instances.deregister") {
     @Override
     ControlCommand decode(
-        final ControlServer door, final String id, final byte[] body, final Origin origin) {
+        final ControlServer server, final String id, final byte[] body, final Origin origin) {
       return (now, waits) ->
-          door.core()
-              .deregister(ControlServer.named(id), door.clock().dayMillis(), now)
+          server
+              .core()
+              .deregister(ControlServer.named(id), server.clock().dayMillis(), now)
               .thenApply(done -> ControlReply.EMPTY);
     }
   },
   SPEC_REPLACE("configuration.replace") {
     @Override
     ControlCommand decode(
-        final ControlServer door, final String id, final byte[] body, final Origin origin) {
+        final ControlServer server, final String id, final byte[] body, final Origin origin) {
       return (now, waits) -> {
         final SpecDocument document = RoutingTable.read(body);
-        final RoutingTable plan = RoutingTable.compile(document);
+        final RoutingTable routingTable = RoutingTable.compile(document);
         final byte[] packed = Compression.deflate(body);
         final StoreMessages.ChangeOrigin cause =
-            door.core()
+            server
+                .core()
                 .cause(
                     origin.author(),
                     origin.caller(),
                     Compression.deflate(Serializer.bytes(ConfigurationSummary.of(document, body))));
-        final boolean tied = plan.all().stream().anyMatch(route -> route.affinity != null);
-        return door.core()
+        final boolean tied = routingTable.all().stream().anyMatch(route -> route.affinity != null);
+        return server
+            .core()
             .replace(
-                plan.version(),
+                routingTable.version(),
                 tied,
                 packed,
                 CanonicalJson.digest(body),
@@ -63,9 +66,12 @@
                     answer.status != 200
                         ? CompletableFuture.completedFuture(
                             ControlServer.status(answer, ControlReply.EMPTY))
-                        : door.core()
+                        : server
+                            .core()
                             .spread(
-                                plan.version(), answer.first == plan.version() ? packed : null, now)
+                                routingTable.version(),
+                                answer.first == routingTable.version() ? packed : null,
+                                now)
                             .thenApply(done -> ControlReply.EMPTY));
       };
     }
@@ -73,9 +79,10 @@
   SPEC_READ("configuration.read") {
     @Override
     ControlCommand decode(
-        final ControlServer door, final String id, final byte[] body, final Origin origin) {
+        final ControlServer server, final String id, final byte[] body, final Origin origin) {
       return (now, waits) ->
-          door.core()
+          server
+              .core()
               .call(StoreOperation.SPEC_READ, "", null, 0, 0, null, ControlServer.CALL_MILLIS, now)
               .thenApply(
                   answer ->
@@ -90,91 +97,96 @@
   EVACUATION_BEGIN("evacuation.begin") {
     @Override
     ControlCommand decode(
-        final ControlServer door, final String id, final byte[] body, final Origin origin) {
-      return door.evacuate(ControlServer.named(id), 1, origin);
+        final ControlServer server, final String id, final byte[] body, final Origin origin) {
+      return server.evacuate(ControlServer.named(id), 1, origin);
     }
   },
   EVACUATION_FINISH("evacuation.finish") {
     @Override
     ControlCommand decode(
-        final ControlServer door, final String id, final byte[] body, final Origin origin) {
-      return door.evacuate(ControlServer.named(id), 0, origin);
+        final ControlServer server, final String id, final byte[] body, final Origin origin) {
+      return server.evacuate(ControlServer.named(id), 0, origin);
     }
   },
   TRIAL_BEGIN("trial.begin") {
     @Override
     ControlCommand decode(
-        final ControlServer door, final String id, final byte[] body, final Origin origin) {
+        final ControlServer server, final String id, final byte[] body, final Origin origin) {
       final ControlApi.TrialRequest order = ControlServer.read(ControlApi.TRIAL_ORDER, body);
       return (now, waits) ->
-          door.core()
+          server
+              .core()
               .trials()
               .begin(
                   ControlServer.named(id),
                   order,
-                  door.core().cause(origin.author(), origin.caller(), null),
+                  server.core().cause(origin.author(), origin.caller(), null),
                   now)
-              .thenApply(door::trial);
+              .thenApply(server::trial);
     }
   },
   TRIAL_ADVANCE("trial.advance") {
     @Override
     ControlCommand decode(
-        final ControlServer door, final String id, final byte[] body, final Origin origin) {
+        final ControlServer server, final String id, final byte[] body, final Origin origin) {
       return (now, waits) ->
-          door.core()
+          server
+              .core()
               .trials()
               .advance(
                   ControlServer.named(id),
-                  door.core().cause(origin.author(), origin.caller(), null),
+                  server.core().cause(origin.author(), origin.caller(), null),
                   now)
-              .thenApply(door::trial);
+              .thenApply(server::trial);
     }
   },
   TRIAL_HOLD("trial.hold") {
     @Override
     ControlCommand decode(
-        final ControlServer door, final String id, final byte[] body, final Origin origin) {
+        final ControlServer server, final String id, final byte[] body, final Origin origin) {
       final String reason =
           body.length == 0 ? null : ControlServer.read(ControlApi.TRIAL_ORDER, body).reason();
       return (now, waits) ->
-          door.core()
+          server
+              .core()
               .trials()
               .hold(
                   ControlServer.named(id),
                   reason == null ? "held by an operator" : reason,
-                  door.core().cause(origin.author(), origin.caller(), null),
+                  server.core().cause(origin.author(), origin.caller(), null),
                   now)
-              .thenApply(door::trial);
+              .thenApply(server::trial);
     }
   },
   TRIAL_FINISH("trial.finish") {
     @Override
     ControlCommand decode(
-        final ControlServer door, final String id, final byte[] body, final Origin origin) {
+        final ControlServer server, final String id, final byte[] body, final Origin origin) {
       return (now, waits) ->
-          door.core()
+          server
+              .core()
               .trials()
               .finish(
                   ControlServer.named(id),
-                  door.core().cause(origin.author(), origin.caller(), null),
+                  server.core().cause(origin.author(), origin.caller(), null),
                   now)
-              .thenApply(door::trial);
+              .thenApply(server::trial);
     }
   },
   TRIAL_STATUS("trial.status") {
     @Override
     ControlCommand decode(
-        final ControlServer door, final String id, final byte[] body, final Origin origin) {
+        final ControlServer server, final String id, final byte[] body, final Origin origin) {
       return (now, waits) -> {
         ControlServer.named(id);
-        return door.core()
+        return server
+            .core()
             .refresh(now)
             .thenApply(
                 done -> {
-                  for (final TrialMessages.Trial trial : door.core().panel().trials()) {
+                  for (final TrialMessages.Trial trial : server.core().panel().trials()) {
                     if (trial.route.equals(id)) {
-                      return door.trial(trial);
+                      return server.trial(trial);
                     }
                   }
                   throw new WeldpointException(
@@ -187,77 +199,79 @@
   HISTORY_READ("history.read", CutOff.ANSWERED) {
     @Override
     ControlCommand decode(
-        final ControlServer door, final String id, final byte[] body, final Origin origin) {
+        final ControlServer server, final String id, final byte[] body, final Origin origin) {
       final ControlApi.HistoryQuery query =
           body.length == 0
               ? new ControlApi.HistoryQuery(null, null, null, null, null, null, null)
               : ControlServer.read(ControlApi.HISTORY_QUERY, body);
       return (now, waits) ->
-          door.core()
+          server
+              .core()
               .audit()
-              .read(query, door.clock().dayMillis(), now)
+              .read(query, server.clock().dayMillis(), now)
               .thenApply(answer -> ControlReply.of(200, ControlApi.HISTORY, answer));
     }
   },
   STATUS_READ("status.read", CutOff.ANSWERED) {
     @Override
     ControlCommand decode(
-        final ControlServer door, final String id, final byte[] body, final Origin origin) {
+        final ControlServer server, final String id, final byte[] body, final Origin origin) {
       return (now, waits) ->
           CompletableFuture.completedFuture(
-              ControlReply.of(200, ControlApi.STATUS, door.core().status(now)));
+              ControlReply.of(200, ControlApi.STATUS, server.core().status(now)));
     }
   },
   HISTORY_REACH("history.reach", CutOff.ANSWERED) {
     @Override
     ControlCommand decode(
-        final ControlServer door, final String id, final byte[] body, final Origin origin) {
+        final ControlServer server, final String id, final byte[] body, final Origin origin) {
       final long sequence = ControlServer.number("of", ControlServer.named(id));
       return (now, waits) ->
-          door.core()
+          server
+              .core()
               .audit()
-              .reach(sequence, door.core().inForce(now), door.clock().dayMillis(), now)
+              .reach(sequence, server.core().inForce(now), server.clock().dayMillis(), now)
               .thenApply(answer -> ControlReply.of(200, ControlApi.REACH, answer));
     }
   },
   RECORD_BEGIN("record.begin", CutOff.ANSWERED) {
     @Override
     ControlCommand decode(
-        final ControlServer door, final String id, final byte[] body, final Origin origin) {
-      return door.record(true);
+        final ControlServer server, final String id, final byte[] body, final Origin origin) {
+      return server.record(true);
     }
   },
   RECORD_END("record.end", CutOff.ANSWERED) {
     @Override
     ControlCommand decode(
-        final ControlServer door, final String id, final byte[] body, final Origin origin) {
-      return door.record(false);
+        final ControlServer server, final String id, final byte[] body, final Origin origin) {
+      return server.record(false);
     }
   },
   RECORD_STATUS("record.status", CutOff.ANSWERED) {
     @Override
     ControlCommand decode(
-        final ControlServer door, final String id, final byte[] body, final Origin origin) {
+        final ControlServer server, final String id, final byte[] body, final Origin origin) {
       return (now, waits) ->
           CompletableFuture.completedFuture(
               ControlReply.of(
-                  200, ControlApi.STATE, new ControlApi.State(door.core().recording())));
+                  200, ControlApi.STATE, new ControlApi.State(server.core().recording())));
     }
   },
   RECORD_DRAIN("record.drain", CutOff.ANSWERED) {
     @Override
     ControlCommand decode(
-        final ControlServer door, final String id, final byte[] body, final Origin origin) {
+        final ControlServer server, final String id, final byte[] body, final Origin origin) {
       return (now, waits) ->
           CompletableFuture.completedFuture(
-              new ControlReply(200, Serializer.bytes(door.core().drain(now))));
+              new ControlReply(200, Serializer.bytes(server.core().drain(now))));
     }
   },
   LOCK_BEGIN("locks.begin") {
     @Override
     ControlCommand decode(
-        final ControlServer door, final String id, final byte[] body, final Origin origin) {
-      return door.lock(
+        final ControlServer server, final String id, final byte[] body, final Origin origin) {
+      return server.lock(
           StoreOperation.LOCK_BEGIN,
           ControlServer.named(id),
           ControlServer.read(ControlApi.GRIP, body));
@@ -266,8 +280,8 @@
   LOCK_HEARTBEAT("locks.heartbeat") {
     @Override
     ControlCommand decode(
-        final ControlServer door, final String id, final byte[] body, final Origin origin) {
-      return door.lock(
+        final ControlServer server, final String id, final byte[] body, final Origin origin) {
+      return server.lock(
           StoreOperation.LOCK_HEARTBEAT,
           ControlServer.named(id),
           ControlServer.read(ControlApi.GRIP, body));
@@ -276,21 +290,22 @@
   LOCK_FINISH("locks.finish") {
     @Override
     ControlCommand decode(
-        final ControlServer door, final String id, final byte[] body, final Origin origin) {
-      return door.finish(ControlServer.named(id), ControlServer.read(ControlApi.GRIP, body));
+        final ControlServer server, final String id, final byte[] body, final Origin origin) {
+      return server.finish(ControlServer.named(id), ControlServer.read(ControlApi.GRIP, body));
     }
   },
   CELL_REPLACE("cells.replace") {
     @Override
     ControlCommand decode(
-        final ControlServer door, final String id, final byte[] body, final Origin origin) {
+        final ControlServer server, final String id, final byte[] body, final Origin origin) {
       final ControlApi.CellPut put = ControlServer.read(ControlApi.CELL_PUT, body);
       if (put.value() == null) {
         throw new WeldpointException(
             WeldpointException.Kind.UNREADABLE, "a put lacks its value; send value as a string");
       }
       return (now, waits) ->
-          door.core()
+          server
+              .core()
               .call(
                   StoreOperation.CELL_REPLACE,
                   ControlServer.group(ControlServer.named(id)),
@@ -313,9 +328,10 @@
   CELL_READ("cells.read") {
     @Override
     ControlCommand decode(
-        final ControlServer door, final String id, final byte[] body, final Origin origin) {
+        final ControlServer server, final String id, final byte[] body, final Origin origin) {
       return (now, waits) ->
-          door.core()
+          server
+              .core()
               .call(
                   StoreOperation.CELL_READ,
                   ControlServer.group(ControlServer.named(id)),
@@ -373,7 +389,7 @@
    *
    * @throws weldpoint.common.WeldpointException where it cannot be read, with what to send instead
    */
-  abstract ControlCommand decode(ControlServer door, String id, byte[] body, Origin origin);
+  abstract ControlCommand decode(ControlServer server, String id, byte[] body, Origin origin);
 
   /** Who is behind a call: the author it names, and the address it came from. */
   record Origin(String author, String caller) {}
--- a/registry/src/main/java/weldpoint/registry/ControlReply.java
+++ b/registry/src/main/java/weldpoint/registry/ControlReply.java
@@ -20,10 +20,10 @@
     return of(status, ControlApi.PROBLEM, new ControlApi.Problem(message, null));
   }
 
-  static ControlReply problem(final int status, final WeldpointException breakdown) {
+  static ControlReply problem(final int status, final WeldpointException exception) {
     return of(
         status,
         ControlApi.PROBLEM,
-        new ControlApi.Problem(breakdown.getMessage(), breakdown.kind().name()));
+        new ControlApi.Problem(exception.getMessage(), exception.kind().name()));
   }
 }
--- a/registry/src/main/java/weldpoint/registry/ControlServer.java
+++ b/registry/src/main/java/weldpoint/registry/ControlServer.java
@@ -90,7 +90,7 @@
     void answer(int status, byte[] body, String location);
   }
 
-  private final Settings boot;
+  private final Settings settings;
   private final RegistryCore core;
   private final Executor desk;
   private final Map<String, String> regions;
@@ -99,21 +99,21 @@
   private volatile long awakeAt;
   private volatile long awakeBefore;
 
-  ControlServer(final Settings boot, final RegistryCore core, final Executor desk) {
-    this(boot, core, desk, Clock.SYSTEM);
+  ControlServer(final Settings settings, final RegistryCore core, final Executor desk) {
+    this(settings, core, desk, Clock.SYSTEM);
   }
 
   /** The door of a core that runs on this thread, with these clocks. */
   public ControlServer(
-      final Settings boot, final RegistryCore core, final Executor desk, final Clock clock) {
+      final Settings settings, final RegistryCore core, final Executor desk, final Clock clock) {
     this.clock = clock;
     awakeAt = clock.steadyMillis();
     awakeBefore = awakeAt;
-    this.boot = boot;
+    this.settings = settings;
     this.core = core;
     this.desk = desk;
-    this.regions = boot.sites();
-    this.controlPort = boot.requiredAddress("listen.control").port();
+    this.regions = settings.sites();
+    this.controlPort = settings.requiredAddress("listen.control").port();
   }
 
   RegistryCore core() {
@@ -298,8 +298,8 @@
     final ControlCommand command;
     try {
       command = decode(request, address);
-    } catch (final WeldpointException breakdown) {
-      answer(caller, ControlReply.problem(Math.max(400, breakdown.kind().status()), breakdown));
+    } catch (final WeldpointException exception) {
+      answer(caller, ControlReply.problem(Math.max(400, exception.kind().status()), exception));
       return;
     } catch (final RuntimeException | StackOverflowError problem) {
       answer(
@@ -382,7 +382,7 @@
         uri.startsWith("/")
                 && !query.path().equals("/api/resolution")
                 && !query.parameters().containsKey(SENT_ON)
-            ? core.authority(now)
+            ? core.majority(now)
             : null;
     if (other == null) {
       return ControlReply.problem(
@@ -478,7 +478,7 @@
                 : ControlReply.of(
                     200,
                     ControlApi.RESOLUTION,
-                    new ControlApi.Resolution(addresses, Math.min(2, boot.resolutionTtl()))));
+                    new ControlApi.Resolution(addresses, Math.min(2, settings.resolutionTtl()))));
       };
     }
     if (path.equals("/api/invalidation")) {
@@ -784,11 +784,12 @@
   }
 
   ControlCommand lock(
-      final StoreOperation deed, final String id, final ControlApi.LockRequest grip) {
+      final StoreOperation operation, final String id, final ControlApi.LockRequest grip) {
     if (grip.owner() == null
         || grip.owner().isEmpty()
-        || deed != StoreOperation.LOCK_BEGIN && grip.fenceNumber() == null
-        || deed != StoreOperation.LOCK_FINISH && (grip.holdMs() == null || grip.holdMs() <= 0)) {
+        || operation != StoreOperation.LOCK_BEGIN && grip.fenceNumber() == null
+        || operation != StoreOperation.LOCK_FINISH
+            && (grip.holdMs() == null || grip.holdMs() <= 0)) {
       throw new WeldpointException(
           WeldpointException.Kind.UNREADABLE,
           "the call for lock "
@@ -798,12 +799,12 @@
     final long hold = grip.holdMs() == null ? 0 : grip.holdMs().longValue();
     final long fence = grip.fenceNumber() == null ? 0 : grip.fenceNumber();
     return (now, waits) ->
-        core.call(deed, id, grip.owner(), hold, fence, null, CALL_MILLIS, now)
+        core.call(operation, id, grip.owner(), hold, fence, null, CALL_MILLIS, now)
             .thenApply(
                 answer ->
                     status(
                         answer,
-                        deed == StoreOperation.LOCK_BEGIN
+                        operation == StoreOperation.LOCK_BEGIN
                             ? ControlReply.of(
                                 200, ControlApi.FENCE, new ControlApi.FencingToken(answer.first))
                             : ControlReply.EMPTY));
--- a/registry/src/main/java/weldpoint/registry/ControlState.java
+++ b/registry/src/main/java/weldpoint/registry/ControlState.java
@@ -18,7 +18,7 @@
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
   private final String self;
-  private final TrialCoordinator panel = new TrialCoordinator();
+  private final TrialCoordinator coordinator = new TrialCoordinator();
   private long version;
   private byte[] spec;
   private List<String> evacuated = List.of();
@@ -26,7 +26,7 @@
   private List<TrialMessages.Trial> trials = List.of();
   private long trialMark;
   private long heldSince;
-  private RoutingTable plan;
+  private RoutingTable routingTable;
 
   ControlState(final String self) {
     this.self = self;
@@ -57,8 +57,8 @@
     return trialMark;
   }
 
-  TrialCoordinator panel() {
-    return panel;
+  TrialCoordinator coordinator() {
+    return coordinator;
   }
 
   /** The mark of evacuations and trials together. */
@@ -72,11 +72,11 @@
   }
 
   /** The compiled configuration; null where there is none. */
-  RoutingTable plan() {
-    if (spec != null && (plan == null || plan.version() < version)) {
-      plan = RoutingTable.compile(Compression.inflate(spec));
+  RoutingTable routingTable() {
+    if (spec != null && (routingTable == null || routingTable.version() < version)) {
+      routingTable = RoutingTable.compile(Compression.inflate(spec));
     }
-    return plan;
+    return routingTable;
   }
 
   /** Takes what the disk held. */
@@ -137,9 +137,9 @@
   }
 
   private void takeTrials(final List<TrialMessages.Trial> given) {
-    panel.take(given);
+    coordinator.take(given);
     trials = new ArrayList<>();
-    for (final TrialMessages.Trial trial : panel.trials()) {
+    for (final TrialMessages.Trial trial : coordinator.trials()) {
       if (TrialVerdict.of(trial) != TrialVerdict.FINISHED) {
         trials.add(trial);
       }
--- a/registry/src/main/java/weldpoint/registry/Directory.java
+++ b/registry/src/main/java/weldpoint/registry/Directory.java
@@ -6,10 +6,10 @@
 
 /** Answers of the directory: which switchboards a client in some place should use. */
 final class Directory {
-  private final DaemonTable switchboards;
+  private final DaemonTable daemons;
 
-  Directory(final DaemonTable switchboards) {
-    this.switchboards = switchboards;
+  Directory(final DaemonTable daemons) {
+    this.daemons = daemons;
   }
 
   /**
@@ -24,7 +24,7 @@
       final long now) {
     final List<DaemonEntry> live = new ArrayList<>();
     final List<DaemonEntry> dim = new ArrayList<>();
-    for (final DaemonTable.Entry entry : switchboards.all()) {
+    for (final DaemonTable.Entry entry : daemons.all()) {
       if (!entry.board.leaving && !entry.board.announcer) {
         (now - entry.heardAt < DaemonTable.LIVE_MILLIS ? live : dim).add(entry.board);
       }
--- a/registry/src/main/java/weldpoint/registry/Electorates.java
+++ b/registry/src/main/java/weldpoint/registry/Electorates.java
@@ -76,10 +76,10 @@
   /** Takes which switchboards live now, and writes what has not been written. */
   void keep(final List<DaemonEntry> live, final long now) {
     final Map<String, List<Elector>> present = new TreeMap<>();
-    for (final DaemonEntry board : live) {
+    for (final DaemonEntry entry : live) {
       present
-          .computeIfAbsent(board.region, region -> new ArrayList<>())
-          .add(new Elector(board.address, board.incarnation));
+          .computeIfAbsent(entry.region, region -> new ArrayList<>())
+          .add(new Elector(entry.address, entry.incarnation));
     }
     present.forEach(
         (region, electors) -> {
--- a/registry/src/main/java/weldpoint/registry/HistoryReader.java
+++ b/registry/src/main/java/weldpoint/registry/HistoryReader.java
@@ -166,8 +166,8 @@
                         reading.headKnown,
                         reading.through,
                         reading.digest));
-              } catch (final WeldpointException breakdown) {
-                reading.future.completeExceptionally(breakdown);
+              } catch (final WeldpointException exception) {
+                reading.future.completeExceptionally(exception);
               }
             });
   }
--- a/registry/src/main/java/weldpoint/registry/KeyGrantClient.java
+++ b/registry/src/main/java/weldpoint/registry/KeyGrantClient.java
@@ -39,7 +39,7 @@
  * Grants keys to upstreams and takes them back, over HTTP. Grants to one upstream go one after the
  * other over one connection; each release has a connection of its own, since its answer waits for
  * the work under way. A call without an answer in time has its connection reset. That is no proof
- * that nothing of it arrives later; see HoldTimes for how long it may still be counted.
+ * that nothing of it arrives later; see GrantTimings for how long it may still be counted.
  */
 final class KeyGrantClient {
   private static final String TARGET = "Weldpoint-Target-Instance";
--- a/registry/src/main/java/weldpoint/registry/OwnershipEndpoint.java
+++ b/registry/src/main/java/weldpoint/registry/OwnershipEndpoint.java
@@ -47,14 +47,14 @@
   OwnershipEndpoint(
       final String self,
       final long incarnation,
-      final GrantTimings times,
-      final Assigner.Environment outlet,
+      final GrantTimings timings,
+      final Assigner.Environment environment,
       final Consumer<Message> everyRegistry,
       final BiConsumer<String, Message> registries) {
     this.self = self;
     this.registries = registries;
     this.coordinator =
-        new OwnershipCoordinator(self, incarnation, times, outlet, everyRegistry::accept);
+        new OwnershipCoordinator(self, incarnation, timings, environment, everyRegistry::accept);
   }
 
   /** The sum of all serials known, by which the state stores tell whether anything is news. */
@@ -115,16 +115,16 @@
 
   /** Time has passed. */
   void tick(
-      final RoutingTable plan,
+      final RoutingTable routingTable,
       final Registrations registrations,
       final Collection<String> evacuated,
       final OwnershipCoordinator.Position position,
       final long now) {
-    if (plan == null || now - tickedAt < TICK_MILLIS) {
+    if (routingTable == null || now - tickedAt < TICK_MILLIS) {
       return;
     }
     tickedAt = now;
-    learn(plan, registrations, evacuated);
+    learn(routingTable, registrations, evacuated);
     if (now - reportedAt >= REPORT_MILLIS) {
       reportedAt = now;
       reports.drain().forEach(report -> passOn(report, now));
@@ -142,20 +142,20 @@
   }
 
   private void learn(
-      final RoutingTable plan,
+      final RoutingTable routingTable,
       final Registrations registrations,
       final Collection<String> evacuated) {
     final Set<String> suspects = registrations.suspects();
     final int state = 31 * evacuated.hashCode() + suspects.hashCode();
-    if (plan.version() == knownVersion
+    if (routingTable.version() == knownVersion
         && registrations.revision() == knownRevision
         && state == knownState) {
       return;
     }
-    knownVersion = plan.version();
+    knownVersion = routingTable.version();
     knownRevision = registrations.revision();
     knownState = state;
-    services = plan.partitioned();
+    services = routingTable.partitioned();
     members.clear();
     services.forEach(service -> members.put(service, new ArrayList<>()));
     final Map<String, String> lives = new HashMap<>();
--- a/registry/src/main/java/weldpoint/registry/PlacementService.java
+++ b/registry/src/main/java/weldpoint/registry/PlacementService.java
@@ -26,7 +26,7 @@
  */
 final class PlacementService {
   private final Affinity usual;
-  private final PlacementCoordinator keeper;
+  private final PlacementCoordinator coordinator;
   private final Map<String, Object> askers = new HashMap<>();
   private boolean tied;
   private long keeperSerial;
@@ -34,13 +34,13 @@
   private long wantedVersion = -1;
   private int wantedState;
 
-  PlacementService(final Affinity usual, final PlacementCoordinator keeper) {
+  PlacementService(final Affinity usual, final PlacementCoordinator coordinator) {
     this.usual = usual;
-    this.keeper = keeper;
+    this.coordinator = coordinator;
   }
 
-  PlacementCoordinator keeper() {
-    return keeper;
+  PlacementCoordinator coordinator() {
+    return coordinator;
   }
 
   /** Whether a route ties callers, or settings do. */
@@ -49,7 +49,7 @@
   }
 
   long marks() {
-    return keeper.mark() + keeperSerial;
+    return coordinator.mark() + keeperSerial;
   }
 
   /** Takes what the frames hold; true where switchboards must be told. */
@@ -58,7 +58,7 @@
     if (control.keeper != null) {
       keeperSerial = Math.max(keeperSerial, control.keeper.serial);
     }
-    return keeper.take(
+    return coordinator.take(
         Protocol.list(control.placements),
         control.keeper,
         control.placements == null ? 0 : control.placementMark,
@@ -83,7 +83,7 @@
 
   /** Time has passed. */
   void tick(
-      final RoutingTable plan,
+      final RoutingTable routingTable,
       final Collection<Registration> history,
       final Collection<String> evacuated,
       final Set<String> suspects,
@@ -92,31 +92,34 @@
       final boolean reachable,
       final boolean confirmed,
       final long now) {
-    if (plan == null) {
+    if (routingTable == null) {
       return;
     }
     final int state = 31 * evacuated.hashCode() + suspects.hashCode();
-    if (plan.version() != wantedVersion || revision != wantedRevision || state != wantedState) {
-      wantedVersion = plan.version();
+    if (routingTable.version() != wantedVersion
+        || revision != wantedRevision
+        || state != wantedState) {
+      wantedVersion = routingTable.version();
       wantedRevision = revision;
       wantedState = state;
-      want(plan, history, evacuated, suspects);
+      want(routingTable, history, evacuated, suspects);
     }
-    keeper.tick(mayKeep, reachable, confirmed, now);
+    coordinator.tick(mayKeep, reachable, confirmed, now);
   }
 
   private void want(
-      final RoutingTable plan,
+      final RoutingTable routingTable,
       final Collection<Registration> history,
       final Collection<String> evacuated,
       final Set<String> suspects) {
     final Map<String, List<PlacementMember>> wanted = new TreeMap<>();
     long longest = 0;
-    for (final Route route : plan.all()) {
+    for (final Route route : routingTable.all()) {
       if (Affinity.inForce(route, usual) != null) {
         longest = Math.max(longest, route.timeoutMillis);
         for (final int service : route.services()) {
-          wanted.computeIfAbsent(plan.services().get(service).name(), name -> new ArrayList<>());
+          wanted.computeIfAbsent(
+              routingTable.services().get(service).name(), name -> new ArrayList<>());
         }
       }
     }
@@ -130,6 +133,6 @@
       }
     }
     wanted.replaceAll((service, members) -> PlacementCoordinator.sorted(members));
-    keeper.wanted(wanted, longest);
+    coordinator.wanted(wanted, longest);
   }
 }
--- a/registry/src/main/java/weldpoint/registry/ProxyStreams.java
+++ b/registry/src/main/java/weldpoint/registry/ProxyStreams.java
@@ -24,7 +24,7 @@
   private final BiConsumer<Object, Message> outlet;
   private final Registrations registrations;
   private final ControlState control;
-  private final DaemonTable switchboards;
+  private final DaemonTable daemons;
   private final Set<Object> streams = new LinkedHashSet<>();
   private final Set<Object> hopefuls = new LinkedHashSet<>();
   private final Set<Object> announcers = new HashSet<>();
@@ -39,11 +39,11 @@
       final BiConsumer<Object, Message> outlet,
       final Registrations registrations,
       final ControlState control,
-      final DaemonTable switchboards) {
+      final DaemonTable daemons) {
     this.outlet = outlet;
     this.registrations = registrations;
     this.control = control;
-    this.switchboards = switchboards;
+    this.daemons = daemons;
   }
 
   /** The streams that have been given a first view. */
@@ -72,15 +72,15 @@
   /** A stream has opened and waits for its first view: until this quorum read is done, or 0. */
   void opened(
       final Object stream,
-      final DaemonEntry board,
+      final DaemonEntry entry,
       final List<Long> buckets,
       final long read,
       final long now) {
-    if (board.announcer) {
+    if (entry.announcer) {
       announcers.add(stream);
     }
     opening.put(
-        stream, new Opening(board.version, buckets == null ? List.of() : buckets, read, now));
+        stream, new Opening(entry.version, buckets == null ? List.of() : buckets, read, now));
     hopefuls.add(stream);
   }
 
@@ -140,7 +140,7 @@
         null,
         true,
         new ArrayList<>(registrations.suspects()),
-        switchboards.most(),
+        daemons.most(),
         control.trials(),
         control.trialMark(),
         lacking.isEmpty() ? null : RegistrationBuckets.pack(lacking));
@@ -224,7 +224,7 @@
     if (!streams.isEmpty()) {
       tell(
           new RegistryMessages.View(
-              0, null, false, null, 0, changes, false, null, switchboards.most(), null, -1));
+              0, null, false, null, 0, changes, false, null, daemons.most(), null, -1));
     }
   }
 
@@ -240,7 +240,7 @@
             null,
             true,
             new ArrayList<>(registrations.suspects()),
-            switchboards.most(),
+            daemons.most(),
             null,
             -1));
   }
--- a/registry/src/main/java/weldpoint/registry/QuotaEndpoint.java
+++ b/registry/src/main/java/weldpoint/registry/QuotaEndpoint.java
@@ -35,7 +35,7 @@
   private static final int MOST_SERIES = 200;
 
   private record Relayed(
-      PermitRequest ask,
+      PermitRequest request,
       Consumer<Message> reply,
       int granted,
       long version,
@@ -78,9 +78,9 @@
 
   /** Answers an ask for permits, or passes the rest of it on to the next voter. */
   void ask(
-      final PermitRequest ask,
+      final PermitRequest request,
       final Consumer<Message> reply,
-      final RoutingTable plan,
+      final RoutingTable routingTable,
       final Roster roster,
       final long version,
       final long ageMillis,
@@ -89,12 +89,14 @@
     final long age = Math.min(Integer.MAX_VALUE, ageMillis);
     final int granted =
         among && ageMillis < FRESH_MILLIS
-            ? allocator.grant(ask.name, ask.count, plan, part(now), now)
+            ? allocator.grant(request.name, request.count, routingTable, part(now), now)
             : 0;
     final boolean more =
-        granted < ask.count && ask.hops < roster.voters.size() && !denied(ask.name, now);
-    if (!more || !relay(ask, reply, granted, roster, version, age, now)) {
-      reply.accept(new PermitResponse(ask.number, granted, version, age));
+        granted < request.count
+            && request.hops < roster.voters.size()
+            && !denied(request.name, now);
+    if (!more || !relay(request, reply, granted, roster, version, age, now)) {
+      reply.accept(new PermitResponse(request.number, granted, version, age));
     }
   }
 
@@ -121,7 +123,7 @@
   }
 
   private boolean relay(
-      final PermitRequest ask,
+      final PermitRequest request,
       final Consumer<Message> reply,
       final int granted,
       final Roster roster,
@@ -129,10 +131,11 @@
       final long age,
       final long now) {
     final long key = ++number;
-    final PermitRequest rest = new PermitRequest(key, ask.name, ask.count - granted, ask.hops + 1);
+    final PermitRequest rest =
+        new PermitRequest(key, request.name, request.count - granted, request.hops + 1);
     for (final Voter next : following(roster)) {
       if (members.test(next.address, rest)) {
-        relayed.put(key, new Relayed(ask, reply, granted, version, age, now + RELAY_MILLIS));
+        relayed.put(key, new Relayed(request, reply, granted, version, age, now + RELAY_MILLIS));
         return true;
       }
     }
@@ -167,15 +170,15 @@
   }
 
   /** A voter has answered what was passed on to it. */
-  void answered(final PermitResponse answer, final long now) {
-    final Relayed one = relayed.remove(answer.number);
+  void answered(final PermitResponse response, final long now) {
+    final Relayed one = relayed.remove(response.number);
     if (one != null) {
-      if (answer.granted == 0 && one.ask.hops == 0) {
-        noteDenied(one.ask.name, now);
+      if (response.granted == 0 && one.request.hops == 0) {
+        noteDenied(one.request.name, now);
       }
       one.reply.accept(
           new PermitResponse(
-              one.ask.number, one.granted + answer.granted, one.version, one.ageMillis));
+              one.request.number, one.granted + response.granted, one.version, one.ageMillis));
     }
   }
 
@@ -188,7 +191,7 @@
       if (now > one.cutoff) {
         relayed.remove(entry.getKey());
         one.reply.accept(
-            new PermitResponse(one.ask.number, one.granted, one.version, one.ageMillis));
+            new PermitResponse(one.request.number, one.granted, one.version, one.ageMillis));
       }
     }
   }
--- a/registry/src/main/java/weldpoint/registry/RecordingBuffer.java
+++ b/registry/src/main/java/weldpoint/registry/RecordingBuffer.java
@@ -20,11 +20,11 @@
   /** One reel, with how long ago it came. */
   public static final class CollectedBatch {
     public final long ageMillis;
-    public final RecordingBatch reel;
+    public final RecordingBatch batch;
 
-    public CollectedBatch(final long ageMillis, final RecordingBatch reel) {
+    public CollectedBatch(final long ageMillis, final RecordingBatch batch) {
       this.ageMillis = ageMillis;
-      this.reel = reel;
+      this.batch = batch;
     }
   }
 
@@ -64,7 +64,7 @@
     }
   }
 
-  private record BufferedBatch(RecordingBatch reel, long at) {}
+  private record BufferedBatch(RecordingBatch batch, long at) {}
 
   private final ArrayDeque<BufferedBatch> held = new ArrayDeque<>();
   private RecordingState state = new RecordingState(0, false);
@@ -103,14 +103,14 @@
     return true;
   }
 
-  void add(final RecordingBatch reel, final long now) {
-    final int count = Protocol.list(reel.notes).size();
+  void add(final RecordingBatch batch, final long now) {
+    final int count = Protocol.list(batch.notes).size();
     if (notes + count > MOST_NOTES) {
       dropped += count;
       return;
     }
     notes += count;
-    held.add(new BufferedBatch(reel, now));
+    held.add(new BufferedBatch(batch, now));
   }
 
   List<CollectedBatch> drain(final long now) {
@@ -118,8 +118,8 @@
     int count = 0;
     while (!held.isEmpty() && count < MOST_DRAINED) {
       final BufferedBatch one = held.poll();
-      count += Protocol.list(one.reel.notes).size();
-      list.add(new CollectedBatch(now - one.at, one.reel));
+      count += Protocol.list(one.batch.notes).size();
+      list.add(new CollectedBatch(now - one.at, one.batch));
     }
     notes -= count;
     return list;
--- a/registry/src/main/java/weldpoint/registry/RegistryCore.java
+++ b/registry/src/main/java/weldpoint/registry/RegistryCore.java
@@ -88,28 +88,28 @@
 
   private final String self;
   private final Random random;
-  private final Environment outlet;
+  private final Environment environment;
   private List<String> seeds;
   private final boolean firstStart;
   private final StoreClient store;
-  private final HistoryReader historyDesk;
-  private final TrialService trialDesk;
+  private final HistoryReader historyReader;
+  private final TrialService trialService;
   private final Registrations registrations;
   private final ControlState control;
   private final DaemonTable switchboards = new DaemonTable();
   private final Directory directory = new Directory(switchboards);
-  private final ProxyStreams streams;
+  private final ProxyStreams proxyStreams;
   private QuorumWrites quorums = new QuorumWrites();
   private QuorumReads reads;
-  private MajorityReachability authority;
+  private MajorityReachability majority;
   private CacheMessages.Purges purges;
   private QuotaEndpoint quotas;
   private final KeyClaims keyClaims;
-  private final SiteMembership neighbourhoods = new SiteMembership();
+  private final SiteMembership siteMembership = new SiteMembership();
   private Electorates electorates;
   private PlacementService placements;
   private OwnershipEndpoint ownership;
-  private final RecordingBuffer reels = new RecordingBuffer();
+  private final RecordingBuffer recordingBuffer = new RecordingBuffer();
   private final Map<String, Long> members = new LinkedHashMap<>();
   private final Set<String> connected = new HashSet<>();
   private Roster roster = new Roster(0, List.of());
@@ -138,26 +138,26 @@
       final boolean firstStart,
       final long beatMillis,
       final Random random,
-      final Environment outlet) {
+      final Environment environment) {
     this.self = self;
     this.seeds = seeds;
     this.firstStart = firstStart;
     this.registrations = new Registrations(beatMillis);
     this.control = new ControlState(self);
-    this.streams = new ProxyStreams(outlet::board, registrations, control, switchboards);
+    this.proxyStreams = new ProxyStreams(environment::board, registrations, control, switchboards);
     this.random = random;
-    this.outlet = outlet;
-    this.store = new StoreClient(self, random, outlet::frame);
-    this.historyDesk = new HistoryReader(self, store);
-    this.trialDesk = new TrialService(self, control, store, new TrialSurroundings());
+    this.environment = environment;
+    this.store = new StoreClient(self, random, environment::frame);
+    this.historyReader = new HistoryReader(self, store);
+    this.trialService = new TrialService(self, control, store, new TrialSurroundings());
     this.reads = new QuorumReads(self);
-    this.authority = new MajorityReachability(self, outlet::member);
+    this.majority = new MajorityReachability(self, environment::member);
     this.keyClaims =
         new KeyClaims(
             self,
-            outlet::member,
+            environment::member,
             (claims, synced) ->
-                outlet.append(Serializer.bytes(PersistedRecord.claims(claims)), synced));
+                environment.append(Serializer.bytes(PersistedRecord.claims(claims)), synced));
   }
 
   /** What trials need of this registry. */
@@ -192,7 +192,7 @@
     @Override
     public void relay(final TrialMessages.TrialReport report) {
       for (final String member : members.keySet()) {
-        outlet.member(member, report);
+        environment.member(member, report);
       }
     }
   }
@@ -204,7 +204,7 @@
       final MajorityReachability givenAuthority) {
     quorums = givenQuorums;
     reads = givenReads;
-    authority = givenAuthority;
+    majority = givenAuthority;
   }
 
   /** Takes to keeping who may choose a region's chief. */
@@ -267,24 +267,25 @@
     if (placements == null) {
       return;
     }
-    if (placements.keeper().keeps()) {
-      outlet.board(stream, placements.keeper().ask(ask, majorityAt, now));
+    if (placements.coordinator().keeps()) {
+      environment.board(stream, placements.coordinator().ask(ask, majorityAt, now));
     } else {
       placements.asker(ask.board, stream);
-      outlet.member(placements.keeper().keeper(), ask);
+      environment.member(placements.coordinator().keeper(), ask);
     }
   }
 
   /** Takes to assigning the keys of divided services. */
-  void ownership(final long incarnation, final GrantTimings times, final KeyGrantClient upstreams) {
+  void ownership(
+      final long incarnation, final GrantTimings timings, final KeyGrantClient grantClient) {
     ownership =
         new OwnershipEndpoint(
             self,
             incarnation,
-            times,
-            new AssignerEnvironment(store, upstreams, () -> clock),
+            timings,
+            new AssignerEnvironment(store, grantClient, () -> clock),
             this::tellMembers,
-            outlet::member);
+            environment::member);
   }
 
   /** A proxy tells what it sent to the holders of keys. */
@@ -296,7 +297,7 @@
 
   /** Takes to giving out permits. */
   public void quotas(final QuotaAllocator allocator) {
-    quotas = new QuotaEndpoint(self, allocator, outlet::member);
+    quotas = new QuotaEndpoint(self, allocator, environment::member);
   }
 
   /** Takes where this daemon stands. */
@@ -350,7 +351,7 @@
       }
     }
     clock = now;
-    authority.started(now);
+    majority.started(now);
     if (quotas != null) {
       quotas.began(roster);
     }
@@ -377,18 +378,18 @@
                 control.spec(),
                 control.evacuated(),
                 control.evacuationMark(),
-                control.panel().trials(),
+                control.coordinator().trials(),
                 control.trialMark(),
                 learning ? PersistedRecord.LEARNING : PersistedRecord.WHOLE,
                 keyClaims.live())));
   }
 
   private void keepLearning() {
-    outlet.append(Serializer.bytes(PersistedRecord.learning(learning)), () -> {});
+    environment.append(Serializer.bytes(PersistedRecord.learning(learning)), () -> {});
   }
 
   private void persist(final List<Registration> changes, final Roster news, final Runnable synced) {
-    outlet.append(Serializer.bytes(PersistedRecord.membership(changes, news)), synced);
+    environment.append(Serializer.bytes(PersistedRecord.membership(changes, news)), synced);
   }
 
   // ---- upstreams
@@ -412,7 +413,7 @@
     beats++;
     final Registration before = registrations.get(beat.id);
     if (registrations.beat(beat.id, now)) {
-      streams.suspects();
+      proxyStreams.suspects();
     }
     final boolean drains = LifecycleStage.of(beat) == LifecycleStage.DRAINING;
     final boolean late =
@@ -434,12 +435,12 @@
     changes.addAll(claimAddress(beat, before == null, now));
     if (!changes.isEmpty()) {
       if (drains) {
-        streams.registrations(changes);
+        proxyStreams.registrations(changes);
         return quorum(changes, now);
       }
       persist(changes, null, () -> {});
       tellMembers(new RegistryMessages.Changes(0, changes, null));
-      streams.registrations(changes);
+      proxyStreams.registrations(changes);
     }
     return drains
         ? quorum(List.of(registrations.get(beat.id)), now)
@@ -476,7 +477,7 @@
     if (before == null || LifecycleStage.of(before) != LifecycleStage.REMOVED) {
       registrations.put(ended);
       LOGGER.atInfo().log("upstream %s signed off", id);
-      streams.registrations(List.of(ended));
+      proxyStreams.registrations(List.of(ended));
     }
     return quorum(List.of(registrations.get(id)), now);
   }
@@ -504,7 +505,7 @@
   private void tellVoters(final Message message) {
     for (final Voter voter : roster.voters) {
       if (!voter.address.equals(self)) {
-        outlet.member(voter.address, message);
+        environment.member(voter.address, message);
       }
     }
   }
@@ -512,7 +513,7 @@
   private void tellMembers(final Message message) {
     for (final String member : members.keySet()) {
       if (!member.equals(self)) {
-        outlet.member(member, message);
+        environment.member(member, message);
       }
     }
   }
@@ -546,7 +547,7 @@
             done -> {
               final List<String> evacuated = control.evacuated();
               final long evacuationMark = control.evacuationMark();
-              final List<TrialMessages.Trial> trials = control.panel().trials();
+              final List<TrialMessages.Trial> trials = control.coordinator().trials();
               final long trialMark = control.trialMark();
               return begin(
                   List.of(),
@@ -595,7 +596,7 @@
     final ControlState.Delta news =
         control.take(version, spec, evacuated, evacuationMark, trials, trialMark, clock);
     if (news.any()) {
-      outlet.append(
+      environment.append(
           Serializer.bytes(
               new PersistedRecord(
                   null,
@@ -604,10 +605,10 @@
                   news.spec(),
                   control.evacuated(),
                   control.evacuationMark(),
-                  control.panel().trials(),
+                  control.coordinator().trials(),
                   control.trialMark())),
           () -> {});
-      streams.tell(
+      proxyStreams.tell(
           new RegistryMessages.View(
               news.spec() == null ? 0 : control.version(),
               news.spec(),
@@ -671,10 +672,10 @@
     } else if (message instanceof RegistryMessages.ControlStateResponse) {
       onHeld(from, (RegistryMessages.ControlStateResponse) message, now);
     } else if (message instanceof TrialMessages.TrialReport) {
-      trialDesk.report((TrialMessages.TrialReport) message, now);
+      trialService.report((TrialMessages.TrialReport) message, now);
     } else if (message instanceof RecordingMessages.RecordingState) {
-      if (reels.take((RecordingMessages.RecordingState) message)) {
-        streams.tell(message);
+      if (recordingBuffer.take((RecordingMessages.RecordingState) message)) {
+        proxyStreams.tell(message);
       }
     } else if (message instanceof PermitMessages.PermitRequest) {
       permit((PermitMessages.PermitRequest) message, reply, now);
@@ -687,9 +688,10 @@
       keyClaims.receive(from, message, reply, now);
     } else if (message instanceof PlacementMessages.LeaseRequest && placements != null) {
       reply.accept(
-          placements.keeper().ask((PlacementMessages.LeaseRequest) message, majorityAt, now));
+          placements.coordinator().ask((PlacementMessages.LeaseRequest) message, majorityAt, now));
     } else if (message instanceof PlacementMessages.LeaseGrant && placements != null) {
-      placements.granted((PlacementMessages.LeaseGrant) message, streams::contains, outlet::board);
+      placements.granted(
+          (PlacementMessages.LeaseGrant) message, proxyStreams::contains, environment::board);
     } else if (message instanceof AssignerHeartbeat && ownership != null) {
       ownership.pulse(from, (AssignerHeartbeat) message, now);
     } else if (message instanceof SlotReport && ownership != null) {
@@ -703,13 +705,13 @@
     final List<Registration> news = registrations.merge(given, now);
     if (!news.isEmpty()) {
       persist(news, null, () -> {});
-      streams.registrations(news);
+      proxyStreams.registrations(news);
     }
   }
 
   private void onKept(final String from, final RegistryMessages.ChangesAck kept, final long now) {
     if (kept.rosterNumber > roster.number) {
-      outlet.member(from, gossip(0, false, false, false, null, now));
+      environment.member(from, gossip(0, false, false, false, null, now));
       return;
     }
     kept(from, kept.number, now);
@@ -758,7 +760,7 @@
         spec ? control.spec() : null,
         evacuations ? control.evacuated() : null,
         evacuations ? control.evacuationMark() : 0,
-        trials ? control.panel().trials() : null,
+        trials ? control.coordinator().trials() : null,
         trials ? control.trialMark() : 0,
         lacking.isEmpty() ? null : RegistrationBuckets.pack(lacking),
         lease(now),
@@ -815,7 +817,7 @@
   private void onHeld(
       final String from, final RegistryMessages.ControlStateResponse held, final long now) {
     clock = Math.max(clock, now);
-    authority.told(from, held.majorityAgeMillis, now);
+    majority.told(from, held.majorityAgeMillis, now);
     takeRoster(held.roster, now);
     take(held.version, held.spec, held.evacuated, held.evacuationMark, held.trials, held.trialMark);
     merge(RegistrationBuckets.unpack(held.packed), now);
@@ -860,7 +862,7 @@
     reads.tick(this::question, this::tellVoters, now);
     if (proofDue && (reads.done() >= proofRead || now - reachAt >= PROOF_MILLIS)) {
       proofDue = false;
-      streams.tellEverybody(reach(now, false), informed(now), now);
+      proxyStreams.tellEverybody(reach(now, false), informed(now), now);
     }
   }
 
@@ -886,7 +888,7 @@
           new RegistryMessages.Changes(
               0, null, List.of(DaemonTable.aged(board, DaemonTable.GONE_MILLIS)));
       for (final String member : members.keySet()) {
-        outlet.member(member, message);
+        environment.member(member, message);
       }
     }
   }
@@ -899,7 +901,7 @@
     final boolean alike = gossip.digest == registrations.digest();
     merge(Protocol.list(gossip.history), now);
     merge(RegistrationBuckets.unpack(gossip.packed), now);
-    inForceTable.told(from, gossip.version, gossip.mark, gossip.heldMillis, now);
+    appliedStates.told(from, gossip.version, gossip.mark, gossip.heldMillis, now);
     if (gossip.region != null && !gossip.region.isEmpty()) {
       memberPlaces.put(from, gossip.region + "/" + gossip.site);
     }
@@ -928,7 +930,7 @@
       cleared |= registrations.beaten(beaten.get(index), now - gossip.ages.get(index), now);
     }
     if (cleared) {
-      streams.suspects();
+      proxyStreams.suspects();
     }
     if (gossip.depth == 0) {
       reply.accept(
@@ -1034,7 +1036,7 @@
         addresses.add(member);
       }
     }
-    outlet.peers(addresses);
+    environment.peers(addresses);
     final List<String> frames = new ArrayList<>(addresses);
     frames.add(self);
     store.frames(frames);
@@ -1043,33 +1045,33 @@
   /** Orders switchboards to begin or end recording. */
   public RecordingMessages.RecordingState record(
       final boolean on, final long wall, final long now) {
-    final RecordingMessages.RecordingState state = reels.order(on, wall);
-    streams.tell(state);
+    final RecordingMessages.RecordingState state = recordingBuffer.order(on, wall);
+    proxyStreams.tell(state);
     tellRecording(now);
     return state;
   }
 
   private void tellRecording(final long now) {
-    if (reels.tells(now)) {
+    if (recordingBuffer.tells(now)) {
       for (final String member : members.keySet()) {
-        outlet.member(member, reels.state());
+        environment.member(member, recordingBuffer.state());
       }
     }
   }
 
   /** A switchboard has recorded something. */
-  public void reel(final RecordingMessages.RecordingBatch reel, final long now) {
-    reels.add(reel, now);
+  public void reel(final RecordingMessages.RecordingBatch batch, final long now) {
+    recordingBuffer.add(batch, now);
   }
 
   /** What was recorded here since it was last collected, with what is in force. */
   public RecordingBuffer.Collection drain(final long now) {
-    final List<RecordingBuffer.CollectedBatch> list = reels.drain(now);
+    final List<RecordingBuffer.CollectedBatch> list = recordingBuffer.drain(now);
     return new RecordingBuffer.Collection(
-        reels.state().on,
-        reels.state().mark,
-        reels.dropped(),
-        reels.left(),
+        recordingBuffer.state().on,
+        recordingBuffer.state().mark,
+        recordingBuffer.dropped(),
+        recordingBuffer.left(),
         list,
         control.version(),
         control.spec(),
@@ -1079,11 +1081,11 @@
 
   /** Whether switchboards record, and how much waits here. */
   public String recording() {
-    return (reels.state().on ? "recording" : "not recording")
+    return (recordingBuffer.state().on ? "recording" : "not recording")
         + ", "
-        + reels.left()
+        + recordingBuffer.left()
         + " calls wait to be collected here, "
-        + reels.dropped()
+        + recordingBuffer.dropped()
         + " dropped here";
   }
 
@@ -1106,15 +1108,17 @@
 
   /** Somebody asks for permits. */
   public void permit(
-      final PermitMessages.PermitRequest ask,
+      final PermitMessages.PermitRequest request,
       final java.util.function.Consumer<Message> reply,
       final long now) {
     if (quotas == null) {
       reply.accept(
-          new PermitMessages.PermitResponse(ask.number, 0, control.version(), Integer.MAX_VALUE));
+          new PermitMessages.PermitResponse(
+              request.number, 0, control.version(), Integer.MAX_VALUE));
       return;
     }
-    quotas.ask(ask, reply, control.plan(), roster, control.version(), now - majorityAt, now);
+    quotas.ask(
+        request, reply, control.routingTable(), roster, control.version(), now - majorityAt, now);
   }
 
   // ---- switchboards
@@ -1136,15 +1140,15 @@
     switchboards.merge(List.of(board), now);
     if (news) {
       for (final String member : members.keySet()) {
-        outlet.member(member, new RegistryMessages.Changes(0, null, List.of(board)));
+        environment.member(member, new RegistryMessages.Changes(0, null, List.of(board)));
       }
     }
-    if (!streams.contains(stream)) {
+    if (!proxyStreams.contains(stream)) {
       if (electorates != null) {
         electorates.stream(stream, board.region);
       }
-      streams.opened(stream, board, buckets, board.version == 0 ? reads.next() : 0, now);
-      neighbourhoods.stream(stream, board.announcer ? "" : board.site);
+      proxyStreams.opened(stream, board, buckets, board.version == 0 ? reads.next() : 0, now);
+      siteMembership.stream(stream, board.announcer ? "" : board.site);
       read(now);
       admit(now);
     }
@@ -1152,35 +1156,35 @@
 
   private void admit(final long now) {
     final long read = now < reads.leasedUntil(roster) ? Long.MAX_VALUE : reads.done();
-    if (informed(now) && streams.waiting(read)) {
-      streams.admit(read, stream -> admitted(stream, now));
+    if (informed(now) && proxyStreams.waiting(read)) {
+      proxyStreams.admit(read, stream -> admitted(stream, now));
     }
   }
 
   private void admitted(final Object stream, final long now) {
-    if (purges != null && streams.announces(stream)) {
-      outlet.board(stream, purges);
+    if (purges != null && proxyStreams.announces(stream)) {
+      environment.board(stream, purges);
     }
     if (electorates != null) {
-      electorates.tell(stream, outlet::board);
+      electorates.tell(stream, environment::board);
     }
-    if (reels.state().mark > 0) {
-      outlet.board(stream, reels.state());
+    if (recordingBuffer.state().mark > 0) {
+      environment.board(stream, recordingBuffer.state());
     }
-    if (placements != null && placements.keeper().mark() > 0) {
-      outlet.board(stream, placements.keeper().placements());
+    if (placements != null && placements.coordinator().mark() > 0) {
+      environment.board(stream, placements.coordinator().placements());
     }
-    if (ownership != null && ownership.all() != null && !streams.announces(stream)) {
-      outlet.board(stream, ownership.all());
+    if (ownership != null && ownership.all() != null && !proxyStreams.announces(stream)) {
+      environment.board(stream, ownership.all());
     }
-    neighbourhoods.tell(stream, outlet::board);
-    outlet.board(stream, reach(now, true));
+    siteMembership.tell(stream, environment::board);
+    environment.board(stream, reach(now, true));
   }
 
   /** A switchboard's stream has ended. */
   public void streamClosed(final Object stream, final String address, final long now) {
-    streams.closed(stream);
-    neighbourhoods.closed(stream);
+    proxyStreams.closed(stream);
+    siteMembership.closed(stream);
     if (electorates != null) {
       electorates.closed(stream);
     }
@@ -1229,12 +1233,12 @@
    * there are not enough lines to voters.
    */
   public boolean cutOff(final long now) {
-    return authority.cutOff(roster, seeds, connected, contactAt(), now);
+    return majority.cutOff(roster, seeds, connected, contactAt(), now);
   }
 
   /** An exchange that told lately that it hears a majority; null where there is none. */
-  public String authority(final long now) {
-    return authority.elsewhere(connected, now);
+  public String majority(final long now) {
+    return majority.elsewhere(connected, now);
   }
 
   /** The fronts that a client in this place should use; empty where none is known. */
@@ -1297,18 +1301,18 @@
         given.trials,
         given.trialMark);
     if (electorates != null) {
-      electorates.take(Protocol.list(given.electorates), outlet::board);
+      electorates.take(Protocol.list(given.electorates), environment::board);
     } else if (given.electorates != null) {
       otherMarks = Protocol.list(given.electorates).stream().mapToLong(one -> one.mark).sum();
     }
     placementMarks = given.placementMark + (given.keeper == null ? 0 : given.keeper.serial);
     if (placements != null && placements.take(given, clock)) {
-      streams.tellSwitchboards(placements.keeper().placements());
+      proxyStreams.tellSwitchboards(placements.coordinator().placements());
     }
     takeAssignments(given.assignments);
     if (given.purges != null && (purges == null || given.purges.mark > purges.mark)) {
       purges = given.purges;
-      streams.tellAnnouncers(purges);
+      proxyStreams.tellAnnouncers(purges);
     }
     admit(clock);
     askControl(clock);
@@ -1321,7 +1325,7 @@
     ownershipMark = given.stream().mapToLong(assignment -> assignment.serial).sum();
     final Assignments news = ownership == null ? null : ownership.take(given, clock);
     if (news != null) {
-      streams.tellSwitchboards(news);
+      proxyStreams.tellSwitchboards(news);
     }
   }
 
@@ -1329,17 +1333,17 @@
 
   /** Trials of services: their reports and operators' orders. */
   public TrialService trials() {
-    return trialDesk;
+    return trialService;
   }
 
   /** All that is known of trials. */
   public TrialCoordinator panel() {
-    return control.panel();
+    return control.coordinator();
   }
 
   /** Calls the store. */
   public CompletableFuture<StoreMessages.StoreResponse> call(
-      final StoreOperation deed,
+      final StoreOperation operation,
       final String name,
       final String owner,
       final long first,
@@ -1347,23 +1351,23 @@
       final byte[] body,
       final long timeout,
       final long now) {
-    return store.call(deed, name, owner, first, second, body, null, now, timeout);
+    return store.call(operation, name, owner, first, second, body, null, now, timeout);
   }
 
   /** Calls the store with a change of routing, and who wants it. */
   public CompletableFuture<StoreMessages.StoreResponse> change(
-      final StoreOperation deed,
+      final StoreOperation operation,
       final String name,
       final long first,
       final long second,
       final byte[] body,
-      final StoreMessages.ChangeOrigin cause,
+      final StoreMessages.ChangeOrigin origin,
       final long timeout,
       final long now) {
     clock = Math.max(clock, now);
-    return deed == StoreOperation.EVACUATE
-        ? evacuate(name, first, cause, now + timeout)
-        : store.call(deed, name, null, first, second, body, cause, now, timeout);
+    return operation == StoreOperation.EVACUATE
+        ? evacuate(name, first, origin, now + timeout)
+        : store.call(operation, name, null, first, second, body, origin, now, timeout);
   }
 
   /**
@@ -1371,7 +1375,10 @@
    * another order was decided.
    */
   private CompletableFuture<StoreMessages.StoreResponse> evacuate(
-      final String zone, final long on, final StoreMessages.ChangeOrigin cause, final long cutoff) {
+      final String zone,
+      final long on,
+      final StoreMessages.ChangeOrigin origin,
+      final long cutoff) {
     return store
         .call(StoreOperation.EVACUATION_TICKET, zone, null, 0, 0, null, null, clock, cutoff - clock)
         .thenCompose(
@@ -1386,14 +1393,14 @@
                             on,
                             ticket.first,
                             null,
-                            cause,
+                            origin,
                             clock,
                             cutoff - clock)
                         .thenCompose(
                             answer ->
                                 answer.status != 410
                                     ? CompletableFuture.completedFuture(answer)
-                                    : evacuate(zone, on, cause, cutoff)));
+                                    : evacuate(zone, on, origin, cutoff)));
   }
 
   /** Calls the store with a configuration, the digest of what it says, and who wants it. */
@@ -1402,7 +1409,7 @@
       final boolean tied,
       final byte[] packed,
       final byte[] content,
-      final StoreMessages.ChangeOrigin cause,
+      final StoreMessages.ChangeOrigin origin,
       final long timeout,
       final long now) {
     return store.call(
@@ -1412,7 +1419,7 @@
         given,
         tied ? 1 : 0,
         packed,
-        cause,
+        origin,
         content,
         now,
         timeout);
@@ -1426,7 +1433,7 @@
 
   /** The history of routing changes, read from the replica on this machine. */
   public HistoryReader audit() {
-    return historyDesk;
+    return historyReader;
   }
 
   /** How all stands, as far as it is known here. */
@@ -1444,7 +1451,8 @@
     final List<ControlApi.PlacementStatus> placed = new ArrayList<>();
     final List<ControlApi.WriteCount> writes = new ArrayList<>();
     if (placements != null) {
-      for (final PlacementMessages.Placement one : placements.keeper().placements().placements) {
+      for (final PlacementMessages.Placement one :
+          placements.coordinator().placements().placements) {
         placed.add(
             new ControlApi.PlacementStatus(
                 one.service,
@@ -1453,8 +1461,8 @@
                 one.prepared,
                 Protocol.list(one.next).size()));
       }
-      final long[] counts = placements.keeper().counts();
-      for (int index = 0; placements.keeper().keeps() && index < counts.length; index++) {
+      final long[] counts = placements.coordinator().counts();
+      for (int index = 0; placements.coordinator().keeps() && index < counts.length; index++) {
         writes.add(
             new ControlApi.WriteCount(
                 weldpoint.affinity.WriteDecision.values()[index]
@@ -1477,10 +1485,10 @@
         registrations.size(),
         registrations.suspects().size(),
         daemons,
-        placements == null ? "" : placements.keeper().keeper(),
+        placements == null ? "" : placements.coordinator().keeper(),
         placed,
         writes,
-        outlet.disk(),
+        environment.disk(),
         ownership == null ? List.of() : ownership.status());
   }
 
@@ -1494,10 +1502,10 @@
             control.mark(),
             now - control.heldSince(),
             0);
-    return inForceTable.all(own, members.keySet(), switchboards.all(), now);
+    return appliedStates.all(own, members.keySet(), switchboards.all(), now);
   }
 
-  private final AppliedStateTable inForceTable = new AppliedStateTable();
+  private final AppliedStateTable appliedStates = new AppliedStateTable();
 
   /** A frame has answered. */
   public void answered(
@@ -1517,7 +1525,7 @@
     members.put(address, now);
     if (roster.index(address) >= 0) {
       clock = Math.max(clock, now);
-      reads.line(address, this::offer, question -> outlet.member(address, question));
+      reads.line(address, this::offer, question -> environment.member(address, question));
     }
   }
 
@@ -1532,7 +1540,7 @@
   public void tick(final long now) {
     clock = now;
     store.tick(now);
-    historyDesk.tick(now);
+    historyReader.tick(now);
     if (quotas != null) {
       quotas.tick(now);
     }
@@ -1545,12 +1553,12 @@
     }
     read(now);
     admit(now);
-    authority.tick(roster, seeds, connected, contactAt(), now);
+    majority.tick(roster, seeds, connected, contactAt(), now);
     askControl(now);
     if (placements != null && placements.active()) {
-      final String keeper = placements.keeper().keeper();
+      final String keeper = placements.coordinator().keeper();
       placements.tick(
-          control.plan(),
+          control.routingTable(),
           registrations.all().values(),
           control.evacuated(),
           registrations.suspects(),
@@ -1562,7 +1570,7 @@
     }
     if (ownership != null) {
       ownership.tick(
-          control.plan(),
+          control.routingTable(),
           registrations,
           control.evacuated(),
           new OwnershipCoordinator.Position(roster.index(self), roster.voters.size(), majorityAt),
@@ -1571,9 +1579,9 @@
     if (now - reachAt >= REACH_MILLIS) {
       reachAt = now;
       switchboards.count(now);
-      neighbourhoods.keep(switchboards.sites(now), streams.all(), outlet::board);
+      siteMembership.keep(switchboards.sites(now), proxyStreams.all(), environment::board);
       missSwitchboards(now);
-      trialDesk.judge(now);
+      trialService.judge(now);
       tellRecording(now);
       if (electorates != null && now - majorityAt < MAJORITY_MILLIS && writesElectorates()) {
         electorates.keep(switchboards.live(now), now);
@@ -1607,7 +1615,7 @@
     java.util.Collections.shuffle(others, random);
     final RegistryMessages.Gossip message = gossip(0, false, false, false, null, now);
     for (final String other : others) {
-      if (outlet.member(other, message)) {
+      if (environment.member(other, message)) {
         gossips++;
         return;
       }
@@ -1642,10 +1650,10 @@
       }
       persist(lapsed, null, () -> {});
       tellMembers(new RegistryMessages.Changes(0, lapsed, null));
-      streams.registrations(lapsed);
+      proxyStreams.registrations(lapsed);
     }
     if (changed) {
-      streams.suspects();
+      proxyStreams.suspects();
     }
     registrations.forget();
   }
@@ -1680,7 +1688,7 @@
             "weldpoint_superseded_registrations",
             "Upstreams written off since another one beat from their address.",
             registrations.superseded()));
-    figures.add(Metric.gauge("weldpoint_streams", "Streams to proxies.", streams.size()));
+    figures.add(Metric.gauge("weldpoint_streams", "Streams to proxies.", proxyStreams.size()));
     figures.add(Metric.gauge("weldpoint_roster_number", "The roster's number.", roster.number));
     figures.add(
         Metric.gauge(
@@ -1699,7 +1707,9 @@
 
   /** The counters, as one line. */
   public String counters() {
-    return (placements == null || !placements.active() ? "" : placements.keeper().counters() + " ")
+    return (placements == null || !placements.active()
+            ? ""
+            : placements.coordinator().counters() + " ")
         + "registrations "
         + registrations.size()
         + " beats "
@@ -1707,7 +1717,7 @@
         + " gossips "
         + gossips
         + " streams "
-        + streams.size()
+        + proxyStreams.size()
         + " boards "
         + switchboards.size()
         + (quotas == null ? "" : " " + quotas.counters())
--- a/registry/src/main/java/weldpoint/registry/RegistryDaemon.java
+++ b/registry/src/main/java/weldpoint/registry/RegistryDaemon.java
@@ -46,76 +46,77 @@
   private static final int MOST_FILE_BYTES = 1 << 24;
   private static final long TICK_MILLIS = 40;
 
-  private final Settings boot;
-  private final SerialExecutor desk = new SerialExecutor("exchange");
+  private final Settings settings;
+  private final SerialExecutor executor = new SerialExecutor("exchange");
   private final EventLoopGroup loop = new NioEventLoopGroup(1);
-  private final Transport trunk;
+  private final Transport transport;
   private final RegistryCore core;
   private final PeerConnections members;
   private final PeerConnections frames;
-  private WriteAheadLog tape;
+  private WriteAheadLog log;
   private long countersAt;
   private final long incarnation;
   private Message unsealed;
   private Message sealed;
 
   /** A registry for these settings; nothing runs yet. */
-  public RegistryDaemon(final Settings boot) {
-    this.boot = boot;
+  public RegistryDaemon(final Settings settings) {
+    this.settings = settings;
     incarnation = RandomIds.next();
-    this.trunk =
+    this.transport =
         new Transport(
-            loop, new Protocol.Hello(Serializer.PROTOCOL, "exchange", boot.address(), incarnation));
+            loop,
+            new Protocol.Hello(Serializer.PROTOCOL, "exchange", settings.address(), incarnation));
     this.members =
         new PeerConnections(
-            trunk,
-            boot.trunkPort(0),
+            transport,
+            settings.trunkPort(0),
             to ->
                 Transport.on(
-                    desk,
+                    executor,
                     new Transport.Listener() {
                       @Override
-                      public void opened(final Connection line) {
+                      public void opened(final Connection connection) {
                         core().memberOpened(to, now());
                       }
 
                       @Override
-                      public void heard(final Connection line, final Message message) {
-                        core().receive(to, message, line::send, now());
+                      public void heard(final Connection connection, final Message message) {
+                        core().receive(to, message, connection::send, now());
                       }
 
                       @Override
-                      public void closed(final Connection line) {
+                      public void closed(final Connection connection) {
                         core().memberClosed(to, now());
                       }
                     }));
     this.frames =
         new PeerConnections(
-            trunk,
-            boot.trunkPort(1),
+            transport,
+            settings.trunkPort(1),
             to ->
                 Transport.on(
-                    desk,
+                    executor,
                     new Transport.Listener() {
                       @Override
-                      public void heard(final Connection line, final Message message) {
+                      public void heard(final Connection connection, final Message message) {
                         if (message instanceof StoreMessages.StoreResponse) {
-                          line.heardClock(((StoreMessages.StoreResponse) message).clock);
+                          connection.heardClock(((StoreMessages.StoreResponse) message).clock);
                           core().answered(to, (StoreMessages.StoreResponse) message, now());
                         }
                       }
 
                       @Override
-                      public void closed(final Connection line) {
+                      public void closed(final Connection connection) {
                         core().frameClosed(to, now());
                       }
                     }));
     this.core =
         new RegistryCore(
-            boot.address(),
-            boot.seeds(),
-            boot.firstStart(),
-            boot.beatMillis(),
+            settings.address(),
+            settings.seeds(),
+            settings.firstStart(),
+            settings.beatMillis(),
             new Random(incarnation),
             new RegistryCore.Environment() {
               @Override
@@ -127,8 +128,8 @@
               public boolean frame(final String address, final StoreMessages.StoreRequest call) {
                 return frames.send(
                     address,
-                    line -> {
-                      final Long clock = line.peerClock();
+                    connection -> {
+                      final Long clock = connection.peerClock();
                       return call.leaving(clock, now());
                     });
               }
@@ -144,19 +145,19 @@
 
               @Override
               public void append(final byte[] record, final Runnable synced) {
-                tape.append(record, synced);
+                log.append(record, synced);
               }
 
               @Override
               public String disk() {
-                return tape == null ? "" : tape.counters();
+                return log == null ? "" : log.counters();
               }
 
               @Override
               public void peers(final List<String> addresses) {
                 members.keep(addresses);
                 final List<String> all = new ArrayList<>(addresses);
-                all.add(boot.address());
+                all.add(settings.address());
                 frames.keep(all);
               }
             });
@@ -172,124 +173,127 @@
 
   @Override
   public void start() throws IOException, InterruptedException {
-    if (boot.folder().isEmpty()) {
+    if (settings.folder().isEmpty()) {
       throw new WeldpointException(
           WeldpointException.Kind.SETTING,
           "setting station.folder has the value ''; an exchange needs a folder on a disk of its own");
     }
     final WriteAheadLog.Opened opened =
         WriteAheadLog.open(
-            Path.of(boot.folder(), "exchange"),
-            "exchange " + boot.address(),
+            Path.of(settings.folder(), "exchange"),
+            "exchange " + settings.address(),
             FILES,
             FILE_BYTES,
             MOST_FILE_BYTES,
-            desk,
+            executor,
             core::view);
     final SegmentRing.Recovered found = opened.found();
     if (found.lost()) {
       LOGGER.atSevere().log(
           "the disk of %s lost records that had been synced; it counts as blank and is refetched from the other exchanges",
-          boot.name());
+          settings.name());
     }
-    tape = opened.tape();
-    if (boot.chief()) {
+    log = opened.log();
+    if (settings.chief()) {
       core.chiefs();
     }
-    core.place(boot.site(), boot.region());
+    core.place(settings.site(), settings.region());
     core.placements(
-        Affinity.setting("affinity.default", boot.affinityUsual()),
+        Affinity.setting("affinity.default", settings.affinityUsual()),
         incarnation,
-        boot.affinityLeaseMillis(),
-        boot.affinityBatchMillis());
+        settings.affinityLeaseMillis(),
+        settings.affinityBatchMillis());
     core.quotas(
         new weldpoint.ratelimit.QuotaAllocator(
-            boot, boot.firstStart() && found.blank() && !found.lost(), now()));
-    final GrantTimings times =
-        GrantTimings.of(boot.ownershipHoldMillis(), boot.ownershipLateMillis());
+            settings, settings.firstStart() && found.blank() && !found.lost(), now()));
+    final GrantTimings timings =
+        GrantTimings.of(settings.ownershipHoldMillis(), settings.ownershipLateMillis());
     core.ownership(
-        incarnation, times, new KeyGrantClient(loop, desk, times.holdMillis(), times.sendMillis()));
-    desk.execute(() -> core.start(found.lost() ? List.of() : found.records(), now()));
-    tape.start("tape");
-    trunk.serve(
-        boot.bindAddress(),
-        boot.trunkPort(0),
+        incarnation,
+        timings,
+        new KeyGrantClient(loop, executor, timings.holdMillis(), timings.sendMillis()));
+    executor.execute(() -> core.start(found.lost() ? List.of() : found.records(), now()));
+    log.start("tape");
+    transport.serve(
+        settings.bindAddress(),
+        settings.trunkPort(0),
         Transport.on(
-            desk,
+            executor,
             new Transport.Listener() {
               @Override
-              public void heard(final Connection line, final Message message) {
+              public void heard(final Connection connection, final Message message) {
                 if (message instanceof RegistryMessages.DaemonReport) {
                   core.boardState(
-                      line,
-                      ((RegistryMessages.DaemonReport) message).board,
+                      connection,
+                      ((RegistryMessages.DaemonReport) message).entry,
                       Protocol.list(((RegistryMessages.DaemonReport) message).buckets),
                       now());
                 } else if (message instanceof TrialMessages.TrialReport
-                    && "switchboard".equals(line.peer().program)) {
+                    && "switchboard".equals(connection.peer().program)) {
                   core.trials().report((TrialMessages.TrialReport) message, now());
                 } else if (message instanceof PlacementMessages.LeaseRequest
-                    && "switchboard".equals(line.peer().program)) {
-                  core.lease(line, (PlacementMessages.LeaseRequest) message, now());
+                    && "switchboard".equals(connection.peer().program)) {
+                  core.lease(connection, (PlacementMessages.LeaseRequest) message, now());
                 } else if (message instanceof RecordingMessages.RecordingBatch) {
                   core.reel((RecordingMessages.RecordingBatch) message, now());
                 } else if (message instanceof KeyMessages.ClaimRequest
                     || message instanceof KeyMessages.ClaimRelease
-                        && "switchboard".equals(line.peer().program)) {
-                  core.key(message, line::send, now());
+                        && "switchboard".equals(connection.peer().program)) {
+                  core.key(message, connection::send, now());
                 } else if (message instanceof SlotReport
-                    && "switchboard".equals(line.peer().program)) {
+                    && "switchboard".equals(connection.peer().program)) {
                   core.slotReport((SlotReport) message);
                 } else if (message instanceof PermitMessages.PermitRequest
-                    && !"exchange".equals(line.peer().program)) {
-                  core.permit((PermitMessages.PermitRequest) message, line::send, now());
+                    && !"exchange".equals(connection.peer().program)) {
+                  core.permit((PermitMessages.PermitRequest) message, connection::send, now());
                 } else {
-                  core.receive(line.peer().address, message, line::send, now());
+                  core.receive(connection.peer().address, message, connection::send, now());
                 }
               }
 
               @Override
-              public void closed(final Connection line) {
-                if (!"exchange".equals(line.peer().program)) {
-                  core.streamClosed(line, line.peer().address, now());
+              public void closed(final Connection connection) {
+                if (!"exchange".equals(connection.peer().program)) {
+                  core.streamClosed(connection, connection.peer().address, now());
                 }
               }
             }));
-    final ControlServer door = new ControlServer(boot, core, desk);
-    door.serve(loop, boot.requiredAddress("listen.control"));
-    final Settings.Address directory = boot.optionalAddress("listen.directory");
-    if (directory != null && !directory.equals(boot.requiredAddress("listen.control"))) {
-      door.serve(loop, directory);
+    final ControlServer server = new ControlServer(settings, core, executor);
+    server.serve(loop, settings.requiredAddress("listen.control"));
+    final Settings.Address directory = settings.optionalAddress("listen.directory");
+    if (directory != null && !directory.equals(settings.requiredAddress("listen.control"))) {
+      server.serve(loop, directory);
     }
-    if (boot.metricsPort() > 0) {
+    if (settings.metricsPort() > 0) {
       MetricsServer.serve(
           loop,
-          boot.address(),
-          boot.metricsPort() + 1,
-          () -> CompletableFuture.supplyAsync(() -> core.figures(now()), desk));
+          settings.address(),
+          settings.metricsPort() + 1,
+          () -> CompletableFuture.supplyAsync(() -> core.figures(now()), executor));
     }
-    loop.scheduleWithFixedDelay(door::awake, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
+    loop.scheduleWithFixedDelay(server::awake, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
     loop.scheduleAtFixedRate(
-        () -> desk.execute(this::tick), TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
+        () -> executor.execute(this::tick), TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   private void tick() {
     final long now = now();
     core.tick(now);
-    if (now - countersAt >= boot.countersMillis()) {
+    if (now - countersAt >= settings.countersMillis()) {
       countersAt = now;
-      LOGGER.atInfo().log("counters: %s %s %s", core.counters(), tape.counters(), trunk.meter());
+      LOGGER.atInfo().log(
+          "counters: %s %s %s", core.counters(), log.counters(), transport.trafficCounters());
     }
   }
 
   @Override
   public void reload(final Settings news) {
-    desk.execute(() -> core.seeds(news.seeds(), now()));
+    executor.execute(() -> core.seeds(news.seeds(), now()));
   }
 
   @Override
   public void stop() {
-    desk.execute(core::leave);
+    executor.execute(core::leave);
     try {
       Thread.sleep(400);
     } catch (final InterruptedException ended) {
--- a/registry/src/main/java/weldpoint/registry/StoreClient.java
+++ b/registry/src/main/java/weldpoint/registry/StoreClient.java
@@ -58,7 +58,7 @@
   }
 
   private final String self;
-  private final Sender outlet;
+  private final Sender sender;
   private final Random random;
   private final Map<Long, Pending> pending = new HashMap<>();
   private final String[] holders = new String[StateStoreReplica.PARTITIONS];
@@ -66,10 +66,10 @@
   private final long caller;
   private long number;
 
-  StoreClient(final String self, final Random random, final Sender outlet) {
+  StoreClient(final String self, final Random random, final Sender sender) {
     this.self = self;
     this.random = random;
-    this.outlet = outlet;
+    this.sender = sender;
     this.caller = random.nextLong() | 1;
   }
 
@@ -79,13 +79,13 @@
 
   /** Calls the frame of this very machine, whoever holds the duty. */
   CompletableFuture<StoreMessages.StoreResponse> here(
-      final StoreOperation deed,
+      final StoreOperation operation,
       final long first,
       final long second,
       final long now,
       final long timeout) {
     final StoreMessages.StoreRequest call =
-        new StoreMessages.StoreRequest(++number, deed.ordinal(), "", null, first, second, null)
+        new StoreMessages.StoreRequest(++number, operation.ordinal(), "", null, first, second, null)
             .from(caller);
     final Pending one = new Pending(call, 0, now + timeout, SILENCE_MILLIS, self);
     pending.put(call.number, one);
@@ -94,40 +94,44 @@
   }
 
   CompletableFuture<StoreMessages.StoreResponse> call(
-      final StoreOperation deed,
+      final StoreOperation operation,
       final String name,
       final String owner,
       final long first,
       final long second,
       final byte[] body,
-      final StoreMessages.ChangeOrigin cause,
+      final StoreMessages.ChangeOrigin origin,
       final long now,
       final long timeout) {
-    return call(deed, name, owner, first, second, body, cause, null, now, timeout);
+    return call(operation, name, owner, first, second, body, origin, null, now, timeout);
   }
 
   CompletableFuture<StoreMessages.StoreResponse> call(
-      final StoreOperation deed,
+      final StoreOperation operation,
       final String name,
       final String owner,
       final long first,
       final long second,
       final byte[] body,
-      final StoreMessages.ChangeOrigin cause,
+      final StoreMessages.ChangeOrigin origin,
       final byte[] content,
       final long now,
       final long timeout) {
     final StoreMessages.StoreRequest call =
         new StoreMessages.StoreRequest(
-                ++number, deed.ordinal(), name, owner, first, second, body, cause, content)
+                ++number, operation.ordinal(), name, owner, first, second, body, origin, content)
             .from(caller);
     final long patience =
-        deed == StoreOperation.WATCH
+        operation == StoreOperation.WATCH
             ? second + SILENCE_MILLIS
-            : deed == StoreOperation.CONTROL ? 700 + SILENCE_MILLIS : SILENCE_MILLIS;
+            : operation == StoreOperation.CONTROL ? 700 + SILENCE_MILLIS : SILENCE_MILLIS;
     final Pending one =
         new Pending(
-            call, StateStoreReplica.partition(deed.register(name)), now + timeout, patience, null);
+            call,
+            StateStoreReplica.partition(operation.register(name)),
+            now + timeout,
+            patience,
+            null);
     pending.put(call.number, one);
     send(one, now);
     return one.future;
@@ -168,7 +172,7 @@
     one.copies.merge(to, 1, Integer::sum);
     one.firstSentAt = again ? one.firstSentAt : now;
     one.doubtful = true;
-    if (outlet.send(
+    if (sender.send(
         to, again ? one.call.aged(Math.max(1, now - one.firstSentAt), now) : one.call)) {
       return true;
     }
--- a/registry/src/main/java/weldpoint/registry/TrialService.java
+++ b/registry/src/main/java/weldpoint/registry/TrialService.java
@@ -61,7 +61,7 @@
 
   /** A proxy, or another registry that passes it on, tells what was counted in trials. */
   public void report(final TrialMessages.TrialReport report, final long now) {
-    control.panel().report(report, now);
+    control.coordinator().report(report, now);
     if (!report.relayed) {
       registry.relay(new TrialMessages.TrialReport(true, report.tallies, report.digests));
     }
@@ -74,13 +74,14 @@
       return;
     }
     judgedAt = now;
-    for (final TrialMessages.Trial verdict : control.panel().verdicts(control.plan())) {
+    for (final TrialMessages.Trial verdict :
+        control.coordinator().verdicts(control.routingTable())) {
       write(verdict, new StoreMessages.ChangeOrigin(Authors.SYSTEM, "", self, null), now);
     }
   }
 
   private CompletableFuture<TrialMessages.Trial> write(
-      final TrialMessages.Trial next, final StoreMessages.ChangeOrigin cause, final long now) {
+      final TrialMessages.Trial next, final StoreMessages.ChangeOrigin origin, final long now) {
     return store
         .call(
             StoreOperation.TRIAL_WRITE,
@@ -89,7 +90,7 @@
             next.serial - 1,
             0,
             Serializer.bytes(next),
-            cause,
+            origin,
             now,
             WRITE_MILLIS)
         .thenApply(answer -> written(next, answer));
@@ -113,11 +114,11 @@
    */
   private CompletableFuture<TrialMessages.Trial> order(
       final Supplier<TrialMessages.Trial> next,
-      final StoreMessages.ChangeOrigin cause,
+      final StoreMessages.ChangeOrigin origin,
       final long now) {
     return registry
         .refresh(now)
-        .thenCompose(done -> write(next.get(), cause, registry.now()))
+        .thenCompose(done -> write(next.get(), origin, registry.now()))
         .thenCompose(written -> registry.settle().thenApply(done -> written));
   }
 
@@ -125,7 +126,7 @@
   CompletableFuture<TrialMessages.Trial> begin(
       final String route,
       final ControlApi.TrialRequest order,
-      final StoreMessages.ChangeOrigin cause,
+      final StoreMessages.ChangeOrigin origin,
       final long now) {
     final List<Integer> stages = new ArrayList<>();
     for (final Double stage : order.stages() == null ? List.<Double>of() : order.stages()) {
@@ -138,7 +139,7 @@
     return order(
         () ->
             control
-                .panel()
+                .coordinator()
                 .begin(
                     route,
                     String.valueOf(order.oldService()),
@@ -147,31 +148,33 @@
                     stages,
                     leastWrites,
                     lateAllowance,
-                    control.plan()),
-        cause,
+                    control.routingTable()),
+        origin,
         now);
   }
 
   /** Moves a trial to its next stage, if the evidence is there. */
   CompletableFuture<TrialMessages.Trial> advance(
-      final String route, final StoreMessages.ChangeOrigin cause, final long now) {
+      final String route, final StoreMessages.ChangeOrigin origin, final long now) {
     final List<String> live = registry.liveProxies(now);
     return order(
-        () -> control.panel().advance(route, live, registry.hearsMajority(now), now), cause, now);
+        () -> control.coordinator().advance(route, live, registry.hearsMajority(now), now),
+        origin,
+        now);
   }
 
   /** Holds a trial by an operator's order. */
   CompletableFuture<TrialMessages.Trial> hold(
       final String route,
       final String reason,
-      final StoreMessages.ChangeOrigin cause,
+      final StoreMessages.ChangeOrigin origin,
       final long now) {
-    return order(() -> control.panel().hold(route, reason), cause, now);
+    return order(() -> control.coordinator().hold(route, reason), origin, now);
   }
 
   /** Ends a trial. */
   CompletableFuture<TrialMessages.Trial> finish(
-      final String route, final StoreMessages.ChangeOrigin cause, final long now) {
-    return order(() -> control.panel().finish(route), cause, now);
+      final String route, final StoreMessages.ChangeOrigin origin, final long now) {
+    return order(() -> control.coordinator().finish(route), origin, now);
   }
 }
--- a/registry/src/test/java/weldpoint/registry/ControlServerFuzzTest.java
+++ b/registry/src/test/java/weldpoint/registry/ControlServerFuzzTest.java
@@ -140,14 +140,14 @@
               public void peers(final List<String> members) {}
             });
     core.start(List.of(), 0);
-    final Settings boot =
+    final Settings settings =
         Settings.parse(
             "station.name = one\nstation.address = 127.0.0.1\nstation.site = a\nstation.region = r\ntrunk.ports = 7000,7015\ntrunk.seeds = 127.0.0.1:80\nlisten.control = 127.0.0.1:"
                 + port
                 + "\n");
-    final ControlServer door =
+    final ControlServer server =
         new ControlServer(
-            boot,
+            settings,
             core,
             loop::execute,
             new ControlServer.Clock() {
@@ -161,10 +161,10 @@
                 return System.currentTimeMillis();
               }
             });
-    door.serve(loop, boot.requiredAddress("listen.control"));
+    server.serve(loop, settings.requiredAddress("listen.control"));
     loop.scheduleAtFixedRate(
         () -> {
-          door.awake();
+          server.awake();
           core.tick(clock.addAndGet(20));
         },
         20,
--- a/registry/src/test/java/weldpoint/registry/ControlServerTest.java
+++ b/registry/src/test/java/weldpoint/registry/ControlServerTest.java
@@ -67,13 +67,13 @@
               public void peers(final List<String> members) {}
             });
     core.start(List.of(), 0);
-    final Settings boot =
+    final Settings settings =
         Settings.parse(
             "station.name = one\nstation.address = 127.0.0.1\nstation.site = a\nstation.region = r\ntrunk.ports = 7000,7015\ntrunk.seeds = 127.0.0.1:80\nlisten.control = 127.0.0.1:"
                 + port
                 + "\n");
-    new ControlServer(boot, core, Runnable::run)
-        .serve(loop, boot.requiredAddress("listen.control"));
+    new ControlServer(settings, core, Runnable::run)
+        .serve(loop, settings.requiredAddress("listen.control"));
   }
 
   @AfterClass
--- a/registry/src/test/java/weldpoint/registry/CutOffControlServerTest.java
+++ b/registry/src/test/java/weldpoint/registry/CutOffControlServerTest.java
@@ -111,13 +111,13 @@
         "s",
         new RegistryMessages.DaemonEntry("10.9.0.1", "10.9.0.1:80", "a", "r", 1, false, 0),
         now());
-    final Settings boot =
+    final Settings settings =
         Settings.parse(
             "station.name = one\nstation.address = 127.0.0.1\nstation.site = a\nstation.region = r\ntrunk.ports = 7000,7015\ntrunk.seeds = 127.0.0.1:80\nlisten.control = 127.0.0.1:"
                 + port
                 + "\n");
-    new ControlServer(boot, core, Runnable::run, CLOCK)
-        .serve(loop, boot.requiredAddress("listen.control"));
+    new ControlServer(settings, core, Runnable::run, CLOCK)
+        .serve(loop, settings.requiredAddress("listen.control"));
   }
 
   @AfterMethod
--- a/registry/src/test/java/weldpoint/registry/CutOffTest.java
+++ b/registry/src/test/java/weldpoint/registry/CutOffTest.java
@@ -340,7 +340,7 @@
       net.cut(1, ways[0], ways[1]);
       net.pass(3000);
       assertTrue(net.node(1).core.cutOff(net.now));
-      assertEquals(net.node(1).core.authority(net.now), null);
+      assertEquals(net.node(1).core.majority(net.now), null);
       assertFalse(net.node(2).core.cutOff(net.now));
       net.restart(1, true);
       net.pass(1600);
@@ -362,10 +362,10 @@
     net.cut("10.0.0.1", "10.0.0.6", true, true);
     net.pass(4000);
     assertTrue(net.node(1).core.cutOff(net.now));
-    assertEquals(net.node(1).core.authority(net.now), "10.0.0.7");
+    assertEquals(net.node(1).core.majority(net.now), "10.0.0.7");
     net.cut(7, true, true);
     net.pass(1500);
-    assertEquals(net.node(1).core.authority(net.now), null);
+    assertEquals(net.node(1).core.majority(net.now), null);
   }
 
   /**
--- a/registry/src/test/java/weldpoint/registry/HistoryReaderTest.java
+++ b/registry/src/test/java/weldpoint/registry/HistoryReaderTest.java
@@ -139,11 +139,11 @@
   public void aRangeThatIsTrimmedReversedOrInTheFutureIsRefused(
       final ControlApi.HistoryQuery query, final String reason) {
     final List<byte[]> all = chain(9);
-    final WeldpointException breakdown =
+    final WeldpointException exception =
         expectThrows(
             WeldpointException.class, () -> answer(query, part(all, 4, 9, 5, false), true, 9, all));
-    assertEquals(breakdown.kind().status(), 400);
-    assertTrue(breakdown.getMessage().contains(reason), breakdown.getMessage());
+    assertEquals(exception.kind().status(), 400);
+    assertTrue(exception.getMessage().contains(reason), exception.getMessage());
   }
 
   @Test
--- a/registry/src/test/java/weldpoint/registry/StandstillTest.java
+++ b/registry/src/test/java/weldpoint/registry/StandstillTest.java
@@ -24,7 +24,7 @@
   private int storeCalls;
   private List<Integer> statuses;
   private RegistryCore core;
-  private ControlServer door;
+  private ControlServer server;
 
   @BeforeMethod
   public void open() {
@@ -60,12 +60,12 @@
               public void peers(final List<String> members) {}
             });
     core.start(List.of(), now);
-    final Settings boot =
+    final Settings settings =
         Settings.parse(
             "station.name = one\nstation.address = 127.0.0.1\nstation.site = a\nstation.region = r\ntrunk.ports = 7000,7015\ntrunk.seeds = 127.0.0.1:80\nlisten.control = 127.0.0.1:81\n");
-    door =
+    server =
         new ControlServer(
-            boot,
+            settings,
             core,
             Runnable::run,
             new ControlServer.Clock() {
@@ -82,7 +82,7 @@
   }
 
   private void call() {
-    door.call(
+    server.call(
         new DefaultFullHttpRequest(
             HttpVersion.HTTP_1_1, HttpMethod.POST, "/api/numbers/n", Unpooled.EMPTY_BUFFER),
         "10.9.9.9",
@@ -102,7 +102,7 @@
   private void runs(final int ticks) {
     for (int tick = 0; tick < ticks; tick++) {
       now += 40;
-      door.awake();
+      server.awake();
     }
   }
 
@@ -127,7 +127,7 @@
   public void norIsWhatIsReadAfterTheFirstTickFollowingIt() {
     runs(5);
     now += 2000;
-    door.awake();
+    server.awake();
     call();
     assertEquals(storeCalls, 0);
     assertEquals(statuses, List.of(504));
--- a/registry/src/test/java/weldpoint/registry/TakenVersionTest.java
+++ b/registry/src/test/java/weldpoint/registry/TakenVersionTest.java
@@ -37,7 +37,7 @@
   private final EventLoopGroup loop = new NioEventLoopGroup(1);
   private final List<StoreMessages.StoreRequest> calls = new ArrayList<>();
   private RegistryCore core;
-  private ControlServer door;
+  private ControlServer server;
   private StoreMessages.StoreResponse next;
   private int port;
 
@@ -85,13 +85,13 @@
               public void peers(final List<String> members) {}
             });
     core.start(List.of(), 0);
-    final Settings boot =
+    final Settings settings =
         Settings.parse(
             "station.name = one\nstation.address = 127.0.0.1\nstation.site = a\nstation.region = r\ntrunk.ports = 7000,7015\ntrunk.seeds = 127.0.0.1:80\nlisten.control = 127.0.0.1:"
                 + port
                 + "\n");
-    door = new ControlServer(boot, core, Runnable::run, ControlServer.Clock.SYSTEM);
-    door.serve(loop, boot.requiredAddress("listen.control"));
+    server = new ControlServer(settings, core, Runnable::run, ControlServer.Clock.SYSTEM);
+    server.serve(loop, settings.requiredAddress("listen.control"));
   }
 
   @AfterClass
@@ -128,8 +128,8 @@
 
   private String replace(final StoreMessages.StoreResponse answer) throws IOException {
     next = answer;
-    door.awake();
-    door.awake();
+    server.awake();
+    server.awake();
     try (Socket socket = new Socket()) {
       socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
       socket.setSoTimeout(5000);
--- a/replay/src/main/java/weldpoint/replay/RecordingFile.java
+++ b/replay/src/main/java/weldpoint/replay/RecordingFile.java
@@ -55,11 +55,11 @@
   /** A reel, with what must be added to its clock to get the collector's. */
   public static final class TimedBatch {
     public final long offset;
-    public final RecordingBatch reel;
+    public final RecordingBatch batch;
 
-    public TimedBatch(final long offset, final RecordingBatch reel) {
+    public TimedBatch(final long offset, final RecordingBatch batch) {
       this.offset = offset;
-      this.reel = reel;
+      this.batch = batch;
     }
   }
 
--- a/replay/src/main/java/weldpoint/replay/Replay.java
+++ b/replay/src/main/java/weldpoint/replay/Replay.java
@@ -152,7 +152,7 @@
       this.other = alone ? null : new ReplaySimulator(loop, extra, 7);
       this.compared = compared;
       if (other != null) {
-        other.plan(proposed);
+        other.routingTable(proposed);
       }
     }
 
@@ -179,36 +179,36 @@
     }
 
     private void turn(final RecordingFile.TimedBatch turn) {
-      final RecordingMessages.RecordingBatch reel = turn.reel;
-      final String life = reel.board + "#" + reel.incarnation;
-      if (reel.dropped > 0) {
+      final RecordingMessages.RecordingBatch batch = turn.batch;
+      final String life = batch.board + "#" + batch.incarnation;
+      if (batch.dropped > 0) {
         throw new WeldpointException(
             WeldpointException.Kind.INVALID,
             "switchboard "
-                + reel.board
+                + batch.board
                 + " had to drop "
-                + reel.dropped
+                + batch.dropped
                 + " calls; record a shorter or calmer day");
       }
-      if (sites.putIfAbsent(reel.site, reel.region) == null) {
-        sites.put(reel.site, reel.region);
+      if (sites.putIfAbsent(batch.site, batch.region) == null) {
+        sites.put(batch.site, batch.region);
       }
-      if (reel.last) {
+      if (batch.last) {
         open.remove(life);
       } else {
         open.add(life);
       }
-      own.board(reel.board, reel.site, reel.region, sites);
+      own.board(batch.board, batch.site, batch.region, sites);
       if (other != null) {
-        other.board(reel.board, reel.site, reel.region, sites);
+        other.board(batch.board, batch.site, batch.region, sites);
       }
       final long[] serial = serials.computeIfAbsent(life, name -> new long[1]);
-      for (final RecordingMessages.RequestRecord note : Protocol.list(reel.notes)) {
+      for (final RecordingMessages.RequestRecord note : Protocol.list(batch.notes)) {
         if (note.serial != serial[0] + 1) {
           throw new WeldpointException(
               WeldpointException.Kind.INVALID,
               "the recording of "
-                  + reel.board
+                  + batch.board
                   + " lacks the calls between "
                   + serial[0]
                   + " and "
@@ -218,7 +218,10 @@
         serial[0] = note.serial;
         final RecordedCall call =
             new RecordedCall(
-                note, reel.board, turn.offset, usual.getOrDefault(note.service, 100.0).longValue());
+                note,
+                batch.board,
+                turn.offset,
+                usual.getOrDefault(note.service, 100.0).longValue());
         if (call.work > 0 && note.status >= 200 && note.status < 300) {
           usual.merge(
               note.service, (double) call.work, (before, now) -> before * 0.99 + now * 0.01);
@@ -259,7 +262,7 @@
 
     private void control(final RecordingFile.ControlSnapshot control) {
       if (control.spec != null) {
-        own.plan(RoutingTable.compile(inflater.inflate(control.spec)));
+        own.routingTable(RoutingTable.compile(inflater.inflate(control.spec)));
       }
       own.control(control.registrations, control.evacuated);
       if (other != null) {
--- a/replay/src/main/java/weldpoint/replay/ReplaySimulator.java
+++ b/replay/src/main/java/weldpoint/replay/ReplaySimulator.java
@@ -63,7 +63,7 @@
                   ? Long.compare(one.at, other.at)
                   : Long.compare(one.order, other.order));
   private List<String> evacuated = List.of();
-  private RoutingTable plan;
+  private RoutingTable routingTable;
   private long now = Long.MIN_VALUE / 2;
   private long order;
 
@@ -73,8 +73,8 @@
     this.seed = seed;
   }
 
-  void plan(final RoutingTable given) {
-    plan = given;
+  void routingTable(final RoutingTable given) {
+    routingTable = given;
   }
 
   void control(final List<Registration> changes, final List<String> sites) {
@@ -107,7 +107,7 @@
     sites.forEach(
         (place, home) ->
             places.append(places.length() == 0 ? "" : ",").append(place).append(':').append(home));
-    final Settings boot =
+    final Settings settings =
         Settings.parse(
             "station.name = replay\nstation.address = "
                 + address
@@ -122,8 +122,8 @@
                 + "\n"
                 + extra);
     final Random chance = new Random(seed);
-    final UpstreamPool upstreamPool = new UpstreamPool(loop, boot, chance);
-    boots.put(address, boot);
+    final UpstreamPool upstreamPool = new UpstreamPool(loop, settings, chance);
+    boots.put(address, settings);
     chances.put(address, chance);
     boards.put(address, upstreamPool);
     final List<UpstreamPool.Change> list = new ArrayList<>();
@@ -191,7 +191,7 @@
       final Random chance = chances.get(call.board);
       chance.setSeed(call.note.id.hashCode() * 0x9e3779b97f4a7c15L + seed);
       binding = new RouteBinding(call.note.host, call.note.target, chance.nextDouble());
-      if (!plan.interpret(binding)) {
+      if (!routingTable.interpret(binding)) {
         end(CallOutcome.End.UNROUTED);
         return;
       }
--- a/replay/src/test/java/weldpoint/replay/ReplayTest.java
+++ b/replay/src/test/java/weldpoint/replay/ReplayTest.java
@@ -165,19 +165,19 @@
     try (RecordingFile.Reader reader = new RecordingFile.Reader(done)) {
       final var loop = new io.netty.channel.nio.NioEventLoopGroup(1);
       final ReplaySimulator fleet = new ReplaySimulator(loop, "", 99);
-      fleet.plan(RoutingTable.compile(RecordingGenerator.bytes(proposed)));
+      fleet.routingTable(RoutingTable.compile(RecordingGenerator.bytes(proposed)));
       for (Object part = reader.next(); part != null; part = reader.next()) {
         if (part instanceof RecordingFile.ControlSnapshot) {
           fleet.control(((RecordingFile.ControlSnapshot) part).registrations, null);
         } else if (part instanceof RecordingFile.TimedBatch) {
           final RecordingFile.TimedBatch turn = (RecordingFile.TimedBatch) part;
           fleet.board(
-              turn.reel.board,
-              turn.reel.site,
-              turn.reel.region,
+              turn.batch.board,
+              turn.batch.site,
+              turn.batch.region,
               java.util.Map.of("port", "north", "couva", "south"));
-          for (final var note : weldpoint.transport.Protocol.list(turn.reel.notes)) {
-            final RecordedCall call = new RecordedCall(note, turn.reel.board, turn.offset, 100);
+          for (final var note : weldpoint.transport.Protocol.list(turn.batch.notes)) {
+            final RecordedCall call = new RecordedCall(note, turn.batch.board, turn.offset, 100);
             fleet.until(call.at);
             fleet.play(
                 call,
@@ -234,13 +234,13 @@
             ("{\"version\":\"1\",\"listeners\":[{\"host\":\"h\",\"rules\":[{\"name\":\"w\",\"routeKind\":\"mutating\",\"match\":{\"pathPrefix\":\"/\"},"
                     + "\"action\":{\"service\":\"s\",\"timeoutMs\":2000,\"maxAttempts\":1,\"affinity\":{\"by\":\"address\"}}}]}],\"pools\":[{\"name\":\"s\"}]}")
                 .getBytes(java.nio.charset.StandardCharsets.UTF_8));
-    final weldpoint.common.WeldpointException breakdown =
+    final weldpoint.common.WeldpointException exception =
         org.testng.Assert.expectThrows(
             weldpoint.common.WeldpointException.class,
             () ->
                 new Replay(java.nio.file.Path.of("no-such-day"), tied, "", 100, bytes -> bytes)
                     .run());
     org.testng.Assert.assertTrue(
-        breakdown.getMessage().contains("does not hold who called"), breakdown.getMessage());
+        exception.getMessage().contains("does not hold who called"), exception.getMessage());
   }
 }
--- a/routing/src/main/java/weldpoint/routing/HomeRegionWarnings.java
+++ b/routing/src/main/java/weldpoint/routing/HomeRegionWarnings.java
@@ -23,13 +23,13 @@
    *
    * @param regions the regions of the deployment; empty where they are not known
    */
-  public static List<String> of(final RoutingTable plan, final Collection<String> regions) {
+  public static List<String> of(final RoutingTable routingTable, final Collection<String> regions) {
     final Map<Set<String>, List<String>> routes = new LinkedHashMap<>();
-    for (final Route route : plan.all()) {
+    for (final Route route : routingTable.all()) {
       add(routes, Arrays.asList(route.homes), route.name);
     }
     final Map<Set<String>, List<String>> tenants = new LinkedHashMap<>();
-    for (final RoutingTable.Tenant tenant : plan.tenants()) {
+    for (final RoutingTable.Tenant tenant : routingTable.tenants()) {
       add(tenants, tenant.homes(), tenant.name());
     }
     final List<String> warnings = new ArrayList<>();
--- a/routing/src/main/java/weldpoint/routing/RouteBinding.java
+++ b/routing/src/main/java/weldpoint/routing/RouteBinding.java
@@ -42,7 +42,7 @@
   Map<String, Route> prefixes;
   Route route;
   int routed;
-  private RoutingTable plan;
+  private RoutingTable routingTable;
   private RoutingTable.Service service;
   private RoutingTable.Tenant tenant;
   private String key;
@@ -62,14 +62,14 @@
 
   /** Takes what a configuration's program has found. */
   void found(final RoutingTable by) {
-    plan = by;
+    routingTable = by;
     service = by.services().get(routed);
   }
 
   /** Sends the request to another service of its route than chance has drawn. */
   public void draw(final int index) {
     routed = index;
-    service = plan.services().get(index);
+    service = routingTable.services().get(index);
   }
 
   /** Sends the request to a service that its route need not lead to, as a trial has it. */
@@ -86,7 +86,7 @@
   public void identify(final String given) {
     keyAsked = true;
     key = given;
-    tenant = given == null ? null : plan.holder(given);
+    tenant = given == null ? null : routingTable.holder(given);
   }
 
   /** The route. */
@@ -129,7 +129,7 @@
    * @param inForce the configuration in force; null where only the one known counts
    */
   public boolean follow(final RoutingTable inForce) {
-    if (inForce != null && inForce != plan && standing == Standing.BOUND) {
+    if (inForce != null && inForce != routingTable && standing == Standing.BOUND) {
       final Route before = route;
       standing = inForce.findRoute(this) ? judge(inForce, before) : Standing.ROUTE_GONE;
       if (standing != Standing.BOUND) {
@@ -141,7 +141,7 @@
 
   private Standing judge(final RoutingTable inForce, final Route before) {
     final RoutingTable.Service now = sameService(inForce, service);
-    final RoutingTable.Service drawn = sameService(inForce, plan.services().get(routed));
+    final RoutingTable.Service drawn = sameService(inForce, routingTable.services().get(routed));
     if (now == null
         || drawn == null
         || !route.leadsTo(drawn.index())
@@ -156,7 +156,7 @@
     if (owner != null && !sameTenant(owner)) {
       return Standing.TENANT_CHANGED;
     }
-    plan = inForce;
+    routingTable = inForce;
     service = now;
     routed = drawn.index();
     tenant = owner;
--- a/routing/src/main/java/weldpoint/routing/RoutingTable.java
+++ b/routing/src/main/java/weldpoint/routing/RoutingTable.java
@@ -18,14 +18,14 @@
   enum Step {
     FIND_HOST {
       @Override
-      boolean run(final RoutingTable plan, final RouteBinding request) {
-        request.prefixes = plan.hosts.get(request.host);
+      boolean run(final RoutingTable routingTable, final RouteBinding request) {
+        request.prefixes = routingTable.hosts.get(request.host);
         return request.prefixes != null;
       }
     },
     FIND_LONGEST_PREFIX {
       @Override
-      boolean run(final RoutingTable plan, final RouteBinding request) {
+      boolean run(final RoutingTable routingTable, final RouteBinding request) {
         for (int slash = request.pathEnd;
             slash >= 0;
             slash = request.path.lastIndexOf('/', slash - 1)) {
@@ -43,7 +43,7 @@
     },
     CHOOSE_SERVICE {
       @Override
-      boolean run(final RoutingTable plan, final RouteBinding request) {
+      boolean run(final RoutingTable routingTable, final RouteBinding request) {
         request.routed =
             request.route.services.length == 1
                 ? request.route.services[0]
@@ -52,7 +52,7 @@
       }
     };
 
-    abstract boolean run(RoutingTable plan, RouteBinding request);
+    abstract boolean run(RoutingTable routingTable, RouteBinding request);
   }
 
   private static final Step[] PROGRAM = Step.values();
--- a/routing/src/test/java/weldpoint/routing/RoutingTableTest.java
+++ b/routing/src/test/java/weldpoint/routing/RoutingTableTest.java
@@ -27,20 +27,20 @@
 
   @Test
   public void theLongestPrefixOfTheHostWins() {
-    final RoutingTable plan = compile(GOOD);
-    assertEquals(plan.version(), 12);
+    final RoutingTable routingTable = compile(GOOD);
+    assertEquals(routingTable.version(), 12);
     final RouteBinding deep = new RouteBinding("A.example:80", "/x/y/z?q=/1/", 0.95);
-    assertTrue(plan.interpret(deep));
+    assertTrue(routingTable.interpret(deep));
     assertEquals(deep.route().name, "r2");
     assertFalse(deep.route().kind.repeatable());
     assertEquals(deep.service().name(), "t");
     assertTrue(deep.home("north"));
     assertFalse(deep.home("south"));
     final RouteBinding shallow = new RouteBinding("a.example", "/x/z", 0.5);
-    assertTrue(plan.interpret(shallow));
+    assertTrue(routingTable.interpret(shallow));
     assertEquals(shallow.route().name, "r1");
-    assertFalse(plan.interpret(new RouteBinding("a.example", "/y/z", 0.5)));
-    assertFalse(plan.interpret(new RouteBinding("b.example", "/x/z", 0.5)));
+    assertFalse(routingTable.interpret(new RouteBinding("a.example", "/y/z", 0.5)));
+    assertFalse(routingTable.interpret(new RouteBinding("b.example", "/x/z", 0.5)));
   }
 
   @Test
@@ -93,13 +93,13 @@
 
   @Test
   public void aSplitKeepsEachCallerOnOneServiceInTheWeightsParts() {
-    final RoutingTable plan = compile(tied("{\"by\":\"address\"}"));
-    final Route route = plan.route("r2");
+    final RoutingTable routingTable = compile(tied("{\"by\":\"address\"}"));
+    final Route route = routingTable.route("r2");
     int second = 0;
     for (int caller = 0; caller < 20_000; caller++) {
       final long hash = caller * 0x9e3779b97f4a7c15L;
       assertEquals(route.serviceFor(hash), route.serviceFor(hash));
-      second += plan.services().get(route.serviceFor(hash)).name().equals("t") ? 1 : 0;
+      second += routingTable.services().get(route.serviceFor(hash)).name().equals("t") ? 1 : 0;
     }
     assertTrue(
         second > 1600 && second < 2400, "t has " + second + " of 20000 at a weight of 10 in 100");
@@ -122,10 +122,10 @@
 
   @Test(dataProvider = "badAffinity")
   public void aRuleThatCannotHoldIsRefusedWithTheRemedy(final String text, final String remedy) {
-    final WeldpointException breakdown =
+    final WeldpointException exception =
         expectThrows(WeldpointException.class, () -> compile(text));
-    assertEquals(breakdown.kind(), WeldpointException.Kind.INVALID);
-    assertTrue(breakdown.getMessage().contains(remedy), breakdown.getMessage());
+    assertEquals(exception.kind(), WeldpointException.Kind.INVALID);
+    assertTrue(exception.getMessage().contains(remedy), exception.getMessage());
   }
 
   @Test(dataProvider = "invalid")
@@ -260,7 +260,7 @@
 
   @Test
   public void homesThatLetRequestsBeRefusedAreWarnedOf() {
-    final RoutingTable plan =
+    final RoutingTable routingTable =
         followed(
             "/x/",
             "\"routeKind\":\"idempotent\",",
@@ -268,11 +268,11 @@
             "{\"name\":\"t\",\"homeRegions\":[\"south\"]},{\"name\":\"u\",\"homeRegions\":[\"south\"]},"
                 + "{\"name\":\"v\",\"homeRegions\":[\"north\",\"south\"]},{\"name\":\"w\"}");
     assertEquals(
-        HomeRegionWarnings.of(plan, List.of()),
+        HomeRegionWarnings.of(routingTable, List.of()),
         List.of(
             "tenant t (and 1 more) may be served in [south] and route r in [north]: all requests"
                 + " of the one on the other are refused"));
-    final List<String> known = HomeRegionWarnings.of(plan, List.of("south"));
+    final List<String> known = HomeRegionWarnings.of(routingTable, List.of("south"));
     assertEquals(known.size(), 2, known.toString());
     assertTrue(known.get(0).startsWith("route r may be served in [north] only"), known.toString());
     assertEquals(
--- a/scale/src/main/java/weldpoint/scale/SimulatedProxies.java
+++ b/scale/src/main/java/weldpoint/scale/SimulatedProxies.java
@@ -33,30 +33,30 @@
   private static final long TICK_MILLIS = 100;
 
   private final class SimulatedProxy {
-    private final Transport trunk;
-    private final RegistryClient link;
+    private final Transport transport;
+    private final RegistryClient registry;
     private final RegistryStream stream;
-    private AffinityTable ties;
+    private AffinityTable affinity;
 
-    private SimulatedProxy(final Settings boot, final int index, final long incarnation) {
-      trunk =
+    private SimulatedProxy(final Settings settings, final int index, final long incarnation) {
+      transport =
           new Transport(
               loop,
               new Protocol.Hello(Serializer.PROTOCOL, "switchboard", address(index), incarnation));
-      stream = new RegistryStream(trunk, desk, boot, () -> {});
+      stream = new RegistryStream(transport, desk, settings, () -> {});
       final RegistryMessages.DaemonEntry self =
           new RegistryMessages.DaemonEntry(
               address(index),
               address(index) + ":8161",
-              boot.site(),
-              boot.region(),
+              settings.site(),
+              settings.region(),
               incarnation,
               false,
               0);
-      link =
+      registry =
           new RegistryClient(
               self,
-              boot.seeds(),
+              settings.seeds(),
               new Random(incarnation),
               new RegistryClient.Environment() {
                 @Override
@@ -71,16 +71,17 @@
 
                 @Override
                 public void outlook(
-                    final RoutingTable plan,
+                    final RoutingTable routingTable,
                     final Map<RegistryMessages.Registration, Boolean> changes,
                     final Set<String> evacuated,
                     final Set<String> suspects,
                     final int switchboards) {
-                  if (plan != null || evacuated != null) {
-                    desk.execute(() -> link().inForce(link().version(), link().mark(), now()));
+                  if (routingTable != null || evacuated != null) {
+                    desk.execute(
+                        () -> registry().inForce(registry().version(), registry().mark(), now()));
                   }
-                  if (plan != null) {
-                    versions.merge(plan.version(), 1, Integer::sum);
+                  if (routingTable != null) {
+                    versions.merge(routingTable.version(), 1, Integer::sum);
                   }
                 }
 
@@ -89,19 +90,22 @@
 
                 @Override
                 public void placements(final PlacementMessages.Placements placements) {
-                  if (ties == null) {
-                    ties =
+                  if (affinity == null) {
+                    affinity =
                         new AffinityTable(
-                            self.address, incarnation, boot.affinityLeaseMillis(), stream::send);
+                            self.address,
+                            incarnation,
+                            settings.affinityLeaseMillis(),
+                            stream::send);
                   }
-                  ties.take(placements, now());
+                  affinity.take(placements, now());
                   placed.merge(placements.mark, 1, Integer::sum);
                 }
 
                 @Override
                 public void leased(final PlacementMessages.LeaseGrant grant) {
-                  if (ties != null) {
-                    ties.granted(grant, now());
+                  if (affinity != null) {
+                    affinity.granted(grant, now());
                   }
                 }
 
@@ -110,18 +114,18 @@
                   admitted.incrementAndGet();
                 }
               });
-      stream.link(link);
-      link.start(now());
+      stream.registry(registry);
+      registry.start(now());
     }
 
-    private RegistryClient link() {
-      return link;
+    private RegistryClient registry() {
+      return registry;
     }
 
     private void tick() {
-      link.tick(now());
-      if (ties != null) {
-        ties.tick(now());
+      registry.tick(now());
+      if (affinity != null) {
+        affinity.tick(now());
       }
     }
   }
@@ -175,8 +179,8 @@
           if (!hollows.isEmpty()) {
             final int index = next++ % hollows.size();
             final SimulatedProxy before = hollows.get(index);
-            gone += before.trunk.meter().bytesIn();
-            goneMessages += before.trunk.meter().messagesIn();
+            gone += before.transport.trafficCounters().bytesIn();
+            goneMessages += before.transport.trafficCounters().messagesIn();
             before.stream.close();
             hollows.set(
                 index, new SimulatedProxy(boots.get(index % boots.size()), index, ++incarnations));
@@ -207,11 +211,11 @@
         () -> {
           final long[] sums = {goneMessages, gone, 0, 0};
           for (final SimulatedProxy one : hollows) {
-            final TrafficCounters meter = one.trunk.meter();
-            sums[0] += meter.messagesIn();
-            sums[1] += meter.bytesIn();
-            sums[2] += meter.messagesOut();
-            sums[3] += meter.bytesOut();
+            final TrafficCounters trafficCounters = one.transport.trafficCounters();
+            sums[0] += trafficCounters.messagesIn();
+            sums[1] += trafficCounters.bytesIn();
+            sums[2] += trafficCounters.messagesOut();
+            sums[3] += trafficCounters.bytesOut();
           }
           future.complete(sums);
         });
--- a/simulation/src/main/java/weldpoint/simulation/ControlPlaneSimulation.java
+++ b/simulation/src/main/java/weldpoint/simulation/ControlPlaneSimulation.java
@@ -155,7 +155,7 @@
 
     /** The frame of the moment; null while there is none. */
     public StateStoreReplica frame() {
-      return life == null ? null : life.frame;
+      return life == null ? null : life.replica;
     }
 
     /** The exchange of the moment; null while there is none. */
@@ -191,10 +191,10 @@
     private final ArrayDeque<Runnable> inbox = new ArrayDeque<>();
     private long busyUntil;
     private boolean draining;
-    private StateStoreReplica frame;
+    private StateStoreReplica replica;
     private RegistryCore exchange;
-    private ControlServer door;
-    private RegistryClient link;
+    private ControlServer server;
+    private RegistryClient registry;
     private SimulatedDisk.Writer frameWriter;
     private SimulatedDisk.Writer exchangeWriter;
     private Connector boardDialler;
@@ -266,8 +266,8 @@
     private final Incarnation life;
     private final String to;
     private final Port port;
-    private final SimulatedConnection.Receiver ear;
-    private SimulatedConnection line;
+    private final SimulatedConnection.Receiver receiver;
+    private SimulatedConnection connection;
     private boolean ended;
     private long pause = DIAL_MILLIS;
 
@@ -275,11 +275,11 @@
         final Incarnation life,
         final String to,
         final Port port,
-        final SimulatedConnection.Receiver ear) {
+        final SimulatedConnection.Receiver receiver) {
       this.life = life;
       this.to = to;
       this.port = port;
-      this.ear = ear;
+      this.receiver = receiver;
       after(1, this::connect);
     }
 
@@ -303,7 +303,7 @@
         after(2 * delay(life.machine, target), this::again);
         return;
       }
-      line =
+      connection =
           open(
               life,
               to,
@@ -316,24 +316,24 @@
                     return;
                   }
                   pause = DIAL_MILLIS;
-                  ear.opened(opened);
+                  receiver.opened(opened);
                 }
 
                 @Override
                 public void heard(final SimulatedConnection heard, final Message message) {
-                  ear.heard(heard, message);
+                  receiver.heard(heard, message);
                 }
 
                 @Override
                 public void closed(final SimulatedConnection closed) {
-                  line = null;
+                  connection = null;
                   if (!ended) {
-                    ear.closed(closed);
+                    receiver.closed(closed);
                   }
                   again();
                 }
               });
-      watchGreeting(line);
+      watchGreeting(connection);
     }
 
     /** A line that is given up before its hello is dialled again. */
@@ -341,12 +341,12 @@
       after(
           100,
           () -> {
-            if (line == opening && life.lives()) {
+            if (connection == opening && life.lives()) {
               if (opening.usable()) {
                 return;
               }
               if (opening.over() || !opening.dials()) {
-                line = null;
+                connection = null;
                 again();
                 return;
               }
@@ -363,17 +363,17 @@
     }
 
     private boolean send(final Message message) {
-      if (line == null || !line.usable()) {
+      if (connection == null || !connection.usable()) {
         return false;
       }
-      line.send(message);
+      connection.send(message);
       return true;
     }
 
     private void close() {
       ended = true;
-      if (line != null) {
-        line.close();
+      if (connection != null) {
+        connection.close();
       }
     }
   }
@@ -407,8 +407,8 @@
     }
 
     private boolean send(final String address, final Message message) {
-      final Connector dialler = diallers.get(address);
-      return dialler != null && dialler.send(message);
+      final Connector connector = diallers.get(address);
+      return connector != null && connector.send(message);
     }
   }
 
@@ -422,8 +422,8 @@
   private final Map<String, Machine> machines = new LinkedHashMap<>();
   private final Map<String, Integer> cuts = new HashMap<>();
   private final List<String> seeds;
-  private final Observer watcher;
-  private FaultInjector meddler = new FaultInjector() {};
+  private final Observer observer;
+  private FaultInjector faultInjector = new FaultInjector() {};
   private long now = 1_000_000;
   private long order;
   private int lineNumbers;
@@ -432,15 +432,16 @@
   private byte[] sealedBytes;
 
   /** A fleet without machines. */
-  public ControlPlaneSimulation(final long seed, final List<String> seeds, final Observer watcher) {
+  public ControlPlaneSimulation(
+      final long seed, final List<String> seeds, final Observer observer) {
     this.random = new Random(seed);
     this.seeds = seeds;
-    this.watcher = watcher;
+    this.observer = observer;
   }
 
   /** Lets a test meddle. */
-  public void meddler(final FaultInjector given) {
-    meddler = given;
+  public void faultInjector(final FaultInjector given) {
+    faultInjector = given;
   }
 
   // ---- time
@@ -494,55 +495,59 @@
   void heard(
       final String from,
       final String to,
-      final SimulatedConnection line,
+      final SimulatedConnection connection,
       final Message message,
       final Consumer<Message> ear) {
-    meddler.heard(from, to, message, ear);
+    faultInjector.heard(from, to, message, ear);
   }
 
   private SimulatedConnection open(
       final Incarnation from,
       final String to,
       final Port port,
-      final SimulatedConnection.Receiver ear) {
+      final SimulatedConnection.Receiver receiver) {
     final Incarnation target = machines.get(to).life;
-    final SimulatedConnection line =
-        new SimulatedConnection(this, ++lineNumbers, from, ear, target, listener(target, port));
+    final SimulatedConnection connection =
+        new SimulatedConnection(
+            this, ++lineNumbers, from, receiver, target, listener(target, port));
     from.lines.removeIf(SimulatedConnection::over);
-    from.lines.add(line);
+    from.lines.add(connection);
     if (from != target) {
       target.lines.removeIf(SimulatedConnection::over);
-      target.lines.add(line);
+      target.lines.add(connection);
     }
-    return line;
+    return connection;
   }
 
   private SimulatedConnection.Receiver listener(final Incarnation life, final Port port) {
     return switch (port) {
-      case FRAME -> (line, message) -> life.frame.receive(line.from(), message, line::reply, now);
+      case FRAME ->
+          (connection, message) ->
+              life.replica.receive(connection.from(), message, connection::reply, now);
       case FRAME_CALLS ->
-          (line, message) ->
-              life.frame.call((StoreMessages.StoreRequest) message, line::reply, now);
+          (connection, message) ->
+              life.replica.call((StoreMessages.StoreRequest) message, connection::reply, now);
       case EXCHANGE ->
-          (line, message) -> life.exchange.receive(line.from(), message, line::reply, now);
+          (connection, message) ->
+              life.exchange.receive(connection.from(), message, connection::reply, now);
       case BOARDS ->
           new SimulatedConnection.Receiver() {
             @Override
-            public void heard(final SimulatedConnection line, final Message message) {
+            public void heard(final SimulatedConnection connection, final Message message) {
               if (message instanceof RegistryMessages.DaemonReport) {
                 life.exchange.boardState(
-                    line,
-                    ((RegistryMessages.DaemonReport) message).board,
+                    connection,
+                    ((RegistryMessages.DaemonReport) message).entry,
                     Protocol.list(((RegistryMessages.DaemonReport) message).buckets),
                     now);
               } else {
-                life.exchange.receive(line.from(), message, line::reply, now);
+                life.exchange.receive(connection.from(), message, connection::reply, now);
               }
             }
 
             @Override
-            public void closed(final SimulatedConnection line) {
-              life.exchange.streamClosed(line, line.from(), now);
+            public void closed(final SimulatedConnection connection) {
+              life.exchange.streamClosed(connection, connection.from(), now);
             }
           };
     };
@@ -580,7 +585,7 @@
     }
     machine.powered = true;
     machine.lives++;
-    meddler.started(machine.address);
+    faultInjector.started(machine.address);
     final Incarnation life = new Incarnation(machine);
     machine.life = life;
     if (machine.core) {
@@ -602,14 +607,14 @@
           if (!life.machine.frozen()) {
             life.run(
                 () -> {
-                  if (life.frame != null) {
-                    life.frame.disk(
+                  if (life.replica != null) {
+                    life.replica.disk(
                         life.frameWriter.busyMillis(), life.frameWriter.refusing(), now);
-                    life.frame.tick(now);
-                    life.door.awake();
+                    life.replica.tick(now);
+                    life.server.awake();
                     life.exchange.tick(now);
                   } else {
-                    life.link.tick(now);
+                    life.registry.tick(now);
                   }
                 });
           }
@@ -624,16 +629,16 @@
         to ->
             new SimulatedConnection.Receiver() {
               @Override
-              public void heard(final SimulatedConnection line, final Message message) {
-                life.frame.receive(to, message, line::send, now);
+              public void heard(final SimulatedConnection connection, final Message message) {
+                life.replica.receive(to, message, connection::send, now);
               }
 
               @Override
-              public void closed(final SimulatedConnection line) {
-                life.frame.lineClosed(to, now);
+              public void closed(final SimulatedConnection connection) {
+                life.replica.lineClosed(to, now);
               }
             };
-    life.frame =
+    life.replica =
         new StateStoreReplica(
             machine.address,
             machine.site,
@@ -652,7 +657,8 @@
 
               @Override
               public void append(final byte[] record, final Runnable synced) {
-                meddler.append(machine.address, "frame", record, synced, life.frameWriter::append);
+                faultInjector.append(
+                    machine.address, "frame", record, synced, life.frameWriter::append);
               }
 
               @Override
@@ -665,9 +671,10 @@
                 return now + machine.clockStep;
               }
             });
-    life.frameWriter = machine.disk.new Writer(machine.frameRecords, life, () -> life.frame.view());
-    life.frame.history(machine.disk.new EntryStore(machine.entries, life), ENTRIES, ENTRY_BYTES);
-    life.frame.start(found, first && found.isEmpty(), now);
+    life.frameWriter =
+        machine.disk.new Writer(machine.frameRecords, life, () -> life.replica.view());
+    life.replica.history(machine.disk.new EntryStore(machine.entries, life), ENTRIES, ENTRY_BYTES);
+    life.replica.start(found, first && found.isEmpty(), now);
     life.frameWriter.begin();
   }
 
@@ -677,17 +684,17 @@
         to ->
             new SimulatedConnection.Receiver() {
               @Override
-              public void opened(final SimulatedConnection line) {
+              public void opened(final SimulatedConnection connection) {
                 life.exchange.memberOpened(to, now);
               }
 
               @Override
-              public void heard(final SimulatedConnection line, final Message message) {
-                life.exchange.receive(to, message, line::send, now);
+              public void heard(final SimulatedConnection connection, final Message message) {
+                life.exchange.receive(to, message, connection::send, now);
               }
 
               @Override
-              public void closed(final SimulatedConnection line) {
+              public void closed(final SimulatedConnection connection) {
                 life.exchange.memberClosed(to, now);
               }
             };
@@ -695,14 +702,14 @@
         to ->
             new SimulatedConnection.Receiver() {
               @Override
-              public void heard(final SimulatedConnection line, final Message message) {
+              public void heard(final SimulatedConnection connection, final Message message) {
                 if (message instanceof StoreMessages.StoreResponse) {
                   life.exchange.answered(to, (StoreMessages.StoreResponse) message, now);
                 }
               }
 
               @Override
-              public void closed(final SimulatedConnection line) {
+              public void closed(final SimulatedConnection connection) {
                 life.exchange.frameClosed(to, now);
               }
             };
@@ -732,7 +739,7 @@
 
               @Override
               public void append(final byte[] record, final Runnable synced) {
-                meddler.append(
+                faultInjector.append(
                     machine.address, "exchange", record, synced, life.exchangeWriter::append);
               }
 
@@ -749,7 +756,7 @@
     life.exchange.place(machine.site, machine.region);
     life.exchange.start(found, now);
     life.exchangeWriter.begin();
-    life.door =
+    life.server =
         new ControlServer(
             Settings.parse(
                 "station.name = one\nstation.address = "
@@ -789,7 +796,7 @@
             ++incarnations,
             false,
             0);
-    life.link =
+    life.registry =
         new RegistryClient(
             self,
             machine.seeds,
@@ -807,22 +814,23 @@
                         Port.BOARDS,
                         new SimulatedConnection.Receiver() {
                           @Override
-                          public void opened(final SimulatedConnection line) {
-                            life.link.opened(now);
+                          public void opened(final SimulatedConnection connection) {
+                            life.registry.opened(now);
                           }
 
                           @Override
-                          public void heard(final SimulatedConnection line, final Message message) {
+                          public void heard(
+                              final SimulatedConnection connection, final Message message) {
                             if (message instanceof RegistryMessages.View
                                 && ((RegistryMessages.View) message).spec != null) {
                               life.lastSpec = ((RegistryMessages.View) message).spec;
                             }
-                            life.link.heard(message, now);
+                            life.registry.heard(message, now);
                           }
 
                           @Override
-                          public void closed(final SimulatedConnection line) {
-                            life.link.closed(now);
+                          public void closed(final SimulatedConnection connection) {
+                            life.registry.closed(now);
                           }
                         });
               }
@@ -834,20 +842,26 @@
 
               @Override
               public void outlook(
-                  final RoutingTable plan,
+                  final RoutingTable routingTable,
                   final Map<RegistryMessages.Registration, Boolean> changes,
                   final Set<String> evacuated,
                   final Set<String> suspects,
                   final int switchboards) {
-                if (plan != null) {
-                  life.version = plan.version();
-                  watcher.takenUp(
-                      machine, machine.lives, life.startedAt, plan.version(), life.lastSpec);
+                if (routingTable != null) {
+                  life.version = routingTable.version();
+                  observer.takenUp(
+                      machine,
+                      machine.lives,
+                      life.startedAt,
+                      routingTable.version(),
+                      life.lastSpec);
                   after(
                       5,
                       () ->
                           life.run(
-                              () -> life.link.inForce(life.link.version(), life.link.mark(), now)));
+                              () ->
+                                  life.registry.inForce(
+                                      life.registry.version(), life.registry.mark(), now)));
                 }
                 changes.forEach(
                     (registration, open) -> {
@@ -856,11 +870,11 @@
                       } else {
                         life.upstreams.remove(registration.id);
                       }
-                      watcher.upstream(machine, registration, open);
+                      observer.upstream(machine, registration, open);
                     });
                 if (evacuated != null) {
                   life.evacuated = evacuated;
-                  watcher.evacuated(machine, evacuated);
+                  observer.evacuated(machine, evacuated);
                 }
               }
 
@@ -870,7 +884,7 @@
               @Override
               public void admitted() {}
             });
-    life.link.start(now);
+    life.registry.start(now);
   }
 
   // ---- troubles
@@ -892,7 +906,7 @@
     machine.life = null;
     machine.powered = !power;
     if (!power) {
-      life.lines.forEach(line -> line.ended(life));
+      life.lines.forEach(connection -> connection.ended(life));
     }
   }
 
@@ -905,15 +919,15 @@
     }
     life.run(
         () -> {
-          if (life.frame != null) {
-            life.frame.leave(() -> {}, now);
+          if (life.replica != null) {
+            life.replica.leave(() -> {}, now);
             life.exchange.leave();
           } else {
-            life.link.leave(now);
+            life.registry.leave(now);
           }
         });
     after(
-        life.frame == null ? 1500 : 450,
+        life.replica == null ? 1500 : 450,
         () -> {
           if (life.lives()) {
             kill(machine, false);
@@ -963,7 +977,7 @@
       cuts.remove(from.address + ">" + to.address);
       if (from.life != null) {
         from.life.lines.stream()
-            .filter(line -> line.joins(to))
+            .filter(connection -> connection.joins(to))
             .forEach(SimulatedConnection::healed);
       }
     }
@@ -972,9 +986,9 @@
   /** Resets a share of a machine's connections. */
   public void reset(final Machine machine, final double share, final Random chance) {
     if (machine.life != null) {
-      for (final SimulatedConnection line : new ArrayList<>(machine.life.lines)) {
+      for (final SimulatedConnection connection : new ArrayList<>(machine.life.lines)) {
         if (chance.nextDouble() < share) {
-          line.reset();
+          connection.reset();
         }
       }
     }
@@ -987,11 +1001,11 @@
     if (life != null) {
       life.run(
           () -> {
-            if (life.frame != null) {
-              life.frame.seeds(given);
+            if (life.replica != null) {
+              life.replica.seeds(given);
               life.exchange.seeds(given, now);
             } else {
-              life.link.seeds(given);
+              life.registry.seeds(given);
             }
           });
     }
@@ -1032,14 +1046,14 @@
             return;
           }
           final Incarnation life = machine.life;
-          if (life == null || life.door == null) {
+          if (life == null || life.server == null) {
             after(trip, () -> then.accept(Reply.FAILED));
             return;
           }
           final boolean[] done = new boolean[1];
           life.run(
               () ->
-                  life.door.call(
+                  life.server.call(
                       new DefaultFullHttpRequest(
                           HttpVersion.HTTP_1_1,
                           method,
@@ -1058,7 +1072,7 @@
                         public void answer(
                             final int status, final byte[] answer, final String location) {
                           if (life.lives()) {
-                            meddler.answered(
+                            faultInjector.answered(
                                 machine.address,
                                 uri,
                                 new Reply(
--- a/simulation/src/main/java/weldpoint/simulation/ControlSearch.java
+++ b/simulation/src/main/java/weldpoint/simulation/ControlSearch.java
@@ -116,7 +116,7 @@
         days < 0 ? System.nanoTime() - begun < minutes * 60_000_000_000L : count < days;
         seed++) {
       final SimulationPlan plan = SimulationPlan.drawn(seed);
-      if (kind != null && plan.troubles().stream().noneMatch(trouble -> trouble.kind() == kind)) {
+      if (kind != null && plan.troubles().stream().noneMatch(fault -> fault.kind() == kind)) {
         continue;
       }
       final SimulationRun.Outcome outcome = SimulationRun.play(plan);
--- a/simulation/src/main/java/weldpoint/simulation/Fault.java
+++ b/simulation/src/main/java/weldpoint/simulation/Fault.java
@@ -15,20 +15,20 @@
     /** Machines are killed, or lose power. */
     NODE_KILL {
       @Override
-      void strike(final SimulationRun day, final Fault trouble, final Random random) {
+      void strike(final SimulationRun day, final Fault fault, final Random random) {
         final boolean power = random.nextBoolean();
         for (final ControlPlaneSimulation.Machine machine :
             day.draw(day.all(), 1 + random.nextInt(2), random)) {
-          day.down(machine, power, power ? trouble.forMillis : 200 + random.nextInt(START_MILLIS));
+          day.down(machine, power, power ? fault.forMillis : 200 + random.nextInt(START_MILLIS));
         }
       }
     },
     /** All core machines are killed, or lose power. */
     HERD_KILL {
       @Override
-      void strike(final SimulationRun day, final Fault trouble, final Random random) {
+      void strike(final SimulationRun day, final Fault fault, final Random random) {
         final boolean power = random.nextBoolean();
-        day.fleet()
+        day.simulation()
             .core()
             .forEach(machine -> day.down(machine, power, 300 + random.nextInt(START_MILLIS)));
       }
@@ -36,13 +36,13 @@
     /** The machines are stopped in order, one after the other, and start again. */
     ROLL_TERM {
       @Override
-      void strike(final SimulationRun day, final Fault trouble, final Random random) {
+      void strike(final SimulationRun day, final Fault fault, final Random random) {
         final List<ControlPlaneSimulation.Machine> order =
-            new ArrayList<>(random.nextBoolean() ? day.fleet().core() : day.all());
-        final long gap = Math.max(600, trouble.forMillis / order.size());
+            new ArrayList<>(random.nextBoolean() ? day.simulation().core() : day.all());
+        final long gap = Math.max(600, fault.forMillis / order.size());
         for (int index = 0; index < order.size(); index++) {
           final ControlPlaneSimulation.Machine machine = order.get(index);
-          day.fleet()
+          day.simulation()
               .after(index * gap, () -> day.restart(machine, 100 + random.nextInt(START_MILLIS)));
         }
       }
@@ -53,7 +53,7 @@
      */
     REPLACE_CORE {
       @Override
-      void strike(final SimulationRun day, final Fault trouble, final Random random) {
+      void strike(final SimulationRun day, final Fault fault, final Random random) {
         day.replace(random.nextBoolean(), 500 + random.nextInt(1500), random);
       }
     },
@@ -62,12 +62,12 @@
      */
     AFTER_ACK_KILL {
       @Override
-      void strike(final SimulationRun day, final Fault trouble, final Random random) {
+      void strike(final SimulationRun day, final Fault fault, final Random random) {
         final int count = 1 + random.nextInt(2);
         final boolean power = random.nextInt(4) > 0;
         day.uponAck(
             by ->
-                day.fleet()
+                day.simulation()
                     .after(
                         random.nextInt(5),
                         () ->
@@ -77,18 +77,18 @@
                                         day.down(
                                             machine,
                                             power,
-                                            300 + random.nextInt((int) trouble.forMillis + 1)))));
+                                            300 + random.nextInt((int) fault.forMillis + 1)))));
       }
     },
     /** The same, and the disks are lost; the other core machines may lose power too. */
     AFTER_ACK_WIPE {
       @Override
-      void strike(final SimulationRun day, final Fault trouble, final Random random) {
+      void strike(final SimulationRun day, final Fault fault, final Random random) {
         final int count = 1 + random.nextInt(2);
         final boolean others = random.nextBoolean();
         day.uponAck(
             by ->
-                day.fleet()
+                day.simulation()
                     .after(
                         random.nextInt(5),
                         () -> {
@@ -97,9 +97,9 @@
                           hit.forEach(
                               machine ->
                                   day.wiped(
-                                      machine, 300 + random.nextInt((int) trouble.forMillis + 1)));
+                                      machine, 300 + random.nextInt((int) fault.forMillis + 1)));
                           if (others && !hit.isEmpty()) {
-                            day.fleet()
+                            day.simulation()
                                 .core()
                                 .forEach(
                                     machine ->
@@ -112,63 +112,63 @@
     /** A disk takes no more bytes. */
     DISK_FULL {
       @Override
-      void strike(final SimulationRun day, final Fault trouble, final Random random) {
+      void strike(final SimulationRun day, final Fault fault, final Random random) {
         for (final ControlPlaneSimulation.Machine machine :
-            day.draw(day.fleet().core(), 1, random)) {
+            day.draw(day.simulation().core(), 1, random)) {
           machine.disk.full++;
-          day.fleet().after(trouble.forMillis, () -> machine.disk.full--);
+          day.simulation().after(fault.forMillis, () -> machine.disk.full--);
         }
       }
     },
     /** A disk takes thirty times as long. */
     DISK_SLOW {
       @Override
-      void strike(final SimulationRun day, final Fault trouble, final Random random) {
+      void strike(final SimulationRun day, final Fault fault, final Random random) {
         for (final ControlPlaneSimulation.Machine machine :
-            day.draw(day.fleet().core(), 1 + random.nextInt(2), random)) {
+            day.draw(day.simulation().core(), 1 + random.nextInt(2), random)) {
           machine.disk.syncMillis *= 30;
-          day.fleet().after(trouble.forMillis, () -> machine.disk.syncMillis /= 30);
+          day.simulation().after(fault.forMillis, () -> machine.disk.syncMillis /= 30);
         }
       }
     },
     /** A disk answers nothing. */
     DISK_STALL {
       @Override
-      void strike(final SimulationRun day, final Fault trouble, final Random random) {
+      void strike(final SimulationRun day, final Fault fault, final Random random) {
         for (final ControlPlaneSimulation.Machine machine :
-            day.draw(day.fleet().core(), 1, random)) {
+            day.draw(day.simulation().core(), 1, random)) {
           machine.disk.stalled++;
-          day.fleet().after(trouble.forMillis, () -> machine.disk.stalled--);
+          day.simulation().after(fault.forMillis, () -> machine.disk.stalled--);
         }
       }
     },
     /** The time of day jumps, and jumps back. */
     CLOCK_STEP {
       @Override
-      void strike(final SimulationRun day, final Fault trouble, final Random random) {
+      void strike(final SimulationRun day, final Fault fault, final Random random) {
         final long step = random.nextBoolean() ? 2000 : -2000;
         for (final ControlPlaneSimulation.Machine machine : day.draw(day.all(), 3, random)) {
-          day.fleet().step(machine, step);
-          day.fleet().after(trouble.forMillis, () -> day.fleet().step(machine, -step));
+          day.simulation().step(machine, step);
+          day.simulation().after(fault.forMillis, () -> day.simulation().step(machine, -step));
         }
       }
     },
     /** A zone loses power; its machines come back within 1.5 s of each other. */
     ZONE_LOSS {
       @Override
-      void strike(final SimulationRun day, final Fault trouble, final Random random) {
+      void strike(final SimulationRun day, final Fault fault, final Random random) {
         day.zone(random)
-            .forEach(machine -> day.down(machine, true, trouble.forMillis + random.nextInt(1500)));
+            .forEach(machine -> day.down(machine, true, fault.forMillis + random.nextInt(1500)));
       }
     },
     /** A zone is cut off from the others. */
     ZONE_CUT {
       @Override
-      void strike(final SimulationRun day, final Fault trouble, final Random random) {
+      void strike(final SimulationRun day, final Fault fault, final Random random) {
         final List<ControlPlaneSimulation.Machine> inside = day.zone(random);
         for (final ControlPlaneSimulation.Machine machine : day.all()) {
           if (!inside.contains(machine)) {
-            inside.forEach(one -> day.cut(one, machine, true, true, trouble.forMillis));
+            inside.forEach(one -> day.cut(one, machine, true, true, fault.forMillis));
           }
         }
       }
@@ -179,15 +179,15 @@
      */
     CORE_CUT {
       @Override
-      void strike(final SimulationRun day, final Fault trouble, final Random random) {
+      void strike(final SimulationRun day, final Fault fault, final Random random) {
         final List<ControlPlaneSimulation.Machine> off =
-            day.draw(day.fleet().core(), 1 + random.nextInt(2), random);
+            day.draw(day.simulation().core(), 1 + random.nextInt(2), random);
         final int how = random.nextInt(4);
         final boolean towards = how != 1 || random.nextBoolean();
-        for (final ControlPlaneSimulation.Machine machine : day.fleet().core()) {
+        for (final ControlPlaneSimulation.Machine machine : day.simulation().core()) {
           if (!off.contains(machine)) {
             off.forEach(
-                one -> day.cut(one, machine, towards, how != 1 || !towards, trouble.forMillis));
+                one -> day.cut(one, machine, towards, how != 1 || !towards, fault.forMillis));
           }
         }
         if (how == 2) {
@@ -197,11 +197,11 @@
           others.forEach(machine -> day.down(machine, false, 200 + random.nextInt(START_MILLIS)));
         } else if (how == 3) {
           off.forEach(machine -> day.down(machine, false, 200 + random.nextInt(START_MILLIS)));
-          day.fleet()
+          day.simulation()
               .after(
-                  trouble.forMillis / 2,
+                  fault.forMillis / 2,
                   () ->
-                      day.fleet().core().stream()
+                      day.simulation().core().stream()
                           .filter(machine -> !off.contains(machine))
                           .forEach(
                               machine ->
@@ -212,71 +212,71 @@
     /** Switchboards are cut off from all core machines. */
     NODE_CUT {
       @Override
-      void strike(final SimulationRun day, final Fault trouble, final Random random) {
+      void strike(final SimulationRun day, final Fault fault, final Random random) {
         for (final ControlPlaneSimulation.Machine board :
-            day.draw(day.fleet().boards(), 2, random)) {
-          day.fleet()
+            day.draw(day.simulation().boards(), 2, random)) {
+          day.simulation()
               .core()
-              .forEach(machine -> day.cut(board, machine, true, true, trouble.forMillis));
+              .forEach(machine -> day.cut(board, machine, true, true, fault.forMillis));
         }
       }
     },
     /** Machines stand still. */
     NODE_FREEZE {
       @Override
-      void strike(final SimulationRun day, final Fault trouble, final Random random) {
+      void strike(final SimulationRun day, final Fault fault, final Random random) {
         for (final ControlPlaneSimulation.Machine machine :
             day.draw(
-                random.nextInt(4) == 0 ? day.all() : day.fleet().core(),
+                random.nextInt(4) == 0 ? day.all() : day.simulation().core(),
                 1 + random.nextInt(2),
                 random)) {
-          day.fleet().freeze(machine, true);
-          day.fleet().after(trouble.forMillis, () -> day.fleet().freeze(machine, false));
+          day.simulation().freeze(machine, true);
+          day.simulation().after(fault.forMillis, () -> day.simulation().freeze(machine, false));
         }
       }
     },
     /** Machines run slowly. */
     NODE_SLOW {
       @Override
-      void strike(final SimulationRun day, final Fault trouble, final Random random) {
+      void strike(final SimulationRun day, final Fault fault, final Random random) {
         final long slow = 5 + random.nextInt(60);
         for (final ControlPlaneSimulation.Machine machine :
             day.draw(day.all(), 1 + random.nextInt(2), random)) {
-          day.fleet().slow(machine, slow);
-          day.fleet().after(trouble.forMillis, () -> day.fleet().slow(machine, -slow));
+          day.simulation().slow(machine, slow);
+          day.simulation().after(fault.forMillis, () -> day.simulation().slow(machine, -slow));
         }
       }
     },
     /** Connections are reset. */
     RESET_CONNS {
       @Override
-      void strike(final SimulationRun day, final Fault trouble, final Random random) {
+      void strike(final SimulationRun day, final Fault fault, final Random random) {
         for (final ControlPlaneSimulation.Machine machine : day.draw(day.all(), 3, random)) {
-          day.fleet().reset(machine, 0.5, random);
+          day.simulation().reset(machine, 0.5, random);
         }
       }
     },
     /** The settings name other seeds. */
     SEED_TURNOVER {
       @Override
-      void strike(final SimulationRun day, final Fault trouble, final Random random) {
-        day.newSeeds(day.draw(day.fleet().core(), 3, random));
+      void strike(final SimulationRun day, final Fault fault, final Random random) {
+        day.newSeeds(day.draw(day.simulation().core(), 3, random));
       }
     },
     /** Most acknowledgements to the operator are lost. */
     ACK_LOST {
       @Override
-      void strike(final SimulationRun day, final Fault trouble, final Random random) {
+      void strike(final SimulationRun day, final Fault fault, final Random random) {
         day.loseAcks(1);
-        day.fleet().after(trouble.forMillis, () -> day.loseAcks(-1));
+        day.simulation().after(fault.forMillis, () -> day.loseAcks(-1));
       }
     },
     /** Machines get SIGHUP with the settings they have. */
     HUP {
       @Override
-      void strike(final SimulationRun day, final Fault trouble, final Random random) {
+      void strike(final SimulationRun day, final Fault fault, final Random random) {
         day.draw(day.all(), 3, random)
-            .forEach(machine -> day.fleet().seeds(machine, machine.seeds));
+            .forEach(machine -> day.simulation().seeds(machine, machine.seeds));
       }
     };
 
@@ -285,7 +285,7 @@
       return name().toLowerCase(Locale.ROOT);
     }
 
-    abstract void strike(SimulationRun day, Fault trouble, Random random);
+    abstract void strike(SimulationRun day, Fault fault, Random random);
   }
 
   /** Brings the trouble about. */
--- a/simulation/src/main/java/weldpoint/simulation/SimulatedApplications.java
+++ b/simulation/src/main/java/weldpoint/simulation/SimulatedApplications.java
@@ -26,9 +26,9 @@
 
   private record Seen(long after, long revision, List<Long> revisions) {}
 
-  private final ControlPlaneSimulation fleet;
+  private final ControlPlaneSimulation simulation;
   private final ControlPlaneChecker control;
-  private final SequentialModelChecker ledger = new SequentialModelChecker();
+  private final SequentialModelChecker checker = new SequentialModelChecker();
   private final Random random;
   private final SimulatedClient caller;
   private final Map<String, Long> known = new HashMap<>();
@@ -40,11 +40,11 @@
   private boolean ended;
 
   SimulatedApplications(
-      final ControlPlaneSimulation fleet,
+      final ControlPlaneSimulation simulation,
       final ControlPlaneChecker control,
       final Random random,
       final SimulatedClient caller) {
-    this.fleet = fleet;
+    this.simulation = simulation;
     this.control = control;
     this.random = random;
     this.caller = caller;
@@ -53,13 +53,13 @@
   void begin() {
     for (int owner = 0; owner < 3; owner++) {
       final String name = "o" + owner;
-      fleet.after(3000 + random.nextInt(1000), () -> take("l" + random.nextInt(2), name));
+      simulation.after(3000 + random.nextInt(1000), () -> take("l" + random.nextInt(2), name));
     }
-    fleet.after(3000, this::number);
-    fleet.after(3000, this::put);
-    fleet.after(3000, this::read);
-    fleet.after(3000, () -> watch("g0.", 0, fleet.now()));
-    fleet.after(3000, () -> watch("g1.", 0, fleet.now()));
+    simulation.after(3000, this::number);
+    simulation.after(3000, this::put);
+    simulation.after(3000, this::read);
+    simulation.after(3000, () -> watch("g0.", 0, simulation.now()));
+    simulation.after(3000, () -> watch("g1.", 0, simulation.now()));
   }
 
   void end() {
@@ -70,7 +70,7 @@
         for (final long revision : puts.subMap(one.after, false, one.revision, true).keySet()) {
           if (!one.revisions.contains(revision)) {
             control.breach(
-                fleet.now(),
+                simulation.now(),
                 "a watch of "
                     + group.getKey()
                     + " after "
@@ -86,13 +86,13 @@
   }
 
   long answers() {
-    return ledger.answers();
+    return checker.answers();
   }
 
   /** Notes when the ledger first found something. */
   private void note() {
-    while (told < ledger.breaches().size()) {
-      control.breach(fleet.now(), ledger.breaches().get(told++));
+    while (told < checker.breaches().size()) {
+      control.breach(simulation.now(), checker.breaches().get(told++));
     }
   }
 
@@ -129,11 +129,11 @@
         3000,
         end -> {
           if (!end.good()) {
-            fleet.after(200 + random.nextInt(400), () -> take(lock, owner));
+            simulation.after(200 + random.nextInt(400), () -> take(lock, owner));
             return;
           }
           final long fence = RequestBodies.number(end.body(), "fenceNumber");
-          ledger.taken(lock, owner, fence, end.sentAt(), fleet.now(), HOLD_MILLIS);
+          checker.taken(lock, owner, fence, end.sentAt(), simulation.now(), HOLD_MILLIS);
           hold(lock, owner, fence, end.sentAt() + HOLD_MILLIS, random.nextInt(4));
         });
   }
@@ -144,20 +144,20 @@
       final long fence,
       final long until,
       final int renewals) {
-    final long rest = until - fleet.now();
+    final long rest = until - simulation.now();
     if (rest <= 100) {
-      fleet.after(300 + random.nextInt(500), () -> take("l" + random.nextInt(2), owner));
+      simulation.after(300 + random.nextInt(500), () -> take("l" + random.nextInt(2), owner));
       return;
     }
     if (random.nextInt(8) == 0) {
-      fleet.after(rest + random.nextInt(2000), () -> take("l" + random.nextInt(2), owner));
+      simulation.after(rest + random.nextInt(2000), () -> take("l" + random.nextInt(2), owner));
       return;
     }
-    fleet.after(
+    simulation.after(
         random.nextInt((int) rest),
         () -> {
           if (renewals > 0) {
-            final long sentAt = fleet.now();
+            final long sentAt = simulation.now();
             final boolean[] over = new boolean[1];
             caller.call(
                 null,
@@ -178,8 +178,8 @@
                     return;
                   }
                   over[0] = true;
-                  if (end.good() && fleet.now() < until) {
-                    ledger.taken(lock, owner, fence, end.sentAt(), fleet.now(), HOLD_MILLIS);
+                  if (end.good() && simulation.now() < until) {
+                    checker.taken(lock, owner, fence, end.sentAt(), simulation.now(), HOLD_MILLIS);
                     note();
                     hold(lock, owner, fence, end.sentAt() + HOLD_MILLIS, renewals - 1);
                   } else {
@@ -193,14 +193,14 @@
   }
 
   private void give(final String lock, final String owner, final long fence) {
-    ledger.released(lock, owner, fence, fleet.now());
+    checker.released(lock, owner, fence, simulation.now());
     call(
         "locks.finish",
         lock,
         "{\"owner\":\"" + owner + "\",\"fenceNumber\":" + fence + "}",
         3000,
         end ->
-            fleet.after(
+            simulation.after(
                 random.nextInt(800),
                 () -> take(random.nextBoolean() ? lock : "l" + random.nextInt(2), owner)));
   }
@@ -222,15 +222,15 @@
         NOTHING,
         end -> {
           if (end.good()) {
-            ledger.given(
+            checker.given(
                 "number " + name,
                 RequestBodies.number(end.body(), "value"),
                 end.sentAt(),
-                fleet.now());
+                simulation.now());
             note();
           }
         });
-    fleet.after(20 + random.nextInt(150), this::number);
+    simulation.after(20 + random.nextInt(150), this::number);
   }
 
   // ---- keys
@@ -253,22 +253,22 @@
         end -> {
           if (end.good()) {
             final long given = RequestBodies.number(end.body(), "revision");
-            ledger.put(key, value, given, fleet.now());
-            ledger.given("group " + group, given, end.firstSentAt(), fleet.now());
+            checker.put(key, value, given, simulation.now());
+            checker.given("group " + group, given, end.firstSentAt(), simulation.now());
             acked.computeIfAbsent(group, name -> new TreeMap<>()).put(given, value);
             known.merge(key, given, Math::max);
             shown(key, value, given);
             if (!enabled.isEmpty() && revision > given) {
               control.breach(
-                  fleet.now(),
+                  simulation.now(),
                   key + " was put at " + given + " on condition of revision " + revision);
             }
           } else if (end.status() == 412) {
-            ledger.turnedAway(value);
+            checker.turnedAway(value);
             known.merge(key, RequestBodies.number(end.body(), "revision"), Math::max);
           }
         });
-    fleet.after(20 + random.nextInt(200), this::put);
+    simulation.after(20 + random.nextInt(200), this::put);
   }
 
   private void read() {
@@ -285,14 +285,14 @@
           if (end.good()) {
             final String value = RequestBodies.word(end.body(), "value");
             final long revision = RequestBodies.number(end.body(), "revision");
-            ledger.read(key, value, revision, end.sentAt());
+            checker.read(key, value, revision, end.sentAt());
             known.merge(key, revision, Math::max);
             shown(key, value, revision);
           } else if (end.status() == 404) {
-            ledger.read(key, null, 0, end.sentAt());
+            checker.read(key, null, 0, end.sentAt());
           }
         });
-    fleet.after(20 + random.nextInt(200), this::read);
+    simulation.after(20 + random.nextInt(200), this::read);
   }
 
   /** A value is unique: it is shown under one revision. */
@@ -300,7 +300,8 @@
     final Long before = revisionOf.putIfAbsent(key + "=" + value, revision);
     if (before != null && before != revision) {
       control.breach(
-          fleet.now(), key + " shows " + value + " under revisions " + before + " and " + revision);
+          simulation.now(),
+          key + " shows " + value + " under revisions " + before + " and " + revision);
     }
   }
 
@@ -325,7 +326,8 @@
             since = end.sentAt();
             if (next < after) {
               control.breach(
-                  fleet.now(), "a watch of " + group + " after " + after + " ended at " + next);
+                  simulation.now(),
+                  "a watch of " + group + " after " + after + " ended at " + next);
             }
             final List<Long> revisions = new ArrayList<>();
             final Matcher matcher = EVENT.matcher(end.body());
@@ -334,7 +336,7 @@
               if (revision <= (revisions.isEmpty() ? after : revisions.get(revisions.size() - 1))
                   || revision > next) {
                 control.breach(
-                    fleet.now(),
+                    simulation.now(),
                     "a watch of "
                         + group
                         + " after "
@@ -344,7 +346,7 @@
                         + " out of order");
               }
               revisions.add(revision);
-              ledger.showed(matcher.group(1), matcher.group(2), revision);
+              checker.showed(matcher.group(1), matcher.group(2), revision);
               shown(matcher.group(1), matcher.group(2), revision);
             }
             if (after > 0) {
@@ -352,15 +354,15 @@
                   .add(new Seen(after, next, revisions));
             }
           } else if (end.status() == 410) {
-            if (fleet.now() - givenAt < HISTORY_MILLIS) {
+            if (simulation.now() - givenAt < HISTORY_MILLIS) {
               control.breach(
-                  fleet.now(),
+                  simulation.now(),
                   "a watch of "
                       + group
                       + " got 410 for revision "
                       + after
                       + ", given "
-                      + (fleet.now() - givenAt)
+                      + (simulation.now() - givenAt)
                       + " ms ago");
             }
             next = 0;
@@ -368,7 +370,7 @@
           note();
           final long to = next;
           final long at = since;
-          fleet.after(end.good() ? 1 : 200, () -> watch(group, to, at));
+          simulation.after(end.good() ? 1 : 200, () -> watch(group, to, at));
         });
   }
 }
--- a/simulation/src/main/java/weldpoint/simulation/SimulatedClient.java
+++ b/simulation/src/main/java/weldpoint/simulation/SimulatedClient.java
@@ -26,14 +26,16 @@
     }
   }
 
-  private final ControlPlaneSimulation fleet;
+  private final ControlPlaneSimulation simulation;
   private final Random random;
   private final Supplier<List<String>> list;
   private double loss;
 
   SimulatedClient(
-      final ControlPlaneSimulation fleet, final Random random, final Supplier<List<String>> list) {
-    this.fleet = fleet;
+      final ControlPlaneSimulation simulation,
+      final Random random,
+      final Supplier<List<String>> list) {
+    this.simulation = simulation;
     this.random = random;
     this.list = list;
   }
@@ -56,7 +58,7 @@
       final long patience,
       final Runnable uponTry,
       final Consumer<End> then) {
-    final long begunAt = fleet.now();
+    final long begunAt = simulation.now();
     attempt(
         first == null ? other(null) : first,
         uri,
@@ -125,16 +127,16 @@
       final long until,
       final Runnable uponTry,
       final Consumer<End> then) {
-    final long sentAt = fleet.now();
+    final long sentAt = simulation.now();
     final boolean[] done = new boolean[1];
     uponTry.run();
     final Consumer<Integer> again =
         count -> {
           final long pause = Math.min(1000, 50L << Math.min(5, tries)) + random.nextInt(50);
-          if (fleet.now() + pause >= until) {
+          if (simulation.now() + pause >= until) {
             then.accept(new End(0, "", to, sentAt, begunAt));
           } else {
-            fleet.after(
+            simulation.after(
                 pause,
                 () ->
                     attempt(
@@ -147,7 +149,7 @@
       return;
     }
     final ControlPlaneSimulation.PendingCall calling =
-        fleet.http(
+        simulation.http(
             to,
             method,
             path,
@@ -192,7 +194,7 @@
                 then.accept(new End(status, reply.body(), to, sentAt, begunAt));
               }
             });
-    fleet.after(
+    simulation.after(
         silence,
         () -> {
           if (!done[0]) {
--- a/simulation/src/main/java/weldpoint/simulation/SimulatedConnection.java
+++ b/simulation/src/main/java/weldpoint/simulation/SimulatedConnection.java
@@ -18,11 +18,11 @@
 
   /** What one end does with what comes. */
   interface Receiver {
-    default void opened(final SimulatedConnection line) {}
+    default void opened(final SimulatedConnection connection) {}
 
-    void heard(SimulatedConnection line, Message message);
+    void heard(SimulatedConnection connection, Message message);
 
-    default void closed(final SimulatedConnection line) {}
+    default void closed(final SimulatedConnection connection) {}
   }
 
   private record Packet(Object marker, Class<?> kind, byte[] bytes) {}
@@ -30,7 +30,7 @@
   /** One end. */
   private final class Endpoint {
     final ControlPlaneSimulation.Incarnation life;
-    final Receiver ear;
+    final Receiver receiver;
     boolean open = true;
     boolean greeted;
     long heardAt;
@@ -38,11 +38,11 @@
     long arrivesAt;
     final ArrayDeque<Packet> held = new ArrayDeque<>();
 
-    Endpoint(final ControlPlaneSimulation.Incarnation life, final Receiver ear) {
+    Endpoint(final ControlPlaneSimulation.Incarnation life, final Receiver receiver) {
       this.life = life;
-      this.ear = ear;
-      heardAt = fleet.now();
-      ringAt = fleet.now();
+      this.receiver = receiver;
+      heardAt = simulation.now();
+      ringAt = simulation.now();
     }
 
     Endpoint other() {
@@ -51,7 +51,7 @@
 
     void put(final Packet packet) {
       final Endpoint to = other();
-      if (!held.isEmpty() || fleet.cut(life.machine(), to.life.machine())) {
+      if (!held.isEmpty() || simulation.cut(life.machine(), to.life.machine())) {
         held.add(packet);
         return;
       }
@@ -60,17 +60,19 @@
 
     private void arrive(final Packet packet) {
       final Endpoint to = other();
-      arrivesAt = Math.max(arrivesAt, fleet.now() + fleet.delay(life.machine(), to.life.machine()));
-      fleet.after(arrivesAt - fleet.now(), () -> to.arrived(packet));
+      arrivesAt =
+          Math.max(
+              arrivesAt, simulation.now() + simulation.delay(life.machine(), to.life.machine()));
+      simulation.after(arrivesAt - simulation.now(), () -> to.arrived(packet));
     }
 
     /** The cut on the way from here is healed: what waited is sent again. */
     void healed() {
       if (!held.isEmpty()) {
-        fleet.after(
-            10 + fleet.random().nextInt(400),
+        simulation.after(
+            10 + simulation.random().nextInt(400),
             () -> {
-              if (!fleet.cut(life.machine(), other().life.machine())) {
+              if (!simulation.cut(life.machine(), other().life.machine())) {
                 while (!held.isEmpty()) {
                   arrive(held.poll());
                 }
@@ -93,15 +95,15 @@
       if (!open) {
         return;
       }
-      heardAt = fleet.now();
+      heardAt = simulation.now();
       if (packet.marker == CLOSE) {
         open = false;
         if (greeted) {
-          ear.closed(SimulatedConnection.this);
+          receiver.closed(SimulatedConnection.this);
         }
       } else if (packet.marker == OPEN) {
         greeted = true;
-        ear.opened(SimulatedConnection.this);
+        receiver.opened(SimulatedConnection.this);
       } else {
         final Message message = (Message) Serializer.value(packet.bytes, packet.kind);
         if (message instanceof Protocol.KeepAlive) {
@@ -110,18 +112,18 @@
           }
           return;
         }
-        fleet.heard(
+        simulation.heard(
             other().life.machine().address,
             life.machine().address,
             SimulatedConnection.this,
             message,
-            heard -> ear.heard(SimulatedConnection.this, heard));
+            heard -> receiver.heard(SimulatedConnection.this, heard));
       }
     }
 
     void say(final Message message) {
       if (open && life.lives()) {
-        put(new Packet(null, message.getClass(), fleet.bytes(message)));
+        put(new Packet(null, message.getClass(), simulation.bytes(message)));
       }
     }
 
@@ -130,13 +132,13 @@
         open = false;
         put(new Packet(CLOSE, null, null));
         if (greeted && life.lives()) {
-          ear.closed(SimulatedConnection.this);
+          receiver.closed(SimulatedConnection.this);
         }
       }
     }
 
     void watch() {
-      fleet.after(
+      simulation.after(
           RING_MILLIS,
           () -> {
             if (!open || !life.lives()) {
@@ -146,12 +148,12 @@
               watch();
               return;
             }
-            if (fleet.now() - heardAt > SILENCE_MILLIS
-                && fleet.now() - ringAt < 2 * SILENCE_MILLIS) {
+            if (simulation.now() - heardAt > SILENCE_MILLIS
+                && simulation.now() - ringAt < 2 * SILENCE_MILLIS) {
               close();
               return;
             }
-            ringAt = fleet.now();
+            ringAt = simulation.now();
             if (this == dialler) {
               say(new Protocol.KeepAlive(false));
             }
@@ -160,19 +162,19 @@
     }
   }
 
-  private final ControlPlaneSimulation fleet;
+  private final ControlPlaneSimulation simulation;
   private final int number;
   private final Endpoint dialler;
   private final Endpoint acceptor;
 
   SimulatedConnection(
-      final ControlPlaneSimulation fleet,
+      final ControlPlaneSimulation simulation,
       final int number,
       final ControlPlaneSimulation.Incarnation from,
       final Receiver fromEar,
       final ControlPlaneSimulation.Incarnation to,
       final Receiver toEar) {
-    this.fleet = fleet;
+    this.simulation = simulation;
     this.number = number;
     dialler = new Endpoint(from, fromEar);
     acceptor = new Endpoint(to, toEar);
--- a/simulation/src/main/java/weldpoint/simulation/SimulatedDisk.java
+++ b/simulation/src/main/java/weldpoint/simulation/SimulatedDisk.java
@@ -13,13 +13,13 @@
   private static final int TURN_RECORDS = 400;
   private static final long RETRY_MILLIS = 200;
 
-  private final ControlPlaneSimulation fleet;
+  private final ControlPlaneSimulation simulation;
   long syncMillis = 2;
   int full;
   int stalled;
 
-  SimulatedDisk(final ControlPlaneSimulation fleet) {
-    this.fleet = fleet;
+  SimulatedDisk(final ControlPlaneSimulation simulation) {
+    this.simulation = simulation;
   }
 
   /** The records of one program. */
@@ -75,7 +75,7 @@
       if (busySince >= 0 || !life.lives() || !turning && waiting.isEmpty()) {
         return;
       }
-      busySince = fleet.now();
+      busySince = simulation.now();
       attempt();
     }
 
@@ -85,7 +85,7 @@
       }
       if (stalled > 0 || full > 0) {
         refusing = full > 0;
-        fleet.after(RETRY_MILLIS, this::attempt);
+        simulation.after(RETRY_MILLIS, this::attempt);
         return;
       }
       refusing = false;
@@ -97,8 +97,8 @@
         callbacks.clear();
       }
       written = batch;
-      fleet.after(
-          syncMillis + fleet.random().nextInt((int) (1 + syncMillis)),
+      simulation.after(
+          syncMillis + simulation.random().nextInt((int) (1 + syncMillis)),
           () -> synced(whole, batch, done));
     }
 
@@ -108,7 +108,7 @@
         return;
       }
       if (stalled > 0) {
-        fleet.after(RETRY_MILLIS, () -> synced(whole, batch, done));
+        simulation.after(RETRY_MILLIS, () -> synced(whole, batch, done));
         return;
       }
       if (whole != null) {
@@ -128,11 +128,12 @@
     /** The process has ended: all that was written stays, or with a loss of power a part of it. */
     void ended(final boolean power) {
       records.lasting.addAll(
-          written.subList(0, power ? fleet.random().nextInt(written.size() + 1) : written.size()));
+          written.subList(
+              0, power ? simulation.random().nextInt(written.size() + 1) : written.size()));
     }
 
     long busyMillis() {
-      return busySince < 0 || refusing ? 0 : fleet.now() - busySince;
+      return busySince < 0 || refusing ? 0 : simulation.now() - busySince;
     }
 
     boolean refusing() {
@@ -187,9 +188,9 @@
     }
 
     private void sync(final long sequence, final byte[] entry, final Runnable synced) {
-      syncedAt = Math.max(syncedAt, fleet.now() + syncMillis + 1);
-      fleet.after(
-          syncedAt - fleet.now(),
+      syncedAt = Math.max(syncedAt, simulation.now() + syncMillis + 1);
+      simulation.after(
+          syncedAt - simulation.now(),
           () -> {
             if (!life.lives()) {
               return;
--- a/simulation/src/main/java/weldpoint/simulation/SimulatedOperators.java
+++ b/simulation/src/main/java/weldpoint/simulation/SimulatedOperators.java
@@ -19,8 +19,8 @@
 
   private record Change(long version, String tag, String flaw) {}
 
-  private final ControlPlaneSimulation fleet;
-  private final ControlPlaneChecker ledger;
+  private final ControlPlaneSimulation simulation;
+  private final ControlPlaneChecker checker;
   private final SimulatedClient caller;
   private final Random random;
   private final List<String> zones;
@@ -32,13 +32,13 @@
   private boolean ended;
 
   SimulatedOperators(
-      final ControlPlaneSimulation fleet,
-      final ControlPlaneChecker ledger,
+      final ControlPlaneSimulation simulation,
+      final ControlPlaneChecker checker,
       final Random random,
       final SimulatedClient caller,
       final List<String> zones) {
-    this.fleet = fleet;
-    this.ledger = ledger;
+    this.simulation = simulation;
+    this.checker = checker;
     this.random = random;
     this.caller = caller;
     this.zones = zones;
@@ -61,7 +61,7 @@
           if (end.good()) {
             work();
             for (final String zone : zones) {
-              fleet.after(1000 + random.nextInt(3000), () -> evacuate(zone, true));
+              simulation.after(1000 + random.nextInt(3000), () -> evacuate(zone, true));
             }
             read();
           }
@@ -96,16 +96,16 @@
         RequestBodies.configuration(change.version, change.tag, change.flaw),
         SimulatedClient.SILENCE_MILLIS,
         patience,
-        () -> ledger.sent(change.version, change.tag, change.flaw.isEmpty(), fleet.now()),
+        () -> checker.sent(change.version, change.tag, change.flaw.isEmpty(), simulation.now()),
         end -> {
           underWay--;
           if (end.good()) {
-            ledger.acked(change.version, change.tag, fleet.now());
+            checker.acked(change.version, change.tag, simulation.now());
             final List<Consumer<String>> due = new ArrayList<>(uponAck);
             uponAck.clear();
             due.forEach(one -> one.accept(end.by()));
           } else if (end.status() >= 400) {
-            ledger.refused(change.version, change.tag, end.status(), fleet.now());
+            checker.refused(change.version, change.tag, end.status(), simulation.now());
           }
           then.accept(end);
         });
@@ -133,7 +133,7 @@
         default -> send(next(""), 15_000, nothing);
       }
     }
-    fleet.after(random.nextInt(4) == 0 ? 5 : 150 + random.nextInt(900), this::work);
+    simulation.after(random.nextInt(4) == 0 ? 5 : 150 + random.nextInt(900), this::work);
   }
 
   private void evacuate(final String zone, final boolean on) {
@@ -143,12 +143,13 @@
     order(
         zone,
         on,
-        end -> fleet.after(200 + random.nextInt(2500), () -> evacuate(zone, end.good() != on)));
+        end ->
+            simulation.after(200 + random.nextInt(2500), () -> evacuate(zone, end.good() != on)));
   }
 
   private void order(
       final String zone, final boolean on, final Consumer<SimulatedClient.End> then) {
-    final int order = ledger.ordered(zone, on, fleet.now());
+    final int order = checker.ordered(zone, on, simulation.now());
     caller.call(
         null,
         HttpMethod.POST,
@@ -158,10 +159,11 @@
         ACK_DEADLINE_MILLIS,
         () -> {},
         end -> {
-          ledger.ended(zone, order, end.good(), fleet.now());
+          checker.ended(zone, order, end.good(), simulation.now());
           if (end.status() >= 400) {
-            ledger.breach(
-                fleet.now(), "the order on zone " + zone + " was refused with " + end.status());
+            checker.breach(
+                simulation.now(),
+                "the order on zone " + zone + " was refused with " + end.status());
           }
           then.accept(end);
         });
@@ -169,7 +171,7 @@
 
   private void read() {
     if (!ended) {
-      readOnce(2000, end -> fleet.after(100 + random.nextInt(900), this::read));
+      readOnce(2000, end -> simulation.after(100 + random.nextInt(900), this::read));
     }
   }
 
@@ -185,13 +187,13 @@
         () -> {},
         end -> {
           if (end.good()) {
-            ledger.read(
+            checker.read(
                 RequestBodies.version(end.body()),
                 RequestBodies.tag(end.body()),
                 end.sentAt(),
-                fleet.now());
+                simulation.now());
           } else if (end.status() == 404) {
-            ledger.readNothing(end.sentAt(), fleet.now());
+            checker.readNothing(end.sentAt(), simulation.now());
           }
           then.accept(end);
         });
--- a/simulation/src/main/java/weldpoint/simulation/SimulatedUpstreams.java
+++ b/simulation/src/main/java/weldpoint/simulation/SimulatedUpstreams.java
@@ -54,21 +54,22 @@
           end -> {
             target = null;
             if (end.good()) {
-              goodAt = fleet.now();
+              goodAt = simulation.now();
               final String named = RequestBodies.word(end.body(), "beatTarget");
               target = named == null ? null : named.substring(0, named.indexOf(':'));
               if (drains) {
                 leftAcked = true;
-                fleet.after(DRAIN_MILLIS, this::leave);
+                simulation.after(DRAIN_MILLIS, this::leave);
                 return;
               }
             } else if (end.status() >= 400) {
-              ledger.breach(fleet.now(), "a beat of " + id + " was refused with " + end.status());
+              checker.breach(
+                  simulation.now(), "a beat of " + id + " was refused with " + end.status());
             } else if (drains) {
-              fleet.after(DRAIN_MILLIS, this::leave);
+              simulation.after(DRAIN_MILLIS, this::leave);
               return;
             }
-            fleet.after(draining ? 0 : BEAT_MILLIS, this::beat);
+            simulation.after(draining ? 0 : BEAT_MILLIS, this::beat);
           });
     }
 
@@ -88,20 +89,20 @@
     }
   }
 
-  private final ControlPlaneSimulation fleet;
-  private final ControlPlaneChecker ledger;
+  private final ControlPlaneSimulation simulation;
+  private final ControlPlaneChecker checker;
   private final Random random;
   private final SimulatedClient caller;
   private final List<SimulatedUpstream> all = new ArrayList<>();
   private boolean ended;
 
   SimulatedUpstreams(
-      final ControlPlaneSimulation fleet,
-      final ControlPlaneChecker ledger,
+      final ControlPlaneSimulation simulation,
+      final ControlPlaneChecker checker,
       final Random random,
       final SimulatedClient caller) {
-    this.fleet = fleet;
-    this.ledger = ledger;
+    this.simulation = simulation;
+    this.checker = checker;
     this.random = random;
     this.caller = caller;
   }
@@ -116,11 +117,11 @@
   private void born() {
     final SimulatedUpstream one = new SimulatedUpstream(all.size() + 1);
     all.add(one);
-    fleet.after(random.nextInt(1500), one::beat);
+    simulation.after(random.nextInt(1500), one::beat);
   }
 
   private void churn() {
-    fleet.after(
+    simulation.after(
         1500 + random.nextInt(3000),
         () -> {
           if (ended) {
@@ -154,16 +155,17 @@
     for (final SimulatedUpstream one : all) {
       final boolean known = board.upstreams().containsKey(one.id);
       if (one.leftAcked && known) {
-        ledger.breach(
-            fleet.now(),
+        checker.breach(
+            simulation.now(),
             board.address() + " still has " + one.id + ", which left with an acknowledgement");
       } else if (!one.gone
           && !one.draining
           && one.goodAt >= 0
-          && fleet.now() - one.goodAt < 2 * BEAT_MILLIS
+          && simulation.now() - one.goodAt < 2 * BEAT_MILLIS
           && !known) {
-        ledger.breach(
-            fleet.now(), board.address() + " lacks " + one.id + ", whose beats are acknowledged");
+        checker.breach(
+            simulation.now(),
+            board.address() + " lacks " + one.id + ", whose beats are acknowledged");
       }
     }
   }
--- a/simulation/src/main/java/weldpoint/simulation/SimulationPlan.java
+++ b/simulation/src/main/java/weldpoint/simulation/SimulationPlan.java
@@ -150,10 +150,7 @@
   /** The day with another length. */
   SimulationPlan lasting(final long millis) {
     return new SimulationPlan(
-        seed,
-        cores,
-        millis,
-        troubles.stream().filter(trouble -> trouble.atMillis() < millis).toList());
+        seed, cores, millis, troubles.stream().filter(fault -> fault.atMillis() < millis).toList());
   }
 
   @Override
@@ -161,7 +158,7 @@
     final StringBuilder text =
         new StringBuilder(
             String.format(Locale.ROOT, "seed=%d cores=%d lasts=%d", seed, cores, lasts));
-    troubles.forEach(trouble -> text.append(' ').append(trouble));
+    troubles.forEach(fault -> text.append(' ').append(fault));
     return text.toString();
   }
 }
