--- a/simulation/src/main/java/weldpoint/simulation/SimulationRun.java
+++ b/simulation/src/main/java/weldpoint/simulation/SimulationRun.java
@@ -33,8 +33,8 @@
   public record Outcome(List<String> breaches, long firstBreachAt, long answers) {}
 
   private final SimulationPlan plan;
-  private final ControlPlaneSimulation fleet;
-  private final ControlPlaneChecker ledger = new ControlPlaneChecker();
+  private final ControlPlaneSimulation simulation;
+  private final ControlPlaneChecker checker = new ControlPlaneChecker();
   private final SimulatedOperators operators;
   private final SimulatedUpstreams upstreams;
   private final SimulatedApplications applications;
@@ -46,10 +46,10 @@
   private boolean calm;
 
   private SimulationRun(
-      final SimulationPlan plan, final ControlPlaneSimulation.FaultInjector meddler) {
+      final SimulationPlan plan, final ControlPlaneSimulation.FaultInjector faultInjector) {
     this.plan = plan;
     final List<String> seeds = List.of(address(0), address(1), address(2));
-    fleet =
+    simulation =
         new ControlPlaneSimulation(
             plan.seed(),
             seeds,
@@ -61,13 +61,13 @@
                   final long startedAt,
                   final long version,
                   final byte[] spec) {
-                ledger.takenUp(
+                checker.takenUp(
                     board.address(),
                     life,
                     startedAt,
                     version,
                     RequestBodies.tag(spec),
-                    fleet().now());
+                    simulation().now());
               }
 
               @Override
@@ -80,34 +80,34 @@
                   final RegistryMessages.Registration registration,
                   final boolean open) {}
             });
-    if (meddler != null) {
-      fleet.meddler(meddler);
+    if (faultInjector != null) {
+      simulation.faultInjector(faultInjector);
     }
-    beganAt = fleet.now();
+    beganAt = simulation.now();
     for (int index = 0; index < plan.cores(); index++) {
-      fleet.add(address(index), ZONES[index % 3], region(ZONES[index % 3]), true);
+      simulation.add(address(index), ZONES[index % 3], region(ZONES[index % 3]), true);
     }
     for (int index = 0; index < BOARDS; index++) {
-      fleet.add("10.1." + index + ".1", ZONES[index], region(ZONES[index]), false);
+      simulation.add("10.1." + index + ".1", ZONES[index], region(ZONES[index]), false);
     }
     final Random random = new Random(plan.seed() + 1);
     final SimulatedClient operator =
-        new SimulatedClient(fleet, new Random(random.nextLong()), () -> list);
+        new SimulatedClient(simulation, new Random(random.nextLong()), () -> list);
     operators =
         new SimulatedOperators(
-            fleet, ledger, new Random(random.nextLong()), operator, List.of("a", "b"));
+            simulation, checker, new Random(random.nextLong()), operator, List.of("a", "b"));
     upstreams =
         new SimulatedUpstreams(
-            fleet,
-            ledger,
+            simulation,
+            checker,
             new Random(random.nextLong()),
-            new SimulatedClient(fleet, new Random(random.nextLong()), () -> list));
+            new SimulatedClient(simulation, new Random(random.nextLong()), () -> list));
     applications =
         new SimulatedApplications(
-            fleet,
-            ledger,
+            simulation,
+            checker,
             new Random(random.nextLong()),
-            new SimulatedClient(fleet, new Random(random.nextLong()), () -> list));
+            new SimulatedClient(simulation, new Random(random.nextLong()), () -> list));
   }
 
   private static String address(final int index) {
@@ -125,60 +125,62 @@
 
   /** Plays a day with somebody who meddles with messages. */
   public static Outcome play(
-      final SimulationPlan plan, final ControlPlaneSimulation.FaultInjector meddler) {
-    return new SimulationRun(plan, meddler).play();
+      final SimulationPlan plan, final ControlPlaneSimulation.FaultInjector faultInjector) {
+    return new SimulationRun(plan, faultInjector).play();
   }
 
   private Outcome play() {
-    fleet
+    simulation
         .machines()
         .values()
         .forEach(
-            machine -> fleet.after(fleet.random().nextInt(300), () -> fleet.start(machine, true)));
+            machine ->
+                simulation.after(
+                    simulation.random().nextInt(300), () -> simulation.start(machine, true)));
     refresh();
-    fleet.run(500);
+    simulation.run(500);
     operators.begin();
     upstreams.begin();
     applications.begin();
-    fleet.run(START_MILLIS - 500);
-    for (final Fault trouble : plan.troubles()) {
-      fleet.after(trouble.atMillis(), () -> trouble.strike(this));
+    simulation.run(START_MILLIS - 500);
+    for (final Fault fault : plan.troubles()) {
+      simulation.after(fault.atMillis(), () -> fault.strike(this));
     }
-    fleet.run(plan.lasts());
+    simulation.run(plan.lasts());
     end();
     return new Outcome(
-        ledger.breaches(),
-        ledger.firstBreachAt() >= 0 ? ledger.firstBreachAt() - beganAt - START_MILLIS : -1,
-        ledger.answers() + applications.answers());
+        checker.breaches(),
+        checker.firstBreachAt() >= 0 ? checker.firstBreachAt() - beganAt - START_MILLIS : -1,
+        checker.answers() + applications.answers());
   }
 
   /** What operators and others know of the daemons: whom they could have read some time ago. */
   private void refresh() {
     final List<String> present = new ArrayList<>();
-    fleet.core().forEach(machine -> present.add(machine.address()));
-    fleet.after(STALENESS_MILLIS, () -> list = present);
+    simulation.core().forEach(machine -> present.add(machine.address()));
+    simulation.after(STALENESS_MILLIS, () -> list = present);
     if (list.isEmpty()) {
       list = present;
     }
-    fleet.after(1000, this::refresh);
+    simulation.after(1000, this::refresh);
   }
 
   // ---- the calm end
 
   private void end() {
-    fleet.after(0, operators::end);
+    simulation.after(0, operators::end);
     long longest = 0;
-    for (final Fault trouble : plan.troubles()) {
+    for (final Fault fault : plan.troubles()) {
       longest =
-          Math.max(longest, trouble.atMillis() + trouble.forMillis() + SLACK_MILLIS - plan.lasts());
+          Math.max(longest, fault.atMillis() + fault.forMillis() + SLACK_MILLIS - plan.lasts());
     }
-    fleet.run(longest);
+    simulation.run(longest);
     calm = true;
-    all().forEach(machine -> fleet.start(machine, false));
-    fleet.run(CALM_MILLIS);
+    all().forEach(machine -> simulation.start(machine, false));
+    simulation.run(CALM_MILLIS);
     upstreams.end();
     applications.end();
-    final long highest = ledger.highestAcked();
+    final long highest = checker.highestAcked();
     final boolean[] done = new boolean[2];
     operators.last(
         end -> {
@@ -188,34 +190,39 @@
               read -> {
                 done[1] = read.good();
                 if (read.good()) {
-                  ledger.finalRead(RequestBodies.version(read.body()), fleet.now());
+                  checker.finalRead(RequestBodies.version(read.body()), simulation.now());
                 }
               });
         });
-    fleet.run(6000);
+    simulation.run(6000);
     if (!done[0]) {
-      ledger.breach(
-          fleet.now(),
+      checker.breach(
+          simulation.now(),
           "a change sent "
               + CALM_MILLIS
               + " ms after the last trouble had no acknowledgement in 5 s");
     } else if (!done[1]) {
-      ledger.breach(fleet.now(), "the configuration could not be read back in the calm at the end");
+      checker.breach(
+          simulation.now(), "the configuration could not be read back in the calm at the end");
     }
-    for (final ControlPlaneSimulation.Machine board : fleet.boards()) {
-      if (board.version() < Math.max(highest, done[0] ? ledger.highestAcked() : 0)) {
-        ledger.breach(
-            fleet.now(),
+    for (final ControlPlaneSimulation.Machine board : simulation.boards()) {
+      if (board.version() < Math.max(highest, done[0] ? checker.highestAcked() : 0)) {
+        checker.breach(
+            simulation.now(),
             board.address()
                 + " has "
                 + String.format("%08x", board.version())
                 + " in the calm at the end though "
-                + String.format("%08x", ledger.highestAcked())
+                + String.format("%08x", checker.highestAcked())
                 + " was acknowledged");
       }
       for (final String zone : List.of("a", "b")) {
-        ledger.finalEvacuation(
-            board.address(), zone, board.evacuated().contains(zone), SLACK_MILLIS, fleet.now());
+        checker.finalEvacuation(
+            board.address(),
+            zone,
+            board.evacuated().contains(zone),
+            SLACK_MILLIS,
+            simulation.now());
       }
       upstreams.check(board);
     }
@@ -225,7 +232,7 @@
   /** Reads the history that the core has decided, where the times of day in it can be relied on. */
   private void history() {
     StateStoreReplica longest = null;
-    for (final ControlPlaneSimulation.Machine machine : fleet.core()) {
+    for (final ControlPlaneSimulation.Machine machine : simulation.core()) {
       if (machine.frame() != null
           && !machine.frame().blank()
           && (longest == null || machine.frame().history().last() > longest.history().last())) {
@@ -233,7 +240,7 @@
       }
     }
     if (longest == null
-        || plan.troubles().stream().anyMatch(trouble -> trouble.kind() == Fault.Kind.CLOCK_STEP)) {
+        || plan.troubles().stream().anyMatch(fault -> fault.kind() == Fault.Kind.CLOCK_STEP)) {
       return;
     }
     for (long sequence = longest.history().base() + 1;
@@ -242,7 +249,7 @@
       final AuditEntry entry = AuditEntry.read(longest.history().read(sequence));
       if (entry.kind() == ChangeKind.EVACUATION_BEGUN
           || entry.kind() == ChangeKind.EVACUATION_FINISHED) {
-        ledger.decided(
+        checker.decided(
             entry.subject, entry.kind() == ChangeKind.EVACUATION_BEGUN, entry.time, SLACK_MILLIS);
       }
     }
@@ -250,13 +257,13 @@
 
   // ---- what troubles use
 
-  ControlPlaneSimulation fleet() {
-    return fleet;
+  ControlPlaneSimulation simulation() {
+    return simulation;
   }
 
   /** All machines that have not been removed. */
   List<ControlPlaneSimulation.Machine> all() {
-    return fleet.machines().values().stream().filter(machine -> !machine.removed()).toList();
+    return simulation.machines().values().stream().filter(machine -> !machine.removed()).toList();
   }
 
   /** So many of these, by lot. */
@@ -270,7 +277,8 @@
   /** The machine at this address and, by lot, other core machines, so many together. */
   List<ControlPlaneSimulation.Machine> with(
       final String address, final int count, final Random random) {
-    final List<ControlPlaneSimulation.Machine> drawn = draw(fleet.core(), plan.cores() + 4, random);
+    final List<ControlPlaneSimulation.Machine> drawn =
+        draw(simulation.core(), plan.cores() + 4, random);
     drawn.sort(
         (one, other) ->
             Boolean.compare(other.address().equals(address), one.address().equals(address)));
@@ -289,14 +297,15 @@
     if (calm || machine.removed()) {
       return;
     }
-    fleet.kill(machine, power);
-    fleet.after(forMillis, () -> fleet.start(machine, false));
+    simulation.kill(machine, power);
+    simulation.after(forMillis, () -> simulation.start(machine, false));
   }
 
   /** Stops a machine's processes in order; they start again after a while. */
   void restart(final ControlPlaneSimulation.Machine machine, final long forMillis) {
     if (!calm && machine.runs()) {
-      fleet.stop(machine, () -> fleet.after(forMillis, () -> fleet.start(machine, false)));
+      simulation.stop(
+          machine, () -> simulation.after(forMillis, () -> simulation.start(machine, false)));
     }
   }
 
@@ -305,7 +314,7 @@
    * to catch up.
    */
   int mayLose() {
-    lostUntil.values().removeIf(until -> until <= fleet.now());
+    lostUntil.values().removeIf(until -> until <= simulation.now());
     return Math.max(0, (plan.cores() < 5 ? 1 : 2) - lostUntil.size());
   }
 
@@ -314,14 +323,14 @@
     if (calm || mayLose() == 0 || machine.removed()) {
       return;
     }
-    fleet.kill(machine, true);
-    fleet.wipe(machine);
+    simulation.kill(machine, true);
+    simulation.wipe(machine);
     lostUntil.put(machine, Long.MAX_VALUE);
-    fleet.after(
+    simulation.after(
         forMillis,
         () -> {
-          fleet.start(machine, false);
-          lostUntil.put(machine, fleet.now() + CATCH_UP_MILLIS);
+          simulation.start(machine, false);
+          lostUntil.put(machine, simulation.now() + CATCH_UP_MILLIS);
         });
   }
 
@@ -332,29 +341,29 @@
     if (calm || mayLose() == 0) {
       return;
     }
-    final ControlPlaneSimulation.Machine gone = draw(fleet.core(), 1, random).get(0);
+    final ControlPlaneSimulation.Machine gone = draw(simulation.core(), 1, random).get(0);
     final ControlPlaneSimulation.Machine next =
-        fleet.add("10.0.9." + ++born, gone.site(), gone.region, true);
+        simulation.add("10.0.9." + ++born, gone.site(), gone.region, true);
     next.seeds = gone.seeds;
     lostUntil.put(gone, Long.MAX_VALUE);
     if (planned) {
-      fleet.start(next, false);
-      fleet.after(
+      simulation.start(next, false);
+      simulation.after(
           Math.max(gapMillis, 1000),
           () ->
-              fleet.stop(
+              simulation.stop(
                   gone,
                   () -> {
-                    fleet.remove(gone);
-                    lostUntil.put(gone, fleet.now() + CATCH_UP_MILLIS);
+                    simulation.remove(gone);
+                    lostUntil.put(gone, simulation.now() + CATCH_UP_MILLIS);
                   }));
     } else {
-      fleet.remove(gone);
-      fleet.after(
+      simulation.remove(gone);
+      simulation.after(
           gapMillis,
           () -> {
-            fleet.start(next, false);
-            lostUntil.put(gone, fleet.now() + CATCH_UP_MILLIS);
+            simulation.start(next, false);
+            lostUntil.put(gone, simulation.now() + CATCH_UP_MILLIS);
           });
     }
   }
@@ -367,12 +376,12 @@
       final boolean back,
       final long forMillis) {
     if (there) {
-      fleet.cut(one, other, true);
-      fleet.after(forMillis, () -> fleet.cut(one, other, false));
+      simulation.cut(one, other, true);
+      simulation.after(forMillis, () -> simulation.cut(one, other, false));
     }
     if (back) {
-      fleet.cut(other, one, true);
-      fleet.after(forMillis, () -> fleet.cut(other, one, false));
+      simulation.cut(other, one, true);
+      simulation.after(forMillis, () -> simulation.cut(other, one, false));
     }
   }
 
@@ -380,7 +389,7 @@
   void newSeeds(final List<ControlPlaneSimulation.Machine> first) {
     final List<String> seeds = new ArrayList<>();
     first.forEach(machine -> seeds.add(machine.address()));
-    for (final ControlPlaneSimulation.Machine machine : fleet.core()) {
+    for (final ControlPlaneSimulation.Machine machine : simulation.core()) {
       if (seeds.size() < 3 && !seeds.contains(machine.address())) {
         seeds.add(machine.address());
       }
@@ -388,7 +397,8 @@
     all()
         .forEach(
             machine ->
-                fleet.seeds(machine, List.copyOf(seeds.subList(0, Math.min(3, seeds.size())))));
+                simulation.seeds(
+                    machine, List.copyOf(seeds.subList(0, Math.min(3, seeds.size())))));
   }
 
   /** Loses most of the answers to the operator, or no longer. */
--- a/simulation/src/main/java/weldpoint/simulation/StateStoreSimulation.java
+++ b/simulation/src/main/java/weldpoint/simulation/StateStoreSimulation.java
@@ -35,7 +35,7 @@
     private final List<byte[]> written = new ArrayList<>();
     private final List<byte[]> entries = new ArrayList<>();
     private long entriesBase;
-    private StateStoreReplica core;
+    private StateStoreReplica replica;
     private FakeHistory store;
     private int life;
     private boolean frozen;
@@ -51,8 +51,8 @@
     }
 
     /** The process of the moment; null while there is none. */
-    public StateStoreReplica core() {
-      return core;
+    public StateStoreReplica replica() {
+      return replica;
     }
   }
 
@@ -89,7 +89,7 @@
       after(
           machine.diskDelay + random.nextInt(3),
           () -> {
-            if (machine.life == life && machine.core != null) {
+            if (machine.life == life && machine.replica != null) {
               if (sequence == machine.entriesBase + machine.entries.size() + 1) {
                 machine.entries.add(entry);
               }
@@ -131,8 +131,9 @@
    */
   public interface FaultInjector {
     /** Takes part in setting up a core: the store and the number of entries to keep are given. */
-    default void prepare(final StateStoreReplica core, final AuditStore store, final long keeps) {
-      core.history(store, keeps, ENTRY_BYTES);
+    default void prepare(
+        final StateStoreReplica replica, final AuditStore store, final long keeps) {
+      replica.history(store, keeps, ENTRY_BYTES);
     }
 
     /** The message that arrives instead. */
@@ -162,18 +163,18 @@
   /** The most bytes of an entry of the history here. */
   public static final int ENTRY_BYTES = 1024;
 
-  private FaultInjector meddler = new FaultInjector() {};
-  private Observer watcher = new Observer() {};
+  private FaultInjector faultInjector = new FaultInjector() {};
+  private Observer observer = new Observer() {};
   private long keeps = 2000;
 
   /** Lets a test meddle. */
-  public void meddler(final FaultInjector given) {
-    meddler = given;
+  public void faultInjector(final FaultInjector given) {
+    faultInjector = given;
   }
 
   /** Lets a test watch. */
-  public void watcher(final Observer given) {
-    watcher = given;
+  public void observer(final Observer given) {
+    observer = given;
   }
 
   /** Sets how many entries of the history daemons that start from now on keep. */
@@ -249,7 +250,7 @@
     final int life = ++machine.life;
     machine.written.clear();
     machine.syncedAt = now;
-    machine.core =
+    machine.replica =
         new StateStoreReplica(
             address,
             machine.site,
@@ -269,13 +270,13 @@
               @Override
               public void append(final byte[] record, final Runnable synced) {
                 machine.written.add(record);
-                watcher.appended(address, record);
+                observer.appended(address, record);
                 final Runnable lasting =
                     () -> {
-                      if (machine.life == life && machine.core != null) {
+                      if (machine.life == life && machine.replica != null) {
                         machine.written.remove(record);
                         machine.lasting.add(record);
-                        watcher.lasting(address, record);
+                        observer.lasting(address, record);
                         machine.lastingBytes += record.length;
                         turnOver(machine);
                         if (syncsFirst) {
@@ -306,12 +307,13 @@
               }
             });
     machine.store = new FakeHistory(machine, life);
-    meddler.prepare(machine.core, machine.store, keeps);
-    machine.core.start(new ArrayList<>(machine.lasting), first && machine.lasting.isEmpty(), now);
-    final List<byte[]> view = machine.core.view();
+    faultInjector.prepare(machine.replica, machine.store, keeps);
+    machine.replica.start(
+        new ArrayList<>(machine.lasting), first && machine.lasting.isEmpty(), now);
+    final List<byte[]> view = machine.replica.view();
     machine.lasting.clear();
     machine.lasting.addAll(view);
-    watcher.started(address, new ArrayList<>(view));
+    observer.started(address, new ArrayList<>(view));
     tick(machine, life);
   }
 
@@ -319,7 +321,7 @@
   private void turnOver(final Machine machine) {
     if (syncsFirst && machine.lastingBytes > DISK_BYTES) {
       machine.lasting.clear();
-      machine.lasting.addAll(machine.core.view());
+      machine.lasting.addAll(machine.replica.view());
       machine.lastingBytes = 0;
     }
   }
@@ -328,9 +330,9 @@
     after(
         50,
         () -> {
-          if (machine.life == life && machine.core != null) {
+          if (machine.life == life && machine.replica != null) {
             if (!machine.frozen) {
-              machine.core.tick(now);
+              machine.replica.tick(now);
             }
             tick(machine, life);
           }
@@ -387,27 +389,27 @@
       final boolean bound,
       final Message message) {
     final byte[] bytes = Serializer.bytes(message);
-    watcher.sent(from, to, message);
+    observer.sent(from, to, message);
     after(
         delay(from, to) + queued(to, bytes.length),
         () -> {
           final Machine target = machines.get(to);
           if (target == null
-              || target.core == null
+              || target.replica == null
               || target.frozen
               || cut(from, to)
               || bound && target.life != toLife) {
             return;
           }
           final Message came = (Message) Serializer.value(bytes, message.getClass());
-          final Message copy = meddler.pass(from, to, came);
+          final Message copy = faultInjector.pass(from, to, came);
           if (copy == null) {
             return;
           }
           received.merge(to + message.getClass().getSimpleName(), (long) bytes.length, Long::sum);
           final int life = target.life;
-          watcher.received(from, to, came);
-          target.core.receive(
+          observer.received(from, to, came);
+          target.replica.receive(
               from,
               copy,
               answer -> {
@@ -425,22 +427,22 @@
    */
   public void kill(final String address, final boolean power) {
     final Machine machine = machines.get(address);
-    if (machine.core == null) {
+    if (machine.replica == null) {
       return;
     }
     final int kept = power ? random.nextInt(machine.written.size() + 1) : machine.written.size();
     machine.lasting.addAll(machine.written.subList(0, syncsFirst ? kept : 0));
     machine.written.clear();
-    machine.core = null;
+    machine.replica = null;
     machine.life++;
     for (final Machine other : machines.values()) {
-      if (other.core != null && other != machine) {
-        final StateStoreReplica core = other.core;
+      if (other.replica != null && other != machine) {
+        final StateStoreReplica replica = other.replica;
         after(
             delay(address, other.address),
             () -> {
-              if (other.core == core) {
-                core.lineClosed(address, now);
+              if (other.replica == replica) {
+                replica.lineClosed(address, now);
               }
             });
       }
@@ -454,8 +456,8 @@
   public void leave(final String address) {
     final Machine machine = machines.get(address);
     final int life = machine.life;
-    if (machine.core != null) {
-      machine.core.leave(
+    if (machine.replica != null) {
+      machine.replica.leave(
           () ->
               after(
                   60,
@@ -533,7 +535,7 @@
     final List<String> list = new ArrayList<>();
     machines.forEach(
         (address, machine) -> {
-          if (machine.core != null) {
+          if (machine.replica != null) {
             list.add(address);
           }
         });
@@ -547,7 +549,7 @@
    */
   public void call(
       final String at,
-      final StoreOperation deed,
+      final StoreOperation operation,
       final String name,
       final String owner,
       final long first,
@@ -556,7 +558,8 @@
       final Consumer<StoreMessages.StoreResponse> then) {
     call(
         at,
-        new StoreMessages.StoreRequest(++calls, deed.ordinal(), name, owner, first, second, body),
+        new StoreMessages.StoreRequest(
+            ++calls, operation.ordinal(), name, owner, first, second, body),
         0,
         then);
   }
@@ -564,15 +567,16 @@
   /** Calls the store with a change of routing, in somebody's name. */
   public void change(
       final String at,
-      final StoreOperation deed,
+      final StoreOperation operation,
       final String name,
       final long first,
       final byte[] body,
-      final StoreMessages.ChangeOrigin cause,
+      final StoreMessages.ChangeOrigin origin,
       final Consumer<StoreMessages.StoreResponse> then) {
     call(
         at,
-        new StoreMessages.StoreRequest(++calls, deed.ordinal(), name, null, first, 0, body, cause),
+        new StoreMessages.StoreRequest(
+            ++calls, operation.ordinal(), name, null, first, 0, body, origin),
         0,
         then);
   }
@@ -592,7 +596,7 @@
             call.first,
             call.second,
             call.body,
-            call.cause,
+            call.origin,
             call.content),
         0,
         then);
@@ -601,13 +605,13 @@
   /** Asks one frame, and only it. */
   public void ask(
       final String at,
-      final StoreOperation deed,
+      final StoreOperation operation,
       final long first,
       final long second,
       final Consumer<StoreMessages.StoreResponse> then) {
     call(
         at,
-        new StoreMessages.StoreRequest(++calls, deed.ordinal(), "", null, first, second, null),
+        new StoreMessages.StoreRequest(++calls, operation.ordinal(), "", null, first, second, null),
         3,
         then);
   }
@@ -615,12 +619,12 @@
   /** Calls the store at one frame only; whatever it says of others is not followed. */
   public void callOnly(
       final String at,
-      final StoreOperation deed,
+      final StoreOperation operation,
       final String name,
       final Consumer<StoreMessages.StoreResponse> then) {
     call(
         at,
-        new StoreMessages.StoreRequest(++calls, deed.ordinal(), name, null, 0, 0, null),
+        new StoreMessages.StoreRequest(++calls, operation.ordinal(), name, null, 0, 0, null),
         3,
         then);
   }
@@ -634,10 +638,10 @@
         1 + random.nextInt(3),
         () -> {
           final Machine machine = machines.get(at);
-          if (machine == null || machine.core == null || machine.frozen) {
+          if (machine == null || machine.replica == null || machine.frozen) {
             return;
           }
-          machine.core.call(
+          machine.replica.call(
               call,
               answer ->
                   after(
--- a/simulation/src/test/java/weldpoint/registry/CopiesTest.java
+++ b/simulation/src/test/java/weldpoint/registry/CopiesTest.java
@@ -39,7 +39,7 @@
   }
 
   private static final class World {
-    private final StateStoreSimulation fleet;
+    private final StateStoreSimulation simulation;
     private final boolean identified;
     private final List<StoreClient> stores = new ArrayList<>();
     private final Map<String, Boolean> frozen = new HashMap<>();
@@ -50,10 +50,10 @@
 
     private World(final long seed, final boolean identified) {
       this.identified = identified;
-      fleet = new StateStoreSimulation(seed, SEEDS, true);
+      simulation = new StateStoreSimulation(seed, SEEDS, true);
       for (final String[] machine : MACHINES) {
-        fleet.add(machine[0], machine[1], machine[2]);
-        fleet.start(machine[0], true);
+        simulation.add(machine[0], machine[1], machine[2]);
+        simulation.start(machine[0], true);
       }
       for (int index = 0; index < 3; index++) {
         final int which = index;
@@ -70,27 +70,27 @@
         stores.add(store);
       }
       tick();
-      fleet.run(6000);
+      simulation.run(6000);
     }
 
     private void tick() {
-      stores.forEach(store -> store.tick(fleet.now()));
-      fleet.after(40, this::tick);
+      stores.forEach(store -> store.tick(simulation.now()));
+      simulation.after(40, this::tick);
     }
 
     private boolean send(final int which, final String to, final StoreMessages.StoreRequest call) {
-      final Random random = fleet.random();
-      if (fleet.machines().get(to).core() == null) {
+      final Random random = simulation.random();
+      if (simulation.machines().get(to).replica() == null) {
         return false;
       }
       final StoreMessages.StoreRequest copy =
           identified
-              ? call.leaving(fleet.now() - random.nextInt(500), fleet.now())
-              : call.from(0).leaving(null, fleet.now());
+              ? call.leaving(simulation.now() - random.nextInt(500), simulation.now())
+              : call.from(0).leaving(null, simulation.now());
       final byte[] bytes = Serializer.bytes(copy);
       final int chance = random.nextInt(20);
       if (chance > 0) {
-        fleet.after(
+        simulation.after(
             chance < 4 ? 300 + random.nextInt(6000) : 1 + random.nextInt(8),
             () -> arrive(which, to, bytes, call.caller));
       }
@@ -99,28 +99,28 @@
 
     private void arrive(final int which, final String to, final byte[] bytes, final long caller) {
       if (frozen.containsKey(to)) {
-        fleet.after(20, () -> arrive(which, to, bytes, caller));
-      } else if (fleet.machines().get(to).core() != null) {
-        fleet
+        simulation.after(20, () -> arrive(which, to, bytes, caller));
+      } else if (simulation.machines().get(to).replica() != null) {
+        simulation
             .machines()
             .get(to)
-            .core()
+            .replica()
             .call(
                 Serializer.value(bytes, StoreMessages.StoreRequest.class),
                 answer -> {
-                  final int chance = fleet.random().nextInt(10);
+                  final int chance = simulation.random().nextInt(10);
                   if (chance > 0) {
-                    fleet.after(
-                        chance == 1 ? 500 : 1 + fleet.random().nextInt(8),
-                        () -> stores.get(which).answered(to, answer.to(caller), fleet.now()));
+                    simulation.after(
+                        chance == 1 ? 500 : 1 + simulation.random().nextInt(8),
+                        () -> stores.get(which).answered(to, answer.to(caller), simulation.now()));
                   }
                 },
-                fleet.now());
+                simulation.now());
       }
     }
 
     private StoreClient any() {
-      return stores.get(fleet.random().nextInt(stores.size()));
+      return stores.get(simulation.random().nextInt(stores.size()));
     }
 
     private void begin() {
@@ -129,12 +129,12 @@
       }
       final String owner = "owner " + ++begins;
       any()
-          .call(StoreOperation.LOCK_BEGIN, "l", owner, 30, 0, null, null, fleet.now(), 900)
+          .call(StoreOperation.LOCK_BEGIN, "l", owner, 30, 0, null, null, simulation.now(), 900)
           .whenComplete(
               (answer, problem) ->
                   mayHold +=
                       problem != null || answer.status == 200 || answer.status == 504 ? 1 : 0);
-      fleet.after(60 + fleet.random().nextInt(80), this::begin);
+      simulation.after(60 + simulation.random().nextInt(80), this::begin);
     }
 
     private void order() {
@@ -146,20 +146,20 @@
     }
 
     private void repeat(final int on) {
-      evacuate(any(), on, fleet.now() + 900)
+      evacuate(any(), on, simulation.now() + 900)
           .whenComplete(
               (answer, problem) -> {
                 if (problem == null && answer.status == 200) {
-                  fleet.after(20 + fleet.random().nextInt(300), this::order);
+                  simulation.after(20 + simulation.random().nextInt(300), this::order);
                 } else {
-                  fleet.after(20, () -> repeat(on));
+                  simulation.after(20, () -> repeat(on));
                 }
               });
     }
 
     private CompletableFuture<StoreMessages.StoreResponse> evacuate(
         final StoreClient store, final int on, final long cutoff) {
-      final StoreMessages.ChangeOrigin cause =
+      final StoreMessages.ChangeOrigin origin =
           new StoreMessages.ChangeOrigin("operator", "", "", null);
       return store
           .call(
@@ -170,8 +170,8 @@
               0,
               null,
               null,
-              fleet.now(),
-              cutoff - fleet.now())
+              simulation.now(),
+              cutoff - simulation.now())
           .thenCompose(
               ticket ->
                   ticket.status != 200
@@ -184,9 +184,9 @@
                               on,
                               ticket.first,
                               null,
-                              cause,
-                              fleet.now(),
-                              cutoff - fleet.now())
+                              origin,
+                              simulation.now(),
+                              cutoff - simulation.now())
                           .thenCompose(
                               answer ->
                                   answer.status != 410
@@ -195,47 +195,48 @@
     }
 
     private void trouble() {
-      final List<String> running = fleet.running();
-      final String one = running.get(fleet.random().nextInt(running.size()));
-      switch (fleet.random().nextInt(4)) {
+      final List<String> running = simulation.running();
+      final String one = running.get(simulation.random().nextInt(running.size()));
+      switch (simulation.random().nextInt(4)) {
         case 0 -> {
-          fleet.kill(one, true);
-          stores.forEach(store -> store.closed(one, fleet.now()));
-          fleet.after(500 + fleet.random().nextInt(1500), () -> fleet.start(one, false));
+          simulation.kill(one, true);
+          stores.forEach(store -> store.closed(one, simulation.now()));
+          simulation.after(
+              500 + simulation.random().nextInt(1500), () -> simulation.start(one, false));
         }
         case 1 -> {
-          fleet.freeze(one, true);
+          simulation.freeze(one, true);
           frozen.put(one, true);
-          fleet.after(
+          simulation.after(
               1500,
               () -> {
-                fleet.freeze(one, false);
+                simulation.freeze(one, false);
                 frozen.remove(one);
               });
         }
         case 2 -> {
           for (final String other : running) {
-            fleet.cut(one, other, !one.equals(other));
-            fleet.cut(other, one, !one.equals(other));
+            simulation.cut(one, other, !one.equals(other));
+            simulation.cut(other, one, !one.equals(other));
           }
-          fleet.after(1800, fleet::heal);
+          simulation.after(1800, simulation::heal);
         }
         default -> {
-          fleet.disk(one, 150);
-          fleet.after(1500, fleet::heal);
+          simulation.disk(one, 150);
+          simulation.after(1500, simulation::heal);
         }
       }
     }
 
     private List<String> finish() {
       stopped = true;
-      fleet.heal();
-      fleet.run(12_000);
+      simulation.heal();
+      simulation.run(12_000);
       final List<String> breaches = new ArrayList<>();
       final long[] fence = new long[1];
       for (int round = 0; round < 20 && fence[0] == 0; round++) {
-        fleet.call(
-            fleet.running().get(round % fleet.running().size()),
+        simulation.call(
+            simulation.running().get(round % simulation.running().size()),
             StoreOperation.LOCK_BEGIN,
             "l",
             "last",
@@ -243,13 +244,13 @@
             0,
             null,
             answer -> fence[0] = answer.status == 200 ? answer.first : 0);
-        fleet.run(400);
+        simulation.run(400);
       }
       if (fence[0] - 1 > mayHold) {
         breaches.add(
             "the lock was granted " + (fence[0] - 1) + " times to " + mayHold + " callers");
       }
-      final AuditLog log = fleet.machines().get("10.0.1.1").core().history();
+      final AuditLog log = simulation.machines().get("10.0.1.1").replica().history();
       long before = 0;
       int begun = 0;
       for (long sequence = 1; sequence <= log.last(); sequence++) {
@@ -270,9 +271,9 @@
     world.begin();
     world.order();
     for (int round = 0; round < 4; round++) {
-      world.fleet.run(2500);
+      world.simulation.run(2500);
       world.trouble();
-      world.fleet.run(3000);
+      world.simulation.run(3000);
     }
     final List<String> breaches = world.finish();
     counts[0] += world.begins;
@@ -311,15 +312,15 @@
       final World world, final String at, final StoreMessages.StoreRequest call) {
     final StoreMessages.StoreResponse[] answer = new StoreMessages.StoreResponse[1];
     world
-        .fleet
+        .simulation
         .machines()
         .get(at)
-        .core()
+        .replica()
         .call(
             Serializer.value(Serializer.bytes(call), StoreMessages.StoreRequest.class),
             one -> answer[0] = one,
-            world.fleet.now());
-    world.fleet.run(300);
+            world.simulation.now());
+    world.simulation.run(300);
     return answer[0];
   }
 
@@ -329,9 +330,9 @@
    */
   private static String holder(final World world, final long number, final long hold) {
     for (int round = 0; round < 40; round++) {
-      for (final String address : world.fleet.running()) {
+      for (final String address : world.simulation.running()) {
         final StoreMessages.StoreResponse answer =
-            ask(world, address, begin(number + round, hold).leaving(world.fleet.now(), 0));
+            ask(world, address, begin(number + round, hold).leaving(world.simulation.now(), 0));
         if (answer != null && answer.status == 200) {
           return address;
         }
@@ -344,17 +345,20 @@
   public void aCopyOfWhatTheHolderBeforeMayHaveDoneIsLeftUnclear() {
     final World world = new World(5, true);
     final StoreMessages.StoreRequest call = begin(1, 200);
-    final long sentAt = world.fleet.now();
+    final long sentAt = world.simulation.now();
     final String first = holder(world, 1, 200);
-    world.fleet.kill(first, true);
+    world.simulation.kill(first, true);
     final String next = holder(world, 100, 100);
-    world.fleet.run(300);
+    world.simulation.run(300);
     final StoreMessages.StoreResponse copy =
-        ask(world, next, call.aged(world.fleet.now() - sentAt, 0).leaving(world.fleet.now(), 0));
+        ask(
+            world,
+            next,
+            call.aged(world.simulation.now() - sentAt, 0).leaving(world.simulation.now(), 0));
     assertEquals(copy.status, 504);
     assertEquals(copy.caller, 9);
     final StoreMessages.StoreResponse fresh =
-        ask(world, next, begin(203, 100).leaving(world.fleet.now(), 0));
+        ask(world, next, begin(203, 100).leaving(world.simulation.now(), 0));
     assertEquals(fresh.status, 200);
     assertEquals(fresh.first, 3, "the copy was carried out after all");
   }
@@ -362,41 +366,43 @@
   @Test
   public void aCopyOfUnknownAgeOrUnderWayForTooLongDoesNothing() {
     final World world = new World(6, true);
-    world.fleet.run(6000);
+    world.simulation.run(6000);
     final String at = holder(world, 1, 100);
-    world.fleet.run(300);
-    assertEquals(ask(world, at, begin(202, 100).leaving(world.fleet.now() - 2501, 0)).status, 0);
-    assertEquals(ask(world, at, begin(203, 100).leaving(world.fleet.now() - 2000, 0)).first, 2);
-    world.fleet.run(300);
+    world.simulation.run(300);
+    assertEquals(
+        ask(world, at, begin(202, 100).leaving(world.simulation.now() - 2501, 0)).status, 0);
+    assertEquals(
+        ask(world, at, begin(203, 100).leaving(world.simulation.now() - 2000, 0)).first, 2);
+    world.simulation.run(300);
     final String last = holder(world, 300, 100);
-    final long before = world.fleet.now();
-    world.fleet.kill(last, true);
+    final long before = world.simulation.now();
+    world.simulation.kill(last, true);
     final String next = holder(world, 400, 100);
     assertEquals(
         ask(world, next, begin(205, 100).leaving(before, 0)).status,
         0,
         "sent before the duty began, or after: not known");
-    world.fleet.run(300);
-    assertEquals(ask(world, next, begin(205, 100).leaving(world.fleet.now(), 0)).first, 5);
+    world.simulation.run(300);
+    assertEquals(ask(world, next, begin(205, 100).leaving(world.simulation.now(), 0)).first, 5);
   }
 
   @Test
   public void aSecondCopyGetsTheAnswerOfTheFirst() {
     final World world = new World(7, true);
     final String at = holder(world, 1, 100);
-    world.fleet.run(300);
+    world.simulation.run(300);
     final StoreMessages.StoreResponse first =
-        ask(world, at, begin(202, 100).leaving(world.fleet.now(), 0));
-    world.fleet.run(300);
+        ask(world, at, begin(202, 100).leaving(world.simulation.now(), 0));
+    world.simulation.run(300);
     final StoreMessages.StoreResponse other =
-        ask(world, at, begin(203, 100).leaving(world.fleet.now(), 0));
+        ask(world, at, begin(203, 100).leaving(world.simulation.now(), 0));
     assertEquals(other.first, first.first + 1);
-    world.fleet.run(300);
+    world.simulation.run(300);
     final StoreMessages.StoreResponse second =
-        ask(world, at, begin(202, 100).aged(900, 0).leaving(world.fleet.now(), 0));
+        ask(world, at, begin(202, 100).aged(900, 0).leaving(world.simulation.now(), 0));
     assertEquals(second.status, 200);
     assertEquals(second.first, first.first);
     assertEquals(
-        ask(world, at, begin(204, 100).leaving(world.fleet.now(), 0)).first, other.first + 1);
+        ask(world, at, begin(204, 100).leaving(world.simulation.now(), 0)).first, other.first + 1);
   }
 }
--- a/simulation/src/test/java/weldpoint/simulation/BrokenControlTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/BrokenControlTest.java
@@ -92,11 +92,11 @@
         pulses.put(from + ">" + to, (StateStoreMessages.Heartbeat) message);
       } else if (message instanceof StateStoreMessages.HeartbeatAck
           && pulses.containsKey(to + ">" + from)) {
-        final StateStoreMessages.Heartbeat pulse = pulses.get(to + ">" + from);
-        final StateStoreMessages.HeartbeatAck pulsed = (StateStoreMessages.HeartbeatAck) message;
+        final StateStoreMessages.Heartbeat heartbeat = pulses.get(to + ">" + from);
+        final StateStoreMessages.HeartbeatAck ack = (StateStoreMessages.HeartbeatAck) message;
         ear.accept(
             new StateStoreMessages.HeartbeatAck(
-                pulse.partitions, pulse.ballots, pulsed.incarnation, pulsed.known, pulsed.audited));
+                heartbeat.partitions, heartbeat.ballots, ack.incarnation, ack.known, ack.audited));
         return;
       }
       ear.accept(message);
@@ -136,7 +136,7 @@
           call.first,
           call.second,
           call.body,
-          call.cause);
+          call.origin);
     }
   }
 
--- a/simulation/src/test/java/weldpoint/simulation/CatchUpMeasureTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/CatchUpMeasureTest.java
@@ -81,10 +81,13 @@
 
   /** Sends configurations until the last is acknowledged. */
   private long change(
-      final StateStoreSimulation fleet, final long from, final long through, final int routes) {
+      final StateStoreSimulation simulation,
+      final long from,
+      final long through,
+      final int routes) {
     for (long version = from + 1; version <= through; version++) {
       final byte[] body = configuration(version, routes);
-      final StoreMessages.ChangeOrigin cause =
+      final StoreMessages.ChangeOrigin origin =
           new StoreMessages.ChangeOrigin(
               "author",
               "10.9.9.9",
@@ -94,16 +97,16 @@
       final byte[] packed = Compression.deflate(body);
       final boolean[] taken = new boolean[1];
       for (int attempt = 0; attempt < 100 && !taken[0]; attempt++) {
-        fleet.change(
+        simulation.change(
             SEEDS.get(attempt % 3),
             StoreOperation.SPEC_REPLACE,
             "",
             version,
             packed,
-            cause,
+            origin,
             answer -> taken[0] |= answer.status == 200);
         for (int wait = 0; wait < 60 && !taken[0]; wait++) {
-          fleet.run(10);
+          simulation.run(10);
         }
       }
       assertTrue(taken[0], "version " + version);
@@ -111,29 +114,29 @@
     return through;
   }
 
-  private static long bytes(final StateStoreSimulation fleet) {
-    return fleet.received(MEMBER, StateStoreMessages.RecoveryResponse.class)
-        + fleet.received(MEMBER, StateStoreMessages.Accept.class)
-        + fleet.received(MEMBER, AuditMessages.AuditEntries.class);
+  private static long bytes(final StateStoreSimulation simulation) {
+    return simulation.received(MEMBER, StateStoreMessages.RecoveryResponse.class)
+        + simulation.received(MEMBER, StateStoreMessages.Accept.class)
+        + simulation.received(MEMBER, AuditMessages.AuditEntries.class);
   }
 
-  private static boolean caughtUp(final StateStoreSimulation fleet) {
-    return !fleet.machines().get(MEMBER).core().blank()
-        && fleet.machines().get(MEMBER).core().history().durable()
-            == fleet.machines().get(SEEDS.get(0)).core().history().durable();
+  private static boolean caughtUp(final StateStoreSimulation simulation) {
+    return !simulation.machines().get(MEMBER).replica().blank()
+        && simulation.machines().get(MEMBER).replica().history().durable()
+            == simulation.machines().get(SEEDS.get(0)).replica().history().durable();
   }
 
-  private static long[] catchUp(final StateStoreSimulation fleet) {
-    final long from = fleet.now();
-    final long before = bytes(fleet);
-    fleet.start(MEMBER, false);
-    while (!caughtUp(fleet) && fleet.now() - from < 60_000) {
-      fleet.run(10);
+  private static long[] catchUp(final StateStoreSimulation simulation) {
+    final long from = simulation.now();
+    final long before = bytes(simulation);
+    simulation.start(MEMBER, false);
+    while (!caughtUp(simulation) && simulation.now() - from < 60_000) {
+      simulation.run(10);
     }
-    final long took = fleet.now() - from;
-    assertTrue(caughtUp(fleet), "not caught up after " + took + " ms");
-    fleet.run(2000);
-    return new long[] {took, bytes(fleet) - before};
+    final long took = simulation.now() - from;
+    assertTrue(caughtUp(simulation), "not caught up after " + took + " ms");
+    simulation.run(2000);
+    return new long[] {took, bytes(simulation) - before};
   }
 
   private static long heap() {
@@ -147,40 +150,40 @@
    * the changes, and of a wiped disk.
    */
   private long[] measure(final int changes, final int routes) {
-    final StateStoreSimulation fleet = new StateStoreSimulation(11, SEEDS, true);
-    fleet.keeps(RETENTION);
+    final StateStoreSimulation simulation = new StateStoreSimulation(11, SEEDS, true);
+    simulation.keeps(RETENTION);
     for (final String[] machine : MACHINES) {
-      fleet.add(machine[0], machine[1], machine[2]);
-      fleet.start(machine[0], true);
-      fleet.link(machine[0], 3600);
+      simulation.add(machine[0], machine[1], machine[2]);
+      simulation.start(machine[0], true);
+      simulation.link(machine[0], 3600);
     }
-    fleet.run(8000);
+    simulation.run(8000);
     final long started = System.nanoTime();
-    long version = change(fleet, 0, changes / 4, routes);
-    fleet.kill(MEMBER, true);
-    version = change(fleet, version, version + changes / 8, routes);
-    final long[] killed = catchUp(fleet);
+    long version = change(simulation, 0, changes / 4, routes);
+    simulation.kill(MEMBER, true);
+    version = change(simulation, version, version + changes / 8, routes);
+    final long[] killed = catchUp(simulation);
     for (final String[] machine : MACHINES) {
-      fleet.cut(machine[0], MEMBER, true);
-      fleet.cut(MEMBER, machine[0], true);
+      simulation.cut(machine[0], MEMBER, true);
+      simulation.cut(MEMBER, machine[0], true);
     }
-    version = change(fleet, version, version + changes / 8, routes);
-    fleet.heal();
-    final long healed = fleet.now();
-    while (!caughtUp(fleet) && fleet.now() - healed < 60_000) {
-      fleet.run(10);
+    version = change(simulation, version, version + changes / 8, routes);
+    simulation.heal();
+    final long healed = simulation.now();
+    while (!caughtUp(simulation) && simulation.now() - healed < 60_000) {
+      simulation.run(10);
     }
-    final long cut = fleet.now() - healed;
-    assertTrue(caughtUp(fleet), "not caught up after a cut");
-    fleet.kill(MEMBER, true);
-    version = change(fleet, version, changes, routes);
-    final long[] restarted = catchUp(fleet);
-    fleet.kill(MEMBER, true);
-    fleet.wipe(MEMBER);
-    fleet.run(2000);
-    final long[] wiped = catchUp(fleet);
+    final long cut = simulation.now() - healed;
+    assertTrue(caughtUp(simulation), "not caught up after a cut");
+    simulation.kill(MEMBER, true);
+    version = change(simulation, version, changes, routes);
+    final long[] restarted = catchUp(simulation);
+    simulation.kill(MEMBER, true);
+    simulation.wipe(MEMBER);
+    simulation.run(2000);
+    final long[] wiped = catchUp(simulation);
     long disk = 0;
-    for (final byte[] record : fleet.machines().get(MEMBER).core().view()) {
+    for (final byte[] record : simulation.machines().get(MEMBER).replica().view()) {
       disk += record.length;
     }
     final long heap = heap();
@@ -208,18 +211,18 @@
             + " bytes; live state "
             + disk
             + " bytes, history "
-            + fleet.machines().get(MEMBER).core().history().base()
+            + simulation.machines().get(MEMBER).replica().history().base()
             + " to "
-            + fleet.machines().get(MEMBER).core().history().last()
+            + simulation.machines().get(MEMBER).replica().history().last()
             + "; heap of five frames "
             + heap / 1024
             + " KB; played in "
             + (System.nanoTime() - started) / 1_000_000
             + " ms");
     assertEquals(
-        fleet.machines().get(MEMBER).core().history().last(),
-        fleet.machines().get(SEEDS.get(0)).core().history().last());
-    assertFalse(fleet.machines().get(MEMBER).core().blank());
+        simulation.machines().get(MEMBER).replica().history().last(),
+        simulation.machines().get(SEEDS.get(0)).replica().history().last());
+    assertFalse(simulation.machines().get(MEMBER).replica().blank());
     return new long[] {restarted[0], restarted[1], wiped[0], wiped[1], heap};
   }
 
--- a/simulation/src/test/java/weldpoint/simulation/CatchUpTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/CatchUpTest.java
@@ -39,16 +39,16 @@
   }
 
   private static StateStoreSimulation fleet(final long seed) {
-    final StateStoreSimulation fleet = new StateStoreSimulation(seed, SEEDS, true);
+    final StateStoreSimulation simulation = new StateStoreSimulation(seed, SEEDS, true);
     for (final String[] machine : MACHINES) {
-      fleet.add(machine[0], machine[1], machine[2]);
+      simulation.add(machine[0], machine[1], machine[2]);
     }
     for (final String[] machine : MACHINES) {
-      fleet.start(machine[0], true);
+      simulation.start(machine[0], true);
     }
-    fleet.run(6000);
-    assertEquals(fleet.machines().get(MEMBER).core().roster().voters.size(), 5);
-    return fleet;
+    simulation.run(6000);
+    assertEquals(simulation.machines().get(MEMBER).replica().roster().voters.size(), 5);
+    return simulation;
   }
 
   private static String text(final Random random, final int length) {
@@ -63,15 +63,16 @@
    * Puts one key into each of so many groups, again where an answer did not come; returns how many
    * puts were acknowledged.
    */
-  private static int put(final StateStoreSimulation fleet, final int groups, final int length) {
+  private static int put(
+      final StateStoreSimulation simulation, final int groups, final int length) {
     final Map<Integer, String> open = new TreeMap<>();
     for (int group = 0; group < groups; group++) {
-      open.put(group, text(fleet.random(), length));
+      open.put(group, text(simulation.random(), length));
     }
     for (int round = 0; round < 5 && !open.isEmpty(); round++) {
       int sent = 0;
       for (final Map.Entry<Integer, String> one : new ArrayList<>(open.entrySet())) {
-        fleet.call(
+        simulation.call(
             SEEDS.get(0),
             StoreOperation.CELL_REPLACE,
             "g" + one.getKey(),
@@ -85,150 +86,155 @@
               }
             });
         if (++sent % 20 == 0) {
-          fleet.run(40);
+          simulation.run(40);
         }
       }
-      fleet.run(800);
+      simulation.run(800);
     }
     return groups - open.size();
   }
 
-  private static long untilWhole(final StateStoreSimulation fleet, final long most) {
-    final long from = fleet.now();
-    while (fleet.now() - from < most
-        && (fleet.machines().get(MEMBER).core() == null
-            || fleet.machines().get(MEMBER).core().blank())) {
-      fleet.run(10);
+  private static long untilWhole(final StateStoreSimulation simulation, final long most) {
+    final long from = simulation.now();
+    while (simulation.now() - from < most
+        && (simulation.machines().get(MEMBER).replica() == null
+            || simulation.machines().get(MEMBER).replica().blank())) {
+      simulation.run(10);
     }
-    return fleet.now() - from;
+    return simulation.now() - from;
   }
 
-  private static long ballots(final StateStoreSimulation fleet) {
+  private static long ballots(final StateStoreSimulation simulation) {
     long ballots = 0;
     for (final String seed : SEEDS) {
-      ballots += fleet.machines().get(seed).core().ballots();
+      ballots += simulation.machines().get(seed).replica().ballots();
     }
     return ballots;
   }
 
   /** The bytes that the member was sent for catching up. */
-  private static long bytes(final StateStoreSimulation fleet) {
-    return fleet.received(MEMBER, StateStoreMessages.RecoveryResponse.class)
-        + fleet.received(MEMBER, StateStoreMessages.Accept.class)
-        + fleet.received(MEMBER, AuditMessages.AuditEntries.class);
+  private static long bytes(final StateStoreSimulation simulation) {
+    return simulation.received(MEMBER, StateStoreMessages.RecoveryResponse.class)
+        + simulation.received(MEMBER, StateStoreMessages.Accept.class)
+        + simulation.received(MEMBER, AuditMessages.AuditEntries.class);
   }
 
-  private static void restart(final StateStoreSimulation fleet, final boolean wipe) {
-    fleet.kill(MEMBER, true);
+  private static void restart(final StateStoreSimulation simulation, final boolean wipe) {
+    simulation.kill(MEMBER, true);
     if (wipe) {
-      fleet.wipe(MEMBER);
+      simulation.wipe(MEMBER);
     }
   }
 
   @Test
   public void aLostDiskIsFilledAgainOverASlowLinkUnderOneIncarnation() {
-    final StateStoreSimulation fleet = fleet(1);
-    assertEquals(put(fleet, 300, 1000), 300);
-    final long ballots = ballots(fleet);
-    restart(fleet, true);
-    fleet.link(MEMBER, 100);
-    fleet.run(500);
-    final long before = fleet.received(MEMBER, StateStoreMessages.RecoveryResponse.class);
-    fleet.start(MEMBER, false);
-    final long took = untilWhole(fleet, 20_000);
-    assertFalse(fleet.machines().get(MEMBER).core().blank(), "still blank after " + took + " ms");
-    final long fetched = fleet.received(MEMBER, StateStoreMessages.RecoveryResponse.class) - before;
-    fleet.run(2000);
-    assertTrue(ballots(fleet) - ballots <= 24, "ballots " + (ballots(fleet) - ballots));
+    final StateStoreSimulation simulation = fleet(1);
+    assertEquals(put(simulation, 300, 1000), 300);
+    final long ballots = ballots(simulation);
+    restart(simulation, true);
+    simulation.link(MEMBER, 100);
+    simulation.run(500);
+    final long before = simulation.received(MEMBER, StateStoreMessages.RecoveryResponse.class);
+    simulation.start(MEMBER, false);
+    final long took = untilWhole(simulation, 20_000);
+    assertFalse(
+        simulation.machines().get(MEMBER).replica().blank(), "still blank after " + took + " ms");
+    final long fetched =
+        simulation.received(MEMBER, StateStoreMessages.RecoveryResponse.class) - before;
+    simulation.run(2000);
+    assertTrue(ballots(simulation) - ballots <= 24, "ballots " + (ballots(simulation) - ballots));
     assertTrue(fetched < 950_000, "600 KB of state came as " + fetched + " bytes");
     assertTrue(took < 13_000, "6 s at least, took " + took);
   }
 
   @Test
   public void aFetchGoesOnWhereItStoodAfterChangesAndRestarts() {
-    final StateStoreSimulation fleet = fleet(2);
-    assertEquals(put(fleet, 300, 1000), 300);
-    restart(fleet, true);
-    fleet.link(MEMBER, 200);
-    fleet.run(500);
-    final long before = fleet.received(MEMBER, StateStoreMessages.RecoveryResponse.class);
-    fleet.start(MEMBER, false);
+    final StateStoreSimulation simulation = fleet(2);
+    assertEquals(put(simulation, 300, 1000), 300);
+    restart(simulation, true);
+    simulation.link(MEMBER, 200);
+    simulation.run(500);
+    final long before = simulation.received(MEMBER, StateStoreMessages.RecoveryResponse.class);
+    simulation.start(MEMBER, false);
     final boolean[] done = new boolean[1];
-    change(fleet, done);
+    change(simulation, done);
     for (int life = 0; life < 3; life++) {
-      fleet.run(1500);
-      assertTrue(fleet.machines().get(MEMBER).core().blank());
-      fleet.kill(MEMBER, life % 2 == 0);
-      fleet.run(300);
-      fleet.start(MEMBER, false);
+      simulation.run(1500);
+      assertTrue(simulation.machines().get(MEMBER).replica().blank());
+      simulation.kill(MEMBER, life % 2 == 0);
+      simulation.run(300);
+      simulation.start(MEMBER, false);
     }
-    final long took = untilWhole(fleet, 20_000);
+    final long took = untilWhole(simulation, 20_000);
     done[0] = true;
-    assertFalse(fleet.machines().get(MEMBER).core().blank(), "still blank after " + took + " ms");
-    final long fetched = fleet.received(MEMBER, StateStoreMessages.RecoveryResponse.class) - before;
+    assertFalse(
+        simulation.machines().get(MEMBER).replica().blank(), "still blank after " + took + " ms");
+    final long fetched =
+        simulation.received(MEMBER, StateStoreMessages.RecoveryResponse.class) - before;
     assertTrue(
         fetched < 1_500_000, "600 KB of state came, over four lives, as " + fetched + " bytes");
     assertTrue(took < 6000, "took " + took);
   }
 
-  private static void change(final StateStoreSimulation fleet, final boolean[] done) {
+  private static void change(final StateStoreSimulation simulation, final boolean[] done) {
     if (!done[0]) {
-      fleet.call(
+      simulation.call(
           SEEDS.get(0),
           StoreOperation.CELL_REPLACE,
-          "g" + fleet.random().nextInt(300),
-          text(fleet.random(), 100),
+          "g" + simulation.random().nextInt(300),
+          text(simulation.random(), 100),
           -1,
           0,
           "other".getBytes(StandardCharsets.UTF_8),
           answer -> {});
-      fleet.after(50, () -> change(fleet, done));
+      simulation.after(50, () -> change(simulation, done));
     }
   }
 
   @Test
   public void aValueLargerThanAPartComesInPiecesWhileItChanges() {
-    final StateStoreSimulation fleet = fleet(3);
+    final StateStoreSimulation simulation = fleet(3);
     final boolean[] done = new boolean[1];
     final long[] version = new long[1];
-    configure(fleet, done, version, 200_000);
-    fleet.run(1500);
-    restart(fleet, true);
-    fleet.link(MEMBER, 100);
-    fleet.run(300);
-    fleet.start(MEMBER, false);
-    final long took = untilWhole(fleet, 20_000);
+    configure(simulation, done, version, 200_000);
+    simulation.run(1500);
+    restart(simulation, true);
+    simulation.link(MEMBER, 100);
+    simulation.run(300);
+    simulation.start(MEMBER, false);
+    final long took = untilWhole(simulation, 20_000);
     done[0] = true;
-    assertFalse(fleet.machines().get(MEMBER).core().blank(), "still blank after " + took + " ms");
+    assertFalse(
+        simulation.machines().get(MEMBER).replica().blank(), "still blank after " + took + " ms");
     assertTrue(version[0] > 5, "versions " + version[0] + ", took " + took);
     assertTrue(took < 15_000, "took " + took);
   }
 
   private static void configure(
-      final StateStoreSimulation fleet,
+      final StateStoreSimulation simulation,
       final boolean[] done,
       final long[] version,
       final int length) {
     if (!done[0]) {
       final byte[] body = new byte[length];
-      fleet.random().nextBytes(body);
+      simulation.random().nextBytes(body);
       version[0]++;
-      fleet.call(
+      simulation.call(
           SEEDS.get(0), StoreOperation.SPEC_REPLACE, "", null, version[0], 0, body, answer -> {});
-      fleet.after(700, () -> configure(fleet, done, version, length));
+      simulation.after(700, () -> configure(simulation, done, version, length));
     }
   }
 
   private static long missed(final int changes) {
-    final StateStoreSimulation fleet = fleet(4);
-    assertEquals(put(fleet, 600, 500), 600);
-    restart(fleet, false);
-    fleet.run(3000);
-    assertEquals(put(fleet, changes, 500), changes);
-    final long before = bytes(fleet);
-    fleet.start(MEMBER, false);
-    fleet.run(4000);
-    return bytes(fleet) - before;
+    final StateStoreSimulation simulation = fleet(4);
+    assertEquals(put(simulation, 600, 500), 600);
+    restart(simulation, false);
+    simulation.run(3000);
+    assertEquals(put(simulation, changes, 500), changes);
+    final long before = bytes(simulation);
+    simulation.start(MEMBER, false);
+    simulation.run(4000);
+    return bytes(simulation) - before;
   }
 
   @Test
@@ -272,29 +278,30 @@
    * reach, has led.
    */
   private static int behind(final boolean broken) {
-    final StateStoreSimulation fleet = fleet(5);
+    final StateStoreSimulation simulation = fleet(5);
     if (broken) {
-      fleet.meddler(leadsWithOldState(MEMBER));
+      simulation.faultInjector(leadsWithOldState(MEMBER));
     }
-    put(fleet, 40, 50);
-    restart(fleet, false);
-    fleet.run(3000);
-    assertEquals(put(fleet, 40, 50), 40);
+    put(simulation, 40, 50);
+    restart(simulation, false);
+    simulation.run(3000);
+    assertEquals(put(simulation, 40, 50), 40);
     for (final String[] machine : MACHINES) {
-      fleet.kill(machine[0], true);
+      simulation.kill(machine[0], true);
     }
-    fleet.run(500);
-    fleet.start(MEMBER, false);
-    fleet.start("10.0.1.2", false);
-    fleet.start("10.0.2.1", false);
-    fleet.cut("10.0.1.2", "10.0.2.1", true);
-    fleet.cut("10.0.2.1", "10.0.1.2", true);
-    fleet.run(6000);
+    simulation.run(500);
+    simulation.start(MEMBER, false);
+    simulation.start("10.0.1.2", false);
+    simulation.start("10.0.2.1", false);
+    simulation.cut("10.0.1.2", "10.0.2.1", true);
+    simulation.cut("10.0.2.1", "10.0.1.2", true);
+    simulation.run(6000);
     assertTrue(
-        fleet.machines().get(MEMBER).core().serving() > 0, "the member with the best reach leads");
+        simulation.machines().get(MEMBER).replica().serving() > 0,
+        "the member with the best reach leads");
     final int[] found = new int[2];
     for (int group = 0; group < 40; group++) {
-      fleet.call(
+      simulation.call(
           MEMBER,
           StoreOperation.CELL_READ,
           "g" + group,
@@ -307,7 +314,7 @@
             found[1] += answer.status == 200 && answer.first == 2 ? 0 : 1;
           });
     }
-    fleet.run(1500);
+    simulation.run(1500);
     assertTrue(found[0] > 30, "answers " + found[0]);
     return found[1];
   }
@@ -324,15 +331,15 @@
 
   @Test
   public void anExchangeThatWasAwayLearnsTheNewestConfigurationAtOnce() {
-    final StateStoreSimulation fleet = fleet(6);
+    final StateStoreSimulation simulation = fleet(6);
     final boolean[] done = new boolean[1];
     final long[] version = new long[1];
-    configure(fleet, done, version, 300);
-    fleet.run(40_000);
+    configure(simulation, done, version, 300);
+    simulation.run(40_000);
     done[0] = true;
-    fleet.run(2000);
+    simulation.run(2000);
     final List<Long> learned = new ArrayList<>();
-    fleet.call(
+    simulation.call(
         SEEDS.get(0),
         StoreOperation.CONTROL,
         "",
@@ -341,23 +348,23 @@
         0,
         null,
         answer -> learned.add(answer.first));
-    fleet.run(2000);
+    simulation.run(2000);
     assertTrue(version[0] > 40);
     assertEquals(learned, List.of(version[0]));
   }
 
   @Test
   public void aMemberThatRestartsBeforeItsHistoryIsThereDoesNotCountYet() {
-    final StateStoreSimulation fleet = fleet(7);
+    final StateStoreSimulation simulation = fleet(7);
     final boolean[] done = new boolean[1];
     final long[] version = new long[1];
-    configure(fleet, done, version, 300);
-    fleet.run(10_000);
+    configure(simulation, done, version, 300);
+    simulation.run(10_000);
     done[0] = true;
-    fleet.run(2000);
-    restart(fleet, true);
+    simulation.run(2000);
+    restart(simulation, true);
     final boolean[] lost = {true};
-    fleet.meddler(
+    simulation.faultInjector(
         new StateStoreSimulation.FaultInjector() {
           @Override
           public Message pass(final String from, final String to, final Message message) {
@@ -366,20 +373,20 @@
                 : message;
           }
         });
-    fleet.start(MEMBER, false);
-    fleet.run(5000);
-    assertTrue(fleet.machines().get(MEMBER).core().blank());
-    fleet.kill(MEMBER, false);
-    fleet.run(300);
-    fleet.start(MEMBER, false);
-    fleet.run(5000);
+    simulation.start(MEMBER, false);
+    simulation.run(5000);
+    assertTrue(simulation.machines().get(MEMBER).replica().blank());
+    simulation.kill(MEMBER, false);
+    simulation.run(300);
+    simulation.start(MEMBER, false);
+    simulation.run(5000);
     assertTrue(
-        fleet.machines().get(MEMBER).core().blank(),
-        "counts with " + fleet.machines().get(MEMBER).core().history().last() + " entries");
+        simulation.machines().get(MEMBER).replica().blank(),
+        "counts with " + simulation.machines().get(MEMBER).replica().history().last() + " entries");
     lost[0] = false;
-    assertTrue(untilWhole(fleet, 10_000) < 10_000);
+    assertTrue(untilWhole(simulation, 10_000) < 10_000);
     assertEquals(
-        fleet.machines().get(MEMBER).core().history().last(),
-        fleet.machines().get(SEEDS.get(0)).core().history().last());
+        simulation.machines().get(MEMBER).replica().history().last(),
+        simulation.machines().get(SEEDS.get(0)).replica().history().last());
   }
 }
--- a/simulation/src/test/java/weldpoint/simulation/ControlRigTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/ControlRigTest.java
@@ -30,7 +30,7 @@
       final SimulationPlan plan = SimulationPlan.drawn(seed);
       final SimulationRun.Outcome outcome = SimulationRun.play(plan);
       assertEquals(outcome.breaches(), List.of(), "--day '" + plan + "'");
-      plan.troubles().forEach(trouble -> played.add(trouble.kind()));
+      plan.troubles().forEach(fault -> played.add(fault.kind()));
       answers += outcome.answers();
     }
     assertEquals(played, EnumSet.allOf(Fault.Kind.class));
--- a/simulation/src/test/java/weldpoint/simulation/FrameSafetyTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/FrameSafetyTest.java
@@ -33,31 +33,31 @@
   }
 
   private static StateStoreSimulation fleet(final long seed, final boolean syncsFirst) {
-    final StateStoreSimulation fleet = new StateStoreSimulation(seed, SEEDS, syncsFirst);
+    final StateStoreSimulation simulation = new StateStoreSimulation(seed, SEEDS, syncsFirst);
     for (final String[] machine : MACHINES) {
-      fleet.add(machine[0], machine[1], machine[2]);
+      simulation.add(machine[0], machine[1], machine[2]);
     }
     for (final String[] machine : MACHINES) {
-      fleet.start(machine[0], true);
+      simulation.start(machine[0], true);
     }
-    fleet.run(6000);
-    return fleet;
+    simulation.run(6000);
+    return simulation;
   }
 
   private static void traffic(
-      final StateStoreSimulation fleet,
-      final SequentialModelChecker ledger,
+      final StateStoreSimulation simulation,
+      final SequentialModelChecker checker,
       final int[] count,
       final Set<String> busy) {
-    final Random random = fleet.random();
-    final long sentAt = fleet.now();
-    final List<String> running = fleet.running();
+    final Random random = simulation.random();
+    final long sentAt = simulation.now();
+    final List<String> running = simulation.running();
     if (!running.isEmpty()) {
       final String at = running.get(random.nextInt(running.size()));
       final String name = "n" + random.nextInt(3);
       switch (random.nextInt(4)) {
         case 0 ->
-            fleet.call(
+            simulation.call(
                 at,
                 StoreOperation.NUMBER,
                 name,
@@ -67,7 +67,7 @@
                 null,
                 answer -> {
                   if (answer.status == 200) {
-                    ledger.given("number " + name, answer.first, sentAt, fleet.now());
+                    checker.given("number " + name, answer.first, sentAt, simulation.now());
                   }
                 });
         case 1 -> {
@@ -76,7 +76,7 @@
             break;
           }
           final boolean[] answered = new boolean[1];
-          fleet.call(
+          simulation.call(
               at,
               StoreOperation.LOCK_BEGIN,
               name,
@@ -85,21 +85,21 @@
               0,
               null,
               answer -> {
-                if (fleet.now() - sentAt >= 3000) {
+                if (simulation.now() - sentAt >= 3000) {
                   return;
                 }
                 answered[0] = true;
                 busy.remove(name + owner);
                 if (answer.status == 200) {
-                  ledger.taken(name, owner, answer.first, sentAt, fleet.now(), 800);
-                  fleet.after(
+                  checker.taken(name, owner, answer.first, sentAt, simulation.now(), 800);
+                  simulation.after(
                       random.nextInt(500),
                       () -> {
                         if (busy.add(name + owner)) {
-                          ledger.released(name, owner, answer.first, fleet.now());
-                          final long begunAt = fleet.now();
-                          fleet.after(1000, () -> busy.remove(name + owner));
-                          fleet.call(
+                          checker.released(name, owner, answer.first, simulation.now());
+                          final long begunAt = simulation.now();
+                          simulation.after(1000, () -> busy.remove(name + owner));
+                          simulation.call(
                               at,
                               StoreOperation.LOCK_TICKET,
                               name,
@@ -108,8 +108,8 @@
                               0,
                               null,
                               ticket -> {
-                                if (ticket.status == 200 && fleet.now() - begunAt < 900) {
-                                  fleet.call(
+                                if (ticket.status == 200 && simulation.now() - begunAt < 900) {
+                                  simulation.call(
                                       at,
                                       StoreOperation.LOCK_FINISH,
                                       name,
@@ -118,10 +118,10 @@
                                       answer.first,
                                       null,
                                       done -> {});
-                                  fleet.after(
+                                  simulation.after(
                                       random.nextInt(30),
                                       () ->
-                                          fleet.call(
+                                          simulation.call(
                                               at,
                                               StoreOperation.LOCK_FINISH,
                                               name,
@@ -136,7 +136,7 @@
                       });
                 }
               });
-          fleet.after(
+          simulation.after(
               3000,
               () -> {
                 if (!answered[0]) {
@@ -148,7 +148,7 @@
           final String value = "v" + count[0]++;
           final String key = "g" + random.nextInt(2) + ".k" + random.nextInt(2);
           final long enabled = random.nextBoolean() ? -1 : random.nextInt(4);
-          fleet.call(
+          simulation.call(
               at,
               StoreOperation.CELL_REPLACE,
               key.substring(0, 3),
@@ -158,16 +158,17 @@
               key.getBytes(StandardCharsets.UTF_8),
               answer -> {
                 if (answer.status == 200) {
-                  ledger.put(key, value, answer.first, fleet.now());
-                  ledger.given("group " + key.substring(0, 3), answer.first, sentAt, fleet.now());
+                  checker.put(key, value, answer.first, simulation.now());
+                  checker.given(
+                      "group " + key.substring(0, 3), answer.first, sentAt, simulation.now());
                 } else if (answer.status == 412) {
-                  ledger.turnedAway(value);
+                  checker.turnedAway(value);
                 }
               });
         }
         default -> {
           final String key = "g" + random.nextInt(2) + ".k" + random.nextInt(2);
-          fleet.call(
+          simulation.call(
               at,
               StoreOperation.CELL_READ,
               key.substring(0, 3),
@@ -177,7 +178,7 @@
               key.getBytes(StandardCharsets.UTF_8),
               answer -> {
                 if (answer.status == 200 || answer.status == 404) {
-                  ledger.read(
+                  checker.read(
                       key,
                       answer.body == null ? null : new String(answer.body, StandardCharsets.UTF_8),
                       answer.status == 404 ? 0 : answer.first,
@@ -187,56 +188,56 @@
         }
       }
     }
-    fleet.after(20, () -> traffic(fleet, ledger, count, busy));
+    simulation.after(20, () -> traffic(simulation, checker, count, busy));
   }
 
-  private static void trouble(final StateStoreSimulation fleet) {
-    final Random random = fleet.random();
-    final List<String> running = fleet.running();
+  private static void trouble(final StateStoreSimulation simulation) {
+    final Random random = simulation.random();
+    final List<String> running = simulation.running();
     final String one = running.get(random.nextInt(running.size()));
     switch (random.nextInt(7)) {
       case 0 -> {
-        fleet.kill(one, true);
-        fleet.after(300 + random.nextInt(2000), () -> fleet.start(one, false));
+        simulation.kill(one, true);
+        simulation.after(300 + random.nextInt(2000), () -> simulation.start(one, false));
       }
       case 1 -> {
         for (final String address : running) {
-          fleet.kill(address, random.nextBoolean());
-          fleet.after(300 + random.nextInt(800), () -> fleet.start(address, false));
+          simulation.kill(address, random.nextBoolean());
+          simulation.after(300 + random.nextInt(800), () -> simulation.start(address, false));
         }
       }
       case 2 -> {
         for (final String other : running) {
           if (!other.equals(one)) {
-            fleet.cut(one, other, true);
-            fleet.cut(other, one, random.nextBoolean());
+            simulation.cut(one, other, true);
+            simulation.cut(other, one, random.nextBoolean());
           }
         }
       }
-      case 3 -> fleet.freeze(one, true);
-      case 4 -> fleet.disk(one, 200);
+      case 3 -> simulation.freeze(one, true);
+      case 4 -> simulation.disk(one, 200);
       default -> {
-        fleet.kill(one, true);
-        fleet.wipe(one);
-        fleet.after(300 + random.nextInt(600), () -> fleet.start(one, false));
+        simulation.kill(one, true);
+        simulation.wipe(one);
+        simulation.after(300 + random.nextInt(600), () -> simulation.start(one, false));
       }
     }
-    fleet.after(2500, fleet::heal);
+    simulation.after(2500, simulation::heal);
   }
 
   private static List<String> play(final long seed, final int[] answers) {
-    final StateStoreSimulation fleet = fleet(seed, true);
-    final SequentialModelChecker ledger = new SequentialModelChecker();
+    final StateStoreSimulation simulation = fleet(seed, true);
+    final SequentialModelChecker checker = new SequentialModelChecker();
     final int[] count = new int[1];
     final Set<String> busy = new HashSet<>();
-    traffic(fleet, ledger, count, busy);
+    traffic(simulation, checker, count, busy);
     for (int round = 0; round < 5; round++) {
-      fleet.run(1500);
-      trouble(fleet);
-      fleet.run(5500);
+      simulation.run(1500);
+      trouble(simulation);
+      simulation.run(5500);
     }
-    answers[0] += ledger.answers();
-    return ledger.breaches();
+    answers[0] += checker.answers();
+    return checker.breaches();
   }
 
   @Test
@@ -250,19 +251,19 @@
   }
 
   private static List<String> powerOutages(final long seed, final boolean syncsFirst) {
-    final StateStoreSimulation fleet = fleet(seed, syncsFirst);
-    final SequentialModelChecker ledger = new SequentialModelChecker();
-    traffic(fleet, ledger, new int[1], new HashSet<>());
+    final StateStoreSimulation simulation = fleet(seed, syncsFirst);
+    final SequentialModelChecker checker = new SequentialModelChecker();
+    traffic(simulation, checker, new int[1], new HashSet<>());
     for (int round = 0; round < 3; round++) {
-      fleet.machines().keySet().forEach(address -> fleet.disk(address, 400));
-      fleet.run(2000);
-      for (final String address : fleet.running()) {
-        fleet.kill(address, true);
-        fleet.after(300, () -> fleet.start(address, false));
+      simulation.machines().keySet().forEach(address -> simulation.disk(address, 400));
+      simulation.run(2000);
+      for (final String address : simulation.running()) {
+        simulation.kill(address, true);
+        simulation.after(300, () -> simulation.start(address, false));
       }
-      fleet.run(4000);
+      simulation.run(4000);
     }
-    return ledger.breaches();
+    return checker.breaches();
   }
 
   @Test
@@ -282,24 +283,24 @@
 
   @Test
   public void allFiveBecomeVotersAndServe() {
-    final StateStoreSimulation fleet = fleet(7, true);
+    final StateStoreSimulation simulation = fleet(7, true);
     int serving = 0;
-    for (final StateStoreSimulation.Machine machine : fleet.machines().values()) {
-      assertEquals(machine.core().roster().voters.size(), 5);
-      serving += machine.core().serving();
+    for (final StateStoreSimulation.Machine machine : simulation.machines().values()) {
+      assertEquals(machine.replica().roster().voters.size(), 5);
+      serving += machine.replica().serving();
     }
     assertEquals(serving, 8);
   }
 
   @Test
   public void anEmptyMachineTakesTheDeadOnesPlaceAndTokens() {
-    final StateStoreSimulation fleet = fleet(8, true);
-    fleet.kill("10.0.2.1", true);
-    fleet.run(1000);
-    fleet.add("10.0.2.9", "b", "y");
-    fleet.start("10.0.2.9", false);
-    fleet.run(9000);
-    final var roster = fleet.machines().get("10.0.1.1").core().roster();
+    final StateStoreSimulation simulation = fleet(8, true);
+    simulation.kill("10.0.2.1", true);
+    simulation.run(1000);
+    simulation.add("10.0.2.9", "b", "y");
+    simulation.start("10.0.2.9", false);
+    simulation.run(9000);
+    final var roster = simulation.machines().get("10.0.1.1").replica().roster();
     assertEquals(roster.index("10.0.2.1"), -1);
     assertTrue(roster.index("10.0.2.9") >= 0);
     assertEquals(roster.voters.size(), 5);
@@ -308,29 +309,29 @@
     tokens.sort(null);
     assertEquals(tokens.size(), 64);
     assertEquals((int) tokens.get(63), 63);
-    fleet.start("10.0.2.1", false);
-    fleet.run(4000);
+    simulation.start("10.0.2.1", false);
+    simulation.run(4000);
     assertEquals(
-        fleet.machines().get("10.0.2.1").core().roster().index("10.0.2.1"),
+        simulation.machines().get("10.0.2.1").replica().roster().index("10.0.2.1"),
         -1,
         "a removed daemon must not vote again by itself");
   }
 
   @Test
   public void theMinorityAcknowledgesNothing() {
-    final StateStoreSimulation fleet = fleet(9, true);
+    final StateStoreSimulation simulation = fleet(9, true);
     final String[] few = {"10.0.1.1", "10.0.1.2"};
     for (final String one : few) {
-      for (final String other : fleet.running()) {
+      for (final String other : simulation.running()) {
         if (!other.equals(few[0]) && !other.equals(few[1])) {
-          fleet.cut(one, other, true);
-          fleet.cut(other, one, true);
+          simulation.cut(one, other, true);
+          simulation.cut(other, one, true);
         }
       }
     }
     final int[] good = new int[1];
     for (int index = 0; index < 40; index++) {
-      fleet.callOnly(
+      simulation.callOnly(
           few[index % 2],
           StoreOperation.NUMBER,
           "n" + index,
@@ -339,7 +340,7 @@
               good[0]++;
             }
           });
-      fleet.run(50);
+      simulation.run(50);
     }
     assertEquals(good[0], 0);
   }
--- a/simulation/src/test/java/weldpoint/simulation/HistoryTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/HistoryTest.java
@@ -49,18 +49,18 @@
   }
 
   private static StateStoreSimulation fleet(
-      final long seed, final StateStoreSimulation.FaultInjector meddler, final long keeps) {
-    final StateStoreSimulation fleet = new StateStoreSimulation(seed, SEEDS, true);
-    if (meddler != null) {
-      fleet.meddler(meddler);
+      final long seed, final StateStoreSimulation.FaultInjector faultInjector, final long keeps) {
+    final StateStoreSimulation simulation = new StateStoreSimulation(seed, SEEDS, true);
+    if (faultInjector != null) {
+      simulation.faultInjector(faultInjector);
     }
-    fleet.keeps(keeps);
+    simulation.keeps(keeps);
     for (final String[] machine : MACHINES) {
-      fleet.add(machine[0], machine[1], machine[2]);
-      fleet.start(machine[0], true);
+      simulation.add(machine[0], machine[1], machine[2]);
+      simulation.start(machine[0], true);
     }
-    fleet.run(6000);
-    return fleet;
+    simulation.run(6000);
+    return simulation;
   }
 
   private static byte[] body(final long version, final int choice) {
@@ -86,23 +86,23 @@
   }
 
   private static final class Operators {
-    private final StateStoreSimulation fleet;
-    private final HistoryChecker ledger;
+    private final StateStoreSimulation simulation;
+    private final HistoryChecker checker;
     private final List<StoreMessages.StoreRequest> earlier = new ArrayList<>();
     private long version;
     private boolean stopped;
 
-    private Operators(final StateStoreSimulation fleet, final HistoryChecker ledger) {
-      this.fleet = fleet;
-      this.ledger = ledger;
+    private Operators(final StateStoreSimulation simulation, final HistoryChecker checker) {
+      this.simulation = simulation;
+      this.checker = checker;
     }
 
     private void work(final String author) {
       if (stopped) {
         return;
       }
-      final Random random = fleet.random();
-      final List<String> running = fleet.running();
+      final Random random = simulation.random();
+      final List<String> running = simulation.running();
       if (!running.isEmpty()) {
         final String at = running.get(random.nextInt(running.size()));
         final int pick = random.nextInt(10);
@@ -110,7 +110,7 @@
           version += 1 + random.nextInt(3);
           final long sent = version;
           final byte[] body = body(sent, random.nextInt(3));
-          ledger.offered(sent, AuditEntry.digest(body));
+          checker.offered(sent, AuditEntry.digest(body));
           final StoreMessages.StoreRequest call =
               new StoreMessages.StoreRequest(
                   0,
@@ -122,13 +122,13 @@
                   Compression.deflate(body),
                   cause(author, body));
           earlier.add(call);
-          fleet.again(at, call, answer -> acknowledge(sent, answer));
+          simulation.again(at, call, answer -> acknowledge(sent, answer));
         } else if (pick < 7 && !earlier.isEmpty()) {
           final StoreMessages.StoreRequest call = earlier.get(random.nextInt(earlier.size()));
-          fleet.again(at, call, answer -> acknowledge(call.first, answer));
+          simulation.again(at, call, answer -> acknowledge(call.first, answer));
         } else {
           final String zone = "z" + random.nextInt(2);
-          fleet.change(
+          simulation.change(
               at,
               StoreOperation.EVACUATE,
               zone,
@@ -137,79 +137,79 @@
               cause(author, null),
               answer -> {
                 if (answer.status == 200) {
-                  ledger.evacuated(zone, answer.first);
+                  checker.evacuated(zone, answer.first);
                 }
               });
         }
       }
-      fleet.after(40 + random.nextInt(120), () -> work(author));
+      simulation.after(40 + random.nextInt(120), () -> work(author));
     }
 
     private void acknowledge(final long sent, final StoreMessages.StoreResponse answer) {
       if (answer.status == 200 && answer.first == sent) {
-        ledger.acknowledged(sent);
+        checker.acknowledged(sent);
       }
     }
   }
 
-  private static void trouble(final StateStoreSimulation fleet) {
-    final Random random = fleet.random();
-    final List<String> running = fleet.running();
+  private static void trouble(final StateStoreSimulation simulation) {
+    final Random random = simulation.random();
+    final List<String> running = simulation.running();
     final String one = running.get(random.nextInt(running.size()));
     switch (random.nextInt(9)) {
       case 0 -> {
-        fleet.kill(one, true);
-        fleet.after(200 + random.nextInt(2000), () -> fleet.start(one, false));
+        simulation.kill(one, true);
+        simulation.after(200 + random.nextInt(2000), () -> simulation.start(one, false));
       }
       case 1 -> {
         for (final String address : running) {
-          fleet.kill(address, random.nextBoolean());
-          fleet.after(200 + random.nextInt(800), () -> fleet.start(address, false));
+          simulation.kill(address, random.nextBoolean());
+          simulation.after(200 + random.nextInt(800), () -> simulation.start(address, false));
         }
       }
       case 2 -> {
         for (final String other : running) {
           if (!other.equals(one)) {
-            fleet.cut(one, other, true);
-            fleet.cut(other, one, random.nextBoolean());
+            simulation.cut(one, other, true);
+            simulation.cut(other, one, random.nextBoolean());
           }
         }
       }
-      case 3 -> fleet.freeze(one, true);
-      case 4 -> fleet.disk(one, 250);
-      case 5 -> fleet.full(one, true);
-      case 6 -> fleet.step(one, -5000 + random.nextInt(4000));
+      case 3 -> simulation.freeze(one, true);
+      case 4 -> simulation.disk(one, 250);
+      case 5 -> simulation.full(one, true);
+      case 6 -> simulation.step(one, -5000 + random.nextInt(4000));
       case 7 -> {
-        fleet.kill(one, true);
-        fleet.damage(one);
-        fleet.after(200, () -> fleet.start(one, false));
+        simulation.kill(one, true);
+        simulation.damage(one);
+        simulation.after(200, () -> simulation.start(one, false));
       }
       default -> {
-        fleet.kill(one, true);
-        fleet.wipe(one);
-        fleet.after(300 + random.nextInt(600), () -> fleet.start(one, false));
+        simulation.kill(one, true);
+        simulation.wipe(one);
+        simulation.after(300 + random.nextInt(600), () -> simulation.start(one, false));
       }
     }
-    fleet.after(2500, fleet::heal);
+    simulation.after(2500, simulation::heal);
   }
 
-  private static void watch(final StateStoreSimulation fleet, final HistoryChecker ledger) {
-    for (final StateStoreSimulation.Machine machine : fleet.machines().values()) {
-      if (machine.core() != null) {
-        ledger.look(machine.address, machine.core().history());
+  private static void watch(final StateStoreSimulation simulation, final HistoryChecker checker) {
+    for (final StateStoreSimulation.Machine machine : simulation.machines().values()) {
+      if (machine.replica() != null) {
+        checker.look(machine.address, machine.replica().history());
       }
     }
-    fleet.after(400, () -> watch(fleet, ledger));
+    simulation.after(400, () -> watch(simulation, checker));
   }
 
   private static List<String> finish(
-      final StateStoreSimulation fleet, final HistoryChecker ledger) {
+      final StateStoreSimulation simulation, final HistoryChecker checker) {
     final long[] version = new long[1];
     final String[] digest = {""};
     final Map<String, Long> serials = new HashMap<>();
     for (int round = 0; round < 40 && version[0] == 0; round++) {
-      fleet.call(
-          fleet.running().get(round % fleet.running().size()),
+      simulation.call(
+          simulation.running().get(round % simulation.running().size()),
           StoreOperation.SPEC_READ,
           "",
           null,
@@ -222,41 +222,41 @@
               digest[0] = AuditEntry.digest(Compression.inflate(answer.body));
             }
           });
-      fleet.run(300);
+      simulation.run(300);
     }
     final Map<String, AuditLog> logs = new LinkedHashMap<>();
-    fleet
+    simulation
         .machines()
         .forEach(
             (address, machine) -> {
-              if (machine.core() != null) {
-                logs.put(address, machine.core().history());
+              if (machine.replica() != null) {
+                logs.put(address, machine.replica().history());
               }
             });
-    return ledger.finish(logs, version[0], digest[0], serials);
+    return checker.finish(logs, version[0], digest[0], serials);
   }
 
   private static List<String> play(
       final long seed,
-      final StateStoreSimulation.FaultInjector meddler,
+      final StateStoreSimulation.FaultInjector faultInjector,
       final int[] changes,
       final long keeps) {
-    final StateStoreSimulation fleet = fleet(seed, meddler, keeps);
-    final HistoryChecker ledger = new HistoryChecker();
-    final Operators operators = new Operators(fleet, ledger);
+    final StateStoreSimulation simulation = fleet(seed, faultInjector, keeps);
+    final HistoryChecker checker = new HistoryChecker();
+    final Operators operators = new Operators(simulation, checker);
     operators.work("dispatch lead");
     operators.work("legacy clerk");
-    watch(fleet, ledger);
+    watch(simulation, checker);
     for (int round = 0; round < 4; round++) {
-      fleet.run(1500);
-      trouble(fleet);
-      fleet.run(5000);
+      simulation.run(1500);
+      trouble(simulation);
+      simulation.run(5000);
     }
     operators.stopped = true;
-    fleet.heal();
-    fleet.run(12_000);
-    changes[0] += ledger.count();
-    return finish(fleet, ledger);
+    simulation.heal();
+    simulation.run(12_000);
+    changes[0] += checker.count();
+    return finish(simulation, checker);
   }
 
   @Test
@@ -272,24 +272,24 @@
   @Test
   public void trimmingIsAlikeEverywhereAndNeverForgetsWhatIsYoung() {
     for (long seed = 100; seed < 110; seed++) {
-      final StateStoreSimulation fleet = fleet(seed, null, 30);
-      final HistoryChecker ledger = new HistoryChecker();
-      final Operators operators = new Operators(fleet, ledger);
+      final StateStoreSimulation simulation = fleet(seed, null, 30);
+      final HistoryChecker checker = new HistoryChecker();
+      final Operators operators = new Operators(simulation, checker);
       operators.work("one");
-      watch(fleet, ledger);
+      watch(simulation, checker);
       for (int round = 0; round < 4; round++) {
-        fleet.run(2500);
-        trouble(fleet);
-        fleet.run(4000);
+        simulation.run(2500);
+        trouble(simulation);
+        simulation.run(4000);
       }
       operators.stopped = true;
-      fleet.heal();
-      fleet.run(12_000);
-      final List<String> breaches = finish(fleet, ledger);
+      simulation.heal();
+      simulation.run(12_000);
+      final List<String> breaches = finish(simulation, checker);
       assertTrue(breaches.isEmpty(), "seed " + seed + ": " + breaches);
       long base = -1;
-      for (final StateStoreSimulation.Machine machine : fleet.machines().values()) {
-        final AuditLog log = machine.core().history();
+      for (final StateStoreSimulation.Machine machine : simulation.machines().values()) {
+        final AuditLog log = machine.replica().history();
         assertTrue(
             base < 0 || base == log.base(),
             "seed " + seed + ": trimmed up to " + base + " and " + log.base());
@@ -304,24 +304,24 @@
 
   @Test
   public void aReplacedAndAWipedReplicaGiveTheSameHistory() {
-    final StateStoreSimulation fleet = fleet(7, null, 2000);
-    final HistoryChecker ledger = new HistoryChecker();
-    final Operators operators = new Operators(fleet, ledger);
+    final StateStoreSimulation simulation = fleet(7, null, 2000);
+    final HistoryChecker checker = new HistoryChecker();
+    final Operators operators = new Operators(simulation, checker);
     operators.work("one");
-    fleet.run(4000);
-    fleet.kill("10.0.2.1", true);
-    fleet.kill("10.0.3.1", true);
-    fleet.wipe("10.0.3.1");
-    fleet.add("10.0.2.9", "b", "y");
-    fleet.run(500);
-    fleet.start("10.0.2.9", false);
-    fleet.start("10.0.3.1", false);
-    fleet.run(9000);
+    simulation.run(4000);
+    simulation.kill("10.0.2.1", true);
+    simulation.kill("10.0.3.1", true);
+    simulation.wipe("10.0.3.1");
+    simulation.add("10.0.2.9", "b", "y");
+    simulation.run(500);
+    simulation.start("10.0.2.9", false);
+    simulation.start("10.0.3.1", false);
+    simulation.run(9000);
     operators.stopped = true;
-    fleet.run(4000);
-    assertTrue(finish(fleet, ledger).isEmpty());
-    final AuditLog wiped = fleet.machines().get("10.0.3.1").core().history();
-    final AuditLog fresh = fleet.machines().get("10.0.2.9").core().history();
+    simulation.run(4000);
+    assertTrue(finish(simulation, checker).isEmpty());
+    final AuditLog wiped = simulation.machines().get("10.0.3.1").replica().history();
+    final AuditLog fresh = simulation.machines().get("10.0.2.9").replica().history();
     assertTrue(wiped.last() > 20);
     assertEquals(wiped.digest(), fresh.digest());
     assertEquals(wiped.base(), 0);
@@ -330,10 +330,10 @@
 
   @Test
   public void aChangeThatAltersNothingMakesNoEntryAndTheAuthorIsInIt() {
-    final StateStoreSimulation fleet = fleet(9, null, 2000);
+    final StateStoreSimulation simulation = fleet(9, null, 2000);
     final byte[] first = body(5, 0);
     for (int round = 0; round < 3; round++) {
-      fleet.change(
+      simulation.change(
           "10.0.1.1",
           StoreOperation.SPEC_REPLACE,
           "",
@@ -341,7 +341,7 @@
           Compression.deflate(first),
           cause("customer desk", first),
           answer -> {});
-      fleet.change(
+      simulation.change(
           "10.0.2.1",
           StoreOperation.EVACUATE,
           "z",
@@ -349,11 +349,11 @@
           null,
           cause("customer desk", null),
           answer -> {});
-      fleet.run(800);
+      simulation.run(800);
     }
     final byte[] second = body(9, 2);
-    fleet.step("10.0.1.1", -100_000);
-    fleet.change(
+    simulation.step("10.0.1.1", -100_000);
+    simulation.change(
         "10.0.1.1",
         StoreOperation.SPEC_REPLACE,
         "",
@@ -361,8 +361,8 @@
         Compression.deflate(second),
         cause("dispatch lead", second),
         answer -> {});
-    fleet.run(1500);
-    final AuditLog log = fleet.machines().get("10.0.4.1").core().history();
+    simulation.run(1500);
+    final AuditLog log = simulation.machines().get("10.0.4.1").replica().history();
     assertEquals(log.last(), 3);
     final AuditEntry begun =
         AuditEntry.read(
@@ -385,7 +385,7 @@
 
   @Test
   public void anOlderStoreBeginsItsHistoryBySayingSo() {
-    final StateStoreSimulation fleet =
+    final StateStoreSimulation simulation =
         fleet(
             11,
             new StateStoreSimulation.FaultInjector() {
@@ -396,13 +396,13 @@
 
               @Override
               public void prepare(
-                  final StateStoreReplica core, final AuditStore store, final long keeps) {
-                BrokenAuditSequencer.silent(core, store, keeps);
+                  final StateStoreReplica replica, final AuditStore store, final long keeps) {
+                BrokenAuditSequencer.silent(replica, store, keeps);
               }
             },
             2000);
     final byte[] old = body(3, 1);
-    fleet.change(
+    simulation.change(
         "10.0.1.1",
         StoreOperation.SPEC_REPLACE,
         "",
@@ -410,14 +410,14 @@
         Compression.deflate(old),
         null,
         answer -> {});
-    fleet.run(1000);
-    fleet.meddler(new StateStoreSimulation.FaultInjector() {});
-    for (final String address : fleet.running()) {
-      fleet.kill(address, false);
-      fleet.after(100, () -> fleet.start(address, false));
+    simulation.run(1000);
+    simulation.faultInjector(new StateStoreSimulation.FaultInjector() {});
+    for (final String address : simulation.running()) {
+      simulation.kill(address, false);
+      simulation.after(100, () -> simulation.start(address, false));
     }
-    fleet.run(6000);
-    final AuditLog log = fleet.machines().get("10.0.4.1").core().history();
+    simulation.run(6000);
+    final AuditLog log = simulation.machines().get("10.0.4.1").replica().history();
     assertEquals(log.last(), 1);
     final AuditEntry entry = AuditEntry.read(log.read(1));
     assertEquals(entry.kind(), ChangeKind.UPGRADE);
@@ -482,10 +482,10 @@
                       new StateStoreSimulation.FaultInjector() {
                         @Override
                         public void prepare(
-                            final StateStoreReplica core,
+                            final StateStoreReplica replica,
                             final AuditStore store,
                             final long keeps) {
-                          BrokenAuditSequencer.hasty(core, store, keeps);
+                          BrokenAuditSequencer.hasty(replica, store, keeps);
                         }
                       },
                       new int[1],
--- a/simulation/src/test/java/weldpoint/simulation/IncarnationTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/IncarnationTest.java
@@ -20,38 +20,38 @@
   private static final String[] SPARES = {"10.0.1.6", "10.0.1.7", "10.0.1.8"};
 
   private static StateStoreSimulation fleet(final long seed, final int spares) {
-    final StateStoreSimulation fleet = new StateStoreSimulation(seed, List.of(SEEDS), true);
+    final StateStoreSimulation simulation = new StateStoreSimulation(seed, List.of(SEEDS), true);
     for (final String address : SEEDS) {
-      fleet.add(address, "zone-" + address, "x");
-      fleet.start(address, true);
+      simulation.add(address, "zone-" + address, "x");
+      simulation.start(address, true);
     }
     for (int index = 0; index < spares; index++) {
-      fleet.add(SPARES[index], "zone-" + SPARES[index], "x");
-      fleet.start(SPARES[index], true);
+      simulation.add(SPARES[index], "zone-" + SPARES[index], "x");
+      simulation.start(SPARES[index], true);
     }
-    fleet.run(6000);
-    return fleet;
+    simulation.run(6000);
+    return simulation;
   }
 
-  private static void wipe(final StateStoreSimulation fleet, final String address) {
-    fleet.kill(address, true);
-    fleet.wipe(address);
-    fleet.run(300);
-    fleet.start(address, false);
-    fleet.run(4000);
+  private static void wipe(final StateStoreSimulation simulation, final String address) {
+    simulation.kill(address, true);
+    simulation.wipe(address);
+    simulation.run(300);
+    simulation.start(address, false);
+    simulation.run(4000);
   }
 
   /** Replaces a voter, which is lost for good, by a machine that waits. */
-  private static void replace(final StateStoreSimulation fleet, final String address) {
-    fleet.kill(address, true);
-    fleet.run(9000);
-    final StateStoreMessages.Roster roster = roster(fleet);
+  private static void replace(final StateStoreSimulation simulation, final String address) {
+    simulation.kill(address, true);
+    simulation.run(9000);
+    final StateStoreMessages.Roster roster = roster(simulation);
     assertEquals(roster.index(address), -1, "the voter that was lost is still in the roster");
     assertEquals(roster.voters.size(), 5);
   }
 
-  private static StateStoreMessages.Roster roster(final StateStoreSimulation fleet) {
-    return fleet.machines().get(fleet.running().get(0)).core().roster();
+  private static StateStoreMessages.Roster roster(final StateStoreSimulation simulation) {
+    return simulation.machines().get(simulation.running().get(0)).replica().roster();
   }
 
   /**
@@ -62,10 +62,10 @@
   @Test
   public void anIncarnationIsTakenOnceThoughAllWhoHeardOfItAreGone() {
     for (long seed = 1; seed <= 5; seed++) {
-      final StateStoreSimulation fleet = fleet(seed, 3);
+      final StateStoreSimulation simulation = fleet(seed, 3);
       final String twice = SEEDS[0];
       final long[] incarnation = new long[1];
-      fleet.meddler(
+      simulation.faultInjector(
           new StateStoreSimulation.FaultInjector() {
             @Override
             public Message pass(final String from, final String to, final Message message) {
@@ -75,26 +75,26 @@
               return message;
             }
           });
-      fleet.cut(twice, SEEDS[4], true);
-      fleet.cut(SEEDS[4], twice, true);
-      wipe(fleet, twice);
-      fleet.heal();
-      fleet.run(1000);
+      simulation.cut(twice, SEEDS[4], true);
+      simulation.cut(SEEDS[4], twice, true);
+      wipe(simulation, twice);
+      simulation.heal();
+      simulation.run(1000);
       assertEquals(incarnation[0], 2L);
       for (int index = 1; index <= 3; index++) {
-        replace(fleet, SEEDS[index]);
+        replace(simulation, SEEDS[index]);
       }
-      for (final String address : fleet.running()) {
-        fleet.kill(address, true);
+      for (final String address : simulation.running()) {
+        simulation.kill(address, true);
       }
-      fleet.wipe(twice);
+      simulation.wipe(twice);
       incarnation[0] = 0;
-      fleet.start(SEEDS[4], false);
+      simulation.start(SEEDS[4], false);
       for (final String address : SPARES) {
-        fleet.start(address, false);
+        simulation.start(address, false);
       }
-      fleet.start(twice, false);
-      fleet.run(6000);
+      simulation.start(twice, false);
+      simulation.run(6000);
       assertEquals(incarnation[0], 3L, "seed " + seed + ": the incarnation of the third life");
     }
   }
@@ -105,13 +105,13 @@
    */
   @Test
   public void aLateListOfIncarnationsIsNotReadAsOneOfOtherVoters() {
-    final StateStoreSimulation fleet = fleet(3, 1);
-    wipe(fleet, SEEDS[1]);
+    final StateStoreSimulation simulation = fleet(3, 1);
+    wipe(simulation, SEEDS[1]);
     final String late = SEEDS[4];
     final Map<String, StateStoreMessages.HeartbeatAck> kept = new HashMap<>();
     final boolean[] give = new boolean[1];
     final Map<String, List<Long>> lists = new HashMap<>();
-    fleet.meddler(
+    simulation.faultInjector(
         new StateStoreSimulation.FaultInjector() {
           @Override
           public Message pass(final String from, final String to, final Message message) {
@@ -125,19 +125,19 @@
             return from.equals(late) && give[0] && kept.containsKey(to) ? kept.remove(to) : message;
           }
         });
-    fleet.run(2000);
+    simulation.run(2000);
     assertTrue(
-        kept.values().stream().allMatch(pulsed -> pulsed.known.contains(2L)),
+        kept.values().stream().allMatch(ack -> ack.known.contains(2L)),
         "nobody knows of the lost disk");
     final Map<String, StateStoreMessages.HeartbeatAck> copies = new HashMap<>(kept);
-    replace(fleet, SEEDS[0]);
+    replace(simulation, SEEDS[0]);
     kept.clear();
     kept.putAll(copies);
     give[0] = true;
-    fleet.run(4000);
+    simulation.run(4000);
     lists.clear();
-    fleet.run(1000);
-    final StateStoreMessages.Roster roster = roster(fleet);
+    simulation.run(1000);
+    final StateStoreMessages.Roster roster = roster(simulation);
     lists.forEach(
         (from, known) -> {
           for (int index = 0; index < known.size(); index++) {
--- a/simulation/src/test/java/weldpoint/simulation/RosterNumberTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/RosterNumberTest.java
@@ -37,13 +37,13 @@
    * second one says that the first was decided.
    */
   private static List<String> slowAdoptions(final long seed) {
-    final StateStoreSimulation fleet =
+    final StateStoreSimulation simulation =
         new StateStoreSimulation(seed, List.of("10.0.1.1", "10.0.1.2", "10.0.2.1"), true);
-    final Random random = fleet.random();
+    final Random random = simulation.random();
     final Map<Long, String> rosters = new HashMap<>();
     final Map<String, String> proposed = new HashMap<>();
     final List<String> breaches = new ArrayList<>();
-    fleet.meddler(
+    simulation.faultInjector(
         new StateStoreSimulation.FaultInjector() {
           @Override
           public Message pass(final String from, final String to, final Message message) {
@@ -79,19 +79,19 @@
       "10.0.1.1", "10.0.1.2", "10.0.2.1", "10.0.1.3", "10.0.3.1", "10.0.2.2", "10.0.4.1"
     };
     for (final String address : addresses) {
-      fleet.add(address, "zone-" + address.charAt(5), "x");
-      fleet.disk(address, random.nextInt(3) == 0 ? 500 : 60 + random.nextInt(60));
+      simulation.add(address, "zone-" + address.charAt(5), "x");
+      simulation.disk(address, random.nextInt(3) == 0 ? 500 : 60 + random.nextInt(60));
       final boolean early =
           address.equals("10.0.1.1") || address.equals("10.0.1.2") || address.equals("10.0.2.1");
-      fleet.after(
+      simulation.after(
           early ? random.nextInt(300) : 500 + random.nextInt(3000),
-          () -> fleet.start(address, true));
+          () -> simulation.start(address, true));
     }
     for (int step = 0; step < 300; step++) {
-      fleet.run(50);
-      for (final StateStoreSimulation.Machine machine : fleet.machines().values()) {
-        if (machine.core() != null) {
-          final StateStoreMessages.Roster roster = machine.core().roster();
+      simulation.run(50);
+      for (final StateStoreSimulation.Machine machine : simulation.machines().values()) {
+        if (machine.replica() != null) {
+          final StateStoreMessages.Roster roster = machine.replica().roster();
           final String before = rosters.putIfAbsent(roster.number, content(roster));
           if (before != null && !before.equals(content(roster))) {
             breaches.add("roster " + roster.number + " is " + before + " and " + content(roster));
--- a/simulation/src/test/java/weldpoint/simulation/RosterTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/RosterTest.java
@@ -50,9 +50,9 @@
   };
 
   private static final class Play {
-    private final StateStoreSimulation fleet;
+    private final StateStoreSimulation simulation;
     private final Random random;
-    private final SequentialModelChecker ledger = new SequentialModelChecker();
+    private final SequentialModelChecker checker = new SequentialModelChecker();
     private final List<String> machines = new ArrayList<>();
     private int added = 100;
     private long answeredAt;
@@ -64,17 +64,17 @@
       for (int zone = 0; zone < 3; zone++) {
         seeds.add(address(zone, 1));
       }
-      fleet = new StateStoreSimulation(seed, seeds, true);
+      simulation = new StateStoreSimulation(seed, seeds, true);
       for (int zone = 0; zone < counts.length; zone++) {
         for (int place = 1; place <= counts[zone]; place++) {
           add(address(zone, place));
         }
       }
-      machines.forEach(machine -> fleet.start(machine, true));
-      fleet.run(6000);
-      answeredAt = fleet.now();
+      machines.forEach(machine -> simulation.start(machine, true));
+      simulation.run(6000);
+      answeredAt = simulation.now();
       traffic();
-      fleet.run(500);
+      simulation.run(500);
     }
 
     private static String address(final int zone, final int place) {
@@ -86,16 +86,16 @@
     }
 
     private void add(final String address) {
-      fleet.add(address, "z" + zone(address), zone(address) % 2 == 0 ? "north" : "south");
+      simulation.add(address, "z" + zone(address), zone(address) % 2 == 0 ? "north" : "south");
       machines.add(address);
     }
 
     private void traffic() {
-      final List<String> running = fleet.running();
-      final long sentAt = fleet.now();
+      final List<String> running = simulation.running();
+      final long sentAt = simulation.now();
       if (!running.isEmpty()) {
         final String name = "n" + random.nextInt(3);
-        fleet.call(
+        simulation.call(
             running.get(random.nextInt(running.size())),
             StoreOperation.NUMBER,
             name,
@@ -105,20 +105,20 @@
             null,
             answer -> {
               if (answer.status == 200) {
-                ledger.given("number " + name, answer.first, sentAt, fleet.now());
-                longest = Math.max(longest, fleet.now() - answeredAt);
-                answeredAt = fleet.now();
+                checker.given("number " + name, answer.first, sentAt, simulation.now());
+                longest = Math.max(longest, simulation.now() - answeredAt);
+                answeredAt = simulation.now();
               }
             });
       }
-      fleet.after(25, this::traffic);
+      simulation.after(25, this::traffic);
     }
 
     private Roster roster() {
       Roster newest = new Roster(0, List.of());
-      for (final StateStoreSimulation.Machine machine : fleet.machines().values()) {
-        if (machine.core() != null && machine.core().roster().number > newest.number) {
-          newest = machine.core().roster();
+      for (final StateStoreSimulation.Machine machine : simulation.machines().values()) {
+        if (machine.replica() != null && machine.replica().roster().number > newest.number) {
+          newest = machine.replica().roster();
         }
       }
       return newest;
@@ -138,65 +138,65 @@
         case ZONE, ZONE_WITH_DISKS -> {
           final List<String> gone = new ArrayList<>(machines);
           gone.removeIf(machine -> zone(machine) != zone(one));
-          gone.forEach(machine -> fleet.kill(machine, true));
-          fleet.run(500 + random.nextInt(5000));
+          gone.forEach(machine -> simulation.kill(machine, true));
+          simulation.run(500 + random.nextInt(5000));
           back(gone, loss == Loss.ZONE_WITH_DISKS);
         }
         case MACHINE, MACHINE_WITH_DISK -> {
-          fleet.kill(one, true);
-          fleet.run(500 + random.nextInt(5000));
+          simulation.kill(one, true);
+          simulation.run(500 + random.nextInt(5000));
           back(List.of(one), loss == Loss.MACHINE_WITH_DISK);
         }
         case RESTART -> {
-          fleet.leave(one);
-          fleet.run(3000);
+          simulation.leave(one);
+          simulation.run(3000);
           back(List.of(one), false);
         }
         case REPLACED_UNPLANNED -> {
-          fleet.kill(one, true);
+          simulation.kill(one, true);
           machines.remove(one);
-          fleet.run(1000);
+          simulation.run(1000);
           successor(one);
-          fleet.run(CATCH_UP_MILLIS);
+          simulation.run(CATCH_UP_MILLIS);
         }
         case REPLACED_PLANNED -> {
           successor(one);
-          fleet.run(1000);
-          fleet.leave(one);
+          simulation.run(1000);
+          simulation.leave(one);
           machines.remove(one);
-          fleet.run(CATCH_UP_MILLIS);
+          simulation.run(CATCH_UP_MILLIS);
         }
         case FROZEN -> {
-          fleet.freeze(one, true);
-          fleet.run(1600);
-          fleet.freeze(one, false);
-          fleet.run(CATCH_UP_MILLIS);
+          simulation.freeze(one, true);
+          simulation.run(1600);
+          simulation.freeze(one, false);
+          simulation.run(CATCH_UP_MILLIS);
         }
         default -> {
-          fleet.disk(one, 60);
-          fleet.run(1600);
-          fleet.disk(one, 2);
-          fleet.run(CATCH_UP_MILLIS);
+          simulation.disk(one, 60);
+          simulation.run(1600);
+          simulation.disk(one, 2);
+          simulation.run(CATCH_UP_MILLIS);
         }
       }
     }
 
     private void back(final List<String> gone, final boolean wiped) {
-      fleet.run(START_MILLIS);
+      simulation.run(START_MILLIS);
       for (final String machine : gone) {
         if (wiped) {
-          fleet.wipe(machine);
+          simulation.wipe(machine);
         }
-        fleet.start(machine, false);
+        simulation.start(machine, false);
       }
-      fleet.run(CATCH_UP_MILLIS - START_MILLIS);
+      simulation.run(CATCH_UP_MILLIS - START_MILLIS);
     }
 
     private void successor(final String one) {
       final String other = address(zone(one), added++);
       add(other);
-      fleet.run(START_MILLIS);
-      fleet.start(other, false);
+      simulation.run(START_MILLIS);
+      simulation.start(other, false);
     }
   }
 
@@ -225,7 +225,8 @@
           play.longest = 0;
           play.lose(loss);
           rounds++;
-          longest = Math.max(longest, Math.max(play.longest, play.fleet.now() - play.answeredAt));
+          longest =
+              Math.max(longest, Math.max(play.longest, play.simulation.now() - play.answeredAt));
           final String where =
               "site of "
                   + site.length
@@ -239,18 +240,18 @@
                   + play.roster().number
                   + " "
                   + play.zones();
-          if (play.longest > 4000 || play.fleet.now() - play.answeredAt > 2000) {
+          if (play.longest > 4000 || play.simulation.now() - play.answeredAt > 2000) {
             notes.add(
                 where
                     + ": nothing was answered for "
-                    + Math.max(play.longest, play.fleet.now() - play.answeredAt)
+                    + Math.max(play.longest, play.simulation.now() - play.answeredAt)
                     + " ms");
           }
           if (Collections.max(play.zones().values()) >= 3) {
             notes.add(where + ": crowded");
           }
         }
-        notes.addAll(play.ledger.breaches());
+        notes.addAll(play.checker.breaches());
         most = Math.max(most, play.roster().number);
       }
     }
@@ -276,7 +277,7 @@
   private static int knowing(final long seed, final boolean told, final Roster[] last) {
     final Play play = new Play(seed, 3, 3, 3, 2);
     if (!told) {
-      play.fleet.meddler(
+      play.simulation.faultInjector(
           new StateStoreSimulation.FaultInjector() {
             @Override
             public Message pass(final String from, final String to, final Message message) {
@@ -295,27 +296,29 @@
           });
     }
     final String wiped = play.roster().voters.get(1).address;
-    play.fleet.kill(wiped, true);
-    play.fleet.wipe(wiped);
-    play.fleet.start(wiped, false);
-    play.fleet.run(3000);
+    play.simulation.kill(wiped, true);
+    play.simulation.wipe(wiped);
+    play.simulation.start(wiped, false);
+    play.simulation.run(3000);
     for (final Voter voter : play.roster().voters) {
       if (!voter.address.equals(wiped)) {
-        play.fleet.kill(voter.address, true);
-        play.fleet.run(5000);
+        play.simulation.kill(voter.address, true);
+        play.simulation.run(5000);
       }
     }
-    for (final String machine : play.fleet.running()) {
-      play.fleet.kill(machine, true);
-      play.fleet.start(machine, false);
+    for (final String machine : play.simulation.running()) {
+      play.simulation.kill(machine, true);
+      play.simulation.start(machine, false);
     }
     last[0] = play.roster();
-    final long own = play.fleet.machines().get(wiped).core().incarnationOf(wiped);
+    final long own = play.simulation.machines().get(wiped).replica().incarnationOf(wiped);
     assertTrue(own > 1, "the wiped voter has incarnation " + own);
     int knowing = 0;
     for (final Voter voter : last[0].voters) {
       knowing +=
-          play.fleet.machines().get(voter.address).core().incarnationOf(wiped) >= own ? 1 : 0;
+          play.simulation.machines().get(voter.address).replica().incarnationOf(wiped) >= own
+              ? 1
+              : 0;
     }
     return knowing;
   }
@@ -344,13 +347,13 @@
       final Play play = new Play(seed, 3, 3, 3, 2);
       final Roster before = play.roster();
       for (final Voter voter : before.voters) {
-        play.fleet.freeze(voter.address, true);
-        play.fleet.run(1600);
-        play.fleet.freeze(voter.address, false);
-        play.fleet.run(1500);
+        play.simulation.freeze(voter.address, true);
+        play.simulation.run(1600);
+        play.simulation.freeze(voter.address, false);
+        play.simulation.run(1500);
       }
       assertEquals(play.roster().number, before.number);
-      assertEquals(play.ledger.breaches(), List.of());
+      assertEquals(play.checker.breaches(), List.of());
     }
   }
 
@@ -359,8 +362,8 @@
     for (int seed = 1; seed <= 4; seed++) {
       final Play play = new Play(seed, 3, 3, 3, 2);
       final String lost = play.roster().voters.get(seed).address;
-      play.fleet.kill(lost, true);
-      play.fleet.run(CATCH_UP_MILLIS);
+      play.simulation.kill(lost, true);
+      play.simulation.run(CATCH_UP_MILLIS);
       assertEquals(play.roster().index(lost), -1);
       assertEquals(play.roster().voters.size(), 5);
     }
@@ -370,7 +373,7 @@
   public void aBalancedRosterStays() {
     final Play play = new Play(3, 3, 3, 3, 2);
     final long before = play.roster().number;
-    play.fleet.run(60_000);
+    play.simulation.run(60_000);
     assertEquals(play.roster().number, before);
   }
 
@@ -388,24 +391,25 @@
       for (final Voter voter : voters) {
         (slow.size() < 2 ? slow : quick).add(voter.address);
       }
-      slow.forEach(address -> play.fleet.disk(address, 600));
-      play.fleet.run(400);
+      slow.forEach(address -> play.simulation.disk(address, 600));
+      play.simulation.run(400);
       final String leaver = quick.get(seed % 3);
-      play.fleet.leave(leaver);
-      play.fleet.run(200);
+      play.simulation.leave(leaver);
+      play.simulation.run(200);
       assertNotNull(
-          play.fleet.machines().get(leaver).core(),
+          play.simulation.machines().get(leaver).replica(),
           "the leaver ended before the others held what it counted for");
-      slow.forEach(address -> play.fleet.disk(address, 2));
-      play.fleet.run(2500);
-      assertEquals(play.fleet.machines().get(leaver).core(), null);
-      play.fleet.wipe(leaver);
+      slow.forEach(address -> play.simulation.disk(address, 2));
+      play.simulation.run(2500);
+      assertEquals(play.simulation.machines().get(leaver).replica(), null);
+      play.simulation.wipe(leaver);
       final String second = quick.get((seed + 1) % 3);
-      play.fleet.kill(second, true);
-      play.fleet.wipe(second);
-      play.fleet.run(6000);
-      assertTrue(play.fleet.now() - play.answeredAt < 1000, "no majority after the second loss");
-      assertEquals(play.ledger.breaches(), List.of());
+      play.simulation.kill(second, true);
+      play.simulation.wipe(second);
+      play.simulation.run(6000);
+      assertTrue(
+          play.simulation.now() - play.answeredAt < 1000, "no majority after the second loss");
+      assertEquals(play.checker.breaches(), List.of());
     }
   }
 
@@ -414,14 +418,14 @@
   public void aLeaverThatCannotHandOnEndsInTime() {
     final Play play = new Play(1, 2, 1, 1, 1);
     final List<Voter> voters = play.roster().voters;
-    play.fleet.kill(voters.get(0).address, true);
-    play.fleet.kill(voters.get(1).address, true);
-    play.fleet.run(1000);
+    play.simulation.kill(voters.get(0).address, true);
+    play.simulation.kill(voters.get(1).address, true);
+    play.simulation.run(1000);
     final String leaver = voters.get(2).address;
-    play.fleet.leave(leaver);
-    play.fleet.run(1900);
-    assertNotNull(play.fleet.machines().get(leaver).core());
-    play.fleet.run(400);
-    assertEquals(play.fleet.machines().get(leaver).core(), null);
+    play.simulation.leave(leaver);
+    play.simulation.run(1900);
+    assertNotNull(play.simulation.machines().get(leaver).replica());
+    play.simulation.run(400);
+    assertEquals(play.simulation.machines().get(leaver).replica(), null);
   }
 }
--- a/simulation/src/test/java/weldpoint/simulation/TrialTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/TrialTest.java
@@ -57,11 +57,11 @@
   }
 
   private static final class Stage {
-    final StateStoreSimulation fleet;
+    final StateStoreSimulation simulation;
     final List<TrialTracker> books = new ArrayList<>();
     final List<Boolean> cut = new ArrayList<>();
     final List<String> addresses = new ArrayList<>();
-    final TrialCoordinator panel = new TrialCoordinator();
+    final TrialCoordinator coordinator = new TrialCoordinator();
     final Random random;
     final Fault fault;
     final int oneIn;
@@ -76,14 +76,14 @@
       this.fault = fault;
       this.oneIn = oneIn;
       this.random = new Random(seed);
-      this.fleet =
+      this.simulation =
           new StateStoreSimulation(seed, List.of("10.0.1.1", "10.0.2.1", "10.0.3.1"), true);
       final String[] sites = {"a", "b", "c"};
       for (int index = 0; index < 3; index++) {
-        fleet.add("10.0." + (index + 1) + ".1", sites[index], "x");
-        fleet.start("10.0." + (index + 1) + ".1", true);
+        simulation.add("10.0." + (index + 1) + ".1", sites[index], "x");
+        simulation.start("10.0." + (index + 1) + ".1", true);
       }
-      fleet.run(3000);
+      simulation.run(3000);
       for (int index = 0; index < boards; index++) {
         addresses.add("10.1.0." + index);
         books.add(new TrialTracker("10.1.0." + index, 100 + index));
@@ -93,9 +93,9 @@
     }
 
     void poll() {
-      final List<String> running = fleet.running();
+      final List<String> running = simulation.running();
       if (!running.isEmpty()) {
-        fleet.call(
+        simulation.call(
             running.get(random.nextInt(running.size())),
             StoreOperation.CONTROL,
             "",
@@ -109,7 +109,7 @@
                     Serializer.value(answer.body, StoredValues.ControlSnapshot.class);
                 if (control.trialMark > marks) {
                   marks = control.trialMark;
-                  panel.take(Protocol.list(control.trials));
+                  coordinator.take(Protocol.list(control.trials));
                   for (int index = 0; index < books.size(); index++) {
                     if (!cut.get(index)) {
                       books.get(index).take(Protocol.list(control.trials), control.trialMark);
@@ -119,14 +119,14 @@
               }
             });
       }
-      fleet.after(100, this::poll);
+      simulation.after(100, this::poll);
     }
 
     boolean write(final Trial next) {
       final boolean[] done = new boolean[1];
       for (int round = 0; round < 40 && !done[0]; round++) {
-        final List<String> running = fleet.running();
-        fleet.call(
+        final List<String> running = simulation.running();
+        simulation.call(
             running.get(random.nextInt(running.size())),
             StoreOperation.TRIAL_WRITE,
             next.route,
@@ -135,14 +135,14 @@
             0,
             Serializer.bytes(next),
             answer -> done[0] |= answer.status == 200);
-        fleet.run(100);
+        simulation.run(100);
       }
-      fleet.run(400);
+      simulation.run(400);
       return done[0];
     }
 
     Trial trial() {
-      return panel.trials().get(0);
+      return coordinator.trials().get(0);
     }
 
     void reports() {
@@ -150,15 +150,15 @@
         final TrialMessages.TrialReport report = books.get(index).report(random.nextInt(5) == 0);
         if (report != null && !cut.get(index)) {
           old.add(report);
-          panel.report(report, fleet.now());
+          coordinator.report(report, simulation.now());
         }
       }
       if (!old.isEmpty()) {
-        panel.report(old.get(random.nextInt(old.size())), fleet.now());
+        coordinator.report(old.get(random.nextInt(old.size())), simulation.now());
       }
-      for (final Trial verdict : panel.verdicts(PLAN)) {
-        final List<String> running = fleet.running();
-        fleet.call(
+      for (final Trial verdict : coordinator.verdicts(PLAN)) {
+        final List<String> running = simulation.running();
+        simulation.call(
             running.get(random.nextInt(running.size())),
             StoreOperation.TRIAL_WRITE,
             verdict.route,
@@ -173,10 +173,10 @@
     /** One write at a switchboard drawn by lot. */
     void traffic(final boolean rehearsal) {
       final int board = random.nextInt(books.size());
-      final TrialTracker book = books.get(board);
+      final TrialTracker tracker = books.get(board);
       final String attempt = "a" + attempts++;
       final String service =
-          book.choose(
+          tracker.choose(
               "book",
               random.nextBoolean() ? "old" : "new",
               rehearsal ? TOKEN : random.nextInt(50) == 0 ? "forged-token" : null,
@@ -184,15 +184,15 @@
       if (service.equals("new") && !rehearsal) {
         exposedWithoutToken++;
       }
-      book.sent("book", service, attempt);
+      tracker.sent("book", service, attempt);
       final boolean strikes =
           service.equals("new") && fault != Fault.NONE && random.nextInt(oneIn) == 0;
-      book.other("new", true);
+      tracker.other("new", true);
       if (strikes && fault == Fault.LOSES) {
-        book.ended("book", service, attempt, TrialTracker.WriteOutcome.LOST, 2000, TARGET);
+        tracker.ended("book", service, attempt, TrialTracker.WriteOutcome.LOST, 2000, TARGET);
         return;
       }
-      book.ended(
+      tracker.ended(
           "book",
           service,
           attempt,
@@ -200,7 +200,7 @@
           strikes && fault == Fault.DELAYS ? 900 : random.nextInt(100) == 0 ? 350 : 120,
           TARGET);
       if (strikes && fault == Fault.DOUBLES) {
-        book.surplus(attempt);
+        tracker.surplus(attempt);
       }
       if (strikes && fault == Fault.ELSEWHERE) {
         final TrialTracker other = books.get((board + 1) % books.size());
@@ -214,17 +214,18 @@
           step < seconds * 20 && TrialVerdict.of(trial()) == TrialVerdict.RUNNING;
           step++) {
         traffic(rehearsal);
-        fleet.run(50);
+        simulation.run(50);
         if (step % 10 == 9) {
           reports();
         }
       }
-      fleet.run(600);
+      simulation.run(600);
       return attempts;
     }
 
     Trial begin(final double allowance) {
-      write(panel.begin("book", "old", "new", TOKEN, List.of(2, 20, 100), 20, allowance, PLAN));
+      write(
+          coordinator.begin("book", "old", "new", TOKEN, List.of(2, 20, 100), 20, allowance, PLAN));
       return trial();
     }
   }
@@ -248,9 +249,9 @@
       assertFalse(
           Protocol.list(stage.trial().attempts).isEmpty(),
           fault + " seed " + seed + " names no attempt: " + stage.trial().reason);
-      for (final TrialTracker book : stage.books) {
-        assertTrue(book.held("book"));
-        assertEquals(book.choose("book", "new", TOKEN, 0), "old");
+      for (final TrialTracker tracker : stage.books) {
+        assertTrue(tracker.held("book"));
+        assertEquals(tracker.choose("book", "new", TOKEN, 0), "old");
       }
     }
   }
@@ -301,7 +302,8 @@
           step <= 3 && TrialVerdict.of(stage.trial()) == TrialVerdict.RUNNING;
           step++) {
         stage.reports();
-        stage.write(stage.panel.advance("book", stage.addresses, true, stage.fleet.now()));
+        stage.write(
+            stage.coordinator.advance("book", stage.addresses, true, stage.simulation.now()));
         assertEquals(stage.trial().stage, step);
         if (step < 3) {
           stage.run(step == 1 ? 80 : 20, step == 1);
@@ -323,7 +325,9 @@
     assertEquals(
         expectThrows(
                 WeldpointException.class,
-                () -> stage.panel.advance("book", stage.addresses, true, stage.fleet.now()))
+                () ->
+                    stage.coordinator.advance(
+                        "book", stage.addresses, true, stage.simulation.now()))
             .kind(),
         WeldpointException.Kind.CONFLICT);
     stage.cut.set(1, true);
@@ -331,7 +335,9 @@
     assertTrue(
         expectThrows(
                 WeldpointException.class,
-                () -> stage.panel.advance("book", stage.addresses, true, stage.fleet.now()))
+                () ->
+                    stage.coordinator.advance(
+                        "book", stage.addresses, true, stage.simulation.now()))
             .getMessage()
             .contains("10.1.0.1"));
     stage.cut.set(1, false);
@@ -339,10 +345,13 @@
     assertTrue(
         expectThrows(
                 WeldpointException.class,
-                () -> stage.panel.advance("book", stage.addresses, false, stage.fleet.now()))
+                () ->
+                    stage.coordinator.advance(
+                        "book", stage.addresses, false, stage.simulation.now()))
             .getMessage()
             .contains("settled"));
-    assertEquals(stage.panel.advance("book", stage.addresses, true, stage.fleet.now()).stage, 1);
+    assertEquals(
+        stage.coordinator.advance("book", stage.addresses, true, stage.simulation.now()).stage, 1);
   }
 
   @Test
@@ -371,18 +380,18 @@
                 0)));
     expectThrows(
         WeldpointException.class,
-        () -> stage.panel.advance("book", stage.addresses, true, stage.fleet.now()));
-    for (final String address : stage.fleet.running()) {
-      stage.fleet.kill(address, true);
-      stage.fleet.after(400, () -> stage.fleet.start(address, false));
+        () -> stage.coordinator.advance("book", stage.addresses, true, stage.simulation.now()));
+    for (final String address : stage.simulation.running()) {
+      stage.simulation.kill(address, true);
+      stage.simulation.after(400, () -> stage.simulation.start(address, false));
     }
-    stage.fleet.run(5000);
+    stage.simulation.run(5000);
     Collections.shuffle(stage.old, stage.random);
-    stage.old.forEach(report -> stage.panel.report(report, stage.fleet.now()));
+    stage.old.forEach(report -> stage.coordinator.report(report, stage.simulation.now()));
     stage.books.get(0).take(List.of(begun), 1);
     assertEquals(stage.books.get(0).choose("book", "new", TOKEN, 0), "old");
     assertEquals(TrialVerdict.of(stage.trial()), TrialVerdict.HELD);
-    assertTrue(stage.write(stage.panel.finish("book")));
+    assertTrue(stage.write(stage.coordinator.finish("book")));
     assertEquals(TrialVerdict.of(stage.trial()), TrialVerdict.FINISHED);
   }
 
@@ -398,17 +407,17 @@
     assertTrue(stage.books.get(0).held("book") && stage.books.get(1).held("book"));
     stage.cut.set(0, false);
     for (final StateStoreSimulation.Machine machine :
-        new ArrayList<>(stage.fleet.machines().values())) {
-      if (machine.core().serving() > 0) {
-        stage.fleet.kill(machine.address, true);
+        new ArrayList<>(stage.simulation.machines().values())) {
+      if (machine.replica().serving() > 0) {
+        stage.simulation.kill(machine.address, true);
         break;
       }
     }
     for (int round = 0; round < 10; round++) {
-      stage.fleet.run(600);
+      stage.simulation.run(600);
       stage.reports();
     }
-    stage.fleet.run(600);
+    stage.simulation.run(600);
     assertEquals(TrialVerdict.of(stage.trial()), TrialVerdict.HELD);
   }
 
@@ -418,22 +427,22 @@
     stage.begin(0.005);
     stage.run(20, true);
     stage.reports();
-    final long sent = TrialCounter.NEW_SENT.in(stage.panel.sum("book"));
+    final long sent = TrialCounter.NEW_SENT.in(stage.coordinator.sum("book"));
     final List<TrialMessages.TrialReport> again = new ArrayList<>(stage.old);
     Collections.shuffle(again, stage.random);
-    again.forEach(report -> stage.panel.report(report, stage.fleet.now()));
-    assertEquals(TrialCounter.NEW_SENT.in(stage.panel.sum("book")), sent);
+    again.forEach(report -> stage.coordinator.report(report, stage.simulation.now()));
+    assertEquals(TrialCounter.NEW_SENT.in(stage.coordinator.sum("book")), sent);
   }
 
   @Test
   public void aConfigurationWithoutTheSplitEndsTheTrialAndOneThatKeepsItDoesNot() {
     final Stage stage = new Stage(7, Fault.NONE, 1, 3);
     stage.begin(0.01);
-    assertTrue(stage.panel.verdicts(PLAN).isEmpty());
+    assertTrue(stage.coordinator.verdicts(PLAN).isEmpty());
     final RoutingTable without =
         RoutingTable.compile(
             "{\"version\":\"2\",\"listeners\":[],\"pools\":[]}".getBytes(StandardCharsets.UTF_8));
-    final Trial ended = stage.panel.verdicts(without).get(0);
+    final Trial ended = stage.coordinator.verdicts(without).get(0);
     assertEquals(TrialVerdict.of(ended), TrialVerdict.FINISHED);
     assertTrue(ended.reason.contains("configuration"), ended.reason);
   }
@@ -445,12 +454,15 @@
     assertEquals(
         expectThrows(
                 WeldpointException.class,
-                () -> stage.panel.begin("book", "old", "new", TOKEN, List.of(10), 20, 0.01, PLAN))
+                () ->
+                    stage.coordinator.begin(
+                        "book", "old", "new", TOKEN, List.of(10), 20, 0.01, PLAN))
             .kind(),
         WeldpointException.Kind.CONFLICT);
-    assertTrue(stage.write(stage.panel.finish("book")));
+    assertTrue(stage.write(stage.coordinator.finish("book")));
     assertEquals(
-        stage.panel.begin("book", "old", "new", TOKEN, List.of(10), 20, 0.01, PLAN).number, 2);
+        stage.coordinator.begin("book", "old", "new", TOKEN, List.of(10), 20, 0.01, PLAN).number,
+        2);
   }
 
   @Test
@@ -459,23 +471,24 @@
     stage.begin(0.01);
     stage.run(30, true);
     assertEquals(TrialVerdict.of(stage.trial()), TrialVerdict.HELD);
-    assertTrue(stage.write(stage.panel.finish("book")));
+    assertTrue(stage.write(stage.coordinator.finish("book")));
     stage.begin(0.01);
     stage.reports();
-    stage.fleet.run(600);
+    stage.simulation.run(600);
     assertEquals(stage.trial().number, 2);
     assertEquals(TrialVerdict.of(stage.trial()), TrialVerdict.RUNNING);
-    assertEquals(TrialCounter.NEW_SENT.in(stage.panel.sum("book")), 0);
+    assertEquals(TrialCounter.NEW_SENT.in(stage.coordinator.sum("book")), 0);
   }
 
   @Test
   public void anOrderOnTheMinoritySideIsNotAcknowledged() {
     final Stage stage = new Stage(8, Fault.NONE, 1, 2);
-    final List<String> running = stage.fleet.running();
-    stage.fleet.kill(running.get(0), true);
-    stage.fleet.kill(running.get(1), true);
+    final List<String> running = stage.simulation.running();
+    stage.simulation.kill(running.get(0), true);
+    stage.simulation.kill(running.get(1), true);
     assertFalse(
-        stage.write(stage.panel.begin("book", "old", "new", TOKEN, List.of(10), 20, 0.01, PLAN)));
+        stage.write(
+            stage.coordinator.begin("book", "old", "new", TOKEN, List.of(10), 20, 0.01, PLAN)));
   }
 
   @DataProvider
@@ -500,12 +513,12 @@
       final String token,
       final List<Integer> stages,
       final String reason) {
-    final WeldpointException breakdown =
+    final WeldpointException exception =
         expectThrows(
             WeldpointException.class,
             () -> new TrialCoordinator().begin(route, old, fresh, token, stages, 10, 0.01, PLAN));
-    assertTrue(breakdown.getMessage().contains(reason), breakdown.getMessage());
+    assertTrue(exception.getMessage().contains(reason), exception.getMessage());
     assertTrue(
-        breakdown.getMessage().contains(";"), "the remedy is missing: " + breakdown.getMessage());
+        exception.getMessage().contains(";"), "the remedy is missing: " + exception.getMessage());
   }
 }
--- a/simulation/src/test/java/weldpoint/simulation/VersionsTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/VersionsTest.java
@@ -51,18 +51,18 @@
   }
 
   private static StateStoreSimulation fleet(
-      final long seed, final StateStoreSimulation.FaultInjector meddler) {
-    final StateStoreSimulation fleet = new StateStoreSimulation(seed, SEEDS, true);
-    if (meddler != null) {
-      fleet.meddler(meddler);
+      final long seed, final StateStoreSimulation.FaultInjector faultInjector) {
+    final StateStoreSimulation simulation = new StateStoreSimulation(seed, SEEDS, true);
+    if (faultInjector != null) {
+      simulation.faultInjector(faultInjector);
     }
-    fleet.keeps(2000);
+    simulation.keeps(2000);
     for (final String[] machine : MACHINES) {
-      fleet.add(machine[0], machine[1], machine[2]);
-      fleet.start(machine[0], true);
+      simulation.add(machine[0], machine[1], machine[2]);
+      simulation.start(machine[0], true);
     }
-    fleet.run(6000);
-    return fleet;
+    simulation.run(6000);
+    return simulation;
   }
 
   private static byte[] body(final long version, final int choice, final boolean rewritten) {
@@ -85,7 +85,7 @@
   private static StoreMessages.StoreRequest call(
       final long version, final int choice, final boolean rewritten) {
     final byte[] body = body(version, choice, rewritten);
-    final StoreMessages.ChangeOrigin cause =
+    final StoreMessages.ChangeOrigin origin =
         new StoreMessages.ChangeOrigin(
             "operator " + choice,
             "10.9.9.9",
@@ -100,7 +100,7 @@
         version,
         0,
         Compression.deflate(body),
-        cause,
+        origin,
         CanonicalJson.digest(body));
   }
 
@@ -194,22 +194,22 @@
   }
 
   private static final class Operators {
-    private final StateStoreSimulation fleet;
+    private final StateStoreSimulation simulation;
     private final Told told;
     private long version;
     private boolean stopped;
 
-    private Operators(final StateStoreSimulation fleet, final Told told) {
-      this.fleet = fleet;
+    private Operators(final StateStoreSimulation simulation, final Told told) {
+      this.simulation = simulation;
       this.told = told;
     }
 
     private void send(final long number, final int choice) {
-      final List<String> running = fleet.running();
+      final List<String> running = simulation.running();
       if (!running.isEmpty()) {
-        fleet.again(
-            running.get(fleet.random().nextInt(running.size())),
-            call(number, choice, fleet.random().nextBoolean()),
+        simulation.again(
+            running.get(simulation.random().nextInt(running.size())),
+            call(number, choice, simulation.random().nextBoolean()),
             answer -> told.told(number, content(number, choice), answer));
       }
     }
@@ -218,7 +218,7 @@
       if (stopped) {
         return;
       }
-      final Random random = fleet.random();
+      final Random random = simulation.random();
       if (random.nextInt(3) == 0 || version == 0) {
         version += 1 + random.nextInt(3);
         final int first = random.nextInt(2);
@@ -231,63 +231,63 @@
             random.nextInt(3) == 0 ? 1 + random.nextInt((int) version) : version,
             random.nextInt(2));
       }
-      fleet.after(30 + random.nextInt(120), this::work);
+      simulation.after(30 + random.nextInt(120), this::work);
     }
   }
 
-  private static void trouble(final StateStoreSimulation fleet) {
-    final Random random = fleet.random();
-    final List<String> running = fleet.running();
+  private static void trouble(final StateStoreSimulation simulation) {
+    final Random random = simulation.random();
+    final List<String> running = simulation.running();
     final String one = running.get(random.nextInt(running.size()));
     switch (random.nextInt(6)) {
       case 0 -> {
-        fleet.kill(one, true);
-        fleet.after(200 + random.nextInt(2000), () -> fleet.start(one, false));
+        simulation.kill(one, true);
+        simulation.after(200 + random.nextInt(2000), () -> simulation.start(one, false));
       }
       case 1 -> {
         for (final String address : running) {
-          fleet.kill(address, random.nextBoolean());
-          fleet.after(200 + random.nextInt(800), () -> fleet.start(address, false));
+          simulation.kill(address, random.nextBoolean());
+          simulation.after(200 + random.nextInt(800), () -> simulation.start(address, false));
         }
       }
       case 2 -> {
         for (final String other : running) {
           if (!other.equals(one)) {
-            fleet.cut(one, other, true);
-            fleet.cut(other, one, random.nextBoolean());
+            simulation.cut(one, other, true);
+            simulation.cut(other, one, random.nextBoolean());
           }
         }
       }
-      case 3 -> fleet.freeze(one, true);
-      case 4 -> fleet.disk(one, 250);
+      case 3 -> simulation.freeze(one, true);
+      case 4 -> simulation.disk(one, 250);
       default -> {
-        fleet.kill(one, true);
-        fleet.wipe(one);
-        fleet.after(300 + random.nextInt(600), () -> fleet.start(one, false));
+        simulation.kill(one, true);
+        simulation.wipe(one);
+        simulation.after(300 + random.nextInt(600), () -> simulation.start(one, false));
       }
     }
-    fleet.after(2500, fleet::heal);
+    simulation.after(2500, simulation::heal);
   }
 
   private static List<String> play(
-      final long seed, final StateStoreSimulation.FaultInjector meddler, final int[] counts) {
-    final StateStoreSimulation fleet = fleet(seed, meddler);
+      final long seed, final StateStoreSimulation.FaultInjector faultInjector, final int[] counts) {
+    final StateStoreSimulation simulation = fleet(seed, faultInjector);
     final Told told = new Told();
-    final Operators operators = new Operators(fleet, told);
+    final Operators operators = new Operators(simulation, told);
     operators.work();
     for (int round = 0; round < 3; round++) {
-      fleet.run(1500);
-      trouble(fleet);
-      fleet.run(4500);
+      simulation.run(1500);
+      trouble(simulation);
+      simulation.run(4500);
     }
     operators.stopped = true;
-    fleet.heal();
-    fleet.run(8000);
+    simulation.heal();
+    simulation.run(8000);
     final long[] inForce = new long[1];
     final String[] content = {""};
     for (int round = 0; round < 40 && inForce[0] == 0; round++) {
-      fleet.call(
-          fleet.running().get(round % fleet.running().size()),
+      simulation.call(
+          simulation.running().get(round % simulation.running().size()),
           StoreOperation.SPEC_READ,
           "",
           null,
@@ -302,11 +302,12 @@
                       .formatHex(CanonicalJson.digest(Compression.inflate(answer.body)));
             }
           });
-      fleet.run(300);
+      simulation.run(300);
     }
     counts[0] += told.accepted;
     counts[1] += told.refused;
-    return told.finish(fleet.machines().get("10.0.1.1").core().history(), inForce[0], content[0]);
+    return told.finish(
+        simulation.machines().get("10.0.1.1").replica().history(), inForce[0], content[0]);
   }
 
   @Test
@@ -324,79 +325,79 @@
   @Test
   public void ofTwoThatRaceOneIsTakenAndTheOtherRefused() {
     for (long seed = 1; seed <= 20; seed++) {
-      final StateStoreSimulation fleet = fleet(seed, null);
+      final StateStoreSimulation simulation = fleet(seed, null);
       final int[] statuses = new int[2];
       for (int choice = 0; choice < 2; choice++) {
-        race(fleet, choice, statuses);
+        race(simulation, choice, statuses);
       }
-      fleet.run(3000);
+      simulation.run(3000);
       assertEquals(Math.min(statuses[0], statuses[1]), 200, "seed " + seed);
       assertEquals(Math.max(statuses[0], statuses[1]), 409, "seed " + seed);
     }
   }
 
   private static void race(
-      final StateStoreSimulation fleet, final int choice, final int[] statuses) {
+      final StateStoreSimulation simulation, final int choice, final int[] statuses) {
     if (statuses[choice] == 0) {
-      fleet.again(
-          fleet.running().get(fleet.random().nextInt(6)),
+      simulation.again(
+          simulation.running().get(simulation.random().nextInt(6)),
           call(5, choice, false),
           answer -> statuses[choice] = statuses[choice] == 0 ? answer.status : statuses[choice]);
-      fleet.after(400, () -> race(fleet, choice, statuses));
+      simulation.after(400, () -> race(simulation, choice, statuses));
     }
   }
 
   private static int status(
-      final StateStoreSimulation fleet,
+      final StateStoreSimulation simulation,
       final long version,
       final int choice,
       final boolean rewritten) {
     final int[] status = new int[1];
-    fleet.again(
-        fleet.running().get(fleet.random().nextInt(fleet.running().size())),
+    simulation.again(
+        simulation.running().get(simulation.random().nextInt(simulation.running().size())),
         call(version, choice, rewritten),
         answer -> status[0] = answer.status);
-    fleet.run(1500);
+    simulation.run(1500);
     return status[0];
   }
 
   @Test
   public void theSameIsAcknowledgedAgainUnderLaterVersionsAfterRestartsAndWipes() {
-    final StateStoreSimulation fleet = fleet(3, null);
-    assertEquals(status(fleet, 4, 0, false), 200);
-    assertEquals(status(fleet, 4, 0, true), 200);
-    assertEquals(status(fleet, 4, 1, false), 409);
-    assertEquals(status(fleet, 8, 1, false), 200);
-    for (final String address : fleet.running()) {
-      fleet.kill(address, true);
-      fleet.after(300, () -> fleet.start(address, false));
+    final StateStoreSimulation simulation = fleet(3, null);
+    assertEquals(status(simulation, 4, 0, false), 200);
+    assertEquals(status(simulation, 4, 0, true), 200);
+    assertEquals(status(simulation, 4, 1, false), 409);
+    assertEquals(status(simulation, 8, 1, false), 200);
+    for (final String address : simulation.running()) {
+      simulation.kill(address, true);
+      simulation.after(300, () -> simulation.start(address, false));
     }
-    fleet.run(4000);
-    fleet.kill("10.0.1.1", true);
-    fleet.wipe("10.0.1.1");
-    fleet.start("10.0.1.1", false);
-    fleet.run(8000);
-    assertEquals(status(fleet, 4, 0, true), 200);
-    assertEquals(status(fleet, 4, 1, true), 409);
-    assertEquals(status(fleet, 8, 1, true), 200);
-    assertEquals(status(fleet, 8, 0, false), 409);
+    simulation.run(4000);
+    simulation.kill("10.0.1.1", true);
+    simulation.wipe("10.0.1.1");
+    simulation.start("10.0.1.1", false);
+    simulation.run(8000);
+    assertEquals(status(simulation, 4, 0, true), 200);
+    assertEquals(status(simulation, 4, 1, true), 409);
+    assertEquals(status(simulation, 8, 1, true), 200);
+    assertEquals(status(simulation, 8, 0, false), 409);
     assertEquals(
-        status(fleet, 6, 0, false),
+        status(simulation, 6, 0, false),
         200,
         "a version that was never taken and lies below alters nothing");
-    assertEquals(status(fleet, 6, 1, false), 200);
+    assertEquals(status(simulation, 6, 1, false), 200);
   }
 
   @Test
   public void anOlderStoresConfigurationIsComparedByItsBody() {
-    final StateStoreSimulation fleet =
+    final StateStoreSimulation simulation =
         fleet(
             5,
             new StateStoreSimulation.FaultInjector() {
               @Override
               public void prepare(
-                  final StateStoreReplica core, final AuditStore store, final long keeps) {
-                BrokenAuditSequencer.silent(core, store, keeps);
+                  final StateStoreReplica replica, final AuditStore store, final long keeps) {
+                BrokenAuditSequencer.silent(replica, store, keeps);
               }
 
               @Override
@@ -417,18 +418,18 @@
                     entries);
               }
             });
-    assertEquals(status(fleet, 4, 0, false), 200);
-    fleet.meddler(new StateStoreSimulation.FaultInjector() {});
-    for (final String address : fleet.running()) {
-      fleet.kill(address, false);
-      fleet.after(100, () -> fleet.start(address, false));
+    assertEquals(status(simulation, 4, 0, false), 200);
+    simulation.faultInjector(new StateStoreSimulation.FaultInjector() {});
+    for (final String address : simulation.running()) {
+      simulation.kill(address, false);
+      simulation.after(100, () -> simulation.start(address, false));
     }
-    fleet.run(6000);
-    assertEquals(status(fleet, 4, 0, true), 200);
-    assertEquals(status(fleet, 4, 1, false), 409);
-    assertEquals(status(fleet, 9, 1, false), 200);
-    assertEquals(status(fleet, 4, 0, false), 200);
-    assertEquals(status(fleet, 4, 1, true), 409);
+    simulation.run(6000);
+    assertEquals(status(simulation, 4, 0, true), 200);
+    assertEquals(status(simulation, 4, 1, false), 409);
+    assertEquals(status(simulation, 9, 1, false), 200);
+    assertEquals(status(simulation, 4, 0, false), 200);
+    assertEquals(status(simulation, 4, 1, true), 409);
   }
 
   @Test
@@ -438,9 +439,9 @@
                 new StateStoreSimulation.FaultInjector() {
                   @Override
                   public void prepare(
-                      final StateStoreReplica core, final AuditStore store, final long keeps) {
-                    core.history(store, keeps, StateStoreSimulation.ENTRY_BYTES);
-                    BrokenAuditSequencer.heedless(core);
+                      final StateStoreReplica replica, final AuditStore store, final long keeps) {
+                    replica.history(store, keeps, StateStoreSimulation.ENTRY_BYTES);
+                    BrokenAuditSequencer.heedless(replica);
                   }
                 })
             >= 6);
@@ -453,17 +454,17 @@
                 new StateStoreSimulation.FaultInjector() {
                   @Override
                   public void prepare(
-                      final StateStoreReplica core, final AuditStore store, final long keeps) {
-                    BrokenAuditSequencer.forgetful(core, store, keeps);
+                      final StateStoreReplica replica, final AuditStore store, final long keeps) {
+                    BrokenAuditSequencer.forgetful(replica, store, keeps);
                   }
                 })
             >= 6);
   }
 
-  private static int caught(final StateStoreSimulation.FaultInjector meddler) {
+  private static int caught(final StateStoreSimulation.FaultInjector faultInjector) {
     int caught = 0;
     for (long seed = 1; seed <= 6; seed++) {
-      caught += play(seed, meddler, new int[2]).isEmpty() ? 0 : 1;
+      caught += play(seed, faultInjector, new int[2]).isEmpty() ? 0 : 1;
     }
     return caught;
   }
--- a/simulation/src/test/java/weldpoint/simulation/ZoneLossTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/ZoneLossTest.java
@@ -52,12 +52,12 @@
     }
 
     StateStoreSimulation fleet(final long seed, final List<String> seeds) {
-      final StateStoreSimulation fleet = new StateStoreSimulation(seed, seeds, true);
+      final StateStoreSimulation simulation = new StateStoreSimulation(seed, seeds, true);
       for (final String address : addresses()) {
         final int zone = zone(address);
-        fleet.add(address, "z" + zone, "r" + zone % regions);
+        simulation.add(address, "z" + zone, "r" + zone % regions);
       }
-      return fleet;
+      return simulation;
     }
   }
 
@@ -93,11 +93,11 @@
     java.util.logging.Logger.getLogger("").setLevel(java.util.logging.Level.SEVERE);
   }
 
-  private static Roster newest(final StateStoreSimulation fleet) {
+  private static Roster newest(final StateStoreSimulation simulation) {
     Roster newest = new Roster(0, List.of());
-    for (final StateStoreSimulation.Machine machine : fleet.machines().values()) {
-      if (machine.core() != null && machine.core().roster().number > newest.number) {
-        newest = machine.core().roster();
+    for (final StateStoreSimulation.Machine machine : simulation.machines().values()) {
+      if (machine.replica() != null && machine.replica().roster().number > newest.number) {
+        newest = machine.replica().roster();
       }
     }
     return newest;
@@ -111,11 +111,11 @@
     return zones;
   }
 
-  private static boolean answers(final StateStoreSimulation fleet, final Random random) {
+  private static boolean answers(final StateStoreSimulation simulation, final Random random) {
     final boolean[] ok = new boolean[1];
     for (int tries = 0; tries < 20 && !ok[0]; tries++) {
-      final String at = fleet.running().get(random.nextInt(fleet.running().size()));
-      fleet.call(
+      final String at = simulation.running().get(random.nextInt(simulation.running().size()));
+      simulation.call(
           at,
           StoreOperation.NUMBER,
           "n" + random.nextInt(3),
@@ -124,7 +124,7 @@
           0,
           null,
           answer -> ok[0] |= answer.status == 200);
-      fleet.run(500);
+      simulation.run(500);
     }
     return ok[0];
   }
@@ -137,12 +137,12 @@
       final long back,
       final boolean disks,
       final Outcome outcome) {
-    final StateStoreSimulation fleet = layout.fleet(seed, seeds);
+    final StateStoreSimulation simulation = layout.fleet(seed, seeds);
     for (final String address : order) {
-      fleet.start(address, true);
-      fleet.run(seed % 2 == 0 ? 0 : fleet.random().nextInt(40));
+      simulation.start(address, true);
+      simulation.run(seed % 2 == 0 ? 0 : simulation.random().nextInt(40));
     }
-    fleet.run(8000);
+    simulation.run(8000);
     final Random random = new Random(seed);
     for (int round = 0; round < ROUNDS; round++) {
       final int zone = random.nextInt(layout.counts.length);
@@ -150,13 +150,13 @@
       for (final String address : layout.addresses()) {
         if (zone(address) == zone) {
           gone.add(address);
-          fleet.kill(address, true);
+          simulation.kill(address, true);
         }
       }
-      fleet.run(6000);
+      simulation.run(6000);
       outcome.rounds++;
-      final boolean ok = answers(fleet, random);
-      final Roster roster = newest(fleet);
+      final boolean ok = answers(simulation, random);
+      final Roster roster = newest(simulation);
       if (zones(roster).values().stream().anyMatch(count -> count >= 3)) {
         outcome.crowded++;
         outcome.notes.add(layout + " seed " + seed + " round " + round + ": " + zones(roster));
@@ -179,13 +179,13 @@
       }
       for (final String address : gone) {
         if (!disks) {
-          fleet.wipe(address);
+          simulation.wipe(address);
         }
-        fleet.start(address, false);
+        simulation.start(address, false);
       }
-      fleet.run(back);
+      simulation.run(back);
     }
-    outcome.most = Math.max(outcome.most, (int) newest(fleet).number);
+    outcome.most = Math.max(outcome.most, (int) newest(simulation).number);
   }
 
   private static void holds(final Outcome outcome, final int rounds) {
--- a/simulation/src/test/java/weldpoint/simulation/model/Model.java
+++ b/simulation/src/test/java/weldpoint/simulation/model/Model.java
@@ -11,7 +11,7 @@
  * stored what, which ballot was begun by whom and how far it is, which answers are on their way.
  * What a ballot has sent once may arrive at any time later, any number of times or never. Disks are
  * synced before an answer, and a holder counts no more than the messages that it needs; it may know
- * less than FrameCore does, never more, so that all that FrameCore may do is here.
+ * less than StateStoreReplica does, never more, so that all that StateStoreReplica may do is here.
  *
  * <p>A mark is ballot * 4 + count; count 0 is what the ballot began with.
  */
--- a/simulation/src/test/java/weldpoint/simulation/model/Trace.java
+++ b/simulation/src/test/java/weldpoint/simulation/model/Trace.java
@@ -347,12 +347,12 @@
   }
 
   private void confirms(
-      final String from, final Machine machine, final StateStoreMessages.HeartbeatAck pulsed) {
+      final String from, final Machine machine, final StateStoreMessages.HeartbeatAck ack) {
     step(Step.CONFIRM);
-    votes(from, machine, pulsed.incarnation, pulsed.known, "confirms");
-    for (int index = 0; index < Protocol.list(pulsed.partitions).size(); index++) {
-      final int partition = pulsed.partitions.get(index);
-      final RegisterVersion ballot = pulsed.ballots.get(index);
+    votes(from, machine, ack.incarnation, ack.known, "confirms");
+    for (int index = 0; index < Protocol.list(ack.partitions).size(); index++) {
+      final int partition = ack.partitions.get(index);
+      final RegisterVersion ballot = ack.ballots.get(index);
       must(
           machine.kept.promised(partition).sameBallot(ballot)
               || machine.kept.promised(partition).compareTo(ballot) < 0,
@@ -540,12 +540,12 @@
   }
 
   private void serves(
-      final String from, final Machine machine, final StateStoreMessages.Heartbeat pulse) {
-    for (int index = 0; index < Protocol.list(pulse.partitions).size(); index++) {
-      final int partition = pulse.partitions.get(index);
-      final Ballot ballot = ballot(machine, partition, pulse.ballots.get(index));
+      final String from, final Machine machine, final StateStoreMessages.Heartbeat heartbeat) {
+    for (int index = 0; index < Protocol.list(heartbeat.partitions).size(); index++) {
+      final int partition = heartbeat.partitions.get(index);
+      final Ballot ballot = ballot(machine, partition, heartbeat.ballots.get(index));
       final String what =
-          "serves partition " + partition + " under ballot " + pulse.ballots.get(index);
+          "serves partition " + partition + " under ballot " + heartbeat.ballots.get(index);
       if (ballot == null) {
         must(false, from, what + ", which it has not begun under its roster");
         continue;
@@ -623,10 +623,10 @@
         }
       }
     } else if (message instanceof StateStoreMessages.HeartbeatAck) {
-      final StateStoreMessages.HeartbeatAck pulsed = (StateStoreMessages.HeartbeatAck) message;
-      for (int index = 0; index < Protocol.list(pulsed.partitions).size(); index++) {
-        if (ballot(machine, pulsed.partitions.get(index), pulsed.ballots.get(index)) != null) {
-          hears(machine, pulsed.known);
+      final StateStoreMessages.HeartbeatAck ack = (StateStoreMessages.HeartbeatAck) message;
+      for (int index = 0; index < Protocol.list(ack.partitions).size(); index++) {
+        if (ballot(machine, ack.partitions.get(index), ack.ballots.get(index)) != null) {
+          hears(machine, ack.known);
         }
       }
     } else if (message instanceof StateStoreMessages.RecoveryResponse) {
--- a/simulation/src/test/java/weldpoint/simulation/model/TraceTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/model/TraceTest.java
@@ -20,17 +20,17 @@
   private static final List<String> SEEDS = List.of("10.0.1.1", "10.0.1.2", "10.0.2.1");
   private static final String[] OTHERS = {"10.0.2.2", "10.0.3.1", "10.0.3.2", "10.0.1.3"};
 
-  private static void traffic(final StateStoreSimulation fleet) {
-    final Random random = fleet.random();
-    final List<String> running = fleet.running();
+  private static void traffic(final StateStoreSimulation simulation) {
+    final Random random = simulation.random();
+    final List<String> running = simulation.running();
     if (!running.isEmpty()) {
       final String at = running.get(random.nextInt(running.size()));
       switch (random.nextInt(3)) {
         case 0 ->
-            fleet.call(
+            simulation.call(
                 at, StoreOperation.NUMBER, "n" + random.nextInt(4), null, 0, 0, null, answer -> {});
         case 1 ->
-            fleet.call(
+            simulation.call(
                 at,
                 StoreOperation.LOCK_BEGIN,
                 "l" + random.nextInt(3),
@@ -40,7 +40,7 @@
                 null,
                 answer -> {});
         default ->
-            fleet.call(
+            simulation.call(
                 at,
                 StoreOperation.CELL_REPLACE,
                 "g" + random.nextInt(2),
@@ -51,91 +51,93 @@
                 answer -> {});
       }
     }
-    fleet.after(25, () -> traffic(fleet));
+    simulation.after(25, () -> traffic(simulation));
   }
 
   private static void again(
-      final StateStoreSimulation fleet, final String address, final boolean wipe) {
-    fleet.kill(address, true);
+      final StateStoreSimulation simulation, final String address, final boolean wipe) {
+    simulation.kill(address, true);
     if (wipe) {
-      fleet.wipe(address);
+      simulation.wipe(address);
     }
-    fleet.after(
-        200 + fleet.random().nextInt(1200),
+    simulation.after(
+        200 + simulation.random().nextInt(1200),
         () -> {
-          if (fleet.machines().get(address).core() == null) {
-            fleet.start(address, false);
+          if (simulation.machines().get(address).replica() == null) {
+            simulation.start(address, false);
           }
         });
   }
 
-  private static void trouble(final StateStoreSimulation fleet) {
-    final Random random = fleet.random();
-    final List<String> running = new ArrayList<>(fleet.running());
+  private static void trouble(final StateStoreSimulation simulation) {
+    final Random random = simulation.random();
+    final List<String> running = new ArrayList<>(simulation.running());
     Collections.shuffle(running, random);
     final String one = running.get(0);
     switch (random.nextInt(9)) {
-      case 0 -> again(fleet, one, false);
-      case 1 -> running.forEach(address -> again(fleet, address, false));
+      case 0 -> again(simulation, one, false);
+      case 1 -> running.forEach(address -> again(simulation, address, false));
       case 2 ->
           running
               .subList(1, running.size())
               .forEach(
                   other -> {
-                    fleet.cut(one, other, true);
-                    fleet.cut(other, one, random.nextBoolean());
+                    simulation.cut(one, other, true);
+                    simulation.cut(other, one, random.nextBoolean());
                   });
-      case 3 -> fleet.freeze(one, true);
-      case 4 -> running.forEach(address -> fleet.disk(address, 2 + random.nextInt(300)));
+      case 3 -> simulation.freeze(one, true);
+      case 4 -> running.forEach(address -> simulation.disk(address, 2 + random.nextInt(300)));
       case 5 -> {
-        fleet.kill(one, true);
-        fleet.after(6000, () -> fleet.start(one, false));
+        simulation.kill(one, true);
+        simulation.after(6000, () -> simulation.start(one, false));
       }
       case 6 -> {
-        again(fleet, one, true);
-        fleet.after(
-            150, () -> running.subList(1, 3).forEach(address -> again(fleet, address, false)));
+        again(simulation, one, true);
+        simulation.after(
+            150, () -> running.subList(1, 3).forEach(address -> again(simulation, address, false)));
       }
-      default -> again(fleet, one, true);
+      default -> again(simulation, one, true);
     }
-    fleet.after(2500, fleet::heal);
+    simulation.after(2500, simulation::heal);
   }
 
   private static StateStoreSimulation fleet(
       final long seed,
       final boolean syncsFirst,
       final int others,
-      final StateStoreSimulation.FaultInjector meddler,
+      final StateStoreSimulation.FaultInjector faultInjector,
       final Trace trace) {
-    final StateStoreSimulation fleet = new StateStoreSimulation(seed, SEEDS, syncsFirst);
-    fleet.watcher(trace);
-    if (meddler != null) {
-      fleet.meddler(meddler);
+    final StateStoreSimulation simulation = new StateStoreSimulation(seed, SEEDS, syncsFirst);
+    simulation.observer(trace);
+    if (faultInjector != null) {
+      simulation.faultInjector(faultInjector);
     }
     for (final String address : SEEDS) {
-      fleet.add(address, "zone-" + address.charAt(5), "x");
-      fleet.start(address, true);
+      simulation.add(address, "zone-" + address.charAt(5), "x");
+      simulation.start(address, true);
     }
     for (final String address : List.of(OTHERS).subList(0, others)) {
-      fleet.add(address, "zone-" + address.charAt(5), "x");
-      fleet.after(500 + fleet.random().nextInt(3000), () -> fleet.start(address, true));
+      simulation.add(address, "zone-" + address.charAt(5), "x");
+      simulation.after(
+          500 + simulation.random().nextInt(3000), () -> simulation.start(address, true));
     }
-    fleet.run(3600);
-    traffic(fleet);
-    return fleet;
+    simulation.run(3600);
+    traffic(simulation);
+    return simulation;
   }
 
   private static Trace day(
       final long seed,
       final boolean syncsFirst,
-      final StateStoreSimulation.FaultInjector meddler,
+      final StateStoreSimulation.FaultInjector faultInjector,
       final int rounds) {
     final Trace trace = new Trace();
-    final StateStoreSimulation fleet = fleet(seed, syncsFirst, OTHERS.length, meddler, trace);
+    final StateStoreSimulation simulation =
+        fleet(seed, syncsFirst, OTHERS.length, faultInjector, trace);
     for (int round = 0; round < rounds; round++) {
-      fleet.run(1500);
-      trouble(fleet);
-      fleet.run(5500);
+      simulation.run(1500);
+      trouble(simulation);
+      simulation.run(5500);
     }
     return trace;
   }
@@ -171,7 +173,7 @@
   @Test
   public void anOvertakenPromiseThatCountsIsSeen() {
     final Trace trace = new Trace();
-    final StateStoreSimulation fleet =
+    final StateStoreSimulation simulation =
         fleet(
             1,
             true,
@@ -183,11 +185,11 @@
               }
             },
             trace);
-    fleet.run(3000);
-    again(fleet, SEEDS.get(1), true);
-    fleet.run(4000);
+    simulation.run(3000);
+    again(simulation, SEEDS.get(1), true);
+    simulation.run(4000);
     assertTrue(trace.breaches().isEmpty(), trace.breaches().toString());
-    othersPause(fleet);
+    othersPause(simulation);
     assertTrue(
         trace.breaches().stream()
             .anyMatch(
@@ -198,13 +200,13 @@
   }
 
   /** All but the first core stand still in turn, so that the first wins their partitions. */
-  private static void othersPause(final StateStoreSimulation fleet) {
-    for (final String address : fleet.running()) {
+  private static void othersPause(final StateStoreSimulation simulation) {
+    for (final String address : simulation.running()) {
       if (!address.equals(SEEDS.get(0))) {
-        fleet.freeze(address, true);
-        fleet.run(2200);
-        fleet.heal();
-        fleet.run(1500);
+        simulation.freeze(address, true);
+        simulation.run(2200);
+        simulation.heal();
+        simulation.run(1500);
       }
     }
   }
@@ -239,7 +241,7 @@
   @Test
   public void anEstablishmentOfLessThanWasToldIsSeen() {
     final Trace trace = new Trace();
-    final StateStoreSimulation fleet =
+    final StateStoreSimulation simulation =
         fleet(
             2,
             true,
@@ -264,7 +266,7 @@
               }
             },
             trace);
-    othersPause(fleet);
+    othersPause(simulation);
     assertTrue(
         trace.breaches().stream()
             .anyMatch(line -> line.startsWith(SEEDS.get(0)) && line.contains("where it was told")),
@@ -278,7 +280,7 @@
   @Test
   public void aCommitWithoutAMajorityIsSeen() {
     final Trace trace = new Trace();
-    final StateStoreSimulation fleet =
+    final StateStoreSimulation simulation =
         fleet(
             1,
             true,
@@ -307,11 +309,11 @@
             },
             trace);
     for (int call = 0; call < 1000; call++) {
-      fleet.after(
+      simulation.after(
           call * 4L,
           () ->
-              fleet.call(
-                  fleet.running().get(0),
+              simulation.call(
+                  simulation.running().get(0),
                   StoreOperation.NUMBER,
                   "n",
                   null,
@@ -320,8 +322,8 @@
                   null,
                   answer -> {}));
     }
-    fleet.run(1000);
-    othersPause(fleet);
+    simulation.run(1000);
+    othersPause(simulation);
     assertTrue(
         trace.breaches().stream()
             .anyMatch(line -> line.startsWith(SEEDS.get(0)) && line.contains("the next value of")),
--- a/simulation/src/test/java/weldpoint/statestore/BrokenAuditSequencer.java
+++ b/simulation/src/test/java/weldpoint/statestore/BrokenAuditSequencer.java
@@ -9,8 +9,9 @@
   private BrokenAuditSequencer() {}
 
   /** A holder that lets several changes be under way at once, each with its own entry only. */
-  public static void hasty(final StateStoreReplica core, final AuditStore store, final long keeps) {
-    core.history(
+  public static void hasty(
+      final StateStoreReplica replica, final AuditStore store, final long keeps) {
+    replica.history(
         store,
         keeps,
         new AuditSequencer(StateStoreSimulation.ENTRY_BYTES) {
@@ -27,8 +28,8 @@
   }
 
   /** A holder that acknowledges whatever is not above the version held, and leaves it at that. */
-  public static void heedless(final StateStoreReplica core) {
-    core.versions(
+  public static void heedless(final StateStoreReplica replica) {
+    replica.versions(
         new TakenVersions(null, null) {
           @Override
           Decision decide(
@@ -41,9 +42,9 @@
 
   /** A holder that knows what the version held stands for, but of older ones nothing. */
   public static void forgetful(
-      final StateStoreReplica core, final AuditStore store, final long keeps) {
-    core.history(store, keeps, StateStoreSimulation.ENTRY_BYTES);
-    core.versions(
+      final StateStoreReplica replica, final AuditStore store, final long keeps) {
+    replica.history(store, keeps, StateStoreSimulation.ENTRY_BYTES);
+    replica.versions(
         new TakenVersions(
             new AuditSequencer(StateStoreSimulation.ENTRY_BYTES),
             new weldpoint.audit.AuditLog("none", new weldpoint.audit.HeapStore(), () -> {})));
@@ -70,8 +71,8 @@
 
   /** A holder as before there was a history: no entries at all. */
   public static void silent(
-      final StateStoreReplica core, final AuditStore store, final long keeps) {
-    core.history(
+      final StateStoreReplica replica, final AuditStore store, final long keeps) {
+    replica.history(
         store,
         keeps,
         new AuditSequencer(StateStoreSimulation.ENTRY_BYTES) {
--- a/soak/src/main/java/weldpoint/soak/SoakRun.java
+++ b/soak/src/main/java/weldpoint/soak/SoakRun.java
@@ -32,7 +32,7 @@
   /** The most runs of the limited tenant in a window, by the users' rule. */
   static final int ALLOWED = (int) ((Workload.RATE * 5 + Workload.BURST) * 1.1 + 20);
 
-  private record TimedFault(long until, Fault trouble, Fault.ActiveFault inForce) {}
+  private record TimedFault(long until, Fault fault, Fault.ActiveFault inForce) {}
 
   /**
    * What a soak found.
@@ -116,13 +116,13 @@
         lasting.poll().inForce().end();
       }
       if (now >= next && lasting.size() < MOST_AT_ONCE) {
-        final Fault trouble = Fault.values()[random.nextInt(Fault.values().length)];
+        final Fault fault = Fault.values()[random.nextInt(Fault.values().length)];
         final int millis =
             LEAST_LASTING_MILLIS + random.nextInt(MOST_LASTING_MILLIS - LEAST_LASTING_MILLIS);
         next = now + random.nextInt(MOST_BETWEEN_MILLIS);
-        counts.merge(trouble, 1, Integer::sum);
-        notes.add(now + " " + trouble + " for " + millis + " ms");
-        lasting.add(new TimedFault(now + millis, trouble, trouble.begin(fleet, random)));
+        counts.merge(fault, 1, Integer::sum);
+        notes.add(now + " " + fault + " for " + millis + " ms");
+        lasting.add(new TimedFault(now + millis, fault, fault.begin(fleet, random)));
       }
       Thread.sleep(STEP_MILLIS);
     }
--- a/statestore/src/main/java/weldpoint/statestore/AuditSequencer.java
+++ b/statestore/src/main/java/weldpoint/statestore/AuditSequencer.java
@@ -199,7 +199,7 @@
    * What a call changed, as an entry that has no place yet; null where its deed changes no routing.
    */
   AuditEntry.Draft draft(
-      final StoreOperation deed,
+      final StoreOperation operation,
       final StoreMessages.StoreRequest call,
       final Object before,
       final Object after,
@@ -207,7 +207,7 @@
       final long mark,
       final long time) {
     final AuditEntry.Draft draft =
-        switch (deed) {
+        switch (operation) {
           case SPEC_REPLACE ->
               configuration(
                   (StoredValues.StoredConfiguration) before,
@@ -226,10 +226,10 @@
     if (draft == null) {
       return null;
     }
-    final StoreMessages.ChangeOrigin cause = call.cause;
-    return cause == null
+    final StoreMessages.ChangeOrigin origin = call.origin;
+    return origin == null
         ? draft.origin(null, null, null, time)
-        : draft.origin(cause.author, cause.caller, cause.taker, time);
+        : draft.origin(origin.author, origin.caller, origin.taker, time);
   }
 
   private AuditEntry.Draft configuration(
--- a/statestore/src/main/java/weldpoint/statestore/Recovery.java
+++ b/statestore/src/main/java/weldpoint/statestore/Recovery.java
@@ -60,7 +60,7 @@
   /** A value that is being given out piece by piece. */
   private record OutgoingValue(String name, RegisterVersion mark, byte[] whole) {}
 
-  private final StateStoreReplica core;
+  private final StateStoreReplica replica;
   private long enquireNumber;
   private long enquiredAt = Long.MIN_VALUE / 2;
   private final Map<String, StateStoreMessages.MembershipResponse> enquired = new HashMap<>();
@@ -81,8 +81,8 @@
   private long bytes;
   private long startedAt;
 
-  Recovery(final StateStoreReplica core) {
-    this.core = core;
+  Recovery(final StateStoreReplica replica) {
+    this.replica = replica;
   }
 
   /** The next enquiry; null where the last one is too fresh. */
@@ -116,12 +116,12 @@
       final StateStoreMessages.MembershipRequest enquire,
       final Consumer<Message> reply) {
     final List<String> holders = new ArrayList<>();
-    for (final Partition partition : core.partitions) {
+    for (final Partition partition : replica.partitions) {
       holders.add(partition.holder == null ? "" : partition.holder);
     }
     reply.accept(
         new StateStoreMessages.MembershipResponse(
-            enquire.number, core.blank, core.roster, core.incarnationOf(from), holders));
+            enquire.number, replica.blank, replica.roster, replica.incarnationOf(from), holders));
   }
 
   void onEnquired(
@@ -129,12 +129,13 @@
     if (answer.blank) {
       return;
     }
-    if (!core.blank) {
-      core.adopt(answer.roster, now);
-      if (core.roster.index(core.self) < 0) {
+    if (!replica.blank) {
+      replica.adopt(answer.roster, now);
+      if (replica.roster.index(replica.self) < 0) {
         final List<String> holders = Protocol.list(answer.holders);
         for (int index = 0; index < holders.size(); index++) {
-          core.partitions[index].holder = holders.get(index).isEmpty() ? null : holders.get(index);
+          replica.partitions[index].holder =
+              holders.get(index).isEmpty() ? null : holders.get(index);
         }
       }
       return;
@@ -150,14 +151,14 @@
     enquired.put(from, answer);
     long most = 0;
     int answers = 0;
-    for (final Voter voter : core.roster.voters) {
+    for (final Voter voter : replica.roster.voters) {
       final StateStoreMessages.MembershipResponse one = enquired.get(voter.address);
-      if (one != null && !voter.address.equals(core.self)) {
+      if (one != null && !voter.address.equals(replica.self)) {
         answers++;
         most = Math.max(most, one.incarnation);
       }
     }
-    if (answers >= core.roster.majority()) {
+    if (answers >= replica.roster.majority()) {
       fetching = most + 1;
       startedAt = now;
       advance(now);
@@ -188,9 +189,9 @@
   }
 
   private void takeRoster(final StateStoreMessages.Roster roster) {
-    if (roster.number > core.roster.number) {
-      core.roster = roster;
-      core.tellPeers();
+    if (roster.number > replica.roster.number) {
+      replica.roster = roster;
+      replica.tellPeers();
     }
   }
 
@@ -200,24 +201,25 @@
       final String from,
       final StateStoreMessages.RecoveryRequest fetch,
       final Consumer<Message> reply) {
-    if (!core.votes() || core.known.containsKey(from) && fetch.incarnation < core.known.get(from)) {
+    if (!replica.votes()
+        || replica.known.containsKey(from) && fetch.incarnation < replica.known.get(from)) {
       return;
     }
     fetchers.add(from);
-    final boolean news = fetch.incarnation > core.incarnationOf(from);
-    core.known.merge(from, fetch.incarnation, Math::max);
-    final int index = core.roster.index(from);
+    final boolean news = fetch.incarnation > replica.incarnationOf(from);
+    replica.known.merge(from, fetch.incarnation, Math::max);
+    final int index = replica.roster.index(from);
     if (news && index >= 0) {
       LOGGER.atInfo().log(
           "frame %s learns that %s lost its disk and is now incarnation %s",
-          core.self, from, fetch.incarnation);
-      core.overtaken(index);
+          replica.self, from, fetch.incarnation);
+      replica.overtaken(index);
     }
     if (!news && !(fetch.after.isEmpty() && Protocol.list(fetch.names).isEmpty())) {
       reply.accept(part(from, fetch));
       return;
     }
-    core.persist(
+    replica.persist(
         new StoredValues.DiskRecord(
             StateStoreReplica.KNOWN, 0, null, null, null, from, fetch.incarnation),
         () -> reply.accept(part(from, fetch)));
@@ -238,18 +240,18 @@
       final int total) {
     final List<RegisterVersion> promised = new ArrayList<>();
     final List<RegisterVersion> established = new ArrayList<>();
-    for (final Partition partition : core.partitions) {
+    for (final Partition partition : replica.partitions) {
       promised.add(partition.promised);
       established.add(partition.established);
     }
     return new StateStoreMessages.RecoveryResponse(
         fetch.incarnation,
-        core.roster,
+        replica.roster,
         promised,
         established,
         entries,
-        core.knownIncarnations(),
-        core.audit.log().last(),
+        replica.knownIncarnations(),
+        replica.audit.log().last(),
         fetch.after,
         values,
         more,
@@ -265,7 +267,7 @@
    */
   private StateStoreMessages.RecoveryResponse page(final StateStoreMessages.RecoveryRequest fetch) {
     final TreeMap<String, StoredRegister> all = new TreeMap<>();
-    for (final Partition partition : core.partitions) {
+    for (final Partition partition : replica.partitions) {
       all.putAll(partition.stored);
     }
     final List<RegisterEntry> entries = new ArrayList<>();
@@ -302,7 +304,7 @@
     int room = PART_BYTES;
     for (final String name : fetch.names) {
       final StoredRegister stored =
-          core.partitions[StateStoreReplica.partition(name)].stored.get(name);
+          replica.partitions[StateStoreReplica.partition(name)].stored.get(name);
       if (stored == null) {
         absent.add(name);
         continue;
@@ -353,7 +355,7 @@
 
   void onFetched(
       final String from, final StateStoreMessages.RecoveryResponse answer, final long now) {
-    if (!core.blank || fetched || answer.incarnation != fetching || fetching == 0) {
+    if (!replica.blank || fetched || answer.incarnation != fetching || fetching == 0) {
       return;
     }
     takeRoster(answer.roster);
@@ -425,14 +427,14 @@
 
   /** Keeps a value that a voter holds, in memory and on disk, so that it need not come again. */
   private void keep(final RegisterEntry entry) {
-    final Partition partition = core.partitions[StateStoreReplica.partition(entry.name)];
+    final Partition partition = replica.partitions[StateStoreReplica.partition(entry.name)];
     bytes += entry.whole.length;
     final StoredRegister before = partition.stored.get(entry.name);
     if (before != null && before.mark.compareTo(entry.mark) >= 0) {
       return;
     }
     partition.store(entry.mark.ballot(), false, List.of(entry), new ArrayList<>());
-    core.persist(
+    replica.persist(
         new StoredValues.DiskRecord(
             StateStoreReplica.REGISTERS,
             partition.number,
@@ -449,7 +451,7 @@
    * that end are heeded at once.
    */
   void tick(final long now) {
-    if (core.blank) {
+    if (replica.blank) {
       advance(now);
       askWanted(now);
     }
@@ -460,12 +462,12 @@
       return;
     }
     final Map<String, Source> whole = new LinkedHashMap<>();
-    for (final Voter voter : core.roster.voters) {
-      if (voter.address.equals(core.self)) {
+    for (final Voter voter : replica.roster.voters) {
+      if (voter.address.equals(replica.self)) {
         continue;
       }
       final Source source = sources.computeIfAbsent(voter.address, address -> new Source());
-      if (source.first != null && source.first.roster.number != core.roster.number) {
+      if (source.first != null && source.first.roster.number != replica.roster.number) {
         source.first = null;
         source.after = "";
         source.catalogued = false;
@@ -481,7 +483,7 @@
             now);
       }
     }
-    if (whole.size() >= core.roster.majority()) {
+    if (whole.size() >= replica.roster.majority()) {
       final Map<String, RegisterVersion> lacking = lacking(whole);
       if (lacking.isEmpty()) {
         finish(whole, now);
@@ -505,7 +507,7 @@
       final long now) {
     source.asked = fetch;
     source.askedAt = now;
-    core.outlet.send(address, fetch);
+    replica.environment.send(address, fetch);
   }
 
   private RegisterVersion floor(final Map<String, Source> whole, final int partition) {
@@ -527,7 +529,7 @@
     for (final Source source : whole.values()) {
       for (final Map.Entry<String, RegisterVersion> one : source.marks.entrySet()) {
         final int partition = StateStoreReplica.partition(one.getKey());
-        final StoredRegister stored = core.partitions[partition].stored.get(one.getKey());
+        final StoredRegister stored = replica.partitions[partition].stored.get(one.getKey());
         if (one.getValue().compareTo(floors[partition]) >= 0
             && (stored == null || stored.mark.compareTo(one.getValue()) < 0)) {
           lacking.merge(
@@ -585,17 +587,17 @@
 
   private void finish(final Map<String, Source> whole, final long now) {
     for (final Source source : whole.values()) {
-      for (int index = 0; index < core.roster.voters.size(); index++) {
-        core.known.merge(
-            core.roster.voters.get(index).address, source.first.known.get(index), Math::max);
+      for (int index = 0; index < replica.roster.voters.size(); index++) {
+        replica.known.merge(
+            replica.roster.voters.get(index).address, source.first.known.get(index), Math::max);
       }
-      for (final Partition partition : core.partitions) {
+      for (final Partition partition : replica.partitions) {
         final RegisterVersion promised = source.first.promised.get(partition.number);
         partition.promised =
             promised.compareTo(partition.promised) > 0 ? promised : partition.promised;
       }
     }
-    for (final Partition partition : core.partitions) {
+    for (final Partition partition : replica.partitions) {
       final RegisterVersion floor = floor(whole, partition.number);
       partition.established =
           floor.compareTo(partition.established) > 0 ? floor : partition.established;
@@ -603,10 +605,10 @@
           .stored
           .values()
           .removeIf(stored -> stored.mark.compareTo(partition.established) < 0);
-      partition.vacateAt = now + StateStoreReplica.VACANT_MILLIS + core.random.nextInt(300);
+      partition.vacateAt = now + StateStoreReplica.VACANT_MILLIS + replica.random.nextInt(300);
     }
-    core.incarnation = fetching;
-    core.known.remove(core.self);
+    replica.incarnation = fetching;
+    replica.known.remove(replica.self);
     fetched = true;
     pieces.clear();
     whole.forEach(
@@ -616,10 +618,10 @@
             wantedFrom = address;
           }
         });
-    final List<byte[]> records = core.claims();
+    final List<byte[]> records = replica.claims();
     for (int index = 0; index < records.size(); index++) {
       final boolean last = index == records.size() - 1;
-      core.outlet.append(
+      replica.environment.append(
           records.get(index),
           last
               ? () -> {
@@ -630,8 +632,8 @@
     }
     LOGGER.atInfo().log(
         "frame %s has the registers of a majority: %s parts, %s KB, %s ms",
-        core.self, parts, bytes / 1024, now - startedAt);
-    wantedSeen = core.audit.log().last();
+        replica.self, parts, bytes / 1024, now - startedAt);
+    wantedSeen = replica.audit.log().last();
     if (wantedFrom != null && wantedSeen < wantedAudit) {
       askHistory(now);
     }
@@ -642,16 +644,19 @@
    * are on its disk, and it has noted there that it counts.
    */
   void mayBeWhole() {
-    if (core.blank && registersKept && !wholeAsked && core.audit.log().durable() >= wantedAudit) {
+    if (replica.blank
+        && registersKept
+        && !wholeAsked
+        && replica.audit.log().durable() >= wantedAudit) {
       wholeAsked = true;
-      core.persist(
-          core.selfRecord(),
+      replica.persist(
+          replica.selfRecord(),
           () -> {
-            core.blank = false;
+            replica.blank = false;
             sources.clear();
             LOGGER.atInfo().log(
                 "frame %s refetched everything as incarnation %s, history up to %s",
-                core.self, core.incarnation, core.audit.log().last());
+                replica.self, replica.incarnation, replica.audit.log().last());
           });
     }
   }
@@ -661,7 +666,7 @@
    * another voter is asked.
    */
   private void askWanted(final long now) {
-    final long last = core.audit.log().last();
+    final long last = replica.audit.log().last();
     if (!fetched || wantedFrom == null || last >= wantedAudit) {
       return;
     }
@@ -684,7 +689,7 @@
 
   private void askHistory(final long now) {
     wantedAskedAt = now;
-    core.audit.ask(wantedFrom);
+    replica.audit.ask(wantedFrom);
   }
 
   /** What came in parts, as counters. */
--- a/statestore/src/main/java/weldpoint/statestore/RegisterState.java
+++ b/statestore/src/main/java/weldpoint/statestore/RegisterState.java
@@ -12,17 +12,17 @@
 final class RegisterState {
   static final class Work {
     final StoreRequest call;
-    final StoreOperation deed;
+    final StoreOperation operation;
     final Consumer<StoreResponse> reply;
     final long receivedAt;
 
     Work(
         final StoreRequest call,
-        final StoreOperation deed,
+        final StoreOperation operation,
         final Consumer<StoreResponse> reply,
         final long receivedAt) {
       this.call = call;
-      this.deed = deed;
+      this.operation = operation;
       this.reply = reply;
       this.receivedAt = receivedAt;
     }
--- a/statestore/src/main/java/weldpoint/statestore/StateStoreDaemon.java
+++ b/statestore/src/main/java/weldpoint/statestore/StateStoreDaemon.java
@@ -33,65 +33,65 @@
   private static final int MOST_VOTERS = 5;
   private static final long TICK_MILLIS = 50;
 
-  private final Settings boot;
-  private final SerialExecutor desk = new SerialExecutor("frame");
+  private final Settings settings;
+  private final SerialExecutor executor = new SerialExecutor("frame");
   private final EventLoopGroup loop = new NioEventLoopGroup(1);
-  private final StateStoreReplica core;
-  private final Transport trunk;
-  private final PeerConnections lines;
-  private WriteAheadLog tape;
+  private final StateStoreReplica replica;
+  private final Transport transport;
+  private final PeerConnections connections;
+  private WriteAheadLog log;
   private long countersAt;
 
   /** A store for these settings; nothing runs yet. */
-  public StateStoreDaemon(final Settings boot) {
-    this.boot = boot;
+  public StateStoreDaemon(final Settings settings) {
+    this.settings = settings;
     final long owner = RandomIds.next();
-    this.trunk =
+    this.transport =
         new Transport(
-            loop, new Protocol.Hello(Serializer.PROTOCOL, "frame", boot.address(), owner));
-    this.lines =
+            loop, new Protocol.Hello(Serializer.PROTOCOL, "frame", settings.address(), owner));
+    this.connections =
         new PeerConnections(
-            trunk,
-            boot.trunkPort(1),
+            transport,
+            settings.trunkPort(1),
             to ->
                 Transport.on(
-                    desk,
+                    executor,
                     new Transport.Listener() {
                       @Override
-                      public void heard(final Connection line, final Message message) {
-                        core().receive(to, message, line::send, now());
+                      public void heard(final Connection connection, final Message message) {
+                        replica().receive(to, message, connection::send, now());
                       }
 
                       @Override
-                      public void closed(final Connection line) {
-                        core().lineClosed(to, now());
+                      public void closed(final Connection connection) {
+                        replica().lineClosed(to, now());
                       }
                     }));
-    this.core =
+    this.replica =
         new StateStoreReplica(
-            boot.address(),
-            boot.site(),
-            boot.region(),
-            boot.voter(),
+            settings.address(),
+            settings.site(),
+            settings.region(),
+            settings.voter(),
             MOST_VOTERS,
-            boot.historyMillis(),
+            settings.historyMillis(),
             owner,
             new Random(owner),
-            boot.seeds(),
+            settings.seeds(),
             new StateStoreReplica.Environment() {
               @Override
               public void send(final String address, final Message message) {
-                lines.send(address, message);
+                connections.send(address, message);
               }
 
               @Override
               public void append(final byte[] record, final Runnable synced) {
-                tape.append(record, synced);
+                log.append(record, synced);
               }
 
               @Override
               public void peers(final List<String> addresses) {
-                lines.keep(addresses);
+                connections.keep(addresses);
               }
 
               @Override
@@ -101,8 +101,8 @@
             });
   }
 
-  private StateStoreReplica core() {
-    return core;
+  private StateStoreReplica replica() {
+    return replica;
   }
 
   private static long now() {
@@ -111,89 +111,91 @@
 
   @Override
   public void start() throws IOException, InterruptedException {
-    if (boot.folder().isEmpty()) {
+    if (settings.folder().isEmpty()) {
       throw new WeldpointException(
           WeldpointException.Kind.SETTING,
           "setting station.folder has the value ''; a frame needs a folder on a disk of its own");
     }
     final WriteAheadLog.Opened opened =
         WriteAheadLog.open(
-            Path.of(boot.folder(), "frame"),
-            "frame " + boot.address(),
+            Path.of(settings.folder(), "frame"),
+            "frame " + settings.address(),
             FILES,
             FILE_BYTES,
             MOST_FILE_BYTES,
-            desk,
-            core::view);
+            executor,
+            replica::view);
     final SegmentRing.Recovered found = opened.found();
     if (found.lost()) {
       LOGGER.atSevere().log(
           "the disk of %s lost records that had been synced; it counts as blank and is refetched from the other frames",
-          boot.name());
+          settings.name());
     }
-    tape = opened.tape();
+    log = opened.log();
     final SegmentStore segments =
-        new SegmentStore(Path.of(boot.folder(), "frame-history"), boot.auditBytes(), desk);
-    core.history(segments, boot.auditRetention(), boot.auditEntryBytes());
-    desk.execute(
+        new SegmentStore(
+            Path.of(settings.folder(), "frame-history"), settings.auditBytes(), executor);
+    replica.history(segments, settings.auditRetention(), settings.auditEntryBytes());
+    executor.execute(
         () ->
-            core.start(
+            replica.start(
                 found.lost() ? List.of() : found.records(),
-                boot.firstStart() && found.blank() && !found.lost(),
+                settings.firstStart() && found.blank() && !found.lost(),
                 now()));
-    tape.start("tape");
+    log.start("tape");
     segments.start("history");
-    trunk.serve(
-        boot.bindAddress(),
-        boot.trunkPort(1),
+    transport.serve(
+        settings.bindAddress(),
+        settings.trunkPort(1),
         Transport.on(
-            desk,
+            executor,
             new Transport.Listener() {
               @Override
-              public void heard(final Connection line, final Message message) {
+              public void heard(final Connection connection, final Message message) {
                 if (message instanceof StoreMessages.StoreRequest) {
-                  core.call(
+                  replica.call(
                       (StoreMessages.StoreRequest) message,
-                      answer -> line.send(answer.at(now())),
+                      answer -> connection.send(answer.at(now())),
                       now());
                 } else {
-                  core.receive(line.peer().address, message, line::send, now());
+                  replica.receive(connection.peer().address, message, connection::send, now());
                 }
               }
             }));
     loop.scheduleAtFixedRate(
-        () -> desk.execute(this::tick), TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
+        () -> executor.execute(this::tick), TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   private void tick() {
     final long now = now();
-    core.disk(tape.busyMillis(), tape.refusing(), now);
-    core.tick(now);
-    if (now - countersAt >= boot.countersMillis()) {
+    replica.disk(log.busyMillis(), log.refusing(), now);
+    replica.tick(now);
+    if (now - countersAt >= settings.countersMillis()) {
       countersAt = now;
       LOGGER.atInfo().log(
           "counters: serving %s ballots %s commits %s syncs %s %s roster %s %s %s",
-          core.serving(),
-          core.ballots(),
-          core.commits(),
-          tape.syncs(),
-          tape.counters(),
-          core.roster().number,
-          core.historyCounters(),
-          trunk.meter());
+          replica.serving(),
+          replica.ballots(),
+          replica.commits(),
+          log.syncs(),
+          log.counters(),
+          replica.roster().number,
+          replica.historyCounters(),
+          transport.trafficCounters());
     }
   }
 
   @Override
   public void reload(final Settings news) {
-    desk.execute(() -> core.seeds(news.seeds()));
+    executor.execute(() -> replica.seeds(news.seeds()));
   }
 
   @Override
   public void stop() {
     final java.util.concurrent.CountDownLatch done = new java.util.concurrent.CountDownLatch(1);
-    desk.execute(
-        () -> core.leave(() -> loop.schedule(done::countDown, 60, TimeUnit.MILLISECONDS), now()));
+    executor.execute(
+        () ->
+            replica.leave(() -> loop.schedule(done::countDown, 60, TimeUnit.MILLISECONDS), now()));
     try {
       done.await(GracefulLeave.MOST_MILLIS + 1000, TimeUnit.MILLISECONDS);
     } catch (final InterruptedException ended) {
