--- a/statestore/src/main/java/weldpoint/statestore/StateStoreReplica.java
+++ b/statestore/src/main/java/weldpoint/statestore/StateStoreReplica.java
@@ -90,7 +90,7 @@
   private final long keepMillis;
   private final long owner;
   final Random random;
-  final Environment outlet;
+  final Environment environment;
   private List<String> seeds;
   final Partition[] partitions = new Partition[PARTITIONS];
   final Map<String, Long> known = new HashMap<>();
@@ -99,13 +99,13 @@
   long incarnation;
   boolean blank = true;
   private boolean left;
-  private final GracefulLeave departure = new GracefulLeave();
+  private final GracefulLeave gracefulLeave = new GracefulLeave();
   private boolean diskTrouble;
   private long ballots;
   private long commits;
   AuditReplica audit;
   private final Recovery recovery = new Recovery(this);
-  private AuditSequencer book;
+  private AuditSequencer auditSequencer;
   private TakenVersions versions;
   private long retention = Long.MAX_VALUE;
 
@@ -120,7 +120,7 @@
       final long owner,
       final Random random,
       final List<String> seeds,
-      final Environment outlet) {
+      final Environment environment) {
     this.self = self;
     this.site = site;
     this.region = region;
@@ -130,7 +130,7 @@
     this.owner = owner;
     this.random = random;
     this.seeds = seeds;
-    this.outlet = outlet;
+    this.environment = environment;
     for (int index = 0; index < PARTITIONS; index++) {
       partitions[index] = new Partition(index);
     }
@@ -147,11 +147,11 @@
 
   void history(final AuditStore store, final long entries, final AuditSequencer given) {
     retention = entries;
-    book = given;
+    auditSequencer = given;
     audit =
         new AuditReplica(
-            new AuditLog(self, store, recovery::mayBeWhole), outlet::send, new Random(owner));
-    versions = new TakenVersions(book, audit.log());
+            new AuditLog(self, store, recovery::mayBeWhole), environment::send, new Random(owner));
+    versions = new TakenVersions(auditSequencer, audit.log());
   }
 
   void versions(final TakenVersions given) {
@@ -275,7 +275,7 @@
   }
 
   void persist(final StoredValues.DiskRecord record, final Runnable synced) {
-    outlet.append(Serializer.bytes(record), synced);
+    environment.append(Serializer.bytes(record), synced);
   }
 
   // ---- peers
@@ -301,7 +301,7 @@
       }
     }
     addresses.remove(self);
-    outlet.peers(addresses);
+    environment.peers(addresses);
   }
 
   List<Long> knownIncarnations() {
@@ -679,26 +679,27 @@
 
   private void onPulse(
       final String from,
-      final StateStoreMessages.Heartbeat pulse,
+      final StateStoreMessages.Heartbeat heartbeat,
       final Consumer<Message> reply,
       final long now) {
-    final List<Integer> numbers = Protocol.list(pulse.partitions);
-    if (numbers.isEmpty() || !agrees(pulse.roster, reply, numbers.get(0), pulse.ballots.get(0))) {
+    final List<Integer> numbers = Protocol.list(heartbeat.partitions);
+    if (numbers.isEmpty()
+        || !agrees(heartbeat.roster, reply, numbers.get(0), heartbeat.ballots.get(0))) {
       return;
     }
     final List<Integer> standing = new ArrayList<>(numbers.size());
     final List<RegisterVersion> ballotsStanding = new ArrayList<>(numbers.size());
     for (int index = 0; index < numbers.size(); index++) {
       final Partition partition = partitions[numbers.get(index)];
-      final RegisterVersion ballot = pulse.ballots.get(index);
+      final RegisterVersion ballot = heartbeat.ballots.get(index);
       if (partition.promised.sameBallot(ballot)) {
         standing.add(partition.number);
         ballotsStanding.add(ballot);
         heardHolder(partition, from, now);
-        membership.settled(partition.number, pulse.roster);
+        membership.settled(partition.number, heartbeat.roster);
       } else if (ballot.compareTo(partition.promised) > 0) {
         heardHolder(partition, from, now);
-        membership.settled(partition.number, pulse.roster);
+        membership.settled(partition.number, heartbeat.roster);
       } else {
         reply.accept(
             new StateStoreMessages.Refused(
@@ -716,7 +717,7 @@
       final Consumer<Message> reply,
       final long now) {
     if (refused.roster < roster.number) {
-      outlet.send(from, new StateStoreMessages.RosterUpdate(roster));
+      environment.send(from, new StateStoreMessages.RosterUpdate(roster));
       return;
     }
     learn(refused.roster, refused.known);
@@ -782,7 +783,7 @@
             if (held) {
               stepDown(partition, now);
             }
-            if (votes() && held && !departure.begun()) {
+            if (votes() && held && !gracefulLeave.begun()) {
               begin(partition, now);
             }
           }
@@ -926,7 +927,7 @@
       loop.add(message);
       runLoop(now);
     } else {
-      outlet.send(address, message);
+      environment.send(address, message);
     }
   }
 
@@ -1019,7 +1020,7 @@
       partition.held.put(entry.name, held);
     }
     if (partition.number == 0) {
-      book.begin(partition.held.values());
+      auditSequencer.begin(partition.held.values());
     }
     partition.phase = Phase.ESTABLISHING;
     partition.startedAt = now;
@@ -1134,7 +1135,7 @@
         "frame %s serves partition %s under ballot %s, roster %s, registers %s",
         self, partition.number, partition.ballot, roster.number, partition.held.size());
     if (partition.number == 0) {
-      audit.decided(book.serve(), others());
+      audit.decided(auditSequencer.serve(), others());
       final RegisterState held = partition.held.get("roster");
       if (held != null && ((Roster) held.committed).number > roster.number) {
         announce((Roster) held.committed, now);
@@ -1152,7 +1153,7 @@
     }
     for (final String address : told) {
       if (!address.equals(self)) {
-        outlet.send(address, new StateStoreMessages.RosterUpdate(news));
+        environment.send(address, new StateStoreMessages.RosterUpdate(news));
       }
     }
     adopt(news, now);
@@ -1192,18 +1193,18 @@
   private long pulsedAllAt;
 
   private void onPulsed(
-      final String from, final StateStoreMessages.HeartbeatAck pulsed, final long now) {
+      final String from, final StateStoreMessages.HeartbeatAck ack, final long now) {
     final int place = roster.index(from);
-    final List<Integer> numbers = Protocol.list(pulsed.partitions);
+    final List<Integer> numbers = Protocol.list(ack.partitions);
     for (int index = 0; index < numbers.size(); index++) {
       final Partition partition = partitions[numbers.get(index)];
       if (partition.phase.ordinal() > Phase.CANVASSING.ordinal()
-          && partition.ballot.sameBallot(pulsed.ballots.get(index))) {
-        learn(roster.number, pulsed.known);
+          && partition.ballot.sameBallot(ack.ballots.get(index))) {
+        learn(roster.number, ack.known);
         break;
       }
     }
-    if (place < 0 || pulsed.incarnation != incarnationOf(from)) {
+    if (place < 0 || ack.incarnation != incarnationOf(from)) {
       return;
     }
     for (final Partition partition : partitions) {
@@ -1212,12 +1213,12 @@
       }
     }
     if (partitions[0].phase == Phase.SERVING) {
-      book.logged(place, pulsed.audited);
-      book.settle(roster);
+      auditSequencer.logged(place, ack.audited);
+      auditSequencer.settle(roster);
     }
     for (int index = 0; index < numbers.size(); index++) {
       final Partition partition = partitions[numbers.get(index)];
-      final RegisterVersion mark = pulsed.ballots.get(index);
+      final RegisterVersion mark = ack.ballots.get(index);
       if (partition.phase == Phase.SERVING
           && partition.ballot.sameBallot(mark)
           && !restart.contains(partition)) {
@@ -1272,33 +1273,33 @@
       final long now) {
     final Consumer<StoreMessages.StoreResponse> reply =
         answer -> line.accept(answer.to(call.caller));
-    final StoreOperation deed = StoreOperation.of(call.deed);
-    if (deed == null) {
+    final StoreOperation operation = StoreOperation.of(call.deed);
+    if (operation == null) {
       reply.accept(new StoreMessages.StoreResponse(call.number, 400, 0, null, null));
       return;
     }
-    if (deed == StoreOperation.HISTORY_READ) {
+    if (operation == StoreOperation.HISTORY_READ) {
       reply.accept(history(call));
       return;
     }
-    final String register = deed.register(call.name);
+    final String register = operation.register(call.name);
     final Partition partition = partitions[partition(register)];
-    if (partition.phase != Phase.SERVING || departure.begun()) {
+    if (partition.phase != Phase.SERVING || gracefulLeave.begun()) {
       reply.accept(
           new StoreMessages.StoreResponse(
               call.number, 0, 0, null, self.equals(partition.holder) ? null : partition.holder));
       return;
     }
-    if (deed == StoreOperation.CONTROL) {
+    if (operation == StoreOperation.CONTROL) {
       control(partition, call, reply, now);
       return;
     }
-    if (deed == StoreOperation.HISTORY_HEAD) {
+    if (operation == StoreOperation.HISTORY_HEAD) {
       head(partition, call, reply, now);
       return;
     }
     final RegisterState held = held(partition, register);
-    held.waiting.add(new RegisterState.Work(call, deed, reply, now));
+    held.waiting.add(new RegisterState.Work(call, operation, reply, now));
     drain(partition, held, now);
   }
 
@@ -1322,16 +1323,16 @@
   }
 
   private void drain(final Partition partition, final RegisterState held, final long now) {
-    final boolean waits = held.kind.audited() && book.busy(held);
+    final boolean waits = held.kind.audited() && auditSequencer.busy(held);
     Object value = held.committed;
     boolean changed = false;
     final List<StoredValues.Put> puts = new ArrayList<>();
     final List<RegisterState.Work> later = new ArrayList<>();
     while (!held.waiting.isEmpty()) {
       final RegisterState.Work work = held.waiting.poll();
-      if (work.deed == StoreOperation.CELL_READ
-          || work.deed == StoreOperation.SPEC_READ
-          || work.deed == StoreOperation.WATCH) {
+      if (work.operation == StoreOperation.CELL_READ
+          || work.operation == StoreOperation.SPEC_READ
+          || work.operation == StoreOperation.WATCH) {
         look(partition, held, work, now);
         continue;
       }
@@ -1340,22 +1341,22 @@
         continue;
       }
       if (late(work.call, now)
-          || work.deed == StoreOperation.LOCK_BEGIN && !datable(partition, work.call, now)) {
+          || work.operation == StoreOperation.LOCK_BEGIN && !datable(partition, work.call, now)) {
         work.reply.accept(redirect(work.call, partition));
         continue;
       }
       final Decision decision = decide(partition, held, value, work, now);
       if (decision.way == Decision.Way.WRITE) {
         if (held.kind.audited()) {
-          book.add(
-              book.draft(
-                  work.deed,
+          auditSequencer.add(
+              auditSequencer.draft(
+                  work.operation,
                   work.call,
                   value,
                   decision.value,
                   work.call.first,
                   controlMark(partition, held, decision.value),
-                  outlet.timeOfDay()));
+                  environment.timeOfDay()));
         }
         changed = true;
         value = decision.value;
@@ -1406,18 +1407,18 @@
       final Object value,
       final RegisterState.Work work,
       final long now) {
-    if (!work.deed.once()) {
-      return work.deed.decide(held, value, work.call, now);
+    if (!work.operation.once()) {
+      return work.operation.decide(held, value, work.call, now);
     }
     final Decision before = partition.recent.before(work.call);
     if (before != null) {
       return before;
     }
-    if (work.deed == StoreOperation.LOCK_BEGIN && older(partition, work.call, now)
+    if (work.operation == StoreOperation.LOCK_BEGIN && older(partition, work.call, now)
         || partition.recent.full(now)) {
       return Decision.confirm(504, 0);
     }
-    final Decision decision = work.deed.decide(held, value, work.call, now);
+    final Decision decision = work.operation.decide(held, value, work.call, now);
     partition.recent.remember(work.call, decision, now);
     return decision;
   }
@@ -1427,14 +1428,15 @@
       final RegisterState held,
       final RegisterState.Work work,
       final long now) {
-    final Decision decision = work.deed.decide(held, held.committed, work.call, now);
+    final Decision decision = work.operation.decide(held, held.committed, work.call, now);
     switch (decision.way) {
       case READ ->
           confirm(
               partition,
               now,
               work,
-              () -> work.reply.accept(answer(work, work.deed.read(held.committed, work.call))));
+              () ->
+                  work.reply.accept(answer(work, work.operation.read(held.committed, work.call))));
       case PARK -> held.parked.add(work);
       case CONFIRM ->
           confirm(partition, now, work, () -> work.reply.accept(answer(work, decision)));
@@ -1451,7 +1453,7 @@
     final RegisterVersion base = held.mark;
     final boolean fresh = held.committed == null;
     if (held.kind.audited()) {
-      book.propose(held);
+      auditSequencer.propose(held);
     }
     held.inFlight = true;
     held.proposed = value;
@@ -1567,7 +1569,7 @@
       }
       wakeControl(partition, now);
       if (held.kind.audited()) {
-        audit.decided(book.commit(held), others());
+        audit.decided(auditSequencer.commit(held), others());
         for (final RegisterState other : new ArrayList<>(partition.held.values())) {
           if (other != held && other.kind.audited() && !other.waiting.isEmpty()) {
             drain(partition, other, now);
@@ -1656,8 +1658,10 @@
                 new StoreMessages.StoreResponse(
                     call.number,
                     200,
-                    book.decided(),
-                    book.decidedDigest().getBytes(java.nio.charset.StandardCharsets.UTF_8),
+                    auditSequencer.decided(),
+                    auditSequencer
+                        .decidedDigest()
+                        .getBytes(java.nio.charset.StandardCharsets.UTF_8),
                     null)));
   }
 
@@ -1666,31 +1670,32 @@
    * older store, and trimming.
    */
   private void keepHistory(final Partition partition, final long now) {
-    book.settle(roster);
-    if (!book.idle()) {
+    auditSequencer.settle(roster);
+    if (!auditSequencer.idle()) {
       return;
     }
     final RegisterState held = held(partition, StoredValues.Kind.AUDIT.register(""));
     final RegisterState spec = partition.held.get(StoredValues.Kind.SPEC.register(""));
-    if (book.decided() == 0) {
+    if (auditSequencer.decided() == 0) {
       if (spec != null && spec.committed != null) {
-        book.add(
-            book.upgrade(
-                (StoredValues.StoredConfiguration) spec.committed, self, outlet.timeOfDay()));
+        auditSequencer.add(
+            auditSequencer.upgrade(
+                (StoredValues.StoredConfiguration) spec.committed, self, environment.timeOfDay()));
         propose(partition, held, new StoredValues.Retention(0), List.of(), now);
       }
       return;
     }
     final AuditLog log = audit.log();
     final long slack = Math.max(16, retention / 10);
-    final long through = book.decided() - retention;
+    final long through = auditSequencer.decided() - retention;
     if (retention < Long.MAX_VALUE / 2
-        && book.decided() - log.base() > retention + slack
-        && log.last() == book.decided()
-        && through <= book.settled(roster)) {
+        && auditSequencer.decided() - log.base() > retention + slack
+        && log.last() == auditSequencer.decided()
+        && through <= auditSequencer.settled(roster)) {
       final String digest = log.digestAt(through);
       if (digest != null) {
-        book.add(book.retention(through, digest, self, outlet.timeOfDay()));
+        auditSequencer.add(
+            auditSequencer.retention(through, digest, self, environment.timeOfDay()));
         propose(partition, held, new StoredValues.Retention(through), List.of(), now);
       }
     }
@@ -1763,7 +1768,7 @@
    * it all that this daemon counted for, or too long has passed; then the deed runs.
    */
   public void leave(final Runnable gone, final long now) {
-    departure.begin(gone, roster.number, now);
+    gracefulLeave.begin(gone, roster.number, now);
     resign(true, now);
     if (!votes()) {
       depart(now);
@@ -1771,20 +1776,20 @@
   }
 
   private void depart(final long now) {
-    if (!departure.begun() || left) {
+    if (!gracefulLeave.begun() || left) {
       return;
     }
-    if (votes() && !departure.released()) {
-      if (!departure.late(now)) {
+    if (votes() && !gracefulLeave.released()) {
+      if (!gracefulLeave.late(now)) {
         return;
       }
       LOGGER.atWarning().log(
           "frame %s leaves although partitions %s may be on too few other disks: no holder has said within %s ms that a majority has them without it; bring it back with its disk, or replace it, before another voter is lost",
-          self, departure.open(), GracefulLeave.MOST_MILLIS);
+          self, gracefulLeave.open(), GracefulLeave.MOST_MILLIS);
     }
     resign(true, now);
     left = true;
-    departure.gone().run();
+    gracefulLeave.gone().run();
   }
 
   /**
@@ -1806,7 +1811,8 @@
   }
 
   private boolean heldWithout(final Partition partition, final int leaver) {
-    if (partition.number == 0 && book.settledWithout(roster, leaver) < book.decided()) {
+    if (partition.number == 0
+        && auditSequencer.settledWithout(roster, leaver) < auditSequencer.decided()) {
       return false;
     }
     for (final RegisterState held : partition.held.values()) {
@@ -1827,8 +1833,8 @@
   }
 
   private void onReleased(final StateStoreMessages.Released released, final long now) {
-    if (departure.begun() && released.roster >= departure.roster()) {
-      departure.released(Protocol.list(released.partitions));
+    if (gracefulLeave.begun() && released.roster >= gracefulLeave.roster()) {
+      gracefulLeave.released(Protocol.list(released.partitions));
       depart(now);
     }
   }
@@ -1845,7 +1851,7 @@
     if (ending || !numbers.isEmpty()) {
       for (final Voter voter : roster.voters) {
         if (!voter.address.equals(self)) {
-          outlet.send(voter.address, new StateStoreMessages.Resign(ending, numbers));
+          environment.send(voter.address, new StateStoreMessages.Resign(ending, numbers));
         }
       }
     }
@@ -1856,12 +1862,12 @@
     if (left) {
       return;
     }
-    if (departure.begun()) {
+    if (gracefulLeave.begun()) {
       depart(now);
       if (left) {
         return;
       }
-      if (departure.again(now)) {
+      if (gracefulLeave.again(now)) {
         resign(true, now);
       }
     }
@@ -1878,7 +1884,7 @@
     for (final Partition partition : partitions) {
       switch (partition.phase) {
         case IDLE -> {
-          if (votes() && !diskTrouble && !departure.begun() && now >= partition.vacateAt) {
+          if (votes() && !diskTrouble && !gracefulLeave.begun() && now >= partition.vacateAt) {
             canvass(partition, now);
           }
         }
@@ -2048,9 +2054,9 @@
     membership.describes(new Voter(self, site, region, List.of()));
     for (final String address : asked) {
       if (!address.equals(self)) {
-        outlet.send(address, enquire);
+        environment.send(address, enquire);
         if (!blank && mayVote) {
-          outlet.send(
+          environment.send(
               address, new StateStoreMessages.Join(new Voter(self, site, region, List.of())));
         }
       }
@@ -2068,7 +2074,7 @@
     seedsToldAt = now;
     for (final String seed : seeds) {
       if (!seed.equals(self) && roster.index(seed) < 0 && !membership.joiners().contains(seed)) {
-        outlet.send(seed, new StateStoreMessages.RosterUpdate(roster));
+        environment.send(seed, new StateStoreMessages.RosterUpdate(roster));
       }
     }
   }
@@ -2080,7 +2086,7 @@
     final RegisterState held = held(partition, "roster");
     if (held.inFlight
         || held.committed != null && ((Roster) held.committed).number > roster.number
-        || book.settled(roster) < book.decided()) {
+        || auditSequencer.settled(roster) < auditSequencer.decided()) {
       return;
     }
     final Roster next = membership.next(roster, now);
--- a/statestore/src/main/java/weldpoint/statestore/StoreOperation.java
+++ b/statestore/src/main/java/weldpoint/statestore/StoreOperation.java
@@ -30,7 +30,7 @@
               new StoredConfiguration(
                   call.first,
                   call.body,
-                  call.cause == null ? null : call.cause.extra,
+                  call.origin == null ? null : call.origin.extra,
                   call.second == 1,
                   TakenVersions.content(call)),
               null,
--- a/statestore/src/main/java/weldpoint/statestore/TakenVersions.java
+++ b/statestore/src/main/java/weldpoint/statestore/TakenVersions.java
@@ -18,11 +18,11 @@
  * was taken once never stands for anything else.
  */
 class TakenVersions {
-  private final AuditSequencer book;
+  private final AuditSequencer auditSequencer;
   private final AuditLog log;
 
-  TakenVersions(final AuditSequencer book, final AuditLog log) {
-    this.book = book;
+  TakenVersions(final AuditSequencer auditSequencer, final AuditLog log) {
+    this.auditSequencer = auditSequencer;
     this.log = log;
   }
 
@@ -61,13 +61,13 @@
   }
 
   private AuditEntry entry(final long version) {
-    final AuditEntry young = book.taking(version);
+    final AuditEntry young = auditSequencer.taking(version);
     return young == null ? log.taking(version) : young;
   }
 
   /** Whether every entry that is kept is here: in the log, or in the tail after it. */
   private boolean complete() {
-    return log.last() >= book.tailBase();
+    return log.last() >= auditSequencer.tailBase();
   }
 
   /** What a configuration says, by the digest of its canonical form. */
--- a/statestore/src/test/java/weldpoint/statestore/FencingTest.java
+++ b/statestore/src/test/java/weldpoint/statestore/FencingTest.java
@@ -18,12 +18,12 @@
  */
 public final class FencingTest {
   private final List<Message> answers = new ArrayList<>();
-  private StateStoreReplica core;
+  private StateStoreReplica replica;
 
   @BeforeMethod
   public void start() {
     answers.clear();
-    core =
+    replica =
         new StateStoreReplica(
             "10.0.0.1",
             "a",
@@ -46,12 +46,12 @@
               @Override
               public void peers(final List<String> addresses) {}
             });
-    core.start(List.of(), true, 0);
+    replica.start(List.of(), true, 0);
   }
 
   private Message say(final String from, final Message message) {
     answers.clear();
-    core.receive(from, message, answers::add, 10);
+    replica.receive(from, message, answers::add, 10);
     return answers.isEmpty() ? null : answers.get(0);
   }
 
@@ -83,7 +83,8 @@
 
   @Test
   public void anOldRosterIsAnsweredWithTheNewerOne() {
-    final StateStoreMessages.Roster next = new StateStoreMessages.Roster(2, core.roster().voters);
+    final StateStoreMessages.Roster next =
+        new StateStoreMessages.Roster(2, replica.roster().voters);
     assertEquals(say("10.0.0.2", new StateStoreMessages.RosterUpdate(next)), null);
     final Message answer = say("10.0.0.3", accept(9, 1));
     assertEquals(((StateStoreMessages.RosterUpdate) answer).roster.number, 2);
--- a/statestore/src/test/java/weldpoint/statestore/ThawTest.java
+++ b/statestore/src/test/java/weldpoint/statestore/ThawTest.java
@@ -75,7 +75,7 @@
                   public void peers(final List<String> addresses) {}
                 }));
       }
-      cores.values().forEach(core -> core.start(List.of(), true, now));
+      cores.values().forEach(replica -> replica.start(List.of(), true, now));
     }
 
     private void at(
@@ -147,9 +147,9 @@
         }
         if (now % 50 == 0) {
           cores.forEach(
-              (address, core) -> {
+              (address, replica) -> {
                 if (!frozen.contains(address)) {
-                  core.tick(now);
+                  replica.tick(now);
                 }
               });
         }
@@ -159,7 +159,7 @@
     /** Calls one frame; what it answers is put into the list. */
     List<StoreMessages.StoreResponse> call(
         final String to,
-        final StoreOperation deed,
+        final StoreOperation operation,
         final String name,
         final String owner,
         final long first,
@@ -169,7 +169,7 @@
       final StoreMessages.StoreRequest call =
           new StoreMessages.StoreRequest(
               ++calls,
-              deed.ordinal(),
+              operation.ordinal(),
               name,
               owner,
               first,
@@ -183,11 +183,11 @@
      * The frame that answers calls for the lock's, the number's and the key's registers; null where
      * none does.
      */
-    String holder(final StoreOperation deed, final String name, final String body) {
+    String holder(final StoreOperation operation, final String name, final String body) {
       for (final String address : SEEDS) {
         if (!frozen.contains(address)) {
           final List<StoreMessages.StoreResponse> answers =
-              call(address, deed, name, "o", -1, 0, body);
+              call(address, operation, name, "o", -1, 0, body);
           pass(60);
           if (answers.stream()
               .anyMatch(
@@ -301,12 +301,12 @@
                 if (!(message instanceof StateStoreMessages.HeartbeatAck)) {
                   return message;
                 }
-                final StateStoreMessages.HeartbeatAck pulsed =
+                final StateStoreMessages.HeartbeatAck ack =
                     (StateStoreMessages.HeartbeatAck) message;
                 final List<RegisterVersion> later = new ArrayList<>();
-                Protocol.list(pulsed.ballots).forEach(mark -> later.add(mark.at(Long.MAX_VALUE)));
+                Protocol.list(ack.ballots).forEach(mark -> later.add(mark.at(Long.MAX_VALUE)));
                 return new StateStoreMessages.HeartbeatAck(
-                    pulsed.partitions, later, pulsed.incarnation, pulsed.known, pulsed.audited);
+                    ack.partitions, later, ack.incarnation, ack.known, ack.audited);
               }));
     }
     assertTrue(
--- a/transport/src/main/java/weldpoint/transport/PeerConnections.java
+++ b/transport/src/main/java/weldpoint/transport/PeerConnections.java
@@ -7,15 +7,15 @@
 
 /** Lines kept to a wanted set of addresses: missing ones are dialled, others are closed. */
 public final class PeerConnections {
-  private final Transport trunk;
+  private final Transport transport;
   private final int port;
   private final Function<String, Transport.Listener> ears;
   private final Map<String, Transport.Connector> diallers = new HashMap<>();
 
   /** Lines to this port, each with an ear of its own. */
   public PeerConnections(
-      final Transport trunk, final int port, final Function<String, Transport.Listener> ears) {
-    this.trunk = trunk;
+      final Transport transport, final int port, final Function<String, Transport.Listener> ears) {
+    this.transport = transport;
     this.port = port;
     this.ears = ears;
   }
@@ -23,7 +23,7 @@
   /** Makes these the addresses that lines are kept to. */
   public void keep(final List<String> addresses) {
     for (final String address : addresses) {
-      diallers.computeIfAbsent(address, to -> trunk.dial(to, port, ears.apply(to)));
+      diallers.computeIfAbsent(address, to -> transport.dial(to, port, ears.apply(to)));
     }
     diallers
         .entrySet()
@@ -42,20 +42,22 @@
    * line to it.
    */
   public long silentMillis(final String address) {
-    final Transport.Connector dialler = diallers.get(address);
-    final Connection line = dialler == null ? null : dialler.line();
-    return line == null ? Long.MAX_VALUE / 2 : (System.nanoTime() - line.heardNanos) / 1_000_000;
+    final Transport.Connector connector = diallers.get(address);
+    final Connection connection = connector == null ? null : connector.connection();
+    return connection == null
+        ? Long.MAX_VALUE / 2
+        : (System.nanoTime() - connection.heardNanos) / 1_000_000;
   }
 
   /** Sends to an address what is made for the line of the moment; false where there is none. */
   public boolean send(final String address, final Function<Connection, Message> made) {
-    final Transport.Connector dialler = diallers.get(address);
-    return dialler != null && dialler.send(made);
+    final Transport.Connector connector = diallers.get(address);
+    return connector != null && connector.send(made);
   }
 
   /** Sends to an address; false where there is no line to it. */
   public boolean send(final String address, final Message message) {
-    final Transport.Connector dialler = diallers.get(address);
-    return dialler != null && dialler.send(message);
+    final Transport.Connector connector = diallers.get(address);
+    return connector != null && connector.send(message);
   }
 }
--- a/transport/src/main/java/weldpoint/transport/RegionMessages.java
+++ b/transport/src/main/java/weldpoint/transport/RegionMessages.java
@@ -154,19 +154,19 @@
     public final long term;
     public final long number;
     public final long askedAt;
-    public final ProxyObservations sight;
+    public final ProxyObservations observations;
 
     public LeaderDirectiveAck(
         final long mark,
         final long term,
         final long number,
         final long askedAt,
-        final ProxyObservations sight) {
+        final ProxyObservations observations) {
       this.mark = mark;
       this.term = term;
       this.number = number;
       this.askedAt = askedAt;
-      this.sight = sight;
+      this.observations = observations;
     }
   }
 }
--- a/transport/src/main/java/weldpoint/transport/RegistryMessages.java
+++ b/transport/src/main/java/weldpoint/transport/RegistryMessages.java
@@ -399,16 +399,16 @@
    * it has.
    */
   public static final class DaemonReport implements Message {
-    public final DaemonEntry board;
+    public final DaemonEntry entry;
     public final List<Long> buckets;
 
-    public DaemonReport(final DaemonEntry board) {
-      this(board, null);
+    public DaemonReport(final DaemonEntry entry) {
+      this(entry, null);
     }
 
-    public DaemonReport(final DaemonEntry board, final List<Long> buckets) {
+    public DaemonReport(final DaemonEntry entry, final List<Long> buckets) {
       this.buckets = buckets;
-      this.board = board;
+      this.entry = entry;
     }
   }
 
--- a/transport/src/main/java/weldpoint/transport/StoreMessages.java
+++ b/transport/src/main/java/weldpoint/transport/StoreMessages.java
@@ -38,7 +38,7 @@
     public final long first;
     public final long second;
     public final byte[] body;
-    public final ChangeOrigin cause;
+    public final ChangeOrigin origin;
     public final byte[] content;
     public final long caller;
     public final long age;
@@ -64,8 +64,8 @@
         final long first,
         final long second,
         final byte[] body,
-        final ChangeOrigin cause) {
-      this(number, deed, name, owner, first, second, body, cause, null);
+        final ChangeOrigin origin) {
+      this(number, deed, name, owner, first, second, body, origin, null);
     }
 
     public StoreRequest(
@@ -76,9 +76,9 @@
         final long first,
         final long second,
         final byte[] body,
-        final ChangeOrigin cause,
+        final ChangeOrigin origin,
         final byte[] content) {
-      this(number, deed, name, owner, first, second, body, cause, content, 0, 0, 0, null);
+      this(number, deed, name, owner, first, second, body, origin, content, 0, 0, 0, null);
     }
 
     private StoreRequest(
@@ -89,7 +89,7 @@
         final long first,
         final long second,
         final byte[] body,
-        final ChangeOrigin cause,
+        final ChangeOrigin origin,
         final byte[] content,
         final long caller,
         final long age,
@@ -99,7 +99,7 @@
       this.caller = caller;
       this.age = age;
       this.clock = clock;
-      this.cause = cause;
+      this.origin = origin;
       this.content = content;
       this.number = number;
       this.deed = deed;
@@ -120,7 +120,7 @@
           first,
           second,
           body,
-          cause,
+          origin,
           content,
           givenCaller,
           age,
@@ -134,7 +134,7 @@
      */
     public StoreRequest aged(final long givenAge, final long now) {
       return new StoreRequest(
-          number, deed, name, owner, first, second, body, cause, content, caller, givenAge, now,
+          number, deed, name, owner, first, second, body, origin, content, caller, givenAge, now,
           clock);
     }
 
@@ -151,7 +151,7 @@
           first,
           second,
           body,
-          cause,
+          origin,
           content,
           caller,
           age == 0 ? 0 : age + Math.max(0, now - agedAt),
--- a/transport/src/main/java/weldpoint/transport/Transport.java
+++ b/transport/src/main/java/weldpoint/transport/Transport.java
@@ -33,13 +33,13 @@
   /** Hears what happens on lines; called on the traffic thread. */
   public interface Listener {
     /** The peer has said hello. */
-    default void opened(final Connection line) {}
+    default void opened(final Connection connection) {}
 
     /** The peer has said something. */
-    void heard(Connection line, Message message);
+    void heard(Connection connection, Message message);
 
     /** The line has ended. */
-    default void closed(final Connection line) {}
+    default void closed(final Connection connection) {}
 
     /** The peer's machine answered that nobody listens there. */
     default void refused() {}
@@ -47,11 +47,11 @@
 
   private final EventLoopGroup loop;
   private final Protocol.Hello hello;
-  private final TrafficCounters meter = new TrafficCounters();
+  private final TrafficCounters trafficCounters = new TrafficCounters();
 
   /** What has passed over all lines. */
-  public TrafficCounters meter() {
-    return meter;
+  public TrafficCounters trafficCounters() {
+    return trafficCounters;
   }
 
   /** A trunk whose lines open with this hello. */
@@ -61,16 +61,16 @@
   }
 
   /** Takes calls at an address, and returns once it does. */
-  public void serve(final String address, final int port, final Listener ear)
+  public void serve(final String address, final int port, final Listener listener)
       throws InterruptedException {
-    listen(address, port, ear).sync();
+    listen(address, port, listener).sync();
   }
 
   /**
    * Begins to take calls at an address, without waiting: the control thread must never wait for the
    * traffic thread, which may be waiting for it.
    */
-  public ChannelFuture listen(final String address, final int port, final Listener ear) {
+  public ChannelFuture listen(final String address, final int port, final Listener listener) {
     return new ServerBootstrap()
         .group(loop)
         .channel(NioServerSocketChannel.class)
@@ -81,7 +81,7 @@
             new ChannelInitializer<SocketChannel>() {
               @Override
               protected void initChannel(final SocketChannel channel) {
-                prepare(channel, ear, false);
+                prepare(channel, listener, false);
               }
             })
         .bind(address, port);
@@ -92,38 +92,38 @@
   }
 
   private Connection prepare(
-      final SocketChannel channel, final Listener ear, final boolean dialled) {
-    final Connection line = new Connection(channel);
+      final SocketChannel channel, final Listener listener, final boolean dialled) {
+    final Connection connection = new Connection(channel);
     if (dialled) {
-      line.clock().asked(now());
+      connection.clock().asked(now());
     }
     channel
         .pipeline()
         .addLast(
             new LengthFieldBasedFrameDecoder(MOST_BYTES, 0, 4, 0, 4),
             new MessageEncoder(),
-            new ConnectionHandler(line, ear, dialled));
-    return line;
+            new ConnectionHandler(connection, listener, dialled));
+    return connection;
   }
 
   /** Keeps a line to an address open until closed. */
-  public Connector dial(final String address, final int port, final Listener ear) {
-    return new Connector(address, port, ear);
+  public Connector dial(final String address, final int port, final Listener listener) {
+    return new Connector(address, port, listener);
   }
 
   /** Keeps one outgoing line open, dialling again after it ends. */
   public final class Connector {
     private final String address;
     private final int port;
-    private final Listener ear;
-    private volatile Connection line;
+    private final Listener listener;
+    private volatile Connection connection;
     private volatile boolean ended;
     private long pauseMillis = 50;
 
-    private Connector(final String address, final int port, final Listener ear) {
+    private Connector(final String address, final int port, final Listener listener) {
       this.address = address;
       this.port = port;
-      this.ear = ear;
+      this.listener = listener;
       connect();
     }
 
@@ -148,7 +148,7 @@
                             public void opened(final Connection opened) {
                               if (take(opened)) {
                                 pauseMillis = 50;
-                                ear.opened(opened);
+                                listener.opened(opened);
                               } else {
                                 opened.close();
                               }
@@ -156,14 +156,14 @@
 
                             @Override
                             public void heard(final Connection heard, final Message message) {
-                              ear.heard(heard, message);
+                              listener.heard(heard, message);
                             }
 
                             @Override
                             public void closed(final Connection closed) {
-                              if (line == closed) {
-                                line = null;
-                                ear.closed(closed);
+                              if (connection == closed) {
+                                connection = null;
+                                listener.closed(closed);
                               }
                             }
                           },
@@ -174,7 +174,7 @@
       attempt.addListener(
           done -> {
             if (isRefusal(done.cause())) {
-              ear.refused();
+              listener.refused();
             }
           });
       attempt.channel().closeFuture().addListener(done -> again());
@@ -189,7 +189,7 @@
     /** Takes a line unless the end came first; the two may come from different threads. */
     private synchronized boolean take(final Connection opened) {
       if (!ended) {
-        line = opened;
+        connection = opened;
       }
       return !ended;
     }
@@ -202,13 +202,13 @@
     }
 
     /** The line, or null while there is none. */
-    public Connection line() {
-      return line;
+    public Connection connection() {
+      return connection;
     }
 
     /** Sends where there is a line; tells whether there was one. */
     public boolean send(final Message message) {
-      final Connection now = line;
+      final Connection now = connection;
       if (now == null) {
         return false;
       }
@@ -218,7 +218,7 @@
 
     /** Sends what is made for the line of the moment; tells whether there was one. */
     public boolean send(final Function<Connection, Message> made) {
-      final Connection now = line;
+      final Connection now = connection;
       if (now == null) {
         return false;
       }
@@ -231,7 +231,7 @@
       final Connection now;
       synchronized (this) {
         ended = true;
-        now = line;
+        now = connection;
       }
       if (now != null) {
         now.close();
@@ -260,7 +260,7 @@
         final ChannelHandlerContext context, final Message message, final ByteBuf out) {
       final boolean sealed = message instanceof EncodedMessage;
       final byte[] body = sealed ? ((EncodedMessage) message).body : Serializer.bytes(message);
-      meter.out(body.length + 5);
+      trafficCounters.out(body.length + 5);
       out.ensureWritable(body.length + 5);
       out.writeInt(body.length + 1);
       out.writeByte(sealed ? ((EncodedMessage) message).kind : Serializer.number(message));
@@ -269,21 +269,22 @@
   }
 
   private final class ConnectionHandler extends ChannelDuplexHandler {
-    private final Connection line;
-    private final Listener ear;
+    private final Connection connection;
+    private final Listener listener;
     private final boolean dialled;
     private boolean open;
     private long ringNanos = System.nanoTime();
 
-    private ConnectionHandler(final Connection line, final Listener ear, final boolean dialled) {
-      this.line = line;
-      this.ear = ear;
+    private ConnectionHandler(
+        final Connection connection, final Listener listener, final boolean dialled) {
+      this.connection = connection;
+      this.listener = listener;
       this.dialled = dialled;
     }
 
     @Override
     public void channelActive(final ChannelHandlerContext context) {
-      line.heardNanos = System.nanoTime();
+      connection.heardNanos = System.nanoTime();
       context.writeAndFlush(hello.at(now()));
       watch(context.channel());
     }
@@ -296,14 +297,14 @@
                 if (!channel.isActive()) {
                   return;
                 }
-                if (System.nanoTime() - line.heardNanos > SILENCE_NANOS
+                if (System.nanoTime() - connection.heardNanos > SILENCE_NANOS
                     && System.nanoTime() - ringNanos < 2 * SILENCE_NANOS) {
                   channel.close();
                   return;
                 }
                 ringNanos = System.nanoTime();
                 if (dialled) {
-                  line.clock().asked(now());
+                  connection.clock().asked(now());
                   channel.writeAndFlush(new Protocol.KeepAlive(false));
                 }
                 watch(channel);
@@ -322,18 +323,18 @@
           context.close();
           return;
         }
-        meter.in(frame.readableBytes() + 5);
+        trafficCounters.in(frame.readableBytes() + 5);
         final byte[] body = new byte[frame.readableBytes()];
         frame.readBytes(body);
         message = (Message) Serializer.value(body, kind);
       } finally {
         frame.release();
       }
-      line.heardNanos = System.nanoTime();
+      connection.heardNanos = System.nanoTime();
       if (message instanceof Protocol.KeepAlive) {
         if (((Protocol.KeepAlive) message).echo) {
-          line.heardClock(((Protocol.KeepAlive) message).clock);
-          line.clock().answered(((Protocol.KeepAlive) message).clock, now());
+          connection.heardClock(((Protocol.KeepAlive) message).clock);
+          connection.clock().answered(((Protocol.KeepAlive) message).clock, now());
         } else {
           context.writeAndFlush(new Protocol.KeepAlive(true, now()));
         }
@@ -347,14 +348,14 @@
           return;
         }
         open = true;
-        line.peer = (Protocol.Hello) message;
-        line.peerClock = line.peer.clock;
+        connection.peer = (Protocol.Hello) message;
+        connection.peerClock = connection.peer.clock;
         if (dialled) {
-          line.clock().answered(line.peer.clock, now());
+          connection.clock().answered(connection.peer.clock, now());
         }
-        ear.opened(line);
+        listener.opened(connection);
       } else {
-        ear.heard(line, message);
+        listener.heard(connection, message);
       }
     }
 
@@ -362,7 +363,7 @@
     public void channelInactive(final ChannelHandlerContext context) {
       if (open) {
         open = false;
-        ear.closed(line);
+        listener.closed(connection);
       }
     }
 
@@ -376,26 +377,26 @@
   }
 
   /** An ear that runs everything on another thread, in order. */
-  public static Listener on(final java.util.concurrent.Executor executor, final Listener ear) {
+  public static Listener on(final java.util.concurrent.Executor executor, final Listener listener) {
     return new Listener() {
       @Override
-      public void opened(final Connection line) {
-        executor.execute(() -> ear.opened(line));
+      public void opened(final Connection connection) {
+        executor.execute(() -> listener.opened(connection));
       }
 
       @Override
-      public void heard(final Connection line, final Message message) {
-        executor.execute(() -> ear.heard(line, message));
+      public void heard(final Connection connection, final Message message) {
+        executor.execute(() -> listener.heard(connection, message));
       }
 
       @Override
-      public void closed(final Connection line) {
-        executor.execute(() -> ear.closed(line));
+      public void closed(final Connection connection) {
+        executor.execute(() -> listener.closed(connection));
       }
 
       @Override
       public void refused() {
-        executor.execute(ear::refused);
+        executor.execute(listener::refused);
       }
     };
   }
--- a/transport/src/test/java/weldpoint/transport/TransportTest.java
+++ b/transport/src/test/java/weldpoint/transport/TransportTest.java
@@ -50,9 +50,9 @@
             port,
             new Transport.Listener() {
               @Override
-              public void heard(final Connection line, final Message message) {
+              public void heard(final Connection connection, final Message message) {
                 heard.incrementAndGet();
-                line.send(message);
+                connection.send(message);
               }
             });
   }
@@ -103,15 +103,15 @@
   public void wordsTravelWholeOverADialledLine()
       throws InterruptedException, ExecutionException, TimeoutException {
     final CompletableFuture<RegistryMessages.Gossip> answer = new CompletableFuture<>();
-    final Transport.Connector dialler =
+    final Transport.Connector connector =
         new Transport(loop, hello(Serializer.PROTOCOL))
             .dial(
                 "127.0.0.1",
                 port,
                 new Transport.Listener() {
                   @Override
-                  public void opened(final Connection line) {
-                    line.send(
+                  public void opened(final Connection connection) {
+                    connection.send(
                         new RegistryMessages.Gossip(
                             1,
                             42,
@@ -127,12 +127,12 @@
                   }
 
                   @Override
-                  public void heard(final Connection line, final Message message) {
+                  public void heard(final Connection connection, final Message message) {
                     answer.complete((RegistryMessages.Gossip) message);
                   }
                 });
     final RegistryMessages.Gossip gossip = answer.get(5, TimeUnit.SECONDS);
-    dialler.close();
+    connector.close();
     assertEquals(gossip.digest, 42);
     assertEquals(gossip.roster.voters.get(0).tokens, List.of(1, 2));
     assertTrue(Protocol.list(gossip.history).isEmpty() && Protocol.list(gossip.boards).isEmpty());
--- a/transport/src/test/java/weldpoint/transport/TransportThreadsTest.java
+++ b/transport/src/test/java/weldpoint/transport/TransportThreadsTest.java
@@ -88,7 +88,8 @@
           new Thread(
               () -> {
                 future[0] =
-                    new Transport(loop, HELLO).listen("127.0.0.1", port, (line, message) -> {});
+                    new Transport(loop, HELLO)
+                        .listen("127.0.0.1", port, (connection, message) -> {});
                 returned.countDown();
               });
       control.setDaemon(true);
@@ -126,35 +127,35 @@
               port,
               new Transport.Listener() {
                 @Override
-                public void opened(final Connection line) {
+                public void opened(final Connection connection) {
                   opened.incrementAndGet();
-                  open.add(line);
+                  open.add(connection);
                 }
 
                 @Override
-                public void heard(final Connection line, final Message message) {}
+                public void heard(final Connection connection, final Message message) {}
 
                 @Override
-                public void closed(final Connection line) {
-                  open.remove(line);
+                public void closed(final Connection connection) {
+                  open.remove(connection);
                 }
               });
       final Random random = new Random(19);
-      final Transport trunk = new Transport(loop, HELLO);
+      final Transport transport = new Transport(loop, HELLO);
       for (int round = 0; round < 400; round++) {
         final CountDownLatch up = new CountDownLatch(1);
-        final Transport.Connector dialler =
-            trunk.dial(
+        final Transport.Connector connector =
+            transport.dial(
                 "127.0.0.1",
                 port,
                 new Transport.Listener() {
                   @Override
-                  public void opened(final Connection line) {
+                  public void opened(final Connection connection) {
                     up.countDown();
                   }
 
                   @Override
-                  public void heard(final Connection line, final Message message) {}
+                  public void heard(final Connection connection, final Message message) {}
                 });
         if (round % 4 == 0) {
           up.await(8, TimeUnit.SECONDS);
@@ -163,7 +164,7 @@
         for (int spin = 0; spin < spins; spin++) {
           Thread.onSpinWait();
         }
-        dialler.close();
+        connector.close();
       }
       final long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
       while (!open.isEmpty() && System.nanoTime() < until) {
--- a/trial/src/main/java/weldpoint/trial/TrialCoordinator.java
+++ b/trial/src/main/java/weldpoint/trial/TrialCoordinator.java
@@ -65,14 +65,14 @@
       final List<Integer> stages,
       final int leastWrites,
       final double lateAllowance,
-      final RoutingTable plan) {
+      final RoutingTable routingTable) {
     final Trial before = trials.get(route);
     if (before != null && TrialVerdict.of(before) != TrialVerdict.FINISHED) {
       throw new WeldpointException(
           WeldpointException.Kind.CONFLICT,
           "route " + route + " is under trial already; finish that one first");
     }
-    final String unfit = unfit(route, oldService, newService, plan);
+    final String unfit = unfit(route, oldService, newService, routingTable);
     if (unfit != null) {
       throw refuse(unfit);
     }
@@ -122,8 +122,8 @@
       final String route,
       final String oldService,
       final String newService,
-      final RoutingTable plan) {
-    final Route found = plan == null ? null : plan.route(route);
+      final RoutingTable routingTable) {
+    final Route found = routingTable == null ? null : routingTable.route(route);
     if (found == null) {
       return "the route " + route + " is not in the configuration in force; name one that is";
     }
@@ -133,8 +133,8 @@
     boolean old = false;
     boolean fresh = false;
     for (final int service : found.services()) {
-      old |= plan.services().get(service).name().equals(oldService);
-      fresh |= plan.services().get(service).name().equals(newService);
+      old |= routingTable.services().get(service).name().equals(oldService);
+      fresh |= routingTable.services().get(service).name().equals(newService);
     }
     if (!old || !fresh || oldService.equals(newService)) {
       return "the route "
@@ -343,13 +343,13 @@
   }
 
   /** The trials that have to be held, as they should be written. */
-  public List<Trial> verdicts(final RoutingTable plan) {
+  public List<Trial> verdicts(final RoutingTable routingTable) {
     final List<Trial> list = new ArrayList<>();
     for (final Trial trial : trials.values()) {
       if (!TrialVerdict.of(trial).open()) {
         continue;
       }
-      final Trial verdict = verdict(trial, plan);
+      final Trial verdict = verdict(trial, routingTable);
       if (verdict != null) {
         list.add(verdict);
       }
@@ -357,7 +357,7 @@
     return list;
   }
 
-  private Trial verdict(final Trial trial, final RoutingTable plan) {
+  private Trial verdict(final Trial trial, final RoutingTable routingTable) {
     for (final ReceivedCounts one : told.getOrDefault(trial.route, Map.of()).values()) {
       if (one.tally.hold != null) {
         return held(
@@ -401,13 +401,14 @@
               + " on the old version",
           lateAttempts(trial.route));
     }
-    if (plan != null && unfit(trial.route, trial.oldService, trial.newService, plan) != null) {
+    if (routingTable != null
+        && unfit(trial.route, trial.oldService, trial.newService, routingTable) != null) {
       return next(
           trial,
           trial.stage,
           TrialVerdict.FINISHED,
           "a newer configuration no longer has the split: "
-              + unfit(trial.route, trial.oldService, trial.newService, plan),
+              + unfit(trial.route, trial.oldService, trial.newService, routingTable),
           List.of());
     }
     return null;
--- a/upstream/src/main/java/weldpoint/upstream/UpstreamPool.java
+++ b/upstream/src/main/java/weldpoint/upstream/UpstreamPool.java
@@ -44,7 +44,7 @@
   private final String site;
   private final String region;
   private final Map<String, String> regions;
-  private final Settings boot;
+  private final Settings settings;
   private final Random random;
   private final Map<String, Upstream> upstreams = new HashMap<>();
   private final Map<String, List<Upstream>> services = new HashMap<>();
@@ -54,7 +54,7 @@
   private final Map<String, Quiet> quiets = new HashMap<>();
   private Set<String> evacuated = Set.of();
   private RoutingTable inForce;
-  private final SlowStartLimiter coldBound;
+  private final SlowStartLimiter slowStart;
   private final UpstreamSubsets subsets;
   private double ordered;
   private Set<String> orderedSuspects = Set.of();
@@ -63,20 +63,20 @@
   private long bornAt = Long.MIN_VALUE / 2;
 
   /** No upstreams yet. */
-  public UpstreamPool(final EventLoopGroup loop, final Settings boot, final Random random) {
-    this.boot = boot;
-    this.site = boot.site();
-    this.region = boot.region();
-    this.regions = boot.sites();
+  public UpstreamPool(final EventLoopGroup loop, final Settings settings, final Random random) {
+    this.settings = settings;
+    this.site = settings.site();
+    this.region = settings.region();
+    this.regions = settings.sites();
     this.random = random;
-    this.subsets = new UpstreamSubsets(boot);
-    this.coldBound =
+    this.subsets = new UpstreamSubsets(settings);
+    this.slowStart =
         new SlowStartLimiter(
-            boot.address(),
-            boot.site(),
+            settings.address(),
+            settings.site(),
             regions.size(),
-            boot.warmupOvershoot(),
-            boot.warmupTolerance(),
+            settings.warmupOvershoot(),
+            settings.warmupTolerance(),
             random);
     this.bootstrap =
         new Bootstrap()
@@ -84,8 +84,8 @@
             .channel(NioSocketChannel.class)
             .option(ChannelOption.TCP_NODELAY, true)
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 400);
-    if (boot.transferBytes() > 0) {
-      bootstrap.option(ChannelOption.SO_RCVBUF, boot.transferBytes());
+    if (settings.transferBytes() > 0) {
+      bootstrap.option(ChannelOption.SO_RCVBUF, settings.transferBytes());
     }
   }
 
@@ -131,8 +131,8 @@
   }
 
   /** Takes the configuration in force, of which every choice and every late send is judged. */
-  public void configuration(final RoutingTable plan) {
-    inForce = plan;
+  public void configuration(final RoutingTable routingTable) {
+    inForce = routingTable;
   }
 
   /** A change in the registry. */
@@ -146,7 +146,7 @@
         for (final Upstream upstream : upstreams.values()) {
           if (upstream.site.equals(back)) {
             upstream.coldPaced &= upstream.cold(now);
-            upstream.coldUntil = Math.max(upstream.coldUntil, now + boot.beatMillis() + 1000);
+            upstream.coldUntil = Math.max(upstream.coldUntil, now + settings.beatMillis() + 1000);
           }
         }
       }
@@ -166,12 +166,12 @@
    * certain.
    */
   public void switchboards(final int count) {
-    coldBound.settled(count);
+    slowStart.settled(count);
   }
 
   /** Takes how many switchboards an exchange counts; the largest number lately told holds. */
   public void switchboards(final int count, final long now) {
-    coldBound.told(count, now);
+    slowStart.told(count, now);
   }
 
   /**
@@ -184,7 +184,7 @@
   }
 
   private double sharers() {
-    return ordered > 0 ? 1 / ordered : coldBound.switchboards();
+    return ordered > 0 ? 1 / ordered : slowStart.switchboards();
   }
 
   /** The upstreams from which nothing comes back. */
@@ -204,7 +204,10 @@
         service,
         name ->
             new RetryBudget(
-                boot.retryRatio(), boot.retrySlack(), boot.retryWindowMillis(), bornAt));
+                settings.retryRatio(),
+                settings.retrySlack(),
+                settings.retryWindowMillis(),
+                bornAt));
   }
 
   /** This process may have had an earlier life, which spent of the same budgets. */
@@ -251,7 +254,7 @@
 
   /** Takes which proxies share this site, in an order that all of them are told alike. */
   public void neighbours(final List<String> addresses, final long now) {
-    coldBound.neighbours(addresses, now);
+    slowStart.neighbours(addresses, now);
     subsets.neighbours(addresses);
   }
 
@@ -435,7 +438,7 @@
       return false;
     }
     final int reserved =
-        upstream.reserved(now, sharers(), boot.affinityReserve(), usual(upstream.service));
+        upstream.reserved(now, sharers(), settings.affinityReserve(), usual(upstream.service));
     return reserved > 0 && upstream.known(now) + 1 > upstream.capacity - reserved;
   }
 
@@ -445,12 +448,12 @@
       final Upstream upstream, final RoutingTable.Service service, final long now) {
     return !upstream.cold(now)
         || service.warmupPerSecond() <= 0
-        || coldBound.admits(upstream, service.warmupPerSecond(), ordered, now);
+        || slowStart.admits(upstream, service.warmupPerSecond(), ordered, now);
   }
 
   private void paced(final Upstream upstream, final RoutingTable.Service service, final long now) {
     if (upstream.cold(now) && service.warmupPerSecond() > 0) {
-      coldBound.sent(upstream, service.warmupPerSecond(), ordered, now);
+      slowStart.sent(upstream, service.warmupPerSecond(), ordered, now);
     }
   }
 
--- a/upstream/src/main/java/weldpoint/upstream/UpstreamSubsets.java
+++ b/upstream/src/main/java/weldpoint/upstream/UpstreamSubsets.java
@@ -48,13 +48,13 @@
     }
   }
 
-  private final Settings boot;
+  private final Settings settings;
   private final Map<String, Tiers> tiers = new HashMap<>();
   private List<String> neighbours = List.of();
   private boolean outdated = true;
 
-  UpstreamSubsets(final Settings boot) {
-    this.boot = boot;
+  UpstreamSubsets(final Settings settings) {
+    this.settings = settings;
   }
 
   /** The upstreams have changed. */
@@ -88,14 +88,14 @@
   }
 
   private Tiers divide(final List<Upstream> upstreams) {
-    final boolean large = upstreams.size() > 2 * boot.choiceWidth();
+    final boolean large = upstreams.size() > 2 * settings.choiceWidth();
     final Map<String, List<Upstream>> sites = new HashMap<>();
     for (final Upstream upstream : upstreams) {
       upstream.own = !large;
       sites.computeIfAbsent(upstream.site, name -> new ArrayList<>()).add(upstream);
     }
-    if (large && place(sites.getOrDefault(boot.site(), List.of()).size()) >= 0) {
-      takeStretches(upstreams, sites.getOrDefault(boot.site(), List.of()));
+    if (large && place(sites.getOrDefault(settings.site(), List.of()).size()) >= 0) {
+      takeStretches(upstreams, sites.getOrDefault(settings.site(), List.of()));
     } else if (large) {
       sites.forEach(this::takeNearestByRank);
     }
@@ -107,27 +107,32 @@
   }
 
   private int tier(final Upstream upstream) {
-    return upstream.site.equals(boot.site()) ? 0 : upstream.region.equals(boot.region()) ? 1 : 2;
+    return upstream.site.equals(settings.site())
+        ? 0
+        : upstream.region.equals(settings.region()) ? 1 : 2;
   }
 
   private void takeStretches(final List<Upstream> upstreams, final List<Upstream> near) {
     takeStretch(
         near,
         (double) place(near.size()) / neighbours.size(),
-        Math.ceil(boot.choiceSharers() * near.size() / neighbours.size()));
+        Math.ceil(settings.choiceSharers() * near.size() / neighbours.size()));
     final Map<String, List<Upstream>> regions = new HashMap<>();
     for (final Upstream upstream : upstreams) {
-      if (!upstream.site.equals(boot.site())) {
+      if (!upstream.site.equals(settings.site())) {
         regions.computeIfAbsent(upstream.region, name -> new ArrayList<>()).add(upstream);
       }
     }
-    regions.values().forEach(list -> takeStretch(list, position(), (boot.choiceWidth() + 1) / 2));
+    regions
+        .values()
+        .forEach(list -> takeStretch(list, position(), (settings.choiceWidth() + 1) / 2));
   }
 
   private void takeNearestByRank(final String site, final List<Upstream> upstreams) {
     upstreams.sort(
-        Comparator.comparingLong(upstream -> RendezvousHash.of(upstream.id, boot.address())));
-    final int most = site.equals(boot.site()) ? boot.choiceWidth() : (boot.choiceWidth() + 1) / 2;
+        Comparator.comparingLong(upstream -> RendezvousHash.of(upstream.id, settings.address())));
+    final int most =
+        site.equals(settings.site()) ? settings.choiceWidth() : (settings.choiceWidth() + 1) / 2;
     upstreams.subList(0, Math.min(most, upstreams.size())).forEach(upstream -> upstream.own = true);
   }
 
@@ -136,17 +141,17 @@
    * too many upstreams.
    */
   private int place(final int upstreams) {
-    return neighbours.size() * (long) boot.choiceWidth() < boot.choiceSharers() * upstreams
+    return neighbours.size() * (long) settings.choiceWidth() < settings.choiceSharers() * upstreams
         ? -1
-        : neighbours.indexOf(boot.address());
+        : neighbours.indexOf(settings.address());
   }
 
   /** Where this proxy stands among all, from 0 to 1, if every site has as many as its own. */
   private double position() {
-    final List<String> sites = new ArrayList<>(boot.sites().keySet());
+    final List<String> sites = new ArrayList<>(settings.sites().keySet());
     sites.sort(null);
-    return (Math.max(0, sites.indexOf(boot.site()))
-            + (neighbours.indexOf(boot.address()) + 0.5) / neighbours.size())
+    return (Math.max(0, sites.indexOf(settings.site()))
+            + (neighbours.indexOf(settings.address()) + 0.5) / neighbours.size())
         / Math.max(1, sites.size());
   }
 
--- a/upstream/src/test/java/weldpoint/upstream/SlowStartLimiterTest.java
+++ b/upstream/src/test/java/weldpoint/upstream/SlowStartLimiterTest.java
@@ -27,7 +27,7 @@
   private static final double RATE = 5.3;
   private static final double BOUND = RATE * 1.5 + 8;
   private final EventLoopGroup loop = new NioEventLoopGroup(1);
-  private final RoutingTable plan =
+  private final RoutingTable routingTable =
       RoutingTable.compile(
           ("{\"version\":\"1\",\"listeners\":[{\"host\":\"h\",\"rules\":[{\"name\":\"any\",\"routeKind\":\"idempotent\",\"match\":{\"pathPrefix\":\"/\"},"
                   + "\"action\":{\"service\":\"s\",\"timeoutMs\":2000,\"maxAttempts\":2}}]}],\"pools\":[{\"name\":\"s\",\"warmupPerS\":"
@@ -90,7 +90,7 @@
   private void choose(
       final UpstreamPool upstreamPool, final List<List<Long>> sent, final long now) {
     final RouteBinding binding = new RouteBinding("h", "/x", 0);
-    plan.interpret(binding);
+    routingTable.interpret(binding);
     if (upstreamPool.choose(binding, List.of(), now) == UpstreamPool.Choice.CHOSEN) {
       sent.get(Integer.parseInt(upstreamPool.chosen().id().substring(2))).add(now);
     }
@@ -191,39 +191,41 @@
   @Test
   public void theSitesPartsAddUpToTheTokens() {
     for (int sites = 1; sites <= 12; sites++) {
-      final SlowStartLimiter bound = new SlowStartLimiter("a", "s", sites, 1.5, 8, new Random(1));
+      final SlowStartLimiter slowStart =
+          new SlowStartLimiter("a", "s", sites, 1.5, 8, new Random(1));
       for (int tokens = 1; tokens < 60; tokens++) {
-        final int sum = bound.part(true, tokens) + (sites - 1) * bound.part(false, tokens);
+        final int sum = slowStart.part(true, tokens) + (sites - 1) * slowStart.part(false, tokens);
         assertEquals(sum, tokens, sites + " sites");
-        assertTrue(bound.part(true, tokens) >= 1, "the own site has some");
+        assertTrue(slowStart.part(true, tokens) >= 1, "the own site has some");
       }
     }
   }
 
   @Test
   public void aSmallerCountThanLatelyToldIsNotBelieved() {
-    final SlowStartLimiter bound = new SlowStartLimiter("a", "s", 4, 1.5, 8, new Random(1));
-    bound.told(55, 0);
-    bound.told(3, 1000);
-    assertEquals(bound.switchboards(), 55);
-    bound.told(40, 20_001);
-    assertEquals(bound.switchboards(), 40);
+    final SlowStartLimiter slowStart = new SlowStartLimiter("a", "s", 4, 1.5, 8, new Random(1));
+    slowStart.told(55, 0);
+    slowStart.told(3, 1000);
+    assertEquals(slowStart.switchboards(), 55);
+    slowStart.told(40, 20_001);
+    assertEquals(slowStart.switchboards(), 40);
   }
 
   @Test
   public void aRequestThatWaitsForItsConnectionKeepsItsTokenUntilItIsSent() {
-    final SlowStartLimiter bound = new SlowStartLimiter("a", "s", 1, 1.5, 8, new Random(1));
-    bound.settled(10);
+    final SlowStartLimiter slowStart = new SlowStartLimiter("a", "s", 1, 1.5, 8, new Random(1));
+    slowStart.settled(10);
     final Upstream upstream =
         new Upstream(new Registration("i", "s", "10.9.0.1:80", "s", "v", 6, 0, 1, 0, 0), "r", 0);
     upstream.coldUntil = 60_000;
-    assertTrue(bound.admits(upstream, RATE, 0, 0));
-    bound.sent(upstream, RATE, 0, 0);
+    assertTrue(slowStart.admits(upstream, RATE, 0, 0));
+    slowStart.sent(upstream, RATE, 0, 0);
     upstream.connecting = 1;
-    assertFalse(bound.admits(upstream, RATE, 0, 30_000), "one is still on its way");
+    assertFalse(slowStart.admits(upstream, RATE, 0, 30_000), "one is still on its way");
     upstream.connecting = 0;
     upstream.sentLate(30_000);
-    assertFalse(bound.admits(upstream, RATE, 0, 31_000), "the pace counts from when it was sent");
-    assertTrue(bound.admits(upstream, RATE, 0, 33_000));
+    assertFalse(
+        slowStart.admits(upstream, RATE, 0, 31_000), "the pace counts from when it was sent");
+    assertTrue(slowStart.admits(upstream, RATE, 0, 33_000));
   }
 }
--- a/upstream/src/test/java/weldpoint/upstream/UpstreamPoolTest.java
+++ b/upstream/src/test/java/weldpoint/upstream/UpstreamPoolTest.java
@@ -39,9 +39,9 @@
  */
 public final class UpstreamPoolTest {
   private final EventLoopGroup loop = new NioEventLoopGroup(1);
-  private final RoutingTable plan = plan(tenant(List.of()), "");
+  private final RoutingTable routingTable = routingTable(tenant(List.of()), "");
 
-  private static RoutingTable plan(final String tenants, final String homesOfAny) {
+  private static RoutingTable routingTable(final String tenants, final String homesOfAny) {
     return RoutingTable.compile(
         ("{\"version\":\"1\","
                 + tenants
@@ -75,12 +75,12 @@
   }
 
   private RouteBinding request(final String path) {
-    return request(plan, path);
+    return request(routingTable, path);
   }
 
-  private static RouteBinding request(final RoutingTable plan, final String path) {
+  private static RouteBinding request(final RoutingTable routingTable, final String path) {
     final RouteBinding binding = new RouteBinding("h", path, 0);
-    plan.interpret(binding);
+    routingTable.interpret(binding);
     binding.identify("k");
     return binding;
   }
@@ -127,7 +127,7 @@
       final String path, final List<String> tenantHomes, final Set<String> allowed) {
     final UpstreamPool upstreamPool = upstreamPool(1);
     upstreamPool.apply(List.of(change("n", "a", 0, true), change("s", "b", 0, true)), 1000);
-    final RouteBinding binding = request(plan(tenant(tenantHomes), ""), path);
+    final RouteBinding binding = request(routingTable(tenant(tenantHomes), ""), path);
     final Set<String> chosen = new HashSet<>();
     final List<Upstream> tried = new ArrayList<>();
     while (upstreamPool.choose(binding, tried, 1000) == UpstreamPool.Choice.CHOSEN) {
@@ -153,16 +153,17 @@
   @Test
   public void homesThatComeWhileAConnectionIsOpenedBind()
       throws IOException, InterruptedException, ExecutionException, TimeoutException {
-    final RoutingTable routeHomed = plan("", "\"homeRegions\":[\"south\"],");
+    final RoutingTable routeHomed = routingTable("", "\"homeRegions\":[\"south\"],");
     assertEquals(
-        sent("/any/x", Long.MAX_VALUE, pool -> pool.configuration(plan)), "UNCERTAIN bytes");
+        sent("/any/x", Long.MAX_VALUE, pool -> pool.configuration(routingTable)),
+        "UNCERTAIN bytes");
     assertEquals(
         sent("/any/x", Long.MAX_VALUE, pool -> pool.configuration(routeHomed)), "UNSENT nothing");
     assertEquals(
         sent(
             "/any/x",
             Long.MAX_VALUE,
-            pool -> pool.configuration(plan(tenant(List.of("south")), ""))),
+            pool -> pool.configuration(routingTable(tenant(List.of("south")), ""))),
         "UNSENT nothing");
   }
 
--- a/wal/src/main/java/weldpoint/wal/WriteAheadLog.java
+++ b/wal/src/main/java/weldpoint/wal/WriteAheadLog.java
@@ -33,7 +33,7 @@
   }
 
   /** A tape that was opened, and what was found on it. */
-  public record Opened(WriteAheadLog tape, SegmentRing.Recovered found) {}
+  public record Opened(WriteAheadLog log, SegmentRing.Recovered found) {}
 
   /**
    * Opens the ring of an owner in a folder, of so many files that begin with these bytes and grow
--- a/wal/src/test/java/weldpoint/wal/WriteAheadLogTest.java
+++ b/wal/src/test/java/weldpoint/wal/WriteAheadLogTest.java
@@ -32,12 +32,12 @@
         WriteAheadLog.open(
             folder, "frame 10.0.0.4", 3, BYTES, MOST, Runnable::run, () -> List.copyOf(state));
     assertTrue(opened.found().blank());
-    opened.tape().start("tape");
+    opened.log().start("tape");
     final CountDownLatch synced = new CountDownLatch(1500);
     for (int number = 0; number < 1500; number++) {
       final byte[] record = ("record " + number + " ".repeat(400)).getBytes(StandardCharsets.UTF_8);
       state.add(record);
-      opened.tape().append(record, synced::countDown);
+      opened.log().append(record, synced::countDown);
       if (number % 100 == 0) {
         Thread.yield();
       }
