--- a/affinity/src/main/java/weldpoint/affinity/PlacementCoordinator.java
+++ b/affinity/src/main/java/weldpoint/affinity/PlacementCoordinator.java
@@ -294,6 +294,6 @@
 
   /** The bytes of a placement. */
   public static byte[] bytes(final Placement placement) {
-    return Serializer.bytes(placement);
+    return Serializer.serialize(placement);
   }
 }
--- a/audit/src/main/java/weldpoint/audit/AuditEntry.java
+++ b/audit/src/main/java/weldpoint/audit/AuditEntry.java
@@ -76,7 +76,7 @@
 
   /** Reads an entry from its bytes. */
   public static AuditEntry read(final byte[] bytes) {
-    return Serializer.value(bytes, AuditEntry.class);
+    return Serializer.deserialize(bytes, AuditEntry.class);
   }
 
   /** The digest of bytes, as hexadecimal digits. */
@@ -179,7 +179,7 @@
 
     /** The bytes of the entry at its place. */
     public byte[] bytes(final long sequence, final String previous) {
-      return Serializer.bytes(new AuditEntry(this, sequence, previous));
+      return Serializer.serialize(new AuditEntry(this, sequence, previous));
     }
   }
 
--- a/cache/src/main/java/weldpoint/cache/CacheDaemon.java
+++ b/cache/src/main/java/weldpoint/cache/CacheDaemon.java
@@ -173,10 +173,10 @@
   public void start() throws InterruptedException {
     transport.serve(
         settings.address(),
-        settings.trunkPort(2),
+        settings.transportPort(2),
         new Transport.Listener() {
           @Override
-          public void heard(final Connection connection, final Message message) {
+          public void messageReceived(final Connection connection, final Message message) {
             if (message instanceof CacheMessages.CacheReadRequest) {
               cache.ask((CacheMessages.CacheReadRequest) message, connection::send, now());
             }
--- a/cli/src/main/java/weldpoint/cli/RecordCommand.java
+++ b/cli/src/main/java/weldpoint/cli/RecordCommand.java
@@ -173,7 +173,7 @@
         final long asked = System.nanoTime() / 1_000_000;
         try {
           final RecordingBuffer.Collection drained =
-              Serializer.value(
+              Serializer.deserialize(
                   new ControlClient(List.of(address)).bytes("record.drain", "all"),
                   RecordingBuffer.Collection.class);
           collector.add(address, drained, asked, System.nanoTime() / 1_000_000);
--- a/common/src/main/java/weldpoint/common/Settings.java
+++ b/common/src/main/java/weldpoint/common/Settings.java
@@ -107,14 +107,14 @@
     region();
     voter();
     firstStart();
-    trunkPort(0);
+    transportPort(0);
     seeds();
     sites();
     for (final String field :
         new String[] {"listen.traffic", "listen.readiness", "listen.control", "listen.directory"}) {
       optionalAddress(field);
     }
-    beatMillis();
+    heartbeatMillis();
     drainMillis();
     configurationMillis();
     evacuationMillis();
@@ -142,16 +142,16 @@
     choiceSharers();
     countersMillis();
     transferBytes();
-    chief();
-    if (chiefTenureMillis() < 2 * chiefPulseMillis()) {
+    regionLeaderEnabled();
+    if (leaderTenureMillis() < 2 * leaderHeartbeatMillis()) {
       throw bad(
           "chief.tenure-ms",
           values.get("chief.tenure-ms"),
           "give at least twice chief.pulse-ms, "
-              + 2 * chiefPulseMillis()
+              + 2 * leaderHeartbeatMillis()
               + ", or a chief would end between two of its pulses");
     }
-    if (chiefWaitMillis() < 500) {
+    if (leaderWaitMillis() < 500) {
       throw bad(
           "chief.wait-ms",
           values.get("chief.wait-ms"),
@@ -291,7 +291,7 @@
   }
 
   /** The port of the inner protocol: 0 is the exchange's, 1 the frame's. */
-  public int trunkPort(final int index) {
+  public int transportPort(final int index) {
     final String value = text("trunk.ports");
     final String[] parts = value.split(",");
     try {
@@ -333,7 +333,7 @@
   }
 
   /** How often an upstream beats. */
-  public long beatMillis() {
+  public long heartbeatMillis() {
     return (long) number("beat.every-ms", 1500, 1, 600_000);
   }
 
@@ -461,22 +461,22 @@
   }
 
   /** Whether the switchboards of a region choose a chief while the core is silent. */
-  public boolean chief() {
+  public boolean regionLeaderEnabled() {
     return flag("chief.enabled");
   }
 
   /** For how long the core must have been silent before an election. */
-  public long chiefWaitMillis() {
+  public long leaderWaitMillis() {
     return (long) number("chief.wait-ms", 3000, 1, 3_600_000);
   }
 
   /** For how long a chief acts without being heeded by a majority. */
-  public long chiefTenureMillis() {
+  public long leaderTenureMillis() {
     return (long) number("chief.tenure-ms", 2500, 1, 3_600_000);
   }
 
   /** How often a chief gives its orders. */
-  public long chiefPulseMillis() {
+  public long leaderHeartbeatMillis() {
     return (long) number("chief.pulse-ms", 500, 1, 600_000);
   }
 
--- a/common/src/test/java/weldpoint/common/SettingsTest.java
+++ b/common/src/test/java/weldpoint/common/SettingsTest.java
@@ -18,9 +18,9 @@
   public void goodSettingsAreRead() {
     final Settings settings = Settings.parse(GOOD);
     assertEquals(settings.seeds(), java.util.List.of("10.0.0.1", "10.0.0.2"));
-    assertEquals(settings.trunkPort(1), 7001);
+    assertEquals(settings.transportPort(1), 7001);
     assertEquals(settings.sites().get("b"), "q");
-    assertEquals(settings.beatMillis(), 1500);
+    assertEquals(settings.heartbeatMillis(), 1500);
   }
 
   @Test
--- a/proxy/src/main/java/weldpoint/proxy/OutcomeClient.java
+++ b/proxy/src/main/java/weldpoint/proxy/OutcomeClient.java
@@ -41,10 +41,10 @@
   void serve() throws InterruptedException {
     transport.serve(
         settings.address(),
-        settings.trunkPort(PORT),
+        settings.transportPort(PORT),
         new Transport.Listener() {
           @Override
-          public void heard(final Connection connection, final Message message) {
+          public void messageReceived(final Connection connection, final Message message) {
             if (message instanceof OutcomeRequest) {
               answer((OutcomeRequest) message, connection::send);
             }
@@ -84,7 +84,7 @@
     question.connector =
         transport.dial(
             holder.proxy,
-            settings.trunkPort(PORT),
+            settings.transportPort(PORT),
             new Transport.Listener() {
               @Override
               public void opened(final Connection connection) {
@@ -98,7 +98,7 @@
               }
 
               @Override
-              public void heard(final Connection connection, final Message message) {
+              public void messageReceived(final Connection connection, final Message message) {
                 if (message instanceof OutcomeResponse) {
                   question.over((OutcomeResponse) message);
                 }
--- a/proxy/src/main/java/weldpoint/proxy/ProxyDaemon.java
+++ b/proxy/src/main/java/weldpoint/proxy/ProxyDaemon.java
@@ -268,7 +268,7 @@
   @Override
   public void start() throws InterruptedException {
     final Settings.Address readiness = settings.requiredAddress("listen.readiness");
-    if (settings.chief()) {
+    if (settings.regionLeaderEnabled()) {
       chief = new RegionLeaderService(settings, trunk, executor, loop, proxyContext, incarnation);
     }
     if (!settings.firstStart()) {
@@ -447,11 +447,11 @@
     final weldpoint.transport.PeerConnections connections =
         new weldpoint.transport.PeerConnections(
             trunk,
-            settings.trunkPort(2),
+            settings.transportPort(2),
             to ->
                 new Transport.Listener() {
                   @Override
-                  public void heard(final Connection connection, final Message message) {
+                  public void messageReceived(final Connection connection, final Message message) {
                     if (message instanceof CacheMessages.CacheReadResponse) {
                       proxyContext.recordings.heard(
                           to, (CacheMessages.CacheReadResponse) message, ProxyContext.now());
--- a/proxy/src/main/java/weldpoint/proxy/RegionLeaderService.java
+++ b/proxy/src/main/java/weldpoint/proxy/RegionLeaderService.java
@@ -56,7 +56,7 @@
     this.connections =
         new PeerConnections(
             transport,
-            settings.trunkPort(PORT),
+            settings.transportPort(PORT),
             to ->
                 Transport.on(
                     desk,
@@ -67,7 +67,8 @@
                       }
 
                       @Override
-                      public void heard(final Connection connection, final Message message) {
+                      public void messageReceived(
+                          final Connection connection, final Message message) {
                         election()
                             .receive(
                                 to, connection.peer().incarnation, message, ProxyContext.now());
@@ -80,9 +81,9 @@
             settings.region(),
             new LeaderElection.ElectionTimeouts(
                 true,
-                settings.chiefWaitMillis(),
-                settings.chiefTenureMillis(),
-                settings.chiefPulseMillis()),
+                settings.leaderWaitMillis(),
+                settings.leaderTenureMillis(),
+                settings.leaderHeartbeatMillis()),
             new Random(incarnation + 2),
             ProxyContext.now(),
             new LeaderElection.Environment() {
@@ -135,7 +136,7 @@
                 if (!bound.isSuccess()) {
                   LOGGER.atWarning().withCause(bound.cause()).log(
                       "the port %s cannot be listened at; free it, or no chief can reach this switchboard",
-                      settings.trunkPort(PORT));
+                      settings.transportPort(PORT));
                   desk.execute(() -> serves = false);
                 }
               });
@@ -145,7 +146,7 @@
   private ChannelFuture serve() {
     return transport.listen(
         settings.address(),
-        settings.trunkPort(PORT),
+        settings.transportPort(PORT),
         Transport.on(
             desk,
             new Transport.Listener() {
@@ -155,7 +156,7 @@
               }
 
               @Override
-              public void heard(final Connection connection, final Message message) {
+              public void messageReceived(final Connection connection, final Message message) {
                 election.receive(
                     connection.peer().address,
                     connection.peer().incarnation,
--- a/proxy/src/main/java/weldpoint/proxy/RegistryStream.java
+++ b/proxy/src/main/java/weldpoint/proxy/RegistryStream.java
@@ -38,7 +38,7 @@
       final Runnable ended) {
     this.transport = transport;
     this.desk = desk;
-    this.port = settings.trunkPort(0);
+    this.port = settings.transportPort(0);
     this.ended = ended;
   }
 
@@ -107,7 +107,7 @@
                   }
 
                   @Override
-                  public void heard(final Connection connection, final Message message) {
+                  public void messageReceived(final Connection connection, final Message message) {
                     if (connector == mine[0]) {
                       take(connection.clock(), message, ProxyContext.now());
                     } else if (beside.contains(mine[0])
--- a/registry/src/main/java/weldpoint/registry/AssignerEnvironment.java
+++ b/registry/src/main/java/weldpoint/registry/AssignerEnvironment.java
@@ -38,7 +38,7 @@
             null,
             0,
             0,
-            Serializer.bytes(next),
+            Serializer.serialize(next),
             null,
             clock.getAsLong(),
             WRITE_MILLIS)
--- a/registry/src/main/java/weldpoint/registry/ControlCall.java
+++ b/registry/src/main/java/weldpoint/registry/ControlCall.java
@@ -48,7 +48,8 @@
                 .cause(
                     origin.author(),
                     origin.caller(),
-                    Compression.deflate(Serializer.bytes(ConfigurationSummary.of(document, body))));
+                    Compression.deflate(
+                        Serializer.serialize(ConfigurationSummary.of(document, body))));
         final boolean tied = routingTable.all().stream().anyMatch(route -> route.affinity != null);
         return server
             .core()
@@ -264,7 +265,7 @@
         final ControlServer server, final String id, final byte[] body, final Origin origin) {
       return (now, waits) ->
           CompletableFuture.completedFuture(
-              new ControlReply(200, Serializer.bytes(server.core().drain(now))));
+              new ControlReply(200, Serializer.serialize(server.core().drain(now))));
     }
   },
   LOCK_BEGIN("locks.begin") {
--- a/registry/src/main/java/weldpoint/registry/ControlServer.java
+++ b/registry/src/main/java/weldpoint/registry/ControlServer.java
@@ -563,7 +563,7 @@
   static StoreMessages.StoreResponse notTaken(final StoreMessages.StoreResponse answer) {
     if (answer.status == 409 && answer.body != null) {
       final StoredValues.TakenVersion taken =
-          Serializer.value(answer.body, StoredValues.TakenVersion.class);
+          Serializer.deserialize(answer.body, StoredValues.TakenVersion.class);
       throw new WeldpointException(
           WeldpointException.Kind.VERSION_TAKEN,
           String.format(
@@ -834,7 +834,7 @@
                                 + "; begin again with after=0"));
                   }
                   final StoredValues.WatchEvents events =
-                      Serializer.value(answer.body, StoredValues.WatchEvents.class);
+                      Serializer.deserialize(answer.body, StoredValues.WatchEvents.class);
                   final List<ControlApi.Event> list = new java.util.ArrayList<>();
                   for (final StoredValues.Put put : Protocol.list(events.events)) {
                     list.add(new ControlApi.Event(put.name, put.value, put.revision));
--- a/registry/src/main/java/weldpoint/registry/Electorates.java
+++ b/registry/src/main/java/weldpoint/registry/Electorates.java
@@ -100,7 +100,7 @@
                     electors,
                     electors.size() / (double) live.size());
             writer
-                .write(region, Serializer.bytes(next), now)
+                .write(region, Serializer.serialize(next), now)
                 .whenComplete((answer, problem) -> out = false);
           }
         });
--- a/registry/src/main/java/weldpoint/registry/HistoryReader.java
+++ b/registry/src/main/java/weldpoint/registry/HistoryReader.java
@@ -147,7 +147,7 @@
               reading.out = false;
               final StoredValues.HistoryPart part =
                   problem == null && answer.status == 200
-                      ? Serializer.value(answer.body, StoredValues.HistoryPart.class)
+                      ? Serializer.deserialize(answer.body, StoredValues.HistoryPart.class)
                       : null;
               final boolean whole =
                   part != null && reading.headKnown && !part.blank && part.last >= reading.through;
@@ -390,7 +390,7 @@
                               found,
                               AuditEntry.read(
                                   Protocol.list(
-                                          Serializer.value(
+                                          Serializer.deserialize(
                                                   answer.body, StoredValues.HistoryPart.class)
                                               .entries)
                                       .get(0)),
--- a/registry/src/main/java/weldpoint/registry/RegistrationBuckets.java
+++ b/registry/src/main/java/weldpoint/registry/RegistrationBuckets.java
@@ -74,7 +74,7 @@
 
   /** Registrations as few bytes. */
   static byte[] pack(final List<Registration> registrations) {
-    return Compression.deflate(Serializer.bytes(new PackedRegistrations(registrations)));
+    return Compression.deflate(Serializer.serialize(new PackedRegistrations(registrations)));
   }
 
   /** What was packed; empty for null. */
@@ -83,7 +83,8 @@
       return List.of();
     }
     final List<Registration> list =
-        Serializer.value(Compression.inflate(packed), PackedRegistrations.class).registrations;
+        Serializer.deserialize(Compression.inflate(packed), PackedRegistrations.class)
+            .registrations;
     return list == null ? List.of() : list;
   }
 
--- a/registry/src/main/java/weldpoint/registry/RegistryCore.java
+++ b/registry/src/main/java/weldpoint/registry/RegistryCore.java
@@ -157,7 +157,7 @@
             self,
             environment::member,
             (claims, synced) ->
-                environment.append(Serializer.bytes(PersistedRecord.claims(claims)), synced));
+                environment.append(Serializer.serialize(PersistedRecord.claims(claims)), synced));
   }
 
   /** What trials need of this registry. */
@@ -239,7 +239,7 @@
                         null,
                         0,
                         0,
-                        Serializer.bytes(next),
+                        Serializer.serialize(next),
                         null,
                         now,
                         900);
@@ -325,7 +325,7 @@
     startedAt = now;
     learning = records.isEmpty() && !(firstStart && seeds.contains(self));
     for (final byte[] record : records) {
-      final PersistedRecord kept = Serializer.value(record, PersistedRecord.class);
+      final PersistedRecord kept = Serializer.deserialize(record, PersistedRecord.class);
       learning =
           kept.learning == PersistedRecord.UNSAID
               ? learning
@@ -370,7 +370,7 @@
   public List<byte[]> view() {
     final List<Registration> all = new ArrayList<>(registrations.all().values());
     return List.of(
-        Serializer.bytes(
+        Serializer.serialize(
             new PersistedRecord(
                 all,
                 roster.number == 0 ? null : roster,
@@ -385,11 +385,11 @@
   }
 
   private void keepLearning() {
-    environment.append(Serializer.bytes(PersistedRecord.learning(learning)), () -> {});
+    environment.append(Serializer.serialize(PersistedRecord.learning(learning)), () -> {});
   }
 
   private void persist(final List<Registration> changes, final Roster news, final Runnable synced) {
-    environment.append(Serializer.bytes(PersistedRecord.membership(changes, news)), synced);
+    environment.append(Serializer.serialize(PersistedRecord.membership(changes, news)), synced);
   }
 
   // ---- upstreams
@@ -582,7 +582,8 @@
                     WeldpointException.Kind.OUT_OF_REACH,
                     "no majority confirmed what is in force; ask another daemon");
               }
-              takeControl(Serializer.value(answer.body, StoredValues.ControlSnapshot.class), now);
+              takeControl(
+                  Serializer.deserialize(answer.body, StoredValues.ControlSnapshot.class), now);
             });
   }
 
@@ -597,7 +598,7 @@
         control.take(version, spec, evacuated, evacuationMark, trials, trialMark, clock);
     if (news.any()) {
       environment.append(
-          Serializer.bytes(
+          Serializer.serialize(
               new PersistedRecord(
                   null,
                   null,
@@ -1278,7 +1279,7 @@
               controlOut = false;
               if (problem == null && answer.status == 200) {
                 takeControl(
-                    Serializer.value(answer.body, StoredValues.ControlSnapshot.class),
+                    Serializer.deserialize(answer.body, StoredValues.ControlSnapshot.class),
                     controlAskedAt);
               }
             });
--- a/registry/src/main/java/weldpoint/registry/RegistryDaemon.java
+++ b/registry/src/main/java/weldpoint/registry/RegistryDaemon.java
@@ -70,7 +70,7 @@
     this.members =
         new PeerConnections(
             transport,
-            settings.trunkPort(0),
+            settings.transportPort(0),
             to ->
                 Transport.on(
                     executor,
@@ -81,7 +81,8 @@
                       }
 
                       @Override
-                      public void heard(final Connection connection, final Message message) {
+                      public void messageReceived(
+                          final Connection connection, final Message message) {
                         core().receive(to, message, connection::send, now());
                       }
 
@@ -93,13 +94,14 @@
     this.frames =
         new PeerConnections(
             transport,
-            settings.trunkPort(1),
+            settings.transportPort(1),
             to ->
                 Transport.on(
                     executor,
                     new Transport.Listener() {
                       @Override
-                      public void heard(final Connection connection, final Message message) {
+                      public void messageReceived(
+                          final Connection connection, final Message message) {
                         if (message instanceof StoreMessages.StoreResponse) {
                           connection.heardClock(((StoreMessages.StoreResponse) message).clock);
                           core().answered(to, (StoreMessages.StoreResponse) message, now());
@@ -116,7 +118,7 @@
             settings.address(),
             settings.seeds(),
             settings.firstStart(),
-            settings.beatMillis(),
+            settings.heartbeatMillis(),
             new Random(incarnation),
             new RegistryCore.Environment() {
               @Override
@@ -194,7 +196,7 @@
           settings.name());
     }
     log = opened.log();
-    if (settings.chief()) {
+    if (settings.regionLeaderEnabled()) {
       core.chiefs();
     }
     core.place(settings.site(), settings.region());
@@ -216,12 +218,12 @@
     log.start("tape");
     transport.serve(
         settings.bindAddress(),
-        settings.trunkPort(0),
+        settings.transportPort(0),
         Transport.on(
             executor,
             new Transport.Listener() {
               @Override
-              public void heard(final Connection connection, final Message message) {
+              public void messageReceived(final Connection connection, final Message message) {
                 if (message instanceof RegistryMessages.DaemonReport) {
                   core.boardState(
                       connection,
--- a/registry/src/main/java/weldpoint/registry/TrialService.java
+++ b/registry/src/main/java/weldpoint/registry/TrialService.java
@@ -89,7 +89,7 @@
             null,
             next.serial - 1,
             0,
-            Serializer.bytes(next),
+            Serializer.serialize(next),
             origin,
             now,
             WRITE_MILLIS)
--- a/registry/src/test/java/weldpoint/registry/ControlServerFuzzTest.java
+++ b/registry/src/test/java/weldpoint/registry/ControlServerFuzzTest.java
@@ -184,7 +184,7 @@
         call.number,
         200,
         0,
-        Serializer.bytes(
+        Serializer.serialize(
             new StoredValues.ControlSnapshot(
                 0, null, List.of(), 0, roster, List.of(), 0, null, List.of(), false, 0, null,
                 null)),
--- a/registry/src/test/java/weldpoint/registry/CutOffControlServerTest.java
+++ b/registry/src/test/java/weldpoint/registry/CutOffControlServerTest.java
@@ -104,7 +104,7 @@
             });
     core.start(
         List.of(
-            Serializer.bytes(
+            Serializer.serialize(
                 PersistedRecord.membership(List.of(), SimulatedCoreNetwork.roster(4, VOTERS)))),
         now() - 60_000);
     core.boardState(
@@ -230,7 +230,7 @@
                         call.number,
                         200,
                         0,
-                        Serializer.bytes(
+                        Serializer.serialize(
                             new StoredValues.HistoryPart(1, 3, "d", 0, false, 0, List.of())),
                         null)
                     : null;
@@ -252,7 +252,7 @@
                     call.number,
                     200,
                     0,
-                    Serializer.bytes(
+                    Serializer.serialize(
                         new StoredValues.ControlSnapshot(
                             0, null, List.of(), 0, null, List.of(), 0, null, List.of(), false, 0,
                             null, null)),
--- a/registry/src/test/java/weldpoint/registry/HistoryReaderTest.java
+++ b/registry/src/test/java/weldpoint/registry/HistoryReaderTest.java
@@ -214,7 +214,7 @@
                 frames.reads.get(0).number,
                 200,
                 4,
-                Serializer.bytes(part(all, 0, 4, 1, false)),
+                Serializer.serialize(part(all, 0, 4, 1, false)),
                 null)
             .to(frames.reads.get(0).caller),
         1020);
@@ -226,7 +226,7 @@
                 frames.reads.get(1).number,
                 200,
                 6,
-                Serializer.bytes(part(all, 0, 6, 1, false)),
+                Serializer.serialize(part(all, 0, 6, 1, false)),
                 null)
             .to(frames.reads.get(1).caller),
         1210);
--- a/registry/src/test/java/weldpoint/registry/LargeFleetTest.java
+++ b/registry/src/test/java/weldpoint/registry/LargeFleetTest.java
@@ -74,7 +74,7 @@
                   .getBytes(StandardCharsets.UTF_8));
       core.start(
           List.of(
-              Serializer.bytes(
+              Serializer.serialize(
                   new PersistedRecord(upstreams(upstreams), null, 1, spec, List.of(), 0, null, 0))),
           now);
       return core;
@@ -135,8 +135,8 @@
       assertTrue(messages.size() <= 3, messages.size() + " messages to one switchboard");
     }
     assertTrue(
-        Serializer.bytes(first).length < 45 * UPSTREAMS,
-        "a whole view of " + Serializer.bytes(first).length + " bytes");
+        Serializer.serialize(first).length < 45 * UPSTREAMS,
+        "a whole view of " + Serializer.serialize(first).length + " bytes");
   }
 
   @Test
@@ -153,7 +153,7 @@
       final RegistryMessages.View view = (RegistryMessages.View) messages.get(0);
       assertNull(view.packed);
       assertNull(view.spec);
-      bytes += Serializer.bytes(view).length;
+      bytes += Serializer.serialize(view).length;
     }
     assertTrue(bytes < 60L * BOARDS, bytes + " bytes for " + BOARDS + " switchboards");
     final Registration gone = had.get(7);
@@ -183,10 +183,10 @@
       final int from,
       final Message message,
       final long[] bytes) {
-    bytes[0] += Serializer.bytes(message).length;
+    bytes[0] += Serializer.serialize(message).length;
     cores[1 - from].receive(
         "10.0.0." + (1 + from),
-        (Message) Serializer.value(Serializer.bytes(message), message.getClass()),
+        (Message) Serializer.deserialize(Serializer.serialize(message), message.getClass()),
         answer -> meet(told, cores, 1 - from, answer, bytes),
         told[0].now);
   }
--- a/registry/src/test/java/weldpoint/registry/RegistryCoreTest.java
+++ b/registry/src/test/java/weldpoint/registry/RegistryCoreTest.java
@@ -90,7 +90,7 @@
         voters.add(new StateStoreMessages.Voter(seed, seed, "r", List.of()));
       }
       final byte[] record =
-          Serializer.bytes(
+          Serializer.serialize(
               PersistedRecord.membership(null, new StateStoreMessages.Roster(1, voters)));
       cores.values().forEach(core -> core.start(List.of(record), now));
     }
--- a/registry/src/test/java/weldpoint/registry/SimulatedCoreNetwork.java
+++ b/registry/src/test/java/weldpoint/registry/SimulatedCoreNetwork.java
@@ -243,7 +243,7 @@
 
   @SuppressWarnings("unchecked")
   private static <T extends Message> T copy(final T message) {
-    return (T) Serializer.value(Serializer.bytes(message), message.getClass());
+    return (T) Serializer.deserialize(Serializer.serialize(message), message.getClass());
   }
 
   private boolean passes(final String from, final String to) {
@@ -322,7 +322,7 @@
             null,
             null);
     return new StoreMessages.StoreResponse(
-        call.number, 200, version, Serializer.bytes(control), null);
+        call.number, 200, version, Serializer.serialize(control), null);
   }
 
   /** Restarts a machine: without its disk, what it held is lost. */
--- a/registry/src/test/java/weldpoint/registry/TakenVersionTest.java
+++ b/registry/src/test/java/weldpoint/registry/TakenVersionTest.java
@@ -108,7 +108,7 @@
         call.number,
         200,
         12,
-        Serializer.bytes(
+        Serializer.serialize(
             new StoredValues.ControlSnapshot(
                 12,
                 Compression.deflate(BODY.getBytes(StandardCharsets.UTF_8)),
@@ -153,7 +153,7 @@
                 0,
                 409,
                 12,
-                Serializer.bytes(
+                Serializer.serialize(
                     new StoredValues.TakenVersion(12, "dispatch lead", 1_700_000_000_000L)),
                 null));
     assertTrue(answer.startsWith("HTTP/1.1 409"), answer);
@@ -173,7 +173,7 @@
     final String answer =
         replace(
             new StoreMessages.StoreResponse(
-                0, 409, 12, Serializer.bytes(new StoredValues.TakenVersion(12, "", 0)), null));
+                0, 409, 12, Serializer.serialize(new StoredValues.TakenVersion(12, "", 0)), null));
     assertTrue(
         answer.startsWith("HTTP/1.1 409")
             && answer.contains("0000000c")
--- a/scale/src/main/java/weldpoint/scale/HistoryMeasurement.java
+++ b/scale/src/main/java/weldpoint/scale/HistoryMeasurement.java
@@ -99,7 +99,7 @@
       final ArrayDeque<Runnable> queue,
       final long[] wire) {
     wire[0]++;
-    wire[1] += Serializer.bytes(message).length;
+    wire[1] += Serializer.serialize(message).length;
     replicas[to].receive(
         "peer", message, answer -> queue.add(() -> pass(replicas, 1 - to, answer, queue, wire)));
   }
--- a/simulation/src/main/java/weldpoint/simulation/ControlPlaneSimulation.java
+++ b/simulation/src/main/java/weldpoint/simulation/ControlPlaneSimulation.java
@@ -487,7 +487,7 @@
   byte[] bytes(final Message message) {
     if (message != sealed) {
       sealed = message;
-      sealedBytes = Serializer.bytes(message);
+      sealedBytes = Serializer.serialize(message);
     }
     return sealedBytes;
   }
--- a/simulation/src/main/java/weldpoint/simulation/SimulatedConnection.java
+++ b/simulation/src/main/java/weldpoint/simulation/SimulatedConnection.java
@@ -105,7 +105,7 @@
         greeted = true;
         receiver.opened(SimulatedConnection.this);
       } else {
-        final Message message = (Message) Serializer.value(packet.bytes, packet.kind);
+        final Message message = (Message) Serializer.deserialize(packet.bytes, packet.kind);
         if (message instanceof Protocol.KeepAlive) {
           if (!((Protocol.KeepAlive) message).echo) {
             say(new Protocol.KeepAlive(true));
--- a/simulation/src/main/java/weldpoint/simulation/StateStoreSimulation.java
+++ b/simulation/src/main/java/weldpoint/simulation/StateStoreSimulation.java
@@ -388,7 +388,7 @@
       final int toLife,
       final boolean bound,
       final Message message) {
-    final byte[] bytes = Serializer.bytes(message);
+    final byte[] bytes = Serializer.serialize(message);
     observer.sent(from, to, message);
     after(
         delay(from, to) + queued(to, bytes.length),
@@ -401,7 +401,7 @@
               || bound && target.life != toLife) {
             return;
           }
-          final Message came = (Message) Serializer.value(bytes, message.getClass());
+          final Message came = (Message) Serializer.deserialize(bytes, message.getClass());
           final Message copy = faultInjector.pass(from, to, came);
           if (copy == null) {
             return;
--- a/simulation/src/test/java/weldpoint/registry/CopiesTest.java
+++ b/simulation/src/test/java/weldpoint/registry/CopiesTest.java
@@ -87,7 +87,7 @@
           identified
               ? call.leaving(simulation.now() - random.nextInt(500), simulation.now())
               : call.from(0).leaving(null, simulation.now());
-      final byte[] bytes = Serializer.bytes(copy);
+      final byte[] bytes = Serializer.serialize(copy);
       final int chance = random.nextInt(20);
       if (chance > 0) {
         simulation.after(
@@ -106,7 +106,7 @@
             .get(to)
             .replica()
             .call(
-                Serializer.value(bytes, StoreMessages.StoreRequest.class),
+                Serializer.deserialize(bytes, StoreMessages.StoreRequest.class),
                 answer -> {
                   final int chance = simulation.random().nextInt(10);
                   if (chance > 0) {
@@ -317,7 +317,7 @@
         .get(at)
         .replica()
         .call(
-            Serializer.value(Serializer.bytes(call), StoreMessages.StoreRequest.class),
+            Serializer.deserialize(Serializer.serialize(call), StoreMessages.StoreRequest.class),
             one -> answer[0] = one,
             world.simulation.now());
     world.simulation.run(300);
--- a/simulation/src/test/java/weldpoint/simulation/CatchUpMeasureTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/CatchUpMeasureTest.java
@@ -93,7 +93,7 @@
               "10.9.9.9",
               "10.0.1.1",
               Compression.deflate(
-                  Serializer.bytes(ConfigurationSummary.of(RoutingTable.read(body), body))));
+                  Serializer.serialize(ConfigurationSummary.of(RoutingTable.read(body), body))));
       final byte[] packed = Compression.deflate(body);
       final boolean[] taken = new boolean[1];
       for (int attempt = 0; attempt < 100 && !taken[0]; attempt++) {
--- a/simulation/src/test/java/weldpoint/simulation/HistoryTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/HistoryTest.java
@@ -82,7 +82,7 @@
         body == null
             ? null
             : Compression.deflate(
-                Serializer.bytes(ConfigurationSummary.of(RoutingTable.read(body), body))));
+                Serializer.serialize(ConfigurationSummary.of(RoutingTable.read(body), body))));
   }
 
   private static final class Operators {
--- a/simulation/src/test/java/weldpoint/simulation/RosterNumberTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/RosterNumberTest.java
@@ -53,7 +53,7 @@
                   ((StateStoreMessages.Accept) message).entries) {
                 if (entry.name.equals("roster") && entry.whole != null) {
                   final StateStoreMessages.Roster roster =
-                      Serializer.value(entry.whole, StateStoreMessages.Roster.class);
+                      Serializer.deserialize(entry.whole, StateStoreMessages.Roster.class);
                   final String before =
                       proposed.putIfAbsent(
                           entry.mark.ballot() + " roster " + roster.number, content(roster));
--- a/simulation/src/test/java/weldpoint/simulation/TrialTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/TrialTest.java
@@ -106,7 +106,7 @@
             answer -> {
               if (answer.status == 200) {
                 final StoredValues.ControlSnapshot control =
-                    Serializer.value(answer.body, StoredValues.ControlSnapshot.class);
+                    Serializer.deserialize(answer.body, StoredValues.ControlSnapshot.class);
                 if (control.trialMark > marks) {
                   marks = control.trialMark;
                   coordinator.take(Protocol.list(control.trials));
@@ -133,7 +133,7 @@
             null,
             next.serial - 1,
             0,
-            Serializer.bytes(next),
+            Serializer.serialize(next),
             answer -> done[0] |= answer.status == 200);
         simulation.run(100);
       }
@@ -165,7 +165,7 @@
             null,
             verdict.serial - 1,
             0,
-            Serializer.bytes(verdict),
+            Serializer.serialize(verdict),
             answer -> {});
       }
     }
--- a/simulation/src/test/java/weldpoint/simulation/VersionsTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/VersionsTest.java
@@ -91,7 +91,7 @@
             "10.9.9.9",
             "10.0.1.1",
             Compression.deflate(
-                Serializer.bytes(ConfigurationSummary.of(RoutingTable.read(body), body))));
+                Serializer.serialize(ConfigurationSummary.of(RoutingTable.read(body), body))));
     return new StoreMessages.StoreRequest(
         0,
         StoreOperation.SPEC_REPLACE.ordinal(),
@@ -160,7 +160,7 @@
                               + " was acknowledged with another content than it stands for");
                     } else if (entry != null && answer.status == 409) {
                       final StoredValues.TakenVersion named =
-                          Serializer.value(answer.body, StoredValues.TakenVersion.class);
+                          Serializer.deserialize(answer.body, StoredValues.TakenVersion.class);
                       if (content.equals(stands)) {
                         breaches.add(
                             "version "
--- a/simulation/src/test/java/weldpoint/statestore/DiskContents.java
+++ b/simulation/src/test/java/weldpoint/statestore/DiskContents.java
@@ -35,22 +35,23 @@
 
   /** What a record is about. */
   public static Kind kind(final byte[] record) {
-    return Kind.values()[Serializer.value(record, StoredValues.DiskRecord.class).type];
+    return Kind.values()[Serializer.deserialize(record, StoredValues.DiskRecord.class).type];
   }
 
   /** The partition of a promise or of registers. */
   public static int partition(final byte[] record) {
-    return Serializer.value(record, StoredValues.DiskRecord.class).partition;
+    return Serializer.deserialize(record, StoredValues.DiskRecord.class).partition;
   }
 
   /** The ballot of a promise or of registers. */
   public static RegisterVersion ballot(final byte[] record) {
-    return Serializer.value(record, StoredValues.DiskRecord.class).ballot;
+    return Serializer.deserialize(record, StoredValues.DiskRecord.class).ballot;
   }
 
   /** One more record is lasting. */
   public void take(final byte[] bytes) {
-    final StoredValues.DiskRecord record = Serializer.value(bytes, StoredValues.DiskRecord.class);
+    final StoredValues.DiskRecord record =
+        Serializer.deserialize(bytes, StoredValues.DiskRecord.class);
     switch (kind(bytes)) {
       case SELF -> incarnation = record.incarnation;
       case PROMISE -> {
--- a/statestore/src/main/java/weldpoint/statestore/AuditSequencer.java
+++ b/statestore/src/main/java/weldpoint/statestore/AuditSequencer.java
@@ -54,7 +54,7 @@
     RegisterState best = null;
     for (final RegisterState held : registers) {
       if (held.audit != null) {
-        final AuditTail one = Serializer.value(held.audit, AuditTail.class);
+        final AuditTail one = Serializer.deserialize(held.audit, AuditTail.class);
         final long reaches = one.base + Protocol.list(one.entries).size();
         if (best == null || reaches > last) {
           best = held;
@@ -104,7 +104,7 @@
    */
   void propose(final RegisterState held) {
     inFlight = held;
-    held.audit = Serializer.bytes(new AuditTail(tailBase, tailDigest, new ArrayList<>(tail)));
+    held.audit = Serializer.serialize(new AuditTail(tailBase, tailDigest, new ArrayList<>(tail)));
   }
 
   /** The change of this register is on a majority of disks; the entries that it decided. */
@@ -270,7 +270,7 @@
   private static ConfigurationSummary summary(final StoredValues.StoredConfiguration spec) {
     return spec == null || spec.summary == null
         ? ConfigurationSummary.none()
-        : Serializer.value(Compression.inflate(spec.summary), ConfigurationSummary.class);
+        : Serializer.deserialize(Compression.inflate(spec.summary), ConfigurationSummary.class);
   }
 
   /** The first entry of a store that is older than its history. */
--- a/statestore/src/main/java/weldpoint/statestore/Partition.java
+++ b/statestore/src/main/java/weldpoint/statestore/Partition.java
@@ -126,7 +126,7 @@
       final byte[] whole = StoredValues.Kind.of(one.getKey()).encode(one.getValue().value);
       if (!some.isEmpty() && size + whole.length > bytes) {
         records.add(
-            Serializer.bytes(
+            Serializer.serialize(
                 new StoredValues.DiskRecord(
                     type, number, RegisterVersion.NONE, some, null, null, 0)));
         some.clear();
@@ -144,7 +144,7 @@
     }
     if (!some.isEmpty()) {
       records.add(
-          Serializer.bytes(
+          Serializer.serialize(
               new StoredValues.DiskRecord(
                   type, number, RegisterVersion.NONE, some, null, null, 0)));
     }
--- a/statestore/src/main/java/weldpoint/statestore/StateStoreDaemon.java
+++ b/statestore/src/main/java/weldpoint/statestore/StateStoreDaemon.java
@@ -52,13 +52,14 @@
     this.connections =
         new PeerConnections(
             transport,
-            settings.trunkPort(1),
+            settings.transportPort(1),
             to ->
                 Transport.on(
                     executor,
                     new Transport.Listener() {
                       @Override
-                      public void heard(final Connection connection, final Message message) {
+                      public void messageReceived(
+                          final Connection connection, final Message message) {
                         replica().receive(to, message, connection::send, now());
                       }
 
@@ -146,12 +147,12 @@
     segments.start("history");
     transport.serve(
         settings.bindAddress(),
-        settings.trunkPort(1),
+        settings.transportPort(1),
         Transport.on(
             executor,
             new Transport.Listener() {
               @Override
-              public void heard(final Connection connection, final Message message) {
+              public void messageReceived(final Connection connection, final Message message) {
                 if (message instanceof StoreMessages.StoreRequest) {
                   replica.call(
                       (StoreMessages.StoreRequest) message,
--- a/statestore/src/main/java/weldpoint/statestore/StateStoreReplica.java
+++ b/statestore/src/main/java/weldpoint/statestore/StateStoreReplica.java
@@ -178,7 +178,7 @@
    */
   public void start(final List<byte[]> records, final boolean firstStart, final long now) {
     for (final byte[] record : records) {
-      replay(Serializer.value(record, StoredValues.DiskRecord.class));
+      replay(Serializer.deserialize(record, StoredValues.DiskRecord.class));
     }
     if (blank && firstStart) {
       blank = false;
@@ -237,7 +237,7 @@
   public List<byte[]> view() {
     final List<byte[]> records = new ArrayList<>();
     if (!blank) {
-      records.add(Serializer.bytes(selfRecord()));
+      records.add(Serializer.serialize(selfRecord()));
     }
     for (final Partition partition : partitions) {
       records.addAll(partition.records(REGISTERS, VIEW_BYTES));
@@ -255,19 +255,19 @@
     final List<byte[]> records = new ArrayList<>();
     for (final Map.Entry<String, Long> entry : known.entrySet()) {
       records.add(
-          Serializer.bytes(
+          Serializer.serialize(
               new StoredValues.DiskRecord(
                   KNOWN, 0, null, null, null, entry.getKey(), entry.getValue())));
     }
     records.add(
-        Serializer.bytes(new StoredValues.DiskRecord(ROSTER, 0, null, null, roster, null, 0)));
+        Serializer.serialize(new StoredValues.DiskRecord(ROSTER, 0, null, null, roster, null, 0)));
     for (final Partition partition : partitions) {
       records.add(
-          Serializer.bytes(
+          Serializer.serialize(
               new StoredValues.DiskRecord(
                   PROMISE, partition.number, partition.promised, null, null, null, 0)));
       records.add(
-          Serializer.bytes(
+          Serializer.serialize(
               new StoredValues.DiskRecord(
                   REGISTERS, partition.number, partition.established, null, null, null, 1)));
     }
@@ -275,7 +275,7 @@
   }
 
   void persist(final StoredValues.DiskRecord record, final Runnable synced) {
-    environment.append(Serializer.bytes(record), synced);
+    environment.append(Serializer.serialize(record), synced);
   }
 
   // ---- peers
@@ -1469,7 +1469,7 @@
       if (follows) {
         if (difference == null) {
           difference =
-              Serializer.bytes(
+              Serializer.serialize(
                   new StoredValues.GroupDelta(puts, ((StoredValues.CellGroup) value).floor));
         }
         entry = new RegisterEntry(held.name, held.mark, base, difference, null);
@@ -1636,7 +1636,7 @@
         call.number,
         200,
         log.last(),
-        Serializer.bytes(
+        Serializer.serialize(
             new StoredValues.HistoryPart(
                 log.base(), log.last(), log.digest(), log.conflicts(), blank, from, entries)),
         null);
@@ -1732,7 +1732,7 @@
     final StoredValues.ControlSnapshot control = view.answer(work.call, roster);
     work.reply.accept(
         new StoreMessages.StoreResponse(
-            work.call.number, 200, view.version(), Serializer.bytes(control), null));
+            work.call.number, 200, view.version(), Serializer.serialize(control), null));
     return true;
   }
 
@@ -1997,7 +1997,8 @@
                       work.call.number,
                       200,
                       work.call.first,
-                      Serializer.bytes(new StoredValues.WatchEvents(List.of(), work.call.first)),
+                      Serializer.serialize(
+                          new StoredValues.WatchEvents(List.of(), work.call.first)),
                       null));
               return true;
             });
--- a/statestore/src/main/java/weldpoint/statestore/StoreOperation.java
+++ b/statestore/src/main/java/weldpoint/statestore/StoreOperation.java
@@ -83,8 +83,8 @@
       final weldpoint.transport.TrialMessages.Trial before =
           (weldpoint.transport.TrialMessages.Trial) value;
       final weldpoint.transport.TrialMessages.Trial next =
-          Serializer.value(call.body, weldpoint.transport.TrialMessages.Trial.class);
-      if (before != null && java.util.Arrays.equals(Serializer.bytes(before), call.body)) {
+          Serializer.deserialize(call.body, weldpoint.transport.TrialMessages.Trial.class);
+      if (before != null && java.util.Arrays.equals(Serializer.serialize(before), call.body)) {
         return Decision.confirm(200, before.serial);
       }
       final boolean reopens =
@@ -134,7 +134,7 @@
       final weldpoint.transport.RegionMessages.Electorate before =
           (weldpoint.transport.RegionMessages.Electorate) value;
       final weldpoint.transport.RegionMessages.Electorate next =
-          Serializer.value(call.body, weldpoint.transport.RegionMessages.Electorate.class);
+          Serializer.deserialize(call.body, weldpoint.transport.RegionMessages.Electorate.class);
       final long mark = before == null ? 0 : before.mark;
       return next.mark == mark + 1
           ? Decision.write(next, null, next.mark)
@@ -281,7 +281,7 @@
       return Decision.tell(
           200,
           group.revision,
-          Serializer.bytes(new StoredValues.WatchEvents(List.of(), group.revision)));
+          Serializer.serialize(new StoredValues.WatchEvents(List.of(), group.revision)));
     }
   },
   /**
@@ -312,7 +312,7 @@
     Decision decide(
         final RegisterState held, final Object value, final StoreRequest call, final long now) {
       final PlacementMessages.Placement next =
-          Serializer.value(call.body, PlacementMessages.Placement.class);
+          Serializer.deserialize(call.body, PlacementMessages.Placement.class);
       final long serial = value == null ? 0 : ((PlacementMessages.Placement) value).serial;
       return next.serial == serial + 1
           ? Decision.write(next, null, next.serial)
@@ -325,7 +325,7 @@
     Decision decide(
         final RegisterState held, final Object value, final StoreRequest call, final long now) {
       final PlacementMessages.PlacementOwner next =
-          Serializer.value(call.body, PlacementMessages.PlacementOwner.class);
+          Serializer.deserialize(call.body, PlacementMessages.PlacementOwner.class);
       final long serial = value == null ? 0 : ((PlacementMessages.PlacementOwner) value).serial;
       return next.serial == serial + 1
           ? Decision.write(next, null, next.serial)
@@ -353,7 +353,7 @@
     Decision decide(
         final RegisterState held, final Object value, final StoreRequest call, final long now) {
       final OwnershipMessages.Assignment next =
-          Serializer.value(call.body, OwnershipMessages.Assignment.class);
+          Serializer.deserialize(call.body, OwnershipMessages.Assignment.class);
       final long serial = value == null ? 0 : ((OwnershipMessages.Assignment) value).serial;
       return next.serial == serial + 1
           ? Decision.write(next, null, next.serial)
@@ -417,6 +417,6 @@
     return Decision.tell(
         200,
         group.revision,
-        Serializer.bytes(new StoredValues.WatchEvents(events, group.revision)));
+        Serializer.serialize(new StoredValues.WatchEvents(events, group.revision)));
   }
 }
--- a/statestore/src/main/java/weldpoint/statestore/StoredValues.java
+++ b/statestore/src/main/java/weldpoint/statestore/StoredValues.java
@@ -71,17 +71,17 @@
 
     /** Reads a whole value. */
     public Object decode(final byte[] bytes) {
-      return this == GROUP ? CellGroup.decode(bytes) : Serializer.value(bytes, type);
+      return this == GROUP ? CellGroup.decode(bytes) : Serializer.deserialize(bytes, type);
     }
 
     /** The bytes of a whole value. */
     public byte[] encode(final Object value) {
-      return this == GROUP ? ((CellGroup) value).encode() : Serializer.bytes(value);
+      return this == GROUP ? ((CellGroup) value).encode() : Serializer.serialize(value);
     }
 
     /** A value changed by a difference; only groups have them. */
     public Object apply(final Object value, final byte[] difference) {
-      final GroupDelta change = Serializer.value(difference, GroupDelta.class);
+      final GroupDelta change = Serializer.deserialize(difference, GroupDelta.class);
       return (value == null ? CellGroup.EMPTY : (CellGroup) value)
           .with(Protocol.list(change.puts), change.floor);
     }
@@ -300,12 +300,12 @@
     }
 
     byte[] encode() {
-      return Serializer.bytes(
+      return Serializer.serialize(
           new GroupSnapshot(new ArrayList<>(cells.values()), history, revision, floor));
     }
 
     static CellGroup decode(final byte[] bytes) {
-      final GroupSnapshot packed = Serializer.value(bytes, GroupSnapshot.class);
+      final GroupSnapshot packed = Serializer.deserialize(bytes, GroupSnapshot.class);
       final Map<String, Put> cells = new LinkedHashMap<>();
       for (final Put put : Protocol.list(packed.cells)) {
         cells.put(put.name, put);
--- a/statestore/src/main/java/weldpoint/statestore/TakenVersions.java
+++ b/statestore/src/main/java/weldpoint/statestore/TakenVersions.java
@@ -56,7 +56,7 @@
     return Decision.confirm(
         409,
         version,
-        Serializer.bytes(
+        Serializer.serialize(
             new TakenVersion(version, known ? entry.author : "", known ? entry.time : 0)));
   }
 
--- a/statestore/src/test/java/weldpoint/statestore/ThawTest.java
+++ b/statestore/src/test/java/weldpoint/statestore/ThawTest.java
@@ -100,7 +100,7 @@
       if (!cores.containsKey(to)) {
         return;
       }
-      final byte[] bytes = Serializer.bytes(message);
+      final byte[] bytes = Serializer.serialize(message);
       at(
           to,
           from,
@@ -110,7 +110,7 @@
                   .get(to)
                   .receive(
                       from,
-                      meddler.apply((Message) Serializer.value(bytes, message.getClass())),
+                      meddler.apply((Message) Serializer.deserialize(bytes, message.getClass())),
                       answer -> post(to, from, answer),
                       now));
     }
--- a/transport/src/main/java/weldpoint/transport/Serializer.java
+++ b/transport/src/main/java/weldpoint/transport/Serializer.java
@@ -25,13 +25,13 @@
 
   /** The bytes of a value. */
   @SuppressWarnings("unchecked")
-  public static <T> byte[] bytes(final T value) {
+  public static <T> byte[] serialize(final T value) {
     return ProtostuffIOUtil.toByteArray(
         value, (Schema<T>) RuntimeSchema.getSchema(value.getClass()), LinkedBuffer.allocate(512));
   }
 
   /** The value that the bytes hold. */
-  public static <T> T value(final byte[] bytes, final Class<T> type) {
+  public static <T> T deserialize(final byte[] bytes, final Class<T> type) {
     final Schema<T> schema = RuntimeSchema.getSchema(type);
     final T value = schema.newMessage();
     ProtostuffIOUtil.mergeFrom(bytes, value, schema);
--- a/transport/src/main/java/weldpoint/transport/Transport.java
+++ b/transport/src/main/java/weldpoint/transport/Transport.java
@@ -36,7 +36,7 @@
     default void opened(final Connection connection) {}
 
     /** The peer has said something. */
-    void heard(Connection connection, Message message);
+    void messageReceived(Connection connection, Message message);
 
     /** The line has ended. */
     default void closed(final Connection connection) {}
@@ -155,8 +155,9 @@
                             }
 
                             @Override
-                            public void heard(final Connection heard, final Message message) {
-                              listener.heard(heard, message);
+                            public void messageReceived(
+                                final Connection heard, final Message message) {
+                              listener.messageReceived(heard, message);
                             }
 
                             @Override
@@ -251,7 +252,7 @@
 
   /** The message as its bytes: what goes to many is then turned into bytes once. */
   public static Message seal(final Message message) {
-    return new EncodedMessage(Serializer.number(message), Serializer.bytes(message));
+    return new EncodedMessage(Serializer.number(message), Serializer.serialize(message));
   }
 
   private final class MessageEncoder extends MessageToByteEncoder<Message> {
@@ -259,7 +260,7 @@
     protected void encode(
         final ChannelHandlerContext context, final Message message, final ByteBuf out) {
       final boolean sealed = message instanceof EncodedMessage;
-      final byte[] body = sealed ? ((EncodedMessage) message).body : Serializer.bytes(message);
+      final byte[] body = sealed ? ((EncodedMessage) message).body : Serializer.serialize(message);
       trafficCounters.out(body.length + 5);
       out.ensureWritable(body.length + 5);
       out.writeInt(body.length + 1);
@@ -326,7 +327,7 @@
         trafficCounters.in(frame.readableBytes() + 5);
         final byte[] body = new byte[frame.readableBytes()];
         frame.readBytes(body);
-        message = (Message) Serializer.value(body, kind);
+        message = (Message) Serializer.deserialize(body, kind);
       } finally {
         frame.release();
       }
@@ -355,7 +356,7 @@
         }
         listener.opened(connection);
       } else {
-        listener.heard(connection, message);
+        listener.messageReceived(connection, message);
       }
     }
 
@@ -385,8 +386,8 @@
       }
 
       @Override
-      public void heard(final Connection connection, final Message message) {
-        executor.execute(() -> listener.heard(connection, message));
+      public void messageReceived(final Connection connection, final Message message) {
+        executor.execute(() -> listener.messageReceived(connection, message));
       }
 
       @Override
--- a/transport/src/test/java/weldpoint/transport/TransportTest.java
+++ b/transport/src/test/java/weldpoint/transport/TransportTest.java
@@ -50,7 +50,7 @@
             port,
             new Transport.Listener() {
               @Override
-              public void heard(final Connection connection, final Message message) {
+              public void messageReceived(final Connection connection, final Message message) {
                 heard.incrementAndGet();
                 connection.send(message);
               }
@@ -69,9 +69,9 @@
   @DataProvider
   public Object[][] strangers() throws IOException {
     final Message word = new RegistryMessages.ChangesAck(3);
-    final byte[] kept = frame(Serializer.number(word), Serializer.bytes(word));
+    final byte[] kept = frame(Serializer.number(word), Serializer.serialize(word));
     return new Object[][] {
-      {frame(Serializer.number(hello(99)), Serializer.bytes(hello(99))), kept},
+      {frame(Serializer.number(hello(99)), Serializer.serialize(hello(99))), kept},
       {kept, kept},
       {frame(200, new byte[0]), kept},
       {new byte[] {127, 127, 127, 127, 1}, kept},
@@ -127,7 +127,7 @@
                   }
 
                   @Override
-                  public void heard(final Connection connection, final Message message) {
+                  public void messageReceived(final Connection connection, final Message message) {
                     answer.complete((RegistryMessages.Gossip) message);
                   }
                 });
--- a/transport/src/test/java/weldpoint/transport/TransportThreadsTest.java
+++ b/transport/src/test/java/weldpoint/transport/TransportThreadsTest.java
@@ -133,7 +133,7 @@
                 }
 
                 @Override
-                public void heard(final Connection connection, final Message message) {}
+                public void messageReceived(final Connection connection, final Message message) {}
 
                 @Override
                 public void closed(final Connection connection) {
@@ -155,7 +155,7 @@
                   }
 
                   @Override
-                  public void heard(final Connection connection, final Message message) {}
+                  public void messageReceived(final Connection connection, final Message message) {}
                 });
         if (round % 4 == 0) {
           up.await(8, TimeUnit.SECONDS);
--- a/upstream/src/main/java/weldpoint/upstream/UpstreamPool.java
+++ b/upstream/src/main/java/weldpoint/upstream/UpstreamPool.java
@@ -146,7 +146,8 @@
         for (final Upstream upstream : upstreams.values()) {
           if (upstream.site.equals(back)) {
             upstream.coldPaced &= upstream.cold(now);
-            upstream.coldUntil = Math.max(upstream.coldUntil, now + settings.beatMillis() + 1000);
+            upstream.coldUntil =
+                Math.max(upstream.coldUntil, now + settings.heartbeatMillis() + 1000);
           }
         }
       }
