--- a/audit/src/test/java/weldpoint/audit/AuditTest.java
+++ b/audit/src/test/java/weldpoint/audit/AuditTest.java
@@ -20,9 +20,9 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import weldpoint.boot.Breakdown;
-import weldpoint.dialplan.Dialplan;
-import weldpoint.trunk.Message;
+import weldpoint.common.WeldpointException;
+import weldpoint.routing.RoutingTable;
+import weldpoint.transport.Message;
 
 /** Entries, logs, segments on disk, differences and authors. */
 public final class AuditTest {
@@ -312,11 +312,12 @@
   @Test(dataProvider = "badAuthors")
   public void anAuthorThatIsNoNameIsRefusedWithTheRemedy(
       final String name, final int times, final String reason) {
-    final Breakdown breakdown = expectThrows(Breakdown.class, () -> Authors.check(name, times));
-    assertEquals(breakdown.kind().status(), 400);
+    final WeldpointException exception =
+        expectThrows(WeldpointException.class, () -> Authors.check(name, times));
+    assertEquals(exception.kind().status(), 400);
     assertTrue(
-        breakdown.getMessage().contains(reason) && breakdown.getMessage().contains(Authors.HEADER),
-        breakdown.getMessage());
+        exception.getMessage().contains(reason) && exception.getMessage().contains(Authors.HEADER),
+        exception.getMessage());
   }
 
   @Test
@@ -345,7 +346,7 @@
                 + rules
                 + "]}],\"pools\":[{\"name\":\"a\"},{\"name\":\"b\"}]}")
             .getBytes(StandardCharsets.UTF_8);
-    return ConfigurationSummary.of(Dialplan.read(body), body);
+    return ConfigurationSummary.of(RoutingTable.read(body), body);
   }
 
   @Test
--- /dev/null
+++ b/cache/src/main/java/weldpoint/cache/CacheDaemon.java
@@ -0,0 +1,219 @@
+package weldpoint.cache;
+
+import com.google.common.flogger.FluentLogger;
+import io.netty.channel.EventLoopGroup;
+import io.netty.channel.nio.NioEventLoopGroup;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.Set;
+import java.util.concurrent.TimeUnit;
+import weldpoint.common.Daemon;
+import weldpoint.common.RandomIds;
+import weldpoint.common.SerialExecutor;
+import weldpoint.common.Settings;
+import weldpoint.proxy.PermitPool;
+import weldpoint.proxy.RegistryClient;
+import weldpoint.proxy.RegistryStream;
+import weldpoint.routing.RoutingTable;
+import weldpoint.transport.CacheMessages;
+import weldpoint.transport.Connection;
+import weldpoint.transport.Message;
+import weldpoint.transport.PermitMessages;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.RegistryMessages;
+import weldpoint.transport.Serializer;
+import weldpoint.transport.Transport;
+import weldpoint.transport.TrialMessages;
+import weldpoint.upstream.UpstreamPool;
+
+/** The shared cache as a process: copies and reads on one thread, control state on another. */
+public final class CacheDaemon implements Daemon {
+  private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
+  private static final long TICK_MILLIS = 100;
+  private static final long COUNTERS_MILLIS = 10_000;
+
+  private final Settings settings;
+  private final SerialExecutor executor = new SerialExecutor("announcer");
+  private final EventLoopGroup loop = new NioEventLoopGroup(1);
+  private final Transport transport;
+  private final UpstreamPool upstreamPool;
+  private final PermitPool permits;
+  private final OriginFetcher fetcher;
+  private final SharedCache cache;
+  private final RegistryClient registry;
+  private final RegistryStream stream;
+
+  /** A cache for these settings; nothing runs yet. */
+  public CacheDaemon(final Settings settings) {
+    this.settings = settings;
+    final long incarnation = RandomIds.next();
+    final Random random = new Random(incarnation);
+    this.transport =
+        new Transport(
+            loop,
+            new Protocol.Hello(Serializer.PROTOCOL, "announcer", settings.address(), incarnation));
+    this.upstreamPool = new UpstreamPool(loop, settings, random);
+    this.stream =
+        new RegistryStream(
+            transport, executor, settings, () -> loop.execute(() -> permits().sweep(true, now())));
+    this.permits = new PermitPool(stream::send);
+    this.fetcher = new OriginFetcher(loop, settings, upstreamPool, permits, random);
+    this.cache =
+        new SharedCache(
+            settings.copyBytes(),
+            settings.purgeFirmMillis(),
+            settings.purgeTrustMillis(),
+            now(),
+            fetcher);
+    final RegistryMessages.DaemonEntry self =
+        new RegistryMessages.DaemonEntry(
+            settings.address(),
+            "",
+            settings.site(),
+            settings.region(),
+            incarnation,
+            false,
+            0,
+            true);
+    this.registry =
+        new RegistryClient(
+            self, settings.seeds(), new Random(incarnation + 1), new ClientEnvironment());
+    stream.registry(registry);
+  }
+
+  private final class ClientEnvironment implements RegistryClient.Environment {
+    @Override
+    public void dial(final String address) {
+      stream.dial(address);
+    }
+
+    @Override
+    public boolean approach(final String address) {
+      stream.approach(address);
+      return true;
+    }
+
+    @Override
+    public void abandonApproach() {
+      stream.abandonApproach();
+    }
+
+    @Override
+    public void send(final Message message) {
+      stream.send(message);
+    }
+
+    @Override
+    public void outlook(
+        final RoutingTable routingTable,
+        final Map<RegistryMessages.Registration, Boolean> changes,
+        final Set<String> evacuated,
+        final Set<String> suspects,
+        final int switchboards) {
+      final List<UpstreamPool.Change> list = new ArrayList<>();
+      changes.forEach(
+          (registration, open) -> list.add(new UpstreamPool.Change(registration, open)));
+      loop.execute(
+          () -> {
+            if (routingTable != null) {
+              cache.take(routingTable);
+              upstreamPool.configuration(routingTable);
+            }
+            upstreamPool.apply(list, now());
+            if (evacuated != null) {
+              upstreamPool.evacuated(evacuated, now());
+            }
+            if (suspects != null) {
+              upstreamPool.suspects(suspects);
+            }
+          });
+    }
+
+    @Override
+    public void trials(final List<TrialMessages.Trial> trials, final long mark) {
+      // an announcer carries no writes and takes no part in trials
+    }
+
+    @Override
+    public void purges(final CacheMessages.Purges purges) {
+      loop.execute(() -> cache.purged(purges));
+    }
+
+    @Override
+    public void reached(final long ageMillis, final int boards, final List<String> announcers) {
+      loop.execute(
+          () -> {
+            cache.reached(ageMillis, now());
+            fetcher.announcers(announcers.size());
+          });
+    }
+
+    @Override
+    public void permitted(final PermitMessages.PermitResponse response) {
+      loop.execute(() -> permits.answered(response));
+    }
+
+    @Override
+    public void admitted() {
+      LOGGER.atInfo().log("announcer %s has a view", settings.name());
+    }
+  }
+
+  private PermitPool permits() {
+    return permits;
+  }
+
+  private static long now() {
+    return System.nanoTime() / 1_000_000;
+  }
+
+  @Override
+  public void start() throws InterruptedException {
+    transport.serve(
+        settings.address(),
+        settings.transportPort(2),
+        new Transport.Listener() {
+          @Override
+          public void messageReceived(final Connection connection, final Message message) {
+            if (message instanceof CacheMessages.CacheReadRequest) {
+              cache.ask((CacheMessages.CacheReadRequest) message, connection::send, now());
+            }
+          }
+        });
+    executor.execute(() -> registry.start(now()));
+    loop.scheduleAtFixedRate(
+        () -> {
+          permits.sweep(false, now());
+          upstreamPool.sweep(now());
+          executor.execute(() -> registry.tick(now()));
+        },
+        TICK_MILLIS,
+        TICK_MILLIS,
+        TimeUnit.MILLISECONDS);
+    loop.scheduleAtFixedRate(
+        () ->
+            LOGGER.atInfo().log(
+                "counters: %s read %s held %s %s",
+                cache.counters(), fetcher.sent, fetcher.held, permits.counters()),
+        COUNTERS_MILLIS,
+        COUNTERS_MILLIS,
+        TimeUnit.MILLISECONDS);
+  }
+
+  @Override
+  public void reload(final Settings news) {
+    executor.execute(() -> registry.seeds(news.seeds()));
+  }
+
+  @Override
+  public void stop() {
+    executor.execute(() -> registry.leave(now()));
+    try {
+      Thread.sleep(Math.min(1500, Math.max(300, settings.graceMillis() - 1000)));
+    } catch (final InterruptedException ended) {
+      Thread.currentThread().interrupt();
+    }
+  }
+}
--- a/announcer/src/main/java/weldpoint/announcer/Shelf.java
+++ b/cache/src/main/java/weldpoint/cache/CacheStore.java
@@ -1,4 +1,4 @@
-package weldpoint.announcer;
+package weldpoint.cache;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -11,34 +11,35 @@
 /**
  * Copies, found by key, by place and by label; those used longest ago leave when the bytes run out.
  */
-final class Shelf {
+final class CacheStore {
   private final long mostBytes;
-  private final LinkedHashMap<String, Copy> copies = new LinkedHashMap<>(64, 0.75f, true);
+  private final LinkedHashMap<String, CachedObject> copies = new LinkedHashMap<>(64, 0.75f, true);
   private final Map<String, Set<String>> places = new HashMap<>();
   private final Map<String, Set<String>> labels = new HashMap<>();
   private long bytes;
 
-  Shelf(final long mostBytes) {
+  CacheStore(final long mostBytes) {
     this.mostBytes = mostBytes;
   }
 
-  Copy get(final String key) {
+  CachedObject get(final String key) {
     return copies.get(key);
   }
 
-  void put(final Copy copy) {
-    remove(copy.key);
-    if (copy.bytes() > mostBytes) {
+  void put(final CachedObject object) {
+    remove(object.key);
+    if (object.bytes() > mostBytes) {
       return;
     }
-    copies.put(copy.key, copy);
-    bytes += copy.bytes();
-    places.computeIfAbsent(copy.place, place -> new HashSet<>()).add(copy.key);
-    for (final String label : copy.labels) {
-      labels.computeIfAbsent(label, name -> new HashSet<>()).add(copy.key);
+    copies.put(object.key, object);
+    bytes += object.bytes();
+    places.computeIfAbsent(object.place, place -> new HashSet<>()).add(object.key);
+    for (final String label : object.labels) {
+      labels.computeIfAbsent(label, name -> new HashSet<>()).add(object.key);
     }
-    final Iterator<Copy> oldest =
-        new java.util.ArrayList<>(bytes > mostBytes ? copies.values() : java.util.List.<Copy>of())
+    final Iterator<CachedObject> oldest =
+        new java.util.ArrayList<>(
+                bytes > mostBytes ? copies.values() : java.util.List.<CachedObject>of())
             .iterator();
     while (bytes > mostBytes && oldest.hasNext()) {
       remove(oldest.next().key);
@@ -46,13 +47,13 @@
   }
 
   void remove(final String key) {
-    final Copy copy = copies.remove(key);
-    if (copy == null) {
+    final CachedObject object = copies.remove(key);
+    if (object == null) {
       return;
     }
-    bytes -= copy.bytes();
-    forget(places, copy.place, key);
-    for (final String label : copy.labels) {
+    bytes -= object.bytes();
+    forget(places, object.place, key);
+    for (final String label : object.labels) {
       forget(labels, label, key);
     }
   }
@@ -76,10 +77,10 @@
   }
 
   /** Removes all copies of which something holds. */
-  void removeIf(final Predicate<Copy> condition) {
-    for (final Copy copy : new java.util.ArrayList<>(copies.values())) {
-      if (condition.test(copy)) {
-        remove(copy.key);
+  void removeIf(final Predicate<CachedObject> condition) {
+    for (final CachedObject object : new java.util.ArrayList<>(copies.values())) {
+      if (condition.test(object)) {
+        remove(object.key);
       }
     }
   }
--- a/announcer/src/main/java/weldpoint/announcer/AnnouncerCore.java
+++ b/cache/src/main/java/weldpoint/cache/SharedCache.java
@@ -1,4 +1,4 @@
-package weldpoint.announcer;
+package weldpoint.cache;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,28 +7,28 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.IntSupplier;
-import weldpoint.dialplan.Binding;
-import weldpoint.dialplan.Dialplan;
-import weldpoint.dialplan.RouteKind;
-import weldpoint.trunk.CacheMessages;
-import weldpoint.trunk.CacheMessages.CopyAnswer;
-import weldpoint.trunk.CacheMessages.CopyAsk;
-import weldpoint.trunk.Protocol;
+import weldpoint.routing.RouteBinding;
+import weldpoint.routing.RouteKind;
+import weldpoint.routing.RoutingTable;
+import weldpoint.transport.CacheMessages;
+import weldpoint.transport.CacheMessages.CacheReadRequest;
+import weldpoint.transport.CacheMessages.CacheReadResponse;
+import weldpoint.transport.Protocol;
 
 /**
  * The shared cache: one fetch per object at a time, copies no older than their route allows, and
  * nothing that a known purge names. Objects of routes with home regions are neither fetched nor
  * kept nor given, wherever this node stands. It knows neither threads nor clocks nor sockets.
  */
-public class AnnouncerCore {
+public class SharedCache {
   /** What came of a fetch. */
-  public static final class Fetched {
+  public static final class FetchResult {
     final int status;
     final List<String> headers;
     final byte[] body;
 
     /** Status 0 means that nothing was learned, 503 that the origin's limit stands in the way. */
-    public Fetched(final int status, final List<String> headers, final byte[] body) {
+    public FetchResult(final int status, final List<String> headers, final byte[] body) {
       this.status = status;
       this.headers = headers;
       this.body = body;
@@ -36,58 +36,59 @@
   }
 
   /** What the core does to the world. */
-  public interface Outlet {
+  public interface Environment {
     /**
      * Reads an object, with its tag where a copy is at hand; weight tells how many wait for it;
      * whoever is given hears exactly once.
      */
     void fetch(
-        Binding binding,
+        RouteBinding binding,
         String host,
         String target,
         String etag,
         IntSupplier weight,
         long cutoff,
-        Consumer<Fetched> done);
+        Consumer<FetchResult> done);
   }
 
-  private record Waiter(CopyAsk ask, Consumer<CopyAnswer> reply, long mark, long cutoff) {}
+  private record Waiter(
+      CacheReadRequest request, Consumer<CacheReadResponse> reply, long mark, long cutoff) {}
 
   private static final class Fetch {
-    final Binding binding;
-    final CopyAsk ask;
+    final RouteBinding binding;
+    final CacheReadRequest request;
     final String key;
     final String place;
     final long startedAt;
     final long mark;
-    final Copy before;
+    final CachedObject before;
     final List<Waiter> waiters = new ArrayList<>();
 
     Fetch(
-        final Binding binding,
-        final CopyAsk ask,
+        final RouteBinding binding,
+        final CacheReadRequest request,
         final String key,
         final long startedAt,
         final long mark,
-        final Copy before) {
+        final CachedObject before) {
       this.binding = binding;
-      this.ask = ask;
+      this.request = request;
       this.key = key;
-      this.place = place(ask.host, ask.target);
+      this.place = place(request.host, request.target);
       this.startedAt = startedAt;
       this.mark = mark;
       this.before = before;
     }
   }
 
-  private final Outlet outlet;
-  private final Shelf shelf;
+  private final Environment environment;
+  private final CacheStore shelf;
   private static final long HEARD_MILLIS = 1000;
 
   private final long firmMillis;
   private final long trustMillis;
   private final Map<String, Fetch> fetches = new HashMap<>();
-  private Dialplan plan;
+  private RoutingTable routingTable;
   private List<CacheMessages.Purge> purges = List.of();
   private long floor;
   private long mark;
@@ -102,25 +103,25 @@
    * last heard of; while an exchange still speaks to it and has no majority itself, when no purge
    * can be acknowledged either, for trustMillis.
    */
-  public AnnouncerCore(
+  public SharedCache(
       final long mostBytes,
       final long firmMillis,
       final long trustMillis,
       final long now,
-      final Outlet outlet) {
+      final Environment environment) {
     this.firmMillis = firmMillis;
-    this.outlet = outlet;
-    this.shelf = new Shelf(mostBytes);
+    this.environment = environment;
+    this.shelf = new CacheStore(mostBytes);
     this.trustMillis = trustMillis;
     this.knownAt = now - trustMillis;
     this.heardAt = now - HEARD_MILLIS;
   }
 
   /** Takes a configuration; copies whose routes have got home regions are dropped. */
-  public void take(final Dialplan given) {
-    plan = given;
+  public void take(final RoutingTable given) {
+    routingTable = given;
     if (given.all().stream().anyMatch(route -> route.homes.length > 0)) {
-      shelf.removeIf(copy -> bind(copy.service, copy.host, copy.target) == null);
+      shelf.removeIf(object -> bind(object.service, object.host, object.target) == null);
     }
   }
 
@@ -162,22 +163,24 @@
   }
 
   /** A switchboard asks for an object; it hears exactly once. */
-  public void ask(final CopyAsk ask, final Consumer<CopyAnswer> reply, final long now) {
-    serve(new Waiter(ask, reply, mark, now + ask.waitMillis), now);
+  public void ask(
+      final CacheReadRequest request, final Consumer<CacheReadResponse> reply, final long now) {
+    serve(new Waiter(request, reply, mark, now + request.waitMillis), now);
   }
 
   private void serve(final Waiter waiter, final long now) {
-    final CopyAsk ask = waiter.ask;
-    final Binding binding = bind(ask.service, ask.host, ask.target);
+    final CacheReadRequest request = waiter.request;
+    final RouteBinding binding = bind(request.service, request.host, request.target);
     if (binding == null || !trusts(now)) {
-      waiter.reply.accept(new CopyAnswer(ask.number, 0, null, null));
+      waiter.reply.accept(new CacheReadResponse(request.number, 0, null, null));
       return;
     }
-    final String key = ask.service + ' ' + ask.host.toLowerCase(Locale.ROOT) + ask.target;
-    final Copy copy = shelf.get(key);
-    if (copy != null && now - copy.startedAt < binding.route().cacheMillis) {
+    final String key =
+        request.service + ' ' + request.host.toLowerCase(Locale.ROOT) + request.target;
+    final CachedObject object = shelf.get(key);
+    if (object != null && now - object.startedAt < binding.route().cacheMillis) {
       hits++;
-      waiter.reply.accept(answer(ask, copy));
+      waiter.reply.accept(answer(request, object));
       return;
     }
     final Fetch running = fetches.get(key);
@@ -186,14 +189,14 @@
       return;
     }
     misses++;
-    final Fetch fetch = new Fetch(binding, ask, key, now, mark, copy);
+    final Fetch fetch = new Fetch(binding, request, key, now, mark, object);
     fetch.waiters.add(waiter);
     fetches.put(key, fetch);
-    outlet.fetch(
+    environment.fetch(
         binding,
-        ask.host,
-        ask.target,
-        copy == null ? null : copy.etag,
+        request.host,
+        request.target,
+        object == null ? null : object.etag,
         fetch.waiters::size,
         waiter.cutoff,
         fetched -> fetched(fetch, fetched));
@@ -210,25 +213,26 @@
   }
 
   /** What the configuration says of an object; null where no copy of it may be kept. */
-  private Binding bind(final String serviceName, final String host, final String target) {
-    final int service = plan == null ? -1 : plan.service(serviceName);
+  private RouteBinding bind(final String serviceName, final String host, final String target) {
+    final int service = routingTable == null ? -1 : routingTable.service(serviceName);
     if (service < 0) {
       return null;
     }
-    final Binding binding = new Binding(host, target, 0);
-    if (!plan.interpret(binding)
+    final RouteBinding binding = new RouteBinding(host, target, 0);
+    if (!routingTable.interpret(binding)
         || binding.route().kind != RouteKind.CACHEABLE
         || binding.route().cacheMillis <= 0
         || binding.homed()) {
       return null;
     }
     binding.forEverybody();
-    binding.divert(plan.services().get(service));
+    binding.divert(routingTable.services().get(service));
     return binding;
   }
 
-  private static CopyAnswer answer(final CopyAsk ask, final Copy copy) {
-    return new CopyAnswer(ask.number, 200, copy.headers, copy.body);
+  private static CacheReadResponse answer(
+      final CacheReadRequest request, final CachedObject object) {
+    return new CacheReadResponse(request.number, 200, object.headers, object.body);
   }
 
   /**
@@ -251,31 +255,31 @@
     return first;
   }
 
-  private void fetched(final Fetch fetch, final Fetched fetched) {
+  private void fetched(final Fetch fetch, final FetchResult fetched) {
     if (fetches.get(fetch.key) == fetch) {
       fetches.remove(fetch.key);
     }
-    if (!fetch.binding.follow(plan) || fetch.binding.homed()) {
+    if (!fetch.binding.follow(routingTable) || fetch.binding.homed()) {
       for (final Waiter waiter : fetch.waiters) {
-        waiter.reply.accept(new CopyAnswer(waiter.ask.number, 0, null, null));
+        waiter.reply.accept(new CacheReadResponse(waiter.request.number, 0, null, null));
       }
       return;
     }
-    Copy copy = null;
+    CachedObject object = null;
     if (fetched.status == 304 && fetch.before != null) {
       final String tag = header(fetched.headers, "etag");
       if (tag == null || tag.equals(fetch.before.etag)) {
-        copy = fetch.before.renewed(fetch.startedAt, fetch.mark);
+        object = fetch.before.renewed(fetch.startedAt, fetch.mark);
         renewals++;
       }
     } else if (fetched.status == 200) {
       final String labels = header(fetched.headers, "weldpoint-labels");
-      copy =
-          new Copy(
+      object =
+          new CachedObject(
               fetch.key,
-              fetch.ask.service,
-              fetch.ask.host,
-              fetch.ask.target,
+              fetch.request.service,
+              fetch.request.host,
+              fetch.request.target,
               fetch.place,
               fetched.headers,
               fetched.body,
@@ -285,28 +289,28 @@
               fetch.mark);
     }
     final long voidedBy =
-        copy == null ? 0 : named(knownAtStart(fetch.mark), fetch.place, copy.labels);
-    if (copy != null
-        && copy.etag != null
-        && header(copy.headers, "weldpoint-labels") != null
+        object == null ? 0 : named(knownAtStart(fetch.mark), fetch.place, object.labels);
+    if (object != null
+        && object.etag != null
+        && header(object.headers, "weldpoint-labels") != null
         && voidedBy == 0) {
-      final Copy present = shelf.get(fetch.key);
-      if (present == null || present.startedAt <= copy.startedAt) {
-        shelf.put(copy);
+      final CachedObject present = shelf.get(fetch.key);
+      if (present == null || present.startedAt <= object.startedAt) {
+        shelf.put(object);
       }
     }
     for (final Waiter waiter : fetch.waiters) {
-      if (copy == null) {
+      if (object == null) {
         waiter.reply.accept(
-            new CopyAnswer(
-                waiter.ask.number,
+            new CacheReadResponse(
+                waiter.request.number,
                 fetched.status == 304 ? 503 : fetched.status,
                 fetched.headers,
                 fetched.body));
       } else if (waiter.mark < voidedBy || voidedBy == 0) {
-        waiter.reply.accept(answer(waiter.ask, copy));
+        waiter.reply.accept(answer(waiter.request, object));
       } else {
-        waiter.reply.accept(new CopyAnswer(waiter.ask.number, 503, null, null));
+        waiter.reply.accept(new CacheReadResponse(waiter.request.number, 503, null, null));
       }
     }
   }
--- a/announcer/src/test/java/weldpoint/announcer/ReaderTest.java
+++ b/cache/src/test/java/weldpoint/cache/OriginFetcherTest.java
@@ -1,4 +1,4 @@
-package weldpoint.announcer;
+package weldpoint.cache;
 
 import static org.testng.Assert.assertEquals;
 
@@ -18,15 +18,15 @@
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import weldpoint.boot.Boot;
-import weldpoint.dialplan.Binding;
-import weldpoint.dialplan.Dialplan;
+import weldpoint.common.Settings;
 import weldpoint.proxy.PermitPool;
-import weldpoint.trunk.RegistryMessages.Registration;
+import weldpoint.routing.RouteBinding;
+import weldpoint.routing.RoutingTable;
+import weldpoint.transport.RegistryMessages.Registration;
 import weldpoint.upstream.UpstreamPool;
 
 /** Reads for copies: no read goes to more upstreams than the route allows, whatever they do. */
-public final class ReaderTest {
+public final class OriginFetcherTest {
   private final EventLoopGroup loop = new NioEventLoopGroup(1);
 
   @AfterClass
@@ -78,25 +78,26 @@
       thread.setDaemon(true);
       thread.start();
     }
-    final Boot boot =
-        Boot.parse(
+    final Settings settings =
+        Settings.parse(
             "station.name = one\nstation.address = 127.0.0.1\nstation.site = a\nstation.region = r\ntrunk.ports = 7000,7015\ntrunk.seeds = 127.0.0.1:80\nsites = a:r\nbound.retry-slack = 1000\n");
-    final Dialplan plan =
-        Dialplan.compile(
+    final RoutingTable routingTable =
+        RoutingTable.compile(
             ("{\"version\":\"1\",\"listeners\":[{\"host\":\"h\",\"rules\":[{\"name\":\"r\",\"routeKind\":\"idempotent\",\"targetLatencyMs\":100,\"match\":{\"pathPrefix\":\"/\"},\"action\":{\"service\":\"s\",\"timeoutMs\":1500,\"maxAttempts\":"
                     + most
                     + "}}]}],\"pools\":[{\"name\":\"s\"}]}")
                 .getBytes(StandardCharsets.UTF_8));
-    final UpstreamPool upstreamPool = new UpstreamPool(loop, boot, new Random(1));
-    final Reader reader =
-        new Reader(loop, boot, upstreamPool, new PermitPool(message -> false), new Random(1));
+    final UpstreamPool upstreamPool = new UpstreamPool(loop, settings, new Random(1));
+    final OriginFetcher fetcher =
+        new OriginFetcher(
+            loop, settings, upstreamPool, new PermitPool(message -> false), new Random(1));
     final CompletableFuture<Integer> status = new CompletableFuture<>();
     loop.execute(
         () -> {
           upstreamPool.apply(changes, System.nanoTime() / 1_000_000);
-          final Binding binding = new Binding("h", "/x", 0);
-          plan.interpret(binding);
-          reader.fetch(
+          final RouteBinding binding = new RouteBinding("h", "/x", 0);
+          routingTable.interpret(binding);
+          fetcher.fetch(
               binding,
               "h",
               "/x",
--- a/console/src/main/java/weldpoint/console/Caller.java
+++ b/cli/src/main/java/weldpoint/cli/ControlClient.java
@@ -1,4 +1,4 @@
-package weldpoint.console;
+package weldpoint.cli;
 
 import java.io.IOException;
 import java.net.URI;
@@ -10,10 +10,10 @@
 import java.time.Duration;
 import java.util.List;
 import weldpoint.audit.Authors;
-import weldpoint.boot.Breakdown;
+import weldpoint.common.WeldpointException;
 
 /** Calls the control interface of one of several exchanges: the first that gives a clear answer. */
-final class Caller {
+final class ControlClient {
   private static final Duration PATIENCE = Duration.ofSeconds(3);
 
   private final List<String> addresses;
@@ -21,12 +21,12 @@
   private final HttpClient client =
       HttpClient.newBuilder().connectTimeout(PATIENCE).version(HttpClient.Version.HTTP_1_1).build();
 
-  Caller(final List<String> addresses) {
+  ControlClient(final List<String> addresses) {
     this(addresses, null);
   }
 
   /** Calls in somebody's name; null where nothing is changed. */
-  Caller(final List<String> addresses, final String author) {
+  ControlClient(final List<String> addresses, final String author) {
     this.addresses = addresses;
     this.author = author;
   }
@@ -75,8 +75,9 @@
         last = address + ": " + problem;
       }
     }
-    throw new Breakdown(
-        Breakdown.Kind.OUT_OF_REACH, "no exchange answered (" + last + "); check --control");
+    throw new WeldpointException(
+        WeldpointException.Kind.OUT_OF_REACH,
+        "no exchange answered (" + last + "); check --control");
   }
 
   /** The body of a good answer; anything else is a failure that names the remedy. */
@@ -90,8 +91,10 @@
           return response.body();
         }
         if (response.statusCode() < 500) {
-          throw new Breakdown(
-              response.statusCode() == 409 ? Breakdown.Kind.CONFLICT : Breakdown.Kind.INVALID,
+          throw new WeldpointException(
+              response.statusCode() == 409
+                  ? WeldpointException.Kind.CONFLICT
+                  : WeldpointException.Kind.INVALID,
               response.body());
         }
         last = address + " answered " + response.statusCode() + " " + response.body();
@@ -99,8 +102,8 @@
         last = address + ": " + problem;
       }
     }
-    throw new Breakdown(
-        Breakdown.Kind.OUT_OF_REACH,
+    throw new WeldpointException(
+        WeldpointException.Kind.OUT_OF_REACH,
         "no exchange answered (" + last + "); check --control, or that the core has its majority");
   }
 }
--- a/console/src/main/java/weldpoint/console/RecordCommand.java
+++ b/cli/src/main/java/weldpoint/cli/RecordCommand.java
@@ -1,4 +1,4 @@
-package weldpoint.console;
+package weldpoint.cli;
 
 import java.io.IOException;
 import java.io.PrintStream;
@@ -13,12 +13,12 @@
 import joptsimple.OptionParser;
 import joptsimple.OptionSet;
 import joptsimple.OptionSpec;
-import weldpoint.boot.Breakdown;
-import weldpoint.registry.Reels;
-import weldpoint.replay.DayFile;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.RegistryMessages;
-import weldpoint.trunk.Wire;
+import weldpoint.common.WeldpointException;
+import weldpoint.registry.RecordingBuffer;
+import weldpoint.replay.RecordingFile;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.RegistryMessages;
+import weldpoint.transport.Serializer;
 
 /**
  * weldpoint record: has all switchboards record, and collects what they recorded into a file until
@@ -52,7 +52,7 @@
 
   /** Follows one recording. */
   static final class Collector {
-    private final DayFile.Writer writer;
+    private final RecordingFile.Writer writer;
     private final Map<String, Long> offsets = new HashMap<>();
     private final Map<String, Integer> known = new LinkedHashMap<>();
     private final Set<String> open = new HashSet<>();
@@ -62,12 +62,16 @@
     private long notes;
     private long clockError;
 
-    Collector(final DayFile.Writer writer) {
+    Collector(final RecordingFile.Writer writer) {
       this.writer = writer;
     }
 
     /** Adds what one exchange gave to a question asked then and answered now. */
-    void add(final String exchange, final Reels.Drained drained, final long asked, final long now)
+    void add(
+        final String exchange,
+        final RecordingBuffer.Collection drained,
+        final long asked,
+        final long now)
         throws IOException {
       droppedBy.put(exchange, drained.dropped);
       final List<RegistryMessages.Registration> changes = new ArrayList<>();
@@ -83,25 +87,25 @@
       if (spec || !changes.isEmpty() || !sites.equals(evacuated)) {
         version = Math.max(version, drained.version);
         writer.add(
-            new DayFile.Control(
+            new RecordingFile.ControlSnapshot(
                 asked,
                 spec ? drained.spec : null,
                 changes,
                 sites.equals(evacuated) ? null : sites));
         evacuated = sites;
       }
-      for (final Reels.Kept kept : Protocol.list(drained.reels)) {
-        final String life = kept.reel.board + "#" + kept.reel.incarnation;
-        final long offset = asked - kept.ageMillis - kept.reel.sentAt;
+      for (final RecordingBuffer.CollectedBatch kept : Protocol.list(drained.reels)) {
+        final String life = kept.batch.board + "#" + kept.batch.incarnation;
+        final long offset = asked - kept.ageMillis - kept.batch.sentAt;
         offsets.merge(life, offset, Math::min);
         clockError = Math.max(clockError, now - asked);
-        notes += Protocol.list(kept.reel.notes).size();
-        if (kept.reel.last) {
+        notes += Protocol.list(kept.batch.notes).size();
+        if (kept.batch.last) {
           open.remove(life);
         } else {
           open.add(life);
         }
-        writer.add(new DayFile.Turn(offsets.get(life), kept.reel));
+        writer.add(new RecordingFile.TimedBatch(offsets.get(life), kept.batch));
       }
     }
 
@@ -110,8 +114,8 @@
       return open.isEmpty();
     }
 
-    DayFile.End end() {
-      return new DayFile.End(
+    RecordingFile.Trailer end() {
+      return new RecordingFile.Trailer(
           notes,
           droppedBy.values().stream().mapToLong(count -> count).sum(),
           clockError,
@@ -128,22 +132,23 @@
           Action.valueOf(
               names.size() == 1 ? names.get(0).toString().toUpperCase(java.util.Locale.ROOT) : "");
     } catch (final IllegalArgumentException unknown) {
-      throw new Breakdown(
-          Breakdown.Kind.USAGE,
+      throw new WeldpointException(
+          WeldpointException.Kind.USAGE,
           "record takes one action: record begin|status|end --control HOST:PORT,...");
     }
     final List<String> addresses = options.valuesOf(control);
-    final Caller caller = new Caller(addresses);
+    final ControlClient caller = new ControlClient(addresses);
     if (action == Action.STATUS || action == Action.END) {
       out.println(caller.call(action == Action.END ? "record.end" : "record.status", "all", ""));
       return 0;
     }
     if (!options.has(file)) {
-      throw new Breakdown(
-          Breakdown.Kind.USAGE, "record begin needs --file FILE, where the day is to be written");
+      throw new WeldpointException(
+          WeldpointException.Kind.USAGE,
+          "record begin needs --file FILE, where the day is to be written");
     }
     out.println(caller.call("record.begin", "all", ""));
-    try (DayFile.Writer writer = new DayFile.Writer(Path.of(options.valueOf(file)))) {
+    try (RecordingFile.Writer writer = new RecordingFile.Writer(Path.of(options.valueOf(file)))) {
       return collect(options, addresses, caller, writer, out);
     }
   }
@@ -151,8 +156,8 @@
   private int collect(
       final OptionSet options,
       final List<String> addresses,
-      final Caller caller,
-      final DayFile.Writer writer,
+      final ControlClient caller,
+      final RecordingFile.Writer writer,
       final PrintStream out)
       throws IOException, InterruptedException {
     final Collector collector = new Collector(writer);
@@ -167,14 +172,15 @@
       for (final String address : addresses) {
         final long asked = System.nanoTime() / 1_000_000;
         try {
-          final Reels.Drained drained =
-              Wire.value(
-                  new Caller(List.of(address)).bytes("record.drain", "all"), Reels.Drained.class);
+          final RecordingBuffer.Collection drained =
+              Serializer.deserialize(
+                  new ControlClient(List.of(address)).bytes("record.drain", "all"),
+                  RecordingBuffer.Collection.class);
           collector.add(address, drained, asked, System.nanoTime() / 1_000_000);
           on |= drained.on;
           heard = true;
           missed.remove(address);
-        } catch (final Breakdown silent) {
+        } catch (final WeldpointException silent) {
           missed.merge(address, 1L, Long::sum);
         }
       }
@@ -191,7 +197,7 @@
         }
       }
     }
-    final DayFile.End end = collector.end();
+    final RecordingFile.Trailer end = collector.end();
     writer.add(end);
     out.printf(
         "recorded %d calls, dropped %d, clocks agree within %d ms, not ended: %s, exchanges not heard at the end: %s%n",
--- a/console/src/test/java/weldpoint/scale/ScaleTest.java
+++ b/cli/src/test/java/weldpoint/scale/ScaleTest.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import weldpoint.boot.Breakdown;
+import weldpoint.common.WeldpointException;
 
 /**
  * The fit of slopes against known data, refused sizes, and a tiny run of real and hollow processes
@@ -21,14 +21,14 @@
 public final class ScaleTest {
   @Test
   public void aLineIsFoundAndWhatItLeavesOverIsTold() {
-    final Fit exact = Fit.of(new double[] {10, 40, 160}, new double[] {25, 85, 325});
+    final LinearFit exact = LinearFit.of(new double[] {10, 40, 160}, new double[] {25, 85, 325});
     assertEquals(exact.slope(), 2, 1e-9);
     assertEquals(exact.fixed(), 5, 1e-9);
     assertEquals(exact.worst(), 0, 1e-9);
     assertEquals(exact.explained(), 1, 1e-9);
     assertEquals(exact.at(16_000), 32_005, 1e-6);
     assertEquals(exact.beyond(16_000), 100, 1e-9);
-    final Fit noisy = Fit.of(new double[] {1, 2, 3, 4}, new double[] {2, 1, 4, 3});
+    final LinearFit noisy = LinearFit.of(new double[] {1, 2, 3, 4}, new double[] {2, 1, 4, 3});
     assertEquals(noisy.slope(), 0.6, 1e-9);
     assertEquals(noisy.fixed(), 1, 1e-9);
     assertEquals(noisy.worst(), 1.2, 1e-9);
@@ -38,12 +38,15 @@
   @Test
   public void tooFewOrTooNearSizesGiveNoSlope() {
     assertTrue(
-        expectThrows(Breakdown.class, () -> Fit.of(new double[] {1, 9}, new double[] {1, 2}))
+        expectThrows(
+                WeldpointException.class,
+                () -> LinearFit.of(new double[] {1, 9}, new double[] {1, 2}))
             .getMessage()
             .contains("at least 3"));
     assertTrue(
         expectThrows(
-                Breakdown.class, () -> Fit.of(new double[] {10, 20, 30}, new double[] {1, 2, 3}))
+                WeldpointException.class,
+                () -> LinearFit.of(new double[] {10, 20, 30}, new double[] {1, 2, 3}))
             .getMessage()
             .contains("too near"));
   }
@@ -51,20 +54,20 @@
   @DataProvider
   public Object[][] senseless() {
     return new Object[][] {
-      {new Sizes(0, 1, 1, 1, 1, 1, 0, 0, false), "makes no sense"},
-      {new Sizes(1, 1, 1, 1, 2, 1, 0, 0, false), "makes no sense"},
-      {new Sizes(1, 1, 1, 1, 1, 1, -1, 0, false), "makes no sense"},
-      {new Sizes(40, 1, 150, 1, 1, 1, 0, 0, false), "too many"},
-      {new Sizes(3, 100_000_000, 1, 1, 1, 1, 0, 0, false), "half of this machine's memory"},
+      {new FleetSize(0, 1, 1, 1, 1, 1, 0, 0, false), "makes no sense"},
+      {new FleetSize(1, 1, 1, 1, 2, 1, 0, 0, false), "makes no sense"},
+      {new FleetSize(1, 1, 1, 1, 1, 1, -1, 0, false), "makes no sense"},
+      {new FleetSize(40, 1, 150, 1, 1, 1, 0, 0, false), "too many"},
+      {new FleetSize(3, 100_000_000, 1, 1, 1, 1, 0, 0, false), "half of this machine's memory"},
     };
   }
 
   @Test(dataProvider = "senseless")
   public void sizesBeyondTheMachineOrWithoutSenseAreRefusedBeforeAnythingStarts(
-      final Sizes sizes, final String reason) {
-    final Breakdown breakdown = expectThrows(Breakdown.class, sizes::checked);
-    assertEquals(breakdown.kind(), Breakdown.Kind.USAGE);
-    assertTrue(breakdown.getMessage().contains(reason), breakdown.getMessage());
+      final FleetSize sizes, final String reason) {
+    final WeldpointException exception = expectThrows(WeldpointException.class, sizes::checked);
+    assertEquals(exception.kind(), WeldpointException.Kind.USAGE);
+    assertTrue(exception.getMessage().contains(reason), exception.getMessage());
   }
 
   @DataProvider
@@ -82,12 +85,12 @@
 
   @Test(dataProvider = "badCalls")
   public void aCallThatMakesNoSenseEndsWithItsRemedy(final String[] words, final String reason) {
-    final Breakdown breakdown =
+    final WeldpointException exception =
         expectThrows(
-            Breakdown.class,
+            WeldpointException.class,
             () -> new ScaleCommand().run(words, new PrintStream(new ByteArrayOutputStream())));
-    assertEquals(breakdown.kind(), Breakdown.Kind.USAGE);
-    assertTrue(breakdown.getMessage().contains(reason), breakdown.getMessage());
+    assertEquals(exception.kind(), WeldpointException.Kind.USAGE);
+    assertTrue(exception.getMessage().contains(reason), exception.getMessage());
   }
 
   @Test
@@ -95,7 +98,7 @@
       throws IOException, InterruptedException {
     final long before = ProcessHandle.current().children().filter(ProcessHandle::isAlive).count();
     final Map<String, Double> figures;
-    try (ScaleRun run = new ScaleRun(new Sizes(1, 3, 1, 5, 1, 2, 0.5, 0, false), freePorts())) {
+    try (ScaleRun run = new ScaleRun(new FleetSize(1, 3, 1, 5, 1, 2, 0.5, 0, false), freePorts())) {
       figures = run.measure(3, 6);
     }
     assertTrue(figures.get("hollow bytes-in/s") > 0, figures.toString());
--- a/boot/src/main/java/weldpoint/boot/Boot.java
+++ b/common/src/main/java/weldpoint/common/Settings.java
@@ -1,4 +1,4 @@
-package weldpoint.boot;
+package weldpoint.common;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -11,7 +11,7 @@
 /**
  * The checked settings of one process, read from "name = value" lines. Unknown names are ignored.
  */
-public final class Boot {
+public final class Settings {
   /** The environment variable that names the settings file. */
   public static final String VARIABLE = "WELDPOINT_SETTINGS";
 
@@ -48,7 +48,7 @@
 
   private final Map<String, String> values;
 
-  private Boot(final Map<String, String> values) {
+  private Settings(final Map<String, String> values) {
     this.values = values;
   }
 
@@ -58,7 +58,7 @@
   }
 
   /** Reads the file that the environment names. */
-  public static Boot load() {
+  public static Settings load() {
     return load(path());
   }
 
@@ -68,18 +68,18 @@
   }
 
   /** Reads a settings file. */
-  public static Boot load(final Path path) {
+  public static Settings load(final Path path) {
     try {
       return parse(Files.readString(path));
     } catch (final IOException problem) {
-      throw new Breakdown(
-          Breakdown.Kind.SETTING,
+      throw new WeldpointException(
+          WeldpointException.Kind.SETTING,
           "settings file " + path + " cannot be read; name a readable file in " + VARIABLE);
     }
   }
 
   /** Reads settings from text and checks them. */
-  public static Boot parse(final String text) {
+  public static Settings parse(final String text) {
     final Map<String, String> values = new LinkedHashMap<>();
     int number = 0;
     for (final String raw : text.split("\n", -1)) {
@@ -94,9 +94,9 @@
       }
       values.put(line.substring(0, equals).strip(), line.substring(equals + 1).strip());
     }
-    final Boot boot = new Boot(values);
-    boot.check();
-    return boot;
+    final Settings settings = new Settings(values);
+    settings.check();
+    return settings;
   }
 
   private void check() {
@@ -107,14 +107,14 @@
     region();
     voter();
     firstStart();
-    trunkPort(0);
+    transportPort(0);
     seeds();
     sites();
     for (final String field :
         new String[] {"listen.traffic", "listen.readiness", "listen.control", "listen.directory"}) {
       optionalAddress(field);
     }
-    beatMillis();
+    heartbeatMillis();
     drainMillis();
     configurationMillis();
     evacuationMillis();
@@ -142,16 +142,16 @@
     choiceSharers();
     countersMillis();
     transferBytes();
-    chief();
-    if (chiefTenureMillis() < 2 * chiefPulseMillis()) {
+    regionLeaderEnabled();
+    if (leaderTenureMillis() < 2 * leaderHeartbeatMillis()) {
       throw bad(
           "chief.tenure-ms",
           values.get("chief.tenure-ms"),
           "give at least twice chief.pulse-ms, "
-              + 2 * chiefPulseMillis()
+              + 2 * leaderHeartbeatMillis()
               + ", or a chief would end between two of its pulses");
     }
-    if (chiefWaitMillis() < 500) {
+    if (leaderWaitMillis() < 500) {
       throw bad(
           "chief.wait-ms",
           values.get("chief.wait-ms"),
@@ -187,9 +187,11 @@
     return (entries + entries / 4 + 64) * (32 + entryBytes) * 8 / 6;
   }
 
-  private static Breakdown bad(final String field, final String value, final String remedy) {
-    return new Breakdown(
-        Breakdown.Kind.SETTING, "setting " + field + " has the value '" + value + "'; " + remedy);
+  private static WeldpointException bad(
+      final String field, final String value, final String remedy) {
+    return new WeldpointException(
+        WeldpointException.Kind.SETTING,
+        "setting " + field + " has the value '" + value + "'; " + remedy);
   }
 
   private String text(final String field) {
@@ -289,7 +291,7 @@
   }
 
   /** The port of the inner protocol: 0 is the exchange's, 1 the frame's. */
-  public int trunkPort(final int index) {
+  public int transportPort(final int index) {
     final String value = text("trunk.ports");
     final String[] parts = value.split(",");
     try {
@@ -331,7 +333,7 @@
   }
 
   /** How often an upstream beats. */
-  public long beatMillis() {
+  public long heartbeatMillis() {
     return (long) number("beat.every-ms", 1500, 1, 600_000);
   }
 
@@ -459,22 +461,22 @@
   }
 
   /** Whether the switchboards of a region choose a chief while the core is silent. */
-  public boolean chief() {
+  public boolean regionLeaderEnabled() {
     return flag("chief.enabled");
   }
 
   /** For how long the core must have been silent before an election. */
-  public long chiefWaitMillis() {
+  public long leaderWaitMillis() {
     return (long) number("chief.wait-ms", 3000, 1, 3_600_000);
   }
 
   /** For how long a chief acts without being heeded by a majority. */
-  public long chiefTenureMillis() {
+  public long leaderTenureMillis() {
     return (long) number("chief.tenure-ms", 2500, 1, 3_600_000);
   }
 
   /** How often a chief gives its orders. */
-  public long chiefPulseMillis() {
+  public long leaderHeartbeatMillis() {
     return (long) number("chief.pulse-ms", 500, 1, 600_000);
   }
 
--- a/idempotency/src/test/java/weldpoint/idempotency/ClaimCoordinatorTest.java
+++ b/idempotency/src/test/java/weldpoint/idempotency/ClaimCoordinatorTest.java
@@ -5,14 +5,14 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.testng.annotations.Test;
-import weldpoint.trunk.KeyMessages.Claim;
-import weldpoint.trunk.KeyMessages.ClaimAnswer;
-import weldpoint.trunk.KeyMessages.ClaimResult;
-import weldpoint.trunk.KeyMessages.Vote;
-import weldpoint.trunk.KeyMessages.VoteAnswer;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.StateStoreMessages.Roster;
-import weldpoint.trunk.StateStoreMessages.Voter;
+import weldpoint.transport.KeyMessages.Claim;
+import weldpoint.transport.KeyMessages.ClaimResponse;
+import weldpoint.transport.KeyMessages.ClaimResult;
+import weldpoint.transport.KeyMessages.ClaimVote;
+import weldpoint.transport.KeyMessages.ClaimVoteResponse;
+import weldpoint.transport.Message;
+import weldpoint.transport.StateStoreMessages.Roster;
+import weldpoint.transport.StateStoreMessages.Voter;
 
 /** Claims that are given back while their votes are under way. */
 public final class ClaimCoordinatorTest {
@@ -34,8 +34,8 @@
   }
 
   private void votes(final Claim claim, final String from, final long now) {
-    final Vote vote = new Vote(claim.incarnation, claim.number, null);
-    coordinator.voted(from, new VoteAnswer(1, List.of(vote)), ROSTER, null, now);
+    final ClaimVote vote = new ClaimVote(claim.incarnation, claim.number, null);
+    coordinator.voted(from, new ClaimVoteResponse(1, List.of(vote)), ROSTER, null, now);
   }
 
   /** Guards against late votes that granted a claim which had been given back elsewhere. */
@@ -56,7 +56,7 @@
     coordinator.ask(next, second::add, 1500);
     votes(next, SELF, 1510);
     votes(next, OTHER, 1520);
-    assertEquals(((ClaimAnswer) second.get(0)).result(), ClaimResult.GRANTED);
+    assertEquals(((ClaimResponse) second.get(0)).result(), ClaimResult.GRANTED);
     assertEquals(coordinator.granted(), 1);
   }
 }
--- a/ownership/src/main/java/weldpoint/ownership/HoldLedger.java
+++ b/ownership/src/main/java/weldpoint/ownership/OutstandingGrants.java
@@ -1,27 +1,27 @@
 package weldpoint.ownership;
 
 import java.util.Arrays;
-import weldpoint.boot.Invariant;
-import weldpoint.trunk.OwnershipMessages.KeyRange;
+import weldpoint.common.Invariant;
+import weldpoint.transport.OwnershipMessages.KeyRange;
 
 /**
  * What an assigner knows of the grants that may still hold, by slot: who may hold it and until when
  * at the latest. It never knows too little: what it cannot know of (another assigner's grants, an
  * answer that never came) counts as held for the longest time possible.
  */
-final class HoldLedger {
+final class OutstandingGrants {
   private static final Invariant ONE_HOLDER = Invariant.named("one holder per key");
   private static final long NEVER = Long.MIN_VALUE / 2;
 
-  private final HoldTimes times;
+  private final GrantTimings timings;
   private final String[] holder = new String[KeySpace.SLOTS];
   private final long[] possibleUntil = new long[KeySpace.SLOTS];
   private final int[] underWay = new int[KeySpace.SLOTS];
   private final long[] acknowledgedAt = new long[KeySpace.SLOTS];
   private final boolean[] released = new boolean[KeySpace.SLOTS];
 
-  HoldLedger(final HoldTimes times) {
-    this.times = times;
+  OutstandingGrants(final GrantTimings timings) {
+    this.timings = timings;
     Arrays.fill(possibleUntil, NEVER);
     Arrays.fill(acknowledgedAt, NEVER);
   }
@@ -30,7 +30,7 @@
   void inherited(final KeyRange range, final long now) {
     for (int slot = firstSlot(range); slot <= lastSlot(range); slot++) {
       holder[slot] = range.holder;
-      possibleUntil[slot] = times.surelyOver(times.predecessorSilent(now));
+      possibleUntil[slot] = timings.surelyOver(timings.predecessorSilent(now));
       acknowledgedAt[slot] = NEVER;
       released[slot] = false;
     }
@@ -61,10 +61,10 @@
       }
       if (end == CallResult.End.DONE) {
         acknowledgedAt[slot] = now;
-        possibleUntil[slot] = Math.max(possibleUntil[slot], times.surelyOver(now));
+        possibleUntil[slot] = Math.max(possibleUntil[slot], timings.surelyOver(now));
       } else if (end == CallResult.End.UNKNOWN) {
-        final long countedBy = times.surelyCounted(now);
-        possibleUntil[slot] = Math.max(possibleUntil[slot], times.surelyOver(countedBy));
+        final long countedBy = timings.surelyCounted(now);
+        possibleUntil[slot] = Math.max(possibleUntil[slot], timings.surelyOver(countedBy));
       }
     }
   }
--- a/ownership/src/test/java/weldpoint/ownership/HoldLedgerTest.java
+++ b/ownership/src/test/java/weldpoint/ownership/OutstandingGrantsTest.java
@@ -4,11 +4,11 @@
 import static org.testng.Assert.assertTrue;
 
 import org.testng.annotations.Test;
-import weldpoint.trunk.OwnershipMessages.KeyRange;
-import weldpoint.trunk.OwnershipMessages.RangeState;
+import weldpoint.transport.OwnershipMessages.KeyRange;
+import weldpoint.transport.OwnershipMessages.RangeState;
 
 /** When keys are surely nobody's. */
-public final class HoldLedgerTest {
+public final class OutstandingGrantsTest {
   private static final long HOLD_MILLIS = 4000;
   private static final long LATE_MILLIS = 1000;
   private static final long SENT_AT = 10_000;
@@ -18,10 +18,11 @@
       new KeyRange(0, 65_535, "k-1", "10.0.0.1:80", 7, RangeState.HELD, null);
 
   private static boolean freeAt(final CallResult.End end, final long now) {
-    final HoldLedger ledger = new HoldLedger(HoldTimes.of(HOLD_MILLIS, LATE_MILLIS));
-    ledger.sending(RANGE, SENT_AT);
-    ledger.ended(RANGE, end, ENDED_AT);
-    return ledger.free(RANGE, now);
+    final OutstandingGrants grants =
+        new OutstandingGrants(GrantTimings.of(HOLD_MILLIS, LATE_MILLIS));
+    grants.sending(RANGE, SENT_AT);
+    grants.ended(RANGE, end, ENDED_AT);
+    return grants.free(RANGE, now);
   }
 
   /** Guards against OWNER: a grant that was read after its reset outlasted the wait for it. */
--- a/proxy/src/main/java/weldpoint/proxy/ProxyContext.java
+++ b/proxy/src/main/java/weldpoint/proxy/ProxyContext.java
@@ -3,39 +3,39 @@
 import io.netty.channel.EventLoopGroup;
 import java.util.List;
 import java.util.Random;
-import weldpoint.affinity.Callers;
-import weldpoint.affinity.Ties;
-import weldpoint.boot.Boot;
-import weldpoint.chief.Duties;
-import weldpoint.chief.OnceOnly;
-import weldpoint.dialplan.Affinity;
-import weldpoint.dialplan.Dialplan;
-import weldpoint.dialplan.RouteKind;
+import weldpoint.affinity.AffinityKeys;
+import weldpoint.affinity.AffinityTable;
+import weldpoint.common.Settings;
 import weldpoint.ownership.KeyOwners;
-import weldpoint.trial.TrialBook;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.RegionMessages;
+import weldpoint.regionleader.RegionAssessment;
+import weldpoint.regionleader.UncertainWrites;
+import weldpoint.routing.Affinity;
+import weldpoint.routing.RouteKind;
+import weldpoint.routing.RoutingTable;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.RegionMessages;
+import weldpoint.trial.TrialTracker;
 import weldpoint.upstream.UpstreamPool;
 
 /** What all sessions of a switchboard share. All of it lives on the traffic thread. */
 final class ProxyContext {
   final UpstreamPool upstreamPool;
-  final TrialBook trials;
+  final TrialTracker trials;
   final Random random;
   final EventLoopGroup loop;
-  Dialplan plan;
+  RoutingTable routingTable;
   PermitPool permits;
-  KeyRuns keys;
+  IdempotentRequests keys;
   List<String> keyHeaders = List.of();
-  Ties ties;
+  AffinityTable affinity;
   final KeyOwners owners = new KeyOwners();
   Affinity usual;
   long tieWaitMillis;
-  final Callers callers = new Callers();
+  final AffinityKeys callers = new AffinityKeys();
   Runnable uponTies;
-  OnceOnly once;
+  UncertainWrites uncertainWrites;
   Recorder recorder;
-  RegionMessages.Order order;
+  RegionMessages.LeaderDirective directive;
   long seenRepeatables;
   long seenWrites;
   long refusedWrites;
@@ -58,53 +58,56 @@
   long repeated;
 
   ProxyContext(
-      final EventLoopGroup loop, final Boot boot, final Random random, final TrialBook trials) {
+      final EventLoopGroup loop,
+      final Settings settings,
+      final Random random,
+      final TrialTracker trials) {
     this.trials = trials;
     this.loop = loop;
     this.random = random;
-    this.upstreamPool = new UpstreamPool(loop, boot, random);
+    this.upstreamPool = new UpstreamPool(loop, settings, random);
     this.upstreamPool.surplus(trials::surplus);
-    this.usual = Affinity.setting("affinity.default", boot.affinityUsual());
-    this.tieWaitMillis = boot.affinityWaitMillis();
-    this.strict = boot.strictRevocation();
-    this.revokeMillis = boot.revokeMillis();
-    this.proof = new ControlProof(boot.obeyMillis(), boot.contactMillis());
+    this.usual = Affinity.setting("affinity.default", settings.affinityUsual());
+    this.tieWaitMillis = settings.affinityWaitMillis();
+    this.strict = settings.strictRevocation();
+    this.revokeMillis = settings.revokeMillis();
+    this.proof = new ControlProof(settings.obeyMillis(), settings.contactMillis());
   }
 
   /** Takes the orders of a chief; null where none are in force any longer. */
-  void ordered(final RegionMessages.Order given, final String self) {
-    order = given;
-    once.elsewhere(given == null ? java.util.List.of() : Protocol.list(given.uncertain));
+  void ordered(final RegionMessages.LeaderDirective given, final String self) {
+    directive = given;
+    uncertainWrites.elsewhere(given == null ? java.util.List.of() : Protocol.list(given.uncertain));
     upstreamPool.ordered(
-        given == null ? 0 : Duties.part(given, self),
+        given == null ? 0 : RegionAssessment.part(given, self),
         given == null
             ? java.util.Set.of()
             : new java.util.HashSet<>(Protocol.list(given.suspects)));
   }
 
   /** What was seen since the last time. */
-  RegionMessages.Sight sight(final long now) {
-    final RegionMessages.Sight sight =
-        new RegionMessages.Sight(
+  RegionMessages.ProxyObservations sight(final long now) {
+    final RegionMessages.ProxyObservations observations =
+        new RegionMessages.ProxyObservations(
             seenRepeatables,
             seenWrites,
             refusedWrites,
             served - servedBefore,
             upstreamPool.silent(now),
-            once.unsure(now, UNSURE_MILLIS));
+            uncertainWrites.unsure(now, UNSURE_MILLIS));
     seenRepeatables = 0;
     seenWrites = 0;
     refusedWrites = 0;
     servedBefore = served;
-    return sight;
+    return observations;
   }
 
   /** Whether a chief's order lets this kind in now. */
   boolean admits(final RouteKind kind) {
-    return order == null
+    return directive == null
         || !kind.repeatable()
-        || order.admission >= 1
-        || random.nextDouble() < order.admission;
+        || directive.admission >= 1
+        || random.nextDouble() < directive.admission;
   }
 
   private static final long UNSURE_MILLIS = 30_000;
@@ -116,13 +119,15 @@
 
   void take(final ControlUpdate outlook) {
     final long now = now();
-    if (outlook.plan() != null && (plan == null || outlook.plan().version() > plan.version())) {
-      final boolean first = plan == null;
-      plan = outlook.plan();
-      upstreamPool.configuration(plan);
-      if (ties == null
+    if (outlook.routingTable() != null
+        && (routingTable == null || outlook.routingTable().version() > routingTable.version())) {
+      final boolean first = routingTable == null;
+      routingTable = outlook.routingTable();
+      upstreamPool.configuration(routingTable);
+      if (affinity == null
           && uponTies != null
-          && plan.all().stream().anyMatch(route -> Affinity.inForce(route, usual) != null)) {
+          && routingTable.all().stream()
+              .anyMatch(route -> Affinity.inForce(route, usual) != null)) {
         uponTies.run();
       }
       if (first && uponPlan != null) {
--- a/proxy/src/main/java/weldpoint/proxy/ProxyDaemon.java
+++ b/proxy/src/main/java/weldpoint/proxy/ProxyDaemon.java
@@ -30,33 +30,33 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
-import weldpoint.affinity.Ties;
-import weldpoint.boot.Boot;
-import weldpoint.boot.Chance;
-import weldpoint.boot.Desk;
-import weldpoint.boot.Program;
-import weldpoint.dialplan.Dialplan;
-import weldpoint.metrics.Figure;
+import weldpoint.affinity.AffinityTable;
+import weldpoint.common.Daemon;
+import weldpoint.common.RandomIds;
+import weldpoint.common.SerialExecutor;
+import weldpoint.common.Settings;
+import weldpoint.metrics.Metric;
 import weldpoint.metrics.MetricsServer;
-import weldpoint.trial.TrialBook;
-import weldpoint.trunk.CacheMessages;
-import weldpoint.trunk.KeyMessages;
-import weldpoint.trunk.Line;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.OwnershipMessages.Assignment;
-import weldpoint.trunk.PermitMessages;
-import weldpoint.trunk.PlacementMessages;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.RecordingMessages;
-import weldpoint.trunk.RegionMessages;
-import weldpoint.trunk.RegistryMessages;
-import weldpoint.trunk.TrialMessages;
-import weldpoint.trunk.Trunk;
-import weldpoint.trunk.Wire;
+import weldpoint.routing.RoutingTable;
+import weldpoint.transport.CacheMessages;
+import weldpoint.transport.Connection;
+import weldpoint.transport.KeyMessages;
+import weldpoint.transport.Message;
+import weldpoint.transport.OwnershipMessages.Assignment;
+import weldpoint.transport.PermitMessages;
+import weldpoint.transport.PlacementMessages;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.RecordingMessages;
+import weldpoint.transport.RegionMessages;
+import weldpoint.transport.RegistryMessages;
+import weldpoint.transport.Serializer;
+import weldpoint.transport.Transport;
+import weldpoint.transport.TrialMessages;
+import weldpoint.trial.TrialTracker;
 import weldpoint.upstream.UpstreamPool;
 
 /** The proxy as a process: traffic on one thread, control state on another. */
-public final class ProxyDaemon implements Program {
+public final class ProxyDaemon implements Daemon {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
   private static final long TICK_MILLIS = 100;
   private static final long REPORT_MILLIS = 1000;
@@ -67,54 +67,59 @@
   private static final long ROUND_MILLIS = 50;
   private static final long TIE_MILLIS = 50;
 
-  private final Boot boot;
-  private final Desk desk = new Desk("switchboard");
+  private final Settings settings;
+  private final SerialExecutor executor = new SerialExecutor("switchboard");
   private final EventLoopGroup loop = new NioEventLoopGroup(1);
-  private final Trunk trunk;
+  private final Transport trunk;
   private final ProxyContext proxyContext;
-  private final RegistryLink link;
+  private final RegistryClient registry;
   private final Set<ClientConnection> sessions = new HashSet<>();
-  private final Stream stream;
+  private final RegistryStream stream;
   private volatile Channel doors;
-  private ChiefDesk chief;
+  private RegionLeaderService chief;
   private final long incarnation;
 
   /** A proxy for these settings; nothing runs yet. */
-  public ProxyDaemon(final Boot boot) {
-    this.boot = boot;
-    this.incarnation = Chance.fresh();
+  public ProxyDaemon(final Settings settings) {
+    this.settings = settings;
+    this.incarnation = RandomIds.next();
     this.trunk =
-        new Trunk(
-            loop, new Protocol.Hello(Wire.PROTOCOL, "switchboard", boot.address(), incarnation));
+        new Transport(
+            loop,
+            new Protocol.Hello(
+                Serializer.PROTOCOL, "switchboard", settings.address(), incarnation));
     this.proxyContext =
         new ProxyContext(
-            loop, boot, new Random(incarnation), new TrialBook(boot.address(), incarnation));
+            loop,
+            settings,
+            new Random(incarnation),
+            new TrialTracker(settings.address(), incarnation));
     this.proxyContext.trials.alarm(() -> report(false));
     this.stream =
-        new Stream(
+        new RegistryStream(
             trunk,
-            desk,
-            boot,
+            executor,
+            settings,
             () -> {
               if (proxyContext().permits != null) {
                 loop.execute(() -> sweepAsks(true));
               }
             });
-    final RegistryMessages.Board self =
-        new RegistryMessages.Board(
-            boot.address(),
-            boot.requiredAddress("listen.traffic").toString(),
-            boot.site(),
-            boot.region(),
+    final RegistryMessages.DaemonEntry self =
+        new RegistryMessages.DaemonEntry(
+            settings.address(),
+            settings.requiredAddress("listen.traffic").toString(),
+            settings.site(),
+            settings.region(),
             incarnation,
             false,
             0);
-    this.link =
-        new RegistryLink(
+    this.registry =
+        new RegistryClient(
             self,
-            boot.seeds(),
+            settings.seeds(),
             new Random(incarnation + 1),
-            new RegistryLink.Outlet() {
+            new RegistryClient.Environment() {
               @Override
               public void dial(final String address) {
                 stream.dial(address);
@@ -138,7 +143,7 @@
 
               @Override
               public void outlook(
-                  final Dialplan plan,
+                  final RoutingTable routingTable,
                   final Map<RegistryMessages.Registration, Boolean> changes,
                   final Set<String> evacuated,
                   final Set<String> suspects,
@@ -150,8 +155,8 @@
                     () ->
                         proxyContext.take(
                             new ControlUpdate(
-                                plan, list, evacuated, suspects, switchboards, null, -1)));
-                if (plan != null || evacuated != null) {
+                                routingTable, list, evacuated, suspects, switchboards, null, -1)));
+                if (routingTable != null || evacuated != null) {
                   inForce();
                 }
               }
@@ -176,7 +181,7 @@
                 loop.execute(
                     () -> {
                       ties();
-                      proxyContext.ties.take(placements, ProxyContext.now());
+                      proxyContext.affinity.take(placements, ProxyContext.now());
                     });
               }
 
@@ -189,14 +194,14 @@
               public void leased(final PlacementMessages.LeaseGrant grant) {
                 loop.execute(
                     () -> {
-                      if (proxyContext.ties != null) {
-                        proxyContext.ties.granted(grant, ProxyContext.now());
+                      if (proxyContext.affinity != null) {
+                        proxyContext.affinity.granted(grant, ProxyContext.now());
                       }
                     });
               }
 
               @Override
-              public void recording(final RecordingMessages.RecordState state) {
+              public void recording(final RecordingMessages.RecordingState state) {
                 loop.execute(() -> record(state));
               }
 
@@ -211,7 +216,7 @@
               public void reached(
                   final long ageMillis, final int boards, final List<String> announcers) {
                 if (chief != null) {
-                  chief.core(ageMillis, ProxyContext.now());
+                  chief.election(ageMillis, ProxyContext.now());
                 }
                 if (proxyContext.recordings != null) {
                   loop.execute(
@@ -220,12 +225,12 @@
               }
 
               @Override
-              public void claimed(final KeyMessages.ClaimAnswer answer) {
+              public void claimed(final KeyMessages.ClaimResponse answer) {
                 loop.execute(() -> proxyContext.keys.answered(answer, ProxyContext.now()));
               }
 
               @Override
-              public void permitted(final PermitMessages.PermitAnswer answer) {
+              public void permitted(final PermitMessages.PermitResponse answer) {
                 loop.execute(() -> proxyContext.permits.answered(answer));
               }
 
@@ -244,16 +249,16 @@
                 loop.execute(() -> report(true));
               }
             });
-    stream.link(link);
+    stream.registry(registry);
     proxyContext.uponTies = this::ties;
     proxyContext.uponPlan = this::openFront;
   }
 
   /** Notes what is in force, once the traffic thread has taken what was handed to it. */
   private void inForce() {
-    final long version = link.version();
-    final long mark = link.mark();
-    loop.execute(() -> desk.execute(() -> link.inForce(version, mark, ProxyContext.now())));
+    final long version = registry.version();
+    final long mark = registry.mark();
+    loop.execute(() -> executor.execute(() -> registry.inForce(version, mark, ProxyContext.now())));
   }
 
   ProxyContext proxyContext() {
@@ -262,26 +267,26 @@
 
   @Override
   public void start() throws InterruptedException {
-    final Boot.Address readiness = boot.requiredAddress("listen.readiness");
-    if (boot.chief()) {
-      chief = new ChiefDesk(boot, trunk, desk, loop, proxyContext, incarnation);
+    final Settings.Address readiness = settings.requiredAddress("listen.readiness");
+    if (settings.regionLeaderEnabled()) {
+      chief = new RegionLeaderService(settings, trunk, executor, loop, proxyContext, incarnation);
     }
-    if (!boot.firstStart()) {
+    if (!settings.firstStart()) {
       proxyContext.upstreamPool.restarted(ProxyContext.now());
     }
     permits();
     keys();
-    if (boot.content()) {
+    if (settings.content()) {
       content();
     }
-    if (boot.metricsPort() > 0) {
+    if (settings.metricsPort() > 0) {
       MetricsServer.serve(
           loop,
-          boot.address(),
-          boot.metricsPort(),
+          settings.address(),
+          settings.metricsPort(),
           () -> CompletableFuture.completedFuture(figures()));
     }
-    desk.execute(() -> link.start(ProxyContext.now()));
+    executor.execute(() -> registry.start(ProxyContext.now()));
     new ServerBootstrap()
         .group(loop)
         .channel(NioServerSocketChannel.class)
@@ -314,35 +319,39 @@
                 proxyContext.repeated,
                 proxyContext.open.count(),
                 proxyContext.upstreamPool.count()
-                    + (proxyContext.ties == null
+                    + (proxyContext.affinity == null
                         ? ""
-                        : " " + proxyContext.ties.counters(ProxyContext.now()))
+                        : " " + proxyContext.affinity.counters(ProxyContext.now()))
                     + (chief == null ? "" : " " + chief.counters())
                     + proxyContext.keys.counters(),
-                proxyContext.plan == null ? "none" : Long.toHexString(proxyContext.plan.version()),
+                proxyContext.routingTable == null
+                    ? "none"
+                    : Long.toHexString(proxyContext.routingTable.version()),
                 proxyContext.proof.ageMillis(ProxyContext.now()),
-                trunk.meter()),
-        boot.countersMillis(),
-        boot.countersMillis(),
+                trunk.trafficCounters()),
+        settings.countersMillis(),
+        settings.countersMillis(),
         TimeUnit.MILLISECONDS);
   }
 
   /** Takes to tying callers to nodes. */
   private void ties() {
-    if (proxyContext.ties == null) {
-      proxyContext.ties =
-          new Ties(boot.address(), incarnation, boot.affinityLeaseMillis(), stream::send);
+    if (proxyContext.affinity == null) {
+      proxyContext.affinity =
+          new AffinityTable(
+              settings.address(), incarnation, settings.affinityLeaseMillis(), stream::send);
       loop.scheduleAtFixedRate(
-          () -> proxyContext.ties.tick(ProxyContext.now()),
+          () -> proxyContext.affinity.tick(ProxyContext.now()),
           TIE_MILLIS,
           TIE_MILLIS,
           TimeUnit.MILLISECONDS);
     }
   }
 
-  private void record(final RecordingMessages.RecordState state) {
+  private void record(final RecordingMessages.RecordingState state) {
     if (state.on && proxyContext.recorder == null) {
-      proxyContext.recorder = new Recorder(boot.address(), boot.site(), boot.region(), incarnation);
+      proxyContext.recorder =
+          new Recorder(settings.address(), settings.site(), settings.region(), incarnation);
       loop.scheduleAtFixedRate(
           () -> {
             proxyContext.recorder.flush(ProxyContext.now(), stream::send);
@@ -356,34 +365,36 @@
     }
   }
 
-  private List<Figure> figures() {
+  private List<Metric> figures() {
     final String help = "Requests by how they ended.";
-    final List<Figure> figures = new ArrayList<>();
+    final List<Metric> figures = new ArrayList<>();
     figures.add(
-        Figure.counter("weldpoint_requests", help, proxyContext.served).with("result", "served"));
+        Metric.counter("weldpoint_requests", help, proxyContext.served).with("result", "served"));
     figures.add(
-        Figure.counter("weldpoint_requests", help, proxyContext.refused).with("result", "refused"));
+        Metric.counter("weldpoint_requests", help, proxyContext.refused).with("result", "refused"));
     figures.add(
-        Figure.counter("weldpoint_requests", help, proxyContext.failed).with("result", "failed"));
+        Metric.counter("weldpoint_requests", help, proxyContext.failed).with("result", "failed"));
     figures.add(
-        Figure.counter(
+        Metric.counter(
             "weldpoint_further_sends", "Sends beyond a request's first.", proxyContext.repeated));
-    figures.add(Figure.gauge("weldpoint_active", "Requests under way.", proxyContext.open.count()));
+    figures.add(Metric.gauge("weldpoint_active", "Requests under way.", proxyContext.open.count()));
     figures.add(
-        Figure.gauge(
+        Metric.gauge(
             "weldpoint_unwritten_answer_bytes",
             "Bytes of answers that clients have not taken yet.",
             proxyContext.open.unwrittenBytes()));
     figures.add(
-        Figure.counter(
-            "weldpoint_registry_moves", "Times that another registry was dialled.", link.moves()));
+        Metric.counter(
+            "weldpoint_registry_moves",
+            "Times that another registry was dialled.",
+            registry.moves()));
     figures.add(
-        Figure.counter(
+        Metric.counter(
             "weldpoint_key_waits",
             "Requests that waited for their key's holder.",
             proxyContext.owners.waitedCount()));
     figures.add(
-        Figure.counter(
+        Metric.counter(
             "weldpoint_key_turned_away",
             "Requests that an upstream turned away, since it did not hold the key.",
             proxyContext.owners.turnedAwayCount()));
@@ -402,14 +413,14 @@
 
   /** Takes to claiming idempotency keys. */
   private void keys() throws InterruptedException {
-    final OutcomeLines lines = new OutcomeLines(trunk, boot, loop, proxyContext);
-    proxyContext.keyHeaders = boot.keyHeaders();
+    final OutcomeClient lines = new OutcomeClient(trunk, settings, loop, proxyContext);
+    proxyContext.keyHeaders = settings.keyHeaders();
     proxyContext.keys =
-        new KeyRuns(
-            boot.address(),
+        new IdempotentRequests(
+            settings.address(),
             incarnation,
-            boot.keyWindowMillis(),
-            new KeyRuns.Outlet() {
+            settings.keyWindowMillis(),
+            new IdempotentRequests.Environment() {
               @Override
               public boolean registry(final Message message) {
                 return stream.send(message);
@@ -420,7 +431,7 @@
                   final KeyMessages.Claim holder,
                   final long fingerprint,
                   final long waitMillis,
-                  final java.util.function.Consumer<KeyMessages.OutcomeAnswer> hears) {
+                  final java.util.function.Consumer<KeyMessages.OutcomeResponse> hears) {
                 lines.ask(holder, fingerprint, waitMillis, hears);
               }
 
@@ -433,41 +444,41 @@
   }
 
   private void content() {
-    final weldpoint.trunk.Lines lines =
-        new weldpoint.trunk.Lines(
+    final weldpoint.transport.PeerConnections connections =
+        new weldpoint.transport.PeerConnections(
             trunk,
-            boot.trunkPort(2),
+            settings.transportPort(2),
             to ->
-                new Trunk.Ear() {
+                new Transport.Listener() {
                   @Override
-                  public void heard(final Line line, final Message message) {
-                    if (message instanceof CacheMessages.CopyAnswer) {
+                  public void messageReceived(final Connection connection, final Message message) {
+                    if (message instanceof CacheMessages.CacheReadResponse) {
                       proxyContext.recordings.heard(
-                          to, (CacheMessages.CopyAnswer) message, ProxyContext.now());
+                          to, (CacheMessages.CacheReadResponse) message, ProxyContext.now());
                     }
                   }
 
                   @Override
-                  public void closed(final Line line) {
+                  public void closed(final Connection connection) {
                     proxyContext.recordings.closed(to, ProxyContext.now());
                   }
                 });
     proxyContext.recordings =
         new CacheClient(
-            new CacheClient.Lines() {
+            new CacheClient.Connections() {
               @Override
               public void keep(final List<String> addresses) {
-                lines.keep(addresses);
+                connections.keep(addresses);
               }
 
               @Override
               public boolean send(final String address, final Message message) {
-                return lines.send(address, message);
+                return connections.send(address, message);
               }
 
               @Override
               public long silentMillis(final String address) {
-                return lines.silentMillis(address);
+                return connections.silentMillis(address);
               }
             });
     loop.scheduleAtFixedRate(
@@ -477,15 +488,15 @@
   private void report(final boolean all) {
     final TrialMessages.TrialReport report = proxyContext.trials.report(all);
     if (report != null) {
-      desk.execute(() -> stream.send(report));
+      executor.execute(() -> stream.send(report));
     }
   }
 
   private void openFront() {
-    final Boot.Address front = boot.requiredAddress("listen.traffic");
+    final Settings.Address front = settings.requiredAddress("listen.traffic");
     final ServerBootstrap server = new ServerBootstrap();
-    if (boot.transferBytes() > 0) {
-      server.childOption(ChannelOption.SO_SNDBUF, boot.transferBytes());
+    if (settings.transferBytes() > 0) {
+      server.childOption(ChannelOption.SO_SNDBUF, settings.transferBytes());
     }
     server
         .group(loop)
@@ -501,7 +512,9 @@
                 sessions.add(session);
                 channel.closeFuture().addListener(closed -> sessions.remove(session));
                 final int most =
-                    proxyContext.plan == null ? MOST_HEADER : proxyContext.plan.maxHeaderBytes();
+                    proxyContext.routingTable == null
+                        ? MOST_HEADER
+                        : proxyContext.routingTable.maxHeaderBytes();
                 channel
                     .pipeline()
                     .addLast(
@@ -522,7 +535,7 @@
   }
 
   private void tick() {
-    desk.execute(() -> link.tick(ProxyContext.now()));
+    executor.execute(() -> registry.tick(ProxyContext.now()));
     sweepAsks(false);
   }
 
@@ -544,7 +557,7 @@
   private final class Readiness extends SimpleChannelInboundHandler<HttpRequest> {
     @Override
     protected void channelRead0(final ChannelHandlerContext context, final HttpRequest request) {
-      final boolean ready = proxyContext.plan != null && !proxyContext.leaving;
+      final boolean ready = proxyContext.routingTable != null && !proxyContext.leaving;
       final DefaultFullHttpResponse response =
           new DefaultFullHttpResponse(
               HttpVersion.HTTP_1_1,
@@ -567,16 +580,16 @@
   }
 
   @Override
-  public void reload(final Boot news) {
-    desk.execute(() -> link.seeds(news.seeds()));
+  public void reload(final Settings news) {
+    executor.execute(() -> registry.seeds(news.seeds()));
   }
 
   @Override
   public void stop() {
     final long began = ProxyContext.now();
-    desk.execute(() -> link.leave(ProxyContext.now()));
+    executor.execute(() -> registry.leave(ProxyContext.now()));
     loop.execute(() -> proxyContext.leaving = true);
-    final long longest = Math.max(500, boot.graceMillis() - 700);
+    final long longest = Math.max(500, settings.graceMillis() - 700);
     try {
       Thread.sleep(Math.min(LINGER_MILLIS, longest));
       final Channel open = doors;
--- /dev/null
+++ b/proxy/src/main/java/weldpoint/proxy/RegionLeaderService.java
@@ -0,0 +1,185 @@
+package weldpoint.proxy;
+
+import com.google.common.flogger.FluentLogger;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.EventLoopGroup;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.concurrent.Executor;
+import java.util.concurrent.TimeUnit;
+import weldpoint.common.Settings;
+import weldpoint.regionleader.LeaderElection;
+import weldpoint.regionleader.UncertainWrites;
+import weldpoint.transport.Connection;
+import weldpoint.transport.Message;
+import weldpoint.transport.PeerConnections;
+import weldpoint.transport.RegionMessages;
+import weldpoint.transport.Transport;
+
+/**
+ * Gives a switchboard's part in choosing a chief its lines, its ticks and its effect. Its core runs
+ * on the control thread.
+ */
+final class RegionLeaderService {
+  private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
+  private static final int PORT = 3;
+  private static final long TICK_MILLIS = 200;
+
+  private final Settings settings;
+  private final Transport transport;
+  private final Executor desk;
+  private final EventLoopGroup loop;
+  private final ProxyContext proxyContext;
+  private final PeerConnections connections;
+  private final Map<String, Connection> incoming = new HashMap<>();
+  private final LeaderElection election;
+  private boolean serves;
+  private volatile RegionMessages.ProxyObservations observations =
+      new RegionMessages.ProxyObservations(0, 0, 0, 0, null, null);
+  private volatile String counters = "chief CORE";
+
+  RegionLeaderService(
+      final Settings settings,
+      final Transport transport,
+      final Executor desk,
+      final EventLoopGroup loop,
+      final ProxyContext proxyContext,
+      final long incarnation) {
+    this.settings = settings;
+    this.transport = transport;
+    this.desk = desk;
+    this.loop = loop;
+    this.proxyContext = proxyContext;
+    proxyContext.uncertainWrites = new UncertainWrites();
+    this.connections =
+        new PeerConnections(
+            transport,
+            settings.transportPort(PORT),
+            to ->
+                Transport.on(
+                    desk,
+                    new Transport.Listener() {
+                      @Override
+                      public void opened(final Connection connection) {
+                        election().opened(to);
+                      }
+
+                      @Override
+                      public void messageReceived(
+                          final Connection connection, final Message message) {
+                        election()
+                            .receive(
+                                to, connection.peer().incarnation, message, ProxyContext.now());
+                      }
+                    }));
+    this.election =
+        new LeaderElection(
+            settings.address(),
+            incarnation,
+            settings.region(),
+            new LeaderElection.ElectionTimeouts(
+                true,
+                settings.leaderWaitMillis(),
+                settings.leaderTenureMillis(),
+                settings.leaderHeartbeatMillis()),
+            new Random(incarnation + 2),
+            ProxyContext.now(),
+            new LeaderElection.Environment() {
+              @Override
+              public void peers(final List<String> addresses) {
+                connections.keep(addresses);
+              }
+
+              @Override
+              public boolean send(final String address, final Message message) {
+                if (connections.send(address, message)) {
+                  return true;
+                }
+                final Connection connection = incoming.get(address);
+                if (connection != null) {
+                  connection.send(message);
+                }
+                return connection != null;
+              }
+
+              @Override
+              public RegionMessages.ProxyObservations sight() {
+                final RegionMessages.ProxyObservations seen = observations;
+                loop.execute(() -> observations = proxyContext.sight(ProxyContext.now()));
+                return seen;
+              }
+
+              @Override
+              public void ordered(final RegionMessages.LeaderDirective directive) {
+                loop.execute(() -> proxyContext.ordered(directive, settings.address()));
+              }
+            });
+    loop.scheduleAtFixedRate(
+        () -> desk.execute(this::tick), TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
+  }
+
+  private LeaderElection election() {
+    return election;
+  }
+
+  private void tick() {
+    final long now = ProxyContext.now();
+    election.tick(now);
+    counters = election.counters(now);
+    if (!serves && election.phase() != weldpoint.regionleader.LeaderPhase.CORE) {
+      serves = true;
+      serve()
+          .addListener(
+              bound -> {
+                if (!bound.isSuccess()) {
+                  LOGGER.atWarning().withCause(bound.cause()).log(
+                      "the port %s cannot be listened at; free it, or no chief can reach this switchboard",
+                      settings.transportPort(PORT));
+                  desk.execute(() -> serves = false);
+                }
+              });
+    }
+  }
+
+  private ChannelFuture serve() {
+    return transport.listen(
+        settings.address(),
+        settings.transportPort(PORT),
+        Transport.on(
+            desk,
+            new Transport.Listener() {
+              @Override
+              public void opened(final Connection connection) {
+                incoming.put(connection.peer().address, connection);
+              }
+
+              @Override
+              public void messageReceived(final Connection connection, final Message message) {
+                election.receive(
+                    connection.peer().address,
+                    connection.peer().incarnation,
+                    message,
+                    ProxyContext.now());
+              }
+
+              @Override
+              public void closed(final Connection connection) {
+                incoming.remove(connection.peer().address, connection);
+              }
+            }));
+  }
+
+  void electorate(final RegionMessages.Electorate electorate) {
+    election.electorate(electorate);
+  }
+
+  void election(final long ageMillis, final long now) {
+    election.core(now - ageMillis, now);
+  }
+
+  String counters() {
+    return counters;
+  }
+}
--- a/proxy/src/main/java/weldpoint/proxy/RegistryLink.java
+++ b/proxy/src/main/java/weldpoint/proxy/RegistryClient.java
@@ -9,32 +9,32 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import weldpoint.boot.Breakdown;
-import weldpoint.dialplan.Dialplan;
-import weldpoint.registry.Buckets;
-import weldpoint.registry.Stage;
-import weldpoint.trunk.CacheMessages;
-import weldpoint.trunk.KeyMessages;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.OwnershipMessages.Assignment;
-import weldpoint.trunk.OwnershipMessages.Assignments;
-import weldpoint.trunk.Packing;
-import weldpoint.trunk.PermitMessages;
-import weldpoint.trunk.PlacementMessages;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.RecordingMessages;
-import weldpoint.trunk.RegionMessages;
-import weldpoint.trunk.RegistryMessages;
-import weldpoint.trunk.RegistryMessages.Board;
-import weldpoint.trunk.RegistryMessages.Registration;
-import weldpoint.trunk.TrialMessages;
+import weldpoint.common.WeldpointException;
+import weldpoint.registry.LifecycleStage;
+import weldpoint.registry.RegistrationBuckets;
+import weldpoint.routing.RoutingTable;
+import weldpoint.transport.CacheMessages;
+import weldpoint.transport.Compression;
+import weldpoint.transport.KeyMessages;
+import weldpoint.transport.Message;
+import weldpoint.transport.OwnershipMessages.Assignment;
+import weldpoint.transport.OwnershipMessages.Assignments;
+import weldpoint.transport.PermitMessages;
+import weldpoint.transport.PlacementMessages;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.RecordingMessages;
+import weldpoint.transport.RegionMessages;
+import weldpoint.transport.RegistryMessages;
+import weldpoint.transport.RegistryMessages.DaemonEntry;
+import weldpoint.transport.RegistryMessages.Registration;
+import weldpoint.transport.TrialMessages;
 
 /**
  * The switchboard's side of the stream: it keeps to one exchange, leaves one that is silent or has
  * lost touch with the majority, and never goes back to anything older. It runs on the control
  * thread and knows neither sockets nor clocks.
  */
-public final class RegistryLink {
+public final class RegistryClient {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
   private static final long SILENT_MILLIS = 1100;
   private static final long STALE_MILLIS = 2200;
@@ -52,13 +52,13 @@
   private static final long OLD_PROOF_MILLIS = 1500;
 
   /** What the link does to the world. */
-  public interface Outlet {
+  public interface Environment {
     /** Makes this exchange the one there is a line to. */
     void dial(String address);
 
     /**
      * Opens one more line, to this exchange, beside the one there is, for {@link
-     * RegistryLink#arrived}; false where only one line at a time can be had.
+     * RegistryClient#arrived}; false where only one line at a time can be had.
      */
     default boolean approach(final String address) {
       return false;
@@ -75,7 +75,7 @@
 
     /** Tells the traffic thread. */
     void outlook(
-        Dialplan plan,
+        RoutingTable routingTable,
         Map<Registration, Boolean> changes,
         Set<String> evacuated,
         Set<String> suspects,
@@ -106,13 +106,13 @@
     default void leased(final PlacementMessages.LeaseGrant grant) {}
 
     /** Tells whether to record. */
-    default void recording(final RecordingMessages.RecordState state) {}
+    default void recording(final RecordingMessages.RecordingState state) {}
 
     /** An answer to the claim of an idempotency key. */
-    default void claimed(final KeyMessages.ClaimAnswer answer) {}
+    default void claimed(final KeyMessages.ClaimResponse answer) {}
 
     /** An answer to an ask for permits. */
-    default void permitted(final PermitMessages.PermitAnswer answer) {}
+    default void permitted(final PermitMessages.PermitResponse response) {}
 
     /**
      * All that was acknowledged anywhere before this time of the own steady clock, in milliseconds,
@@ -124,9 +124,9 @@
     void admitted();
   }
 
-  private final Outlet outlet;
+  private final Environment environment;
   private final Random random;
-  private final Board self;
+  private final DaemonEntry self;
   private final RegistryAddresses addresses;
   private final Map<String, Registration> history = new HashMap<>();
   private String current;
@@ -151,11 +151,14 @@
   private long approachedAt;
 
   /** A link for the switchboard that describes itself so. */
-  public RegistryLink(
-      final Board self, final List<String> seeds, final Random random, final Outlet outlet) {
+  public RegistryClient(
+      final DaemonEntry self,
+      final List<String> seeds,
+      final Random random,
+      final Environment environment) {
     this.self = self;
     this.random = random;
-    this.outlet = outlet;
+    this.environment = environment;
     this.addresses = new RegistryAddresses(self, seeds, random);
   }
 
@@ -194,14 +197,14 @@
     viewed = false;
     open = false;
     nearAt = now + NEAR_MILLIS + random.nextInt((int) NEAR_MILLIS);
-    outlet.dial(current);
+    environment.dial(current);
   }
 
   private void endApproach() {
     seeking = false;
     if (approached != null) {
       approached = null;
-      outlet.abandonApproach();
+      environment.abandonApproach();
     }
   }
 
@@ -216,7 +219,7 @@
       return true;
     }
     final String another = addresses.next(current, approached, now);
-    if (!outlet.approach(another)) {
+    if (!environment.approach(another)) {
       return false;
     }
     if (seeking) {
@@ -232,7 +235,8 @@
 
   /** What the exchange at a line that was opened beside is told first. */
   public Message greeting(final long now) {
-    return new RegistryMessages.BoardState(state(now), Buckets.digests(history.values(), false));
+    return new RegistryMessages.DaemonReport(
+        state(now), RegistrationBuckets.digests(history.values(), false));
   }
 
   /**
@@ -256,11 +260,11 @@
 
   private void tell(final long now) {
     toldAt = now;
-    outlet.send(new RegistryMessages.BoardState(state(now)));
+    environment.send(new RegistryMessages.DaemonReport(state(now)));
   }
 
-  private Board state(final long now) {
-    return new Board(
+  private DaemonEntry state(final long now) {
+    return new DaemonEntry(
         self.address,
         self.front,
         self.site,
@@ -279,7 +283,7 @@
     heardAt = now;
     open = true;
     toldAt = now;
-    outlet.send(greeting(now));
+    environment.send(greeting(now));
   }
 
   /** The line has ended. */
@@ -304,34 +308,34 @@
       trialMark = Math.max(trialMark, ((RegistryMessages.View) message).trialMark);
       take((RegistryMessages.View) message);
       if (((RegistryMessages.View) message).trialMark >= 0) {
-        outlet.trials(
+        environment.trials(
             Protocol.list(((RegistryMessages.View) message).trials),
             ((RegistryMessages.View) message).trialMark);
       }
       if (first) {
-        outlet.admitted();
+        environment.admitted();
       }
     } else if (message instanceof CacheMessages.Purges) {
-      outlet.purges((CacheMessages.Purges) message);
-    } else if (message instanceof RegistryMessages.Neighbours) {
-      outlet.neighbours(Protocol.list(((RegistryMessages.Neighbours) message).addresses));
+      environment.purges((CacheMessages.Purges) message);
+    } else if (message instanceof RegistryMessages.SiteProxies) {
+      environment.neighbours(Protocol.list(((RegistryMessages.SiteProxies) message).addresses));
     } else if (message instanceof PlacementMessages.Placements) {
-      outlet.placements((PlacementMessages.Placements) message);
+      environment.placements((PlacementMessages.Placements) message);
     } else if (message instanceof Assignments) {
-      outlet.assignments(Protocol.list(((Assignments) message).assignments));
+      environment.assignments(Protocol.list(((Assignments) message).assignments));
     } else if (message instanceof PlacementMessages.LeaseGrant) {
-      outlet.leased((PlacementMessages.LeaseGrant) message);
+      environment.leased((PlacementMessages.LeaseGrant) message);
     } else if (message instanceof RegionMessages.Electorate) {
-      outlet.electorate((RegionMessages.Electorate) message);
-    } else if (message instanceof RecordingMessages.RecordState) {
-      outlet.recording((RecordingMessages.RecordState) message);
-    } else if (message instanceof KeyMessages.ClaimAnswer) {
-      outlet.claimed((KeyMessages.ClaimAnswer) message);
-    } else if (message instanceof PermitMessages.PermitAnswer) {
-      outlet.permitted((PermitMessages.PermitAnswer) message);
-    } else if (message instanceof RegistryMessages.Reach) {
-      final RegistryMessages.Reach reach = (RegistryMessages.Reach) message;
-      outlet.reached(reach.ageMillis, reach.boards, Protocol.list(reach.announcers));
+      environment.electorate((RegionMessages.Electorate) message);
+    } else if (message instanceof RecordingMessages.RecordingState) {
+      environment.recording((RecordingMessages.RecordingState) message);
+    } else if (message instanceof KeyMessages.ClaimResponse) {
+      environment.claimed((KeyMessages.ClaimResponse) message);
+    } else if (message instanceof PermitMessages.PermitResponse) {
+      environment.permitted((PermitMessages.PermitResponse) message);
+    } else if (message instanceof RegistryMessages.RegistryStatus) {
+      final RegistryMessages.RegistryStatus reach = (RegistryMessages.RegistryStatus) message;
+      environment.reached(reach.ageMillis, reach.boards, Protocol.list(reach.announcers));
       final List<String> members = Protocol.list(reach.members);
       addresses.reachable(members);
       for (int index = 0; index < Protocol.list(reach.places).size(); index++) {
@@ -341,7 +345,7 @@
         open = false;
         return;
       }
-      outlet.outlook(null, Map.of(), null, null, reach.boards);
+      environment.outlook(null, Map.of(), null, null, reach.boards);
       if (reach.contactMillis <= STALE_MILLIS) {
         disappointments = 0;
         approach(now);
@@ -368,7 +372,7 @@
             current, now - lastProvedAt, now - provedAt);
       }
       lastProvedAt = provedAt;
-      outlet.proved(provedAt);
+      environment.proved(provedAt);
     }
   }
 
@@ -378,7 +382,7 @@
       addresses.failed(approached, now);
     }
     final String another = addresses.next(current, approached, now);
-    if (outlet.approach(another)) {
+    if (environment.approach(another)) {
       approached = another;
       approachedAt = now;
     } else {
@@ -396,7 +400,7 @@
     if (nearer == null) {
       return;
     }
-    if (outlet.approach(nearer)) {
+    if (environment.approach(nearer)) {
       approached = nearer;
       approachedAt = now;
       return;
@@ -406,27 +410,27 @@
   }
 
   private void take(final RegistryMessages.View view) {
-    Dialplan plan = null;
+    RoutingTable routingTable = null;
     if (view.spec != null && view.version > version) {
       try {
-        plan = Dialplan.compile(Packing.inflate(view.spec));
+        routingTable = RoutingTable.compile(Compression.inflate(view.spec));
         version = view.version;
         LOGGER.atInfo().log(
             "spec %s is in force with %s routes, from %s, dialled %s ms ago",
-            Long.toHexString(version), plan.routes(), current, heardAt - dialledAt);
-      } catch (final Breakdown breakdown) {
+            Long.toHexString(version), routingTable.routes(), current, heardAt - dialledAt);
+      } catch (final WeldpointException exception) {
         LOGGER.atSevere().log(
-            "spec %s was not taken: %s", Long.toHexString(view.version), breakdown.getMessage());
+            "spec %s was not taken: %s", Long.toHexString(view.version), exception.getMessage());
       }
     }
     final Map<Registration, Boolean> changes = new java.util.LinkedHashMap<>();
     final List<Registration> given = new ArrayList<>(Protocol.list(view.registrations));
-    given.addAll(Buckets.unpack(view.packed));
+    given.addAll(RegistrationBuckets.unpack(view.packed));
     for (final Registration registration : given) {
       final Registration before = history.get(registration.id);
-      if (before == null || Stage.later(before, registration) != before) {
+      if (before == null || LifecycleStage.later(before, registration) != before) {
         history.put(registration.id, registration);
-        final boolean open = Stage.of(registration).open();
+        final boolean open = LifecycleStage.of(registration).open();
         if (before == null && !open) {
           continue;
         }
@@ -438,8 +442,8 @@
       evacuationMark = view.evacuationMark;
       evacuated = new HashSet<>(Protocol.list(view.evacuated));
     }
-    outlet.outlook(
-        plan,
+    environment.outlook(
+        routingTable,
         changes,
         evacuated,
         view.suspectsGiven ? new HashSet<>(Protocol.list(view.suspects)) : null,
@@ -485,12 +489,12 @@
 
   /** The registry said itself that it had heard no majority for so long. */
   public void majorityLost(final long ageMillis) {
-    outlet.coreUnsettled(ageMillis);
+    environment.coreUnsettled(ageMillis);
   }
 
   /** No registry listens at this address, though its machine answers. */
   public void refused(final String address, final long now) {
-    outlet.coreUnsettled(0);
+    environment.coreUnsettled(0);
     addresses.failed(address, now);
     if (address.equals(current) && !viewed && !open) {
       dialledAt = Math.min(dialledAt, now - VIEW_MILLIS + REFUSED_PAUSE_MILLIS);
--- a/proxy/src/main/java/weldpoint/proxy/Stream.java
+++ b/proxy/src/main/java/weldpoint/proxy/RegistryStream.java
@@ -3,44 +3,48 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Executor;
-import weldpoint.boot.Boot;
-import weldpoint.trunk.Line;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.PeerClock;
-import weldpoint.trunk.RegistryMessages;
-import weldpoint.trunk.Trunk;
+import weldpoint.common.Settings;
+import weldpoint.transport.Connection;
+import weldpoint.transport.Message;
+import weldpoint.transport.PeerClock;
+import weldpoint.transport.RegistryMessages;
+import weldpoint.transport.Transport;
 
 /**
  * The one line to an exchange that a link wants at the moment; what comes from lines left behind is
  * not heard.
  */
-public final class Stream {
+public final class RegistryStream {
   private static final int MOST_BESIDE = 3;
 
   /** A registry that reads from a majority each half second has lost it after two reads. */
   private static final long MAJORITY_LOST_MILLIS = 1000;
 
-  private final Trunk trunk;
+  private final Transport transport;
   private final Executor desk;
   private final int port;
   private final Runnable ended;
-  private RegistryLink link;
-  private volatile Trunk.Dialler dialler;
-  private final List<Trunk.Dialler> beside = new ArrayList<>();
+  private RegistryClient registry;
+  private volatile Transport.Connector connector;
+  private final List<Transport.Connector> beside = new ArrayList<>();
 
   /**
    * A stream without a line; whoever is given is told on the control thread when a line has ended.
    */
-  public Stream(final Trunk trunk, final Executor desk, final Boot boot, final Runnable ended) {
-    this.trunk = trunk;
+  public RegistryStream(
+      final Transport transport,
+      final Executor desk,
+      final Settings settings,
+      final Runnable ended) {
+    this.transport = transport;
     this.desk = desk;
-    this.port = boot.trunkPort(0);
+    this.port = settings.transportPort(0);
     this.ended = ended;
   }
 
   /** Takes the link that hears what comes. */
-  public void link(final RegistryLink given) {
-    link = given;
+  public void registry(final RegistryClient given) {
+    registry = given;
   }
 
   /**
@@ -56,56 +60,56 @@
   }
 
   private void arrive(
-      final String address, final Trunk.Dialler winner, final RegistryMessages.View view) {
-    final Trunk.Dialler before = dialler;
-    dialler = winner;
+      final String address, final Transport.Connector winner, final RegistryMessages.View view) {
+    final Transport.Connector before = connector;
+    connector = winner;
     beside.remove(winner);
     abandonApproach();
     if (before != null) {
       before.close();
     }
-    link.arrived(address, view, ProxyContext.now());
+    registry.arrived(address, view, ProxyContext.now());
     ended.run();
   }
 
   /** Closes all lines beside. */
   public void abandonApproach() {
-    beside.forEach(Trunk.Dialler::close);
+    beside.forEach(Transport.Connector::close);
     beside.clear();
   }
 
   /** Makes this exchange the one there is a line to. */
   public void dial(final String address) {
     abandonApproach();
-    if (dialler != null) {
-      dialler.close();
+    if (connector != null) {
+      connector.close();
     }
-    dialler = line(address);
+    connector = line(address);
   }
 
   /** A line to this exchange, heard while it is the one there is or one beside it. */
-  private Trunk.Dialler line(final String address) {
-    final Trunk.Dialler[] mine = new Trunk.Dialler[1];
+  private Transport.Connector line(final String address) {
+    final Transport.Connector[] mine = new Transport.Connector[1];
     mine[0] =
-        trunk.dial(
+        transport.dial(
             address,
             port,
-            Trunk.on(
+            Transport.on(
                 desk,
-                new Trunk.Ear() {
+                new Transport.Listener() {
                   @Override
-                  public void opened(final Line line) {
+                  public void opened(final Connection connection) {
                     if (beside.contains(mine[0])) {
-                      line.send(link.greeting(ProxyContext.now()));
-                    } else if (dialler == mine[0]) {
-                      link.opened(ProxyContext.now());
+                      connection.send(registry.greeting(ProxyContext.now()));
+                    } else if (connector == mine[0]) {
+                      registry.opened(ProxyContext.now());
                     }
                   }
 
                   @Override
-                  public void heard(final Line line, final Message message) {
-                    if (dialler == mine[0]) {
-                      take(line.clock(), message, ProxyContext.now());
+                  public void messageReceived(final Connection connection, final Message message) {
+                    if (connector == mine[0]) {
+                      take(connection.clock(), message, ProxyContext.now());
                     } else if (beside.contains(mine[0])
                         && message instanceof RegistryMessages.View) {
                       arrive(address, mine[0], (RegistryMessages.View) message);
@@ -114,13 +118,13 @@
 
                   @Override
                   public void refused() {
-                    link.refused(address, ProxyContext.now());
+                    registry.refused(address, ProxyContext.now());
                   }
 
                   @Override
-                  public void closed(final Line line) {
-                    if (dialler == mine[0]) {
-                      link.closed(ProxyContext.now());
+                  public void closed(final Connection connection) {
+                    if (connector == mine[0]) {
+                      registry.closed(ProxyContext.now());
                       ended.run();
                     }
                   }
@@ -133,29 +137,29 @@
    * not from when it is read, and its proof becomes a time of the own clock.
    */
   void take(final PeerClock clock, final Message message, final long now) {
-    if (!(message instanceof RegistryMessages.Reach)) {
-      link.heard(message, now);
+    if (!(message instanceof RegistryMessages.RegistryStatus)) {
+      registry.heard(message, now);
       return;
     }
-    final RegistryMessages.Reach reach = (RegistryMessages.Reach) message;
+    final RegistryMessages.RegistryStatus reach = (RegistryMessages.RegistryStatus) message;
     final Long provedAt =
         reach.confirmedClock == null ? null : clock.notAfter(reach.confirmedClock, now);
     if (provedAt != null) {
-      link.proved(provedAt, now);
+      registry.proved(provedAt, now);
     }
     final Long saidAt = reach.sentClock == null ? null : clock.notAfter(reach.sentClock, now);
     final long delayMillis = saidAt == null ? 0 : Math.max(0, now - saidAt);
     if (saidAt != null && reach.contactMillis >= MAJORITY_LOST_MILLIS) {
-      link.majorityLost(reach.contactMillis + delayMillis);
+      registry.majorityLost(reach.contactMillis + delayMillis);
     }
-    link.heard(reach.delayed(delayMillis), now);
+    registry.heard(reach.delayed(delayMillis), now);
   }
 
   /** Ends the line for good. */
   public void close() {
     abandonApproach();
-    final Trunk.Dialler present = dialler;
-    dialler = null;
+    final Transport.Connector present = connector;
+    connector = null;
     if (present != null) {
       present.close();
     }
@@ -163,7 +167,7 @@
 
   /** Sends where there is a line; tells whether there was one. */
   public boolean send(final Message message) {
-    final Trunk.Dialler present = dialler;
+    final Transport.Connector present = connector;
     return present != null && present.send(message);
   }
 }
--- a/proxy/src/test/java/weldpoint/proxy/ProxyThreadsTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/ProxyThreadsTest.java
@@ -11,8 +11,8 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
-import weldpoint.boot.Boot;
-import weldpoint.dialplan.Dialplan;
+import weldpoint.common.Settings;
+import weldpoint.routing.RoutingTable;
 
 /** Threads of a switchboard that take turns at the worst points. */
 public final class ProxyThreadsTest {
@@ -28,12 +28,12 @@
     final int front = port();
     final ProxyDaemon daemon =
         new ProxyDaemon(
-            Boot.parse(
+            Settings.parse(
                 "station.name = one\nstation.address = 127.0.0.1\nstation.site = a\nstation.region = r\ntrunk.ports = 7000,7015\ntrunk.seeds = 127.0.0.1:80\nlisten.traffic = 127.0.0.1:"
                     + front
                     + "\n"));
-    final Dialplan plan =
-        Dialplan.compile(
+    final RoutingTable routingTable =
+        RoutingTable.compile(
             "{\"version\":\"1\",\"listeners\":[],\"pools\":[]}".getBytes(StandardCharsets.UTF_8));
     daemon
         .proxyContext()
@@ -42,7 +42,7 @@
             () ->
                 daemon
                     .proxyContext()
-                    .take(new ControlUpdate(plan, List.of(), null, null, 1, null, -1)))
+                    .take(new ControlUpdate(routingTable, List.of(), null, null, 1, null, -1)))
         .sync();
     final long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(8);
     boolean open = false;
--- a/proxy/src/test/java/weldpoint/proxy/TestProxy.java
+++ b/proxy/src/test/java/weldpoint/proxy/TestProxy.java
@@ -11,9 +11,9 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import weldpoint.boot.Boot;
-import weldpoint.dialplan.Dialplan;
-import weldpoint.trunk.RegistryMessages.Registration;
+import weldpoint.common.Settings;
+import weldpoint.routing.RoutingTable;
+import weldpoint.transport.RegistryMessages.Registration;
 import weldpoint.upstream.UpstreamPool;
 
 /** A proxy of one process on loopback, with one upstream, whose control state the test gives it. */
@@ -35,7 +35,7 @@
     port = freePort();
     daemon =
         new ProxyDaemon(
-            Boot.parse(
+            Settings.parse(
                 "station.name = one\nstation.address = 127.0.0.1\nstation.site = a\nstation.region = r\nsites = a:r,b:q\nbound.grace-s = 6\nbound.retry-slack = 100\ntrunk.ports = 7000,7015\ntrunk.seeds = 127.0.0.1:80\nlisten.traffic = 127.0.0.1:"
                     + port
                     + "\n"));
@@ -64,8 +64,8 @@
    */
   void serve(final String rule, final String pool, final int idleMillis, final int upstreamPort)
       throws InterruptedException {
-    final Dialplan plan =
-        Dialplan.compile(
+    final RoutingTable routingTable =
+        RoutingTable.compile(
             ("{\"version\":\"1\",\"limits\":{\"maxHeaderBytes\":16384,\"maxBodyBytes\":1048576,\"headerTimeoutMs\":3000,\"idleTimeoutMs\":"
                     + idleMillis
                     + "},\"listeners\":[{\"host\":\""
@@ -82,7 +82,9 @@
     proxyContext()
         .loop
         .submit(
-            () -> proxyContext().take(new ControlUpdate(plan, changes, null, null, 1, null, -1)))
+            () ->
+                proxyContext()
+                    .take(new ControlUpdate(routingTable, changes, null, null, 1, null, -1)))
         .sync();
     proxyContext()
         .loop
@@ -92,13 +94,15 @@
   /** Puts a whole configuration, as JSON, and changes of upstreams in force. */
   void configure(final String configuration, final UpstreamPool.Change... changes)
       throws InterruptedException {
-    final Dialplan plan = Dialplan.compile(configuration.getBytes(StandardCharsets.UTF_8));
+    final RoutingTable routingTable =
+        RoutingTable.compile(configuration.getBytes(StandardCharsets.UTF_8));
     proxyContext()
         .loop
         .submit(
             () ->
                 proxyContext()
-                    .take(new ControlUpdate(plan, List.of(changes), null, null, 1, null, -1)))
+                    .take(
+                        new ControlUpdate(routingTable, List.of(changes), null, null, 1, null, -1)))
         .sync();
   }
 
--- a/chief/src/test/java/weldpoint/chief/Region.java
+++ b/regionleader/src/test/java/weldpoint/regionleader/SimulatedRegion.java
@@ -1,4 +1,4 @@
-package weldpoint.chief;
+package weldpoint.regionleader;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -10,29 +10,30 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.function.Predicate;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.RegionMessages;
-import weldpoint.trunk.RegionMessages.Elector;
-import weldpoint.trunk.RegionMessages.Electorate;
-import weldpoint.trunk.RegionMessages.Order;
+import weldpoint.transport.Message;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.RegionMessages;
+import weldpoint.transport.RegionMessages.Elector;
+import weldpoint.transport.RegionMessages.Electorate;
+import weldpoint.transport.RegionMessages.LeaderDirective;
 
 /**
  * The switchboards of one region on a fake clock and a fake network, with clients, and upstreams
  * that count what they run.
  */
-final class Region {
-  static final ChiefCore.Terms TERMS = new ChiefCore.Terms(true, 3000, 2500, 500);
+final class SimulatedRegion {
+  static final LeaderElection.ElectionTimeouts TERMS =
+      new LeaderElection.ElectionTimeouts(true, 3000, 2500, 500);
 
   private record Event(long at, long order, Runnable deed) {}
 
   /** One switchboard of the moment. */
-  final class Board {
+  final class Proxy {
     final String address;
     long life;
-    ChiefCore core;
-    OnceOnly once = new OnceOnly();
-    Order order;
+    LeaderElection election;
+    UncertainWrites uncertainWrites = new UncertainWrites();
+    LeaderDirective directive;
     boolean up = true;
     boolean frozen;
     int inFlight;
@@ -42,26 +43,26 @@
     long carried;
     final Set<String> kept = new HashSet<>();
 
-    Board(final String address) {
+    Proxy(final String address) {
       this.address = address;
       boot();
     }
 
     void boot() {
       life = ++lives;
-      order = null;
-      once = new OnceOnly();
+      directive = null;
+      uncertainWrites = new UncertainWrites();
       inFlight = 0;
       up = true;
-      core =
-          new ChiefCore(
+      election =
+          new LeaderElection(
               address,
               life,
               "north",
               TERMS,
               new Random(random.nextLong()),
               now,
-              new ChiefCore.Outlet() {
+              new LeaderElection.Environment() {
                 @Override
                 public void peers(final List<String> addresses) {
                   kept.clear();
@@ -70,38 +71,39 @@
 
                 @Override
                 public boolean send(final String to, final Message message) {
-                  post(Board.this, to, message);
+                  post(Proxy.this, to, message);
                   return true;
                 }
 
                 @Override
-                public RegionMessages.Sight sight() {
-                  final RegionMessages.Sight sight =
-                      new RegionMessages.Sight(
+                public RegionMessages.ProxyObservations sight() {
+                  final RegionMessages.ProxyObservations observations =
+                      new RegionMessages.ProxyObservations(
                           repeatables,
                           writes,
                           refusedWrites,
                           carried,
                           null,
-                          once.unsure(now, 30_000));
+                          uncertainWrites.unsure(now, 30_000));
                   repeatables = 0;
                   writes = 0;
                   refusedWrites = 0;
                   carried = 0;
-                  return sight;
+                  return observations;
                 }
 
                 @Override
-                public void ordered(final Order given) {
-                  order = given;
-                  once.elsewhere(given == null ? List.of() : Protocol.list(given.uncertain));
+                public void ordered(final LeaderDirective given) {
+                  directive = given;
+                  uncertainWrites.elsewhere(
+                      given == null ? List.of() : Protocol.list(given.uncertain));
                 }
               });
     }
   }
 
   final Random random;
-  final Map<String, Board> boards = new LinkedHashMap<>();
+  final Map<String, Proxy> boards = new LinkedHashMap<>();
   final Map<String, Integer> runs = new HashMap<>();
   final Map<String, Integer> confirmed = new HashMap<>();
   final List<String> breaches = new ArrayList<>();
@@ -124,12 +126,12 @@
   private long order;
   private long lives;
 
-  Region(final long seed, final int size, final Predicate<String> onceBroken) {
+  SimulatedRegion(final long seed, final int size, final Predicate<String> onceBroken) {
     this.random = new Random(seed);
     this.onceBroken = onceBroken;
     for (int index = 0; index < size; index++) {
       final String address = "10.0.0." + (index + 1);
-      boards.put(address, new Board(address));
+      boards.put(address, new Proxy(address));
     }
     elect(1);
   }
@@ -139,14 +141,14 @@
     final List<Elector> electors = new ArrayList<>();
     boards.values().forEach(board -> electors.add(new Elector(board.address, board.life)));
     final Electorate electorate = new Electorate("north", mark, electors, 0.5);
-    boards.values().forEach(board -> board.core.electorate(electorate));
+    boards.values().forEach(board -> board.election.electorate(electorate));
   }
 
   void after(final long millis, final Runnable deed) {
     events.add(new Event(now + millis, order++, deed));
   }
 
-  private void post(final Board from, final String to, final Message message) {
+  private void post(final Proxy from, final String to, final Message message) {
     messages++;
     final long life = from.life;
     final long delay = 1 + random.nextInt(12);
@@ -165,12 +167,12 @@
     after(
         delay,
         () -> {
-          final Board board = boards.get(to);
+          final Proxy board = boards.get(to);
           if (board != null && board.up && !cut.test(new String[] {from, to})) {
             if (board.frozen) {
               deliver(from, life, to, message, 50);
             } else {
-              board.core.receive(from, life, message, now);
+              board.election.receive(from, life, message, now);
             }
           }
         });
@@ -189,12 +191,12 @@
         event.deed.run();
       }
       now = next;
-      for (final Board board : boards.values()) {
+      for (final Proxy board : boards.values()) {
         if (board.up && !board.frozen) {
           if (coreUp) {
-            board.core.core(now, now);
+            board.election.core(now, now);
           }
-          board.core.tick(now);
+          board.election.tick(now);
         }
       }
       look();
@@ -204,9 +206,9 @@
   private final Map<String, String> chiefOf = new HashMap<>();
 
   private void look() {
-    for (final Board board : boards.values()) {
-      if (board.up && board.core.phase() == Phase.ACTING) {
-        final String fence = board.core.fence()[0] + "/" + board.core.fence()[1];
+    for (final Proxy board : boards.values()) {
+      if (board.up && board.election.phase() == LeaderPhase.ACTING) {
+        final String fence = board.election.fence()[0] + "/" + board.election.fence()[1];
         final String before = chiefOf.putIfAbsent(fence, board.address + "#" + board.life);
         if (before != null && !before.equals(board.address + "#" + board.life)) {
           breaches.add("two chiefs under " + fence + ": " + before + " and " + board.address);
@@ -220,8 +222,8 @@
 
   /** A client makes a request at a board; it tries again elsewhere only what surely has not run. */
   void request(final String name, final boolean write, final int tries) {
-    final List<Board> all = new ArrayList<>(boards.values());
-    final Board board = all.get(random.nextInt(all.size()));
+    final List<Proxy> all = new ArrayList<>(boards.values());
+    final Proxy board = all.get(random.nextInt(all.size()));
     if (!board.up || board.frozen) {
       if (tries > 1) {
         after(30 + random.nextInt(50), () -> request(name, write, tries - 1));
@@ -234,7 +236,7 @@
       board.repeatables++;
     }
     final boolean letIn =
-        write || board.order == null || random.nextDouble() < board.order.admission;
+        write || board.directive == null || random.nextDouble() < board.directive.admission;
     if (!letIn || busy >= capacity + (write ? capacity / 4 : 0)) {
       if (write) {
         refusedWrites++;
@@ -249,7 +251,7 @@
   }
 
   private void send(
-      final Board board,
+      final Proxy board,
       final long life,
       final String name,
       final String id,
@@ -258,7 +260,7 @@
     if (left == 0 || !board.up || board.life != life) {
       return;
     }
-    if (write && !onceBroken.test(id) && !board.once.begin(id)) {
+    if (write && !onceBroken.test(id) && !board.uncertainWrites.begin(id)) {
       return;
     }
     busy++;
@@ -273,7 +275,7 @@
           }
           board.carried++;
           if (write) {
-            board.once.ran(id, !lost, now);
+            board.uncertainWrites.ran(id, !lost, now);
           }
           if (!lost) {
             confirmed.merge(write ? name : "lookup", 1, Integer::sum);
@@ -283,10 +285,10 @@
         });
   }
 
-  List<Board> acting() {
-    final List<Board> list = new ArrayList<>();
-    for (final Board board : boards.values()) {
-      if (board.up && !board.frozen && board.core.phase() == Phase.ACTING) {
+  List<Proxy> acting() {
+    final List<Proxy> list = new ArrayList<>();
+    for (final Proxy board : boards.values()) {
+      if (board.up && !board.frozen && board.election.phase() == LeaderPhase.ACTING) {
         list.add(board);
       }
     }
--- a/registry/src/main/java/weldpoint/registry/AssignerOutlet.java
+++ b/registry/src/main/java/weldpoint/registry/AssignerEnvironment.java
@@ -2,24 +2,25 @@
 
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import weldpoint.frame.Deed;
 import weldpoint.ownership.Assigner;
 import weldpoint.ownership.CallResult;
-import weldpoint.trunk.OwnershipMessages.Assignment;
-import weldpoint.trunk.OwnershipMessages.KeyRange;
-import weldpoint.trunk.Wire;
+import weldpoint.statestore.StoreOperation;
+import weldpoint.transport.OwnershipMessages.Assignment;
+import weldpoint.transport.OwnershipMessages.KeyRange;
+import weldpoint.transport.Serializer;
 
 /** What an assigner does, done: writes to the state store and calls of upstreams. */
-final class AssignerOutlet implements Assigner.Outlet {
+final class AssignerEnvironment implements Assigner.Environment {
   private static final long WRITE_MILLIS = 900;
 
-  private final StoreCaller store;
-  private final UpstreamCalls upstreams;
+  private final StoreClient store;
+  private final KeyGrantClient grantClient;
   private final LongSupplier clock;
 
-  AssignerOutlet(final StoreCaller store, final UpstreamCalls upstreams, final LongSupplier clock) {
+  AssignerEnvironment(
+      final StoreClient store, final KeyGrantClient grantClient, final LongSupplier clock) {
     this.store = store;
-    this.upstreams = upstreams;
+    this.grantClient = grantClient;
     this.clock = clock;
   }
 
@@ -32,12 +33,12 @@
   public void write(final Assignment next, final Runnable done) {
     store
         .call(
-            Deed.OWNERSHIP_WRITE,
+            StoreOperation.OWNERSHIP_WRITE,
             next.service,
             null,
             0,
             0,
-            Wire.bytes(next),
+            Serializer.serialize(next),
             null,
             clock.getAsLong(),
             WRITE_MILLIS)
@@ -46,7 +47,7 @@
 
   @Override
   public void grant(final KeyRange range, final long sendBy, final Consumer<CallResult> done) {
-    upstreams.grant(range, sendBy, done);
+    grantClient.grant(range, sendBy, done);
   }
 
   @Override
@@ -55,6 +56,6 @@
       final long sendBy,
       final long answerBy,
       final Consumer<CallResult> done) {
-    upstreams.release(range, sendBy, answerBy, done);
+    grantClient.release(range, sendBy, answerBy, done);
   }
 }
--- a/registry/src/main/java/weldpoint/registry/ControlState.java
+++ b/registry/src/main/java/weldpoint/registry/ControlState.java
@@ -3,12 +3,12 @@
 import com.google.common.flogger.FluentLogger;
 import java.util.ArrayList;
 import java.util.List;
-import weldpoint.dialplan.Dialplan;
-import weldpoint.trial.TrialPanel;
-import weldpoint.trial.Verdict;
-import weldpoint.trunk.Packing;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.TrialMessages;
+import weldpoint.routing.RoutingTable;
+import weldpoint.transport.Compression;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.TrialMessages;
+import weldpoint.trial.TrialCoordinator;
+import weldpoint.trial.TrialVerdict;
 
 /**
  * What operators have ordered as this exchange has learned it: the configuration, evacuations and
@@ -18,7 +18,7 @@
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
   private final String self;
-  private final TrialPanel panel = new TrialPanel();
+  private final TrialCoordinator coordinator = new TrialCoordinator();
   private long version;
   private byte[] spec;
   private List<String> evacuated = List.of();
@@ -26,7 +26,7 @@
   private List<TrialMessages.Trial> trials = List.of();
   private long trialMark;
   private long heldSince;
-  private Dialplan plan;
+  private RoutingTable routingTable;
 
   ControlState(final String self) {
     this.self = self;
@@ -57,8 +57,8 @@
     return trialMark;
   }
 
-  TrialPanel panel() {
-    return panel;
+  TrialCoordinator coordinator() {
+    return coordinator;
   }
 
   /** The mark of evacuations and trials together. */
@@ -72,15 +72,15 @@
   }
 
   /** The compiled configuration; null where there is none. */
-  Dialplan plan() {
-    if (spec != null && (plan == null || plan.version() < version)) {
-      plan = Dialplan.compile(Packing.inflate(spec));
+  RoutingTable routingTable() {
+    if (spec != null && (routingTable == null || routingTable.version() < version)) {
+      routingTable = RoutingTable.compile(Compression.inflate(spec));
     }
-    return plan;
+    return routingTable;
   }
 
   /** Takes what the disk held. */
-  void recall(final Remembered kept) {
+  void recall(final PersistedRecord kept) {
     if (kept.spec != null && kept.version > version) {
       version = kept.version;
       spec = kept.spec;
@@ -96,7 +96,7 @@
   }
 
   /** What was news in something taken. */
-  record News(byte[] spec, boolean evacuations, boolean trials) {
+  record Delta(byte[] spec, boolean evacuations, boolean trials) {
     boolean any() {
       return spec != null || evacuations || trials;
     }
@@ -106,7 +106,7 @@
    * Takes what the frames hold, or what another exchange has learned from them; only what is newer
    * than what is held.
    */
-  News take(
+  Delta take(
       final long givenVersion,
       final byte[] givenSpec,
       final List<String> givenEvacuated,
@@ -131,21 +131,21 @@
       trialMark = givenTrialMark;
       takeTrials(Protocol.list(givenTrials));
     }
-    final News news = new News(newSpec, evacuations, trialNews);
+    final Delta news = new Delta(newSpec, evacuations, trialNews);
     heldSince = news.any() ? now : heldSince;
     return news;
   }
 
   private void takeTrials(final List<TrialMessages.Trial> given) {
-    panel.take(given);
+    coordinator.take(given);
     trials = new ArrayList<>();
-    for (final TrialMessages.Trial trial : panel.trials()) {
-      if (Verdict.of(trial) != Verdict.FINISHED) {
+    for (final TrialMessages.Trial trial : coordinator.trials()) {
+      if (TrialVerdict.of(trial) != TrialVerdict.FINISHED) {
         trials.add(trial);
       }
       LOGGER.atInfo().log(
           "trial %s of route %s: stage %s, %s %s",
-          trial.number, trial.route, trial.stage, Verdict.of(trial), trial.reason);
+          trial.number, trial.route, trial.stage, TrialVerdict.of(trial), trial.reason);
     }
   }
 }
--- a/registry/src/main/java/weldpoint/registry/Electorates.java
+++ b/registry/src/main/java/weldpoint/registry/Electorates.java
@@ -8,13 +8,13 @@
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.BiConsumer;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.RegionMessages.Elector;
-import weldpoint.trunk.RegionMessages.Electorate;
-import weldpoint.trunk.RegistryMessages.Board;
-import weldpoint.trunk.StoreCallMessages;
-import weldpoint.trunk.Wire;
+import weldpoint.transport.Message;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.RegionMessages.Elector;
+import weldpoint.transport.RegionMessages.Electorate;
+import weldpoint.transport.RegistryMessages.DaemonEntry;
+import weldpoint.transport.Serializer;
+import weldpoint.transport.StoreMessages;
 
 /**
  * Who may choose a region's chief: written to the frames once it has stood still for a while, told
@@ -25,7 +25,7 @@
 
   /** Writes a region's electorate. */
   interface Writer {
-    CompletableFuture<StoreCallMessages.Answer> write(String region, byte[] body, long now);
+    CompletableFuture<StoreMessages.StoreResponse> write(String region, byte[] body, long now);
   }
 
   private final Writer writer;
@@ -74,12 +74,12 @@
   }
 
   /** Takes which switchboards live now, and writes what has not been written. */
-  void keep(final List<Board> live, final long now) {
+  void keep(final List<DaemonEntry> live, final long now) {
     final Map<String, List<Elector>> present = new TreeMap<>();
-    for (final Board board : live) {
+    for (final DaemonEntry entry : live) {
       present
-          .computeIfAbsent(board.region, region -> new ArrayList<>())
-          .add(new Elector(board.address, board.incarnation));
+          .computeIfAbsent(entry.region, region -> new ArrayList<>())
+          .add(new Elector(entry.address, entry.incarnation));
     }
     present.forEach(
         (region, electors) -> {
@@ -100,7 +100,7 @@
                     electors,
                     electors.size() / (double) live.size());
             writer
-                .write(region, Wire.bytes(next), now)
+                .write(region, Serializer.serialize(next), now)
                 .whenComplete((answer, problem) -> out = false);
           }
         });
--- a/registry/src/main/java/weldpoint/registry/PlacementDesk.java
+++ b/registry/src/main/java/weldpoint/registry/PlacementService.java
@@ -9,24 +9,24 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 import java.util.function.Predicate;
-import weldpoint.affinity.PlacementKeeper;
-import weldpoint.dialplan.Affinity;
-import weldpoint.dialplan.Dialplan;
-import weldpoint.dialplan.Route;
-import weldpoint.frame.Values;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.PlacementMessages;
-import weldpoint.trunk.PlacementMessages.PlacementMember;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.RegistryMessages.Registration;
+import weldpoint.affinity.PlacementCoordinator;
+import weldpoint.routing.Affinity;
+import weldpoint.routing.Route;
+import weldpoint.routing.RoutingTable;
+import weldpoint.statestore.StoredValues;
+import weldpoint.transport.Message;
+import weldpoint.transport.PlacementMessages;
+import weldpoint.transport.PlacementMessages.PlacementMember;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.RegistryMessages.Registration;
 
 /**
  * An exchange's part in affinity: it works out who should be placed where, and passes leases
  * between switchboards and the keeper.
  */
-final class PlacementDesk {
+final class PlacementService {
   private final Affinity usual;
-  private final PlacementKeeper keeper;
+  private final PlacementCoordinator coordinator;
   private final Map<String, Object> askers = new HashMap<>();
   private boolean tied;
   private long keeperSerial;
@@ -34,13 +34,13 @@
   private long wantedVersion = -1;
   private int wantedState;
 
-  PlacementDesk(final Affinity usual, final PlacementKeeper keeper) {
+  PlacementService(final Affinity usual, final PlacementCoordinator coordinator) {
     this.usual = usual;
-    this.keeper = keeper;
+    this.coordinator = coordinator;
   }
 
-  PlacementKeeper keeper() {
-    return keeper;
+  PlacementCoordinator coordinator() {
+    return coordinator;
   }
 
   /** Whether a route ties callers, or settings do. */
@@ -49,16 +49,16 @@
   }
 
   long marks() {
-    return keeper.mark() + keeperSerial;
+    return coordinator.mark() + keeperSerial;
   }
 
   /** Takes what the frames hold; true where switchboards must be told. */
-  boolean take(final Values.Control control, final long now) {
+  boolean take(final StoredValues.ControlSnapshot control, final long now) {
     tied = control.tied;
     if (control.keeper != null) {
       keeperSerial = Math.max(keeperSerial, control.keeper.serial);
     }
-    return keeper.take(
+    return coordinator.take(
         Protocol.list(control.placements),
         control.keeper,
         control.placements == null ? 0 : control.placementMark,
@@ -83,7 +83,7 @@
 
   /** Time has passed. */
   void tick(
-      final Dialplan plan,
+      final RoutingTable routingTable,
       final Collection<Registration> history,
       final Collection<String> evacuated,
       final Set<String> suspects,
@@ -92,44 +92,47 @@
       final boolean reachable,
       final boolean confirmed,
       final long now) {
-    if (plan == null) {
+    if (routingTable == null) {
       return;
     }
     final int state = 31 * evacuated.hashCode() + suspects.hashCode();
-    if (plan.version() != wantedVersion || revision != wantedRevision || state != wantedState) {
-      wantedVersion = plan.version();
+    if (routingTable.version() != wantedVersion
+        || revision != wantedRevision
+        || state != wantedState) {
+      wantedVersion = routingTable.version();
       wantedRevision = revision;
       wantedState = state;
-      want(plan, history, evacuated, suspects);
+      want(routingTable, history, evacuated, suspects);
     }
-    keeper.tick(mayKeep, reachable, confirmed, now);
+    coordinator.tick(mayKeep, reachable, confirmed, now);
   }
 
   private void want(
-      final Dialplan plan,
+      final RoutingTable routingTable,
       final Collection<Registration> history,
       final Collection<String> evacuated,
       final Set<String> suspects) {
     final Map<String, List<PlacementMember>> wanted = new TreeMap<>();
     long longest = 0;
-    for (final Route route : plan.all()) {
+    for (final Route route : routingTable.all()) {
       if (Affinity.inForce(route, usual) != null) {
         longest = Math.max(longest, route.timeoutMillis);
         for (final int service : route.services()) {
-          wanted.computeIfAbsent(plan.services().get(service).name(), name -> new ArrayList<>());
+          wanted.computeIfAbsent(
+              routingTable.services().get(service).name(), name -> new ArrayList<>());
         }
       }
     }
     for (final Registration one : history) {
       final List<PlacementMember> members = wanted.get(one.service);
       if (members != null
-          && Stage.of(one) == Stage.JOINED
+          && LifecycleStage.of(one) == LifecycleStage.JOINED
           && !evacuated.contains(one.site)
           && !suspects.contains(one.id)) {
         members.add(new PlacementMember(one.id, one.capacity, one.site));
       }
     }
-    wanted.replaceAll((service, members) -> PlacementKeeper.sorted(members));
-    keeper.wanted(wanted, longest);
+    wanted.replaceAll((service, members) -> PlacementCoordinator.sorted(members));
+    coordinator.wanted(wanted, longest);
   }
 }
--- a/registry/src/main/java/weldpoint/registry/Streams.java
+++ b/registry/src/main/java/weldpoint/registry/ProxyStreams.java
@@ -9,22 +9,22 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.RegistryMessages;
-import weldpoint.trunk.RegistryMessages.Board;
-import weldpoint.trunk.RegistryMessages.Registration;
+import weldpoint.transport.Message;
+import weldpoint.transport.RegistryMessages;
+import weldpoint.transport.RegistryMessages.DaemonEntry;
+import weldpoint.transport.RegistryMessages.Registration;
 
 /**
  * The streams of switchboards and announcers to this exchange: those that have been given a first
  * view, and those that wait for it.
  */
-final class Streams {
+final class ProxyStreams {
   private static final long PATIENCE_MILLIS = 900;
 
   private final BiConsumer<Object, Message> outlet;
   private final Registrations registrations;
   private final ControlState control;
-  private final Switchboards switchboards;
+  private final DaemonTable daemons;
   private final Set<Object> streams = new LinkedHashSet<>();
   private final Set<Object> hopefuls = new LinkedHashSet<>();
   private final Set<Object> announcers = new HashSet<>();
@@ -35,15 +35,15 @@
   /** What a switchboard has when its stream opens. */
   private record Opening(long version, List<Long> buckets, long read, long at) {}
 
-  Streams(
+  ProxyStreams(
       final BiConsumer<Object, Message> outlet,
       final Registrations registrations,
       final ControlState control,
-      final Switchboards switchboards) {
+      final DaemonTable daemons) {
     this.outlet = outlet;
     this.registrations = registrations;
     this.control = control;
-    this.switchboards = switchboards;
+    this.daemons = daemons;
   }
 
   /** The streams that have been given a first view. */
@@ -72,15 +72,15 @@
   /** A stream has opened and waits for its first view: until this quorum read is done, or 0. */
   void opened(
       final Object stream,
-      final Board board,
+      final DaemonEntry entry,
       final List<Long> buckets,
       final long read,
       final long now) {
-    if (board.announcer) {
+    if (entry.announcer) {
       announcers.add(stream);
     }
     opening.put(
-        stream, new Opening(board.version, buckets == null ? List.of() : buckets, read, now));
+        stream, new Opening(entry.version, buckets == null ? List.of() : buckets, read, now));
     hopefuls.add(stream);
   }
 
@@ -104,7 +104,7 @@
         final Opening opened = opening.remove(stream);
         outlet.accept(
             stream,
-            opened.buckets.isEmpty() || Buckets.empty(opened.buckets)
+            opened.buckets.isEmpty() || RegistrationBuckets.empty(opened.buckets)
                 ? view
                 : partView(opened, here));
         due.add(stream);
@@ -121,10 +121,12 @@
   private RegistryMessages.View partView(final Opening opened, final List<Long> here) {
     final Set<String> named = new HashSet<>();
     final List<Registration> lacking =
-        Buckets.differing(registrations.all().values(), here, opened.buckets);
+        RegistrationBuckets.differing(registrations.all().values(), here, opened.buckets);
     lacking.forEach(one -> named.add(one.id));
     for (final Registration one : registrations.all().values()) {
-      if (one.warmupMillis > 0 && Stage.of(one) != Stage.REMOVED && named.add(one.id)) {
+      if (one.warmupMillis > 0
+          && LifecycleStage.of(one) != LifecycleStage.REMOVED
+          && named.add(one.id)) {
         lacking.add(one);
       }
     }
@@ -138,10 +140,10 @@
         null,
         true,
         new ArrayList<>(registrations.suspects()),
-        switchboards.most(),
+        daemons.most(),
         control.trials(),
         control.trialMark(),
-        lacking.isEmpty() ? null : Buckets.pack(lacking));
+        lacking.isEmpty() ? null : RegistrationBuckets.pack(lacking));
   }
 
   /**
@@ -161,7 +163,7 @@
       wholeState = state;
       final List<Registration> present = new ArrayList<>();
       for (final Registration one : registrations.all().values()) {
-        if (Stage.of(one) != Stage.REMOVED) {
+        if (LifecycleStage.of(one) != LifecycleStage.REMOVED) {
           present.add(one);
         }
       }
@@ -178,7 +180,7 @@
               0,
               control.trials(),
               control.trialMark(),
-              Buckets.pack(present));
+              RegistrationBuckets.pack(present));
     }
     return whole;
   }
@@ -222,7 +224,7 @@
     if (!streams.isEmpty()) {
       tell(
           new RegistryMessages.View(
-              0, null, false, null, 0, changes, false, null, switchboards.most(), null, -1));
+              0, null, false, null, 0, changes, false, null, daemons.most(), null, -1));
     }
   }
 
@@ -238,7 +240,7 @@
             null,
             true,
             new ArrayList<>(registrations.suspects()),
-            switchboards.most(),
+            daemons.most(),
             null,
             -1));
   }
--- a/registry/src/main/java/weldpoint/registry/RegistryDaemon.java
+++ b/registry/src/main/java/weldpoint/registry/RegistryDaemon.java
@@ -10,124 +10,128 @@
 import java.util.Random;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import weldpoint.boot.Boot;
-import weldpoint.boot.Breakdown;
-import weldpoint.boot.Chance;
-import weldpoint.boot.Desk;
-import weldpoint.boot.Program;
-import weldpoint.dialplan.Affinity;
+import weldpoint.common.Daemon;
+import weldpoint.common.RandomIds;
+import weldpoint.common.SerialExecutor;
+import weldpoint.common.Settings;
+import weldpoint.common.WeldpointException;
 import weldpoint.metrics.MetricsServer;
-import weldpoint.ownership.HoldTimes;
-import weldpoint.tape.Ring;
-import weldpoint.tape.Tape;
-import weldpoint.trunk.KeyMessages;
-import weldpoint.trunk.Line;
-import weldpoint.trunk.Lines;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.OwnershipMessages.SlotReport;
-import weldpoint.trunk.PermitMessages;
-import weldpoint.trunk.PlacementMessages;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.RecordingMessages;
-import weldpoint.trunk.RegistryMessages;
-import weldpoint.trunk.StoreCallMessages;
-import weldpoint.trunk.TrialMessages;
-import weldpoint.trunk.Trunk;
-import weldpoint.trunk.Wire;
+import weldpoint.ownership.GrantTimings;
+import weldpoint.routing.Affinity;
+import weldpoint.transport.Connection;
+import weldpoint.transport.KeyMessages;
+import weldpoint.transport.Message;
+import weldpoint.transport.OwnershipMessages.SlotReport;
+import weldpoint.transport.PeerConnections;
+import weldpoint.transport.PermitMessages;
+import weldpoint.transport.PlacementMessages;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.RecordingMessages;
+import weldpoint.transport.RegistryMessages;
+import weldpoint.transport.Serializer;
+import weldpoint.transport.StoreMessages;
+import weldpoint.transport.Transport;
+import weldpoint.transport.TrialMessages;
+import weldpoint.wal.SegmentRing;
+import weldpoint.wal.WriteAheadLog;
 
 /**
  * The registry as a process: it takes all outside calls, keeps the membership and tells
  * switchboards.
  */
-public final class RegistryDaemon implements Program {
+public final class RegistryDaemon implements Daemon {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
   private static final int FILES = 3;
   private static final int FILE_BYTES = 1 << 19;
   private static final int MOST_FILE_BYTES = 1 << 24;
   private static final long TICK_MILLIS = 40;
 
-  private final Boot boot;
-  private final Desk desk = new Desk("exchange");
+  private final Settings settings;
+  private final SerialExecutor executor = new SerialExecutor("exchange");
   private final EventLoopGroup loop = new NioEventLoopGroup(1);
-  private final Trunk trunk;
+  private final Transport transport;
   private final RegistryCore core;
-  private final Lines members;
-  private final Lines frames;
-  private Tape tape;
+  private final PeerConnections members;
+  private final PeerConnections frames;
+  private WriteAheadLog log;
   private long countersAt;
   private final long incarnation;
   private Message unsealed;
   private Message sealed;
 
   /** A registry for these settings; nothing runs yet. */
-  public RegistryDaemon(final Boot boot) {
-    this.boot = boot;
-    incarnation = Chance.fresh();
-    this.trunk =
-        new Trunk(loop, new Protocol.Hello(Wire.PROTOCOL, "exchange", boot.address(), incarnation));
+  public RegistryDaemon(final Settings settings) {
+    this.settings = settings;
+    incarnation = RandomIds.next();
+    this.transport =
+        new Transport(
+            loop,
+            new Protocol.Hello(Serializer.PROTOCOL, "exchange", settings.address(), incarnation));
     this.members =
-        new Lines(
-            trunk,
-            boot.trunkPort(0),
+        new PeerConnections(
+            transport,
+            settings.transportPort(0),
             to ->
-                Trunk.on(
-                    desk,
-                    new Trunk.Ear() {
+                Transport.on(
+                    executor,
+                    new Transport.Listener() {
                       @Override
-                      public void opened(final Line line) {
+                      public void opened(final Connection connection) {
                         core().memberOpened(to, now());
                       }
 
                       @Override
-                      public void heard(final Line line, final Message message) {
-                        core().receive(to, message, line::send, now());
+                      public void messageReceived(
+                          final Connection connection, final Message message) {
+                        core().receive(to, message, connection::send, now());
                       }
 
                       @Override
-                      public void closed(final Line line) {
+                      public void closed(final Connection connection) {
                         core().memberClosed(to, now());
                       }
                     }));
     this.frames =
-        new Lines(
-            trunk,
-            boot.trunkPort(1),
+        new PeerConnections(
+            transport,
+            settings.transportPort(1),
             to ->
-                Trunk.on(
-                    desk,
-                    new Trunk.Ear() {
+                Transport.on(
+                    executor,
+                    new Transport.Listener() {
                       @Override
-                      public void heard(final Line line, final Message message) {
-                        if (message instanceof StoreCallMessages.Answer) {
-                          line.heardClock(((StoreCallMessages.Answer) message).clock);
-                          core().answered(to, (StoreCallMessages.Answer) message, now());
+                      public void messageReceived(
+                          final Connection connection, final Message message) {
+                        if (message instanceof StoreMessages.StoreResponse) {
+                          connection.heardClock(((StoreMessages.StoreResponse) message).clock);
+                          core().answered(to, (StoreMessages.StoreResponse) message, now());
                         }
                       }
 
                       @Override
-                      public void closed(final Line line) {
+                      public void closed(final Connection connection) {
                         core().frameClosed(to, now());
                       }
                     }));
     this.core =
         new RegistryCore(
-            boot.address(),
-            boot.seeds(),
-            boot.firstStart(),
-            boot.beatMillis(),
+            settings.address(),
+            settings.seeds(),
+            settings.firstStart(),
+            settings.heartbeatMillis(),
             new Random(incarnation),
-            new RegistryCore.Outlet() {
+            new RegistryCore.Environment() {
               @Override
               public boolean member(final String address, final Message message) {
                 return members.send(address, message);
               }
 
               @Override
-              public boolean frame(final String address, final StoreCallMessages.Call call) {
+              public boolean frame(final String address, final StoreMessages.StoreRequest call) {
                 return frames.send(
                     address,
-                    line -> {
-                      final Long clock = line.peerClock();
+                    connection -> {
+                      final Long clock = connection.peerClock();
                       return call.leaving(clock, now());
                     });
               }
@@ -136,26 +140,26 @@
               public void board(final Object stream, final Message message) {
                 if (message != unsealed) {
                   unsealed = message;
-                  sealed = Trunk.seal(message);
+                  sealed = Transport.seal(message);
                 }
-                ((Line) stream).send(sealed);
+                ((Connection) stream).send(sealed);
               }
 
               @Override
               public void append(final byte[] record, final Runnable synced) {
-                tape.append(record, synced);
+                log.append(record, synced);
               }
 
               @Override
               public String disk() {
-                return tape == null ? "" : tape.counters();
+                return log == null ? "" : log.counters();
               }
 
               @Override
               public void peers(final List<String> addresses) {
                 members.keep(addresses);
                 final List<String> all = new ArrayList<>(addresses);
-                all.add(boot.address());
+                all.add(settings.address());
                 frames.keep(all);
               }
             });
@@ -171,123 +175,127 @@
 
   @Override
   public void start() throws IOException, InterruptedException {
-    if (boot.folder().isEmpty()) {
-      throw new Breakdown(
-          Breakdown.Kind.SETTING,
+    if (settings.folder().isEmpty()) {
+      throw new WeldpointException(
+          WeldpointException.Kind.SETTING,
           "setting station.folder has the value ''; an exchange needs a folder on a disk of its own");
     }
-    final Tape.Opened opened =
-        Tape.open(
-            Path.of(boot.folder(), "exchange"),
-            "exchange " + boot.address(),
+    final WriteAheadLog.Opened opened =
+        WriteAheadLog.open(
+            Path.of(settings.folder(), "exchange"),
+            "exchange " + settings.address(),
             FILES,
             FILE_BYTES,
             MOST_FILE_BYTES,
-            desk,
+            executor,
             core::view);
-    final Ring.Found found = opened.found();
+    final SegmentRing.Recovered found = opened.found();
     if (found.lost()) {
       LOGGER.atSevere().log(
           "the disk of %s lost records that had been synced; it counts as blank and is refetched from the other exchanges",
-          boot.name());
+          settings.name());
     }
-    tape = opened.tape();
-    if (boot.chief()) {
+    log = opened.log();
+    if (settings.regionLeaderEnabled()) {
       core.chiefs();
     }
-    core.place(boot.site(), boot.region());
+    core.place(settings.site(), settings.region());
     core.placements(
-        Affinity.setting("affinity.default", boot.affinityUsual()),
+        Affinity.setting("affinity.default", settings.affinityUsual()),
         incarnation,
-        boot.affinityLeaseMillis(),
-        boot.affinityBatchMillis());
+        settings.affinityLeaseMillis(),
+        settings.affinityBatchMillis());
     core.quotas(
         new weldpoint.ratelimit.QuotaAllocator(
-            boot, boot.firstStart() && found.blank() && !found.lost(), now()));
-    final HoldTimes times = HoldTimes.of(boot.ownershipHoldMillis(), boot.ownershipLateMillis());
+            settings, settings.firstStart() && found.blank() && !found.lost(), now()));
+    final GrantTimings timings =
+        GrantTimings.of(settings.ownershipHoldMillis(), settings.ownershipLateMillis());
     core.ownership(
-        incarnation, times, new UpstreamCalls(loop, desk, times.holdMillis(), times.sendMillis()));
-    desk.execute(() -> core.start(found.lost() ? List.of() : found.records(), now()));
-    tape.start("tape");
-    trunk.serve(
-        boot.bindAddress(),
-        boot.trunkPort(0),
-        Trunk.on(
-            desk,
-            new Trunk.Ear() {
+        incarnation,
+        timings,
+        new KeyGrantClient(loop, executor, timings.holdMillis(), timings.sendMillis()));
+    executor.execute(() -> core.start(found.lost() ? List.of() : found.records(), now()));
+    log.start("tape");
+    transport.serve(
+        settings.bindAddress(),
+        settings.transportPort(0),
+        Transport.on(
+            executor,
+            new Transport.Listener() {
               @Override
-              public void heard(final Line line, final Message message) {
-                if (message instanceof RegistryMessages.BoardState) {
+              public void messageReceived(final Connection connection, final Message message) {
+                if (message instanceof RegistryMessages.DaemonReport) {
                   core.boardState(
-                      line,
-                      ((RegistryMessages.BoardState) message).board,
-                      Protocol.list(((RegistryMessages.BoardState) message).buckets),
+                      connection,
+                      ((RegistryMessages.DaemonReport) message).entry,
+                      Protocol.list(((RegistryMessages.DaemonReport) message).buckets),
                       now());
                 } else if (message instanceof TrialMessages.TrialReport
-                    && "switchboard".equals(line.peer().program)) {
+                    && "switchboard".equals(connection.peer().program)) {
                   core.trials().report((TrialMessages.TrialReport) message, now());
-                } else if (message instanceof PlacementMessages.LeaseAsk
-                    && "switchboard".equals(line.peer().program)) {
-                  core.lease(line, (PlacementMessages.LeaseAsk) message, now());
-                } else if (message instanceof RecordingMessages.Reel) {
-                  core.reel((RecordingMessages.Reel) message, now());
-                } else if (message instanceof KeyMessages.ClaimAsk
+                } else if (message instanceof PlacementMessages.LeaseRequest
+                    && "switchboard".equals(connection.peer().program)) {
+                  core.lease(connection, (PlacementMessages.LeaseRequest) message, now());
+                } else if (message instanceof RecordingMessages.RecordingBatch) {
+                  core.reel((RecordingMessages.RecordingBatch) message, now());
+                } else if (message instanceof KeyMessages.ClaimRequest
                     || message instanceof KeyMessages.ClaimRelease
-                        && "switchboard".equals(line.peer().program)) {
-                  core.key(message, line::send, now());
+                        && "switchboard".equals(connection.peer().program)) {
+                  core.key(message, connection::send, now());
                 } else if (message instanceof SlotReport
-                    && "switchboard".equals(line.peer().program)) {
+                    && "switchboard".equals(connection.peer().program)) {
                   core.slotReport((SlotReport) message);
-                } else if (message instanceof PermitMessages.PermitAsk
-                    && !"exchange".equals(line.peer().program)) {
-                  core.permit((PermitMessages.PermitAsk) message, line::send, now());
+                } else if (message instanceof PermitMessages.PermitRequest
+                    && !"exchange".equals(connection.peer().program)) {
+                  core.permit((PermitMessages.PermitRequest) message, connection::send, now());
                 } else {
-                  core.receive(line.peer().address, message, line::send, now());
+                  core.receive(connection.peer().address, message, connection::send, now());
                 }
               }
 
               @Override
-              public void closed(final Line line) {
-                if (!"exchange".equals(line.peer().program)) {
-                  core.streamClosed(line, line.peer().address, now());
+              public void closed(final Connection connection) {
+                if (!"exchange".equals(connection.peer().program)) {
+                  core.streamClosed(connection, connection.peer().address, now());
                 }
               }
             }));
-    final ControlDoor door = new ControlDoor(boot, core, desk);
-    door.serve(loop, boot.requiredAddress("listen.control"));
-    final Boot.Address directory = boot.optionalAddress("listen.directory");
-    if (directory != null && !directory.equals(boot.requiredAddress("listen.control"))) {
-      door.serve(loop, directory);
+    final ControlServer server = new ControlServer(settings, core, executor);
+    server.serve(loop, settings.requiredAddress("listen.control"));
+    final Settings.Address directory = settings.optionalAddress("listen.directory");
+    if (directory != null && !directory.equals(settings.requiredAddress("listen.control"))) {
+      server.serve(loop, directory);
     }
-    if (boot.metricsPort() > 0) {
+    if (settings.metricsPort() > 0) {
       MetricsServer.serve(
           loop,
-          boot.address(),
-          boot.metricsPort() + 1,
-          () -> CompletableFuture.supplyAsync(() -> core.figures(now()), desk));
+          settings.address(),
+          settings.metricsPort() + 1,
+          () -> CompletableFuture.supplyAsync(() -> core.figures(now()), executor));
     }
-    loop.scheduleWithFixedDelay(door::awake, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
+    loop.scheduleWithFixedDelay(server::awake, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
     loop.scheduleAtFixedRate(
-        () -> desk.execute(this::tick), TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
+        () -> executor.execute(this::tick), TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   private void tick() {
     final long now = now();
     core.tick(now);
-    if (now - countersAt >= boot.countersMillis()) {
+    if (now - countersAt >= settings.countersMillis()) {
       countersAt = now;
-      LOGGER.atInfo().log("counters: %s %s %s", core.counters(), tape.counters(), trunk.meter());
+      LOGGER.atInfo().log(
+          "counters: %s %s %s", core.counters(), log.counters(), transport.trafficCounters());
     }
   }
 
   @Override
-  public void reload(final Boot news) {
-    desk.execute(() -> core.seeds(news.seeds(), now()));
+  public void reload(final Settings news) {
+    executor.execute(() -> core.seeds(news.seeds(), now()));
   }
 
   @Override
   public void stop() {
-    desk.execute(core::leave);
+    executor.execute(core::leave);
     try {
       Thread.sleep(400);
     } catch (final InterruptedException ended) {
--- a/registry/src/main/java/weldpoint/registry/TrialDesk.java
+++ b/registry/src/main/java/weldpoint/registry/TrialService.java
@@ -5,17 +5,17 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
 import weldpoint.audit.Authors;
-import weldpoint.boot.Breakdown;
-import weldpoint.frame.Deed;
-import weldpoint.trunk.StoreCallMessages;
-import weldpoint.trunk.TrialMessages;
-import weldpoint.trunk.Wire;
+import weldpoint.common.WeldpointException;
+import weldpoint.statestore.StoreOperation;
+import weldpoint.transport.Serializer;
+import weldpoint.transport.StoreMessages;
+import weldpoint.transport.TrialMessages;
 
 /**
  * A registry's part in trials of services: it counts what proxies report, writes the verdicts that
  * follow from the counts, and takes operators' orders. Times are milliseconds of the steady clock.
  */
-public final class TrialDesk {
+public final class TrialService {
   private static final long JUDGE_MILLIS = 100;
   private static final long WRITE_MILLIS = 900;
   private static final int USUAL_LEAST_WRITES = 30;
@@ -44,14 +44,14 @@
 
   private final String self;
   private final ControlState control;
-  private final StoreCaller store;
+  private final StoreClient store;
   private final Registry registry;
   private long judgedAt;
 
-  TrialDesk(
+  TrialService(
       final String self,
       final ControlState control,
-      final StoreCaller store,
+      final StoreClient store,
       final Registry registry) {
     this.self = self;
     this.control = control;
@@ -61,7 +61,7 @@
 
   /** A proxy, or another registry that passes it on, tells what was counted in trials. */
   public void report(final TrialMessages.TrialReport report, final long now) {
-    control.panel().report(report, now);
+    control.coordinator().report(report, now);
     if (!report.relayed) {
       registry.relay(new TrialMessages.TrialReport(true, report.tallies, report.digests));
     }
@@ -74,34 +74,37 @@
       return;
     }
     judgedAt = now;
-    for (final TrialMessages.Trial verdict : control.panel().verdicts(control.plan())) {
-      write(verdict, new StoreCallMessages.Cause(Authors.SYSTEM, "", self, null), now);
+    for (final TrialMessages.Trial verdict :
+        control.coordinator().verdicts(control.routingTable())) {
+      write(verdict, new StoreMessages.ChangeOrigin(Authors.SYSTEM, "", self, null), now);
     }
   }
 
   private CompletableFuture<TrialMessages.Trial> write(
-      final TrialMessages.Trial next, final StoreCallMessages.Cause cause, final long now) {
+      final TrialMessages.Trial next, final StoreMessages.ChangeOrigin origin, final long now) {
     return store
         .call(
-            Deed.TRIAL_WRITE,
+            StoreOperation.TRIAL_WRITE,
             next.route,
             null,
             next.serial - 1,
             0,
-            Wire.bytes(next),
-            cause,
+            Serializer.serialize(next),
+            origin,
             now,
             WRITE_MILLIS)
         .thenApply(answer -> written(next, answer));
   }
 
   private static TrialMessages.Trial written(
-      final TrialMessages.Trial next, final StoreCallMessages.Answer answer) {
+      final TrialMessages.Trial next, final StoreMessages.StoreResponse answer) {
     if (answer.status == 200) {
       return next;
     }
-    throw new Breakdown(
-        answer.status == 412 ? Breakdown.Kind.CONFLICT : Breakdown.Kind.OUT_OF_REACH,
+    throw new WeldpointException(
+        answer.status == 412
+            ? WeldpointException.Kind.CONFLICT
+            : WeldpointException.Kind.OUT_OF_REACH,
         "the trial has changed meanwhile; look at its status and order again");
   }
 
@@ -111,19 +114,19 @@
    */
   private CompletableFuture<TrialMessages.Trial> order(
       final Supplier<TrialMessages.Trial> next,
-      final StoreCallMessages.Cause cause,
+      final StoreMessages.ChangeOrigin origin,
       final long now) {
     return registry
         .refresh(now)
-        .thenCompose(done -> write(next.get(), cause, registry.now()))
+        .thenCompose(done -> write(next.get(), origin, registry.now()))
         .thenCompose(written -> registry.settle().thenApply(done -> written));
   }
 
   /** Begins a trial. */
   CompletableFuture<TrialMessages.Trial> begin(
       final String route,
-      final Calls.TrialOrder order,
-      final StoreCallMessages.Cause cause,
+      final ControlApi.TrialRequest order,
+      final StoreMessages.ChangeOrigin origin,
       final long now) {
     final List<Integer> stages = new ArrayList<>();
     for (final Double stage : order.stages() == null ? List.<Double>of() : order.stages()) {
@@ -136,7 +139,7 @@
     return order(
         () ->
             control
-                .panel()
+                .coordinator()
                 .begin(
                     route,
                     String.valueOf(order.oldService()),
@@ -145,31 +148,33 @@
                     stages,
                     leastWrites,
                     lateAllowance,
-                    control.plan()),
-        cause,
+                    control.routingTable()),
+        origin,
         now);
   }
 
   /** Moves a trial to its next stage, if the evidence is there. */
   CompletableFuture<TrialMessages.Trial> advance(
-      final String route, final StoreCallMessages.Cause cause, final long now) {
+      final String route, final StoreMessages.ChangeOrigin origin, final long now) {
     final List<String> live = registry.liveProxies(now);
     return order(
-        () -> control.panel().advance(route, live, registry.hearsMajority(now), now), cause, now);
+        () -> control.coordinator().advance(route, live, registry.hearsMajority(now), now),
+        origin,
+        now);
   }
 
   /** Holds a trial by an operator's order. */
   CompletableFuture<TrialMessages.Trial> hold(
       final String route,
       final String reason,
-      final StoreCallMessages.Cause cause,
+      final StoreMessages.ChangeOrigin origin,
       final long now) {
-    return order(() -> control.panel().hold(route, reason), cause, now);
+    return order(() -> control.coordinator().hold(route, reason), origin, now);
   }
 
   /** Ends a trial. */
   CompletableFuture<TrialMessages.Trial> finish(
-      final String route, final StoreCallMessages.Cause cause, final long now) {
-    return order(() -> control.panel().finish(route), cause, now);
+      final String route, final StoreMessages.ChangeOrigin origin, final long now) {
+    return order(() -> control.coordinator().finish(route), origin, now);
   }
 }
--- a/registry/src/test/java/weldpoint/registry/StandstillTest.java
+++ b/registry/src/test/java/weldpoint/registry/StandstillTest.java
@@ -11,9 +11,9 @@
 import java.util.Random;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import weldpoint.boot.Boot;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.StoreCallMessages;
+import weldpoint.common.Settings;
+import weldpoint.transport.Message;
+import weldpoint.transport.StoreMessages;
 
 /**
  * A daemon that stood still: what waited in its sockets for longer than a caller waits is not
@@ -24,7 +24,7 @@
   private int storeCalls;
   private List<Integer> statuses;
   private RegistryCore core;
-  private ControlDoor door;
+  private ControlServer server;
 
   @BeforeMethod
   public void open() {
@@ -38,14 +38,14 @@
             true,
             1500,
             new Random(1),
-            new RegistryCore.Outlet() {
+            new RegistryCore.Environment() {
               @Override
               public boolean member(final String address, final Message message) {
                 return false;
               }
 
               @Override
-              public boolean frame(final String address, final StoreCallMessages.Call call) {
+              public boolean frame(final String address, final StoreMessages.StoreRequest call) {
                 storeCalls++;
                 return true;
               }
@@ -60,15 +60,15 @@
               public void peers(final List<String> members) {}
             });
     core.start(List.of(), now);
-    final Boot boot =
-        Boot.parse(
+    final Settings settings =
+        Settings.parse(
             "station.name = one\nstation.address = 127.0.0.1\nstation.site = a\nstation.region = r\ntrunk.ports = 7000,7015\ntrunk.seeds = 127.0.0.1:80\nlisten.control = 127.0.0.1:81\n");
-    door =
-        new ControlDoor(
-            boot,
+    server =
+        new ControlServer(
+            settings,
             core,
             Runnable::run,
-            new ControlDoor.Clock() {
+            new ControlServer.Clock() {
               @Override
               public long steadyMillis() {
                 return now;
@@ -82,11 +82,11 @@
   }
 
   private void call() {
-    door.call(
+    server.call(
         new DefaultFullHttpRequest(
             HttpVersion.HTTP_1_1, HttpMethod.POST, "/api/numbers/n", Unpooled.EMPTY_BUFFER),
         "10.9.9.9",
-        new ControlDoor.Caller() {
+        new ControlServer.ResponseCallback() {
           @Override
           public boolean waits() {
             return true;
@@ -102,7 +102,7 @@
   private void runs(final int ticks) {
     for (int tick = 0; tick < ticks; tick++) {
       now += 40;
-      door.awake();
+      server.awake();
     }
   }
 
@@ -127,7 +127,7 @@
   public void norIsWhatIsReadAfterTheFirstTickFollowingIt() {
     runs(5);
     now += 2000;
-    door.awake();
+    server.awake();
     call();
     assertEquals(storeCalls, 0);
     assertEquals(statuses, List.of(504));
--- a/replay/src/main/java/weldpoint/replay/DayFile.java
+++ b/replay/src/main/java/weldpoint/replay/RecordingFile.java
@@ -17,30 +17,30 @@
 import java.util.List;
 import java.util.zip.GZIPInputStream;
 import java.util.zip.GZIPOutputStream;
-import weldpoint.boot.Breakdown;
-import weldpoint.trunk.RecordingMessages.Reel;
-import weldpoint.trunk.RegistryMessages.Registration;
+import weldpoint.common.WeldpointException;
+import weldpoint.transport.RecordingMessages.RecordingBatch;
+import weldpoint.transport.RegistryMessages.Registration;
 
 /**
  * A recorded day on disk: compressed, each part delimited, with an end that says how much there
  * must be.
  */
-public final class DayFile {
+public final class RecordingFile {
   private static final byte[] MAGIC = "weldpoint day 1\n".getBytes(StandardCharsets.UTF_8);
 
-  private DayFile() {}
+  private RecordingFile() {}
 
   /**
    * What was in force from a moment on; what did not change is null. Clocks are those of whoever
    * collected the day.
    */
-  public static final class Control {
+  public static final class ControlSnapshot {
     public final long at;
     public final byte[] spec;
     public final List<Registration> registrations;
     public final List<String> evacuated;
 
-    public Control(
+    public ControlSnapshot(
         final long at,
         final byte[] spec,
         final List<Registration> registrations,
@@ -53,13 +53,13 @@
   }
 
   /** A reel, with what must be added to its clock to get the collector's. */
-  public static final class Turn {
+  public static final class TimedBatch {
     public final long offset;
-    public final Reel reel;
+    public final RecordingBatch batch;
 
-    public Turn(final long offset, final Reel reel) {
+    public TimedBatch(final long offset, final RecordingBatch batch) {
       this.offset = offset;
-      this.reel = reel;
+      this.batch = batch;
     }
   }
 
@@ -67,13 +67,13 @@
    * The end of a whole recording: how many notes it holds, how many were dropped, and how well
    * clocks agree.
    */
-  public static final class End {
+  public static final class Trailer {
     public final long notes;
     public final long dropped;
     public final long clockError;
     public final List<String> silent;
 
-    public End(
+    public Trailer(
         final long notes, final long dropped, final long clockError, final List<String> silent) {
       this.notes = notes;
       this.dropped = dropped;
@@ -83,9 +83,9 @@
   }
 
   private enum Kind {
-    CONTROL(Control.class),
-    TURN(Turn.class),
-    END(End.class);
+    CONTROL(ControlSnapshot.class),
+    TURN(TimedBatch.class),
+    END(Trailer.class);
 
     private final Class<?> type;
 
@@ -137,13 +137,13 @@
         in = new BufferedInputStream(new GZIPInputStream(Files.newInputStream(path), 1 << 16));
         final byte[] magic = in.readNBytes(MAGIC.length);
         if (!java.util.Arrays.equals(magic, MAGIC)) {
-          throw new Breakdown(
-              Breakdown.Kind.UNREADABLE,
+          throw new WeldpointException(
+              WeldpointException.Kind.UNREADABLE,
               path + " is no recorded day of this version; record it anew with this release");
         }
       } catch (final IOException problem) {
-        throw new Breakdown(
-            Breakdown.Kind.UNREADABLE,
+        throw new WeldpointException(
+            WeldpointException.Kind.UNREADABLE,
             path
                 + " cannot be read as a recorded day ("
                 + problem.getMessage()
@@ -165,16 +165,16 @@
           throw new IOException("an unknown part " + kind);
         }
         final Object part = part(Kind.values()[kind].type);
-        ended = part instanceof End;
+        ended = part instanceof Trailer;
         return part;
       } catch (final EOFException cut) {
-        throw new Breakdown(
-            Breakdown.Kind.UNREADABLE,
+        throw new WeldpointException(
+            WeldpointException.Kind.UNREADABLE,
             path
                 + " is cut short; end the recording before the file is copied, or record the day anew");
       } catch (final IOException | RuntimeException damaged) {
-        throw new Breakdown(
-            Breakdown.Kind.UNREADABLE,
+        throw new WeldpointException(
+            WeldpointException.Kind.UNREADABLE,
             path
                 + " is damaged ("
                 + damaged.getMessage()
--- a/replay/src/main/java/weldpoint/replay/Replay.java
+++ b/replay/src/main/java/weldpoint/replay/Replay.java
@@ -12,10 +12,10 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import weldpoint.boot.Breakdown;
-import weldpoint.dialplan.Dialplan;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.RecordingMessages;
+import weldpoint.common.WeldpointException;
+import weldpoint.routing.RoutingTable;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.RecordingMessages;
 
 /**
  * Plays a recorded day under its own and under proposed settings, and compares the two call by
@@ -34,7 +34,7 @@
   }
 
   private final Path day;
-  private final Dialplan proposed;
+  private final RoutingTable proposed;
   private final String extra;
   private final Inflater inflater;
   private final long tolerance;
@@ -42,7 +42,7 @@
   /** A replay of a day through this configuration, with these further settings. */
   public Replay(
       final Path day,
-      final Dialplan proposed,
+      final RoutingTable proposed,
       final String extra,
       final long tolerance,
       final Inflater inflater) {
@@ -57,14 +57,14 @@
     private final Errors errors = new Errors();
     private long calls;
     private long ended;
-    private DayFile.End end;
+    private RecordingFile.Trailer end;
   }
 
   /** Plays the day and judges it. */
-  public Verdict run() throws IOException {
+  public ReplayComparison run() throws IOException {
     if (proposed.all().stream().anyMatch(route -> route.affinity != null)) {
-      throw new Breakdown(
-          Breakdown.Kind.INVALID,
+      throw new WeldpointException(
+          WeldpointException.Kind.INVALID,
           "the proposed configuration ties callers to nodes, and a recorded day does not hold who called; leave affinity out, or try it on a route by a trial");
     }
     final Span first = new Span();
@@ -72,7 +72,9 @@
         first,
         true,
         (call, own, other) -> {
-          if (own.end == Outcome.End.SERVED && call.note.status >= 200 && call.note.status < 300) {
+          if (own.end == CallOutcome.End.SERVED
+              && call.note.status >= 200
+              && call.note.status < 300) {
             first.errors.add(call.note.route, Math.abs(own.total - call.note.total));
           }
         });
@@ -83,8 +85,8 @@
         .forEach((route, error) -> errors.put(route, Math.max(LEAST_ERROR_MILLIS, error)));
     for (final Map.Entry<String, Long> entry : errors.entrySet()) {
       if (entry.getValue() > tolerance) {
-        throw new Breakdown(
-            Breakdown.Kind.INVALID,
+        throw new WeldpointException(
+            WeldpointException.Kind.INVALID,
             "the model misses the recorded times of route "
                 + entry.getKey()
                 + " by "
@@ -94,7 +96,7 @@
                 + "; record a day with fewer breakdowns, or allow more with --error-ms");
       }
     }
-    final Verdict verdict = new Verdict(errors, first.end.clockError);
+    final ReplayComparison verdict = new ReplayComparison(errors, first.end.clockError);
     final Span second = new Span();
     pass(
         second,
@@ -107,8 +109,8 @@
                 errors.getOrDefault(call.note.route, LEAST_ERROR_MILLIS),
                 MOST_LISTED));
     if (second.calls != first.end.notes || second.ended != second.calls) {
-      throw new Breakdown(
-          Breakdown.Kind.UNREADABLE,
+      throw new WeldpointException(
+          WeldpointException.Kind.UNREADABLE,
           "of "
               + first.end.notes
               + " recorded calls "
@@ -119,14 +121,14 @@
   }
 
   private interface Compared {
-    void ended(Call call, Outcome own, Outcome other);
+    void ended(RecordedCall call, CallOutcome own, CallOutcome other);
   }
 
   private final class Pass {
     private final EventLoopGroup loop;
     private final Span span;
-    private final World own;
-    private final World other;
+    private final ReplaySimulator own;
+    private final ReplaySimulator other;
     private final Compared compared;
     private final PriorityQueue<Object[]> waiting =
         new PriorityQueue<>(
@@ -146,25 +148,25 @@
         final EventLoopGroup loop, final Span span, final boolean alone, final Compared compared) {
       this.loop = loop;
       this.span = span;
-      this.own = new World(loop, "", 7);
-      this.other = alone ? null : new World(loop, extra, 7);
+      this.own = new ReplaySimulator(loop, "", 7);
+      this.other = alone ? null : new ReplaySimulator(loop, extra, 7);
       this.compared = compared;
       if (other != null) {
-        other.plan(proposed);
+        other.routingTable(proposed);
       }
     }
 
     private void take(final Object part) {
-      if (part instanceof DayFile.Control) {
-        final DayFile.Control control = (DayFile.Control) part;
+      if (part instanceof RecordingFile.ControlSnapshot) {
+        final RecordingFile.ControlSnapshot control = (RecordingFile.ControlSnapshot) part;
         add(control.at, control);
-      } else if (part instanceof DayFile.Turn) {
-        turn((DayFile.Turn) part);
+      } else if (part instanceof RecordingFile.TimedBatch) {
+        turn((RecordingFile.TimedBatch) part);
       } else {
-        span.end = (DayFile.End) part;
+        span.end = (RecordingFile.Trailer) part;
         if (span.end.dropped > 0 || !Protocol.list(span.end.silent).isEmpty() || !open.isEmpty()) {
-          throw new Breakdown(
-              Breakdown.Kind.INVALID,
+          throw new WeldpointException(
+              WeldpointException.Kind.INVALID,
               "the recording has gaps: "
                   + span.end.dropped
                   + " calls dropped, silent switchboards "
@@ -176,37 +178,37 @@
       }
     }
 
-    private void turn(final DayFile.Turn turn) {
-      final RecordingMessages.Reel reel = turn.reel;
-      final String life = reel.board + "#" + reel.incarnation;
-      if (reel.dropped > 0) {
-        throw new Breakdown(
-            Breakdown.Kind.INVALID,
+    private void turn(final RecordingFile.TimedBatch turn) {
+      final RecordingMessages.RecordingBatch batch = turn.batch;
+      final String life = batch.board + "#" + batch.incarnation;
+      if (batch.dropped > 0) {
+        throw new WeldpointException(
+            WeldpointException.Kind.INVALID,
             "switchboard "
-                + reel.board
+                + batch.board
                 + " had to drop "
-                + reel.dropped
+                + batch.dropped
                 + " calls; record a shorter or calmer day");
       }
-      if (sites.putIfAbsent(reel.site, reel.region) == null) {
-        sites.put(reel.site, reel.region);
+      if (sites.putIfAbsent(batch.site, batch.region) == null) {
+        sites.put(batch.site, batch.region);
       }
-      if (reel.last) {
+      if (batch.last) {
         open.remove(life);
       } else {
         open.add(life);
       }
-      own.board(reel.board, reel.site, reel.region, sites);
+      own.board(batch.board, batch.site, batch.region, sites);
       if (other != null) {
-        other.board(reel.board, reel.site, reel.region, sites);
+        other.board(batch.board, batch.site, batch.region, sites);
       }
       final long[] serial = serials.computeIfAbsent(life, name -> new long[1]);
-      for (final RecordingMessages.Note note : Protocol.list(reel.notes)) {
+      for (final RecordingMessages.RequestRecord note : Protocol.list(batch.notes)) {
         if (note.serial != serial[0] + 1) {
-          throw new Breakdown(
-              Breakdown.Kind.INVALID,
+          throw new WeldpointException(
+              WeldpointException.Kind.INVALID,
               "the recording of "
-                  + reel.board
+                  + batch.board
                   + " lacks the calls between "
                   + serial[0]
                   + " and "
@@ -214,9 +216,12 @@
                   + "; record the day anew");
         }
         serial[0] = note.serial;
-        final Call call =
-            new Call(
-                note, reel.board, turn.offset, usual.getOrDefault(note.service, 100.0).longValue());
+        final RecordedCall call =
+            new RecordedCall(
+                note,
+                batch.board,
+                turn.offset,
+                usual.getOrDefault(note.service, 100.0).longValue());
         if (call.work > 0 && note.status >= 200 && note.status < 300) {
           usual.merge(
               note.service, (double) call.work, (before, now) -> before * 0.99 + now * 0.01);
@@ -228,8 +233,8 @@
 
     private void add(final long at, final Object what) {
       if (at < playedTo) {
-        throw new Breakdown(
-            Breakdown.Kind.INVALID,
+        throw new WeldpointException(
+            WeldpointException.Kind.INVALID,
             "the recording is more than "
                 + SORT_MILLIS
                 + " ms out of order; record the day anew, with fewer exchanges out of reach");
@@ -247,17 +252,17 @@
         if (other != null) {
           other.until(at);
         }
-        if (next[2] instanceof DayFile.Control) {
-          control((DayFile.Control) next[2]);
+        if (next[2] instanceof RecordingFile.ControlSnapshot) {
+          control((RecordingFile.ControlSnapshot) next[2]);
         } else {
-          call((Call) next[2]);
+          call((RecordedCall) next[2]);
         }
       }
     }
 
-    private void control(final DayFile.Control control) {
+    private void control(final RecordingFile.ControlSnapshot control) {
       if (control.spec != null) {
-        own.plan(Dialplan.compile(inflater.inflate(control.spec)));
+        own.routingTable(RoutingTable.compile(inflater.inflate(control.spec)));
       }
       own.control(control.registrations, control.evacuated);
       if (other != null) {
@@ -265,9 +270,9 @@
       }
     }
 
-    private void call(final Call call) {
+    private void call(final RecordedCall call) {
       span.calls++;
-      final Outcome[] both = new Outcome[2];
+      final CallOutcome[] both = new CallOutcome[2];
       final Consumer<Integer> ended =
           which -> {
             if (both[0] != null && (other == null || both[1] != null)) {
@@ -303,15 +308,15 @@
   private void pass(final Span span, final boolean alone, final Compared compared)
       throws IOException {
     final EventLoopGroup loop = new NioEventLoopGroup(1);
-    try (DayFile.Reader reader = new DayFile.Reader(day)) {
+    try (RecordingFile.Reader reader = new RecordingFile.Reader(day)) {
       final Pass pass = new Pass(loop, span, alone, compared);
       for (Object part = reader.next(); part != null; part = reader.next()) {
         pass.take(part);
       }
       pass.finish();
       if (span.end.notes != span.calls) {
-        throw new Breakdown(
-            Breakdown.Kind.UNREADABLE,
+        throw new WeldpointException(
+            WeldpointException.Kind.UNREADABLE,
             "the recording holds "
                 + span.calls
                 + " calls and says "
@@ -319,8 +324,9 @@
                 + "; record the day anew");
       }
       if (span.calls == 0) {
-        throw new Breakdown(
-            Breakdown.Kind.INVALID, "the recording holds no calls; record a day with traffic");
+        throw new WeldpointException(
+            WeldpointException.Kind.INVALID,
+            "the recording holds no calls; record a day with traffic");
       }
     } finally {
       loop.shutdownGracefully(0, 0, java.util.concurrent.TimeUnit.MILLISECONDS);
--- a/replay/src/main/java/weldpoint/replay/World.java
+++ b/replay/src/main/java/weldpoint/replay/ReplaySimulator.java
@@ -13,11 +13,11 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.function.Consumer;
-import weldpoint.boot.Boot;
-import weldpoint.dialplan.Binding;
-import weldpoint.dialplan.Dialplan;
-import weldpoint.dialplan.Route;
-import weldpoint.trunk.RegistryMessages.Registration;
+import weldpoint.common.Settings;
+import weldpoint.routing.Route;
+import weldpoint.routing.RouteBinding;
+import weldpoint.routing.RoutingTable;
+import weldpoint.transport.RegistryMessages.Registration;
 import weldpoint.upstream.Headers;
 import weldpoint.upstream.RetryPolicy;
 import weldpoint.upstream.Upstream;
@@ -29,7 +29,7 @@
  * choice of upstreams, budgets and rules for further tries, before scripted upstreams whose work
  * the recording tells.
  */
-final class World {
+final class ReplaySimulator {
   private static final long MARGIN_MILLIS = 15;
   private static final int QUEUE = 2;
 
@@ -52,7 +52,7 @@
   private final String extra;
   private final long seed;
   private final Map<String, UpstreamPool> boards = new HashMap<>();
-  private final Map<String, Boot> boots = new HashMap<>();
+  private final Map<String, Settings> boots = new HashMap<>();
   private final Map<String, Random> chances = new HashMap<>();
   private final Map<String, Model> models = new HashMap<>();
   private final Map<String, Registration> registrations = new HashMap<>();
@@ -63,18 +63,18 @@
                   ? Long.compare(one.at, other.at)
                   : Long.compare(one.order, other.order));
   private List<String> evacuated = List.of();
-  private Dialplan plan;
+  private RoutingTable routingTable;
   private long now = Long.MIN_VALUE / 2;
   private long order;
 
-  World(final EventLoopGroup loop, final String extra, final long seed) {
+  ReplaySimulator(final EventLoopGroup loop, final String extra, final long seed) {
     this.loop = loop;
     this.extra = extra;
     this.seed = seed;
   }
 
-  void plan(final Dialplan given) {
-    plan = given;
+  void routingTable(final RoutingTable given) {
+    routingTable = given;
   }
 
   void control(final List<Registration> changes, final List<String> sites) {
@@ -107,8 +107,8 @@
     sites.forEach(
         (place, home) ->
             places.append(places.length() == 0 ? "" : ",").append(place).append(':').append(home));
-    final Boot boot =
-        Boot.parse(
+    final Settings settings =
+        Settings.parse(
             "station.name = replay\nstation.address = "
                 + address
                 + "\nstation.site = "
@@ -122,8 +122,8 @@
                 + "\n"
                 + extra);
     final Random chance = new Random(seed);
-    final UpstreamPool upstreamPool = new UpstreamPool(loop, boot, chance);
-    boots.put(address, boot);
+    final UpstreamPool upstreamPool = new UpstreamPool(loop, settings, chance);
+    boots.put(address, settings);
     chances.put(address, chance);
     boards.put(address, upstreamPool);
     final List<UpstreamPool.Change> list = new ArrayList<>();
@@ -162,26 +162,26 @@
   }
 
   /** Plays a call; whoever is given hears of its outcome exactly once. */
-  void play(final Call call, final Consumer<Outcome> done) {
+  void play(final RecordedCall call, final Consumer<CallOutcome> done) {
     new Course(call, done).start();
   }
 
   private final class Course {
-    private final Call call;
-    private final Consumer<Outcome> done;
-    private final Outcome outcome = new Outcome();
+    private final RecordedCall call;
+    private final Consumer<CallOutcome> done;
+    private final CallOutcome outcome = new CallOutcome();
     private final List<Upstream> tried = new ArrayList<>();
     private final List<UpstreamPool.Attempt> attempts = new ArrayList<>();
     private final UpstreamPool upstreamPool;
-    private Binding binding;
+    private RouteBinding binding;
     private Route route;
-    private Dialplan.Service service;
+    private RoutingTable.Service service;
     private long cutoff;
     private boolean uncertain;
     private boolean hedged;
     private boolean over;
 
-    private Course(final Call call, final Consumer<Outcome> done) {
+    private Course(final RecordedCall call, final Consumer<CallOutcome> done) {
       this.call = call;
       this.done = done;
       this.upstreamPool = boards.get(call.board);
@@ -190,9 +190,9 @@
     private void start() {
       final Random chance = chances.get(call.board);
       chance.setSeed(call.note.id.hashCode() * 0x9e3779b97f4a7c15L + seed);
-      binding = new Binding(call.note.host, call.note.target, chance.nextDouble());
-      if (!plan.interpret(binding)) {
-        end(Outcome.End.UNROUTED);
+      binding = new RouteBinding(call.note.host, call.note.target, chance.nextDouble());
+      if (!routingTable.interpret(binding)) {
+        end(CallOutcome.End.UNROUTED);
         return;
       }
       route = binding.route();
@@ -206,7 +206,7 @@
       upstreamPool.budget(service.name()).request(now);
       after(cutoff - now, this::giveUp);
       if (!attempt(false)) {
-        end(Outcome.End.REFUSED);
+        end(CallOutcome.End.REFUSED);
       }
     }
 
@@ -309,23 +309,23 @@
       }
       if (end == UpstreamConnection.End.ANSWERED && ran) {
         outcome.region = boots.get(call.board).sites().getOrDefault(upstream.site(), "");
-        end(Outcome.End.SERVED);
+        end(CallOutcome.End.SERVED);
         return;
       }
       uncertain |= ran;
       if (RetryPolicy.mayGoOn(route, uncertain) && attempt(true) || running() > 0) {
         return;
       }
-      end(uncertain ? Outcome.End.LOST : Outcome.End.REFUSED);
+      end(uncertain ? CallOutcome.End.LOST : CallOutcome.End.REFUSED);
     }
 
     private void giveUp() {
       if (!over) {
-        end(uncertain || running() > 0 ? Outcome.End.LOST : Outcome.End.REFUSED);
+        end(uncertain || running() > 0 ? CallOutcome.End.LOST : CallOutcome.End.REFUSED);
       }
     }
 
-    private void end(final Outcome.End end) {
+    private void end(final CallOutcome.End end) {
       over = true;
       outcome.end = end;
       outcome.total = now - call.at;
--- a/replay/src/test/java/weldpoint/replay/DayMaker.java
+++ b/replay/src/test/java/weldpoint/replay/RecordingGenerator.java
@@ -8,16 +8,16 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import weldpoint.dialplan.RouteKind;
-import weldpoint.trunk.RecordingMessages.Note;
-import weldpoint.trunk.RecordingMessages.Reel;
-import weldpoint.trunk.RegistryMessages.Registration;
+import weldpoint.routing.RouteKind;
+import weldpoint.transport.RecordingMessages.RecordingBatch;
+import weldpoint.transport.RecordingMessages.RequestRecord;
+import weldpoint.transport.RegistryMessages.Registration;
 
 /**
  * Makes recorded days by a plain rule of its own: a call takes its work, sometimes an answer is
  * lost.
  */
-final class DayMaker {
+final class RecordingGenerator {
   static final String CONFIRM = "r-confirm";
   static final String LOOKUP = "r-lookup";
   private static final int UPSTREAMS = 20;
@@ -69,7 +69,7 @@
   void write(final Path path, final long seed, final int boards, final int hours, final int perHour)
       throws IOException {
     final Random random = new Random(seed);
-    try (DayFile.Writer writer = new DayFile.Writer(path)) {
+    try (RecordingFile.Writer writer = new RecordingFile.Writer(path)) {
       final List<Registration> upstreams = new ArrayList<>();
       for (int index = 0; index < UPSTREAMS; index++) {
         upstreams.add(
@@ -99,13 +99,13 @@
       }
       upstreams.add(new Registration("s0", "small", "10.9.2.1:80", "port", "v1", 2, 0, 1, 0, 0));
       writer.add(
-          new DayFile.Control(
+          new RecordingFile.ControlSnapshot(
               0, bytes(spec(1, "mutating", 2, 1000, "desk", "")), upstreams, List.of()));
       final long[] serials = new long[boards];
       for (int slice = 0; slice < hours * 360; slice++) {
         final boolean rush = slice / 360 % 12 == 7;
         final int count = perHour / 360 * (rush ? 3 : 1);
-        final List<List<Note>> notes = new ArrayList<>();
+        final List<List<RequestRecord>> notes = new ArrayList<>();
         for (int board = 0; board < boards; board++) {
           notes.add(new ArrayList<>());
         }
@@ -119,15 +119,15 @@
           notes.get(board).add(note(random, at - 1000L * board, ++serials[board]));
         }
         for (int board = 0; board < boards; board++) {
-          final List<Note> list = notes.get(board);
+          final List<RequestRecord> list = notes.get(board);
           if (skip >= 0 && board == 1 && slice == skip && !list.isEmpty()) {
             list.remove(0);
           }
           final boolean last = slice == hours * 360 - 1 && !(silent && board == 0);
           writer.add(
-              new DayFile.Turn(
+              new RecordingFile.TimedBatch(
                   1000L * board,
-                  new Reel(
+                  new RecordingBatch(
                       "10.0.0." + (board + 1),
                       board % 2 == 0 ? "port" : "couva",
                       board % 2 == 0 ? "north" : "south",
@@ -139,12 +139,12 @@
         }
       }
       if (!endless) {
-        writer.add(new DayFile.End(calls + (misnumber >= 0 ? 1 : 0), 0, 3, null));
+        writer.add(new RecordingFile.Trailer(calls + (misnumber >= 0 ? 1 : 0), 0, 3, null));
       }
     }
   }
 
-  private Note note(final Random random, final long at, final long serial) {
+  private RequestRecord note(final Random random, final long at, final long serial) {
     final boolean write = random.nextInt(10) < 3;
     final String id = String.format("%016x", ++calls * 0x9e3779b97f4a7c15L);
     long work = 60 + random.nextInt(200);
@@ -162,7 +162,7 @@
     final String target =
         (write ? "/confirm/" : "/lookup/") + (random.nextInt(50) == 0 ? "vip/" : "") + "x" + calls;
     paths.put(id, target);
-    return new Note(
+    return new RequestRecord(
         serial,
         at,
         id,
--- a/scale/src/main/java/weldpoint/scale/Sizes.java
+++ b/scale/src/main/java/weldpoint/scale/FleetSize.java
@@ -3,10 +3,10 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import weldpoint.boot.Breakdown;
+import weldpoint.common.WeldpointException;
 
 /** The size of one run. */
-public record Sizes(
+public record FleetSize(
     int cores,
     int boards,
     int realBoards,
@@ -22,7 +22,7 @@
   private static final long HOLLOW_BYTES = 400L << 10;
 
   /** A size without tenants. */
-  public Sizes(
+  public FleetSize(
       final int cores,
       final int boards,
       final int realBoards,
@@ -46,7 +46,7 @@
   }
 
   /** This size, checked against what the machine has. */
-  public Sizes checked() {
+  public FleetSize checked() {
     if (cores < 1
         || cores > 40
         || boards < 0
@@ -61,15 +61,15 @@
         || changesPerSecond > 20
         || returnsPerSecond < 0
         || returnsPerSecond > 200) {
-      throw new Breakdown(
-          Breakdown.Kind.USAGE,
+      throw new WeldpointException(
+          WeldpointException.Kind.USAGE,
           "the size "
               + this
               + " makes no sense; give 1 to 40 cores, at least one real switchboard, upstream, service and route, no more services than upstreams, and up to 20 changes and 200 returns a second");
     }
     if (processes() > MOST_PROCESSES) {
-      throw new Breakdown(
-          Breakdown.Kind.USAGE,
+      throw new WeldpointException(
+          WeldpointException.Kind.USAGE,
           processes()
               + " processes are too many for one machine; keep to "
               + MOST_PROCESSES
@@ -77,8 +77,8 @@
     }
     final long half = memory() / 2;
     if (needs() > half) {
-      throw new Breakdown(
-          Breakdown.Kind.USAGE,
+      throw new WeldpointException(
+          WeldpointException.Kind.USAGE,
           "about "
               + (needs() >> 20)
               + " MB are needed and half of this machine's memory is "
@@ -104,10 +104,11 @@
         }
       }
     } catch (final IOException problem) {
-      throw new Breakdown(
-          Breakdown.Kind.UNREADABLE, "/proc/meminfo cannot be read; run this on Linux");
+      throw new WeldpointException(
+          WeldpointException.Kind.UNREADABLE, "/proc/meminfo cannot be read; run this on Linux");
     }
-    throw new Breakdown(
-        Breakdown.Kind.UNREADABLE, "/proc/meminfo does not tell the memory; run this on Linux");
+    throw new WeldpointException(
+        WeldpointException.Kind.UNREADABLE,
+        "/proc/meminfo does not tell the memory; run this on Linux");
   }
 }
