--- a/scale/src/main/java/weldpoint/scale/HistoryMeasure.java
+++ b/scale/src/main/java/weldpoint/scale/HistoryMeasurement.java
@@ -14,14 +14,14 @@
 import weldpoint.audit.AuditReplica;
 import weldpoint.audit.ChangeKind;
 import weldpoint.audit.SegmentStore;
-import weldpoint.trunk.Wire;
+import weldpoint.transport.Serializer;
 
 /**
  * The history alone: what entries take on disk and in memory, and what it costs an empty replica to
  * have them.
  */
-final class HistoryMeasure {
-  private HistoryMeasure() {}
+final class HistoryMeasurement {
+  private HistoryMeasurement() {}
 
   private static SegmentStore store(final Path folder, final int entries) throws IOException {
     final SegmentStore store =
@@ -95,11 +95,11 @@
   private static void pass(
       final AuditReplica[] replicas,
       final int to,
-      final weldpoint.trunk.Message message,
+      final weldpoint.transport.Message message,
       final ArrayDeque<Runnable> queue,
       final long[] wire) {
     wire[0]++;
-    wire[1] += Wire.bytes(message).length;
+    wire[1] += Serializer.serialize(message).length;
     replicas[to].receive(
         "peer", message, answer -> queue.add(() -> pass(replicas, 1 - to, answer, queue, wire)));
   }
--- a/scale/src/main/java/weldpoint/scale/Child.java
+++ b/scale/src/main/java/weldpoint/scale/MeasuredProcess.java
@@ -10,11 +10,11 @@
 import java.util.List;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import weldpoint.boot.Boot;
-import weldpoint.boot.Breakdown;
+import weldpoint.common.Settings;
+import weldpoint.common.WeldpointException;
 
 /** One real daemon as a process of its own, with what it counts of itself. */
-final class Child {
+final class MeasuredProcess {
   private static final Pattern TRUNK =
       Pattern.compile("trunk-in (\\d+) (\\d+) trunk-out (\\d+) (\\d+)");
 
@@ -33,7 +33,8 @@
   private volatile Sample counted;
   private volatile String last = "";
 
-  Child(final String program, final Path settings, final int heapMegabytes) throws IOException {
+  MeasuredProcess(final String program, final Path settings, final int heapMegabytes)
+      throws IOException {
     this.program = program;
     final List<String> words =
         new ArrayList<>(
@@ -50,10 +51,10 @@
                 "-XX:-UsePerfData",
                 "-cp",
                 System.getProperty("java.class.path"),
-                "weldpoint.console.Weldpoint",
+                "weldpoint.cli.Weldpoint",
                 program));
     final ProcessBuilder builder = new ProcessBuilder(words).redirectErrorStream(true);
-    builder.environment().put(Boot.VARIABLE, settings.toString());
+    builder.environment().put(Settings.VARIABLE, settings.toString());
     process = builder.start();
     final Thread reader = new Thread(this::read, "reads-" + program);
     reader.setDaemon(true);
@@ -111,8 +112,8 @@
   /** What the process last counted; fails where it has died. */
   Sample sample() {
     if (!process.isAlive()) {
-      throw new Breakdown(
-          Breakdown.Kind.OUT_OF_REACH,
+      throw new WeldpointException(
+          WeldpointException.Kind.OUT_OF_REACH,
           "a "
               + program
               + " has ended by itself with code "
--- a/scale/src/main/java/weldpoint/scale/ScaleRun.java
+++ b/scale/src/main/java/weldpoint/scale/ScaleRun.java
@@ -16,8 +16,8 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import weldpoint.boot.Boot;
-import weldpoint.boot.Breakdown;
+import weldpoint.common.Settings;
+import weldpoint.common.WeldpointException;
 
 /**
  * One size: real frames, exchanges and switchboards as processes on loopback addresses, with hollow
@@ -29,10 +29,10 @@
   private static final double MOST_APART = 0.25;
   private static final int BEAT_MILLIS = 1500;
 
-  private final Sizes sizes;
+  private final FleetSize sizes;
   private final int ports;
   private final Path folder;
-  private final List<Child> children = new ArrayList<>();
+  private final List<MeasuredProcess> children = new ArrayList<>();
   private final HttpClient client =
       HttpClient.newBuilder()
           .version(HttpClient.Version.HTTP_1_1)
@@ -48,11 +48,11 @@
           });
   private final AtomicLong beats = new AtomicLong();
   private final AtomicLong beatsFailed = new AtomicLong();
-  private Hollows hollows;
+  private SimulatedProxies hollows;
   private long version;
   private int nextUpstream;
 
-  ScaleRun(final Sizes sizes, final int ports) throws IOException {
+  ScaleRun(final FleetSize sizes, final int ports) throws IOException {
     this.sizes = sizes.checked();
     this.ports = ports;
     this.folder = Files.createTempDirectory("weldpoint-scale");
@@ -106,7 +106,7 @@
       throws IOException {
     final Path file = folder.resolve(program + "-" + address);
     Files.writeString(file, settings(address, place, extra));
-    children.add(new Child(program, file, heap));
+    children.add(new MeasuredProcess(program, file, heap));
   }
 
   private String control(final int index) {
@@ -187,8 +187,8 @@
       }
       Thread.sleep(100);
     }
-    throw new Breakdown(
-        Breakdown.Kind.OUT_OF_REACH,
+    throw new WeldpointException(
+        WeldpointException.Kind.OUT_OF_REACH,
         "no configuration was acknowledged in "
             + START_SECONDS
             + " s; run it on a machine with less load");
@@ -229,7 +229,7 @@
    */
   Map<String, Double> measure(final int warmup, final int seconds)
       throws IOException, InterruptedException {
-    final List<Boot> places = new ArrayList<>();
+    final List<Settings> places = new ArrayList<>();
     for (int index = 0; index < sizes.cores(); index++) {
       final String address = core(index);
       final String disk = "station.folder = " + folder.resolve("disk-" + address) + "\n";
@@ -259,17 +259,17 @@
           128);
     }
     for (int index = 0; index < 4; index++) {
-      places.add(Boot.parse(settings("127.0.0.1", place(index), "")));
+      places.add(Settings.parse(settings("127.0.0.1", place(index), "")));
     }
     change();
     final long everyNanos = (long) (BEAT_MILLIS * 1e6 / sizes.upstreams());
     clock.scheduleAtFixedRate(this::beat, 0, Math.max(20_000, everyNanos), TimeUnit.NANOSECONDS);
-    hollows = new Hollows(places, sizes.boards());
+    hollows = new SimulatedProxies(places, sizes.boards());
     final long cutoff = System.nanoTime() + TimeUnit.SECONDS.toNanos(START_SECONDS);
     while (hollows.admitted() < sizes.boards() || beats.get() < sizes.upstreams() || !counted()) {
       if (System.nanoTime() > cutoff) {
-        throw new Breakdown(
-            Breakdown.Kind.OUT_OF_REACH,
+        throw new WeldpointException(
+            WeldpointException.Kind.OUT_OF_REACH,
             "after "
                 + START_SECONDS
                 + " s "
@@ -287,7 +287,7 @@
   }
 
   private boolean counted() {
-    for (final Child child : children) {
+    for (final MeasuredProcess child : children) {
       if (child.sample() == null) {
         return false;
       }
@@ -296,7 +296,7 @@
   }
 
   private Map<String, Double> window(final int seconds) throws InterruptedException {
-    final List<Child.Sample> before = new ArrayList<>();
+    final List<MeasuredProcess.Sample> before = new ArrayList<>();
     children.forEach(child -> before.add(child.sample()));
     final long[] hollowBefore = hollows.in();
     final long beatsBefore = beats.get();
@@ -329,9 +329,9 @@
     final Map<String, double[]> sums = new LinkedHashMap<>();
     final Map<String, Integer> counts = new LinkedHashMap<>();
     for (int index = 0; index < children.size(); index++) {
-      final Child child = children.get(index);
-      final Child.Sample one = before.get(index);
-      final Child.Sample two = child.sample();
+      final MeasuredProcess child = children.get(index);
+      final MeasuredProcess.Sample one = before.get(index);
+      final MeasuredProcess.Sample two = child.sample();
       final double span = (two.atNanos() - one.atNanos()) / 1e9;
       final double[] values = {
         (two.cpuMillis() - one.cpuMillis()) / span,
@@ -384,8 +384,8 @@
     final double hollow = result.get("hollow " + measure);
     final double real = result.get("switchboard " + measure);
     if (Math.abs(hollow - real) > MOST_APART * real) {
-      throw new Breakdown(
-          Breakdown.Kind.INVALID,
+      throw new WeldpointException(
+          WeldpointException.Kind.INVALID,
           String.format(
               java.util.Locale.ROOT,
               "a hollow switchboard has %.1f %s and a real one %.1f; the run gives no slope",
@@ -401,15 +401,15 @@
     if (hollows != null) {
       hollows.end();
     }
-    children.forEach(Child::end);
+    children.forEach(MeasuredProcess::end);
     try {
-      for (int wait = 0; wait < 60 && children.stream().anyMatch(Child::alive); wait++) {
+      for (int wait = 0; wait < 60 && children.stream().anyMatch(MeasuredProcess::alive); wait++) {
         Thread.sleep(50);
       }
     } catch (final InterruptedException ended) {
       Thread.currentThread().interrupt();
     }
-    children.forEach(Child::kill);
+    children.forEach(MeasuredProcess::kill);
     try (java.util.stream.Stream<Path> files = Files.walk(folder)) {
       files.sorted(java.util.Comparator.reverseOrder()).forEach(file -> file.toFile().delete());
     } catch (final IOException left) {
--- a/scale/src/main/java/weldpoint/scale/Hollows.java
+++ b/scale/src/main/java/weldpoint/scale/SimulatedProxies.java
@@ -11,53 +11,54 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import weldpoint.affinity.Ties;
-import weldpoint.boot.Boot;
-import weldpoint.dialplan.Dialplan;
-import weldpoint.proxy.RegistryLink;
-import weldpoint.proxy.Stream;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.Meter;
-import weldpoint.trunk.PlacementMessages;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.RegistryMessages;
-import weldpoint.trunk.TrialMessages;
-import weldpoint.trunk.Trunk;
-import weldpoint.trunk.Wire;
+import weldpoint.affinity.AffinityTable;
+import weldpoint.common.Settings;
+import weldpoint.proxy.RegistryClient;
+import weldpoint.proxy.RegistryStream;
+import weldpoint.routing.RoutingTable;
+import weldpoint.transport.Message;
+import weldpoint.transport.PlacementMessages;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.RegistryMessages;
+import weldpoint.transport.Serializer;
+import weldpoint.transport.TrafficCounters;
+import weldpoint.transport.Transport;
+import weldpoint.transport.TrialMessages;
 
 /**
  * Switchboards without traffic, many to this process: each has its own link, stream and line, the
  * very code of a real one.
  */
-final class Hollows {
+final class SimulatedProxies {
   private static final long TICK_MILLIS = 100;
 
-  private final class Hollow {
-    private final Trunk trunk;
-    private final RegistryLink link;
-    private final Stream stream;
-    private Ties ties;
-
-    private Hollow(final Boot boot, final int index, final long incarnation) {
-      trunk =
-          new Trunk(
-              loop, new Protocol.Hello(Wire.PROTOCOL, "switchboard", address(index), incarnation));
-      stream = new Stream(trunk, desk, boot, () -> {});
-      final RegistryMessages.Board self =
-          new RegistryMessages.Board(
+  private final class SimulatedProxy {
+    private final Transport transport;
+    private final RegistryClient registry;
+    private final RegistryStream stream;
+    private AffinityTable affinity;
+
+    private SimulatedProxy(final Settings settings, final int index, final long incarnation) {
+      transport =
+          new Transport(
+              loop,
+              new Protocol.Hello(Serializer.PROTOCOL, "switchboard", address(index), incarnation));
+      stream = new RegistryStream(transport, desk, settings, () -> {});
+      final RegistryMessages.DaemonEntry self =
+          new RegistryMessages.DaemonEntry(
               address(index),
               address(index) + ":8161",
-              boot.site(),
-              boot.region(),
+              settings.site(),
+              settings.region(),
               incarnation,
               false,
               0);
-      link =
-          new RegistryLink(
+      registry =
+          new RegistryClient(
               self,
-              boot.seeds(),
+              settings.seeds(),
               new Random(incarnation),
-              new RegistryLink.Outlet() {
+              new RegistryClient.Environment() {
                 @Override
                 public void dial(final String to) {
                   stream.dial(to);
@@ -70,16 +71,17 @@
 
                 @Override
                 public void outlook(
-                    final Dialplan plan,
+                    final RoutingTable routingTable,
                     final Map<RegistryMessages.Registration, Boolean> changes,
                     final Set<String> evacuated,
                     final Set<String> suspects,
                     final int switchboards) {
-                  if (plan != null || evacuated != null) {
-                    desk.execute(() -> link().inForce(link().version(), link().mark(), now()));
+                  if (routingTable != null || evacuated != null) {
+                    desk.execute(
+                        () -> registry().inForce(registry().version(), registry().mark(), now()));
                   }
-                  if (plan != null) {
-                    versions.merge(plan.version(), 1, Integer::sum);
+                  if (routingTable != null) {
+                    versions.merge(routingTable.version(), 1, Integer::sum);
                   }
                 }
 
@@ -88,19 +90,22 @@
 
                 @Override
                 public void placements(final PlacementMessages.Placements placements) {
-                  if (ties == null) {
-                    ties =
-                        new Ties(
-                            self.address, incarnation, boot.affinityLeaseMillis(), stream::send);
+                  if (affinity == null) {
+                    affinity =
+                        new AffinityTable(
+                            self.address,
+                            incarnation,
+                            settings.affinityLeaseMillis(),
+                            stream::send);
                   }
-                  ties.take(placements, now());
+                  affinity.take(placements, now());
                   placed.merge(placements.mark, 1, Integer::sum);
                 }
 
                 @Override
                 public void leased(final PlacementMessages.LeaseGrant grant) {
-                  if (ties != null) {
-                    ties.granted(grant, now());
+                  if (affinity != null) {
+                    affinity.granted(grant, now());
                   }
                 }
 
@@ -109,18 +114,18 @@
                   admitted.incrementAndGet();
                 }
               });
-      stream.link(link);
-      link.start(now());
+      stream.registry(registry);
+      registry.start(now());
     }
 
-    private RegistryLink link() {
-      return link;
+    private RegistryClient registry() {
+      return registry;
     }
 
     private void tick() {
-      link.tick(now());
-      if (ties != null) {
-        ties.tick(now());
+      registry.tick(now());
+      if (affinity != null) {
+        affinity.tick(now());
       }
     }
   }
@@ -133,8 +138,8 @@
             thread.setDaemon(true);
             return thread;
           });
-  private final List<Hollow> hollows = new ArrayList<>();
-  private final List<Boot> boots;
+  private final List<SimulatedProxy> hollows = new ArrayList<>();
+  private final List<Settings> boots;
   private final AtomicLong admitted = new AtomicLong();
   private final Map<Long, Integer> versions = new java.util.concurrent.ConcurrentHashMap<>();
   private final Map<Long, Integer> placed = new java.util.concurrent.ConcurrentHashMap<>();
@@ -144,16 +149,16 @@
   private long goneMessages;
 
   /** So many switchboards, spread over these places. */
-  Hollows(final List<Boot> boots, final int count) {
+  SimulatedProxies(final List<Settings> boots, final int count) {
     this.boots = boots;
     desk.execute(
         () -> {
           for (int index = 0; index < count; index++) {
-            hollows.add(new Hollow(boots.get(index % boots.size()), index, ++incarnations));
+            hollows.add(new SimulatedProxy(boots.get(index % boots.size()), index, ++incarnations));
           }
         });
     loop.scheduleAtFixedRate(
-        () -> desk.execute(() -> hollows.forEach(Hollow::tick)),
+        () -> desk.execute(() -> hollows.forEach(SimulatedProxy::tick)),
         TICK_MILLIS,
         TICK_MILLIS,
         TimeUnit.MILLISECONDS);
@@ -173,11 +178,12 @@
         () -> {
           if (!hollows.isEmpty()) {
             final int index = next++ % hollows.size();
-            final Hollow before = hollows.get(index);
-            gone += before.trunk.meter().bytesIn();
-            goneMessages += before.trunk.meter().messagesIn();
+            final SimulatedProxy before = hollows.get(index);
+            gone += before.transport.trafficCounters().bytesIn();
+            goneMessages += before.transport.trafficCounters().messagesIn();
             before.stream.close();
-            hollows.set(index, new Hollow(boots.get(index % boots.size()), index, ++incarnations));
+            hollows.set(
+                index, new SimulatedProxy(boots.get(index % boots.size()), index, ++incarnations));
           }
         });
   }
@@ -204,12 +210,12 @@
     desk.execute(
         () -> {
           final long[] sums = {goneMessages, gone, 0, 0};
-          for (final Hollow one : hollows) {
-            final Meter meter = one.trunk.meter();
-            sums[0] += meter.messagesIn();
-            sums[1] += meter.bytesIn();
-            sums[2] += meter.messagesOut();
-            sums[3] += meter.bytesOut();
+          for (final SimulatedProxy one : hollows) {
+            final TrafficCounters trafficCounters = one.transport.trafficCounters();
+            sums[0] += trafficCounters.messagesIn();
+            sums[1] += trafficCounters.bytesIn();
+            sums[2] += trafficCounters.messagesOut();
+            sums[3] += trafficCounters.bytesOut();
           }
           future.complete(sums);
         });
--- a/rig/src/main/java/weldpoint/rig/ControlFleet.java
+++ b/simulation/src/main/java/weldpoint/simulation/ControlPlaneSimulation.java
@@ -1,4 +1,4 @@
-package weldpoint.rig;
+package weldpoint.simulation;
 
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
@@ -15,25 +15,25 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.function.Consumer;
-import weldpoint.boot.Boot;
-import weldpoint.dialplan.Dialplan;
-import weldpoint.frame.FrameCore;
-import weldpoint.proxy.RegistryLink;
-import weldpoint.registry.ControlDoor;
+import weldpoint.common.Settings;
+import weldpoint.proxy.RegistryClient;
+import weldpoint.registry.ControlServer;
 import weldpoint.registry.RegistryCore;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.RegistryMessages;
-import weldpoint.trunk.StoreCallMessages;
-import weldpoint.trunk.TrialMessages;
-import weldpoint.trunk.Wire;
+import weldpoint.routing.RoutingTable;
+import weldpoint.statestore.StateStoreReplica;
+import weldpoint.transport.Message;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.RegistryMessages;
+import weldpoint.transport.Serializer;
+import weldpoint.transport.StoreMessages;
+import weldpoint.transport.TrialMessages;
 
 /**
  * Whole control sides on a fake clock, a fake network and fake disks, driven by one seed: on each
  * core machine a frame and an exchange with its door, on the others a switchboard's link. All run
  * the product's own code.
  */
-public final class ControlFleet {
+public final class ControlPlaneSimulation {
   /** How often the steps of a life that are due by time are run. */
   private static final long TICK_MILLIS = 50;
 
@@ -49,7 +49,7 @@
   private record Event(long at, long order, Runnable deed) {}
 
   /** What the rig's user is told of switchboards. */
-  public interface Watcher {
+  public interface Observer {
     /** A switchboard has taken a configuration up; the first of its life makes it ready. */
     void takenUp(Machine board, long life, long startedAt, long version, byte[] spec);
 
@@ -61,7 +61,7 @@
   }
 
   /** What a test may do to messages on their way; it stands for a broken variant. */
-  public interface Meddler {
+  public interface FaultInjector {
     /** A machine's processes start. */
     default void started(final String machine) {}
 
@@ -103,12 +103,12 @@
     final String site;
     final String region;
     final boolean core;
-    final FakeDisk disk = new FakeDisk(ControlFleet.this);
-    final FakeDisk.Records frameRecords = disk.new Records();
-    final FakeDisk.Records exchangeRecords = disk.new Records();
-    final FakeDisk.Entries entries = disk.new Entries();
+    final SimulatedDisk disk = new SimulatedDisk(ControlPlaneSimulation.this);
+    final SimulatedDisk.Records frameRecords = disk.new Records();
+    final SimulatedDisk.Records exchangeRecords = disk.new Records();
+    final SimulatedDisk.Entries entries = disk.new Entries();
     List<String> seeds;
-    private Life life;
+    private Incarnation life;
     private boolean powered = true;
     private int frozen;
     private long slowMillis;
@@ -122,7 +122,7 @@
       this.site = site;
       this.region = region;
       this.core = core;
-      this.seeds = ControlFleet.this.seeds;
+      this.seeds = ControlPlaneSimulation.this.seeds;
     }
 
     /** Its address. */
@@ -154,8 +154,8 @@
     }
 
     /** The frame of the moment; null while there is none. */
-    public FrameCore frame() {
-      return life == null ? null : life.frame;
+    public StateStoreReplica frame() {
+      return life == null ? null : life.replica;
     }
 
     /** The exchange of the moment; null while there is none. */
@@ -185,29 +185,29 @@
   }
 
   /** One life of a machine's programs. */
-  final class Life {
+  final class Incarnation {
     private final Machine machine;
     private final long startedAt = now;
     private final ArrayDeque<Runnable> inbox = new ArrayDeque<>();
     private long busyUntil;
     private boolean draining;
-    private FrameCore frame;
+    private StateStoreReplica replica;
     private RegistryCore exchange;
-    private ControlDoor door;
-    private RegistryLink link;
-    private FakeDisk.Writer frameWriter;
-    private FakeDisk.Writer exchangeWriter;
-    private Dialler boardDialler;
+    private ControlServer server;
+    private RegistryClient registry;
+    private SimulatedDisk.Writer frameWriter;
+    private SimulatedDisk.Writer exchangeWriter;
+    private Connector boardDialler;
     private long version;
     private Set<String> evacuated = Set.of();
     private final Map<String, RegistryMessages.Registration> upstreams = new LinkedHashMap<>();
     private byte[] lastSpec;
-    private final List<FakeLine> lines = new ArrayList<>();
-    private final Lines frames = new Lines(this, Port.FRAME);
-    private final Lines members = new Lines(this, Port.EXCHANGE);
-    private final Lines calls = new Lines(this, Port.FRAME_CALLS);
+    private final List<SimulatedConnection> lines = new ArrayList<>();
+    private final Connections frames = new Connections(this, Port.FRAME);
+    private final Connections members = new Connections(this, Port.EXCHANGE);
+    private final Connections calls = new Connections(this, Port.FRAME_CALLS);
 
-    private Life(final Machine machine) {
+    private Incarnation(final Machine machine) {
       this.machine = machine;
     }
 
@@ -262,20 +262,24 @@
   }
 
   /** Keeps one line to an address open, dialling again after it ends. */
-  private final class Dialler {
-    private final Life life;
+  private final class Connector {
+    private final Incarnation life;
     private final String to;
     private final Port port;
-    private final FakeLine.Ear ear;
-    private FakeLine line;
+    private final SimulatedConnection.Receiver receiver;
+    private SimulatedConnection connection;
     private boolean ended;
     private long pause = DIAL_MILLIS;
 
-    private Dialler(final Life life, final String to, final Port port, final FakeLine.Ear ear) {
+    private Connector(
+        final Incarnation life,
+        final String to,
+        final Port port,
+        final SimulatedConnection.Receiver receiver) {
       this.life = life;
       this.to = to;
       this.port = port;
-      this.ear = ear;
+      this.receiver = receiver;
       after(1, this::connect);
     }
 
@@ -299,50 +303,50 @@
         after(2 * delay(life.machine, target), this::again);
         return;
       }
-      line =
+      connection =
           open(
               life,
               to,
               port,
-              new FakeLine.Ear() {
+              new SimulatedConnection.Receiver() {
                 @Override
-                public void opened(final FakeLine opened) {
+                public void opened(final SimulatedConnection opened) {
                   if (ended) {
                     opened.close();
                     return;
                   }
                   pause = DIAL_MILLIS;
-                  ear.opened(opened);
+                  receiver.opened(opened);
                 }
 
                 @Override
-                public void heard(final FakeLine heard, final Message message) {
-                  ear.heard(heard, message);
+                public void heard(final SimulatedConnection heard, final Message message) {
+                  receiver.heard(heard, message);
                 }
 
                 @Override
-                public void closed(final FakeLine closed) {
-                  line = null;
+                public void closed(final SimulatedConnection closed) {
+                  connection = null;
                   if (!ended) {
-                    ear.closed(closed);
+                    receiver.closed(closed);
                   }
                   again();
                 }
               });
-      watchGreeting(line);
+      watchGreeting(connection);
     }
 
     /** A line that is given up before its hello is dialled again. */
-    private void watchGreeting(final FakeLine opening) {
+    private void watchGreeting(final SimulatedConnection opening) {
       after(
           100,
           () -> {
-            if (line == opening && life.lives()) {
+            if (connection == opening && life.lives()) {
               if (opening.usable()) {
                 return;
               }
               if (opening.over() || !opening.dials()) {
-                line = null;
+                connection = null;
                 again();
                 return;
               }
@@ -359,36 +363,36 @@
     }
 
     private boolean send(final Message message) {
-      if (line == null || !line.usable()) {
+      if (connection == null || !connection.usable()) {
         return false;
       }
-      line.send(message);
+      connection.send(message);
       return true;
     }
 
     private void close() {
       ended = true;
-      if (line != null) {
-        line.close();
+      if (connection != null) {
+        connection.close();
       }
     }
   }
 
   /** Lines kept to a wanted set of addresses. */
-  private final class Lines {
-    private final Life life;
+  private final class Connections {
+    private final Incarnation life;
     private final Port port;
-    private final Map<String, Dialler> diallers = new LinkedHashMap<>();
-    private java.util.function.Function<String, FakeLine.Ear> ears;
+    private final Map<String, Connector> diallers = new LinkedHashMap<>();
+    private java.util.function.Function<String, SimulatedConnection.Receiver> ears;
 
-    private Lines(final Life life, final Port port) {
+    private Connections(final Incarnation life, final Port port) {
       this.life = life;
       this.port = port;
     }
 
     private void keep(final List<String> addresses) {
       for (final String address : addresses) {
-        diallers.computeIfAbsent(address, to -> new Dialler(life, to, port, ears.apply(to)));
+        diallers.computeIfAbsent(address, to -> new Connector(life, to, port, ears.apply(to)));
       }
       diallers
           .entrySet()
@@ -403,8 +407,8 @@
     }
 
     private boolean send(final String address, final Message message) {
-      final Dialler dialler = diallers.get(address);
-      return dialler != null && dialler.send(message);
+      final Connector connector = diallers.get(address);
+      return connector != null && connector.send(message);
     }
   }
 
@@ -418,8 +422,8 @@
   private final Map<String, Machine> machines = new LinkedHashMap<>();
   private final Map<String, Integer> cuts = new HashMap<>();
   private final List<String> seeds;
-  private final Watcher watcher;
-  private Meddler meddler = new Meddler() {};
+  private final Observer observer;
+  private FaultInjector faultInjector = new FaultInjector() {};
   private long now = 1_000_000;
   private long order;
   private int lineNumbers;
@@ -428,15 +432,16 @@
   private byte[] sealedBytes;
 
   /** A fleet without machines. */
-  public ControlFleet(final long seed, final List<String> seeds, final Watcher watcher) {
+  public ControlPlaneSimulation(
+      final long seed, final List<String> seeds, final Observer observer) {
     this.random = new Random(seed);
     this.seeds = seeds;
-    this.watcher = watcher;
+    this.observer = observer;
   }
 
   /** Lets a test meddle. */
-  public void meddler(final Meddler given) {
-    meddler = given;
+  public void faultInjector(final FaultInjector given) {
+    faultInjector = given;
   }
 
   // ---- time
@@ -482,7 +487,7 @@
   byte[] bytes(final Message message) {
     if (message != sealed) {
       sealed = message;
-      sealedBytes = Wire.bytes(message);
+      sealedBytes = Serializer.serialize(message);
     }
     return sealedBytes;
   }
@@ -490,50 +495,59 @@
   void heard(
       final String from,
       final String to,
-      final FakeLine line,
+      final SimulatedConnection connection,
       final Message message,
       final Consumer<Message> ear) {
-    meddler.heard(from, to, message, ear);
+    faultInjector.heard(from, to, message, ear);
   }
 
-  private FakeLine open(final Life from, final String to, final Port port, final FakeLine.Ear ear) {
-    final Life target = machines.get(to).life;
-    final FakeLine line =
-        new FakeLine(this, ++lineNumbers, from, ear, target, listener(target, port));
-    from.lines.removeIf(FakeLine::over);
-    from.lines.add(line);
+  private SimulatedConnection open(
+      final Incarnation from,
+      final String to,
+      final Port port,
+      final SimulatedConnection.Receiver receiver) {
+    final Incarnation target = machines.get(to).life;
+    final SimulatedConnection connection =
+        new SimulatedConnection(
+            this, ++lineNumbers, from, receiver, target, listener(target, port));
+    from.lines.removeIf(SimulatedConnection::over);
+    from.lines.add(connection);
     if (from != target) {
-      target.lines.removeIf(FakeLine::over);
-      target.lines.add(line);
+      target.lines.removeIf(SimulatedConnection::over);
+      target.lines.add(connection);
     }
-    return line;
+    return connection;
   }
 
-  private FakeLine.Ear listener(final Life life, final Port port) {
+  private SimulatedConnection.Receiver listener(final Incarnation life, final Port port) {
     return switch (port) {
-      case FRAME -> (line, message) -> life.frame.receive(line.from(), message, line::reply, now);
+      case FRAME ->
+          (connection, message) ->
+              life.replica.receive(connection.from(), message, connection::reply, now);
       case FRAME_CALLS ->
-          (line, message) -> life.frame.call((StoreCallMessages.Call) message, line::reply, now);
+          (connection, message) ->
+              life.replica.call((StoreMessages.StoreRequest) message, connection::reply, now);
       case EXCHANGE ->
-          (line, message) -> life.exchange.receive(line.from(), message, line::reply, now);
+          (connection, message) ->
+              life.exchange.receive(connection.from(), message, connection::reply, now);
       case BOARDS ->
-          new FakeLine.Ear() {
+          new SimulatedConnection.Receiver() {
             @Override
-            public void heard(final FakeLine line, final Message message) {
-              if (message instanceof RegistryMessages.BoardState) {
+            public void heard(final SimulatedConnection connection, final Message message) {
+              if (message instanceof RegistryMessages.DaemonReport) {
                 life.exchange.boardState(
-                    line,
-                    ((RegistryMessages.BoardState) message).board,
-                    Protocol.list(((RegistryMessages.BoardState) message).buckets),
+                    connection,
+                    ((RegistryMessages.DaemonReport) message).entry,
+                    Protocol.list(((RegistryMessages.DaemonReport) message).buckets),
                     now);
               } else {
-                life.exchange.receive(line.from(), message, line::reply, now);
+                life.exchange.receive(connection.from(), message, connection::reply, now);
               }
             }
 
             @Override
-            public void closed(final FakeLine line) {
-              life.exchange.streamClosed(line, line.from(), now);
+            public void closed(final SimulatedConnection connection) {
+              life.exchange.streamClosed(connection, connection.from(), now);
             }
           };
     };
@@ -571,8 +585,8 @@
     }
     machine.powered = true;
     machine.lives++;
-    meddler.started(machine.address);
-    final Life life = new Life(machine);
+    faultInjector.started(machine.address);
+    final Incarnation life = new Incarnation(machine);
     machine.life = life;
     if (machine.core) {
       startFrame(life, first);
@@ -583,7 +597,7 @@
     tick(life);
   }
 
-  private void tick(final Life life) {
+  private void tick(final Incarnation life) {
     after(
         TICK_MILLIS,
         () -> {
@@ -593,14 +607,14 @@
           if (!life.machine.frozen()) {
             life.run(
                 () -> {
-                  if (life.frame != null) {
-                    life.frame.disk(
+                  if (life.replica != null) {
+                    life.replica.disk(
                         life.frameWriter.busyMillis(), life.frameWriter.refusing(), now);
-                    life.frame.tick(now);
-                    life.door.awake();
+                    life.replica.tick(now);
+                    life.server.awake();
                     life.exchange.tick(now);
                   } else {
-                    life.link.tick(now);
+                    life.registry.tick(now);
                   }
                 });
           }
@@ -608,24 +622,24 @@
         });
   }
 
-  private void startFrame(final Life life, final boolean first) {
+  private void startFrame(final Incarnation life, final boolean first) {
     final Machine machine = life.machine;
     final List<byte[]> found = machine.frameRecords.lasting();
     life.frames.ears =
         to ->
-            new FakeLine.Ear() {
+            new SimulatedConnection.Receiver() {
               @Override
-              public void heard(final FakeLine line, final Message message) {
-                life.frame.receive(to, message, line::send, now);
+              public void heard(final SimulatedConnection connection, final Message message) {
+                life.replica.receive(to, message, connection::send, now);
               }
 
               @Override
-              public void closed(final FakeLine line) {
-                life.frame.lineClosed(to, now);
+              public void closed(final SimulatedConnection connection) {
+                life.replica.lineClosed(to, now);
               }
             };
-    life.frame =
-        new FrameCore(
+    life.replica =
+        new StateStoreReplica(
             machine.address,
             machine.site,
             machine.region,
@@ -635,7 +649,7 @@
             ++incarnations,
             new Random(random.nextLong()),
             machine.seeds,
-            new FrameCore.Outlet() {
+            new StateStoreReplica.Environment() {
               @Override
               public void send(final String to, final Message message) {
                 life.frames.send(to, message);
@@ -643,7 +657,8 @@
 
               @Override
               public void append(final byte[] record, final Runnable synced) {
-                meddler.append(machine.address, "frame", record, synced, life.frameWriter::append);
+                faultInjector.append(
+                    machine.address, "frame", record, synced, life.frameWriter::append);
               }
 
               @Override
@@ -656,44 +671,45 @@
                 return now + machine.clockStep;
               }
             });
-    life.frameWriter = machine.disk.new Writer(machine.frameRecords, life, () -> life.frame.view());
-    life.frame.history(machine.disk.new EntryStore(machine.entries, life), ENTRIES, ENTRY_BYTES);
-    life.frame.start(found, first && found.isEmpty(), now);
+    life.frameWriter =
+        machine.disk.new Writer(machine.frameRecords, life, () -> life.replica.view());
+    life.replica.history(machine.disk.new EntryStore(machine.entries, life), ENTRIES, ENTRY_BYTES);
+    life.replica.start(found, first && found.isEmpty(), now);
     life.frameWriter.begin();
   }
 
-  private void startExchange(final Life life, final boolean first) {
+  private void startExchange(final Incarnation life, final boolean first) {
     final Machine machine = life.machine;
     life.members.ears =
         to ->
-            new FakeLine.Ear() {
+            new SimulatedConnection.Receiver() {
               @Override
-              public void opened(final FakeLine line) {
+              public void opened(final SimulatedConnection connection) {
                 life.exchange.memberOpened(to, now);
               }
 
               @Override
-              public void heard(final FakeLine line, final Message message) {
-                life.exchange.receive(to, message, line::send, now);
+              public void heard(final SimulatedConnection connection, final Message message) {
+                life.exchange.receive(to, message, connection::send, now);
               }
 
               @Override
-              public void closed(final FakeLine line) {
+              public void closed(final SimulatedConnection connection) {
                 life.exchange.memberClosed(to, now);
               }
             };
     life.calls.ears =
         to ->
-            new FakeLine.Ear() {
+            new SimulatedConnection.Receiver() {
               @Override
-              public void heard(final FakeLine line, final Message message) {
-                if (message instanceof StoreCallMessages.Answer) {
-                  life.exchange.answered(to, (StoreCallMessages.Answer) message, now);
+              public void heard(final SimulatedConnection connection, final Message message) {
+                if (message instanceof StoreMessages.StoreResponse) {
+                  life.exchange.answered(to, (StoreMessages.StoreResponse) message, now);
                 }
               }
 
               @Override
-              public void closed(final FakeLine line) {
+              public void closed(final SimulatedConnection connection) {
                 life.exchange.frameClosed(to, now);
               }
             };
@@ -705,25 +721,25 @@
             first && found.isEmpty(),
             BEAT_MILLIS,
             new Random(random.nextLong()),
-            new RegistryCore.Outlet() {
+            new RegistryCore.Environment() {
               @Override
               public boolean member(final String address, final Message message) {
                 return life.members.send(address, message);
               }
 
               @Override
-              public boolean frame(final String address, final StoreCallMessages.Call call) {
+              public boolean frame(final String address, final StoreMessages.StoreRequest call) {
                 return life.calls.send(address, call);
               }
 
               @Override
               public void board(final Object stream, final Message message) {
-                ((FakeLine) stream).reply(message);
+                ((SimulatedConnection) stream).reply(message);
               }
 
               @Override
               public void append(final byte[] record, final Runnable synced) {
-                meddler.append(
+                faultInjector.append(
                     machine.address, "exchange", record, synced, life.exchangeWriter::append);
               }
 
@@ -740,9 +756,9 @@
     life.exchange.place(machine.site, machine.region);
     life.exchange.start(found, now);
     life.exchangeWriter.begin();
-    life.door =
-        new ControlDoor(
-            Boot.parse(
+    life.server =
+        new ControlServer(
+            Settings.parse(
                 "station.name = one\nstation.address = "
                     + machine.address
                     + "\nstation.site = "
@@ -756,7 +772,7 @@
                     + ":80\n"),
             life.exchange,
             Runnable::run,
-            new ControlDoor.Clock() {
+            new ControlServer.Clock() {
               @Override
               public long steadyMillis() {
                 return now;
@@ -769,10 +785,10 @@
             });
   }
 
-  private void startBoard(final Life life) {
+  private void startBoard(final Incarnation life) {
     final Machine machine = life.machine;
-    final RegistryMessages.Board self =
-        new RegistryMessages.Board(
+    final RegistryMessages.DaemonEntry self =
+        new RegistryMessages.DaemonEntry(
             machine.address,
             machine.address + ":90",
             machine.site,
@@ -780,40 +796,41 @@
             ++incarnations,
             false,
             0);
-    life.link =
-        new RegistryLink(
+    life.registry =
+        new RegistryClient(
             self,
             machine.seeds,
             new Random(random.nextLong()),
-            new RegistryLink.Outlet() {
+            new RegistryClient.Environment() {
               @Override
               public void dial(final String address) {
                 if (life.boardDialler != null) {
                   life.boardDialler.close();
                 }
                 life.boardDialler =
-                    new Dialler(
+                    new Connector(
                         life,
                         address,
                         Port.BOARDS,
-                        new FakeLine.Ear() {
+                        new SimulatedConnection.Receiver() {
                           @Override
-                          public void opened(final FakeLine line) {
-                            life.link.opened(now);
+                          public void opened(final SimulatedConnection connection) {
+                            life.registry.opened(now);
                           }
 
                           @Override
-                          public void heard(final FakeLine line, final Message message) {
+                          public void heard(
+                              final SimulatedConnection connection, final Message message) {
                             if (message instanceof RegistryMessages.View
                                 && ((RegistryMessages.View) message).spec != null) {
                               life.lastSpec = ((RegistryMessages.View) message).spec;
                             }
-                            life.link.heard(message, now);
+                            life.registry.heard(message, now);
                           }
 
                           @Override
-                          public void closed(final FakeLine line) {
-                            life.link.closed(now);
+                          public void closed(final SimulatedConnection connection) {
+                            life.registry.closed(now);
                           }
                         });
               }
@@ -825,20 +842,26 @@
 
               @Override
               public void outlook(
-                  final Dialplan plan,
+                  final RoutingTable routingTable,
                   final Map<RegistryMessages.Registration, Boolean> changes,
                   final Set<String> evacuated,
                   final Set<String> suspects,
                   final int switchboards) {
-                if (plan != null) {
-                  life.version = plan.version();
-                  watcher.takenUp(
-                      machine, machine.lives, life.startedAt, plan.version(), life.lastSpec);
+                if (routingTable != null) {
+                  life.version = routingTable.version();
+                  observer.takenUp(
+                      machine,
+                      machine.lives,
+                      life.startedAt,
+                      routingTable.version(),
+                      life.lastSpec);
                   after(
                       5,
                       () ->
                           life.run(
-                              () -> life.link.inForce(life.link.version(), life.link.mark(), now)));
+                              () ->
+                                  life.registry.inForce(
+                                      life.registry.version(), life.registry.mark(), now)));
                 }
                 changes.forEach(
                     (registration, open) -> {
@@ -847,11 +870,11 @@
                       } else {
                         life.upstreams.remove(registration.id);
                       }
-                      watcher.upstream(machine, registration, open);
+                      observer.upstream(machine, registration, open);
                     });
                 if (evacuated != null) {
                   life.evacuated = evacuated;
-                  watcher.evacuated(machine, evacuated);
+                  observer.evacuated(machine, evacuated);
                 }
               }
 
@@ -861,7 +884,7 @@
               @Override
               public void admitted() {}
             });
-    life.link.start(now);
+    life.registry.start(now);
   }
 
   // ---- troubles
@@ -871,7 +894,7 @@
    * nobody is told.
    */
   public void kill(final Machine machine, final boolean power) {
-    final Life life = machine.life;
+    final Incarnation life = machine.life;
     if (life == null) {
       machine.powered &= !power;
       return;
@@ -883,28 +906,28 @@
     machine.life = null;
     machine.powered = !power;
     if (!power) {
-      life.lines.forEach(line -> line.ended(life));
+      life.lines.forEach(connection -> connection.ended(life));
     }
   }
 
   /** Asks the processes of a machine to end; they are gone a little later. */
   public void stop(final Machine machine, final Runnable then) {
-    final Life life = machine.life;
+    final Incarnation life = machine.life;
     if (life == null) {
       then.run();
       return;
     }
     life.run(
         () -> {
-          if (life.frame != null) {
-            life.frame.leave(() -> {}, now);
+          if (life.replica != null) {
+            life.replica.leave(() -> {}, now);
             life.exchange.leave();
           } else {
-            life.link.leave(now);
+            life.registry.leave(now);
           }
         });
     after(
-        life.frame == null ? 1500 : 450,
+        life.replica == null ? 1500 : 450,
         () -> {
           if (life.lives()) {
             kill(machine, false);
@@ -953,7 +976,9 @@
     if (!cut(from, to)) {
       cuts.remove(from.address + ">" + to.address);
       if (from.life != null) {
-        from.life.lines.stream().filter(line -> line.joins(to)).forEach(FakeLine::healed);
+        from.life.lines.stream()
+            .filter(connection -> connection.joins(to))
+            .forEach(SimulatedConnection::healed);
       }
     }
   }
@@ -961,9 +986,9 @@
   /** Resets a share of a machine's connections. */
   public void reset(final Machine machine, final double share, final Random chance) {
     if (machine.life != null) {
-      for (final FakeLine line : new ArrayList<>(machine.life.lines)) {
+      for (final SimulatedConnection connection : new ArrayList<>(machine.life.lines)) {
         if (chance.nextDouble() < share) {
-          line.reset();
+          connection.reset();
         }
       }
     }
@@ -972,15 +997,15 @@
   /** Gives a machine other seeds, by its settings file and SIGHUP. */
   public void seeds(final Machine machine, final List<String> given) {
     machine.seeds = given;
-    final Life life = machine.life;
+    final Incarnation life = machine.life;
     if (life != null) {
       life.run(
           () -> {
-            if (life.frame != null) {
-              life.frame.seeds(given);
+            if (life.replica != null) {
+              life.replica.seeds(given);
               life.exchange.seeds(given, now);
             } else {
-              life.link.seeds(given);
+              life.registry.seeds(given);
             }
           });
     }
@@ -989,7 +1014,7 @@
   // ---- outside calls
 
   /** One call that is under way. */
-  public final class Calling {
+  public final class PendingCall {
     private long closedAt = Long.MAX_VALUE;
 
     /**
@@ -1005,13 +1030,13 @@
    * A call over HTTP to a machine's door, from a caller whom no cut concerns; the answer is given
    * once, unless it never comes.
    */
-  public Calling http(
+  public PendingCall http(
       final String to,
       final HttpMethod method,
       final String uri,
       final String body,
       final Consumer<Reply> then) {
-    final Calling calling = new Calling();
+    final PendingCall calling = new PendingCall();
     final Machine machine = machines.get(to);
     final long trip = 1 + random.nextInt(12);
     after(
@@ -1020,22 +1045,22 @@
           if (machine == null || !machine.powered) {
             return;
           }
-          final Life life = machine.life;
-          if (life == null || life.door == null) {
+          final Incarnation life = machine.life;
+          if (life == null || life.server == null) {
             after(trip, () -> then.accept(Reply.FAILED));
             return;
           }
           final boolean[] done = new boolean[1];
           life.run(
               () ->
-                  life.door.call(
+                  life.server.call(
                       new DefaultFullHttpRequest(
                           HttpVersion.HTTP_1_1,
                           method,
                           uri,
                           Unpooled.copiedBuffer(body, StandardCharsets.UTF_8)),
                       "10.9.9.9",
-                      new ControlDoor.Caller() {
+                      new ControlServer.ResponseCallback() {
                         private final long readAt = now;
 
                         @Override
@@ -1047,7 +1072,7 @@
                         public void answer(
                             final int status, final byte[] answer, final String location) {
                           if (life.lives()) {
-                            meddler.answered(
+                            faultInjector.answered(
                                 machine.address,
                                 uri,
                                 new Reply(
@@ -1072,7 +1097,7 @@
   /** Where the process ends before it has answered, the caller's connection fails. */
   private void broken(
       final Machine machine,
-      final Life life,
+      final Incarnation life,
       final boolean[] done,
       final long trip,
       final Consumer<Reply> then) {
--- a/rig/src/main/java/weldpoint/rig/Text.java
+++ b/simulation/src/main/java/weldpoint/simulation/RequestBodies.java
@@ -1,17 +1,17 @@
-package weldpoint.rig;
+package weldpoint.simulation;
 
 import java.nio.charset.StandardCharsets;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import weldpoint.trunk.Packing;
+import weldpoint.transport.Compression;
 
 /** What scripted callers write and read: bodies of the control interface. */
-final class Text {
+final class RequestBodies {
   private static final Pattern TAG = Pattern.compile("\"name\":\"tag-(\\w+)\"");
   private static final Pattern VERSION = Pattern.compile("\"version\":\"(\\w+)\"");
   private static final Pattern LOCATION = Pattern.compile("http://([0-9.]+)(?::[0-9]+)?(/.*)");
 
-  private Text() {}
+  private RequestBodies() {}
 
   /** A configuration whose content is named by a tag. */
   static String configuration(final long version, final String tag, final String flaw) {
@@ -36,7 +36,7 @@
 
   /** The tag of a configuration as it travels inside. */
   static String tag(final byte[] spec) {
-    return tag(new String(Packing.inflate(spec), StandardCharsets.UTF_8));
+    return tag(new String(Compression.inflate(spec), StandardCharsets.UTF_8));
   }
 
   /** The version of a configuration. */
--- a/rig/src/main/java/weldpoint/rig/Applications.java
+++ b/simulation/src/main/java/weldpoint/simulation/SimulatedApplications.java
@@ -1,4 +1,4 @@
-package weldpoint.rig;
+package weldpoint.simulation;
 
 import io.netty.handler.codec.http.HttpMethod;
 import java.util.ArrayList;
@@ -15,7 +15,7 @@
  * Applications that take locks, ask for numbers, put and read keys, and watch groups, as the pages
  * say.
  */
-final class Applications {
+final class SimulatedApplications {
   private static final Pattern EVENT =
       Pattern.compile("\\{\"name\":\"([^\"]*)\",\"value\":\"([^\"]*)\",\"revision\":(\\d+)\\}");
   private static final long HOLD_MILLIS = 1500;
@@ -26,11 +26,11 @@
 
   private record Seen(long after, long revision, List<Long> revisions) {}
 
-  private final ControlFleet fleet;
-  private final ControlLedger control;
-  private final Ledger ledger = new Ledger();
+  private final ControlPlaneSimulation simulation;
+  private final ControlPlaneChecker control;
+  private final SequentialModelChecker checker = new SequentialModelChecker();
   private final Random random;
-  private final Caller caller;
+  private final SimulatedClient caller;
   private final Map<String, Long> known = new HashMap<>();
   private final Map<String, TreeMap<Long, String>> acked = new HashMap<>();
   private final Map<String, List<Seen>> seen = new HashMap<>();
@@ -39,12 +39,12 @@
   private int told;
   private boolean ended;
 
-  Applications(
-      final ControlFleet fleet,
-      final ControlLedger control,
+  SimulatedApplications(
+      final ControlPlaneSimulation simulation,
+      final ControlPlaneChecker control,
       final Random random,
-      final Caller caller) {
-    this.fleet = fleet;
+      final SimulatedClient caller) {
+    this.simulation = simulation;
     this.control = control;
     this.random = random;
     this.caller = caller;
@@ -53,13 +53,13 @@
   void begin() {
     for (int owner = 0; owner < 3; owner++) {
       final String name = "o" + owner;
-      fleet.after(3000 + random.nextInt(1000), () -> take("l" + random.nextInt(2), name));
+      simulation.after(3000 + random.nextInt(1000), () -> take("l" + random.nextInt(2), name));
     }
-    fleet.after(3000, this::number);
-    fleet.after(3000, this::put);
-    fleet.after(3000, this::read);
-    fleet.after(3000, () -> watch("g0.", 0, fleet.now()));
-    fleet.after(3000, () -> watch("g1.", 0, fleet.now()));
+    simulation.after(3000, this::number);
+    simulation.after(3000, this::put);
+    simulation.after(3000, this::read);
+    simulation.after(3000, () -> watch("g0.", 0, simulation.now()));
+    simulation.after(3000, () -> watch("g1.", 0, simulation.now()));
   }
 
   void end() {
@@ -70,7 +70,7 @@
         for (final long revision : puts.subMap(one.after, false, one.revision, true).keySet()) {
           if (!one.revisions.contains(revision)) {
             control.breach(
-                fleet.now(),
+                simulation.now(),
                 "a watch of "
                     + group.getKey()
                     + " after "
@@ -86,13 +86,13 @@
   }
 
   long answers() {
-    return ledger.answers();
+    return checker.answers();
   }
 
   /** Notes when the ledger first found something. */
   private void note() {
-    while (told < ledger.breaches().size()) {
-      control.breach(fleet.now(), ledger.breaches().get(told++));
+    while (told < checker.breaches().size()) {
+      control.breach(simulation.now(), checker.breaches().get(told++));
     }
   }
 
@@ -101,13 +101,13 @@
       final String of,
       final String body,
       final long patience,
-      final Consumer<Caller.End> then) {
+      final Consumer<SimulatedClient.End> then) {
     caller.call(
         null,
         HttpMethod.POST,
         "/api/rpc?call=" + call + "&of=" + of,
         body,
-        Caller.SILENCE_MILLIS,
+        SimulatedClient.SILENCE_MILLIS,
         patience,
         NOTHING,
         end -> {
@@ -129,11 +129,11 @@
         3000,
         end -> {
           if (!end.good()) {
-            fleet.after(200 + random.nextInt(400), () -> take(lock, owner));
+            simulation.after(200 + random.nextInt(400), () -> take(lock, owner));
             return;
           }
-          final long fence = Text.number(end.body(), "fenceNumber");
-          ledger.taken(lock, owner, fence, end.sentAt(), fleet.now(), HOLD_MILLIS);
+          final long fence = RequestBodies.number(end.body(), "fenceNumber");
+          checker.taken(lock, owner, fence, end.sentAt(), simulation.now(), HOLD_MILLIS);
           hold(lock, owner, fence, end.sentAt() + HOLD_MILLIS, random.nextInt(4));
         });
   }
@@ -144,20 +144,20 @@
       final long fence,
       final long until,
       final int renewals) {
-    final long rest = until - fleet.now();
+    final long rest = until - simulation.now();
     if (rest <= 100) {
-      fleet.after(300 + random.nextInt(500), () -> take("l" + random.nextInt(2), owner));
+      simulation.after(300 + random.nextInt(500), () -> take("l" + random.nextInt(2), owner));
       return;
     }
     if (random.nextInt(8) == 0) {
-      fleet.after(rest + random.nextInt(2000), () -> take("l" + random.nextInt(2), owner));
+      simulation.after(rest + random.nextInt(2000), () -> take("l" + random.nextInt(2), owner));
       return;
     }
-    fleet.after(
+    simulation.after(
         random.nextInt((int) rest),
         () -> {
           if (renewals > 0) {
-            final long sentAt = fleet.now();
+            final long sentAt = simulation.now();
             final boolean[] over = new boolean[1];
             caller.call(
                 null,
@@ -170,7 +170,7 @@
                     + ",\"holdMs\":"
                     + HOLD_MILLIS
                     + "}",
-                Caller.SILENCE_MILLIS,
+                SimulatedClient.SILENCE_MILLIS,
                 Math.max(1, until - sentAt),
                 NOTHING,
                 end -> {
@@ -178,8 +178,8 @@
                     return;
                   }
                   over[0] = true;
-                  if (end.good() && fleet.now() < until) {
-                    ledger.taken(lock, owner, fence, end.sentAt(), fleet.now(), HOLD_MILLIS);
+                  if (end.good() && simulation.now() < until) {
+                    checker.taken(lock, owner, fence, end.sentAt(), simulation.now(), HOLD_MILLIS);
                     note();
                     hold(lock, owner, fence, end.sentAt() + HOLD_MILLIS, renewals - 1);
                   } else {
@@ -193,14 +193,14 @@
   }
 
   private void give(final String lock, final String owner, final long fence) {
-    ledger.released(lock, owner, fence, fleet.now());
+    checker.released(lock, owner, fence, simulation.now());
     call(
         "locks.finish",
         lock,
         "{\"owner\":\"" + owner + "\",\"fenceNumber\":" + fence + "}",
         3000,
         end ->
-            fleet.after(
+            simulation.after(
                 random.nextInt(800),
                 () -> take(random.nextBoolean() ? lock : "l" + random.nextInt(2), owner)));
   }
@@ -217,17 +217,20 @@
         HttpMethod.POST,
         "/api/numbers/" + name,
         "{}",
-        Caller.SILENCE_MILLIS,
+        SimulatedClient.SILENCE_MILLIS,
         3000,
         NOTHING,
         end -> {
           if (end.good()) {
-            ledger.given(
-                "number " + name, Text.number(end.body(), "value"), end.sentAt(), fleet.now());
+            checker.given(
+                "number " + name,
+                RequestBodies.number(end.body(), "value"),
+                end.sentAt(),
+                simulation.now());
             note();
           }
         });
-    fleet.after(20 + random.nextInt(150), this::number);
+    simulation.after(20 + random.nextInt(150), this::number);
   }
 
   // ---- keys
@@ -249,23 +252,23 @@
         PUT_MILLIS,
         end -> {
           if (end.good()) {
-            final long given = Text.number(end.body(), "revision");
-            ledger.put(key, value, given, fleet.now());
-            ledger.given("group " + group, given, end.firstSentAt(), fleet.now());
+            final long given = RequestBodies.number(end.body(), "revision");
+            checker.put(key, value, given, simulation.now());
+            checker.given("group " + group, given, end.firstSentAt(), simulation.now());
             acked.computeIfAbsent(group, name -> new TreeMap<>()).put(given, value);
             known.merge(key, given, Math::max);
             shown(key, value, given);
             if (!enabled.isEmpty() && revision > given) {
               control.breach(
-                  fleet.now(),
+                  simulation.now(),
                   key + " was put at " + given + " on condition of revision " + revision);
             }
           } else if (end.status() == 412) {
-            ledger.turnedAway(value);
-            known.merge(key, Text.number(end.body(), "revision"), Math::max);
+            checker.turnedAway(value);
+            known.merge(key, RequestBodies.number(end.body(), "revision"), Math::max);
           }
         });
-    fleet.after(20 + random.nextInt(200), this::put);
+    simulation.after(20 + random.nextInt(200), this::put);
   }
 
   private void read() {
@@ -280,16 +283,16 @@
         3000,
         end -> {
           if (end.good()) {
-            final String value = Text.word(end.body(), "value");
-            final long revision = Text.number(end.body(), "revision");
-            ledger.read(key, value, revision, end.sentAt());
+            final String value = RequestBodies.word(end.body(), "value");
+            final long revision = RequestBodies.number(end.body(), "revision");
+            checker.read(key, value, revision, end.sentAt());
             known.merge(key, revision, Math::max);
             shown(key, value, revision);
           } else if (end.status() == 404) {
-            ledger.read(key, null, 0, end.sentAt());
+            checker.read(key, null, 0, end.sentAt());
           }
         });
-    fleet.after(20 + random.nextInt(200), this::read);
+    simulation.after(20 + random.nextInt(200), this::read);
   }
 
   /** A value is unique: it is shown under one revision. */
@@ -297,7 +300,8 @@
     final Long before = revisionOf.putIfAbsent(key + "=" + value, revision);
     if (before != null && before != revision) {
       control.breach(
-          fleet.now(), key + " shows " + value + " under revisions " + before + " and " + revision);
+          simulation.now(),
+          key + " shows " + value + " under revisions " + before + " and " + revision);
     }
   }
 
@@ -310,18 +314,20 @@
         HttpMethod.GET,
         "/api/watch/" + group + "?after=" + after + "&waitMs=" + WATCH_MILLIS,
         "",
-        Caller.SILENCE_MILLIS + WATCH_MILLIS,
+        SimulatedClient.SILENCE_MILLIS + WATCH_MILLIS,
         1,
         NOTHING,
         end -> {
           long next = after;
           long since = givenAt;
           if (end.good()) {
-            next = Text.number(end.body().substring(end.body().lastIndexOf(']')), "revision");
+            next =
+                RequestBodies.number(end.body().substring(end.body().lastIndexOf(']')), "revision");
             since = end.sentAt();
             if (next < after) {
               control.breach(
-                  fleet.now(), "a watch of " + group + " after " + after + " ended at " + next);
+                  simulation.now(),
+                  "a watch of " + group + " after " + after + " ended at " + next);
             }
             final List<Long> revisions = new ArrayList<>();
             final Matcher matcher = EVENT.matcher(end.body());
@@ -330,7 +336,7 @@
               if (revision <= (revisions.isEmpty() ? after : revisions.get(revisions.size() - 1))
                   || revision > next) {
                 control.breach(
-                    fleet.now(),
+                    simulation.now(),
                     "a watch of "
                         + group
                         + " after "
@@ -340,7 +346,7 @@
                         + " out of order");
               }
               revisions.add(revision);
-              ledger.showed(matcher.group(1), matcher.group(2), revision);
+              checker.showed(matcher.group(1), matcher.group(2), revision);
               shown(matcher.group(1), matcher.group(2), revision);
             }
             if (after > 0) {
@@ -348,15 +354,15 @@
                   .add(new Seen(after, next, revisions));
             }
           } else if (end.status() == 410) {
-            if (fleet.now() - givenAt < HISTORY_MILLIS) {
+            if (simulation.now() - givenAt < HISTORY_MILLIS) {
               control.breach(
-                  fleet.now(),
+                  simulation.now(),
                   "a watch of "
                       + group
                       + " got 410 for revision "
                       + after
                       + ", given "
-                      + (fleet.now() - givenAt)
+                      + (simulation.now() - givenAt)
                       + " ms ago");
             }
             next = 0;
@@ -364,7 +370,7 @@
           note();
           final long to = next;
           final long at = since;
-          fleet.after(end.good() ? 1 : 200, () -> watch(group, to, at));
+          simulation.after(end.good() ? 1 : 200, () -> watch(group, to, at));
         });
   }
 }
--- a/rig/src/main/java/weldpoint/rig/Caller.java
+++ b/simulation/src/main/java/weldpoint/simulation/SimulatedClient.java
@@ -1,4 +1,4 @@
-package weldpoint.rig;
+package weldpoint.simulation;
 
 import io.netty.handler.codec.http.HttpMethod;
 import java.util.ArrayList;
@@ -11,7 +11,7 @@
  * Somebody outside who calls doors as the pages say: a second of silence, then another daemon, with
  * a pause that grows.
  */
-final class Caller {
+final class SimulatedClient {
   static final long SILENCE_MILLIS = 1000;
   private static final int MOST_REDIRECTS = 2;
   private static final int MOST_REFUSALS = 3;
@@ -26,13 +26,16 @@
     }
   }
 
-  private final ControlFleet fleet;
+  private final ControlPlaneSimulation simulation;
   private final Random random;
   private final Supplier<List<String>> list;
   private double loss;
 
-  Caller(final ControlFleet fleet, final Random random, final Supplier<List<String>> list) {
-    this.fleet = fleet;
+  SimulatedClient(
+      final ControlPlaneSimulation simulation,
+      final Random random,
+      final Supplier<List<String>> list) {
+    this.simulation = simulation;
     this.random = random;
     this.list = list;
   }
@@ -55,7 +58,7 @@
       final long patience,
       final Runnable uponTry,
       final Consumer<End> then) {
-    final long begunAt = fleet.now();
+    final long begunAt = simulation.now();
     attempt(
         first == null ? other(null) : first,
         uri,
@@ -95,8 +98,8 @@
       final Runnable uponTry,
       final Consumer<End> then) {
     attempt(
-        Text.host(location),
-        Text.path(location, uri),
+        RequestBodies.host(location),
+        RequestBodies.path(location, uri),
         tries,
         redirects,
         refusals,
@@ -124,16 +127,16 @@
       final long until,
       final Runnable uponTry,
       final Consumer<End> then) {
-    final long sentAt = fleet.now();
+    final long sentAt = simulation.now();
     final boolean[] done = new boolean[1];
     uponTry.run();
     final Consumer<Integer> again =
         count -> {
           final long pause = Math.min(1000, 50L << Math.min(5, tries)) + random.nextInt(50);
-          if (fleet.now() + pause >= until) {
+          if (simulation.now() + pause >= until) {
             then.accept(new End(0, "", to, sentAt, begunAt));
           } else {
-            fleet.after(
+            simulation.after(
                 pause,
                 () ->
                     attempt(
@@ -145,8 +148,8 @@
       again.accept(refusals);
       return;
     }
-    final ControlFleet.Calling calling =
-        fleet.http(
+    final ControlPlaneSimulation.PendingCall calling =
+        simulation.http(
             to,
             method,
             path,
@@ -191,7 +194,7 @@
                 then.accept(new End(status, reply.body(), to, sentAt, begunAt));
               }
             });
-    fleet.after(
+    simulation.after(
         silence,
         () -> {
           if (!done[0]) {
--- a/rig/src/main/java/weldpoint/rig/FakeLine.java
+++ b/simulation/src/main/java/weldpoint/simulation/SimulatedConnection.java
@@ -1,36 +1,36 @@
-package weldpoint.rig;
+package weldpoint.simulation;
 
 import java.util.ArrayDeque;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.Wire;
+import weldpoint.transport.Message;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.Serializer;
 
 /**
  * One connection between two programs, as TCP has it: in order, bound to the two lives at its ends.
  * What meets a cut waits and arrives once the cut is healed, unless the line was given up
  * meanwhile; an end that hears nothing closes it.
  */
-final class FakeLine {
+final class SimulatedConnection {
   private static final long RING_MILLIS = 500;
   private static final long SILENCE_MILLIS = 1900;
   private static final Object OPEN = new Object();
   private static final Object CLOSE = new Object();
 
   /** What one end does with what comes. */
-  interface Ear {
-    default void opened(final FakeLine line) {}
+  interface Receiver {
+    default void opened(final SimulatedConnection connection) {}
 
-    void heard(FakeLine line, Message message);
+    void heard(SimulatedConnection connection, Message message);
 
-    default void closed(final FakeLine line) {}
+    default void closed(final SimulatedConnection connection) {}
   }
 
   private record Packet(Object marker, Class<?> kind, byte[] bytes) {}
 
   /** One end. */
-  private final class End {
-    final ControlFleet.Life life;
-    final Ear ear;
+  private final class Endpoint {
+    final ControlPlaneSimulation.Incarnation life;
+    final Receiver receiver;
     boolean open = true;
     boolean greeted;
     long heardAt;
@@ -38,20 +38,20 @@
     long arrivesAt;
     final ArrayDeque<Packet> held = new ArrayDeque<>();
 
-    End(final ControlFleet.Life life, final Ear ear) {
+    Endpoint(final ControlPlaneSimulation.Incarnation life, final Receiver receiver) {
       this.life = life;
-      this.ear = ear;
-      heardAt = fleet.now();
-      ringAt = fleet.now();
+      this.receiver = receiver;
+      heardAt = simulation.now();
+      ringAt = simulation.now();
     }
 
-    End other() {
+    Endpoint other() {
       return this == dialler ? acceptor : dialler;
     }
 
     void put(final Packet packet) {
-      final End to = other();
-      if (!held.isEmpty() || fleet.cut(life.machine(), to.life.machine())) {
+      final Endpoint to = other();
+      if (!held.isEmpty() || simulation.cut(life.machine(), to.life.machine())) {
         held.add(packet);
         return;
       }
@@ -59,18 +59,20 @@
     }
 
     private void arrive(final Packet packet) {
-      final End to = other();
-      arrivesAt = Math.max(arrivesAt, fleet.now() + fleet.delay(life.machine(), to.life.machine()));
-      fleet.after(arrivesAt - fleet.now(), () -> to.arrived(packet));
+      final Endpoint to = other();
+      arrivesAt =
+          Math.max(
+              arrivesAt, simulation.now() + simulation.delay(life.machine(), to.life.machine()));
+      simulation.after(arrivesAt - simulation.now(), () -> to.arrived(packet));
     }
 
     /** The cut on the way from here is healed: what waited is sent again. */
     void healed() {
       if (!held.isEmpty()) {
-        fleet.after(
-            10 + fleet.random().nextInt(400),
+        simulation.after(
+            10 + simulation.random().nextInt(400),
             () -> {
-              if (!fleet.cut(life.machine(), other().life.machine())) {
+              if (!simulation.cut(life.machine(), other().life.machine())) {
                 while (!held.isEmpty()) {
                   arrive(held.poll());
                 }
@@ -93,35 +95,35 @@
       if (!open) {
         return;
       }
-      heardAt = fleet.now();
+      heardAt = simulation.now();
       if (packet.marker == CLOSE) {
         open = false;
         if (greeted) {
-          ear.closed(FakeLine.this);
+          receiver.closed(SimulatedConnection.this);
         }
       } else if (packet.marker == OPEN) {
         greeted = true;
-        ear.opened(FakeLine.this);
+        receiver.opened(SimulatedConnection.this);
       } else {
-        final Message message = (Message) Wire.value(packet.bytes, packet.kind);
-        if (message instanceof Protocol.Ring) {
-          if (!((Protocol.Ring) message).echo) {
-            say(new Protocol.Ring(true));
+        final Message message = (Message) Serializer.deserialize(packet.bytes, packet.kind);
+        if (message instanceof Protocol.KeepAlive) {
+          if (!((Protocol.KeepAlive) message).echo) {
+            say(new Protocol.KeepAlive(true));
           }
           return;
         }
-        fleet.heard(
+        simulation.heard(
             other().life.machine().address,
             life.machine().address,
-            FakeLine.this,
+            SimulatedConnection.this,
             message,
-            heard -> ear.heard(FakeLine.this, heard));
+            heard -> receiver.heard(SimulatedConnection.this, heard));
       }
     }
 
     void say(final Message message) {
       if (open && life.lives()) {
-        put(new Packet(null, message.getClass(), fleet.bytes(message)));
+        put(new Packet(null, message.getClass(), simulation.bytes(message)));
       }
     }
 
@@ -130,13 +132,13 @@
         open = false;
         put(new Packet(CLOSE, null, null));
         if (greeted && life.lives()) {
-          ear.closed(FakeLine.this);
+          receiver.closed(SimulatedConnection.this);
         }
       }
     }
 
     void watch() {
-      fleet.after(
+      simulation.after(
           RING_MILLIS,
           () -> {
             if (!open || !life.lives()) {
@@ -146,36 +148,36 @@
               watch();
               return;
             }
-            if (fleet.now() - heardAt > SILENCE_MILLIS
-                && fleet.now() - ringAt < 2 * SILENCE_MILLIS) {
+            if (simulation.now() - heardAt > SILENCE_MILLIS
+                && simulation.now() - ringAt < 2 * SILENCE_MILLIS) {
               close();
               return;
             }
-            ringAt = fleet.now();
+            ringAt = simulation.now();
             if (this == dialler) {
-              say(new Protocol.Ring(false));
+              say(new Protocol.KeepAlive(false));
             }
             watch();
           });
     }
   }
 
-  private final ControlFleet fleet;
+  private final ControlPlaneSimulation simulation;
   private final int number;
-  private final End dialler;
-  private final End acceptor;
+  private final Endpoint dialler;
+  private final Endpoint acceptor;
 
-  FakeLine(
-      final ControlFleet fleet,
+  SimulatedConnection(
+      final ControlPlaneSimulation simulation,
       final int number,
-      final ControlFleet.Life from,
-      final Ear fromEar,
-      final ControlFleet.Life to,
-      final Ear toEar) {
-    this.fleet = fleet;
+      final ControlPlaneSimulation.Incarnation from,
+      final Receiver fromEar,
+      final ControlPlaneSimulation.Incarnation to,
+      final Receiver toEar) {
+    this.simulation = simulation;
     this.number = number;
-    dialler = new End(from, fromEar);
-    acceptor = new End(to, toEar);
+    dialler = new Endpoint(from, fromEar);
+    acceptor = new Endpoint(to, toEar);
     dialler.put(new Packet(OPEN, null, null));
     acceptor.life.run(
         () -> {
@@ -227,7 +229,7 @@
   }
 
   /** One of the lives has ended while its machine runs on: the other end is told. */
-  void ended(final ControlFleet.Life life) {
+  void ended(final ControlPlaneSimulation.Incarnation life) {
     if (dialler.life == life && dialler.open) {
       dialler.open = false;
       dialler.put(new Packet(CLOSE, null, null));
@@ -243,7 +245,7 @@
     acceptor.healed();
   }
 
-  boolean joins(final ControlFleet.Machine machine) {
+  boolean joins(final ControlPlaneSimulation.Machine machine) {
     return dialler.life.machine() == machine || acceptor.life.machine() == machine;
   }
 
--- a/rig/src/main/java/weldpoint/rig/FakeDisk.java
+++ b/simulation/src/main/java/weldpoint/simulation/SimulatedDisk.java
@@ -1,4 +1,4 @@
-package weldpoint.rig;
+package weldpoint.simulation;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -9,17 +9,17 @@
  * A disk of one machine: what was synced outlives the process, what was only written may outlive
  * its kill but not a loss of power.
  */
-final class FakeDisk {
+final class SimulatedDisk {
   private static final int TURN_RECORDS = 400;
   private static final long RETRY_MILLIS = 200;
 
-  private final ControlFleet fleet;
+  private final ControlPlaneSimulation simulation;
   long syncMillis = 2;
   int full;
   int stalled;
 
-  FakeDisk(final ControlFleet fleet) {
-    this.fleet = fleet;
+  SimulatedDisk(final ControlPlaneSimulation simulation) {
+    this.simulation = simulation;
   }
 
   /** The records of one program. */
@@ -46,7 +46,7 @@
   final class Writer {
     private final Records records;
     private final Supplier<List<byte[]>> view;
-    private final ControlFleet.Life life;
+    private final ControlPlaneSimulation.Incarnation life;
     private final List<byte[]> waiting = new ArrayList<>();
     private final List<Runnable> callbacks = new ArrayList<>();
     private List<byte[]> written = List.of();
@@ -55,7 +55,10 @@
     private long busySince = -1;
     private boolean refusing;
 
-    Writer(final Records records, final ControlFleet.Life life, final Supplier<List<byte[]>> view) {
+    Writer(
+        final Records records,
+        final ControlPlaneSimulation.Incarnation life,
+        final Supplier<List<byte[]>> view) {
       this.records = records;
       this.life = life;
       this.view = view;
@@ -72,7 +75,7 @@
       if (busySince >= 0 || !life.lives() || !turning && waiting.isEmpty()) {
         return;
       }
-      busySince = fleet.now();
+      busySince = simulation.now();
       attempt();
     }
 
@@ -82,7 +85,7 @@
       }
       if (stalled > 0 || full > 0) {
         refusing = full > 0;
-        fleet.after(RETRY_MILLIS, this::attempt);
+        simulation.after(RETRY_MILLIS, this::attempt);
         return;
       }
       refusing = false;
@@ -94,8 +97,8 @@
         callbacks.clear();
       }
       written = batch;
-      fleet.after(
-          syncMillis + fleet.random().nextInt((int) (1 + syncMillis)),
+      simulation.after(
+          syncMillis + simulation.random().nextInt((int) (1 + syncMillis)),
           () -> synced(whole, batch, done));
     }
 
@@ -105,7 +108,7 @@
         return;
       }
       if (stalled > 0) {
-        fleet.after(RETRY_MILLIS, () -> synced(whole, batch, done));
+        simulation.after(RETRY_MILLIS, () -> synced(whole, batch, done));
         return;
       }
       if (whole != null) {
@@ -125,11 +128,12 @@
     /** The process has ended: all that was written stays, or with a loss of power a part of it. */
     void ended(final boolean power) {
       records.lasting.addAll(
-          written.subList(0, power ? fleet.random().nextInt(written.size() + 1) : written.size()));
+          written.subList(
+              0, power ? simulation.random().nextInt(written.size() + 1) : written.size()));
     }
 
     long busyMillis() {
-      return busySince < 0 || refusing ? 0 : fleet.now() - busySince;
+      return busySince < 0 || refusing ? 0 : simulation.now() - busySince;
     }
 
     boolean refusing() {
@@ -151,12 +155,12 @@
   /** The history as one life of a program sees it. */
   final class EntryStore implements AuditStore {
     private final Entries entries;
-    private final ControlFleet.Life life;
+    private final ControlPlaneSimulation.Incarnation life;
     private final List<byte[]> all;
     private long syncedAt;
     private long base;
 
-    EntryStore(final Entries entries, final ControlFleet.Life life) {
+    EntryStore(final Entries entries, final ControlPlaneSimulation.Incarnation life) {
       this.entries = entries;
       this.life = life;
       this.all = new ArrayList<>(entries.lasting);
@@ -184,9 +188,9 @@
     }
 
     private void sync(final long sequence, final byte[] entry, final Runnable synced) {
-      syncedAt = Math.max(syncedAt, fleet.now() + syncMillis + 1);
-      fleet.after(
-          syncedAt - fleet.now(),
+      syncedAt = Math.max(syncedAt, simulation.now() + syncMillis + 1);
+      simulation.after(
+          syncedAt - simulation.now(),
           () -> {
             if (!life.lives()) {
               return;
--- a/rig/src/main/java/weldpoint/rig/Operators.java
+++ b/simulation/src/main/java/weldpoint/simulation/SimulatedOperators.java
@@ -1,4 +1,4 @@
-package weldpoint.rig;
+package weldpoint.simulation;
 
 import io.netty.handler.codec.http.HttpMethod;
 import java.util.ArrayList;
@@ -10,7 +10,7 @@
  * Operators as the pages have them: changes, races under one number, old and bad ones, evacuations,
  * reading back; up to eight orders under way.
  */
-final class Operators {
+final class SimulatedOperators {
   private static final int MOST_UNDER_WAY = 8;
   private static final long ACK_DEADLINE_MILLIS = 5000;
   private static final String[] FLAWS = {
@@ -19,9 +19,9 @@
 
   private record Change(long version, String tag, String flaw) {}
 
-  private final ControlFleet fleet;
-  private final ControlLedger ledger;
-  private final Caller caller;
+  private final ControlPlaneSimulation simulation;
+  private final ControlPlaneChecker checker;
+  private final SimulatedClient caller;
   private final Random random;
   private final List<String> zones;
   private final List<Change> past = new ArrayList<>();
@@ -31,14 +31,14 @@
   private int tags;
   private boolean ended;
 
-  Operators(
-      final ControlFleet fleet,
-      final ControlLedger ledger,
+  SimulatedOperators(
+      final ControlPlaneSimulation simulation,
+      final ControlPlaneChecker checker,
       final Random random,
-      final Caller caller,
+      final SimulatedClient caller,
       final List<String> zones) {
-    this.fleet = fleet;
-    this.ledger = ledger;
+    this.simulation = simulation;
+    this.checker = checker;
     this.random = random;
     this.caller = caller;
     this.zones = zones;
@@ -61,7 +61,7 @@
           if (end.good()) {
             work();
             for (final String zone : zones) {
-              fleet.after(1000 + random.nextInt(3000), () -> evacuate(zone, true));
+              simulation.after(1000 + random.nextInt(3000), () -> evacuate(zone, true));
             }
             read();
           }
@@ -83,7 +83,8 @@
   }
 
   /** Sends a change; whoever waits is told how it ended. */
-  private void send(final Change change, final long patience, final Consumer<Caller.End> then) {
+  private void send(
+      final Change change, final long patience, final Consumer<SimulatedClient.End> then) {
     underWay++;
     if (change.flaw.isEmpty()) {
       past.add(change);
@@ -92,19 +93,19 @@
         null,
         HttpMethod.POST,
         "/api/rpc?call=configuration.replace",
-        Text.configuration(change.version, change.tag, change.flaw),
-        Caller.SILENCE_MILLIS,
+        RequestBodies.configuration(change.version, change.tag, change.flaw),
+        SimulatedClient.SILENCE_MILLIS,
         patience,
-        () -> ledger.sent(change.version, change.tag, change.flaw.isEmpty(), fleet.now()),
+        () -> checker.sent(change.version, change.tag, change.flaw.isEmpty(), simulation.now()),
         end -> {
           underWay--;
           if (end.good()) {
-            ledger.acked(change.version, change.tag, fleet.now());
+            checker.acked(change.version, change.tag, simulation.now());
             final List<Consumer<String>> due = new ArrayList<>(uponAck);
             uponAck.clear();
             due.forEach(one -> one.accept(end.by()));
           } else if (end.status() >= 400) {
-            ledger.refused(change.version, change.tag, end.status(), fleet.now());
+            checker.refused(change.version, change.tag, end.status(), simulation.now());
           }
           then.accept(end);
         });
@@ -115,7 +116,7 @@
       return;
     }
     if (underWay < MOST_UNDER_WAY) {
-      final Consumer<Caller.End> nothing = end -> {};
+      final Consumer<SimulatedClient.End> nothing = end -> {};
       switch (random.nextInt(10)) {
         case 0 -> {
           final Change one = next("");
@@ -132,7 +133,7 @@
         default -> send(next(""), 15_000, nothing);
       }
     }
-    fleet.after(random.nextInt(4) == 0 ? 5 : 150 + random.nextInt(900), this::work);
+    simulation.after(random.nextInt(4) == 0 ? 5 : 150 + random.nextInt(900), this::work);
   }
 
   private void evacuate(final String zone, final boolean on) {
@@ -142,24 +143,27 @@
     order(
         zone,
         on,
-        end -> fleet.after(200 + random.nextInt(2500), () -> evacuate(zone, end.good() != on)));
+        end ->
+            simulation.after(200 + random.nextInt(2500), () -> evacuate(zone, end.good() != on)));
   }
 
-  private void order(final String zone, final boolean on, final Consumer<Caller.End> then) {
-    final int order = ledger.ordered(zone, on, fleet.now());
+  private void order(
+      final String zone, final boolean on, final Consumer<SimulatedClient.End> then) {
+    final int order = checker.ordered(zone, on, simulation.now());
     caller.call(
         null,
         HttpMethod.POST,
         "/api/rpc?call=evacuation." + (on ? "begin" : "finish") + "&of=" + zone,
         "",
-        Caller.SILENCE_MILLIS,
+        SimulatedClient.SILENCE_MILLIS,
         ACK_DEADLINE_MILLIS,
         () -> {},
         end -> {
-          ledger.ended(zone, order, end.good(), fleet.now());
+          checker.ended(zone, order, end.good(), simulation.now());
           if (end.status() >= 400) {
-            ledger.breach(
-                fleet.now(), "the order on zone " + zone + " was refused with " + end.status());
+            checker.breach(
+                simulation.now(),
+                "the order on zone " + zone + " was refused with " + end.status());
           }
           then.accept(end);
         });
@@ -167,32 +171,36 @@
 
   private void read() {
     if (!ended) {
-      readOnce(2000, end -> fleet.after(100 + random.nextInt(900), this::read));
+      readOnce(2000, end -> simulation.after(100 + random.nextInt(900), this::read));
     }
   }
 
   /** Reads the configuration back. */
-  void readOnce(final long patience, final Consumer<Caller.End> then) {
+  void readOnce(final long patience, final Consumer<SimulatedClient.End> then) {
     caller.call(
         null,
         HttpMethod.POST,
         "/api/rpc?call=configuration.read",
         "",
-        Caller.SILENCE_MILLIS,
+        SimulatedClient.SILENCE_MILLIS,
         patience,
         () -> {},
         end -> {
           if (end.good()) {
-            ledger.read(Text.version(end.body()), Text.tag(end.body()), end.sentAt(), fleet.now());
+            checker.read(
+                RequestBodies.version(end.body()),
+                RequestBodies.tag(end.body()),
+                end.sentAt(),
+                simulation.now());
           } else if (end.status() == 404) {
-            ledger.readNothing(end.sentAt(), fleet.now());
+            checker.readNothing(end.sentAt(), simulation.now());
           }
           then.accept(end);
         });
   }
 
   /** One change more, when all is calm. */
-  void last(final Consumer<Caller.End> then) {
+  void last(final Consumer<SimulatedClient.End> then) {
     send(next(""), ACK_DEADLINE_MILLIS, then);
   }
 }
--- a/rig/src/main/java/weldpoint/rig/Upstreams.java
+++ b/simulation/src/main/java/weldpoint/simulation/SimulatedUpstreams.java
@@ -1,4 +1,4 @@
-package weldpoint.rig;
+package weldpoint.simulation;
 
 import io.netty.handler.codec.http.HttpMethod;
 import java.util.ArrayList;
@@ -6,12 +6,12 @@
 import java.util.Random;
 
 /** Upstreams that beat, drain and sign off as the pages say; some crash. */
-final class Upstreams {
+final class SimulatedUpstreams {
   private static final long BEAT_MILLIS = 1500;
   private static final long DRAIN_MILLIS = 2500;
   private static final String[] ZONES = {"a", "b", "c"};
 
-  private final class Upstream {
+  private final class SimulatedUpstream {
     final String id;
     final String address;
     final String zone;
@@ -22,7 +22,7 @@
     boolean gone;
     String target;
 
-    Upstream(final int number) {
+    SimulatedUpstream(final int number) {
       id = "i-" + number;
       address = "10.128.0." + number + ":8080";
       zone = ZONES[number % 3];
@@ -48,27 +48,28 @@
           HttpMethod.POST,
           "/api/rpc?call=instances.heartbeat&of=" + id,
           body,
-          Caller.SILENCE_MILLIS,
+          SimulatedClient.SILENCE_MILLIS,
           4000,
           () -> {},
           end -> {
             target = null;
             if (end.good()) {
-              goodAt = fleet.now();
-              final String named = Text.word(end.body(), "beatTarget");
+              goodAt = simulation.now();
+              final String named = RequestBodies.word(end.body(), "beatTarget");
               target = named == null ? null : named.substring(0, named.indexOf(':'));
               if (drains) {
                 leftAcked = true;
-                fleet.after(DRAIN_MILLIS, this::leave);
+                simulation.after(DRAIN_MILLIS, this::leave);
                 return;
               }
             } else if (end.status() >= 400) {
-              ledger.breach(fleet.now(), "a beat of " + id + " was refused with " + end.status());
+              checker.breach(
+                  simulation.now(), "a beat of " + id + " was refused with " + end.status());
             } else if (drains) {
-              fleet.after(DRAIN_MILLIS, this::leave);
+              simulation.after(DRAIN_MILLIS, this::leave);
               return;
             }
-            fleet.after(draining ? 0 : BEAT_MILLIS, this::beat);
+            simulation.after(draining ? 0 : BEAT_MILLIS, this::beat);
           });
     }
 
@@ -78,7 +79,7 @@
           HttpMethod.POST,
           "/api/rpc?call=instances.deregister&of=" + id,
           "",
-          Caller.SILENCE_MILLIS,
+          SimulatedClient.SILENCE_MILLIS,
           4000,
           () -> {},
           end -> {
@@ -88,20 +89,20 @@
     }
   }
 
-  private final ControlFleet fleet;
-  private final ControlLedger ledger;
+  private final ControlPlaneSimulation simulation;
+  private final ControlPlaneChecker checker;
   private final Random random;
-  private final Caller caller;
-  private final List<Upstream> all = new ArrayList<>();
+  private final SimulatedClient caller;
+  private final List<SimulatedUpstream> all = new ArrayList<>();
   private boolean ended;
 
-  Upstreams(
-      final ControlFleet fleet,
-      final ControlLedger ledger,
+  SimulatedUpstreams(
+      final ControlPlaneSimulation simulation,
+      final ControlPlaneChecker checker,
       final Random random,
-      final Caller caller) {
-    this.fleet = fleet;
-    this.ledger = ledger;
+      final SimulatedClient caller) {
+    this.simulation = simulation;
+    this.checker = checker;
     this.random = random;
     this.caller = caller;
   }
@@ -114,22 +115,22 @@
   }
 
   private void born() {
-    final Upstream one = new Upstream(all.size() + 1);
+    final SimulatedUpstream one = new SimulatedUpstream(all.size() + 1);
     all.add(one);
-    fleet.after(random.nextInt(1500), one::beat);
+    simulation.after(random.nextInt(1500), one::beat);
   }
 
   private void churn() {
-    fleet.after(
+    simulation.after(
         1500 + random.nextInt(3000),
         () -> {
           if (ended) {
             return;
           }
-          final List<Upstream> present =
+          final List<SimulatedUpstream> present =
               all.stream().filter(one -> !one.gone && !one.draining).toList();
           if (present.size() > 2) {
-            final Upstream one = present.get(random.nextInt(present.size()));
+            final SimulatedUpstream one = present.get(random.nextInt(present.size()));
             if (random.nextInt(4) == 0) {
               one.gone = true;
             } else {
@@ -150,20 +151,21 @@
    * In the calm at the end: a switchboard has each upstream that beats, and none that left with an
    * acknowledgement.
    */
-  void check(final ControlFleet.Machine board) {
-    for (final Upstream one : all) {
+  void check(final ControlPlaneSimulation.Machine board) {
+    for (final SimulatedUpstream one : all) {
       final boolean known = board.upstreams().containsKey(one.id);
       if (one.leftAcked && known) {
-        ledger.breach(
-            fleet.now(),
+        checker.breach(
+            simulation.now(),
             board.address() + " still has " + one.id + ", which left with an acknowledgement");
       } else if (!one.gone
           && !one.draining
           && one.goodAt >= 0
-          && fleet.now() - one.goodAt < 2 * BEAT_MILLIS
+          && simulation.now() - one.goodAt < 2 * BEAT_MILLIS
           && !known) {
-        ledger.breach(
-            fleet.now(), board.address() + " lacks " + one.id + ", whose beats are acknowledged");
+        checker.breach(
+            simulation.now(),
+            board.address() + " lacks " + one.id + ", whose beats are acknowledged");
       }
     }
   }
--- a/rig/src/main/java/weldpoint/rig/Fleet.java
+++ b/simulation/src/main/java/weldpoint/simulation/StateStoreSimulation.java
@@ -1,4 +1,4 @@
-package weldpoint.rig;
+package weldpoint.simulation;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -12,14 +12,14 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import weldpoint.audit.AuditStore;
-import weldpoint.frame.Deed;
-import weldpoint.frame.FrameCore;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.StoreCallMessages;
-import weldpoint.trunk.Wire;
+import weldpoint.statestore.StateStoreReplica;
+import weldpoint.statestore.StoreOperation;
+import weldpoint.transport.Message;
+import weldpoint.transport.Serializer;
+import weldpoint.transport.StoreMessages;
 
 /** Several frames on a fake clock, a fake network and fake disks, driven by one seed. */
-public final class Fleet {
+public final class StateStoreSimulation {
   private static final long HISTORY_MILLIS = 20_000;
   private static final long DISK_BYTES = 2 << 20;
 
@@ -35,7 +35,7 @@
     private final List<byte[]> written = new ArrayList<>();
     private final List<byte[]> entries = new ArrayList<>();
     private long entriesBase;
-    private FrameCore core;
+    private StateStoreReplica replica;
     private FakeHistory store;
     private int life;
     private boolean frozen;
@@ -51,8 +51,8 @@
     }
 
     /** The process of the moment; null while there is none. */
-    public FrameCore core() {
-      return core;
+    public StateStoreReplica replica() {
+      return replica;
     }
   }
 
@@ -89,7 +89,7 @@
       after(
           machine.diskDelay + random.nextInt(3),
           () -> {
-            if (machine.life == life && machine.core != null) {
+            if (machine.life == life && machine.replica != null) {
               if (sequence == machine.entriesBase + machine.entries.size() + 1) {
                 machine.entries.add(entry);
               }
@@ -129,10 +129,11 @@
    * What a test may do to a core before it starts, and to a message on its way; null as the message
    * loses it.
    */
-  public interface Meddler {
+  public interface FaultInjector {
     /** Takes part in setting up a core: the store and the number of entries to keep are given. */
-    default void prepare(final FrameCore core, final AuditStore store, final long keeps) {
-      core.history(store, keeps, ENTRY_BYTES);
+    default void prepare(
+        final StateStoreReplica replica, final AuditStore store, final long keeps) {
+      replica.history(store, keeps, ENTRY_BYTES);
     }
 
     /** The message that arrives instead. */
@@ -142,7 +143,7 @@
   }
 
   /** Sees all that cores send to each other, get, and put on disk. */
-  public interface Watcher {
+  public interface Observer {
     /** A core starts, and its disk holds these records. */
     default void started(final String address, final List<byte[]> records) {}
 
@@ -162,18 +163,18 @@
   /** The most bytes of an entry of the history here. */
   public static final int ENTRY_BYTES = 1024;
 
-  private Meddler meddler = new Meddler() {};
-  private Watcher watcher = new Watcher() {};
+  private FaultInjector faultInjector = new FaultInjector() {};
+  private Observer observer = new Observer() {};
   private long keeps = 2000;
 
   /** Lets a test meddle. */
-  public void meddler(final Meddler given) {
-    meddler = given;
+  public void faultInjector(final FaultInjector given) {
+    faultInjector = given;
   }
 
   /** Lets a test watch. */
-  public void watcher(final Watcher given) {
-    watcher = given;
+  public void observer(final Observer given) {
+    observer = given;
   }
 
   /** Sets how many entries of the history daemons that start from now on keep. */
@@ -201,7 +202,7 @@
    * A fleet whose disks sync before they say so; a broken one, for the checks to catch, says so at
    * once.
    */
-  public Fleet(final long seed, final List<String> seeds, final boolean syncsFirst) {
+  public StateStoreSimulation(final long seed, final List<String> seeds, final boolean syncsFirst) {
     this.random = new Random(seed);
     this.seeds = seeds;
     this.syncsFirst = syncsFirst;
@@ -249,8 +250,8 @@
     final int life = ++machine.life;
     machine.written.clear();
     machine.syncedAt = now;
-    machine.core =
-        new FrameCore(
+    machine.replica =
+        new StateStoreReplica(
             address,
             machine.site,
             machine.region,
@@ -260,7 +261,7 @@
             ++owners,
             new Random(random.nextLong()),
             seeds,
-            new FrameCore.Outlet() {
+            new StateStoreReplica.Environment() {
               @Override
               public void send(final String to, final Message message) {
                 post(address, life, to, message);
@@ -269,13 +270,13 @@
               @Override
               public void append(final byte[] record, final Runnable synced) {
                 machine.written.add(record);
-                watcher.appended(address, record);
+                observer.appended(address, record);
                 final Runnable lasting =
                     () -> {
-                      if (machine.life == life && machine.core != null) {
+                      if (machine.life == life && machine.replica != null) {
                         machine.written.remove(record);
                         machine.lasting.add(record);
-                        watcher.lasting(address, record);
+                        observer.lasting(address, record);
                         machine.lastingBytes += record.length;
                         turnOver(machine);
                         if (syncsFirst) {
@@ -306,12 +307,13 @@
               }
             });
     machine.store = new FakeHistory(machine, life);
-    meddler.prepare(machine.core, machine.store, keeps);
-    machine.core.start(new ArrayList<>(machine.lasting), first && machine.lasting.isEmpty(), now);
-    final List<byte[]> view = machine.core.view();
+    faultInjector.prepare(machine.replica, machine.store, keeps);
+    machine.replica.start(
+        new ArrayList<>(machine.lasting), first && machine.lasting.isEmpty(), now);
+    final List<byte[]> view = machine.replica.view();
     machine.lasting.clear();
     machine.lasting.addAll(view);
-    watcher.started(address, new ArrayList<>(view));
+    observer.started(address, new ArrayList<>(view));
     tick(machine, life);
   }
 
@@ -319,7 +321,7 @@
   private void turnOver(final Machine machine) {
     if (syncsFirst && machine.lastingBytes > DISK_BYTES) {
       machine.lasting.clear();
-      machine.lasting.addAll(machine.core.view());
+      machine.lasting.addAll(machine.replica.view());
       machine.lastingBytes = 0;
     }
   }
@@ -328,9 +330,9 @@
     after(
         50,
         () -> {
-          if (machine.life == life && machine.core != null) {
+          if (machine.life == life && machine.replica != null) {
             if (!machine.frozen) {
-              machine.core.tick(now);
+              machine.replica.tick(now);
             }
             tick(machine, life);
           }
@@ -386,28 +388,28 @@
       final int toLife,
       final boolean bound,
       final Message message) {
-    final byte[] bytes = Wire.bytes(message);
-    watcher.sent(from, to, message);
+    final byte[] bytes = Serializer.serialize(message);
+    observer.sent(from, to, message);
     after(
         delay(from, to) + queued(to, bytes.length),
         () -> {
           final Machine target = machines.get(to);
           if (target == null
-              || target.core == null
+              || target.replica == null
               || target.frozen
               || cut(from, to)
               || bound && target.life != toLife) {
             return;
           }
-          final Message came = (Message) Wire.value(bytes, message.getClass());
-          final Message copy = meddler.pass(from, to, came);
+          final Message came = (Message) Serializer.deserialize(bytes, message.getClass());
+          final Message copy = faultInjector.pass(from, to, came);
           if (copy == null) {
             return;
           }
           received.merge(to + message.getClass().getSimpleName(), (long) bytes.length, Long::sum);
           final int life = target.life;
-          watcher.received(from, to, came);
-          target.core.receive(
+          observer.received(from, to, came);
+          target.replica.receive(
               from,
               copy,
               answer -> {
@@ -425,22 +427,22 @@
    */
   public void kill(final String address, final boolean power) {
     final Machine machine = machines.get(address);
-    if (machine.core == null) {
+    if (machine.replica == null) {
       return;
     }
     final int kept = power ? random.nextInt(machine.written.size() + 1) : machine.written.size();
     machine.lasting.addAll(machine.written.subList(0, syncsFirst ? kept : 0));
     machine.written.clear();
-    machine.core = null;
+    machine.replica = null;
     machine.life++;
     for (final Machine other : machines.values()) {
-      if (other.core != null && other != machine) {
-        final FrameCore core = other.core;
+      if (other.replica != null && other != machine) {
+        final StateStoreReplica replica = other.replica;
         after(
             delay(address, other.address),
             () -> {
-              if (other.core == core) {
-                core.lineClosed(address, now);
+              if (other.replica == replica) {
+                replica.lineClosed(address, now);
               }
             });
       }
@@ -454,8 +456,8 @@
   public void leave(final String address) {
     final Machine machine = machines.get(address);
     final int life = machine.life;
-    if (machine.core != null) {
-      machine.core.leave(
+    if (machine.replica != null) {
+      machine.replica.leave(
           () ->
               after(
                   60,
@@ -533,7 +535,7 @@
     final List<String> list = new ArrayList<>();
     machines.forEach(
         (address, machine) -> {
-          if (machine.core != null) {
+          if (machine.replica != null) {
             list.add(address);
           }
         });
@@ -547,16 +549,17 @@
    */
   public void call(
       final String at,
-      final Deed deed,
+      final StoreOperation operation,
       final String name,
       final String owner,
       final long first,
       final long second,
       final byte[] body,
-      final Consumer<StoreCallMessages.Answer> then) {
+      final Consumer<StoreMessages.StoreResponse> then) {
     call(
         at,
-        new StoreCallMessages.Call(++calls, deed.ordinal(), name, owner, first, second, body),
+        new StoreMessages.StoreRequest(
+            ++calls, operation.ordinal(), name, owner, first, second, body),
         0,
         then);
   }
@@ -564,15 +567,16 @@
   /** Calls the store with a change of routing, in somebody's name. */
   public void change(
       final String at,
-      final Deed deed,
+      final StoreOperation operation,
       final String name,
       final long first,
       final byte[] body,
-      final StoreCallMessages.Cause cause,
-      final Consumer<StoreCallMessages.Answer> then) {
+      final StoreMessages.ChangeOrigin origin,
+      final Consumer<StoreMessages.StoreResponse> then) {
     call(
         at,
-        new StoreCallMessages.Call(++calls, deed.ordinal(), name, null, first, 0, body, cause),
+        new StoreMessages.StoreRequest(
+            ++calls, operation.ordinal(), name, null, first, 0, body, origin),
         0,
         then);
   }
@@ -580,11 +584,11 @@
   /** Sends a call that was made before once more, with the same number or another. */
   public void again(
       final String at,
-      final StoreCallMessages.Call call,
-      final Consumer<StoreCallMessages.Answer> then) {
+      final StoreMessages.StoreRequest call,
+      final Consumer<StoreMessages.StoreResponse> then) {
     call(
         at,
-        new StoreCallMessages.Call(
+        new StoreMessages.StoreRequest(
             ++calls,
             call.deed,
             call.name,
@@ -592,7 +596,7 @@
             call.first,
             call.second,
             call.body,
-            call.cause,
+            call.origin,
             call.content),
         0,
         then);
@@ -601,13 +605,13 @@
   /** Asks one frame, and only it. */
   public void ask(
       final String at,
-      final Deed deed,
+      final StoreOperation operation,
       final long first,
       final long second,
-      final Consumer<StoreCallMessages.Answer> then) {
+      final Consumer<StoreMessages.StoreResponse> then) {
     call(
         at,
-        new StoreCallMessages.Call(++calls, deed.ordinal(), "", null, first, second, null),
+        new StoreMessages.StoreRequest(++calls, operation.ordinal(), "", null, first, second, null),
         3,
         then);
   }
@@ -615,25 +619,29 @@
   /** Calls the store at one frame only; whatever it says of others is not followed. */
   public void callOnly(
       final String at,
-      final Deed deed,
+      final StoreOperation operation,
       final String name,
-      final Consumer<StoreCallMessages.Answer> then) {
-    call(at, new StoreCallMessages.Call(++calls, deed.ordinal(), name, null, 0, 0, null), 3, then);
+      final Consumer<StoreMessages.StoreResponse> then) {
+    call(
+        at,
+        new StoreMessages.StoreRequest(++calls, operation.ordinal(), name, null, 0, 0, null),
+        3,
+        then);
   }
 
   private void call(
       final String at,
-      final StoreCallMessages.Call call,
+      final StoreMessages.StoreRequest call,
       final int hops,
-      final Consumer<StoreCallMessages.Answer> then) {
+      final Consumer<StoreMessages.StoreResponse> then) {
     after(
         1 + random.nextInt(3),
         () -> {
           final Machine machine = machines.get(at);
-          if (machine == null || machine.core == null || machine.frozen) {
+          if (machine == null || machine.replica == null || machine.frozen) {
             return;
           }
-          machine.core.call(
+          machine.replica.call(
               call,
               answer ->
                   after(
--- a/rig/src/test/java/weldpoint/rig/HistoryTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/HistoryTest.java
@@ -1,4 +1,4 @@
-package weldpoint.rig;
+package weldpoint.simulation;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -17,16 +17,16 @@
 import weldpoint.audit.AuditStore;
 import weldpoint.audit.ChangeKind;
 import weldpoint.audit.ConfigurationSummary;
-import weldpoint.dialplan.Dialplan;
-import weldpoint.frame.BrokenBook;
-import weldpoint.frame.Deed;
-import weldpoint.frame.FrameCore;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.Packing;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.StateStoreMessages;
-import weldpoint.trunk.StoreCallMessages;
-import weldpoint.trunk.Wire;
+import weldpoint.routing.RoutingTable;
+import weldpoint.statestore.BrokenAuditSequencer;
+import weldpoint.statestore.StateStoreReplica;
+import weldpoint.statestore.StoreOperation;
+import weldpoint.transport.Compression;
+import weldpoint.transport.Message;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.Serializer;
+import weldpoint.transport.StateStoreMessages;
+import weldpoint.transport.StoreMessages;
 
 /**
  * Two operators change configurations and evacuations over cuts, freezes, power loss, wiped, slow
@@ -48,18 +48,19 @@
     java.util.logging.Logger.getLogger("").setLevel(java.util.logging.Level.OFF);
   }
 
-  private static Fleet fleet(final long seed, final Fleet.Meddler meddler, final long keeps) {
-    final Fleet fleet = new Fleet(seed, SEEDS, true);
-    if (meddler != null) {
-      fleet.meddler(meddler);
+  private static StateStoreSimulation fleet(
+      final long seed, final StateStoreSimulation.FaultInjector faultInjector, final long keeps) {
+    final StateStoreSimulation simulation = new StateStoreSimulation(seed, SEEDS, true);
+    if (faultInjector != null) {
+      simulation.faultInjector(faultInjector);
     }
-    fleet.keeps(keeps);
+    simulation.keeps(keeps);
     for (final String[] machine : MACHINES) {
-      fleet.add(machine[0], machine[1], machine[2]);
-      fleet.start(machine[0], true);
+      simulation.add(machine[0], machine[1], machine[2]);
+      simulation.start(machine[0], true);
     }
-    fleet.run(6000);
-    return fleet;
+    simulation.run(6000);
+    return simulation;
   }
 
   private static byte[] body(final long version, final int choice) {
@@ -73,34 +74,35 @@
         .getBytes(StandardCharsets.UTF_8);
   }
 
-  private static StoreCallMessages.Cause cause(final String author, final byte[] body) {
-    return new StoreCallMessages.Cause(
+  private static StoreMessages.ChangeOrigin cause(final String author, final byte[] body) {
+    return new StoreMessages.ChangeOrigin(
         author,
         "10.9.9.9",
         "10.0.1.1",
         body == null
             ? null
-            : Packing.deflate(Wire.bytes(ConfigurationSummary.of(Dialplan.read(body), body))));
+            : Compression.deflate(
+                Serializer.serialize(ConfigurationSummary.of(RoutingTable.read(body), body))));
   }
 
   private static final class Operators {
-    private final Fleet fleet;
-    private final HistoryLedger ledger;
-    private final List<StoreCallMessages.Call> earlier = new ArrayList<>();
+    private final StateStoreSimulation simulation;
+    private final HistoryChecker checker;
+    private final List<StoreMessages.StoreRequest> earlier = new ArrayList<>();
     private long version;
     private boolean stopped;
 
-    private Operators(final Fleet fleet, final HistoryLedger ledger) {
-      this.fleet = fleet;
-      this.ledger = ledger;
+    private Operators(final StateStoreSimulation simulation, final HistoryChecker checker) {
+      this.simulation = simulation;
+      this.checker = checker;
     }
 
     private void work(final String author) {
       if (stopped) {
         return;
       }
-      final Random random = fleet.random();
-      final List<String> running = fleet.running();
+      final Random random = simulation.random();
+      final List<String> running = simulation.running();
       if (!running.isEmpty()) {
         final String at = running.get(random.nextInt(running.size()));
         final int pick = random.nextInt(10);
@@ -108,106 +110,107 @@
           version += 1 + random.nextInt(3);
           final long sent = version;
           final byte[] body = body(sent, random.nextInt(3));
-          ledger.offered(sent, AuditEntry.digest(body));
-          final StoreCallMessages.Call call =
-              new StoreCallMessages.Call(
+          checker.offered(sent, AuditEntry.digest(body));
+          final StoreMessages.StoreRequest call =
+              new StoreMessages.StoreRequest(
                   0,
-                  Deed.SPEC_REPLACE.ordinal(),
+                  StoreOperation.SPEC_REPLACE.ordinal(),
                   "",
                   null,
                   sent,
                   0,
-                  Packing.deflate(body),
+                  Compression.deflate(body),
                   cause(author, body));
           earlier.add(call);
-          fleet.again(at, call, answer -> acknowledge(sent, answer));
+          simulation.again(at, call, answer -> acknowledge(sent, answer));
         } else if (pick < 7 && !earlier.isEmpty()) {
-          final StoreCallMessages.Call call = earlier.get(random.nextInt(earlier.size()));
-          fleet.again(at, call, answer -> acknowledge(call.first, answer));
+          final StoreMessages.StoreRequest call = earlier.get(random.nextInt(earlier.size()));
+          simulation.again(at, call, answer -> acknowledge(call.first, answer));
         } else {
           final String zone = "z" + random.nextInt(2);
-          fleet.change(
+          simulation.change(
               at,
-              Deed.EVACUATE,
+              StoreOperation.EVACUATE,
               zone,
               random.nextInt(2),
               null,
               cause(author, null),
               answer -> {
                 if (answer.status == 200) {
-                  ledger.evacuated(zone, answer.first);
+                  checker.evacuated(zone, answer.first);
                 }
               });
         }
       }
-      fleet.after(40 + random.nextInt(120), () -> work(author));
+      simulation.after(40 + random.nextInt(120), () -> work(author));
     }
 
-    private void acknowledge(final long sent, final StoreCallMessages.Answer answer) {
+    private void acknowledge(final long sent, final StoreMessages.StoreResponse answer) {
       if (answer.status == 200 && answer.first == sent) {
-        ledger.acknowledged(sent);
+        checker.acknowledged(sent);
       }
     }
   }
 
-  private static void trouble(final Fleet fleet) {
-    final Random random = fleet.random();
-    final List<String> running = fleet.running();
+  private static void trouble(final StateStoreSimulation simulation) {
+    final Random random = simulation.random();
+    final List<String> running = simulation.running();
     final String one = running.get(random.nextInt(running.size()));
     switch (random.nextInt(9)) {
       case 0 -> {
-        fleet.kill(one, true);
-        fleet.after(200 + random.nextInt(2000), () -> fleet.start(one, false));
+        simulation.kill(one, true);
+        simulation.after(200 + random.nextInt(2000), () -> simulation.start(one, false));
       }
       case 1 -> {
         for (final String address : running) {
-          fleet.kill(address, random.nextBoolean());
-          fleet.after(200 + random.nextInt(800), () -> fleet.start(address, false));
+          simulation.kill(address, random.nextBoolean());
+          simulation.after(200 + random.nextInt(800), () -> simulation.start(address, false));
         }
       }
       case 2 -> {
         for (final String other : running) {
           if (!other.equals(one)) {
-            fleet.cut(one, other, true);
-            fleet.cut(other, one, random.nextBoolean());
+            simulation.cut(one, other, true);
+            simulation.cut(other, one, random.nextBoolean());
           }
         }
       }
-      case 3 -> fleet.freeze(one, true);
-      case 4 -> fleet.disk(one, 250);
-      case 5 -> fleet.full(one, true);
-      case 6 -> fleet.step(one, -5000 + random.nextInt(4000));
+      case 3 -> simulation.freeze(one, true);
+      case 4 -> simulation.disk(one, 250);
+      case 5 -> simulation.full(one, true);
+      case 6 -> simulation.step(one, -5000 + random.nextInt(4000));
       case 7 -> {
-        fleet.kill(one, true);
-        fleet.damage(one);
-        fleet.after(200, () -> fleet.start(one, false));
+        simulation.kill(one, true);
+        simulation.damage(one);
+        simulation.after(200, () -> simulation.start(one, false));
       }
       default -> {
-        fleet.kill(one, true);
-        fleet.wipe(one);
-        fleet.after(300 + random.nextInt(600), () -> fleet.start(one, false));
+        simulation.kill(one, true);
+        simulation.wipe(one);
+        simulation.after(300 + random.nextInt(600), () -> simulation.start(one, false));
       }
     }
-    fleet.after(2500, fleet::heal);
+    simulation.after(2500, simulation::heal);
   }
 
-  private static void watch(final Fleet fleet, final HistoryLedger ledger) {
-    for (final Fleet.Machine machine : fleet.machines().values()) {
-      if (machine.core() != null) {
-        ledger.look(machine.address, machine.core().history());
+  private static void watch(final StateStoreSimulation simulation, final HistoryChecker checker) {
+    for (final StateStoreSimulation.Machine machine : simulation.machines().values()) {
+      if (machine.replica() != null) {
+        checker.look(machine.address, machine.replica().history());
       }
     }
-    fleet.after(400, () -> watch(fleet, ledger));
+    simulation.after(400, () -> watch(simulation, checker));
   }
 
-  private static List<String> finish(final Fleet fleet, final HistoryLedger ledger) {
+  private static List<String> finish(
+      final StateStoreSimulation simulation, final HistoryChecker checker) {
     final long[] version = new long[1];
     final String[] digest = {""};
     final Map<String, Long> serials = new HashMap<>();
     for (int round = 0; round < 40 && version[0] == 0; round++) {
-      fleet.call(
-          fleet.running().get(round % fleet.running().size()),
-          Deed.SPEC_READ,
+      simulation.call(
+          simulation.running().get(round % simulation.running().size()),
+          StoreOperation.SPEC_READ,
           "",
           null,
           0,
@@ -216,41 +219,44 @@
           answer -> {
             if (answer.status == 200) {
               version[0] = answer.first;
-              digest[0] = AuditEntry.digest(Packing.inflate(answer.body));
+              digest[0] = AuditEntry.digest(Compression.inflate(answer.body));
             }
           });
-      fleet.run(300);
+      simulation.run(300);
     }
     final Map<String, AuditLog> logs = new LinkedHashMap<>();
-    fleet
+    simulation
         .machines()
         .forEach(
             (address, machine) -> {
-              if (machine.core() != null) {
-                logs.put(address, machine.core().history());
+              if (machine.replica() != null) {
+                logs.put(address, machine.replica().history());
               }
             });
-    return ledger.finish(logs, version[0], digest[0], serials);
+    return checker.finish(logs, version[0], digest[0], serials);
   }
 
   private static List<String> play(
-      final long seed, final Fleet.Meddler meddler, final int[] changes, final long keeps) {
-    final Fleet fleet = fleet(seed, meddler, keeps);
-    final HistoryLedger ledger = new HistoryLedger();
-    final Operators operators = new Operators(fleet, ledger);
+      final long seed,
+      final StateStoreSimulation.FaultInjector faultInjector,
+      final int[] changes,
+      final long keeps) {
+    final StateStoreSimulation simulation = fleet(seed, faultInjector, keeps);
+    final HistoryChecker checker = new HistoryChecker();
+    final Operators operators = new Operators(simulation, checker);
     operators.work("dispatch lead");
     operators.work("legacy clerk");
-    watch(fleet, ledger);
+    watch(simulation, checker);
     for (int round = 0; round < 4; round++) {
-      fleet.run(1500);
-      trouble(fleet);
-      fleet.run(5000);
+      simulation.run(1500);
+      trouble(simulation);
+      simulation.run(5000);
     }
     operators.stopped = true;
-    fleet.heal();
-    fleet.run(12_000);
-    changes[0] += ledger.count();
-    return finish(fleet, ledger);
+    simulation.heal();
+    simulation.run(12_000);
+    changes[0] += checker.count();
+    return finish(simulation, checker);
   }
 
   @Test
@@ -266,24 +272,24 @@
   @Test
   public void trimmingIsAlikeEverywhereAndNeverForgetsWhatIsYoung() {
     for (long seed = 100; seed < 110; seed++) {
-      final Fleet fleet = fleet(seed, null, 30);
-      final HistoryLedger ledger = new HistoryLedger();
-      final Operators operators = new Operators(fleet, ledger);
+      final StateStoreSimulation simulation = fleet(seed, null, 30);
+      final HistoryChecker checker = new HistoryChecker();
+      final Operators operators = new Operators(simulation, checker);
       operators.work("one");
-      watch(fleet, ledger);
+      watch(simulation, checker);
       for (int round = 0; round < 4; round++) {
-        fleet.run(2500);
-        trouble(fleet);
-        fleet.run(4000);
+        simulation.run(2500);
+        trouble(simulation);
+        simulation.run(4000);
       }
       operators.stopped = true;
-      fleet.heal();
-      fleet.run(12_000);
-      final List<String> breaches = finish(fleet, ledger);
+      simulation.heal();
+      simulation.run(12_000);
+      final List<String> breaches = finish(simulation, checker);
       assertTrue(breaches.isEmpty(), "seed " + seed + ": " + breaches);
       long base = -1;
-      for (final Fleet.Machine machine : fleet.machines().values()) {
-        final AuditLog log = machine.core().history();
+      for (final StateStoreSimulation.Machine machine : simulation.machines().values()) {
+        final AuditLog log = machine.replica().history();
         assertTrue(
             base < 0 || base == log.base(),
             "seed " + seed + ": trimmed up to " + base + " and " + log.base());
@@ -298,24 +304,24 @@
 
   @Test
   public void aReplacedAndAWipedReplicaGiveTheSameHistory() {
-    final Fleet fleet = fleet(7, null, 2000);
-    final HistoryLedger ledger = new HistoryLedger();
-    final Operators operators = new Operators(fleet, ledger);
+    final StateStoreSimulation simulation = fleet(7, null, 2000);
+    final HistoryChecker checker = new HistoryChecker();
+    final Operators operators = new Operators(simulation, checker);
     operators.work("one");
-    fleet.run(4000);
-    fleet.kill("10.0.2.1", true);
-    fleet.kill("10.0.3.1", true);
-    fleet.wipe("10.0.3.1");
-    fleet.add("10.0.2.9", "b", "y");
-    fleet.run(500);
-    fleet.start("10.0.2.9", false);
-    fleet.start("10.0.3.1", false);
-    fleet.run(9000);
+    simulation.run(4000);
+    simulation.kill("10.0.2.1", true);
+    simulation.kill("10.0.3.1", true);
+    simulation.wipe("10.0.3.1");
+    simulation.add("10.0.2.9", "b", "y");
+    simulation.run(500);
+    simulation.start("10.0.2.9", false);
+    simulation.start("10.0.3.1", false);
+    simulation.run(9000);
     operators.stopped = true;
-    fleet.run(4000);
-    assertTrue(finish(fleet, ledger).isEmpty());
-    final AuditLog wiped = fleet.machines().get("10.0.3.1").core().history();
-    final AuditLog fresh = fleet.machines().get("10.0.2.9").core().history();
+    simulation.run(4000);
+    assertTrue(finish(simulation, checker).isEmpty());
+    final AuditLog wiped = simulation.machines().get("10.0.3.1").replica().history();
+    final AuditLog fresh = simulation.machines().get("10.0.2.9").replica().history();
     assertTrue(wiped.last() > 20);
     assertEquals(wiped.digest(), fresh.digest());
     assertEquals(wiped.base(), 0);
@@ -324,33 +330,39 @@
 
   @Test
   public void aChangeThatAltersNothingMakesNoEntryAndTheAuthorIsInIt() {
-    final Fleet fleet = fleet(9, null, 2000);
+    final StateStoreSimulation simulation = fleet(9, null, 2000);
     final byte[] first = body(5, 0);
     for (int round = 0; round < 3; round++) {
-      fleet.change(
+      simulation.change(
           "10.0.1.1",
-          Deed.SPEC_REPLACE,
+          StoreOperation.SPEC_REPLACE,
           "",
           5,
-          Packing.deflate(first),
+          Compression.deflate(first),
           cause("customer desk", first),
           answer -> {});
-      fleet.change(
-          "10.0.2.1", Deed.EVACUATE, "z", 1, null, cause("customer desk", null), answer -> {});
-      fleet.run(800);
+      simulation.change(
+          "10.0.2.1",
+          StoreOperation.EVACUATE,
+          "z",
+          1,
+          null,
+          cause("customer desk", null),
+          answer -> {});
+      simulation.run(800);
     }
     final byte[] second = body(9, 2);
-    fleet.step("10.0.1.1", -100_000);
-    fleet.change(
+    simulation.step("10.0.1.1", -100_000);
+    simulation.change(
         "10.0.1.1",
-        Deed.SPEC_REPLACE,
+        StoreOperation.SPEC_REPLACE,
         "",
         9,
-        Packing.deflate(second),
+        Compression.deflate(second),
         cause("dispatch lead", second),
         answer -> {});
-    fleet.run(1500);
-    final AuditLog log = fleet.machines().get("10.0.4.1").core().history();
+    simulation.run(1500);
+    final AuditLog log = simulation.machines().get("10.0.4.1").replica().history();
     assertEquals(log.last(), 3);
     final AuditEntry begun =
         AuditEntry.read(
@@ -373,31 +385,39 @@
 
   @Test
   public void anOlderStoreBeginsItsHistoryBySayingSo() {
-    final Fleet fleet =
+    final StateStoreSimulation simulation =
         fleet(
             11,
-            new Fleet.Meddler() {
+            new StateStoreSimulation.FaultInjector() {
               @Override
               public Message pass(final String from, final String to, final Message message) {
                 return message;
               }
 
               @Override
-              public void prepare(final FrameCore core, final AuditStore store, final long keeps) {
-                BrokenBook.silent(core, store, keeps);
+              public void prepare(
+                  final StateStoreReplica replica, final AuditStore store, final long keeps) {
+                BrokenAuditSequencer.silent(replica, store, keeps);
               }
             },
             2000);
     final byte[] old = body(3, 1);
-    fleet.change("10.0.1.1", Deed.SPEC_REPLACE, "", 3, Packing.deflate(old), null, answer -> {});
-    fleet.run(1000);
-    fleet.meddler(new Fleet.Meddler() {});
-    for (final String address : fleet.running()) {
-      fleet.kill(address, false);
-      fleet.after(100, () -> fleet.start(address, false));
+    simulation.change(
+        "10.0.1.1",
+        StoreOperation.SPEC_REPLACE,
+        "",
+        3,
+        Compression.deflate(old),
+        null,
+        answer -> {});
+    simulation.run(1000);
+    simulation.faultInjector(new StateStoreSimulation.FaultInjector() {});
+    for (final String address : simulation.running()) {
+      simulation.kill(address, false);
+      simulation.after(100, () -> simulation.start(address, false));
     }
-    fleet.run(6000);
-    final AuditLog log = fleet.machines().get("10.0.4.1").core().history();
+    simulation.run(6000);
+    final AuditLog log = simulation.machines().get("10.0.4.1").replica().history();
     assertEquals(log.last(), 1);
     final AuditEntry entry = AuditEntry.read(log.read(1));
     assertEquals(entry.kind(), ChangeKind.UPGRADE);
@@ -412,7 +432,7 @@
       caught +=
           play(
                       seed,
-                      new Fleet.Meddler() {
+                      new StateStoreSimulation.FaultInjector() {
                         @Override
                         public Message pass(
                             final String from, final String to, final Message message) {
@@ -420,11 +440,12 @@
                               && !((StateStoreMessages.Accept) message).establish) {
                             final StateStoreMessages.Accept accept =
                                 (StateStoreMessages.Accept) message;
-                            final List<StateStoreMessages.Entry> entries = new ArrayList<>();
-                            for (final StateStoreMessages.Entry entry :
+                            final List<StateStoreMessages.RegisterEntry> entries =
+                                new ArrayList<>();
+                            for (final StateStoreMessages.RegisterEntry entry :
                                 Protocol.list(accept.entries)) {
                               entries.add(
-                                  new StateStoreMessages.Entry(
+                                  new StateStoreMessages.RegisterEntry(
                                       entry.name,
                                       entry.mark,
                                       entry.base,
@@ -458,11 +479,13 @@
       caught +=
           play(
                       seed,
-                      new Fleet.Meddler() {
+                      new StateStoreSimulation.FaultInjector() {
                         @Override
                         public void prepare(
-                            final FrameCore core, final AuditStore store, final long keeps) {
-                          BrokenBook.hasty(core, store, keeps);
+                            final StateStoreReplica replica,
+                            final AuditStore store,
+                            final long keeps) {
+                          BrokenAuditSequencer.hasty(replica, store, keeps);
                         }
                       },
                       new int[1],
--- a/rig/src/test/java/weldpoint/rig/RosterNumberTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/RosterNumberTest.java
@@ -1,4 +1,4 @@
-package weldpoint.rig;
+package weldpoint.simulation;
 
 import static org.testng.Assert.assertTrue;
 
@@ -8,10 +8,10 @@
 import java.util.Map;
 import java.util.Random;
 import org.testng.annotations.Test;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.StateStoreMessages;
-import weldpoint.trunk.Wire;
+import weldpoint.transport.Message;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.Serializer;
+import weldpoint.transport.StateStoreMessages;
 
 /**
  * A roster's number names one roster, whoever has it, and incarnations are those of the voters they
@@ -37,22 +37,23 @@
    * second one says that the first was decided.
    */
   private static List<String> slowAdoptions(final long seed) {
-    final Fleet fleet = new Fleet(seed, List.of("10.0.1.1", "10.0.1.2", "10.0.2.1"), true);
-    final Random random = fleet.random();
+    final StateStoreSimulation simulation =
+        new StateStoreSimulation(seed, List.of("10.0.1.1", "10.0.1.2", "10.0.2.1"), true);
+    final Random random = simulation.random();
     final Map<Long, String> rosters = new HashMap<>();
     final Map<String, String> proposed = new HashMap<>();
     final List<String> breaches = new ArrayList<>();
-    fleet.meddler(
-        new Fleet.Meddler() {
+    simulation.faultInjector(
+        new StateStoreSimulation.FaultInjector() {
           @Override
           public Message pass(final String from, final String to, final Message message) {
             if (message instanceof StateStoreMessages.Accept
                 && !((StateStoreMessages.Accept) message).establish) {
-              for (final StateStoreMessages.Entry entry :
+              for (final StateStoreMessages.RegisterEntry entry :
                   ((StateStoreMessages.Accept) message).entries) {
                 if (entry.name.equals("roster") && entry.whole != null) {
                   final StateStoreMessages.Roster roster =
-                      Wire.value(entry.whole, StateStoreMessages.Roster.class);
+                      Serializer.deserialize(entry.whole, StateStoreMessages.Roster.class);
                   final String before =
                       proposed.putIfAbsent(
                           entry.mark.ballot() + " roster " + roster.number, content(roster));
@@ -69,7 +70,7 @@
                 }
               }
             }
-            return message instanceof StateStoreMessages.RosterNews && random.nextInt(3) == 0
+            return message instanceof StateStoreMessages.RosterUpdate && random.nextInt(3) == 0
                 ? null
                 : message;
           }
@@ -78,19 +79,19 @@
       "10.0.1.1", "10.0.1.2", "10.0.2.1", "10.0.1.3", "10.0.3.1", "10.0.2.2", "10.0.4.1"
     };
     for (final String address : addresses) {
-      fleet.add(address, "zone-" + address.charAt(5), "x");
-      fleet.disk(address, random.nextInt(3) == 0 ? 500 : 60 + random.nextInt(60));
+      simulation.add(address, "zone-" + address.charAt(5), "x");
+      simulation.disk(address, random.nextInt(3) == 0 ? 500 : 60 + random.nextInt(60));
       final boolean early =
           address.equals("10.0.1.1") || address.equals("10.0.1.2") || address.equals("10.0.2.1");
-      fleet.after(
+      simulation.after(
           early ? random.nextInt(300) : 500 + random.nextInt(3000),
-          () -> fleet.start(address, true));
+          () -> simulation.start(address, true));
     }
     for (int step = 0; step < 300; step++) {
-      fleet.run(50);
-      for (final Fleet.Machine machine : fleet.machines().values()) {
-        if (machine.core() != null) {
-          final StateStoreMessages.Roster roster = machine.core().roster();
+      simulation.run(50);
+      for (final StateStoreSimulation.Machine machine : simulation.machines().values()) {
+        if (machine.replica() != null) {
+          final StateStoreMessages.Roster roster = machine.replica().roster();
           final String before = rosters.putIfAbsent(roster.number, content(roster));
           if (before != null && !before.equals(content(roster))) {
             breaches.add("roster " + roster.number + " is " + before + " and " + content(roster));
--- a/rig/src/test/java/weldpoint/rig/TrialTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/TrialTest.java
@@ -1,4 +1,4 @@
-package weldpoint.rig;
+package weldpoint.simulation;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -13,18 +13,18 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import weldpoint.boot.Breakdown;
-import weldpoint.dialplan.Dialplan;
-import weldpoint.frame.Deed;
-import weldpoint.frame.Values;
-import weldpoint.trial.Count;
-import weldpoint.trial.TrialBook;
-import weldpoint.trial.TrialPanel;
-import weldpoint.trial.Verdict;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.TrialMessages;
-import weldpoint.trunk.TrialMessages.Trial;
-import weldpoint.trunk.Wire;
+import weldpoint.common.WeldpointException;
+import weldpoint.routing.RoutingTable;
+import weldpoint.statestore.StoreOperation;
+import weldpoint.statestore.StoredValues;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.Serializer;
+import weldpoint.transport.TrialMessages;
+import weldpoint.transport.TrialMessages.Trial;
+import weldpoint.trial.TrialCoordinator;
+import weldpoint.trial.TrialCounter;
+import weldpoint.trial.TrialTracker;
+import weldpoint.trial.TrialVerdict;
 
 /**
  * Switchboards, exchanges' panels and five frames on one fake clock; scripted upstreams of a new
@@ -33,8 +33,8 @@
 public final class TrialTest {
   private static final String TOKEN = "only-testers";
   private static final long TARGET = 300;
-  private static final Dialplan PLAN =
-      Dialplan.compile(
+  private static final RoutingTable PLAN =
+      RoutingTable.compile(
           ("{\"version\":\"1\",\"listeners\":[{\"host\":\"h\",\"rules\":["
                   + "{\"name\":\"book\",\"routeKind\":\"mutating\",\"targetLatencyMs\":300,\"match\":{\"pathPrefix\":\"/b/\"},\"action\":{\"split\":[{\"service\":\"old\",\"weight\":1},{\"service\":\"new\",\"weight\":1}],\"timeoutMs\":2000,\"maxAttempts\":2}},"
                   + "{\"name\":\"plain\",\"routeKind\":\"mutating\",\"match\":{\"pathPrefix\":\"/p/\"},\"action\":{\"service\":\"old\",\"timeoutMs\":2000,\"maxAttempts\":2}},"
@@ -57,11 +57,11 @@
   }
 
   private static final class Stage {
-    final Fleet fleet;
-    final List<TrialBook> books = new ArrayList<>();
+    final StateStoreSimulation simulation;
+    final List<TrialTracker> books = new ArrayList<>();
     final List<Boolean> cut = new ArrayList<>();
     final List<String> addresses = new ArrayList<>();
-    final TrialPanel panel = new TrialPanel();
+    final TrialCoordinator coordinator = new TrialCoordinator();
     final Random random;
     final Fault fault;
     final int oneIn;
@@ -76,27 +76,28 @@
       this.fault = fault;
       this.oneIn = oneIn;
       this.random = new Random(seed);
-      this.fleet = new Fleet(seed, List.of("10.0.1.1", "10.0.2.1", "10.0.3.1"), true);
+      this.simulation =
+          new StateStoreSimulation(seed, List.of("10.0.1.1", "10.0.2.1", "10.0.3.1"), true);
       final String[] sites = {"a", "b", "c"};
       for (int index = 0; index < 3; index++) {
-        fleet.add("10.0." + (index + 1) + ".1", sites[index], "x");
-        fleet.start("10.0." + (index + 1) + ".1", true);
+        simulation.add("10.0." + (index + 1) + ".1", sites[index], "x");
+        simulation.start("10.0." + (index + 1) + ".1", true);
       }
-      fleet.run(3000);
+      simulation.run(3000);
       for (int index = 0; index < boards; index++) {
         addresses.add("10.1.0." + index);
-        books.add(new TrialBook("10.1.0." + index, 100 + index));
+        books.add(new TrialTracker("10.1.0." + index, 100 + index));
         cut.add(false);
       }
       poll();
     }
 
     void poll() {
-      final List<String> running = fleet.running();
+      final List<String> running = simulation.running();
       if (!running.isEmpty()) {
-        fleet.call(
+        simulation.call(
             running.get(random.nextInt(running.size())),
-            Deed.CONTROL,
+            StoreOperation.CONTROL,
             "",
             null,
             version,
@@ -104,10 +105,11 @@
             null,
             answer -> {
               if (answer.status == 200) {
-                final Values.Control control = Wire.value(answer.body, Values.Control.class);
+                final StoredValues.ControlSnapshot control =
+                    Serializer.deserialize(answer.body, StoredValues.ControlSnapshot.class);
                 if (control.trialMark > marks) {
                   marks = control.trialMark;
-                  panel.take(Protocol.list(control.trials));
+                  coordinator.take(Protocol.list(control.trials));
                   for (int index = 0; index < books.size(); index++) {
                     if (!cut.get(index)) {
                       books.get(index).take(Protocol.list(control.trials), control.trialMark);
@@ -117,30 +119,30 @@
               }
             });
       }
-      fleet.after(100, this::poll);
+      simulation.after(100, this::poll);
     }
 
     boolean write(final Trial next) {
       final boolean[] done = new boolean[1];
       for (int round = 0; round < 40 && !done[0]; round++) {
-        final List<String> running = fleet.running();
-        fleet.call(
+        final List<String> running = simulation.running();
+        simulation.call(
             running.get(random.nextInt(running.size())),
-            Deed.TRIAL_WRITE,
+            StoreOperation.TRIAL_WRITE,
             next.route,
             null,
             next.serial - 1,
             0,
-            Wire.bytes(next),
+            Serializer.serialize(next),
             answer -> done[0] |= answer.status == 200);
-        fleet.run(100);
+        simulation.run(100);
       }
-      fleet.run(400);
+      simulation.run(400);
       return done[0];
     }
 
     Trial trial() {
-      return panel.trials().get(0);
+      return coordinator.trials().get(0);
     }
 
     void reports() {
@@ -148,22 +150,22 @@
         final TrialMessages.TrialReport report = books.get(index).report(random.nextInt(5) == 0);
         if (report != null && !cut.get(index)) {
           old.add(report);
-          panel.report(report, fleet.now());
+          coordinator.report(report, simulation.now());
         }
       }
       if (!old.isEmpty()) {
-        panel.report(old.get(random.nextInt(old.size())), fleet.now());
+        coordinator.report(old.get(random.nextInt(old.size())), simulation.now());
       }
-      for (final Trial verdict : panel.verdicts(PLAN)) {
-        final List<String> running = fleet.running();
-        fleet.call(
+      for (final Trial verdict : coordinator.verdicts(PLAN)) {
+        final List<String> running = simulation.running();
+        simulation.call(
             running.get(random.nextInt(running.size())),
-            Deed.TRIAL_WRITE,
+            StoreOperation.TRIAL_WRITE,
             verdict.route,
             null,
             verdict.serial - 1,
             0,
-            Wire.bytes(verdict),
+            Serializer.serialize(verdict),
             answer -> {});
       }
     }
@@ -171,10 +173,10 @@
     /** One write at a switchboard drawn by lot. */
     void traffic(final boolean rehearsal) {
       final int board = random.nextInt(books.size());
-      final TrialBook book = books.get(board);
+      final TrialTracker tracker = books.get(board);
       final String attempt = "a" + attempts++;
       final String service =
-          book.choose(
+          tracker.choose(
               "book",
               random.nextBoolean() ? "old" : "new",
               rehearsal ? TOKEN : random.nextInt(50) == 0 ? "forged-token" : null,
@@ -182,45 +184,48 @@
       if (service.equals("new") && !rehearsal) {
         exposedWithoutToken++;
       }
-      book.sent("book", service, attempt);
+      tracker.sent("book", service, attempt);
       final boolean strikes =
           service.equals("new") && fault != Fault.NONE && random.nextInt(oneIn) == 0;
-      book.other("new", true);
+      tracker.other("new", true);
       if (strikes && fault == Fault.LOSES) {
-        book.ended("book", service, attempt, TrialBook.Fate.LOST, 2000, TARGET);
+        tracker.ended("book", service, attempt, TrialTracker.WriteOutcome.LOST, 2000, TARGET);
         return;
       }
-      book.ended(
+      tracker.ended(
           "book",
           service,
           attempt,
-          TrialBook.Fate.CONFIRMED,
+          TrialTracker.WriteOutcome.CONFIRMED,
           strikes && fault == Fault.DELAYS ? 900 : random.nextInt(100) == 0 ? 350 : 120,
           TARGET);
       if (strikes && fault == Fault.DOUBLES) {
-        book.surplus(attempt);
+        tracker.surplus(attempt);
       }
       if (strikes && fault == Fault.ELSEWHERE) {
-        final TrialBook other = books.get((board + 1) % books.size());
+        final TrialTracker other = books.get((board + 1) % books.size());
         other.sent("book", "new", attempt);
-        other.ended("book", "new", attempt, TrialBook.Fate.CONFIRMED, 100, TARGET);
+        other.ended("book", "new", attempt, TrialTracker.WriteOutcome.CONFIRMED, 100, TARGET);
       }
     }
 
     int run(final int seconds, final boolean rehearsal) {
-      for (int step = 0; step < seconds * 20 && Verdict.of(trial()) == Verdict.RUNNING; step++) {
+      for (int step = 0;
+          step < seconds * 20 && TrialVerdict.of(trial()) == TrialVerdict.RUNNING;
+          step++) {
         traffic(rehearsal);
-        fleet.run(50);
+        simulation.run(50);
         if (step % 10 == 9) {
           reports();
         }
       }
-      fleet.run(600);
+      simulation.run(600);
       return attempts;
     }
 
     Trial begin(final double allowance) {
-      write(panel.begin("book", "old", "new", TOKEN, List.of(2, 20, 100), 20, allowance, PLAN));
+      write(
+          coordinator.begin("book", "old", "new", TOKEN, List.of(2, 20, 100), 20, allowance, PLAN));
       return trial();
     }
   }
@@ -239,14 +244,14 @@
         stage.run(2, false);
         stage.run(10, true);
       }
-      assertEquals(Verdict.of(stage.trial()), Verdict.HELD, fault + " seed " + seed);
+      assertEquals(TrialVerdict.of(stage.trial()), TrialVerdict.HELD, fault + " seed " + seed);
       assertEquals(stage.exposedWithoutToken, 0, fault + " seed " + seed);
       assertFalse(
           Protocol.list(stage.trial().attempts).isEmpty(),
           fault + " seed " + seed + " names no attempt: " + stage.trial().reason);
-      for (final TrialBook book : stage.books) {
-        assertTrue(book.held("book"));
-        assertEquals(book.choose("book", "new", TOKEN, 0), "old");
+      for (final TrialTracker tracker : stage.books) {
+        assertTrue(tracker.held("book"));
+        assertEquals(tracker.choose("book", "new", TOKEN, 0), "old");
       }
     }
   }
@@ -274,7 +279,7 @@
               List.of(),
               0));
       stage.run(120, false);
-      assertEquals(Verdict.of(stage.trial()), Verdict.HELD, fault + " seed " + seed);
+      assertEquals(TrialVerdict.of(stage.trial()), TrialVerdict.HELD, fault + " seed " + seed);
       assertTrue(stage.trial().writes > 0);
       exposed += stage.exposedWithoutToken;
     }
@@ -293,15 +298,18 @@
       final Stage stage = new Stage(seed, Fault.NONE, 1, 3);
       stage.begin(0.005);
       stage.run(40, true);
-      for (int step = 1; step <= 3 && Verdict.of(stage.trial()) == Verdict.RUNNING; step++) {
+      for (int step = 1;
+          step <= 3 && TrialVerdict.of(stage.trial()) == TrialVerdict.RUNNING;
+          step++) {
         stage.reports();
-        stage.write(stage.panel.advance("book", stage.addresses, true, stage.fleet.now()));
+        stage.write(
+            stage.coordinator.advance("book", stage.addresses, true, stage.simulation.now()));
         assertEquals(stage.trial().stage, step);
         if (step < 3) {
           stage.run(step == 1 ? 80 : 20, step == 1);
         }
       }
-      heldFalsely += Verdict.of(stage.trial()) == Verdict.HELD ? 1 : 0;
+      heldFalsely += TrialVerdict.of(stage.trial()) == TrialVerdict.HELD ? 1 : 0;
     }
     assertTrue(heldFalsely <= 4, heldFalsely + " of 40 healthy trials were held");
   }
@@ -316,27 +324,34 @@
     stage.reports();
     assertEquals(
         expectThrows(
-                Breakdown.class,
-                () -> stage.panel.advance("book", stage.addresses, true, stage.fleet.now()))
+                WeldpointException.class,
+                () ->
+                    stage.coordinator.advance(
+                        "book", stage.addresses, true, stage.simulation.now()))
             .kind(),
-        Breakdown.Kind.CONFLICT);
+        WeldpointException.Kind.CONFLICT);
     stage.cut.set(1, true);
     stage.run(40, true);
     assertTrue(
         expectThrows(
-                Breakdown.class,
-                () -> stage.panel.advance("book", stage.addresses, true, stage.fleet.now()))
+                WeldpointException.class,
+                () ->
+                    stage.coordinator.advance(
+                        "book", stage.addresses, true, stage.simulation.now()))
             .getMessage()
             .contains("10.1.0.1"));
     stage.cut.set(1, false);
     stage.reports();
     assertTrue(
         expectThrows(
-                Breakdown.class,
-                () -> stage.panel.advance("book", stage.addresses, false, stage.fleet.now()))
+                WeldpointException.class,
+                () ->
+                    stage.coordinator.advance(
+                        "book", stage.addresses, false, stage.simulation.now()))
             .getMessage()
             .contains("settled"));
-    assertEquals(stage.panel.advance("book", stage.addresses, true, stage.fleet.now()).stage, 1);
+    assertEquals(
+        stage.coordinator.advance("book", stage.addresses, true, stage.simulation.now()).stage, 1);
   }
 
   @Test
@@ -345,7 +360,7 @@
     final Trial begun = stage.begin(0.01);
     stage.run(30, true);
     final Trial held = stage.trial();
-    assertEquals(Verdict.of(held), Verdict.HELD);
+    assertEquals(TrialVerdict.of(held), TrialVerdict.HELD);
     assertFalse(
         stage.write(
             new Trial(
@@ -359,25 +374,25 @@
                 1,
                 20,
                 0.01,
-                Verdict.RUNNING.ordinal(),
+                TrialVerdict.RUNNING.ordinal(),
                 "",
                 List.of(),
                 0)));
     expectThrows(
-        Breakdown.class,
-        () -> stage.panel.advance("book", stage.addresses, true, stage.fleet.now()));
-    for (final String address : stage.fleet.running()) {
-      stage.fleet.kill(address, true);
-      stage.fleet.after(400, () -> stage.fleet.start(address, false));
+        WeldpointException.class,
+        () -> stage.coordinator.advance("book", stage.addresses, true, stage.simulation.now()));
+    for (final String address : stage.simulation.running()) {
+      stage.simulation.kill(address, true);
+      stage.simulation.after(400, () -> stage.simulation.start(address, false));
     }
-    stage.fleet.run(5000);
+    stage.simulation.run(5000);
     Collections.shuffle(stage.old, stage.random);
-    stage.old.forEach(report -> stage.panel.report(report, stage.fleet.now()));
+    stage.old.forEach(report -> stage.coordinator.report(report, stage.simulation.now()));
     stage.books.get(0).take(List.of(begun), 1);
     assertEquals(stage.books.get(0).choose("book", "new", TOKEN, 0), "old");
-    assertEquals(Verdict.of(stage.trial()), Verdict.HELD);
-    assertTrue(stage.write(stage.panel.finish("book")));
-    assertEquals(Verdict.of(stage.trial()), Verdict.FINISHED);
+    assertEquals(TrialVerdict.of(stage.trial()), TrialVerdict.HELD);
+    assertTrue(stage.write(stage.coordinator.finish("book")));
+    assertEquals(TrialVerdict.of(stage.trial()), TrialVerdict.FINISHED);
   }
 
   @Test
@@ -391,18 +406,19 @@
     }
     assertTrue(stage.books.get(0).held("book") && stage.books.get(1).held("book"));
     stage.cut.set(0, false);
-    for (final Fleet.Machine machine : new ArrayList<>(stage.fleet.machines().values())) {
-      if (machine.core().serving() > 0) {
-        stage.fleet.kill(machine.address, true);
+    for (final StateStoreSimulation.Machine machine :
+        new ArrayList<>(stage.simulation.machines().values())) {
+      if (machine.replica().serving() > 0) {
+        stage.simulation.kill(machine.address, true);
         break;
       }
     }
     for (int round = 0; round < 10; round++) {
-      stage.fleet.run(600);
+      stage.simulation.run(600);
       stage.reports();
     }
-    stage.fleet.run(600);
-    assertEquals(Verdict.of(stage.trial()), Verdict.HELD);
+    stage.simulation.run(600);
+    assertEquals(TrialVerdict.of(stage.trial()), TrialVerdict.HELD);
   }
 
   @Test
@@ -411,23 +427,23 @@
     stage.begin(0.005);
     stage.run(20, true);
     stage.reports();
-    final long sent = Count.NEW_SENT.in(stage.panel.sum("book"));
+    final long sent = TrialCounter.NEW_SENT.in(stage.coordinator.sum("book"));
     final List<TrialMessages.TrialReport> again = new ArrayList<>(stage.old);
     Collections.shuffle(again, stage.random);
-    again.forEach(report -> stage.panel.report(report, stage.fleet.now()));
-    assertEquals(Count.NEW_SENT.in(stage.panel.sum("book")), sent);
+    again.forEach(report -> stage.coordinator.report(report, stage.simulation.now()));
+    assertEquals(TrialCounter.NEW_SENT.in(stage.coordinator.sum("book")), sent);
   }
 
   @Test
   public void aConfigurationWithoutTheSplitEndsTheTrialAndOneThatKeepsItDoesNot() {
     final Stage stage = new Stage(7, Fault.NONE, 1, 3);
     stage.begin(0.01);
-    assertTrue(stage.panel.verdicts(PLAN).isEmpty());
-    final Dialplan without =
-        Dialplan.compile(
+    assertTrue(stage.coordinator.verdicts(PLAN).isEmpty());
+    final RoutingTable without =
+        RoutingTable.compile(
             "{\"version\":\"2\",\"listeners\":[],\"pools\":[]}".getBytes(StandardCharsets.UTF_8));
-    final Trial ended = stage.panel.verdicts(without).get(0);
-    assertEquals(Verdict.of(ended), Verdict.FINISHED);
+    final Trial ended = stage.coordinator.verdicts(without).get(0);
+    assertEquals(TrialVerdict.of(ended), TrialVerdict.FINISHED);
     assertTrue(ended.reason.contains("configuration"), ended.reason);
   }
 
@@ -437,13 +453,16 @@
     stage.begin(0.01);
     assertEquals(
         expectThrows(
-                Breakdown.class,
-                () -> stage.panel.begin("book", "old", "new", TOKEN, List.of(10), 20, 0.01, PLAN))
+                WeldpointException.class,
+                () ->
+                    stage.coordinator.begin(
+                        "book", "old", "new", TOKEN, List.of(10), 20, 0.01, PLAN))
             .kind(),
-        Breakdown.Kind.CONFLICT);
-    assertTrue(stage.write(stage.panel.finish("book")));
+        WeldpointException.Kind.CONFLICT);
+    assertTrue(stage.write(stage.coordinator.finish("book")));
     assertEquals(
-        stage.panel.begin("book", "old", "new", TOKEN, List.of(10), 20, 0.01, PLAN).number, 2);
+        stage.coordinator.begin("book", "old", "new", TOKEN, List.of(10), 20, 0.01, PLAN).number,
+        2);
   }
 
   @Test
@@ -451,24 +470,25 @@
     final Stage stage = new Stage(10, Fault.ELSEWHERE, 2, 3);
     stage.begin(0.01);
     stage.run(30, true);
-    assertEquals(Verdict.of(stage.trial()), Verdict.HELD);
-    assertTrue(stage.write(stage.panel.finish("book")));
+    assertEquals(TrialVerdict.of(stage.trial()), TrialVerdict.HELD);
+    assertTrue(stage.write(stage.coordinator.finish("book")));
     stage.begin(0.01);
     stage.reports();
-    stage.fleet.run(600);
+    stage.simulation.run(600);
     assertEquals(stage.trial().number, 2);
-    assertEquals(Verdict.of(stage.trial()), Verdict.RUNNING);
-    assertEquals(Count.NEW_SENT.in(stage.panel.sum("book")), 0);
+    assertEquals(TrialVerdict.of(stage.trial()), TrialVerdict.RUNNING);
+    assertEquals(TrialCounter.NEW_SENT.in(stage.coordinator.sum("book")), 0);
   }
 
   @Test
   public void anOrderOnTheMinoritySideIsNotAcknowledged() {
     final Stage stage = new Stage(8, Fault.NONE, 1, 2);
-    final List<String> running = stage.fleet.running();
-    stage.fleet.kill(running.get(0), true);
-    stage.fleet.kill(running.get(1), true);
+    final List<String> running = stage.simulation.running();
+    stage.simulation.kill(running.get(0), true);
+    stage.simulation.kill(running.get(1), true);
     assertFalse(
-        stage.write(stage.panel.begin("book", "old", "new", TOKEN, List.of(10), 20, 0.01, PLAN)));
+        stage.write(
+            stage.coordinator.begin("book", "old", "new", TOKEN, List.of(10), 20, 0.01, PLAN)));
   }
 
   @DataProvider
@@ -493,12 +513,12 @@
       final String token,
       final List<Integer> stages,
       final String reason) {
-    final Breakdown breakdown =
+    final WeldpointException exception =
         expectThrows(
-            Breakdown.class,
-            () -> new TrialPanel().begin(route, old, fresh, token, stages, 10, 0.01, PLAN));
-    assertTrue(breakdown.getMessage().contains(reason), breakdown.getMessage());
+            WeldpointException.class,
+            () -> new TrialCoordinator().begin(route, old, fresh, token, stages, 10, 0.01, PLAN));
+    assertTrue(exception.getMessage().contains(reason), exception.getMessage());
     assertTrue(
-        breakdown.getMessage().contains(";"), "the remedy is missing: " + breakdown.getMessage());
+        exception.getMessage().contains(";"), "the remedy is missing: " + exception.getMessage());
   }
 }
--- a/rig/src/test/java/weldpoint/rig/VersionsTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/VersionsTest.java
@@ -1,4 +1,4 @@
-package weldpoint.rig;
+package weldpoint.simulation;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -18,17 +18,17 @@
 import weldpoint.audit.CanonicalJson;
 import weldpoint.audit.ChangeKind;
 import weldpoint.audit.ConfigurationSummary;
-import weldpoint.dialplan.Dialplan;
-import weldpoint.frame.BrokenBook;
-import weldpoint.frame.Deed;
-import weldpoint.frame.FrameCore;
-import weldpoint.frame.Values;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.Packing;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.StateStoreMessages;
-import weldpoint.trunk.StoreCallMessages;
-import weldpoint.trunk.Wire;
+import weldpoint.routing.RoutingTable;
+import weldpoint.statestore.BrokenAuditSequencer;
+import weldpoint.statestore.StateStoreReplica;
+import weldpoint.statestore.StoreOperation;
+import weldpoint.statestore.StoredValues;
+import weldpoint.transport.Compression;
+import weldpoint.transport.Message;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.Serializer;
+import weldpoint.transport.StateStoreMessages;
+import weldpoint.transport.StoreMessages;
 
 /**
  * Two operators who use the same versions for different configurations, over cuts, freezes, losses
@@ -50,18 +50,19 @@
     java.util.logging.Logger.getLogger("").setLevel(java.util.logging.Level.OFF);
   }
 
-  private static Fleet fleet(final long seed, final Fleet.Meddler meddler) {
-    final Fleet fleet = new Fleet(seed, SEEDS, true);
-    if (meddler != null) {
-      fleet.meddler(meddler);
+  private static StateStoreSimulation fleet(
+      final long seed, final StateStoreSimulation.FaultInjector faultInjector) {
+    final StateStoreSimulation simulation = new StateStoreSimulation(seed, SEEDS, true);
+    if (faultInjector != null) {
+      simulation.faultInjector(faultInjector);
     }
-    fleet.keeps(2000);
+    simulation.keeps(2000);
     for (final String[] machine : MACHINES) {
-      fleet.add(machine[0], machine[1], machine[2]);
-      fleet.start(machine[0], true);
+      simulation.add(machine[0], machine[1], machine[2]);
+      simulation.start(machine[0], true);
     }
-    fleet.run(6000);
-    return fleet;
+    simulation.run(6000);
+    return simulation;
   }
 
   private static byte[] body(final long version, final int choice, final boolean rewritten) {
@@ -81,24 +82,25 @@
         .getBytes(StandardCharsets.UTF_8);
   }
 
-  private static StoreCallMessages.Call call(
+  private static StoreMessages.StoreRequest call(
       final long version, final int choice, final boolean rewritten) {
     final byte[] body = body(version, choice, rewritten);
-    final StoreCallMessages.Cause cause =
-        new StoreCallMessages.Cause(
+    final StoreMessages.ChangeOrigin origin =
+        new StoreMessages.ChangeOrigin(
             "operator " + choice,
             "10.9.9.9",
             "10.0.1.1",
-            Packing.deflate(Wire.bytes(ConfigurationSummary.of(Dialplan.read(body), body))));
-    return new StoreCallMessages.Call(
+            Compression.deflate(
+                Serializer.serialize(ConfigurationSummary.of(RoutingTable.read(body), body))));
+    return new StoreMessages.StoreRequest(
         0,
-        Deed.SPEC_REPLACE.ordinal(),
+        StoreOperation.SPEC_REPLACE.ordinal(),
         "",
         null,
         version,
         0,
-        Packing.deflate(body),
-        cause,
+        Compression.deflate(body),
+        origin,
         CanonicalJson.digest(body));
   }
 
@@ -108,13 +110,14 @@
 
   /** What operators were told of each version, and what the history says of it in the end. */
   private static final class Told {
-    private final Map<Long, Map<String, List<StoreCallMessages.Answer>>> answers = new TreeMap<>();
+    private final Map<Long, Map<String, List<StoreMessages.StoreResponse>>> answers =
+        new TreeMap<>();
     private final List<String> breaches = new ArrayList<>();
     private int accepted;
     private int refused;
 
     private void told(
-        final long version, final String content, final StoreCallMessages.Answer answer) {
+        final long version, final String content, final StoreMessages.StoreResponse answer) {
       answers
           .computeIfAbsent(version, key -> new HashMap<>())
           .computeIfAbsent(content, key -> new ArrayList<>())
@@ -142,7 +145,7 @@
                 entry == null ? null : java.util.HexFormat.of().formatHex(entry.content);
             contents.forEach(
                 (content, list) -> {
-                  for (final StoreCallMessages.Answer answer : list) {
+                  for (final StoreMessages.StoreResponse answer : list) {
                     if (entry == null && answer.status == 409) {
                       breaches.add("version " + version + " was refused and stands for nothing");
                     } else if (entry == null && answer.first == version) {
@@ -156,8 +159,8 @@
                               + version
                               + " was acknowledged with another content than it stands for");
                     } else if (entry != null && answer.status == 409) {
-                      final Values.TakenVersion named =
-                          Wire.value(answer.body, Values.TakenVersion.class);
+                      final StoredValues.TakenVersion named =
+                          Serializer.deserialize(answer.body, StoredValues.TakenVersion.class);
                       if (content.equals(stands)) {
                         breaches.add(
                             "version "
@@ -191,22 +194,22 @@
   }
 
   private static final class Operators {
-    private final Fleet fleet;
+    private final StateStoreSimulation simulation;
     private final Told told;
     private long version;
     private boolean stopped;
 
-    private Operators(final Fleet fleet, final Told told) {
-      this.fleet = fleet;
+    private Operators(final StateStoreSimulation simulation, final Told told) {
+      this.simulation = simulation;
       this.told = told;
     }
 
     private void send(final long number, final int choice) {
-      final List<String> running = fleet.running();
+      final List<String> running = simulation.running();
       if (!running.isEmpty()) {
-        fleet.again(
-            running.get(fleet.random().nextInt(running.size())),
-            call(number, choice, fleet.random().nextBoolean()),
+        simulation.again(
+            running.get(simulation.random().nextInt(running.size())),
+            call(number, choice, simulation.random().nextBoolean()),
             answer -> told.told(number, content(number, choice), answer));
       }
     }
@@ -215,7 +218,7 @@
       if (stopped) {
         return;
       }
-      final Random random = fleet.random();
+      final Random random = simulation.random();
       if (random.nextInt(3) == 0 || version == 0) {
         version += 1 + random.nextInt(3);
         final int first = random.nextInt(2);
@@ -228,64 +231,64 @@
             random.nextInt(3) == 0 ? 1 + random.nextInt((int) version) : version,
             random.nextInt(2));
       }
-      fleet.after(30 + random.nextInt(120), this::work);
+      simulation.after(30 + random.nextInt(120), this::work);
     }
   }
 
-  private static void trouble(final Fleet fleet) {
-    final Random random = fleet.random();
-    final List<String> running = fleet.running();
+  private static void trouble(final StateStoreSimulation simulation) {
+    final Random random = simulation.random();
+    final List<String> running = simulation.running();
     final String one = running.get(random.nextInt(running.size()));
     switch (random.nextInt(6)) {
       case 0 -> {
-        fleet.kill(one, true);
-        fleet.after(200 + random.nextInt(2000), () -> fleet.start(one, false));
+        simulation.kill(one, true);
+        simulation.after(200 + random.nextInt(2000), () -> simulation.start(one, false));
       }
       case 1 -> {
         for (final String address : running) {
-          fleet.kill(address, random.nextBoolean());
-          fleet.after(200 + random.nextInt(800), () -> fleet.start(address, false));
+          simulation.kill(address, random.nextBoolean());
+          simulation.after(200 + random.nextInt(800), () -> simulation.start(address, false));
         }
       }
       case 2 -> {
         for (final String other : running) {
           if (!other.equals(one)) {
-            fleet.cut(one, other, true);
-            fleet.cut(other, one, random.nextBoolean());
+            simulation.cut(one, other, true);
+            simulation.cut(other, one, random.nextBoolean());
           }
         }
       }
-      case 3 -> fleet.freeze(one, true);
-      case 4 -> fleet.disk(one, 250);
+      case 3 -> simulation.freeze(one, true);
+      case 4 -> simulation.disk(one, 250);
       default -> {
-        fleet.kill(one, true);
-        fleet.wipe(one);
-        fleet.after(300 + random.nextInt(600), () -> fleet.start(one, false));
+        simulation.kill(one, true);
+        simulation.wipe(one);
+        simulation.after(300 + random.nextInt(600), () -> simulation.start(one, false));
       }
     }
-    fleet.after(2500, fleet::heal);
+    simulation.after(2500, simulation::heal);
   }
 
   private static List<String> play(
-      final long seed, final Fleet.Meddler meddler, final int[] counts) {
-    final Fleet fleet = fleet(seed, meddler);
+      final long seed, final StateStoreSimulation.FaultInjector faultInjector, final int[] counts) {
+    final StateStoreSimulation simulation = fleet(seed, faultInjector);
     final Told told = new Told();
-    final Operators operators = new Operators(fleet, told);
+    final Operators operators = new Operators(simulation, told);
     operators.work();
     for (int round = 0; round < 3; round++) {
-      fleet.run(1500);
-      trouble(fleet);
-      fleet.run(4500);
+      simulation.run(1500);
+      trouble(simulation);
+      simulation.run(4500);
     }
     operators.stopped = true;
-    fleet.heal();
-    fleet.run(8000);
+    simulation.heal();
+    simulation.run(8000);
     final long[] inForce = new long[1];
     final String[] content = {""};
     for (int round = 0; round < 40 && inForce[0] == 0; round++) {
-      fleet.call(
-          fleet.running().get(round % fleet.running().size()),
-          Deed.SPEC_READ,
+      simulation.call(
+          simulation.running().get(round % simulation.running().size()),
+          StoreOperation.SPEC_READ,
           "",
           null,
           0,
@@ -296,14 +299,15 @@
               inForce[0] = answer.first;
               content[0] =
                   java.util.HexFormat.of()
-                      .formatHex(CanonicalJson.digest(Packing.inflate(answer.body)));
+                      .formatHex(CanonicalJson.digest(Compression.inflate(answer.body)));
             }
           });
-      fleet.run(300);
+      simulation.run(300);
     }
     counts[0] += told.accepted;
     counts[1] += told.refused;
-    return told.finish(fleet.machines().get("10.0.1.1").core().history(), inForce[0], content[0]);
+    return told.finish(
+        simulation.machines().get("10.0.1.1").replica().history(), inForce[0], content[0]);
   }
 
   @Test
@@ -321,74 +325,79 @@
   @Test
   public void ofTwoThatRaceOneIsTakenAndTheOtherRefused() {
     for (long seed = 1; seed <= 20; seed++) {
-      final Fleet fleet = fleet(seed, null);
+      final StateStoreSimulation simulation = fleet(seed, null);
       final int[] statuses = new int[2];
       for (int choice = 0; choice < 2; choice++) {
-        race(fleet, choice, statuses);
+        race(simulation, choice, statuses);
       }
-      fleet.run(3000);
+      simulation.run(3000);
       assertEquals(Math.min(statuses[0], statuses[1]), 200, "seed " + seed);
       assertEquals(Math.max(statuses[0], statuses[1]), 409, "seed " + seed);
     }
   }
 
-  private static void race(final Fleet fleet, final int choice, final int[] statuses) {
+  private static void race(
+      final StateStoreSimulation simulation, final int choice, final int[] statuses) {
     if (statuses[choice] == 0) {
-      fleet.again(
-          fleet.running().get(fleet.random().nextInt(6)),
+      simulation.again(
+          simulation.running().get(simulation.random().nextInt(6)),
           call(5, choice, false),
           answer -> statuses[choice] = statuses[choice] == 0 ? answer.status : statuses[choice]);
-      fleet.after(400, () -> race(fleet, choice, statuses));
+      simulation.after(400, () -> race(simulation, choice, statuses));
     }
   }
 
   private static int status(
-      final Fleet fleet, final long version, final int choice, final boolean rewritten) {
+      final StateStoreSimulation simulation,
+      final long version,
+      final int choice,
+      final boolean rewritten) {
     final int[] status = new int[1];
-    fleet.again(
-        fleet.running().get(fleet.random().nextInt(fleet.running().size())),
+    simulation.again(
+        simulation.running().get(simulation.random().nextInt(simulation.running().size())),
         call(version, choice, rewritten),
         answer -> status[0] = answer.status);
-    fleet.run(1500);
+    simulation.run(1500);
     return status[0];
   }
 
   @Test
   public void theSameIsAcknowledgedAgainUnderLaterVersionsAfterRestartsAndWipes() {
-    final Fleet fleet = fleet(3, null);
-    assertEquals(status(fleet, 4, 0, false), 200);
-    assertEquals(status(fleet, 4, 0, true), 200);
-    assertEquals(status(fleet, 4, 1, false), 409);
-    assertEquals(status(fleet, 8, 1, false), 200);
-    for (final String address : fleet.running()) {
-      fleet.kill(address, true);
-      fleet.after(300, () -> fleet.start(address, false));
+    final StateStoreSimulation simulation = fleet(3, null);
+    assertEquals(status(simulation, 4, 0, false), 200);
+    assertEquals(status(simulation, 4, 0, true), 200);
+    assertEquals(status(simulation, 4, 1, false), 409);
+    assertEquals(status(simulation, 8, 1, false), 200);
+    for (final String address : simulation.running()) {
+      simulation.kill(address, true);
+      simulation.after(300, () -> simulation.start(address, false));
     }
-    fleet.run(4000);
-    fleet.kill("10.0.1.1", true);
-    fleet.wipe("10.0.1.1");
-    fleet.start("10.0.1.1", false);
-    fleet.run(8000);
-    assertEquals(status(fleet, 4, 0, true), 200);
-    assertEquals(status(fleet, 4, 1, true), 409);
-    assertEquals(status(fleet, 8, 1, true), 200);
-    assertEquals(status(fleet, 8, 0, false), 409);
+    simulation.run(4000);
+    simulation.kill("10.0.1.1", true);
+    simulation.wipe("10.0.1.1");
+    simulation.start("10.0.1.1", false);
+    simulation.run(8000);
+    assertEquals(status(simulation, 4, 0, true), 200);
+    assertEquals(status(simulation, 4, 1, true), 409);
+    assertEquals(status(simulation, 8, 1, true), 200);
+    assertEquals(status(simulation, 8, 0, false), 409);
     assertEquals(
-        status(fleet, 6, 0, false),
+        status(simulation, 6, 0, false),
         200,
         "a version that was never taken and lies below alters nothing");
-    assertEquals(status(fleet, 6, 1, false), 200);
+    assertEquals(status(simulation, 6, 1, false), 200);
   }
 
   @Test
   public void anOlderStoresConfigurationIsComparedByItsBody() {
-    final Fleet fleet =
+    final StateStoreSimulation simulation =
         fleet(
             5,
-            new Fleet.Meddler() {
+            new StateStoreSimulation.FaultInjector() {
               @Override
-              public void prepare(final FrameCore core, final AuditStore store, final long keeps) {
-                BrokenBook.silent(core, store, keeps);
+              public void prepare(
+                  final StateStoreReplica replica, final AuditStore store, final long keeps) {
+                BrokenAuditSequencer.silent(replica, store, keeps);
               }
 
               @Override
@@ -397,9 +406,9 @@
                   return message;
                 }
                 final StateStoreMessages.Accept accept = (StateStoreMessages.Accept) message;
-                final List<StateStoreMessages.Entry> entries = new ArrayList<>();
+                final List<StateStoreMessages.RegisterEntry> entries = new ArrayList<>();
                 Protocol.list(accept.entries)
-                    .forEach(entry -> entries.add(BrokenBook.older(entry)));
+                    .forEach(entry -> entries.add(BrokenAuditSequencer.older(entry)));
                 return new StateStoreMessages.Accept(
                     accept.partition,
                     accept.roster,
@@ -409,30 +418,30 @@
                     entries);
               }
             });
-    assertEquals(status(fleet, 4, 0, false), 200);
-    fleet.meddler(new Fleet.Meddler() {});
-    for (final String address : fleet.running()) {
-      fleet.kill(address, false);
-      fleet.after(100, () -> fleet.start(address, false));
+    assertEquals(status(simulation, 4, 0, false), 200);
+    simulation.faultInjector(new StateStoreSimulation.FaultInjector() {});
+    for (final String address : simulation.running()) {
+      simulation.kill(address, false);
+      simulation.after(100, () -> simulation.start(address, false));
     }
-    fleet.run(6000);
-    assertEquals(status(fleet, 4, 0, true), 200);
-    assertEquals(status(fleet, 4, 1, false), 409);
-    assertEquals(status(fleet, 9, 1, false), 200);
-    assertEquals(status(fleet, 4, 0, false), 200);
-    assertEquals(status(fleet, 4, 1, true), 409);
+    simulation.run(6000);
+    assertEquals(status(simulation, 4, 0, true), 200);
+    assertEquals(status(simulation, 4, 1, false), 409);
+    assertEquals(status(simulation, 9, 1, false), 200);
+    assertEquals(status(simulation, 4, 0, false), 200);
+    assertEquals(status(simulation, 4, 1, true), 409);
   }
 
   @Test
   public void aHolderThatAcknowledgesWhateverIsNotNewIsCaught() {
     assertTrue(
         caught(
-                new Fleet.Meddler() {
+                new StateStoreSimulation.FaultInjector() {
                   @Override
                   public void prepare(
-                      final FrameCore core, final AuditStore store, final long keeps) {
-                    core.history(store, keeps, Fleet.ENTRY_BYTES);
-                    BrokenBook.heedless(core);
+                      final StateStoreReplica replica, final AuditStore store, final long keeps) {
+                    replica.history(store, keeps, StateStoreSimulation.ENTRY_BYTES);
+                    BrokenAuditSequencer.heedless(replica);
                   }
                 })
             >= 6);
@@ -442,20 +451,20 @@
   public void aHolderThatForgetsWhatOlderVersionsStandForIsCaught() {
     assertTrue(
         caught(
-                new Fleet.Meddler() {
+                new StateStoreSimulation.FaultInjector() {
                   @Override
                   public void prepare(
-                      final FrameCore core, final AuditStore store, final long keeps) {
-                    BrokenBook.forgetful(core, store, keeps);
+                      final StateStoreReplica replica, final AuditStore store, final long keeps) {
+                    BrokenAuditSequencer.forgetful(replica, store, keeps);
                   }
                 })
             >= 6);
   }
 
-  private static int caught(final Fleet.Meddler meddler) {
+  private static int caught(final StateStoreSimulation.FaultInjector faultInjector) {
     int caught = 0;
     for (long seed = 1; seed <= 6; seed++) {
-      caught += play(seed, meddler, new int[2]).isEmpty() ? 0 : 1;
+      caught += play(seed, faultInjector, new int[2]).isEmpty() ? 0 : 1;
     }
     return caught;
   }
--- a/rig/src/test/java/weldpoint/rig/model/Trace.java
+++ b/simulation/src/test/java/weldpoint/simulation/model/Trace.java
@@ -1,4 +1,4 @@
-package weldpoint.rig.model;
+package weldpoint.simulation.model;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -9,20 +9,20 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import weldpoint.frame.FrameCore;
-import weldpoint.frame.Kept;
-import weldpoint.rig.Fleet;
-import weldpoint.trunk.Mark;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.StateStoreMessages;
+import weldpoint.simulation.StateStoreSimulation;
+import weldpoint.statestore.DiskContents;
+import weldpoint.statestore.StateStoreReplica;
+import weldpoint.transport.Message;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.RegisterVersion;
+import weldpoint.transport.StateStoreMessages;
 
 /**
  * Takes what real cores send, get and put on disk for steps of the model, and checks that the model
  * allows each: by what is lasting on the sender's own disk at that moment, and by what the sender
  * got from others before.
  */
-final class Trace implements Fleet.Watcher {
+final class Trace implements StateStoreSimulation.Observer {
   /** The steps of the model that are recognised. */
   enum Step {
     BEGIN,
@@ -41,19 +41,19 @@
 
   /** A ballot, as its owner sees it. */
   private static final class Ballot {
-    final Mark mark;
+    final RegisterVersion mark;
     final StateStoreMessages.Roster roster;
     final Map<String, StateStoreMessages.Promise> promises = new HashMap<>();
     final Map<String, Long> counted = new HashMap<>();
     final Set<String> established = new HashSet<>();
     final Map<String, Map<String, Long>> accepted = new HashMap<>();
     final Map<String, Long> proposed = new HashMap<>();
-    List<StateStoreMessages.Entry> own;
-    Mark ownEstablished;
+    List<StateStoreMessages.RegisterEntry> own;
+    RegisterVersion ownEstablished;
     boolean establishes;
     boolean serves;
 
-    Ballot(final Mark mark, final StateStoreMessages.Roster roster) {
+    Ballot(final RegisterVersion mark, final StateStoreMessages.Roster roster) {
       this.mark = mark;
       this.roster = roster;
     }
@@ -61,11 +61,11 @@
 
   /** One machine: its disk, and what its process of the moment has got. */
   private static final class Machine {
-    Kept kept = new Kept(List.of());
-    final Mark[] given = new Mark[FrameCore.PARTITIONS];
-    final Ballot[] ballots = new Ballot[FrameCore.PARTITIONS];
+    DiskContents kept = new DiskContents(List.of());
+    final RegisterVersion[] given = new RegisterVersion[StateStoreReplica.PARTITIONS];
+    final Ballot[] ballots = new Ballot[StateStoreReplica.PARTITIONS];
     final Map<String, Long> heard = new HashMap<>();
-    final Map<String, List<StateStoreMessages.Fetched>> fetched = new HashMap<>();
+    final Map<String, List<StateStoreMessages.RecoveryResponse>> fetched = new HashMap<>();
 
     boolean whole() {
       return kept.incarnation() > 0;
@@ -73,7 +73,7 @@
   }
 
   private final Map<String, Machine> machines = new LinkedHashMap<>();
-  private final Map<Mark, String> owners = new HashMap<>();
+  private final Map<RegisterVersion, String> owners = new HashMap<>();
   private final Map<Long, String> rosters = new HashMap<>();
   private final Map<Long, Set<Integer>> settled = new HashMap<>();
   private final EnumMap<Step, Integer> steps = new EnumMap<>(Step.class);
@@ -108,9 +108,9 @@
   @Override
   public void started(final String address, final List<byte[]> records) {
     final Machine machine = new Machine();
-    machine.kept = new Kept(records);
+    machine.kept = new DiskContents(records);
     machines.put(address, machine);
-    for (int partition = 0; partition < FrameCore.PARTITIONS; partition++) {
+    for (int partition = 0; partition < StateStoreReplica.PARTITIONS; partition++) {
       machine.given[partition] = machine.kept.promised(partition);
     }
     known(machine.kept.roster(), address);
@@ -119,10 +119,11 @@
   @Override
   public void appended(final String address, final byte[] record) {
     final Machine machine = machine(address);
-    final Kept.Kind kind = Kept.kind(record);
-    if (machine.whole() && (kind == Kept.Kind.PROMISE || kind == Kept.Kind.REGISTERS)) {
-      final int partition = Kept.partition(record);
-      final Mark ballot = Kept.ballot(record);
+    final DiskContents.Kind kind = DiskContents.kind(record);
+    if (machine.whole()
+        && (kind == DiskContents.Kind.PROMISE || kind == DiskContents.Kind.REGISTERS)) {
+      final int partition = DiskContents.partition(record);
+      final RegisterVersion ballot = DiskContents.ballot(record);
       must(
           ballot.compareTo(machine.given[partition]) >= 0,
           address,
@@ -142,17 +143,17 @@
     final boolean before = machine.whole();
     final long number = machine.kept.roster().number;
     machine.kept.take(record);
-    final Kept.Kind kind = Kept.kind(record);
+    final DiskContents.Kind kind = DiskContents.kind(record);
     if (!before) {
       if (machine.whole()) {
         countsAgain(address, machine);
       }
       return;
     }
-    if (kind == Kept.Kind.PROMISE) {
-      final int partition = Kept.partition(record);
+    if (kind == DiskContents.Kind.PROMISE) {
+      final int partition = DiskContents.partition(record);
       final Ballot ballot = machine.ballots[partition];
-      if (ballot != null && ballot.mark.equals(Kept.ballot(record))) {
+      if (ballot != null && ballot.mark.equals(DiskContents.ballot(record))) {
         ballot.own = machine.kept.entries(partition);
         ballot.ownEstablished = machine.kept.established(partition);
       }
@@ -169,12 +170,12 @@
    */
   private void countsAgain(final String address, final Machine machine) {
     step(Step.COUNT_AGAIN);
-    final Kept kept = machine.kept;
+    final DiskContents kept = machine.kept;
     int told = 0;
     for (final StateStoreMessages.Voter voter : kept.roster().voters) {
       final Map<String, Boolean> pages = new HashMap<>();
       boolean ends = false;
-      for (final StateStoreMessages.Fetched one :
+      for (final StateStoreMessages.RecoveryResponse one :
           machine.fetched.getOrDefault(voter.address, List.of())) {
         if (one.incarnation == kept.incarnation()
             && one.roster.number == kept.roster().number
@@ -196,20 +197,21 @@
             + " of "
             + kept.roster().voters.size()
             + " voters hold");
-    for (int partition = 0; partition < FrameCore.PARTITIONS; partition++) {
+    for (int partition = 0; partition < StateStoreReplica.PARTITIONS; partition++) {
       machine.given[partition] = kept.promised(partition);
     }
   }
 
-  private static boolean covers(final Kept kept, final StateStoreMessages.Fetched told) {
+  private static boolean covers(
+      final DiskContents kept, final StateStoreMessages.RecoveryResponse told) {
     for (int partition = 0; partition < Protocol.list(told.promised).size(); partition++) {
       if (kept.promised(partition).compareTo(told.promised.get(partition)) < 0
           || kept.established(partition).compareTo(told.established.get(partition)) < 0) {
         return false;
       }
     }
-    for (final StateStoreMessages.Entry entry : Protocol.list(told.entries)) {
-      final int partition = FrameCore.partition(entry.name);
+    for (final StateStoreMessages.RegisterEntry entry : Protocol.list(told.entries)) {
+      final int partition = StateStoreReplica.partition(entry.name);
       if (entry.mark.compareTo(kept.established(partition)) >= 0
           && kept.stored(partition, entry.name).compareTo(entry.mark) < 0) {
         return false;
@@ -242,13 +244,14 @@
       proposes(from, machine, (StateStoreMessages.Accept) message);
     } else if (message instanceof StateStoreMessages.Accepted) {
       accepts(from, machine, (StateStoreMessages.Accepted) message);
-    } else if (message instanceof StateStoreMessages.Pulse) {
-      serves(from, machine, (StateStoreMessages.Pulse) message);
-    } else if (message instanceof StateStoreMessages.Pulsed) {
-      confirms(from, machine, (StateStoreMessages.Pulsed) message);
-    } else if (message instanceof StateStoreMessages.Fetched) {
+    } else if (message instanceof StateStoreMessages.Heartbeat) {
+      serves(from, machine, (StateStoreMessages.Heartbeat) message);
+    } else if (message instanceof StateStoreMessages.HeartbeatAck) {
+      confirms(from, machine, (StateStoreMessages.HeartbeatAck) message);
+    } else if (message instanceof StateStoreMessages.RecoveryResponse) {
       step(Step.FETCH);
-      final StateStoreMessages.Fetched fetched = (StateStoreMessages.Fetched) message;
+      final StateStoreMessages.RecoveryResponse fetched =
+          (StateStoreMessages.RecoveryResponse) message;
       must(machine.whole(), from, "answers a fetch though its own disk is blank");
       must(
           machine.kept.known(to) >= fetched.incarnation,
@@ -264,8 +267,8 @@
             from,
             "tells less than it has promised in partition " + partition);
       }
-    } else if (message instanceof StateStoreMessages.RosterNews) {
-      known(((StateStoreMessages.RosterNews) message).roster, from);
+    } else if (message instanceof StateStoreMessages.RosterUpdate) {
+      known(((StateStoreMessages.RosterUpdate) message).roster, from);
     }
   }
 
@@ -309,11 +312,11 @@
         promise.established.compareTo(machine.kept.established(promise.partition)) >= 0,
         from,
         what + " and hides an establishment");
-    final Map<String, Mark> told = new HashMap<>();
+    final Map<String, RegisterVersion> told = new HashMap<>();
     Protocol.list(promise.entries).forEach(entry -> told.put(entry.name, entry.mark));
-    for (final StateStoreMessages.Entry entry : machine.kept.entries(promise.partition)) {
+    for (final StateStoreMessages.RegisterEntry entry : machine.kept.entries(promise.partition)) {
       must(
-          told.getOrDefault(entry.name, Mark.NONE).compareTo(entry.mark) >= 0,
+          told.getOrDefault(entry.name, RegisterVersion.NONE).compareTo(entry.mark) >= 0,
           from,
           what + " and hides " + entry.name + " at " + entry.mark);
     }
@@ -334,7 +337,7 @@
         from,
         what + " before the establishment is on its disk");
     for (int index = 0; index < Protocol.list(accepted.names).size(); index++) {
-      final Mark mark = accepted.ballot.at(accepted.counts.get(index));
+      final RegisterVersion mark = accepted.ballot.at(accepted.counts.get(index));
       must(
           machine.kept.stored(accepted.partition, accepted.names.get(index)).compareTo(mark) >= 0
               || machine.kept.established(accepted.partition).compareTo(mark) > 0,
@@ -344,12 +347,12 @@
   }
 
   private void confirms(
-      final String from, final Machine machine, final StateStoreMessages.Pulsed pulsed) {
+      final String from, final Machine machine, final StateStoreMessages.HeartbeatAck ack) {
     step(Step.CONFIRM);
-    votes(from, machine, pulsed.incarnation, pulsed.known, "confirms");
-    for (int index = 0; index < Protocol.list(pulsed.partitions).size(); index++) {
-      final int partition = pulsed.partitions.get(index);
-      final Mark ballot = pulsed.ballots.get(index);
+    votes(from, machine, ack.incarnation, ack.known, "confirms");
+    for (int index = 0; index < Protocol.list(ack.partitions).size(); index++) {
+      final int partition = ack.partitions.get(index);
+      final RegisterVersion ballot = ack.ballots.get(index);
       must(
           machine.kept.promised(partition).sameBallot(ballot)
               || machine.kept.promised(partition).compareTo(ballot) < 0,
@@ -391,7 +394,8 @@
         what + " below what it has promised");
     final String owner =
         owners.putIfAbsent(
-            new Mark(prepare.ballot.round, prepare.ballot.owner, prepare.partition), from);
+            new RegisterVersion(prepare.ballot.round, prepare.ballot.owner, prepare.partition),
+            from);
     must(owner == null || owner.equals(from), from, what + ", which " + owner + " has begun");
     final Ballot ballot = new Ballot(prepare.ballot, machine.kept.roster());
     machine.ballots[prepare.partition] = ballot;
@@ -401,7 +405,7 @@
     }
   }
 
-  private Ballot ballot(final Machine machine, final int partition, final Mark mark) {
+  private Ballot ballot(final Machine machine, final int partition, final RegisterVersion mark) {
     final Ballot ballot = machine.ballots[partition];
     return ballot != null && ballot.mark.sameBallot(mark) ? ballot : null;
   }
@@ -425,7 +429,7 @@
       return;
     }
     must(ballot.serves, from, what + " before it serves");
-    for (final StateStoreMessages.Entry entry : Protocol.list(accept.entries)) {
+    for (final StateStoreMessages.RegisterEntry entry : Protocol.list(accept.entries)) {
       final Long before = ballot.proposed.get(entry.name);
       if (before != null && before >= entry.mark.count) {
         continue;
@@ -438,7 +442,8 @@
       if (entry.name.equals("roster")) {
         step(Step.PROPOSE_ROSTER);
         must(
-            settled.getOrDefault(ballot.roster.number, Set.of()).size() == FrameCore.PARTITIONS,
+            settled.getOrDefault(ballot.roster.number, Set.of()).size()
+                == StateStoreReplica.PARTITIONS,
             from,
             what
                 + " a roster while only partitions "
@@ -461,9 +466,9 @@
       final String what) {
     step(Step.ESTABLISH);
     int promised = 0;
-    Mark floor = Mark.NONE;
-    final Map<String, StateStoreMessages.Entry> best = new HashMap<>();
-    final List<StateStoreMessages.Entry> entries = new ArrayList<>();
+    RegisterVersion floor = RegisterVersion.NONE;
+    final Map<String, StateStoreMessages.RegisterEntry> best = new HashMap<>();
+    final List<StateStoreMessages.RegisterEntry> entries = new ArrayList<>();
     for (int place = 0; place < ballot.roster.voters.size(); place++) {
       final String voter = ballot.roster.voters.get(place).address;
       final long counted = accept.counted.get(place);
@@ -509,15 +514,15 @@
         promised >= ballot.roster.majority(),
         from,
         what + " with " + promised + " promises of " + ballot.roster.voters.size());
-    for (final StateStoreMessages.Entry entry : entries) {
-      final StateStoreMessages.Entry other = best.get(entry.name);
+    for (final StateStoreMessages.RegisterEntry entry : entries) {
+      final StateStoreMessages.RegisterEntry other = best.get(entry.name);
       if (entry.mark.compareTo(floor) >= 0
           && (other == null || other.mark.compareTo(entry.mark) < 0)) {
         best.put(entry.name, entry);
       }
     }
     final Set<String> names = new HashSet<>();
-    for (final StateStoreMessages.Entry entry : Protocol.list(accept.entries)) {
+    for (final StateStoreMessages.RegisterEntry entry : Protocol.list(accept.entries)) {
       names.add(entry.name);
       must(
           best.containsKey(entry.name) && Arrays.equals(best.get(entry.name).whole, entry.whole),
@@ -535,12 +540,12 @@
   }
 
   private void serves(
-      final String from, final Machine machine, final StateStoreMessages.Pulse pulse) {
-    for (int index = 0; index < Protocol.list(pulse.partitions).size(); index++) {
-      final int partition = pulse.partitions.get(index);
-      final Ballot ballot = ballot(machine, partition, pulse.ballots.get(index));
+      final String from, final Machine machine, final StateStoreMessages.Heartbeat heartbeat) {
+    for (int index = 0; index < Protocol.list(heartbeat.partitions).size(); index++) {
+      final int partition = heartbeat.partitions.get(index);
+      final Ballot ballot = ballot(machine, partition, heartbeat.ballots.get(index));
       final String what =
-          "serves partition " + partition + " under ballot " + pulse.ballots.get(index);
+          "serves partition " + partition + " under ballot " + heartbeat.ballots.get(index);
       if (ballot == null) {
         must(false, from, what + ", which it has not begun under its roster");
         continue;
@@ -617,18 +622,18 @@
           }
         }
       }
-    } else if (message instanceof StateStoreMessages.Pulsed) {
-      final StateStoreMessages.Pulsed pulsed = (StateStoreMessages.Pulsed) message;
-      for (int index = 0; index < Protocol.list(pulsed.partitions).size(); index++) {
-        if (ballot(machine, pulsed.partitions.get(index), pulsed.ballots.get(index)) != null) {
-          hears(machine, pulsed.known);
+    } else if (message instanceof StateStoreMessages.HeartbeatAck) {
+      final StateStoreMessages.HeartbeatAck ack = (StateStoreMessages.HeartbeatAck) message;
+      for (int index = 0; index < Protocol.list(ack.partitions).size(); index++) {
+        if (ballot(machine, ack.partitions.get(index), ack.ballots.get(index)) != null) {
+          hears(machine, ack.known);
         }
       }
-    } else if (message instanceof StateStoreMessages.Fetched) {
+    } else if (message instanceof StateStoreMessages.RecoveryResponse) {
       machine
           .fetched
           .computeIfAbsent(from, key -> new ArrayList<>())
-          .add((StateStoreMessages.Fetched) message);
+          .add((StateStoreMessages.RecoveryResponse) message);
     }
   }
 
