--- a/rig/src/test/java/weldpoint/rig/model/TraceTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/model/TraceTest.java
@@ -1,4 +1,4 @@
-package weldpoint.rig.model;
+package weldpoint.simulation.model;
 
 import static org.testng.Assert.assertTrue;
 
@@ -9,29 +9,30 @@
 import java.util.List;
 import java.util.Random;
 import org.testng.annotations.Test;
-import weldpoint.frame.Deed;
-import weldpoint.rig.Fleet;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.Protocol;
-import weldpoint.trunk.StateStoreMessages;
+import weldpoint.simulation.StateStoreSimulation;
+import weldpoint.statestore.StoreOperation;
+import weldpoint.transport.Message;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.StateStoreMessages;
 
 /** Whole days of real cores never leave the model; cores that are made to break a rule do. */
 public class TraceTest {
   private static final List<String> SEEDS = List.of("10.0.1.1", "10.0.1.2", "10.0.2.1");
   private static final String[] OTHERS = {"10.0.2.2", "10.0.3.1", "10.0.3.2", "10.0.1.3"};
 
-  private static void traffic(final Fleet fleet) {
-    final Random random = fleet.random();
-    final List<String> running = fleet.running();
+  private static void traffic(final StateStoreSimulation simulation) {
+    final Random random = simulation.random();
+    final List<String> running = simulation.running();
     if (!running.isEmpty()) {
       final String at = running.get(random.nextInt(running.size()));
       switch (random.nextInt(3)) {
         case 0 ->
-            fleet.call(at, Deed.NUMBER, "n" + random.nextInt(4), null, 0, 0, null, answer -> {});
+            simulation.call(
+                at, StoreOperation.NUMBER, "n" + random.nextInt(4), null, 0, 0, null, answer -> {});
         case 1 ->
-            fleet.call(
+            simulation.call(
                 at,
-                Deed.LOCK_BEGIN,
+                StoreOperation.LOCK_BEGIN,
                 "l" + random.nextInt(3),
                 "o" + random.nextInt(3),
                 800,
@@ -39,9 +40,9 @@
                 null,
                 answer -> {});
         default ->
-            fleet.call(
+            simulation.call(
                 at,
-                Deed.CELL_REPLACE,
+                StoreOperation.CELL_REPLACE,
                 "g" + random.nextInt(2),
                 "v" + random.nextInt(1 << 20),
                 -1,
@@ -50,87 +51,93 @@
                 answer -> {});
       }
     }
-    fleet.after(25, () -> traffic(fleet));
+    simulation.after(25, () -> traffic(simulation));
   }
 
-  private static void again(final Fleet fleet, final String address, final boolean wipe) {
-    fleet.kill(address, true);
+  private static void again(
+      final StateStoreSimulation simulation, final String address, final boolean wipe) {
+    simulation.kill(address, true);
     if (wipe) {
-      fleet.wipe(address);
+      simulation.wipe(address);
     }
-    fleet.after(
-        200 + fleet.random().nextInt(1200),
+    simulation.after(
+        200 + simulation.random().nextInt(1200),
         () -> {
-          if (fleet.machines().get(address).core() == null) {
-            fleet.start(address, false);
+          if (simulation.machines().get(address).replica() == null) {
+            simulation.start(address, false);
           }
         });
   }
 
-  private static void trouble(final Fleet fleet) {
-    final Random random = fleet.random();
-    final List<String> running = new ArrayList<>(fleet.running());
+  private static void trouble(final StateStoreSimulation simulation) {
+    final Random random = simulation.random();
+    final List<String> running = new ArrayList<>(simulation.running());
     Collections.shuffle(running, random);
     final String one = running.get(0);
     switch (random.nextInt(9)) {
-      case 0 -> again(fleet, one, false);
-      case 1 -> running.forEach(address -> again(fleet, address, false));
+      case 0 -> again(simulation, one, false);
+      case 1 -> running.forEach(address -> again(simulation, address, false));
       case 2 ->
           running
               .subList(1, running.size())
               .forEach(
                   other -> {
-                    fleet.cut(one, other, true);
-                    fleet.cut(other, one, random.nextBoolean());
+                    simulation.cut(one, other, true);
+                    simulation.cut(other, one, random.nextBoolean());
                   });
-      case 3 -> fleet.freeze(one, true);
-      case 4 -> running.forEach(address -> fleet.disk(address, 2 + random.nextInt(300)));
+      case 3 -> simulation.freeze(one, true);
+      case 4 -> running.forEach(address -> simulation.disk(address, 2 + random.nextInt(300)));
       case 5 -> {
-        fleet.kill(one, true);
-        fleet.after(6000, () -> fleet.start(one, false));
+        simulation.kill(one, true);
+        simulation.after(6000, () -> simulation.start(one, false));
       }
       case 6 -> {
-        again(fleet, one, true);
-        fleet.after(
-            150, () -> running.subList(1, 3).forEach(address -> again(fleet, address, false)));
+        again(simulation, one, true);
+        simulation.after(
+            150, () -> running.subList(1, 3).forEach(address -> again(simulation, address, false)));
       }
-      default -> again(fleet, one, true);
+      default -> again(simulation, one, true);
     }
-    fleet.after(2500, fleet::heal);
+    simulation.after(2500, simulation::heal);
   }
 
-  private static Fleet fleet(
+  private static StateStoreSimulation fleet(
       final long seed,
       final boolean syncsFirst,
       final int others,
-      final Fleet.Meddler meddler,
+      final StateStoreSimulation.FaultInjector faultInjector,
       final Trace trace) {
-    final Fleet fleet = new Fleet(seed, SEEDS, syncsFirst);
-    fleet.watcher(trace);
-    if (meddler != null) {
-      fleet.meddler(meddler);
+    final StateStoreSimulation simulation = new StateStoreSimulation(seed, SEEDS, syncsFirst);
+    simulation.observer(trace);
+    if (faultInjector != null) {
+      simulation.faultInjector(faultInjector);
     }
     for (final String address : SEEDS) {
-      fleet.add(address, "zone-" + address.charAt(5), "x");
-      fleet.start(address, true);
+      simulation.add(address, "zone-" + address.charAt(5), "x");
+      simulation.start(address, true);
     }
     for (final String address : List.of(OTHERS).subList(0, others)) {
-      fleet.add(address, "zone-" + address.charAt(5), "x");
-      fleet.after(500 + fleet.random().nextInt(3000), () -> fleet.start(address, true));
+      simulation.add(address, "zone-" + address.charAt(5), "x");
+      simulation.after(
+          500 + simulation.random().nextInt(3000), () -> simulation.start(address, true));
     }
-    fleet.run(3600);
-    traffic(fleet);
-    return fleet;
+    simulation.run(3600);
+    traffic(simulation);
+    return simulation;
   }
 
   private static Trace day(
-      final long seed, final boolean syncsFirst, final Fleet.Meddler meddler, final int rounds) {
+      final long seed,
+      final boolean syncsFirst,
+      final StateStoreSimulation.FaultInjector faultInjector,
+      final int rounds) {
     final Trace trace = new Trace();
-    final Fleet fleet = fleet(seed, syncsFirst, OTHERS.length, meddler, trace);
+    final StateStoreSimulation simulation =
+        fleet(seed, syncsFirst, OTHERS.length, faultInjector, trace);
     for (int round = 0; round < rounds; round++) {
-      fleet.run(1500);
-      trouble(fleet);
-      fleet.run(5500);
+      simulation.run(1500);
+      trouble(simulation);
+      simulation.run(5500);
     }
     return trace;
   }
@@ -166,23 +173,23 @@
   @Test
   public void anOvertakenPromiseThatCountsIsSeen() {
     final Trace trace = new Trace();
-    final Fleet fleet =
+    final StateStoreSimulation simulation =
         fleet(
             1,
             true,
             2,
-            new Fleet.Meddler() {
+            new StateStoreSimulation.FaultInjector() {
               @Override
               public Message pass(final String from, final String to, final Message message) {
                 return to.equals(SEEDS.get(0)) ? asFirst(message) : message;
               }
             },
             trace);
-    fleet.run(3000);
-    again(fleet, SEEDS.get(1), true);
-    fleet.run(4000);
+    simulation.run(3000);
+    again(simulation, SEEDS.get(1), true);
+    simulation.run(4000);
     assertTrue(trace.breaches().isEmpty(), trace.breaches().toString());
-    othersPause(fleet);
+    othersPause(simulation);
     assertTrue(
         trace.breaches().stream()
             .anyMatch(
@@ -193,19 +200,19 @@
   }
 
   /** All but the first core stand still in turn, so that the first wins their partitions. */
-  private static void othersPause(final Fleet fleet) {
-    for (final String address : fleet.running()) {
+  private static void othersPause(final StateStoreSimulation simulation) {
+    for (final String address : simulation.running()) {
       if (!address.equals(SEEDS.get(0))) {
-        fleet.freeze(address, true);
-        fleet.run(2200);
-        fleet.heal();
-        fleet.run(1500);
+        simulation.freeze(address, true);
+        simulation.run(2200);
+        simulation.heal();
+        simulation.run(1500);
       }
     }
   }
 
   private static Message asFirst(final Message message) {
-    if (message instanceof StateStoreMessages.Fetch) {
+    if (message instanceof StateStoreMessages.RecoveryRequest) {
       return null;
     } else if (message instanceof StateStoreMessages.Promise) {
       final StateStoreMessages.Promise one = (StateStoreMessages.Promise) message;
@@ -215,9 +222,9 @@
       final StateStoreMessages.Accepted one = (StateStoreMessages.Accepted) message;
       return new StateStoreMessages.Accepted(
           one.partition, one.ballot, one.establish, one.names, one.counts, one.lacking, 1, null);
-    } else if (message instanceof StateStoreMessages.Pulsed) {
-      final StateStoreMessages.Pulsed one = (StateStoreMessages.Pulsed) message;
-      return new StateStoreMessages.Pulsed(one.partitions, one.ballots, 1, null, one.audited);
+    } else if (message instanceof StateStoreMessages.HeartbeatAck) {
+      final StateStoreMessages.HeartbeatAck one = (StateStoreMessages.HeartbeatAck) message;
+      return new StateStoreMessages.HeartbeatAck(one.partitions, one.ballots, 1, null, one.audited);
     } else if (message instanceof StateStoreMessages.Refused) {
       final StateStoreMessages.Refused one = (StateStoreMessages.Refused) message;
       return new StateStoreMessages.Refused(
@@ -234,12 +241,12 @@
   @Test
   public void anEstablishmentOfLessThanWasToldIsSeen() {
     final Trace trace = new Trace();
-    final Fleet fleet =
+    final StateStoreSimulation simulation =
         fleet(
             2,
             true,
             2,
-            new Fleet.Meddler() {
+            new StateStoreSimulation.FaultInjector() {
               @Override
               public Message pass(final String from, final String to, final Message message) {
                 if (to.equals(SEEDS.get(0)) && message instanceof StateStoreMessages.Accept) {
@@ -259,7 +266,7 @@
               }
             },
             trace);
-    othersPause(fleet);
+    othersPause(simulation);
     assertTrue(
         trace.breaches().stream()
             .anyMatch(line -> line.startsWith(SEEDS.get(0)) && line.contains("where it was told")),
@@ -273,12 +280,12 @@
   @Test
   public void aCommitWithoutAMajorityIsSeen() {
     final Trace trace = new Trace();
-    final Fleet fleet =
+    final StateStoreSimulation simulation =
         fleet(
             1,
             true,
             2,
-            new Fleet.Meddler() {
+            new StateStoreSimulation.FaultInjector() {
               @Override
               public Message pass(final String from, final String to, final Message message) {
                 if (to.equals(SEEDS.get(0))
@@ -302,13 +309,21 @@
             },
             trace);
     for (int call = 0; call < 1000; call++) {
-      fleet.after(
+      simulation.after(
           call * 4L,
           () ->
-              fleet.call(fleet.running().get(0), Deed.NUMBER, "n", null, 0, 0, null, answer -> {}));
+              simulation.call(
+                  simulation.running().get(0),
+                  StoreOperation.NUMBER,
+                  "n",
+                  null,
+                  0,
+                  0,
+                  null,
+                  answer -> {}));
     }
-    fleet.run(1000);
-    othersPause(fleet);
+    simulation.run(1000);
+    othersPause(simulation);
     assertTrue(
         trace.breaches().stream()
             .anyMatch(line -> line.startsWith(SEEDS.get(0)) && line.contains("the next value of")),
--- /dev/null
+++ b/statestore/src/main/java/weldpoint/statestore/StateStoreDaemon.java
@@ -0,0 +1,206 @@
+package weldpoint.statestore;
+
+import com.google.common.flogger.FluentLogger;
+import io.netty.channel.EventLoopGroup;
+import io.netty.channel.nio.NioEventLoopGroup;
+import java.io.IOException;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Random;
+import java.util.concurrent.TimeUnit;
+import weldpoint.audit.SegmentStore;
+import weldpoint.common.Daemon;
+import weldpoint.common.RandomIds;
+import weldpoint.common.SerialExecutor;
+import weldpoint.common.Settings;
+import weldpoint.common.WeldpointException;
+import weldpoint.transport.Connection;
+import weldpoint.transport.Message;
+import weldpoint.transport.PeerConnections;
+import weldpoint.transport.Protocol;
+import weldpoint.transport.Serializer;
+import weldpoint.transport.StoreMessages;
+import weldpoint.transport.Transport;
+import weldpoint.wal.SegmentRing;
+import weldpoint.wal.WriteAheadLog;
+
+/** The store as a process: its core on one thread, its lines on another, its disk on a third. */
+public final class StateStoreDaemon implements Daemon {
+  private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
+  private static final int FILES = 3;
+  private static final int FILE_BYTES = 1 << 20;
+  private static final int MOST_FILE_BYTES = 1 << 25;
+  private static final int MOST_VOTERS = 5;
+  private static final long TICK_MILLIS = 50;
+
+  private final Settings settings;
+  private final SerialExecutor executor = new SerialExecutor("frame");
+  private final EventLoopGroup loop = new NioEventLoopGroup(1);
+  private final StateStoreReplica replica;
+  private final Transport transport;
+  private final PeerConnections connections;
+  private WriteAheadLog log;
+  private long countersAt;
+
+  /** A store for these settings; nothing runs yet. */
+  public StateStoreDaemon(final Settings settings) {
+    this.settings = settings;
+    final long owner = RandomIds.next();
+    this.transport =
+        new Transport(
+            loop, new Protocol.Hello(Serializer.PROTOCOL, "frame", settings.address(), owner));
+    this.connections =
+        new PeerConnections(
+            transport,
+            settings.transportPort(1),
+            to ->
+                Transport.on(
+                    executor,
+                    new Transport.Listener() {
+                      @Override
+                      public void messageReceived(
+                          final Connection connection, final Message message) {
+                        replica().receive(to, message, connection::send, now());
+                      }
+
+                      @Override
+                      public void closed(final Connection connection) {
+                        replica().lineClosed(to, now());
+                      }
+                    }));
+    this.replica =
+        new StateStoreReplica(
+            settings.address(),
+            settings.site(),
+            settings.region(),
+            settings.voter(),
+            MOST_VOTERS,
+            settings.historyMillis(),
+            owner,
+            new Random(owner),
+            settings.seeds(),
+            new StateStoreReplica.Environment() {
+              @Override
+              public void send(final String address, final Message message) {
+                connections.send(address, message);
+              }
+
+              @Override
+              public void append(final byte[] record, final Runnable synced) {
+                log.append(record, synced);
+              }
+
+              @Override
+              public void peers(final List<String> addresses) {
+                connections.keep(addresses);
+              }
+
+              @Override
+              public long timeOfDay() {
+                return System.currentTimeMillis();
+              }
+            });
+  }
+
+  private StateStoreReplica replica() {
+    return replica;
+  }
+
+  private static long now() {
+    return System.nanoTime() / 1_000_000;
+  }
+
+  @Override
+  public void start() throws IOException, InterruptedException {
+    if (settings.folder().isEmpty()) {
+      throw new WeldpointException(
+          WeldpointException.Kind.SETTING,
+          "setting station.folder has the value ''; a frame needs a folder on a disk of its own");
+    }
+    final WriteAheadLog.Opened opened =
+        WriteAheadLog.open(
+            Path.of(settings.folder(), "frame"),
+            "frame " + settings.address(),
+            FILES,
+            FILE_BYTES,
+            MOST_FILE_BYTES,
+            executor,
+            replica::view);
+    final SegmentRing.Recovered found = opened.found();
+    if (found.lost()) {
+      LOGGER.atSevere().log(
+          "the disk of %s lost records that had been synced; it counts as blank and is refetched from the other frames",
+          settings.name());
+    }
+    log = opened.log();
+    final SegmentStore segments =
+        new SegmentStore(
+            Path.of(settings.folder(), "frame-history"), settings.auditBytes(), executor);
+    replica.history(segments, settings.auditRetention(), settings.auditEntryBytes());
+    executor.execute(
+        () ->
+            replica.start(
+                found.lost() ? List.of() : found.records(),
+                settings.firstStart() && found.blank() && !found.lost(),
+                now()));
+    log.start("tape");
+    segments.start("history");
+    transport.serve(
+        settings.bindAddress(),
+        settings.transportPort(1),
+        Transport.on(
+            executor,
+            new Transport.Listener() {
+              @Override
+              public void messageReceived(final Connection connection, final Message message) {
+                if (message instanceof StoreMessages.StoreRequest) {
+                  replica.call(
+                      (StoreMessages.StoreRequest) message,
+                      answer -> connection.send(answer.at(now())),
+                      now());
+                } else {
+                  replica.receive(connection.peer().address, message, connection::send, now());
+                }
+              }
+            }));
+    loop.scheduleAtFixedRate(
+        () -> executor.execute(this::tick), TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
+  }
+
+  private void tick() {
+    final long now = now();
+    replica.disk(log.busyMillis(), log.refusing(), now);
+    replica.tick(now);
+    if (now - countersAt >= settings.countersMillis()) {
+      countersAt = now;
+      LOGGER.atInfo().log(
+          "counters: serving %s ballots %s commits %s syncs %s %s roster %s %s %s",
+          replica.serving(),
+          replica.ballots(),
+          replica.commits(),
+          log.syncs(),
+          log.counters(),
+          replica.roster().number,
+          replica.historyCounters(),
+          transport.trafficCounters());
+    }
+  }
+
+  @Override
+  public void reload(final Settings news) {
+    executor.execute(() -> replica.seeds(news.seeds()));
+  }
+
+  @Override
+  public void stop() {
+    final java.util.concurrent.CountDownLatch done = new java.util.concurrent.CountDownLatch(1);
+    executor.execute(
+        () ->
+            replica.leave(() -> loop.schedule(done::countDown, 60, TimeUnit.MILLISECONDS), now()));
+    try {
+      done.await(GracefulLeave.MOST_MILLIS + 1000, TimeUnit.MILLISECONDS);
+    } catch (final InterruptedException ended) {
+      Thread.currentThread().interrupt();
+    }
+  }
+}
--- a/frame/src/main/java/weldpoint/frame/TakenVersions.java
+++ b/statestore/src/main/java/weldpoint/statestore/TakenVersions.java
@@ -1,16 +1,16 @@
-package weldpoint.frame;
+package weldpoint.statestore;
 
 import java.util.Arrays;
 import weldpoint.audit.AuditEntry;
 import weldpoint.audit.AuditLog;
 import weldpoint.audit.CanonicalJson;
 import weldpoint.audit.ChangeKind;
-import weldpoint.boot.Breakdown;
-import weldpoint.frame.Values.Spec;
-import weldpoint.frame.Values.TakenVersion;
-import weldpoint.trunk.Packing;
-import weldpoint.trunk.StoreCallMessages.Call;
-import weldpoint.trunk.Wire;
+import weldpoint.common.WeldpointException;
+import weldpoint.statestore.StoredValues.StoredConfiguration;
+import weldpoint.statestore.StoredValues.TakenVersion;
+import weldpoint.transport.Compression;
+import weldpoint.transport.Serializer;
+import weldpoint.transport.StoreMessages.StoreRequest;
 
 /**
  * Which content each version of the configuration stands for, as the holder of its register knows
@@ -18,11 +18,11 @@
  * was taken once never stands for anything else.
  */
 class TakenVersions {
-  private final AuditBook book;
+  private final AuditSequencer auditSequencer;
   private final AuditLog log;
 
-  TakenVersions(final AuditBook book, final AuditLog log) {
-    this.book = book;
+  TakenVersions(final AuditSequencer auditSequencer, final AuditLog log) {
+    this.auditSequencer = auditSequencer;
     this.log = log;
   }
 
@@ -30,7 +30,7 @@
    * What is to be said of a configuration whose version is not above the one held: the same one
    * again, another one, or one that is not known.
    */
-  Decision decide(final Spec held, final Call call) {
+  Decision decide(final StoredConfiguration held, final StoreRequest call) {
     final AuditEntry entry = entry(call.first);
     if (call.first == held.version) {
       return Arrays.equals(content(held), content(call)) ? again() : taken(call.first, entry);
@@ -56,33 +56,34 @@
     return Decision.confirm(
         409,
         version,
-        Wire.bytes(new TakenVersion(version, known ? entry.author : "", known ? entry.time : 0)));
+        Serializer.serialize(
+            new TakenVersion(version, known ? entry.author : "", known ? entry.time : 0)));
   }
 
   private AuditEntry entry(final long version) {
-    final AuditEntry young = book.taking(version);
+    final AuditEntry young = auditSequencer.taking(version);
     return young == null ? log.taking(version) : young;
   }
 
   /** Whether every entry that is kept is here: in the log, or in the tail after it. */
   private boolean complete() {
-    return log.last() >= book.tailBase();
+    return log.last() >= auditSequencer.tailBase();
   }
 
   /** What a configuration says, by the digest of its canonical form. */
-  static byte[] content(final Spec spec) {
+  static byte[] content(final StoredConfiguration spec) {
     return spec.content == null ? content(spec.body) : spec.content;
   }
 
   /** What a configuration that is sent says. */
-  static byte[] content(final Call call) {
+  static byte[] content(final StoreRequest call) {
     return call.content == null ? content(call.body) : call.content;
   }
 
   private static byte[] content(final byte[] packed) {
     try {
-      return CanonicalJson.digest(Packing.inflate(packed));
-    } catch (final Breakdown damaged) {
+      return CanonicalJson.digest(Compression.inflate(packed));
+    } catch (final WeldpointException damaged) {
       return CanonicalJson.digest(packed);
     }
   }
--- a/frame/src/main/java/weldpoint/frame/VoterChoice.java
+++ b/statestore/src/main/java/weldpoint/statestore/VoterSelection.java
@@ -1,4 +1,4 @@
-package weldpoint.frame;
+package weldpoint.statestore;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import weldpoint.trunk.StateStoreMessages.Voter;
+import weldpoint.transport.StateStoreMessages.Voter;
 
 /**
  * Which daemons should vote: first, no zone holds so many that its loss takes the majority, even if
@@ -14,10 +14,10 @@
  * they are spread over zones, then over regions. Nothing is exchanged for a choice that is only as
  * good.
  */
-final class VoterChoice {
+final class VoterSelection {
   private static final int LEAST = 3;
 
-  private VoterChoice() {}
+  private VoterSelection() {}
 
   /** How good a set of voters is; the smaller, the better. */
   private record Cost(int crowded, int away, int zones, int regions) {
--- a/frame/src/test/java/weldpoint/frame/FencingTest.java
+++ b/statestore/src/test/java/weldpoint/statestore/FencingTest.java
@@ -1,4 +1,4 @@
-package weldpoint.frame;
+package weldpoint.statestore;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -8,9 +8,9 @@
 import java.util.Random;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import weldpoint.trunk.Mark;
-import weldpoint.trunk.Message;
-import weldpoint.trunk.StateStoreMessages;
+import weldpoint.transport.Message;
+import weldpoint.transport.RegisterVersion;
+import weldpoint.transport.StateStoreMessages;
 
 /**
  * One voter on its own: what carries an old roster, a lower ballot or an overtaken incarnation is
@@ -18,13 +18,13 @@
  */
 public final class FencingTest {
   private final List<Message> answers = new ArrayList<>();
-  private FrameCore core;
+  private StateStoreReplica replica;
 
   @BeforeMethod
   public void start() {
     answers.clear();
-    core =
-        new FrameCore(
+    replica =
+        new StateStoreReplica(
             "10.0.0.1",
             "a",
             "r",
@@ -34,7 +34,7 @@
             1,
             new Random(1),
             List.of("10.0.0.1", "10.0.0.2", "10.0.0.3"),
-            new FrameCore.Outlet() {
+            new StateStoreReplica.Environment() {
               @Override
               public void send(final String address, final Message message) {}
 
@@ -46,25 +46,26 @@
               @Override
               public void peers(final List<String> addresses) {}
             });
-    core.start(List.of(), true, 0);
+    replica.start(List.of(), true, 0);
   }
 
   private Message say(final String from, final Message message) {
     answers.clear();
-    core.receive(from, message, answers::add, 10);
+    replica.receive(from, message, answers::add, 10);
     return answers.isEmpty() ? null : answers.get(0);
   }
 
   private static StateStoreMessages.Accept accept(final long round, final long second) {
     return new StateStoreMessages.Accept(
-        3, 1, new Mark(round, 9, 0), true, List.of(1L, second, 1L), List.of());
+        3, 1, new RegisterVersion(round, 9, 0), true, List.of(1L, second, 1L), List.of());
   }
 
   @Test
   public void aBallotThatCountedAnOvertakenIncarnationIsRefused() {
     assertTrue(say("10.0.0.3", accept(5, 1)) instanceof StateStoreMessages.Accepted);
     assertTrue(
-        say("10.0.0.2", new StateStoreMessages.Fetch(2)) instanceof StateStoreMessages.Fetched);
+        say("10.0.0.2", new StateStoreMessages.RecoveryRequest(2))
+            instanceof StateStoreMessages.RecoveryResponse);
     final Message refused = say("10.0.0.3", accept(6, 1));
     assertTrue(refused instanceof StateStoreMessages.Refused);
     assertEquals(((StateStoreMessages.Refused) refused).known, List.of(1L, 2L, 1L));
@@ -74,24 +75,25 @@
   @Test
   public void aLowerBallotIsRefusedWithTheOnePromised() {
     assertTrue(
-        say("10.0.0.2", new StateStoreMessages.Prepare(3, 1, new Mark(8, 4, 0)))
+        say("10.0.0.2", new StateStoreMessages.Prepare(3, 1, new RegisterVersion(8, 4, 0)))
             instanceof StateStoreMessages.Promise);
     final Message refused = say("10.0.0.3", accept(7, 1));
-    assertEquals(((StateStoreMessages.Refused) refused).promised, new Mark(8, 4, 0));
+    assertEquals(((StateStoreMessages.Refused) refused).promised, new RegisterVersion(8, 4, 0));
   }
 
   @Test
   public void anOldRosterIsAnsweredWithTheNewerOne() {
-    final StateStoreMessages.Roster next = new StateStoreMessages.Roster(2, core.roster().voters);
-    assertEquals(say("10.0.0.2", new StateStoreMessages.RosterNews(next)), null);
+    final StateStoreMessages.Roster next =
+        new StateStoreMessages.Roster(2, replica.roster().voters);
+    assertEquals(say("10.0.0.2", new StateStoreMessages.RosterUpdate(next)), null);
     final Message answer = say("10.0.0.3", accept(9, 1));
-    assertEquals(((StateStoreMessages.RosterNews) answer).roster.number, 2);
+    assertEquals(((StateStoreMessages.RosterUpdate) answer).roster.number, 2);
   }
 
   @Test
   public void aBlankDiskNeitherPromisesNorAccepts() {
-    final FrameCore blank =
-        new FrameCore(
+    final StateStoreReplica blank =
+        new StateStoreReplica(
             "10.0.0.2",
             "a",
             "r",
@@ -101,7 +103,7 @@
             1,
             new Random(1),
             List.of("10.0.0.1", "10.0.0.2", "10.0.0.3"),
-            new FrameCore.Outlet() {
+            new StateStoreReplica.Environment() {
               @Override
               public void send(final String address, final Message message) {}
 
@@ -116,7 +118,10 @@
     blank.start(List.of(), false, 0);
     answers.clear();
     blank.receive(
-        "10.0.0.1", new StateStoreMessages.Prepare(3, 1, new Mark(8, 4, 0)), answers::add, 10);
+        "10.0.0.1",
+        new StateStoreMessages.Prepare(3, 1, new RegisterVersion(8, 4, 0)),
+        answers::add,
+        10);
     blank.receive("10.0.0.1", accept(8, 1), answers::add, 10);
     assertTrue(answers.isEmpty());
   }
--- a/trunk/src/main/java/weldpoint/trunk/Wire.java
+++ b/transport/src/main/java/weldpoint/transport/Serializer.java
@@ -1,4 +1,4 @@
-package weldpoint.trunk;
+package weldpoint.transport;
 
 import io.protostuff.LinkedBuffer;
 import io.protostuff.ProtostuffIOUtil;
@@ -8,7 +8,7 @@
 import java.util.Map;
 
 /** Turns messages and stored values into bytes and back, by Protostuff. */
-public final class Wire {
+public final class Serializer {
   /** The number of the inner protocol; peers with another one are refused. */
   public static final int PROTOCOL = 1;
 
@@ -21,17 +21,17 @@
     }
   }
 
-  private Wire() {}
+  private Serializer() {}
 
   /** The bytes of a value. */
   @SuppressWarnings("unchecked")
-  public static <T> byte[] bytes(final T value) {
+  public static <T> byte[] serialize(final T value) {
     return ProtostuffIOUtil.toByteArray(
         value, (Schema<T>) RuntimeSchema.getSchema(value.getClass()), LinkedBuffer.allocate(512));
   }
 
   /** The value that the bytes hold. */
-  public static <T> T value(final byte[] bytes, final Class<T> type) {
+  public static <T> T deserialize(final byte[] bytes, final Class<T> type) {
     final Schema<T> schema = RuntimeSchema.getSchema(type);
     final T value = schema.newMessage();
     ProtostuffIOUtil.mergeFrom(bytes, value, schema);
--- a/trunk/src/main/java/weldpoint/trunk/Trunk.java
+++ b/transport/src/main/java/weldpoint/transport/Transport.java
@@ -1,4 +1,4 @@
-package weldpoint.trunk;
+package weldpoint.transport;
 
 import com.google.common.flogger.FluentLogger;
 import io.netty.bootstrap.Bootstrap;
@@ -24,22 +24,22 @@
 import java.util.function.Function;
 
 /** The inner protocol over TCP: frames of a length, a kind and a Protostuff body, after a hello. */
-public final class Trunk {
+public final class Transport {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
   private static final int MOST_BYTES = 64 << 20;
   private static final long RING_MILLIS = 500;
   private static final long SILENCE_NANOS = TimeUnit.MILLISECONDS.toNanos(1900);
 
   /** Hears what happens on lines; called on the traffic thread. */
-  public interface Ear {
+  public interface Listener {
     /** The peer has said hello. */
-    default void opened(final Line line) {}
+    default void opened(final Connection connection) {}
 
     /** The peer has said something. */
-    void heard(Line line, Message message);
+    void messageReceived(Connection connection, Message message);
 
     /** The line has ended. */
-    default void closed(final Line line) {}
+    default void closed(final Connection connection) {}
 
     /** The peer's machine answered that nobody listens there. */
     default void refused() {}
@@ -47,30 +47,30 @@
 
   private final EventLoopGroup loop;
   private final Protocol.Hello hello;
-  private final Meter meter = new Meter();
+  private final TrafficCounters trafficCounters = new TrafficCounters();
 
   /** What has passed over all lines. */
-  public Meter meter() {
-    return meter;
+  public TrafficCounters trafficCounters() {
+    return trafficCounters;
   }
 
   /** A trunk whose lines open with this hello. */
-  public Trunk(final EventLoopGroup loop, final Protocol.Hello hello) {
+  public Transport(final EventLoopGroup loop, final Protocol.Hello hello) {
     this.loop = loop;
     this.hello = hello;
   }
 
   /** Takes calls at an address, and returns once it does. */
-  public void serve(final String address, final int port, final Ear ear)
+  public void serve(final String address, final int port, final Listener listener)
       throws InterruptedException {
-    listen(address, port, ear).sync();
+    listen(address, port, listener).sync();
   }
 
   /**
    * Begins to take calls at an address, without waiting: the control thread must never wait for the
    * traffic thread, which may be waiting for it.
    */
-  public ChannelFuture listen(final String address, final int port, final Ear ear) {
+  public ChannelFuture listen(final String address, final int port, final Listener listener) {
     return new ServerBootstrap()
         .group(loop)
         .channel(NioServerSocketChannel.class)
@@ -81,7 +81,7 @@
             new ChannelInitializer<SocketChannel>() {
               @Override
               protected void initChannel(final SocketChannel channel) {
-                prepare(channel, ear, false);
+                prepare(channel, listener, false);
               }
             })
         .bind(address, port);
@@ -91,38 +91,39 @@
     return System.nanoTime() / 1_000_000;
   }
 
-  private Line prepare(final SocketChannel channel, final Ear ear, final boolean dialled) {
-    final Line line = new Line(channel);
+  private Connection prepare(
+      final SocketChannel channel, final Listener listener, final boolean dialled) {
+    final Connection connection = new Connection(channel);
     if (dialled) {
-      line.clock().asked(now());
+      connection.clock().asked(now());
     }
     channel
         .pipeline()
         .addLast(
             new LengthFieldBasedFrameDecoder(MOST_BYTES, 0, 4, 0, 4),
-            new Encoder(),
-            new Handler(line, ear, dialled));
-    return line;
+            new MessageEncoder(),
+            new ConnectionHandler(connection, listener, dialled));
+    return connection;
   }
 
   /** Keeps a line to an address open until closed. */
-  public Dialler dial(final String address, final int port, final Ear ear) {
-    return new Dialler(address, port, ear);
+  public Connector dial(final String address, final int port, final Listener listener) {
+    return new Connector(address, port, listener);
   }
 
   /** Keeps one outgoing line open, dialling again after it ends. */
-  public final class Dialler {
+  public final class Connector {
     private final String address;
     private final int port;
-    private final Ear ear;
-    private volatile Line line;
+    private final Listener listener;
+    private volatile Connection connection;
     private volatile boolean ended;
     private long pauseMillis = 50;
 
-    private Dialler(final String address, final int port, final Ear ear) {
+    private Connector(final String address, final int port, final Listener listener) {
       this.address = address;
       this.port = port;
-      this.ear = ear;
+      this.listener = listener;
       connect();
     }
 
@@ -142,27 +143,28 @@
                     protected void initChannel(final SocketChannel channel) {
                       prepare(
                           channel,
-                          new Ear() {
+                          new Listener() {
                             @Override
-                            public void opened(final Line opened) {
+                            public void opened(final Connection opened) {
                               if (take(opened)) {
                                 pauseMillis = 50;
-                                ear.opened(opened);
+                                listener.opened(opened);
                               } else {
                                 opened.close();
                               }
                             }
 
                             @Override
-                            public void heard(final Line heard, final Message message) {
-                              ear.heard(heard, message);
+                            public void messageReceived(
+                                final Connection heard, final Message message) {
+                              listener.messageReceived(heard, message);
                             }
 
                             @Override
-                            public void closed(final Line closed) {
-                              if (line == closed) {
-                                line = null;
-                                ear.closed(closed);
+                            public void closed(final Connection closed) {
+                              if (connection == closed) {
+                                connection = null;
+                                listener.closed(closed);
                               }
                             }
                           },
@@ -173,7 +175,7 @@
       attempt.addListener(
           done -> {
             if (isRefusal(done.cause())) {
-              ear.refused();
+              listener.refused();
             }
           });
       attempt.channel().closeFuture().addListener(done -> again());
@@ -186,9 +188,9 @@
     }
 
     /** Takes a line unless the end came first; the two may come from different threads. */
-    private synchronized boolean take(final Line opened) {
+    private synchronized boolean take(final Connection opened) {
       if (!ended) {
-        line = opened;
+        connection = opened;
       }
       return !ended;
     }
@@ -201,13 +203,13 @@
     }
 
     /** The line, or null while there is none. */
-    public Line line() {
-      return line;
+    public Connection connection() {
+      return connection;
     }
 
     /** Sends where there is a line; tells whether there was one. */
     public boolean send(final Message message) {
-      final Line now = line;
+      final Connection now = connection;
       if (now == null) {
         return false;
       }
@@ -216,8 +218,8 @@
     }
 
     /** Sends what is made for the line of the moment; tells whether there was one. */
-    public boolean send(final Function<Line, Message> made) {
-      final Line now = line;
+    public boolean send(final Function<Connection, Message> made) {
+      final Connection now = connection;
       if (now == null) {
         return false;
       }
@@ -227,10 +229,10 @@
 
     /** Ends the line for good. */
     public void close() {
-      final Line now;
+      final Connection now;
       synchronized (this) {
         ended = true;
-        now = line;
+        now = connection;
       }
       if (now != null) {
         now.close();
@@ -238,11 +240,11 @@
     }
   }
 
-  private static final class Sealed implements Message {
+  private static final class EncodedMessage implements Message {
     private final int kind;
     private final byte[] body;
 
-    private Sealed(final int kind, final byte[] body) {
+    private EncodedMessage(final int kind, final byte[] body) {
       this.kind = kind;
       this.body = body;
     }
@@ -250,39 +252,40 @@
 
   /** The message as its bytes: what goes to many is then turned into bytes once. */
   public static Message seal(final Message message) {
-    return new Sealed(Wire.number(message), Wire.bytes(message));
+    return new EncodedMessage(Serializer.number(message), Serializer.serialize(message));
   }
 
-  private final class Encoder extends MessageToByteEncoder<Message> {
+  private final class MessageEncoder extends MessageToByteEncoder<Message> {
     @Override
     protected void encode(
         final ChannelHandlerContext context, final Message message, final ByteBuf out) {
-      final boolean sealed = message instanceof Sealed;
-      final byte[] body = sealed ? ((Sealed) message).body : Wire.bytes(message);
-      meter.out(body.length + 5);
+      final boolean sealed = message instanceof EncodedMessage;
+      final byte[] body = sealed ? ((EncodedMessage) message).body : Serializer.serialize(message);
+      trafficCounters.out(body.length + 5);
       out.ensureWritable(body.length + 5);
       out.writeInt(body.length + 1);
-      out.writeByte(sealed ? ((Sealed) message).kind : Wire.number(message));
+      out.writeByte(sealed ? ((EncodedMessage) message).kind : Serializer.number(message));
       out.writeBytes(body);
     }
   }
 
-  private final class Handler extends ChannelDuplexHandler {
-    private final Line line;
-    private final Ear ear;
+  private final class ConnectionHandler extends ChannelDuplexHandler {
+    private final Connection connection;
+    private final Listener listener;
     private final boolean dialled;
     private boolean open;
     private long ringNanos = System.nanoTime();
 
-    private Handler(final Line line, final Ear ear, final boolean dialled) {
-      this.line = line;
-      this.ear = ear;
+    private ConnectionHandler(
+        final Connection connection, final Listener listener, final boolean dialled) {
+      this.connection = connection;
+      this.listener = listener;
       this.dialled = dialled;
     }
 
     @Override
     public void channelActive(final ChannelHandlerContext context) {
-      line.heardNanos = System.nanoTime();
+      connection.heardNanos = System.nanoTime();
       context.writeAndFlush(hello.at(now()));
       watch(context.channel());
     }
@@ -295,15 +298,15 @@
                 if (!channel.isActive()) {
                   return;
                 }
-                if (System.nanoTime() - line.heardNanos > SILENCE_NANOS
+                if (System.nanoTime() - connection.heardNanos > SILENCE_NANOS
                     && System.nanoTime() - ringNanos < 2 * SILENCE_NANOS) {
                   channel.close();
                   return;
                 }
                 ringNanos = System.nanoTime();
                 if (dialled) {
-                  line.clock().asked(now());
-                  channel.writeAndFlush(new Protocol.Ring(false));
+                  connection.clock().asked(now());
+                  channel.writeAndFlush(new Protocol.KeepAlive(false));
                 }
                 watch(channel);
               },
@@ -316,44 +319,44 @@
       final ByteBuf frame = (ByteBuf) read;
       final Message message;
       try {
-        final Class<?> kind = Wire.kind(frame.readByte());
+        final Class<?> kind = Serializer.kind(frame.readByte());
         if (kind == null) {
           context.close();
           return;
         }
-        meter.in(frame.readableBytes() + 5);
+        trafficCounters.in(frame.readableBytes() + 5);
         final byte[] body = new byte[frame.readableBytes()];
         frame.readBytes(body);
-        message = (Message) Wire.value(body, kind);
+        message = (Message) Serializer.deserialize(body, kind);
       } finally {
         frame.release();
       }
-      line.heardNanos = System.nanoTime();
-      if (message instanceof Protocol.Ring) {
-        if (((Protocol.Ring) message).echo) {
-          line.heardClock(((Protocol.Ring) message).clock);
-          line.clock().answered(((Protocol.Ring) message).clock, now());
+      connection.heardNanos = System.nanoTime();
+      if (message instanceof Protocol.KeepAlive) {
+        if (((Protocol.KeepAlive) message).echo) {
+          connection.heardClock(((Protocol.KeepAlive) message).clock);
+          connection.clock().answered(((Protocol.KeepAlive) message).clock, now());
         } else {
-          context.writeAndFlush(new Protocol.Ring(true, now()));
+          context.writeAndFlush(new Protocol.KeepAlive(true, now()));
         }
       } else if (!open) {
         if (!(message instanceof Protocol.Hello)
-            || ((Protocol.Hello) message).protocol != Wire.PROTOCOL) {
+            || ((Protocol.Hello) message).protocol != Serializer.PROTOCOL) {
           LOGGER.atWarning().log(
               "a peer at %s speaks another inner protocol than %d and was refused; run the same release everywhere",
-              context.channel().remoteAddress(), Wire.PROTOCOL);
+              context.channel().remoteAddress(), Serializer.PROTOCOL);
           context.close();
           return;
         }
         open = true;
-        line.peer = (Protocol.Hello) message;
-        line.peerClock = line.peer.clock;
+        connection.peer = (Protocol.Hello) message;
+        connection.peerClock = connection.peer.clock;
         if (dialled) {
-          line.clock().answered(line.peer.clock, now());
+          connection.clock().answered(connection.peer.clock, now());
         }
-        ear.opened(line);
+        listener.opened(connection);
       } else {
-        ear.heard(line, message);
+        listener.messageReceived(connection, message);
       }
     }
 
@@ -361,7 +364,7 @@
     public void channelInactive(final ChannelHandlerContext context) {
       if (open) {
         open = false;
-        ear.closed(line);
+        listener.closed(connection);
       }
     }
 
@@ -375,26 +378,26 @@
   }
 
   /** An ear that runs everything on another thread, in order. */
-  public static Ear on(final java.util.concurrent.Executor executor, final Ear ear) {
-    return new Ear() {
+  public static Listener on(final java.util.concurrent.Executor executor, final Listener listener) {
+    return new Listener() {
       @Override
-      public void opened(final Line line) {
-        executor.execute(() -> ear.opened(line));
+      public void opened(final Connection connection) {
+        executor.execute(() -> listener.opened(connection));
       }
 
       @Override
-      public void heard(final Line line, final Message message) {
-        executor.execute(() -> ear.heard(line, message));
+      public void messageReceived(final Connection connection, final Message message) {
+        executor.execute(() -> listener.messageReceived(connection, message));
       }
 
       @Override
-      public void closed(final Line line) {
-        executor.execute(() -> ear.closed(line));
+      public void closed(final Connection connection) {
+        executor.execute(() -> listener.closed(connection));
       }
 
       @Override
       public void refused() {
-        executor.execute(ear::refused);
+        executor.execute(listener::refused);
       }
     };
   }
--- a/trunk/src/test/java/weldpoint/trunk/TrunkTest.java
+++ b/transport/src/test/java/weldpoint/transport/TransportTest.java
@@ -1,4 +1,4 @@
-package weldpoint.trunk;
+package weldpoint.transport;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -24,7 +24,7 @@
 import org.testng.annotations.Test;
 
 /** The inner protocol: what does not speak it is refused before anything it says is heard. */
-public final class TrunkTest {
+public final class TransportTest {
   private final EventLoopGroup loop = new NioEventLoopGroup(1);
   private final AtomicInteger heard = new AtomicInteger();
   private int port;
@@ -44,15 +44,15 @@
       port = socket.getLocalPort();
     }
     heard.set(0);
-    new Trunk(loop, hello(Wire.PROTOCOL))
+    new Transport(loop, hello(Serializer.PROTOCOL))
         .serve(
             "127.0.0.1",
             port,
-            new Trunk.Ear() {
+            new Transport.Listener() {
               @Override
-              public void heard(final Line line, final Message message) {
+              public void messageReceived(final Connection connection, final Message message) {
                 heard.incrementAndGet();
-                line.send(message);
+                connection.send(message);
               }
             });
   }
@@ -68,10 +68,10 @@
 
   @DataProvider
   public Object[][] strangers() throws IOException {
-    final Message word = new RegistryMessages.Kept(3);
-    final byte[] kept = frame(Wire.number(word), Wire.bytes(word));
+    final Message word = new RegistryMessages.ChangesAck(3);
+    final byte[] kept = frame(Serializer.number(word), Serializer.serialize(word));
     return new Object[][] {
-      {frame(Wire.number(hello(99)), Wire.bytes(hello(99))), kept},
+      {frame(Serializer.number(hello(99)), Serializer.serialize(hello(99))), kept},
       {kept, kept},
       {frame(200, new byte[0]), kept},
       {new byte[] {127, 127, 127, 127, 1}, kept},
@@ -103,15 +103,15 @@
   public void wordsTravelWholeOverADialledLine()
       throws InterruptedException, ExecutionException, TimeoutException {
     final CompletableFuture<RegistryMessages.Gossip> answer = new CompletableFuture<>();
-    final Trunk.Dialler dialler =
-        new Trunk(loop, hello(Wire.PROTOCOL))
+    final Transport.Connector connector =
+        new Transport(loop, hello(Serializer.PROTOCOL))
             .dial(
                 "127.0.0.1",
                 port,
-                new Trunk.Ear() {
+                new Transport.Listener() {
                   @Override
-                  public void opened(final Line line) {
-                    line.send(
+                  public void opened(final Connection connection) {
+                    connection.send(
                         new RegistryMessages.Gossip(
                             1,
                             42,
@@ -127,12 +127,12 @@
                   }
 
                   @Override
-                  public void heard(final Line line, final Message message) {
+                  public void messageReceived(final Connection connection, final Message message) {
                     answer.complete((RegistryMessages.Gossip) message);
                   }
                 });
     final RegistryMessages.Gossip gossip = answer.get(5, TimeUnit.SECONDS);
-    dialler.close();
+    connector.close();
     assertEquals(gossip.digest, 42);
     assertEquals(gossip.roster.voters.get(0).tokens, List.of(1, 2));
     assertTrue(Protocol.list(gossip.history).isEmpty() && Protocol.list(gossip.boards).isEmpty());
--- a/trunk/src/test/java/weldpoint/trunk/TrunkThreadsTest.java
+++ b/transport/src/test/java/weldpoint/transport/TransportThreadsTest.java
@@ -1,4 +1,4 @@
-package weldpoint.trunk;
+package weldpoint.transport;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -24,9 +24,9 @@
 import org.testng.annotations.Test;
 
 /** The control thread and the traffic thread take turns at the worst points. */
-public final class TrunkThreadsTest {
+public final class TransportThreadsTest {
   private static final Protocol.Hello HELLO =
-      new Protocol.Hello(Wire.PROTOCOL, "exchange", "127.0.0.1", 7);
+      new Protocol.Hello(Serializer.PROTOCOL, "exchange", "127.0.0.1", 7);
 
   private static int port() throws IOException {
     try (ServerSocket socket = new ServerSocket(0)) {
@@ -70,7 +70,7 @@
   @Test
   public void aLineThatEndsWhileAnotherThreadSendsLosesTheMessageAndNothingElse() {
     for (int looks = 0; looks < 3; looks++) {
-      new Line(closingAfter(looks)).send(new Protocol.Ring(false));
+      new Connection(closingAfter(looks)).send(new Protocol.KeepAlive(false));
     }
   }
 
@@ -87,7 +87,9 @@
       final Thread control =
           new Thread(
               () -> {
-                future[0] = new Trunk(loop, HELLO).listen("127.0.0.1", port, (line, message) -> {});
+                future[0] =
+                    new Transport(loop, HELLO)
+                        .listen("127.0.0.1", port, (connection, message) -> {});
                 returned.countDown();
               });
       control.setDaemon(true);
@@ -115,45 +117,45 @@
   public void aLineThatIsEndedWhileItComesUpDoesNotStayOpen()
       throws IOException, InterruptedException {
     final EventLoopGroup loop = new NioEventLoopGroup(1);
-    final Set<Line> open = Collections.synchronizedSet(new HashSet<>());
+    final Set<Connection> open = Collections.synchronizedSet(new HashSet<>());
     final AtomicInteger opened = new AtomicInteger();
     final int port = port();
     try {
-      new Trunk(loop, HELLO)
+      new Transport(loop, HELLO)
           .serve(
               "127.0.0.1",
               port,
-              new Trunk.Ear() {
+              new Transport.Listener() {
                 @Override
-                public void opened(final Line line) {
+                public void opened(final Connection connection) {
                   opened.incrementAndGet();
-                  open.add(line);
+                  open.add(connection);
                 }
 
                 @Override
-                public void heard(final Line line, final Message message) {}
+                public void messageReceived(final Connection connection, final Message message) {}
 
                 @Override
-                public void closed(final Line line) {
-                  open.remove(line);
+                public void closed(final Connection connection) {
+                  open.remove(connection);
                 }
               });
       final Random random = new Random(19);
-      final Trunk trunk = new Trunk(loop, HELLO);
+      final Transport transport = new Transport(loop, HELLO);
       for (int round = 0; round < 400; round++) {
         final CountDownLatch up = new CountDownLatch(1);
-        final Trunk.Dialler dialler =
-            trunk.dial(
+        final Transport.Connector connector =
+            transport.dial(
                 "127.0.0.1",
                 port,
-                new Trunk.Ear() {
+                new Transport.Listener() {
                   @Override
-                  public void opened(final Line line) {
+                  public void opened(final Connection connection) {
                     up.countDown();
                   }
 
                   @Override
-                  public void heard(final Line line, final Message message) {}
+                  public void messageReceived(final Connection connection, final Message message) {}
                 });
         if (round % 4 == 0) {
           up.await(8, TimeUnit.SECONDS);
@@ -162,7 +164,7 @@
         for (int spin = 0; spin < spins; spin++) {
           Thread.onSpinWait();
         }
-        dialler.close();
+        connector.close();
       }
       final long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
       while (!open.isEmpty() && System.nanoTime() < until) {
--- a/upstream/src/main/java/weldpoint/upstream/UpstreamPool.java
+++ b/upstream/src/main/java/weldpoint/upstream/UpstreamPool.java
@@ -21,11 +21,11 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.function.Consumer;
-import weldpoint.boot.Boot;
-import weldpoint.dialplan.Binding;
-import weldpoint.dialplan.Dialplan;
-import weldpoint.dialplan.Route;
-import weldpoint.dialplan.RouteKind;
+import weldpoint.common.Settings;
+import weldpoint.routing.Route;
+import weldpoint.routing.RouteBinding;
+import weldpoint.routing.RouteKind;
+import weldpoint.routing.RoutingTable;
 
 /**
  * The upstreams of all services, their connections, and the choice among them. All of it lives on
@@ -44,17 +44,17 @@
   private final String site;
   private final String region;
   private final Map<String, String> regions;
-  private final Boot boot;
+  private final Settings settings;
   private final Random random;
   private final Map<String, Upstream> upstreams = new HashMap<>();
   private final Map<String, List<Upstream>> services = new HashMap<>();
   private final Map<String, Upstream.Fill> fills = new HashMap<>();
-  private final Map<String, Budget> budgets = new HashMap<>();
+  private final Map<String, RetryBudget> budgets = new HashMap<>();
   private final Map<String, Double> usual = new HashMap<>();
   private final Map<String, Quiet> quiets = new HashMap<>();
   private Set<String> evacuated = Set.of();
-  private Dialplan inForce;
-  private final ColdBound coldBound;
+  private RoutingTable inForce;
+  private final SlowStartLimiter slowStart;
   private final UpstreamSubsets subsets;
   private double ordered;
   private Set<String> orderedSuspects = Set.of();
@@ -63,20 +63,20 @@
   private long bornAt = Long.MIN_VALUE / 2;
 
   /** No upstreams yet. */
-  public UpstreamPool(final EventLoopGroup loop, final Boot boot, final Random random) {
-    this.boot = boot;
-    this.site = boot.site();
-    this.region = boot.region();
-    this.regions = boot.sites();
+  public UpstreamPool(final EventLoopGroup loop, final Settings settings, final Random random) {
+    this.settings = settings;
+    this.site = settings.site();
+    this.region = settings.region();
+    this.regions = settings.sites();
     this.random = random;
-    this.subsets = new UpstreamSubsets(boot);
-    this.coldBound =
-        new ColdBound(
-            boot.address(),
-            boot.site(),
+    this.subsets = new UpstreamSubsets(settings);
+    this.slowStart =
+        new SlowStartLimiter(
+            settings.address(),
+            settings.site(),
             regions.size(),
-            boot.warmupOvershoot(),
-            boot.warmupTolerance(),
+            settings.warmupOvershoot(),
+            settings.warmupTolerance(),
             random);
     this.bootstrap =
         new Bootstrap()
@@ -84,8 +84,8 @@
             .channel(NioSocketChannel.class)
             .option(ChannelOption.TCP_NODELAY, true)
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 400);
-    if (boot.transferBytes() > 0) {
-      bootstrap.option(ChannelOption.SO_RCVBUF, boot.transferBytes());
+    if (settings.transferBytes() > 0) {
+      bootstrap.option(ChannelOption.SO_RCVBUF, settings.transferBytes());
     }
   }
 
@@ -131,12 +131,13 @@
   }
 
   /** Takes the configuration in force, of which every choice and every late send is judged. */
-  public void configuration(final Dialplan plan) {
-    inForce = plan;
+  public void configuration(final RoutingTable routingTable) {
+    inForce = routingTable;
   }
 
   /** A change in the registry. */
-  public record Change(weldpoint.trunk.RegistryMessages.Registration registration, boolean open) {}
+  public record Change(
+      weldpoint.transport.RegistryMessages.Registration registration, boolean open) {}
 
   /** Takes which sites are evacuated; those taken back count as cold until told otherwise. */
   public void evacuated(final Set<String> sites, final long now) {
@@ -145,7 +146,8 @@
         for (final Upstream upstream : upstreams.values()) {
           if (upstream.site.equals(back)) {
             upstream.coldPaced &= upstream.cold(now);
-            upstream.coldUntil = Math.max(upstream.coldUntil, now + boot.beatMillis() + 1000);
+            upstream.coldUntil =
+                Math.max(upstream.coldUntil, now + settings.heartbeatMillis() + 1000);
           }
         }
       }
@@ -165,12 +167,12 @@
    * certain.
    */
   public void switchboards(final int count) {
-    coldBound.settled(count);
+    slowStart.settled(count);
   }
 
   /** Takes how many switchboards an exchange counts; the largest number lately told holds. */
   public void switchboards(final int count, final long now) {
-    coldBound.told(count, now);
+    slowStart.told(count, now);
   }
 
   /**
@@ -183,7 +185,7 @@
   }
 
   private double sharers() {
-    return ordered > 0 ? 1 / ordered : coldBound.switchboards();
+    return ordered > 0 ? 1 / ordered : slowStart.switchboards();
   }
 
   /** The upstreams from which nothing comes back. */
@@ -198,10 +200,15 @@
   }
 
   /** The budget of a service. */
-  public Budget budget(final String service) {
+  public RetryBudget budget(final String service) {
     return budgets.computeIfAbsent(
         service,
-        name -> new Budget(boot.retryRatio(), boot.retrySlack(), boot.retryWindowMillis(), bornAt));
+        name ->
+            new RetryBudget(
+                settings.retryRatio(),
+                settings.retrySlack(),
+                settings.retryWindowMillis(),
+                bornAt));
   }
 
   /** This process may have had an earlier life, which spent of the same budgets. */
@@ -248,7 +255,7 @@
 
   /** Takes which proxies share this site, in an order that all of them are told alike. */
   public void neighbours(final List<String> addresses, final long now) {
-    coldBound.neighbours(addresses, now);
+    slowStart.neighbours(addresses, now);
     subsets.neighbours(addresses);
   }
 
@@ -272,12 +279,12 @@
   }
 
   /** Chooses an upstream for a request, not among those tried before. */
-  public Choice choose(final Binding binding, final List<Upstream> tried, final long now) {
+  public Choice choose(final RouteBinding binding, final List<Upstream> tried, final long now) {
     chosen = null;
     if (!binding.follow(inForce)) {
       return Choice.NONE;
     }
-    final Dialplan.Service service = binding.service();
+    final RoutingTable.Service service = binding.service();
     final Route route = binding.route();
     subsets.update(services.values());
     final UpstreamSubsets.Tiers tiers = subsets.tiers(service.name());
@@ -346,14 +353,14 @@
 
   /** Chooses this very upstream for a write that is tied to it, or none. */
   public Choice pinned(
-      final Binding binding, final String id, final long pauseMillis, final long now) {
+      final RouteBinding binding, final String id, final long pauseMillis, final long now) {
     chosen = null;
     final Upstream upstream = upstreams.get(id);
     final Choice allowed = allowed(upstream, binding);
     if (allowed != Choice.CHOSEN) {
       return allowed;
     }
-    final Dialplan.Service service = binding.service();
+    final RoutingTable.Service service = binding.service();
     reserves = true;
     upstream.tied(now, pauseMillis);
     if (!coldAdmits(upstream, service, now)
@@ -370,14 +377,14 @@
    * Chooses this very upstream for a request whose key it holds, or none: nobody else may run it,
    * so it is given more than an upstream that has others beside it.
    */
-  public Choice holder(final Binding binding, final String id, final long now) {
+  public Choice holder(final RouteBinding binding, final String id, final long now) {
     chosen = null;
     final Upstream upstream = upstreams.get(id);
     final Choice allowed = allowed(upstream, binding);
     if (allowed != Choice.CHOSEN) {
       return allowed;
     }
-    final Dialplan.Service service = binding.service();
+    final RoutingTable.Service service = binding.service();
     final double most =
         upstream.capacity * RetryPolicy.room(binding.route(), rank(binding)) * HOLDER_ROOM;
     if (!coldAdmits(upstream, service, now) || upstream.known(now) >= most) {
@@ -389,7 +396,7 @@
   }
 
   /** Whether this very upstream may run a request, and if not, whether only homes forbid it. */
-  private Choice allowed(final Upstream upstream, final Binding binding) {
+  private Choice allowed(final Upstream upstream, final RouteBinding binding) {
     if (upstream == null
         || !binding.follow(inForce)
         || !upstream.service.equals(binding.service().name())
@@ -400,7 +407,7 @@
   }
 
   /** Whether an upstream may run a request at all, however full it is. */
-  private boolean mayRun(final Upstream upstream, final Binding binding) {
+  private boolean mayRun(final Upstream upstream, final RouteBinding binding) {
     return available(upstream) && binding.home(upstream.region);
   }
 
@@ -409,7 +416,7 @@
   }
 
   /** Why there is no upstream for a request: homes, where one outside of them is available. */
-  private Choice noneMayRun(final Binding binding) {
+  private Choice noneMayRun(final RouteBinding binding) {
     boolean outside = false;
     for (final Upstream upstream : services.getOrDefault(binding.service().name(), List.of())) {
       if (!available(upstream)) {
@@ -423,7 +430,7 @@
     return outside ? Choice.OUTSIDE_HOMES : Choice.NONE;
   }
 
-  private static int rank(final Binding binding) {
+  private static int rank(final RouteBinding binding) {
     return binding.tenant() == null ? 0 : binding.tenant().priority();
   }
 
@@ -432,22 +439,22 @@
       return false;
     }
     final int reserved =
-        upstream.reserved(now, sharers(), boot.affinityReserve(), usual(upstream.service));
+        upstream.reserved(now, sharers(), settings.affinityReserve(), usual(upstream.service));
     return reserved > 0 && upstream.known(now) + 1 > upstream.capacity - reserved;
   }
 
   private boolean reserves;
 
   private boolean coldAdmits(
-      final Upstream upstream, final Dialplan.Service service, final long now) {
+      final Upstream upstream, final RoutingTable.Service service, final long now) {
     return !upstream.cold(now)
         || service.warmupPerSecond() <= 0
-        || coldBound.admits(upstream, service.warmupPerSecond(), ordered, now);
+        || slowStart.admits(upstream, service.warmupPerSecond(), ordered, now);
   }
 
-  private void paced(final Upstream upstream, final Dialplan.Service service, final long now) {
+  private void paced(final Upstream upstream, final RoutingTable.Service service, final long now) {
     if (upstream.cold(now) && service.warmupPerSecond() > 0) {
-      coldBound.sent(upstream, service.warmupPerSecond(), ordered, now);
+      slowStart.sent(upstream, service.warmupPerSecond(), ordered, now);
     }
   }
 
@@ -457,11 +464,11 @@
 
   private Upstream sample(
       final List<Upstream> all,
-      final Binding binding,
+      final RouteBinding binding,
       final List<Upstream> tried,
       final Width width,
       final long now) {
-    final Dialplan.Service service = binding.service();
+    final RoutingTable.Service service = binding.service();
     final Route route = binding.route();
     final List<Upstream> fit = new ArrayList<>();
     for (final Upstream upstream : all) {
@@ -514,7 +521,8 @@
     }
   }
 
-  private boolean doubt(final Upstream upstream, final Dialplan.Service service, final long now) {
+  private boolean doubt(
+      final Upstream upstream, final RoutingTable.Service service, final long now) {
     return upstream.doubtful(now, usual(service.name()))
         || quiet(upstream.site).doubtful(now, usual(service.name()));
   }
@@ -602,7 +610,7 @@
   /** Sends a request that was never sent before. */
   public Attempt send(
       final Upstream upstream,
-      final Binding binding,
+      final RouteBinding binding,
       final FullHttpRequest request,
       final String id,
       final long now,
@@ -620,7 +628,7 @@
    */
   public Attempt send(
       final Upstream upstream,
-      final Binding binding,
+      final RouteBinding binding,
       final FullHttpRequest request,
       final String id,
       final List<Attempt> earlier,
@@ -677,7 +685,7 @@
 
   private void connect(
       final Upstream upstream,
-      final Binding binding,
+      final RouteBinding binding,
       final Attempt attempt,
       final FullHttpRequest request,
       final String id,
--- a/upstream/src/test/java/weldpoint/upstream/UpstreamPoolTest.java
+++ b/upstream/src/test/java/weldpoint/upstream/UpstreamPoolTest.java
@@ -28,10 +28,10 @@
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import weldpoint.boot.Boot;
-import weldpoint.dialplan.Binding;
-import weldpoint.dialplan.Dialplan;
-import weldpoint.trunk.RegistryMessages.Registration;
+import weldpoint.common.Settings;
+import weldpoint.routing.RouteBinding;
+import weldpoint.routing.RoutingTable;
+import weldpoint.transport.RegistryMessages.Registration;
 
 /**
  * The choice of upstreams: homes, evacuations, drains, and the bound of cold ones over many
@@ -39,10 +39,10 @@
  */
 public final class UpstreamPoolTest {
   private final EventLoopGroup loop = new NioEventLoopGroup(1);
-  private final Dialplan plan = plan(tenant(List.of()), "");
+  private final RoutingTable routingTable = routingTable(tenant(List.of()), "");
 
-  private static Dialplan plan(final String tenants, final String homesOfAny) {
-    return Dialplan.compile(
+  private static RoutingTable routingTable(final String tenants, final String homesOfAny) {
+    return RoutingTable.compile(
         ("{\"version\":\"1\","
                 + tenants
                 + "\"listeners\":[{\"host\":\"h\",\"rules\":[{\"name\":\"r\",\"routeKind\":\"mutating\",\"match\":{\"pathPrefix\":\"/\"},"
@@ -61,7 +61,7 @@
   private UpstreamPool upstreamPool(final long seed) {
     return new UpstreamPool(
         loop,
-        Boot.parse(
+        Settings.parse(
             "station.name = one\nstation.address = 10.0.0.1\nstation.site = a\nstation.region = north\ntrunk.ports = 7000,7015\ntrunk.seeds = 10.0.0.1:80\nsites = a:north,b:south\n"),
         new Random(seed));
   }
@@ -74,13 +74,13 @@
         open);
   }
 
-  private Binding request(final String path) {
-    return request(plan, path);
+  private RouteBinding request(final String path) {
+    return request(routingTable, path);
   }
 
-  private static Binding request(final Dialplan plan, final String path) {
-    final Binding binding = new Binding("h", path, 0);
-    plan.interpret(binding);
+  private static RouteBinding request(final RoutingTable routingTable, final String path) {
+    final RouteBinding binding = new RouteBinding("h", path, 0);
+    routingTable.interpret(binding);
     binding.identify("k");
     return binding;
   }
@@ -127,7 +127,7 @@
       final String path, final List<String> tenantHomes, final Set<String> allowed) {
     final UpstreamPool upstreamPool = upstreamPool(1);
     upstreamPool.apply(List.of(change("n", "a", 0, true), change("s", "b", 0, true)), 1000);
-    final Binding binding = request(plan(tenant(tenantHomes), ""), path);
+    final RouteBinding binding = request(routingTable(tenant(tenantHomes), ""), path);
     final Set<String> chosen = new HashSet<>();
     final List<Upstream> tried = new ArrayList<>();
     while (upstreamPool.choose(binding, tried, 1000) == UpstreamPool.Choice.CHOSEN) {
@@ -153,16 +153,17 @@
   @Test
   public void homesThatComeWhileAConnectionIsOpenedBind()
       throws IOException, InterruptedException, ExecutionException, TimeoutException {
-    final Dialplan routeHomed = plan("", "\"homeRegions\":[\"south\"],");
+    final RoutingTable routeHomed = routingTable("", "\"homeRegions\":[\"south\"],");
     assertEquals(
-        sent("/any/x", Long.MAX_VALUE, pool -> pool.configuration(plan)), "UNCERTAIN bytes");
+        sent("/any/x", Long.MAX_VALUE, pool -> pool.configuration(routingTable)),
+        "UNCERTAIN bytes");
     assertEquals(
         sent("/any/x", Long.MAX_VALUE, pool -> pool.configuration(routeHomed)), "UNSENT nothing");
     assertEquals(
         sent(
             "/any/x",
             Long.MAX_VALUE,
-            pool -> pool.configuration(plan(tenant(List.of("south")), ""))),
+            pool -> pool.configuration(routingTable(tenant(List.of("south")), ""))),
         "UNSENT nothing");
   }
 
@@ -201,7 +202,7 @@
     final UpstreamPool upstreamPool =
         new UpstreamPool(
             loop,
-            Boot.parse(
+            Settings.parse(
                 "station.name = one\nstation.address = 10.1."
                     + index % 4
                     + "."
@@ -288,9 +289,9 @@
     }
   }
 
-  private static weldpoint.dialplan.Route ranked(final String kind, final int priority) {
-    final Dialplan one =
-        Dialplan.compile(
+  private static weldpoint.routing.Route ranked(final String kind, final int priority) {
+    final RoutingTable one =
+        RoutingTable.compile(
             ("{\"version\":\"1\",\"listeners\":[{\"host\":\"h\",\"rules\":[{\"name\":\"r\",\"routeKind\":\""
                     + kind
                     + "\",\"priority\":"
@@ -305,8 +306,8 @@
     final UpstreamPool upstreamPool = upstreamPool(5);
     upstreamPool.apply(List.of(change("n", "a", 0, true)), 0);
     upstreamPool.switchboards(1);
-    final Binding write = request("/x");
-    final Binding look = request("/any/x");
+    final RouteBinding write = request("/x");
+    final RouteBinding look = request("/any/x");
     final List<UpstreamPool.Attempt> under = new ArrayList<>();
     long now = 10_000;
     for (int index = 0; index < 30; index++) {
@@ -357,7 +358,7 @@
       final UpstreamPool upstreamPool =
           new UpstreamPool(
               loop,
-              Boot.parse(
+              Settings.parse(
                   "station.name = one\nstation.address = "
                       + address
                       + "\nstation.site = a\nstation.region = north\ntrunk.ports = 7000,7015\ntrunk.seeds = 10.0.0.1:80\nsites = a:north,b:south\n"),
@@ -434,7 +435,7 @@
                             0),
                         true)),
                 1000);
-            final Binding binding = request(path);
+            final RouteBinding binding = request(path);
             assertEquals(upstreamPool.choose(binding, List.of(), 1000), UpstreamPool.Choice.CHOSEN);
             upstreamPool.send(
                 upstreamPool.chosen(),
--- a/tape/src/test/java/weldpoint/tape/TapeTest.java
+++ b/wal/src/test/java/weldpoint/wal/WriteAheadLogTest.java
@@ -1,4 +1,4 @@
-package weldpoint.tape;
+package weldpoint.wal;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -15,7 +15,7 @@
 import org.testng.annotations.Test;
 
 /** A tape in a real folder whose state outgrows its files. */
-public final class TapeTest {
+public final class WriteAheadLogTest {
   private static final int BYTES = 1 << 16;
   private static final int MOST = 1 << 22;
 
@@ -28,23 +28,23 @@
   public void aStateThatOutgrowsItsFilesIsReadAgain() throws Exception {
     final Path folder = Files.createTempDirectory("tape").resolve("frame");
     final List<byte[]> state = new CopyOnWriteArrayList<>();
-    final Tape.Opened opened =
-        Tape.open(
+    final WriteAheadLog.Opened opened =
+        WriteAheadLog.open(
             folder, "frame 10.0.0.4", 3, BYTES, MOST, Runnable::run, () -> List.copyOf(state));
     assertTrue(opened.found().blank());
-    opened.tape().start("tape");
+    opened.log().start("tape");
     final CountDownLatch synced = new CountDownLatch(1500);
     for (int number = 0; number < 1500; number++) {
       final byte[] record = ("record " + number + " ".repeat(400)).getBytes(StandardCharsets.UTF_8);
       state.add(record);
-      opened.tape().append(record, synced::countDown);
+      opened.log().append(record, synced::countDown);
       if (number % 100 == 0) {
         Thread.yield();
       }
     }
     assertTrue(synced.await(60, TimeUnit.SECONDS), "not all became lasting");
-    final Tape.Opened again =
-        Tape.open(folder, "frame 10.0.0.4", 3, BYTES, MOST, Runnable::run, List::of);
+    final WriteAheadLog.Opened again =
+        WriteAheadLog.open(folder, "frame 10.0.0.4", 3, BYTES, MOST, Runnable::run, List::of);
     assertFalse(again.found().lost());
     final java.util.Set<String> read = new java.util.TreeSet<>();
     again
