--- a/registry/src/main/java/weldpoint/registry/HeartbeatOwners.java
+++ b/registry/src/main/java/weldpoint/registry/HeartbeatOwners.java
@@ -58,7 +58,7 @@
 
   /** The index of the voter that has the upstream's token. */
   private static int owner(final List<Voter> voters, final String id) {
-    final int token = Math.floorMod(id.hashCode() * 0x9e3779b1, TokenAssignment.COUNT);
+    final int token = Math.floorMod(id.hashCode() * 0x9e3779b1, TokenAssignment.TOKENS);
     int owner = 0;
     for (int index = 0; index < voters.size(); index++) {
       if (Protocol.list(voters.get(index).tokens).contains(token)) {
--- a/registry/src/main/java/weldpoint/registry/HistoryReader.java
+++ b/registry/src/main/java/weldpoint/registry/HistoryReader.java
@@ -150,7 +150,7 @@
                       ? Serializer.deserialize(answer.body, StoredValues.HistoryPart.class)
                       : null;
               final boolean whole =
-                  part != null && reading.headKnown && !part.blank && part.last >= reading.through;
+                  part != null && reading.headKnown && !part.recovering && part.last >= reading.through;
               if (!whole && reading.headKnown && now < reading.cutoff) {
                 reading.againAt = now + AGAIN_MILLIS;
                 return;
@@ -202,7 +202,7 @@
               + " knows it up to entry "
               + part.last
               + ", ask again when the core has its majority";
-    } else if (part.blank || part.last < head) {
+    } else if (part.recovering || part.last < head) {
       problem =
           "the replica "
               + replica
--- a/registry/src/main/java/weldpoint/registry/PlacementService.java
+++ b/registry/src/main/java/weldpoint/registry/PlacementService.java
@@ -54,14 +54,14 @@
 
   /** Takes what the frames hold; true where switchboards must be told. */
   boolean take(final StoredValues.ControlSnapshot control, final long now) {
-    tied = control.tied;
-    if (control.keeper != null) {
-      keeperSerial = Math.max(keeperSerial, control.keeper.serial);
+    tied = control.hasAffinity;
+    if (control.placementOwner != null) {
+      keeperSerial = Math.max(keeperSerial, control.placementOwner.serial);
     }
     return coordinator.take(
         Protocol.list(control.placements),
-        control.keeper,
-        control.placements == null ? 0 : control.placementMark,
+        control.placementOwner,
+        control.placements == null ? 0 : control.placementSerial,
         now);
   }
 
--- a/registry/src/main/java/weldpoint/registry/RegistryCore.java
+++ b/registry/src/main/java/weldpoint/registry/RegistryCore.java
@@ -234,7 +234,7 @@
                   public CompletableFuture<StoreMessages.StoreResponse> keeper(
                       final PlacementMessages.PlacementOwner next, final long now) {
                     return store.call(
-                        StoreOperation.KEEPER_WRITE,
+                        StoreOperation.PLACEMENT_OWNER_WRITE,
                         "",
                         null,
                         0,
@@ -1296,17 +1296,17 @@
     takeRoster(given.roster, clock);
     take(
         given.version,
-        given.spec,
+        given.configuration,
         given.evacuated,
-        given.evacuationMark,
+        given.evacuationSerial,
         given.trials,
-        given.trialMark);
+        given.trialSerial);
     if (electorates != null) {
       electorates.take(Protocol.list(given.electorates), environment::board);
     } else if (given.electorates != null) {
       otherMarks = Protocol.list(given.electorates).stream().mapToLong(one -> one.mark).sum();
     }
-    placementMarks = given.placementMark + (given.keeper == null ? 0 : given.keeper.serial);
+    placementMarks = given.placementSerial + (given.placementOwner == null ? 0 : given.placementOwner.serial);
     if (placements != null && placements.take(given, clock)) {
       proxyStreams.tellSwitchboards(placements.coordinator().placements());
     }
@@ -1414,7 +1414,7 @@
       final long timeout,
       final long now) {
     return store.call(
-        StoreOperation.SPEC_REPLACE,
+        StoreOperation.CONFIGURATION_REPLACE,
         "",
         null,
         given,
--- a/registry/src/main/java/weldpoint/registry/StoreClient.java
+++ b/registry/src/main/java/weldpoint/registry/StoreClient.java
@@ -128,7 +128,7 @@
     final Pending one =
         new Pending(
             call,
-            StateStoreReplica.partition(operation.register(name)),
+            StateStoreReplica.partitionOf(operation.register(name)),
             now + timeout,
             patience,
             null);
--- a/registry/src/test/java/weldpoint/registry/CutOffControlServerTest.java
+++ b/registry/src/test/java/weldpoint/registry/CutOffControlServerTest.java
@@ -280,7 +280,7 @@
     loop.submit(() -> VOTERS.forEach(voter -> core.memberOpened(voter, now()))).get();
     frames =
         call ->
-            call.deed != StoreOperation.SPEC_REPLACE.ordinal()
+            call.deed != StoreOperation.CONFIGURATION_REPLACE.ordinal()
                 ? null
                 : new StoreMessages.StoreResponse(call.number, 200, 7, null, null);
     try (Socket socket = send("POST", "/api/rpc?call=configuration.replace", SPEC)) {
--- a/simulation/src/main/java/weldpoint/simulation/ControlPlaneSimulation.java
+++ b/simulation/src/main/java/weldpoint/simulation/ControlPlaneSimulation.java
@@ -608,7 +608,7 @@
             life.run(
                 () -> {
                   if (life.replica != null) {
-                    life.replica.disk(
+                    life.replica.updateDiskState(
                         life.frameWriter.busyMillis(), life.frameWriter.refusing(), now);
                     life.replica.tick(now);
                     life.server.awake();
@@ -635,7 +635,7 @@
 
               @Override
               public void closed(final SimulatedConnection connection) {
-                life.replica.lineClosed(to, now);
+                life.replica.connectionClosed(to, now);
               }
             };
     life.replica =
@@ -672,7 +672,7 @@
               }
             });
     life.frameWriter =
-        machine.disk.new Writer(machine.frameRecords, life, () -> life.replica.view());
+        machine.disk.new Writer(machine.frameRecords, life, () -> life.replica.snapshot());
     life.replica.history(machine.disk.new EntryStore(machine.entries, life), ENTRIES, ENTRY_BYTES);
     life.replica.start(found, first && found.isEmpty(), now);
     life.frameWriter.begin();
--- a/simulation/src/main/java/weldpoint/simulation/SimulationRun.java
+++ b/simulation/src/main/java/weldpoint/simulation/SimulationRun.java
@@ -234,7 +234,7 @@
     StateStoreReplica longest = null;
     for (final ControlPlaneSimulation.Machine machine : simulation.core()) {
       if (machine.frame() != null
-          && !machine.frame().blank()
+          && !machine.frame().recovering()
           && (longest == null || machine.frame().history().last() > longest.history().last())) {
         longest = machine.frame();
       }
--- a/simulation/src/main/java/weldpoint/simulation/StateStoreSimulation.java
+++ b/simulation/src/main/java/weldpoint/simulation/StateStoreSimulation.java
@@ -310,7 +310,7 @@
     faultInjector.prepare(machine.replica, machine.store, keeps);
     machine.replica.start(
         new ArrayList<>(machine.lasting), first && machine.lasting.isEmpty(), now);
-    final List<byte[]> view = machine.replica.view();
+    final List<byte[]> view = machine.replica.snapshot();
     machine.lasting.clear();
     machine.lasting.addAll(view);
     observer.started(address, new ArrayList<>(view));
@@ -321,7 +321,7 @@
   private void turnOver(final Machine machine) {
     if (syncsFirst && machine.lastingBytes > DISK_BYTES) {
       machine.lasting.clear();
-      machine.lasting.addAll(machine.replica.view());
+      machine.lasting.addAll(machine.replica.snapshot());
       machine.lastingBytes = 0;
     }
   }
@@ -442,7 +442,7 @@
             delay(address, other.address),
             () -> {
               if (other.replica == replica) {
-                replica.lineClosed(address, now);
+                replica.connectionClosed(address, now);
               }
             });
       }
--- a/simulation/src/test/java/weldpoint/simulation/CatchUpMeasureTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/CatchUpMeasureTest.java
@@ -99,7 +99,7 @@
       for (int attempt = 0; attempt < 100 && !taken[0]; attempt++) {
         simulation.change(
             SEEDS.get(attempt % 3),
-            StoreOperation.SPEC_REPLACE,
+            StoreOperation.CONFIGURATION_REPLACE,
             "",
             version,
             packed,
@@ -121,7 +121,7 @@
   }
 
   private static boolean caughtUp(final StateStoreSimulation simulation) {
-    return !simulation.machines().get(MEMBER).replica().blank()
+    return !simulation.machines().get(MEMBER).replica().recovering()
         && simulation.machines().get(MEMBER).replica().history().durable()
             == simulation.machines().get(SEEDS.get(0)).replica().history().durable();
   }
@@ -183,7 +183,7 @@
     simulation.run(2000);
     final long[] wiped = catchUp(simulation);
     long disk = 0;
-    for (final byte[] record : simulation.machines().get(MEMBER).replica().view()) {
+    for (final byte[] record : simulation.machines().get(MEMBER).replica().snapshot()) {
       disk += record.length;
     }
     final long heap = heap();
@@ -222,7 +222,7 @@
     assertEquals(
         simulation.machines().get(MEMBER).replica().history().last(),
         simulation.machines().get(SEEDS.get(0)).replica().history().last());
-    assertFalse(simulation.machines().get(MEMBER).replica().blank());
+    assertFalse(simulation.machines().get(MEMBER).replica().recovering());
     return new long[] {restarted[0], restarted[1], wiped[0], wiped[1], heap};
   }
 
--- a/simulation/src/test/java/weldpoint/simulation/CatchUpTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/CatchUpTest.java
@@ -98,7 +98,7 @@
     final long from = simulation.now();
     while (simulation.now() - from < most
         && (simulation.machines().get(MEMBER).replica() == null
-            || simulation.machines().get(MEMBER).replica().blank())) {
+            || simulation.machines().get(MEMBER).replica().recovering())) {
       simulation.run(10);
     }
     return simulation.now() - from;
@@ -107,7 +107,7 @@
   private static long ballots(final StateStoreSimulation simulation) {
     long ballots = 0;
     for (final String seed : SEEDS) {
-      ballots += simulation.machines().get(seed).replica().ballots();
+      ballots += simulation.machines().get(seed).replica().ballotsStarted();
     }
     return ballots;
   }
@@ -138,7 +138,7 @@
     simulation.start(MEMBER, false);
     final long took = untilWhole(simulation, 20_000);
     assertFalse(
-        simulation.machines().get(MEMBER).replica().blank(), "still blank after " + took + " ms");
+        simulation.machines().get(MEMBER).replica().recovering(), "still blank after " + took + " ms");
     final long fetched =
         simulation.received(MEMBER, StateStoreMessages.RecoveryResponse.class) - before;
     simulation.run(2000);
@@ -160,7 +160,7 @@
     change(simulation, done);
     for (int life = 0; life < 3; life++) {
       simulation.run(1500);
-      assertTrue(simulation.machines().get(MEMBER).replica().blank());
+      assertTrue(simulation.machines().get(MEMBER).replica().recovering());
       simulation.kill(MEMBER, life % 2 == 0);
       simulation.run(300);
       simulation.start(MEMBER, false);
@@ -168,7 +168,7 @@
     final long took = untilWhole(simulation, 20_000);
     done[0] = true;
     assertFalse(
-        simulation.machines().get(MEMBER).replica().blank(), "still blank after " + took + " ms");
+        simulation.machines().get(MEMBER).replica().recovering(), "still blank after " + took + " ms");
     final long fetched =
         simulation.received(MEMBER, StateStoreMessages.RecoveryResponse.class) - before;
     assertTrue(
@@ -205,7 +205,7 @@
     final long took = untilWhole(simulation, 20_000);
     done[0] = true;
     assertFalse(
-        simulation.machines().get(MEMBER).replica().blank(), "still blank after " + took + " ms");
+        simulation.machines().get(MEMBER).replica().recovering(), "still blank after " + took + " ms");
     assertTrue(version[0] > 5, "versions " + version[0] + ", took " + took);
     assertTrue(took < 15_000, "took " + took);
   }
@@ -220,7 +220,7 @@
       simulation.random().nextBytes(body);
       version[0]++;
       simulation.call(
-          SEEDS.get(0), StoreOperation.SPEC_REPLACE, "", null, version[0], 0, body, answer -> {});
+          SEEDS.get(0), StoreOperation.CONFIGURATION_REPLACE, "", null, version[0], 0, body, answer -> {});
       simulation.after(700, () -> configure(simulation, done, version, length));
     }
   }
@@ -375,13 +375,13 @@
         });
     simulation.start(MEMBER, false);
     simulation.run(5000);
-    assertTrue(simulation.machines().get(MEMBER).replica().blank());
+    assertTrue(simulation.machines().get(MEMBER).replica().recovering());
     simulation.kill(MEMBER, false);
     simulation.run(300);
     simulation.start(MEMBER, false);
     simulation.run(5000);
     assertTrue(
-        simulation.machines().get(MEMBER).replica().blank(),
+        simulation.machines().get(MEMBER).replica().recovering(),
         "counts with " + simulation.machines().get(MEMBER).replica().history().last() + " entries");
     lost[0] = false;
     assertTrue(untilWhole(simulation, 10_000) < 10_000);
--- a/simulation/src/test/java/weldpoint/simulation/HistoryTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/HistoryTest.java
@@ -114,7 +114,7 @@
           final StoreMessages.StoreRequest call =
               new StoreMessages.StoreRequest(
                   0,
-                  StoreOperation.SPEC_REPLACE.ordinal(),
+                  StoreOperation.CONFIGURATION_REPLACE.ordinal(),
                   "",
                   null,
                   sent,
@@ -210,7 +210,7 @@
     for (int round = 0; round < 40 && version[0] == 0; round++) {
       simulation.call(
           simulation.running().get(round % simulation.running().size()),
-          StoreOperation.SPEC_READ,
+          StoreOperation.CONFIGURATION_READ,
           "",
           null,
           0,
@@ -335,7 +335,7 @@
     for (int round = 0; round < 3; round++) {
       simulation.change(
           "10.0.1.1",
-          StoreOperation.SPEC_REPLACE,
+          StoreOperation.CONFIGURATION_REPLACE,
           "",
           5,
           Compression.deflate(first),
@@ -355,7 +355,7 @@
     simulation.step("10.0.1.1", -100_000);
     simulation.change(
         "10.0.1.1",
-        StoreOperation.SPEC_REPLACE,
+        StoreOperation.CONFIGURATION_REPLACE,
         "",
         9,
         Compression.deflate(second),
@@ -397,14 +397,14 @@
               @Override
               public void prepare(
                   final StateStoreReplica replica, final AuditStore store, final long keeps) {
-                BrokenAuditSequencer.silent(replica, store, keeps);
+                BrokenAuditSequencer.withoutHistory(replica, store, keeps);
               }
             },
             2000);
     final byte[] old = body(3, 1);
     simulation.change(
         "10.0.1.1",
-        StoreOperation.SPEC_REPLACE,
+        StoreOperation.CONFIGURATION_REPLACE,
         "",
         3,
         Compression.deflate(old),
@@ -485,7 +485,7 @@
                             final StateStoreReplica replica,
                             final AuditStore store,
                             final long keeps) {
-                          BrokenAuditSequencer.hasty(replica, store, keeps);
+                          BrokenAuditSequencer.withConcurrentChanges(replica, store, keeps);
                         }
                       },
                       new int[1],
--- a/simulation/src/test/java/weldpoint/simulation/TrialTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/TrialTest.java
@@ -107,12 +107,12 @@
               if (answer.status == 200) {
                 final StoredValues.ControlSnapshot control =
                     Serializer.deserialize(answer.body, StoredValues.ControlSnapshot.class);
-                if (control.trialMark > marks) {
-                  marks = control.trialMark;
+                if (control.trialSerial > marks) {
+                  marks = control.trialSerial;
                   coordinator.take(Protocol.list(control.trials));
                   for (int index = 0; index < books.size(); index++) {
                     if (!cut.get(index)) {
-                      books.get(index).take(Protocol.list(control.trials), control.trialMark);
+                      books.get(index).take(Protocol.list(control.trials), control.trialSerial);
                     }
                   }
                 }
--- a/simulation/src/test/java/weldpoint/simulation/VersionsTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/VersionsTest.java
@@ -94,7 +94,7 @@
                 Serializer.serialize(ConfigurationSummary.of(RoutingTable.read(body), body))));
     return new StoreMessages.StoreRequest(
         0,
-        StoreOperation.SPEC_REPLACE.ordinal(),
+        StoreOperation.CONFIGURATION_REPLACE.ordinal(),
         "",
         null,
         version,
@@ -288,7 +288,7 @@
     for (int round = 0; round < 40 && inForce[0] == 0; round++) {
       simulation.call(
           simulation.running().get(round % simulation.running().size()),
-          StoreOperation.SPEC_READ,
+          StoreOperation.CONFIGURATION_READ,
           "",
           null,
           0,
@@ -397,7 +397,7 @@
               @Override
               public void prepare(
                   final StateStoreReplica replica, final AuditStore store, final long keeps) {
-                BrokenAuditSequencer.silent(replica, store, keeps);
+                BrokenAuditSequencer.withoutHistory(replica, store, keeps);
               }
 
               @Override
@@ -408,7 +408,7 @@
                 final StateStoreMessages.Accept accept = (StateStoreMessages.Accept) message;
                 final List<StateStoreMessages.RegisterEntry> entries = new ArrayList<>();
                 Protocol.list(accept.entries)
-                    .forEach(entry -> entries.add(BrokenAuditSequencer.older(entry)));
+                    .forEach(entry -> entries.add(BrokenAuditSequencer.withoutContentDigest(entry)));
                 return new StateStoreMessages.Accept(
                     accept.partition,
                     accept.roster,
@@ -441,7 +441,7 @@
                   public void prepare(
                       final StateStoreReplica replica, final AuditStore store, final long keeps) {
                     replica.history(store, keeps, StateStoreSimulation.ENTRY_BYTES);
-                    BrokenAuditSequencer.heedless(replica);
+                    BrokenAuditSequencer.withoutVersionCheck(replica);
                   }
                 })
             >= 6);
@@ -455,7 +455,7 @@
                   @Override
                   public void prepare(
                       final StateStoreReplica replica, final AuditStore store, final long keeps) {
-                    BrokenAuditSequencer.forgetful(replica, store, keeps);
+                    BrokenAuditSequencer.withoutOlderVersions(replica, store, keeps);
                   }
                 })
             >= 6);
--- a/simulation/src/test/java/weldpoint/simulation/model/Trace.java
+++ b/simulation/src/test/java/weldpoint/simulation/model/Trace.java
@@ -142,7 +142,7 @@
     final Machine machine = machine(address);
     final boolean before = machine.whole();
     final long number = machine.kept.roster().number;
-    machine.kept.take(record);
+    machine.kept.apply(record);
     final DiskContents.Kind kind = DiskContents.kind(record);
     if (!before) {
       if (machine.whole()) {
@@ -211,7 +211,7 @@
       }
     }
     for (final StateStoreMessages.RegisterEntry entry : Protocol.list(told.entries)) {
-      final int partition = StateStoreReplica.partition(entry.name);
+      final int partition = StateStoreReplica.partitionOf(entry.name);
       if (entry.mark.compareTo(kept.established(partition)) >= 0
           && kept.stored(partition, entry.name).compareTo(entry.mark) < 0) {
         return false;
@@ -254,7 +254,7 @@
           (StateStoreMessages.RecoveryResponse) message;
       must(machine.whole(), from, "answers a fetch though its own disk is blank");
       must(
-          machine.kept.known(to) >= fetched.incarnation,
+          machine.kept.peerIncarnations(to) >= fetched.incarnation,
           from,
           "answers a fetch of "
               + to
@@ -292,7 +292,7 @@
         place++) {
       final String address = machine.kept.roster().voters.get(place).address;
       must(
-          address.equals(from) || known.get(place) >= machine.kept.known(address),
+          address.equals(from) || known.get(place) >= machine.kept.peerIncarnations(address),
           from,
           what + " and tells an older incarnation of " + address + " than it knows");
     }
@@ -495,7 +495,7 @@
           from,
           what + " and counts a promise of " + voter + " that it has not got");
       must(
-          counted >= machine.heard.getOrDefault(voter, 1L) && counted >= machine.kept.known(voter),
+          counted >= machine.heard.getOrDefault(voter, 1L) && counted >= machine.kept.peerIncarnations(voter),
           from,
           what
               + " and counts a promise of "
@@ -610,7 +610,7 @@
       if (ballot != null) {
         hears(machine, accepted.known);
         if (accepted.incarnation >= machine.heard.getOrDefault(from, 1L)
-            && accepted.incarnation >= machine.kept.known(from)) {
+            && accepted.incarnation >= machine.kept.peerIncarnations(from)) {
           if (accepted.establish) {
             ballot.established.add(from);
           }
--- a/simulation/src/test/java/weldpoint/statestore/DiskContents.java
+++ b/simulation/src/test/java/weldpoint/statestore/DiskContents.java
@@ -17,11 +17,11 @@
     PROMISE,
     REGISTERS,
     ROSTER,
-    KNOWN
+    PEER_INCARNATION
   }
 
   private final Partition[] partitions = new Partition[StateStoreReplica.PARTITIONS];
-  private final Map<String, Long> known = new HashMap<>();
+  private final Map<String, Long> peerIncarnations = new HashMap<>();
   private StateStoreMessages.Roster roster = new StateStoreMessages.Roster(0, List.of());
   private long incarnation;
 
@@ -30,7 +30,7 @@
     for (int index = 0; index < partitions.length; index++) {
       partitions[index] = new Partition(index);
     }
-    records.forEach(this::take);
+    records.forEach(this::apply);
   }
 
   /** What a record is about. */
@@ -49,7 +49,7 @@
   }
 
   /** One more record is lasting. */
-  public void take(final byte[] bytes) {
+  public void apply(final byte[] bytes) {
     final StoredValues.DiskRecord record =
         Serializer.deserialize(bytes, StoredValues.DiskRecord.class);
     switch (kind(bytes)) {
@@ -66,7 +66,7 @@
               Protocol.list(record.entries),
               new ArrayList<>());
       case ROSTER -> roster = record.roster.number > roster.number ? record.roster : roster;
-      case KNOWN -> known.merge(record.address, record.incarnation, Math::max);
+      case PEER_INCARNATION -> peerIncarnations.merge(record.address, record.incarnation, Math::max);
       default -> throw new IllegalStateException("no rule for " + kind(bytes));
     }
   }
@@ -82,8 +82,8 @@
   }
 
   /** The incarnation that is known of another. */
-  public long known(final String address) {
-    return known.getOrDefault(address, 1L);
+  public long peerIncarnations(final String address) {
+    return peerIncarnations.getOrDefault(address, 1L);
   }
 
   /** The highest ballot that was promised or accepted. */
@@ -99,7 +99,7 @@
   /** The mark of a register; none where there is none. */
   public RegisterVersion stored(final int partition, final String name) {
     final Partition.StoredRegister stored = partitions[partition].stored.get(name);
-    return stored == null ? RegisterVersion.NONE : stored.mark;
+    return stored == null ? RegisterVersion.NONE : stored.version;
   }
 
   /** All registers of a partition. */
--- a/statestore/src/main/java/weldpoint/statestore/AuditSequencer.java
+++ b/statestore/src/main/java/weldpoint/statestore/AuditSequencer.java
@@ -22,11 +22,11 @@
  * under way at a time.
  */
 class AuditSequencer {
-  private static final int FIXED_BYTES = 456;
+  private static final int ENTRY_OVERHEAD_BYTES = 456;
 
   private final int entryBytes;
   private final ArrayDeque<byte[]> tail = new ArrayDeque<>();
-  private final long[] logged = new long[64];
+  private final long[] loggedThrough = new long[64];
   private long tailBase;
   private String tailDigest = AuditEntry.NO_DIGEST;
   private long last;
@@ -43,32 +43,32 @@
    * Begins from what a majority told: the register whose tail reaches furthest carries all that may
    * be missing in logs.
    */
-  void begin(final Iterable<RegisterState> registers) {
+  void restore(final Iterable<RegisterState> registers) {
     tail.clear();
     tailBase = 0;
     tailDigest = AuditEntry.NO_DIGEST;
     last = 0;
     digest = AuditEntry.NO_DIGEST;
     inFlight = null;
-    Arrays.fill(logged, 0);
+    Arrays.fill(loggedThrough, 0);
     RegisterState best = null;
-    for (final RegisterState held : registers) {
-      if (held.audit != null) {
-        final AuditTail one = Serializer.deserialize(held.audit, AuditTail.class);
-        final long reaches = one.base + Protocol.list(one.entries).size();
-        if (best == null || reaches > last) {
-          best = held;
-          last = reaches;
-          tailBase = one.base;
-          tailDigest = one.baseDigest == null ? AuditEntry.NO_DIGEST : one.baseDigest;
+    for (final RegisterState register : registers) {
+      if (register.audit != null) {
+        final AuditTail candidate = Serializer.deserialize(register.audit, AuditTail.class);
+        final long reach = candidate.base + Protocol.list(candidate.entries).size();
+        if (best == null || reach > last) {
+          best = register;
+          last = reach;
+          tailBase = candidate.base;
+          tailDigest = candidate.baseDigest == null ? AuditEntry.NO_DIGEST : candidate.baseDigest;
           tail.clear();
-          tail.addAll(Protocol.list(one.entries));
+          tail.addAll(Protocol.list(candidate.entries));
         }
       }
     }
-    for (final RegisterState held : registers) {
-      if (held != best) {
-        held.audit = null;
+    for (final RegisterState register : registers) {
+      if (register != best) {
+        register.audit = null;
       }
     }
     digest = tail.isEmpty() ? tailDigest : AuditEntry.digest(tail.peekLast());
@@ -80,15 +80,15 @@
    * All that was begun from is on a majority of disks now; the entries of the tail are thereby
    * decided.
    */
-  List<byte[]> serve() {
+  List<byte[]> decideRestored() {
     decided = last;
     decidedDigest = digest;
     return new ArrayList<>(tail);
   }
 
   /** Whether another register's change is under way, so that this one's has to wait. */
-  boolean busy(final RegisterState held) {
-    return inFlight != null && inFlight != held;
+  boolean mustWait(final RegisterState register) {
+    return inFlight != null && inFlight != register;
   }
 
   /** Adds an entry to the change that is being put together. */
@@ -102,60 +102,60 @@
   /**
    * The change of this register goes out with all entries that are not in the logs of a majority.
    */
-  void propose(final RegisterState held) {
-    inFlight = held;
-    held.audit = Serializer.serialize(new AuditTail(tailBase, tailDigest, new ArrayList<>(tail)));
+  void propose(final RegisterState register) {
+    inFlight = register;
+    register.audit = Serializer.serialize(new AuditTail(tailBase, tailDigest, new ArrayList<>(tail)));
   }
 
   /** The change of this register is on a majority of disks; the entries that it decided. */
-  List<byte[]> commit(final RegisterState held) {
-    if (inFlight != held) {
+  List<byte[]> commit(final RegisterState register) {
+    if (inFlight != register) {
       return List.of();
     }
     inFlight = null;
-    final List<byte[]> news = new ArrayList<>();
+    final List<byte[]> newlyDecided = new ArrayList<>();
     int skip = (int) (decided - tailBase);
     for (final byte[] entry : tail) {
       if (skip-- <= 0) {
-        news.add(entry);
+        newlyDecided.add(entry);
       }
     }
     decided = last;
     decidedDigest = digest;
-    return news;
+    return newlyDecided;
   }
 
   /** A voter's disk has the history up to here. */
-  void logged(final int place, final long through) {
-    logged[place] = Math.max(logged[place], through);
+  void loggedThrough(final int voterIndex, final long through) {
+    loggedThrough[voterIndex] = Math.max(loggedThrough[voterIndex], through);
   }
 
   /** Forgets the tail up to where a majority of voters has it in their logs. */
-  void settle(final StateStoreMessages.Roster roster) {
-    final long settled = settled(roster);
-    while (!tail.isEmpty() && tailBase < settled && tailBase < decided) {
+  void trimTail(final StateStoreMessages.Roster roster) {
+    final long majorityThrough = majorityLogged(roster);
+    while (!tail.isEmpty() && tailBase < majorityThrough && tailBase < decided) {
       tailDigest = AuditEntry.digest(tail.pollFirst());
       tailBase++;
     }
   }
 
   /** Forgets the whole tail, wherever else it may be. */
-  final void forget() {
+  final void discardTail() {
     tailBase = last;
     tailDigest = digest;
     tail.clear();
   }
 
   /** Up to where the logs of a majority reach. */
-  long settled(final StateStoreMessages.Roster roster) {
-    return settledWithout(roster, -1);
+  long majorityLogged(final StateStoreMessages.Roster roster) {
+    return majorityLoggedWithout(roster, -1);
   }
 
   /** Up to where the logs of a majority reach that does without the voter at this place. */
-  long settledWithout(final StateStoreMessages.Roster roster, final int leaver) {
-    final long[] sorted = Arrays.copyOf(logged, roster.voters.size());
-    if (leaver >= 0) {
-      sorted[leaver] = 0;
+  long majorityLoggedWithout(final StateStoreMessages.Roster roster, final int leavingIndex) {
+    final long[] sorted = Arrays.copyOf(loggedThrough, roster.voters.size());
+    if (leavingIndex >= 0) {
+      sorted[leavingIndex] = 0;
     }
     Arrays.sort(sorted);
     return sorted.length == 0 ? 0 : sorted[sorted.length - roster.majority()];
@@ -170,7 +170,7 @@
    * The entry, among those that travel with a register, with which a configuration took this
    * version; null where none did.
    */
-  AuditEntry taking(final long version) {
+  AuditEntry entryForVersion(final long version) {
     for (final byte[] bytes : tail) {
       final AuditEntry entry = AuditEntry.read(bytes);
       if (entry.takesVersion() && entry.version == version) {
@@ -204,11 +204,11 @@
       final Object before,
       final Object after,
       final long number,
-      final long mark,
+      final long serial,
       final long time) {
     final AuditEntry.Draft draft =
         switch (operation) {
-          case SPEC_REPLACE ->
+          case CONFIGURATION_REPLACE ->
               configuration(
                   (StoredValues.StoredConfiguration) before,
                   (StoredValues.StoredConfiguration) after);
@@ -218,9 +218,9 @@
                           ? ChangeKind.EVACUATION_BEGUN
                           : ChangeKind.EVACUATION_FINISHED,
                       call.name)
-                  .number(0, mark);
+                  .number(0, serial);
           case TRIAL_WRITE ->
-              trial((TrialMessages.Trial) before, (TrialMessages.Trial) after).number(0, mark);
+              trial((TrialMessages.Trial) before, (TrialMessages.Trial) after).number(0, serial);
           default -> null;
         };
     if (draft == null) {
@@ -234,13 +234,13 @@
 
   private AuditEntry.Draft configuration(
       final StoredValues.StoredConfiguration before, final StoredValues.StoredConfiguration after) {
-    final ConfigurationSummary old = summary(before);
-    final ConfigurationSummary fresh = summary(after);
+    final ConfigurationSummary previous = summary(before);
+    final ConfigurationSummary next = summary(after);
     return new AuditEntry.Draft(ChangeKind.CONFIGURATION, "")
         .number(after.version, 0)
-        .digests(old.digest, fresh.digest)
-        .content(after.content)
-        .difference(new ConfigurationDifference(old, fresh), Math.max(0, entryBytes - FIXED_BYTES));
+        .digests(previous.digest, next.digest)
+        .content(after.contentDigest)
+        .difference(new ConfigurationDifference(previous, next), Math.max(0, entryBytes - ENTRY_OVERHEAD_BYTES));
   }
 
   private AuditEntry.Draft trial(
@@ -267,25 +267,25 @@
                             : after.reason)));
   }
 
-  private static ConfigurationSummary summary(final StoredValues.StoredConfiguration spec) {
-    return spec == null || spec.summary == null
+  private static ConfigurationSummary summary(final StoredValues.StoredConfiguration configuration) {
+    return configuration == null || configuration.compressedSummary == null
         ? ConfigurationSummary.none()
-        : Serializer.deserialize(Compression.inflate(spec.summary), ConfigurationSummary.class);
+        : Serializer.deserialize(Compression.inflate(configuration.compressedSummary), ConfigurationSummary.class);
   }
 
   /** The first entry of a store that is older than its history. */
-  AuditEntry.Draft upgrade(
-      final StoredValues.StoredConfiguration spec, final String taker, final long time) {
+  AuditEntry.Draft upgradeEntry(
+      final StoredValues.StoredConfiguration configuration, final String taker, final long time) {
     return new AuditEntry.Draft(ChangeKind.UPGRADE, "")
-        .number(spec == null ? 0 : spec.version, 0)
+        .number(configuration == null ? 0 : configuration.version, 0)
         .origin(weldpoint.audit.Authors.SYSTEM, "", taker, time)
         .line("the store is older than its history; what was changed before is not in it")
-        .digests("", spec == null ? "" : AuditEntry.digest(Compression.inflate(spec.body)))
-        .content(spec == null ? null : TakenVersions.content(spec));
+        .digests("", configuration == null ? "" : AuditEntry.digest(Compression.inflate(configuration.compressedBody)))
+        .content(configuration == null ? null : TakenVersions.contentDigest(configuration));
   }
 
   /** The entry under which all replicas forget the oldest ones. */
-  AuditEntry.Draft retention(
+  AuditEntry.Draft retentionEntry(
       final long through, final String throughDigest, final String taker, final long time) {
     return new AuditEntry.Draft(ChangeKind.RETENTION, "")
         .origin(weldpoint.audit.Authors.SYSTEM, "", taker, time)
--- a/statestore/src/main/java/weldpoint/statestore/ControlView.java
+++ b/statestore/src/main/java/weldpoint/statestore/ControlView.java
@@ -24,49 +24,49 @@
   private final List<RegionMessages.Electorate> electorates = new ArrayList<>();
   private final List<PlacementMessages.Placement> placements = new ArrayList<>();
   private final List<OwnershipMessages.Assignment> assignments = new ArrayList<>();
-  private StoredValues.StoredConfiguration spec;
+  private StoredValues.StoredConfiguration configuration;
   private CacheMessages.Purges purges;
-  private PlacementMessages.PlacementOwner keeper;
-  private long evacuationMark;
-  private long trialMark;
-  private long placementMark;
-  private long otherMarks;
+  private PlacementMessages.PlacementOwner placementOwner;
+  private long evacuationSerial;
+  private long trialSerial;
+  private long placementSerial;
+  private long otherSerials;
 
   ControlView(final Collection<RegisterState> registers) {
-    for (final RegisterState held : registers) {
-      if (held.committed != null) {
-        take(held);
+    for (final RegisterState register : registers) {
+      if (register.committed != null) {
+        add(register);
       }
     }
   }
 
-  private void take(final RegisterState held) {
-    switch (held.kind) {
-      case SPEC -> spec = (StoredValues.StoredConfiguration) held.committed;
-      case EVACUATION -> takeEvacuation(held);
+  private void add(final RegisterState register) {
+    switch (register.kind) {
+      case CONFIGURATION -> configuration = (StoredValues.StoredConfiguration) register.committed;
+      case EVACUATION -> addEvacuation(register);
       case TRIAL -> {
-        trials.add((TrialMessages.Trial) held.committed);
-        trialMark += ((TrialMessages.Trial) held.committed).serial;
+        trials.add((TrialMessages.Trial) register.committed);
+        trialSerial += ((TrialMessages.Trial) register.committed).serial;
       }
       case PURGES -> {
-        purges = (CacheMessages.Purges) held.committed;
-        otherMarks += purges.mark;
+        purges = (CacheMessages.Purges) register.committed;
+        otherSerials += purges.mark;
       }
       case ELECTORATE -> {
-        electorates.add((RegionMessages.Electorate) held.committed);
-        otherMarks += ((RegionMessages.Electorate) held.committed).mark;
+        electorates.add((RegionMessages.Electorate) register.committed);
+        otherSerials += ((RegionMessages.Electorate) register.committed).mark;
       }
       case PLACEMENT -> {
-        placements.add((PlacementMessages.Placement) held.committed);
-        placementMark += ((PlacementMessages.Placement) held.committed).serial;
+        placements.add((PlacementMessages.Placement) register.committed);
+        placementSerial += ((PlacementMessages.Placement) register.committed).serial;
       }
-      case KEEPER -> {
-        keeper = (PlacementMessages.PlacementOwner) held.committed;
-        otherMarks += keeper.serial;
+      case PLACEMENT_OWNER -> {
+        placementOwner = (PlacementMessages.PlacementOwner) register.committed;
+        otherSerials += placementOwner.serial;
       }
       case OWNERSHIP -> {
-        assignments.add((OwnershipMessages.Assignment) held.committed);
-        otherMarks += ((OwnershipMessages.Assignment) held.committed).serial;
+        assignments.add((OwnershipMessages.Assignment) register.committed);
+        otherSerials += ((OwnershipMessages.Assignment) register.committed).serial;
       }
       default -> {
         // not control state that registries are told of
@@ -74,43 +74,43 @@
     }
   }
 
-  private void takeEvacuation(final RegisterState held) {
-    final StoredValues.Evacuation evacuation = (StoredValues.Evacuation) held.committed;
-    evacuationMark += evacuation.serial;
+  private void addEvacuation(final RegisterState register) {
+    final StoredValues.Evacuation evacuation = (StoredValues.Evacuation) register.committed;
+    evacuationSerial += evacuation.serial;
     if (evacuation.on) {
-      evacuated.add(held.name.substring(EVACUATION.length()));
+      evacuated.add(register.name.substring(EVACUATION.length()));
     }
   }
 
   /** The version of the configuration; 0 before the first. */
   long version() {
-    return spec == null ? 0 : spec.version;
+    return configuration == null ? 0 : configuration.version;
   }
 
   /** Whether a registry lacks anything: first is its version, second the sum of its marks. */
-  boolean newsFor(final StoreMessages.StoreRequest call) {
-    final long marks = evacuationMark + trialMark + placementMark + otherMarks;
-    return version() > call.first || marks != call.second;
+  boolean isNewerThan(final StoreMessages.StoreRequest call) {
+    final long serials = evacuationSerial + trialSerial + placementSerial + otherSerials;
+    return version() > call.first || serials != call.second;
   }
 
   /** What the registry that asked so is told. */
-  StoredValues.ControlSnapshot answer(
+  StoredValues.ControlSnapshot snapshotFor(
       final StoreMessages.StoreRequest call, final StateStoreMessages.Roster roster) {
-    final boolean news = newsFor(call);
+    final boolean changed = isNewerThan(call);
     return new StoredValues.ControlSnapshot(
         version(),
-        version() > call.first ? spec.body : null,
+        version() > call.first ? configuration.compressedBody : null,
         evacuated,
-        evacuationMark,
+        evacuationSerial,
         roster,
         trials,
-        trialMark,
+        trialSerial,
         purges,
         electorates,
-        spec != null && spec.tied,
-        placementMark,
-        news ? placements : null,
-        keeper,
-        news ? assignments : null);
+        configuration != null && configuration.hasAffinity,
+        placementSerial,
+        changed ? placements : null,
+        placementOwner,
+        changed ? assignments : null);
   }
 }
--- a/statestore/src/main/java/weldpoint/statestore/Decision.java
+++ b/statestore/src/main/java/weldpoint/statestore/Decision.java
@@ -2,11 +2,11 @@
 
 /** What a call comes to: an answer, a new value to be written first, or a wait. */
 final class Decision {
-  enum Way {
+  enum Action {
     /** Answer once the ballot is confirmed. */
     CONFIRM,
     /** Answer at once: what is told was decided before and stays true. */
-    TELL,
+    REPLY,
     /** Answer once the new value is on a majority of disks. */
     WRITE,
     /** Evaluate again once the ballot is confirmed. */
@@ -15,7 +15,7 @@
     PARK,
   }
 
-  final Way way;
+  final Action action;
   final int status;
   final long first;
   final byte[] body;
@@ -23,13 +23,13 @@
   final StoredValues.Put put;
 
   private Decision(
-      final Way way,
+      final Action action,
       final int status,
       final long first,
       final byte[] body,
       final Object value,
       final StoredValues.Put put) {
-    this.way = way;
+    this.action = action;
     this.status = status;
     this.first = first;
     this.body = body;
@@ -42,22 +42,22 @@
   }
 
   static Decision confirm(final int status, final long first, final byte[] body) {
-    return new Decision(Way.CONFIRM, status, first, body, null, null);
+    return new Decision(Action.CONFIRM, status, first, body, null, null);
   }
 
-  static Decision tell(final int status, final long first, final byte[] body) {
-    return new Decision(Way.TELL, status, first, body, null, null);
+  static Decision reply(final int status, final long first, final byte[] body) {
+    return new Decision(Action.REPLY, status, first, body, null, null);
   }
 
   static Decision write(final Object value, final StoredValues.Put put, final long first) {
-    return new Decision(Way.WRITE, 200, first, null, value, put);
+    return new Decision(Action.WRITE, 200, first, null, value, put);
   }
 
   static Decision read() {
-    return new Decision(Way.READ, 0, 0, null, null, null);
+    return new Decision(Action.READ, 0, 0, null, null, null);
   }
 
   static Decision park() {
-    return new Decision(Way.PARK, 0, 0, null, null, null);
+    return new Decision(Action.PARK, 0, 0, null, null, null);
   }
 }
--- a/statestore/src/main/java/weldpoint/statestore/GracefulLeave.java
+++ b/statestore/src/main/java/weldpoint/statestore/GracefulLeave.java
@@ -6,25 +6,25 @@
 /** How far a voter is that ends in order: which partitions the others hold without it. */
 final class GracefulLeave {
   /** For how long a voter that ends waits for the others. */
-  static final long MOST_MILLIS = 2000;
+  static final long TIMEOUT_MILLIS = 2000;
 
-  private static final long AGAIN_MILLIS = 150;
+  private static final long NOTICE_INTERVAL_MILLIS = 150;
 
   private final boolean[] released = new boolean[StateStoreReplica.PARTITIONS];
-  private Runnable gone;
+  private Runnable onStopped;
   private long roster;
   private long begunAt;
-  private long toldAt;
+  private long noticeSentAt;
 
-  void begin(final Runnable deed, final long number, final long now) {
-    gone = deed;
+  void begin(final Runnable whenStopped, final long number, final long now) {
+    onStopped = whenStopped;
     roster = number;
     begunAt = now;
-    toldAt = now;
+    noticeSentAt = now;
   }
 
   boolean begun() {
-    return gone != null;
+    return onStopped != null;
   }
 
   /** The roster under which it began; releases under older ones do not count. */
@@ -32,20 +32,20 @@
     return roster;
   }
 
-  Runnable gone() {
-    return gone;
+  Runnable onStopped() {
+    return onStopped;
   }
 
-  boolean late(final long now) {
-    return now - begunAt >= MOST_MILLIS;
+  boolean timedOut(final long now) {
+    return now - begunAt >= TIMEOUT_MILLIS;
   }
 
   /** Whether it is time to tell the others again. */
-  boolean again(final long now) {
-    if (now - toldAt < AGAIN_MILLIS) {
+  boolean noticeDue(final long now) {
+    if (now - noticeSentAt < NOTICE_INTERVAL_MILLIS) {
       return false;
     }
-    toldAt = now;
+    noticeSentAt = now;
     return true;
   }
 
@@ -56,11 +56,11 @@
   }
 
   boolean released() {
-    return open().isEmpty();
+    return unreleased().isEmpty();
   }
 
   /** The partitions that no holder has released. */
-  List<Integer> open() {
+  List<Integer> unreleased() {
     final List<Integer> open = new ArrayList<>();
     for (int number = 0; number < released.length; number++) {
       if (!released[number]) {
--- a/statestore/src/main/java/weldpoint/statestore/Membership.java
+++ b/statestore/src/main/java/weldpoint/statestore/Membership.java
@@ -16,62 +16,62 @@
  * and the next change of the roster.
  */
 final class Membership {
-  private static final long UNREACHABLE_MILLIS = 2500;
-  private static final long UNREACHABLE_CLOSED_MILLIS = 1600;
-  private static final long LEAVING_MILLIS = 400;
-  private static final long STEADY_MILLIS = 600;
-  private static final long CHANGE_MILLIS = 300;
-  private static final long DESCRIBE_MILLIS = 1500;
-  private static final long JOINER_MILLIS = 1500;
-  private static final long BETTER_MILLIS = 1000;
+  private static final long UNREACHABLE_TIMEOUT_MILLIS = 2500;
+  private static final long DISCONNECTED_TIMEOUT_MILLIS = 1600;
+  private static final long LEAVE_NOTICE_VALID_MILLIS = 400;
+  private static final long REACHABLE_WITHIN_MILLIS = 600;
+  private static final long MIN_CHANGE_INTERVAL_MILLIS = 300;
+  private static final long DESCRIPTION_WAIT_MILLIS = 1500;
+  private static final long JOIN_REQUEST_TTL_MILLIS = 1500;
+  private static final long REBALANCE_DELAY_MILLIS = 1000;
 
   private final String self;
-  private final int mostVoters;
+  private final int maxVoters;
   private final Map<String, Long> heardAt = new HashMap<>();
   private final Map<String, Long> closedAt = new HashMap<>();
   private final Map<String, Long> leavingAt = new HashMap<>();
   private final Map<String, Voter> joiners = new LinkedHashMap<>();
   private final Map<String, Long> joinedAt = new HashMap<>();
   private final Map<String, Voter> descriptions = new HashMap<>();
-  private final long[] settled = new long[StateStoreReplica.PARTITIONS];
+  private final long[] establishedRosters = new long[StateStoreReplica.PARTITIONS];
   private long changedAt;
-  private long betterSince;
+  private long rebalanceDueSince;
 
-  Membership(final String self, final int mostVoters) {
+  Membership(final String self, final int maxVoters) {
     this.self = self;
-    this.mostVoters = mostVoters;
+    this.maxVoters = maxVoters;
   }
 
   /** The process begins. */
-  void begins(final long now) {
+  void onStart(final long now) {
     changedAt = now;
   }
 
   /** A frame has said something. */
-  void heard(final String address, final long now) {
+  void onMessage(final String address, final long now) {
     heardAt.put(address, now);
   }
 
   /** The line to a frame has ended. */
-  void closed(final String address, final long now) {
+  void onConnectionClosed(final String address, final long now) {
     closedAt.put(address, now);
   }
 
   /** A member has said that it ends. */
-  void leaves(final String address, final long now) {
+  void onLeave(final String address, final long now) {
     leavingAt.put(address, now);
     joiners.remove(address);
   }
 
   /** A member tells its zone and region. */
-  void describes(final Voter voter) {
+  void describe(final Voter voter) {
     descriptions.put(voter.address, voter);
   }
 
   /** A daemon asks to become a voter; true where it was not known to wait. */
-  boolean asks(final Voter voter, final Roster roster, final long now) {
+  boolean onJoin(final Voter voter, final Roster roster, final long now) {
     if (roster.index(voter.address) >= 0) {
-      describes(voter);
+      describe(voter);
       return false;
     }
     joinedAt.put(voter.address, now);
@@ -85,48 +85,48 @@
   }
 
   /** A partition has been established under this roster. */
-  void settled(final int partition, final long roster) {
-    settled[partition] = roster;
+  void establishedRosters(final int partition, final long roster) {
+    establishedRosters[partition] = roster;
   }
 
   /** A newer roster is in force. */
-  void adopted(final Roster roster, final long now) {
+  void onRosterAdopted(final Roster roster, final long now) {
     changedAt = now;
-    betterSince = 0;
+    rebalanceDueSince = 0;
     for (final Voter voter : roster.voters) {
       joiners.remove(voter.address);
     }
   }
 
   /** Whether a member cannot be reached any more, or says that it leaves. */
-  private boolean away(final String address, final long now) {
+  private boolean isUnreachable(final String address, final long now) {
     if (address.equals(self)) {
       return false;
     }
     final long heard = heardAt.getOrDefault(address, changedAt);
     final long leaving = leavingAt.getOrDefault(address, Long.MIN_VALUE / 2);
-    if (leaving >= heard || now - leaving <= LEAVING_MILLIS) {
+    if (leaving >= heard || now - leaving <= LEAVE_NOTICE_VALID_MILLIS) {
       return true;
     }
     final boolean closed = closedAt.getOrDefault(address, Long.MIN_VALUE) >= heard;
-    return now - heard > (closed ? UNREACHABLE_CLOSED_MILLIS : UNREACHABLE_MILLIS);
+    return now - heard > (closed ? DISCONNECTED_TIMEOUT_MILLIS : UNREACHABLE_TIMEOUT_MILLIS);
   }
 
-  private boolean here(final String address, final long now) {
+  private boolean isReachable(final String address, final long now) {
     final long heard = heardAt.getOrDefault(address, Long.MIN_VALUE / 2);
     return address.equals(self)
-        || now - heard <= STEADY_MILLIS && closedAt.getOrDefault(address, Long.MIN_VALUE) < heard;
+        || now - heard <= REACHABLE_WITHIN_MILLIS && closedAt.getOrDefault(address, Long.MIN_VALUE) < heard;
   }
 
-  private List<Voter> newcomers(final long now) {
-    joiners.keySet().removeIf(address -> now - joinedAt.get(address) > JOINER_MILLIS);
-    final List<Voter> here = new ArrayList<>(joiners.values());
-    here.removeIf(voter -> !here(voter.address, now));
-    return here;
+  private List<Voter> reachableJoiners(final long now) {
+    joiners.keySet().removeIf(address -> now - joinedAt.get(address) > JOIN_REQUEST_TTL_MILLIS);
+    final List<Voter> reachable = new ArrayList<>(joiners.values());
+    reachable.removeIf(voter -> !isReachable(voter.address, now));
+    return reachable;
   }
 
-  private boolean whole(final Roster roster) {
-    for (final long number : settled) {
+  private boolean isEstablished(final Roster roster) {
+    for (final long number : establishedRosters) {
       if (number < roster.number) {
         return false;
       }
@@ -140,57 +140,57 @@
    * there: one that is lost often goes with others. A change that would leave less behind after the
    * loss of a zone gives way to the other order, first adding or first removing.
    */
-  Roster next(final Roster roster, final long now) {
-    if (now - changedAt < CHANGE_MILLIS || !whole(roster)) {
+  Roster nextRoster(final Roster roster, final long now) {
+    if (now - changedAt < MIN_CHANGE_INTERVAL_MILLIS || !isEstablished(roster)) {
       return null;
     }
     final Roster described = TokenAssignment.described(roster, descriptions);
     final Roster present = described == null ? roster : new Roster(roster.number, described.voters);
-    final Set<String> away = new HashSet<>();
+    final Set<String> unreachable = new HashSet<>();
     boolean undescribed = false;
     for (final Voter voter : present.voters) {
-      if (away(voter.address, now)) {
-        away.add(voter.address);
-      } else if (!here(voter.address, now)) {
+      if (isUnreachable(voter.address, now)) {
+        unreachable.add(voter.address);
+      } else if (!isReachable(voter.address, now)) {
         return null;
       } else {
         undescribed |= voter.site.isEmpty();
       }
     }
-    if (undescribed && now - changedAt < DESCRIBE_MILLIS) {
+    if (undescribed && now - changedAt < DESCRIPTION_WAIT_MILLIS) {
       return null;
     }
-    final Roster step = step(present, away, now);
+    final Roster step = nextStep(present, unreachable, now);
     return step == null ? described : step;
   }
 
-  private Roster step(final Roster present, final Set<String> away, final long now) {
-    final List<Voter> best = VoterSelection.best(present.voters, away, newcomers(now), mostVoters);
-    final List<Voter> in = new ArrayList<>(best);
-    in.removeIf(voter -> present.index(voter.address) >= 0);
-    final List<Voter> out = new ArrayList<>(present.voters);
-    out.removeAll(best);
-    if (in.isEmpty() && out.isEmpty()) {
-      betterSince = 0;
+  private Roster nextStep(final Roster present, final Set<String> unreachable, final long now) {
+    final List<Voter> best = VoterSelection.best(present.voters, unreachable, reachableJoiners(now), maxVoters);
+    final List<Voter> added = new ArrayList<>(best);
+    added.removeIf(voter -> present.index(voter.address) >= 0);
+    final List<Voter> removed = new ArrayList<>(present.voters);
+    removed.removeAll(best);
+    if (added.isEmpty() && removed.isEmpty()) {
+      rebalanceDueSince = 0;
       return null;
     }
-    final boolean needless =
-        present.voters.size() == mostVoters
-            && out.stream().noneMatch(voter -> away.contains(voter.address));
-    if (needless) {
-      if (betterSince == 0) {
-        betterSince = now;
+    final boolean optional =
+        present.voters.size() == maxVoters
+            && removed.stream().noneMatch(voter -> unreachable.contains(voter.address));
+    if (optional) {
+      if (rebalanceDueSince == 0) {
+        rebalanceDueSince = now;
       }
-      if (now - betterSince < BETTER_MILLIS) {
+      if (now - rebalanceDueSince < REBALANCE_DELAY_MILLIS) {
         return null;
       }
     }
     Roster chosen = null;
     int zoneSpare = 0;
     int spare = 0;
-    for (final Roster next : steps(present, in, out)) {
-      final int nextZoneSpare = VoterSelection.spareAfterZoneLoss(next.voters, away);
-      final int nextSpare = VoterSelection.spare(next.voters, away);
+    for (final Roster next : possibleSteps(present, added, removed)) {
+      final int nextZoneSpare = VoterSelection.spareAfterZoneLoss(next.voters, unreachable);
+      final int nextSpare = VoterSelection.spare(next.voters, unreachable);
       if (nextSpare >= 0
           && (chosen == null
               || nextZoneSpare > zoneSpare
@@ -201,21 +201,21 @@
       }
     }
     if (chosen != null
-        && needless
-        && zoneSpare < Math.min(0, VoterSelection.spareAfterZoneLoss(present.voters, away))) {
+        && optional
+        && zoneSpare < Math.min(0, VoterSelection.spareAfterZoneLoss(present.voters, unreachable))) {
       return null;
     }
     return chosen;
   }
 
-  private List<Roster> steps(final Roster present, final List<Voter> in, final List<Voter> out) {
+  private List<Roster> possibleSteps(final Roster present, final List<Voter> added, final List<Voter> removed) {
     final List<Roster> steps = new ArrayList<>();
-    if (present.voters.size() <= mostVoters) {
-      for (final Voter voter : in) {
+    if (present.voters.size() <= maxVoters) {
+      for (final Voter voter : added) {
         steps.add(TokenAssignment.with(present, voter));
       }
     }
-    for (final Voter voter : out) {
+    for (final Voter voter : removed) {
       steps.add(TokenAssignment.without(present, voter));
     }
     return steps;
--- a/statestore/src/main/java/weldpoint/statestore/Partition.java
+++ b/statestore/src/main/java/weldpoint/statestore/Partition.java
@@ -18,7 +18,7 @@
   /** How far this daemon is with the duty. */
   enum Phase {
     IDLE,
-    CANVASSING,
+    PRE_VOTING,
     PREPARING,
     ESTABLISHING,
     SERVING
@@ -26,12 +26,12 @@
 
   /** A register's value under its mark, with the entries of the history that travel with it. */
   static final class StoredRegister {
-    final RegisterVersion mark;
+    final RegisterVersion version;
     final Object value;
     final byte[] audit;
 
-    StoredRegister(final RegisterVersion mark, final Object value, final byte[] audit) {
-      this.mark = mark;
+    StoredRegister(final RegisterVersion version, final Object value, final byte[] audit) {
+      this.version = version;
       this.value = value;
       this.audit = audit;
     }
@@ -44,25 +44,25 @@
   static final class Repair {
     long heardAt = Long.MIN_VALUE / 4;
     long sentAt = Long.MIN_VALUE / 2;
-    long pause;
+    long backoffMillis;
   }
 
   /** Work that waits until a majority has confirmed the ballot. */
-  static final class Waiter {
-    final long needed;
+  static final class ConfirmationWaiter {
+    final long heartbeatNumber;
     final long receivedAt;
-    final RegisterState.Work work;
-    final Runnable then;
+    final RegisterState.PendingRequest pending;
+    final Runnable onConfirmed;
 
-    Waiter(
-        final long needed,
+    ConfirmationWaiter(
+        final long heartbeatNumber,
         final long receivedAt,
-        final RegisterState.Work work,
-        final Runnable then) {
-      this.needed = needed;
+        final RegisterState.PendingRequest pending,
+        final Runnable onConfirmed) {
+      this.heartbeatNumber = heartbeatNumber;
       this.receivedAt = receivedAt;
-      this.work = work;
-      this.then = then;
+      this.pending = pending;
+      this.onConfirmed = onConfirmed;
     }
   }
 
@@ -70,32 +70,32 @@
   RegisterVersion promised = RegisterVersion.NONE;
   RegisterVersion established = RegisterVersion.NONE;
   final Map<String, StoredRegister> stored = new HashMap<>();
-  long vacateAt;
-  String holder;
+  long electionDueAt;
+  String leader;
   Phase phase = Phase.IDLE;
   RegisterVersion ballot = RegisterVersion.NONE;
-  long count;
+  long versionCount;
   long startedAt;
   long preparedAt;
   long servedAt;
-  final RecentCalls recent = new RecentCalls();
+  final RecentCalls recentCalls = new RecentCalls();
   StateStoreMessages.Promise[] promises = new StateStoreMessages.Promise[0];
-  List<Long> counted = List.of();
-  boolean[] establishAcked = new boolean[0];
-  long[] establishSentAt = new long[0];
-  boolean[] establishSent = new boolean[0];
+  List<Long> countedIncarnations = List.of();
+  boolean[] establishmentAcked = new boolean[0];
+  long[] establishmentSentAt = new long[0];
+  boolean[] establishmentSent = new boolean[0];
   Repair[] repairs = new Repair[0];
-  Map<String, RegisterState> held = new LinkedHashMap<>();
-  long pulseCount;
-  long pulsedAt;
-  boolean confirmOut;
-  long[] pulsed = new long[0];
-  final List<Waiter> waiters = new ArrayList<>();
-  long betterSince;
-  long heardAt = Long.MIN_VALUE / 2;
-  long canvass;
-  long canvassedAt;
-  boolean[] agreed = new boolean[0];
+  Map<String, RegisterState> registers = new LinkedHashMap<>();
+  long heartbeatCount;
+  long heartbeatSentAt;
+  boolean confirmationInFlight;
+  long[] heartbeatAcked = new long[0];
+  final List<ConfirmationWaiter> waiters = new ArrayList<>();
+  long preferredRegionReadySince;
+  long leaderHeardAt = Long.MIN_VALUE / 2;
+  long preVoteNumber;
+  long preVoteStartedAt;
+  boolean[] preVotesGranted = new boolean[0];
 
   Partition(final int number) {
     this.number = number;
@@ -105,48 +105,48 @@
   List<RegisterEntry> entries() {
     final List<RegisterEntry> entries = new ArrayList<>(stored.size());
     stored.forEach(
-        (name, one) ->
+        (name, register) ->
             entries.add(
                 new RegisterEntry(
                     name,
-                    one.mark,
+                    register.version,
                     RegisterVersion.NONE,
                     null,
-                    StoredValues.Kind.of(name).encode(one.value),
-                    one.audit)));
+                    StoredValues.Kind.of(name).encode(register.value),
+                    register.audit)));
     return entries;
   }
 
   /** All that is stored, as records for the disk of about so many bytes each. */
   List<byte[]> records(final int type, final int bytes) {
     final List<byte[]> records = new ArrayList<>();
-    final List<RegisterEntry> some = new ArrayList<>();
+    final List<RegisterEntry> batch = new ArrayList<>();
     int size = 0;
-    for (final Map.Entry<String, StoredRegister> one : stored.entrySet()) {
-      final byte[] whole = StoredValues.Kind.of(one.getKey()).encode(one.getValue().value);
-      if (!some.isEmpty() && size + whole.length > bytes) {
+    for (final Map.Entry<String, StoredRegister> register : stored.entrySet()) {
+      final byte[] encoded = StoredValues.Kind.of(register.getKey()).encode(register.getValue().value);
+      if (!batch.isEmpty() && size + encoded.length > bytes) {
         records.add(
             Serializer.serialize(
                 new StoredValues.DiskRecord(
-                    type, number, RegisterVersion.NONE, some, null, null, 0)));
-        some.clear();
+                    type, number, RegisterVersion.NONE, batch, null, null, 0)));
+        batch.clear();
         size = 0;
       }
-      some.add(
+      batch.add(
           new RegisterEntry(
-              one.getKey(),
-              one.getValue().mark,
+              register.getKey(),
+              register.getValue().version,
               RegisterVersion.NONE,
               null,
-              whole,
-              one.getValue().audit));
-      size += whole.length;
+              encoded,
+              register.getValue().audit));
+      size += encoded.length;
     }
-    if (!some.isEmpty()) {
+    if (!batch.isEmpty()) {
       records.add(
           Serializer.serialize(
               new StoredValues.DiskRecord(
-                  type, number, RegisterVersion.NONE, some, null, null, 0)));
+                  type, number, RegisterVersion.NONE, batch, null, null, 0)));
     }
     return records;
   }
@@ -156,20 +156,20 @@
    * lacking.
    */
   void store(
-      final RegisterVersion given,
+      final RegisterVersion acceptedBallot,
       final boolean establish,
       final List<RegisterEntry> entries,
-      final List<RegisterEntry> lacking) {
-    if (given.compareTo(promised) > 0) {
-      promised = given.ballot();
+      final List<RegisterEntry> missing) {
+    if (acceptedBallot.compareTo(promised) > 0) {
+      promised = acceptedBallot.ballot();
     }
-    if (establish && !established.sameBallot(given) && given.compareTo(established) > 0) {
-      stored.values().removeIf(one -> one.mark.compareTo(given.ballot()) < 0);
-      established = given.ballot();
+    if (establish && !established.sameBallot(acceptedBallot) && acceptedBallot.compareTo(established) > 0) {
+      stored.values().removeIf(register -> register.version.compareTo(acceptedBallot.ballot()) < 0);
+      established = acceptedBallot.ballot();
     }
     for (final RegisterEntry entry : entries) {
       final StoredRegister before = stored.get(entry.name);
-      if (before != null && before.mark.compareTo(entry.mark) >= 0) {
+      if (before != null && before.version.compareTo(entry.mark) >= 0) {
         continue;
       }
       final StoredValues.Kind kind = StoredValues.Kind.of(entry.name);
@@ -177,7 +177,7 @@
         stored.put(
             entry.name, new StoredRegister(entry.mark, kind.decode(entry.whole), entry.audit));
       } else if (entry.difference != null
-          && (before == null ? RegisterVersion.NONE : before.mark).equals(entry.base)) {
+          && (before == null ? RegisterVersion.NONE : before.version).equals(entry.base)) {
         final boolean unchanged =
             before != null && entry.difference != null && entry.difference.length == 0;
         stored.put(
@@ -189,7 +189,7 @@
                     : kind.apply(before == null ? null : before.value, entry.difference),
                 entry.audit));
       } else {
-        lacking.add(entry);
+        missing.add(entry);
       }
     }
   }
--- a/statestore/src/main/java/weldpoint/statestore/RecentCalls.java
+++ b/statestore/src/main/java/weldpoint/statestore/RecentCalls.java
@@ -14,44 +14,44 @@
 final class RecentCalls {
   /**
    * How long a copy can be under way: a caller sends it again for 900 ms at most, and it is void
-   * {@link StateStoreReplica#COPY_MILLIS} after it was sent.
+   * {@link StateStoreReplica#MAX_REQUEST_AGE_MILLIS} after it was sent.
    */
-  static final long KEEP_MILLIS = 4000;
+  static final long RETENTION_MILLIS = 4000;
 
   /**
    * How many calls are remembered at most; while there are so many, further ones are not carried
    * out.
    */
-  static final int MOST = 8192;
+  static final int MAX_CALLS = 8192;
 
-  private record Identity(long caller, long number) {}
+  private record CallId(long caller, long number) {}
 
-  private record Decided(Decision decision, long at) {}
+  private record RememberedDecision(Decision decision, long at) {}
 
-  private final Map<Identity, Decided> decided = new LinkedHashMap<>();
+  private final Map<CallId, RememberedDecision> decided = new LinkedHashMap<>();
 
   /** What was decided of a call before; null where nothing is known of it. */
-  Decision before(final StoreRequest call) {
-    final Decided one =
-        call.caller == 0 ? null : decided.get(new Identity(call.caller, call.number));
-    return one == null ? null : one.decision;
+  Decision find(final StoreRequest call) {
+    final RememberedDecision remembered =
+        call.caller == 0 ? null : decided.get(new CallId(call.caller, call.number));
+    return remembered == null ? null : remembered.decision;
   }
 
   /** Whether no further call can be remembered. */
   boolean full(final long now) {
-    final Iterator<Decided> oldest = decided.values().iterator();
-    while (oldest.hasNext() && now - oldest.next().at > KEEP_MILLIS) {
+    final Iterator<RememberedDecision> oldest = decided.values().iterator();
+    while (oldest.hasNext() && now - oldest.next().at > RETENTION_MILLIS) {
       oldest.remove();
     }
-    return decided.size() >= MOST;
+    return decided.size() >= MAX_CALLS;
   }
 
   /** Remembers what was decided of a call. */
   void remember(final StoreRequest call, final Decision decision, final long now) {
     if (call.caller != 0) {
       decided.put(
-          new Identity(call.caller, call.number),
-          new Decided(Decision.confirm(decision.status, decision.first, decision.body), now));
+          new CallId(call.caller, call.number),
+          new RememberedDecision(Decision.confirm(decision.status, decision.first, decision.body), now));
     }
   }
 
--- a/statestore/src/main/java/weldpoint/statestore/Recovery.java
+++ b/statestore/src/main/java/weldpoint/statestore/Recovery.java
@@ -27,33 +27,33 @@
  */
 final class Recovery {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
-  private static final long ENQUIRE_MILLIS = 400;
-  private static final long PAUSE_MILLIS = 2000;
-  private static final long MOST_PAUSE_MILLIS = 8000;
-  private static final int PART_BYTES = 32 << 10;
-  private static final int FIRST_VALUE_BYTES = 24 << 10;
-  private static final int ENTRY_BYTES = 96;
-  private static final int MOST_NAMES = 256;
+  private static final long MEMBERSHIP_REQUEST_INTERVAL_MILLIS = 400;
+  private static final long RETRY_MILLIS = 2000;
+  private static final long MAX_RETRY_MILLIS = 8000;
+  private static final int RESPONSE_BYTES = 32 << 10;
+  private static final int FIRST_PAGE_VALUE_BYTES = 24 << 10;
+  private static final int ENTRY_OVERHEAD_BYTES = 96;
+  private static final int MAX_NAMES_PER_REQUEST = 256;
 
   /** What a voter that was asked has told so far. */
   private static final class Source {
-    private final Map<String, RegisterVersion> marks = new HashMap<>();
-    private StateStoreMessages.RecoveryResponse first;
-    private String after = "";
-    private boolean catalogued;
-    private boolean heard;
-    private StateStoreMessages.RecoveryRequest asked;
-    private long askedAt;
-    private long pause = PAUSE_MILLIS;
+    private final Map<String, RegisterVersion> versions = new HashMap<>();
+    private StateStoreMessages.RecoveryResponse firstPage;
+    private String lastName = "";
+    private boolean catalogComplete;
+    private boolean heardFrom;
+    private StateStoreMessages.RecoveryRequest request;
+    private long requestedAt;
+    private long retryMillis = RETRY_MILLIS;
   }
 
   /** A value of which some bytes have come. */
   private static final class PartialValue {
-    private final RegisterEntry head;
+    private final RegisterEntry firstEntry;
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
 
-    private PartialValue(final RegisterEntry head) {
-      this.head = head;
+    private PartialValue(final RegisterEntry firstEntry) {
+      this.firstEntry = firstEntry;
     }
   }
 
@@ -61,24 +61,24 @@
   private record OutgoingValue(String name, RegisterVersion mark, byte[] whole) {}
 
   private final StateStoreReplica replica;
-  private long enquireNumber;
-  private long enquiredAt = Long.MIN_VALUE / 2;
-  private final Map<String, StateStoreMessages.MembershipResponse> enquired = new HashMap<>();
+  private long membershipRequestNumber;
+  private long membershipRequestedAt = Long.MIN_VALUE / 2;
+  private final Map<String, StateStoreMessages.MembershipResponse> membershipResponses = new HashMap<>();
   private final Map<String, Source> sources = new LinkedHashMap<>();
-  private final Map<String, PartialValue> pieces = new HashMap<>();
-  private final Map<String, OutgoingValue> given = new HashMap<>();
-  private final Set<String> fetchers = new HashSet<>();
-  private long fetching;
-  private boolean fetched;
-  private long wantedAudit;
-  private String wantedFrom;
-  private long wantedAskedAt;
-  private long wantedSeen;
-  private boolean registersKept;
-  private boolean wholeAsked;
-  private long asks;
-  private long parts;
-  private long bytes;
+  private final Map<String, PartialValue> partialValues = new HashMap<>();
+  private final Map<String, OutgoingValue> outgoingValues = new HashMap<>();
+  private final Set<String> recoveringPeers = new HashSet<>();
+  private long newIncarnation;
+  private boolean registersComplete;
+  private long targetHistoryEntry;
+  private String historySource;
+  private long historyRequestedAt;
+  private long lastHistoryEntrySeen;
+  private boolean registersDurable;
+  private boolean completionRecorded;
+  private long requestCount;
+  private long responsesReceived;
+  private long bytesReceived;
   private long startedAt;
 
   Recovery(final StateStoreReplica replica) {
@@ -86,152 +86,152 @@
   }
 
   /** The next enquiry; null where the last one is too fresh. */
-  StateStoreMessages.MembershipRequest enquire(final long now) {
-    if (now - enquiredAt < ENQUIRE_MILLIS) {
+  StateStoreMessages.MembershipRequest nextMembershipRequest(final long now) {
+    if (now - membershipRequestedAt < MEMBERSHIP_REQUEST_INTERVAL_MILLIS) {
       return null;
     }
-    enquiredAt = now;
-    enquireNumber++;
-    enquired.clear();
-    return new StateStoreMessages.MembershipRequest(enquireNumber);
+    membershipRequestedAt = now;
+    membershipRequestNumber++;
+    membershipResponses.clear();
+    return new StateStoreMessages.MembershipRequest(membershipRequestNumber);
   }
 
   /**
    * Whether a frame was last heard to fetch what it had lost: until it votes again, registers sent
    * to it are lost on it.
    */
-  boolean fetches(final String address) {
-    return fetchers.contains(address);
+  boolean isRecovering(final String address) {
+    return recoveringPeers.contains(address);
   }
 
   /** A frame has spoken as one that has everything: as a voter, or to become one. */
-  void votes(final String address) {
-    if (fetchers.remove(address)) {
-      given.remove(address);
+  void markRecovered(final String address) {
+    if (recoveringPeers.remove(address)) {
+      outgoingValues.remove(address);
     }
   }
 
-  void onEnquire(
+  void onMembershipRequest(
       final String from,
-      final StateStoreMessages.MembershipRequest enquire,
+      final StateStoreMessages.MembershipRequest request,
       final Consumer<Message> reply) {
     final List<String> holders = new ArrayList<>();
     for (final Partition partition : replica.partitions) {
-      holders.add(partition.holder == null ? "" : partition.holder);
+      holders.add(partition.leader == null ? "" : partition.leader);
     }
     reply.accept(
         new StateStoreMessages.MembershipResponse(
-            enquire.number, replica.blank, replica.roster, replica.incarnationOf(from), holders));
+            request.number, replica.recovering, replica.roster, replica.incarnationOf(from), holders));
   }
 
-  void onEnquired(
+  void onMembershipResponse(
       final String from, final StateStoreMessages.MembershipResponse answer, final long now) {
     if (answer.blank) {
       return;
     }
-    if (!replica.blank) {
-      replica.adopt(answer.roster, now);
+    if (!replica.recovering) {
+      replica.adoptRoster(answer.roster, now);
       if (replica.roster.index(replica.self) < 0) {
         final List<String> holders = Protocol.list(answer.holders);
         for (int index = 0; index < holders.size(); index++) {
-          replica.partitions[index].holder =
+          replica.partitions[index].leader =
               holders.get(index).isEmpty() ? null : holders.get(index);
         }
       }
       return;
     }
     takeRoster(answer.roster);
-    if (fetching != 0) {
-      heard(from, now);
+    if (newIncarnation != 0) {
+      retryFirstContact(from, now);
       return;
     }
-    if (answer.number != enquireNumber) {
+    if (answer.number != membershipRequestNumber) {
       return;
     }
-    enquired.put(from, answer);
+    membershipResponses.put(from, answer);
     long most = 0;
     int answers = 0;
     for (final Voter voter : replica.roster.voters) {
-      final StateStoreMessages.MembershipResponse one = enquired.get(voter.address);
+      final StateStoreMessages.MembershipResponse one = membershipResponses.get(voter.address);
       if (one != null && !voter.address.equals(replica.self)) {
         answers++;
         most = Math.max(most, one.incarnation);
       }
     }
     if (answers >= replica.roster.majority()) {
-      fetching = most + 1;
+      newIncarnation = most + 1;
       startedAt = now;
       advance(now);
     }
   }
 
   /** A voter that had said nothing yet was perhaps not there when it was asked. */
-  private void heard(final String from, final long now) {
+  private void retryFirstContact(final String from, final long now) {
     final Source source = sources.get(from);
-    if (source != null && !source.heard) {
-      source.heard = true;
-      if (source.asked != null && now - source.askedAt > StateStoreReplica.RESEND_MILLIS / 2) {
-        ask(from, source, source.asked, now);
+    if (source != null && !source.heardFrom) {
+      source.heardFrom = true;
+      if (source.request != null && now - source.requestedAt > StateStoreReplica.RESEND_INTERVAL_MILLIS / 2) {
+        sendRequest(from, source, source.request, now);
       }
     }
   }
 
   /** The line to a voter has ended, and with it what was asked there. */
-  void lineClosed(final String address) {
+  void connectionClosed(final String address) {
     final Source source = sources.get(address);
     if (source != null) {
-      source.asked = null;
-      source.heard = false;
+      source.request = null;
+      source.heardFrom = false;
     }
-    if (address.equals(wantedFrom)) {
-      wantedAskedAt = Long.MIN_VALUE / 2;
+    if (address.equals(historySource)) {
+      historyRequestedAt = Long.MIN_VALUE / 2;
     }
   }
 
   private void takeRoster(final StateStoreMessages.Roster roster) {
     if (roster.number > replica.roster.number) {
       replica.roster = roster;
-      replica.tellPeers();
+      replica.updatePeers();
     }
   }
 
   // ---- the side that gives
 
-  void onFetch(
+  void onRecoveryRequest(
       final String from,
-      final StateStoreMessages.RecoveryRequest fetch,
+      final StateStoreMessages.RecoveryRequest request,
       final Consumer<Message> reply) {
-    if (!replica.votes()
-        || replica.known.containsKey(from) && fetch.incarnation < replica.known.get(from)) {
+    if (!replica.canVote()
+        || replica.knownIncarnations.containsKey(from) && request.incarnation < replica.knownIncarnations.get(from)) {
       return;
     }
-    fetchers.add(from);
-    final boolean news = fetch.incarnation > replica.incarnationOf(from);
-    replica.known.merge(from, fetch.incarnation, Math::max);
+    recoveringPeers.add(from);
+    final boolean incarnationIsNew = request.incarnation > replica.incarnationOf(from);
+    replica.knownIncarnations.merge(from, request.incarnation, Math::max);
     final int index = replica.roster.index(from);
-    if (news && index >= 0) {
+    if (incarnationIsNew && index >= 0) {
       LOGGER.atInfo().log(
           "frame %s learns that %s lost its disk and is now incarnation %s",
-          replica.self, from, fetch.incarnation);
-      replica.overtaken(index);
+          replica.self, from, request.incarnation);
+      replica.onNewIncarnation(index);
     }
-    if (!news && !(fetch.after.isEmpty() && Protocol.list(fetch.names).isEmpty())) {
-      reply.accept(part(from, fetch));
+    if (!incarnationIsNew && !(request.after.isEmpty() && Protocol.list(request.names).isEmpty())) {
+      reply.accept(recoveryResponse(from, request));
       return;
     }
     replica.persist(
         new StoredValues.DiskRecord(
-            StateStoreReplica.KNOWN, 0, null, null, null, from, fetch.incarnation),
-        () -> reply.accept(part(from, fetch)));
+            StateStoreReplica.RECORD_PEER_INCARNATION, 0, null, null, null, from, request.incarnation),
+        () -> reply.accept(recoveryResponse(from, request)));
   }
 
-  private StateStoreMessages.RecoveryResponse part(
-      final String from, final StateStoreMessages.RecoveryRequest fetch) {
-    return Protocol.list(fetch.names).isEmpty() ? page(fetch) : values(from, fetch);
+  private StateStoreMessages.RecoveryResponse recoveryResponse(
+      final String from, final StateStoreMessages.RecoveryRequest request) {
+    return Protocol.list(request.names).isEmpty() ? catalogPage(request) : values(from, request);
   }
 
-  private StateStoreMessages.RecoveryResponse fetched(
-      final StateStoreMessages.RecoveryRequest fetch,
+  private StateStoreMessages.RecoveryResponse registersComplete(
+      final StateStoreMessages.RecoveryRequest request,
       final List<RegisterEntry> entries,
       final boolean values,
       final boolean more,
@@ -245,198 +245,198 @@
       established.add(partition.established);
     }
     return new StateStoreMessages.RecoveryResponse(
-        fetch.incarnation,
+        request.incarnation,
         replica.roster,
         promised,
         established,
         entries,
-        replica.knownIncarnations(),
+        replica.voterIncarnations(),
         replica.audit.log().last(),
-        fetch.after,
+        request.after,
         values,
         more,
         absent,
         offset,
         total,
-        fetch.number);
+        request.number);
   }
 
   /**
    * The registers behind a name, in their order, until a part is full; values only while there is
    * room for them.
    */
-  private StateStoreMessages.RecoveryResponse page(final StateStoreMessages.RecoveryRequest fetch) {
+  private StateStoreMessages.RecoveryResponse catalogPage(final StateStoreMessages.RecoveryRequest request) {
     final TreeMap<String, StoredRegister> all = new TreeMap<>();
     for (final Partition partition : replica.partitions) {
       all.putAll(partition.stored);
     }
     final List<RegisterEntry> entries = new ArrayList<>();
-    int room = fetch.after.isEmpty() ? FIRST_VALUE_BYTES : 0;
-    int names = PART_BYTES;
-    for (final Map.Entry<String, StoredRegister> one : all.tailMap(fetch.after, false).entrySet()) {
-      names -= ENTRY_BYTES + one.getKey().length();
-      if (names < 0) {
-        return fetched(fetch, entries, false, true, null, 0, 0);
+    int valueBytesLeft = request.after.isEmpty() ? FIRST_PAGE_VALUE_BYTES : 0;
+    int remainingBytes = RESPONSE_BYTES;
+    for (final Map.Entry<String, StoredRegister> one : all.tailMap(request.after, false).entrySet()) {
+      remainingBytes -= ENTRY_OVERHEAD_BYTES + one.getKey().length();
+      if (remainingBytes < 0) {
+        return registersComplete(request, entries, false, true, null, 0, 0);
       }
       final StoredRegister stored = one.getValue();
-      byte[] whole = room > 0 ? StoredValues.Kind.of(one.getKey()).encode(stored.value) : null;
+      byte[] whole = valueBytesLeft > 0 ? StoredValues.Kind.of(one.getKey()).encode(stored.value) : null;
       if (whole != null) {
         final int size = whole.length + (stored.audit == null ? 0 : stored.audit.length);
-        whole = size <= room ? whole : null;
-        room -= size <= room ? size : 0;
+        whole = size <= valueBytesLeft ? whole : null;
+        valueBytesLeft -= size <= valueBytesLeft ? size : 0;
       }
       entries.add(
           new RegisterEntry(
               one.getKey(),
-              stored.mark,
+              stored.version,
               RegisterVersion.NONE,
               null,
               whole,
               whole == null ? null : stored.audit));
     }
-    return fetched(fetch, entries, false, false, null, 0, 0);
+    return registersComplete(request, entries, false, false, null, 0, 0);
   }
 
   private StateStoreMessages.RecoveryResponse values(
-      final String from, final StateStoreMessages.RecoveryRequest fetch) {
+      final String from, final StateStoreMessages.RecoveryRequest request) {
     final List<RegisterEntry> entries = new ArrayList<>();
     final List<String> absent = new ArrayList<>();
-    int room = PART_BYTES;
-    for (final String name : fetch.names) {
+    int bytesLeft = RESPONSE_BYTES;
+    for (final String name : request.names) {
       final StoredRegister stored =
-          replica.partitions[StateStoreReplica.partition(name)].stored.get(name);
+          replica.partitions[StateStoreReplica.partitionOf(name)].stored.get(name);
       if (stored == null) {
         absent.add(name);
         continue;
       }
-      OutgoingValue one = fetch.offset > 0 ? given.get(from) : null;
-      if (one == null || !one.name.equals(name) || fetch.offset >= one.whole.length) {
-        one = new OutgoingValue(name, stored.mark, StoredValues.Kind.of(name).encode(stored.value));
+      OutgoingValue value = request.offset > 0 ? outgoingValues.get(from) : null;
+      if (value == null || !value.name.equals(name) || request.offset >= value.whole.length) {
+        value = new OutgoingValue(name, stored.version, StoredValues.Kind.of(name).encode(stored.value));
       }
-      final int size = one.whole.length + (stored.audit == null ? 0 : stored.audit.length);
-      if (one.whole.length > PART_BYTES) {
+      final int size = value.whole.length + (stored.audit == null ? 0 : stored.audit.length);
+      if (value.whole.length > RESPONSE_BYTES) {
         if (!entries.isEmpty()) {
           break;
         }
-        final int offset = given.get(from) == one ? fetch.offset : 0;
-        final int until = Math.min(one.whole.length, offset + PART_BYTES);
-        given.put(from, one);
-        if (until == one.whole.length) {
-          given.remove(from);
+        final int offset = outgoingValues.get(from) == value ? request.offset : 0;
+        final int until = Math.min(value.whole.length, offset + RESPONSE_BYTES);
+        outgoingValues.put(from, value);
+        if (until == value.whole.length) {
+          outgoingValues.remove(from);
         }
-        final byte[] piece = java.util.Arrays.copyOfRange(one.whole, offset, until);
-        return fetched(
-            fetch,
+        final byte[] chunk = java.util.Arrays.copyOfRange(value.whole, offset, until);
+        return registersComplete(
+            request,
             List.of(
                 new RegisterEntry(
                     name,
-                    one.mark,
+                    value.mark,
                     RegisterVersion.NONE,
                     null,
-                    piece,
+                    chunk,
                     offset == 0 ? stored.audit : null)),
             true,
             false,
             absent,
             offset,
-            one.whole.length);
+            value.whole.length);
       }
-      if (size > room && !entries.isEmpty()) {
+      if (size > bytesLeft && !entries.isEmpty()) {
         break;
       }
-      room -= size;
+      bytesLeft -= size;
       entries.add(
-          new RegisterEntry(name, one.mark, RegisterVersion.NONE, null, one.whole, stored.audit));
+          new RegisterEntry(name, value.mark, RegisterVersion.NONE, null, value.whole, stored.audit));
     }
-    return fetched(fetch, entries, true, false, absent, 0, 0);
+    return registersComplete(request, entries, true, false, absent, 0, 0);
   }
 
   // ---- the side that lacks
 
-  void onFetched(
+  void onRecoveryResponse(
       final String from, final StateStoreMessages.RecoveryResponse answer, final long now) {
-    if (!replica.blank || fetched || answer.incarnation != fetching || fetching == 0) {
+    if (!replica.recovering || registersComplete || answer.incarnation != newIncarnation || newIncarnation == 0) {
       return;
     }
     takeRoster(answer.roster);
     final Source source = sources.get(from);
-    if (source == null || source.asked == null || source.asked.number != answer.number) {
+    if (source == null || source.request == null || source.request.number != answer.number) {
       return;
     }
     final List<RegisterEntry> entries = Protocol.list(answer.entries);
-    parts++;
+    responsesReceived++;
     if (answer.values) {
-      takeValues(source, answer, entries);
+      receiveValues(source, answer, entries);
     } else {
       if (answer.after.isEmpty()) {
-        source.first = answer;
-        source.marks.clear();
+        source.firstPage = answer;
+        source.versions.clear();
       }
       for (final RegisterEntry entry : entries) {
-        source.marks.put(entry.name, entry.mark);
+        source.versions.put(entry.name, entry.mark);
         if (entry.whole != null) {
-          keep(entry);
+          storeFetched(entry);
         }
-        source.after = entry.name;
+        source.lastName = entry.name;
       }
-      source.catalogued = !answer.more;
+      source.catalogComplete = !answer.more;
     }
-    source.asked = null;
-    source.heard = true;
-    source.pause = Math.min(MOST_PAUSE_MILLIS, Math.max(PAUSE_MILLIS, 2 * (now - source.askedAt)));
+    source.request = null;
+    source.heardFrom = true;
+    source.retryMillis = Math.min(MAX_RETRY_MILLIS, Math.max(RETRY_MILLIS, 2 * (now - source.requestedAt)));
     advance(now);
   }
 
-  private void takeValues(
+  private void receiveValues(
       final Source source,
       final StateStoreMessages.RecoveryResponse answer,
       final List<RegisterEntry> entries) {
     for (final String name : Protocol.list(answer.absent)) {
-      source.marks.remove(name);
+      source.versions.remove(name);
     }
     if (answer.total == 0) {
-      entries.forEach(this::keep);
+      entries.forEach(this::storeFetched);
       return;
     }
     final RegisterEntry entry = entries.get(0);
-    PartialValue piece = pieces.get(entry.name);
+    PartialValue partial = partialValues.get(entry.name);
     if (answer.offset == 0) {
-      piece = new PartialValue(entry);
-      pieces.put(entry.name, piece);
+      partial = new PartialValue(entry);
+      partialValues.put(entry.name, partial);
     }
-    if (piece == null
-        || !piece.head.mark.equals(entry.mark)
-        || piece.bytes.size() != answer.offset) {
+    if (partial == null
+        || !partial.firstEntry.mark.equals(entry.mark)
+        || partial.bytes.size() != answer.offset) {
       return;
     }
-    piece.bytes.writeBytes(entry.whole);
-    bytes += entry.whole.length;
-    if (piece.bytes.size() == answer.total) {
-      pieces.remove(entry.name);
-      bytes -= answer.total;
-      keep(
+    partial.bytes.writeBytes(entry.whole);
+    bytesReceived += entry.whole.length;
+    if (partial.bytes.size() == answer.total) {
+      partialValues.remove(entry.name);
+      bytesReceived -= answer.total;
+      storeFetched(
           new RegisterEntry(
               entry.name,
               entry.mark,
               RegisterVersion.NONE,
               null,
-              piece.bytes.toByteArray(),
-              piece.head.audit));
+              partial.bytes.toByteArray(),
+              partial.firstEntry.audit));
     }
   }
 
   /** Keeps a value that a voter holds, in memory and on disk, so that it need not come again. */
-  private void keep(final RegisterEntry entry) {
-    final Partition partition = replica.partitions[StateStoreReplica.partition(entry.name)];
-    bytes += entry.whole.length;
+  private void storeFetched(final RegisterEntry entry) {
+    final Partition partition = replica.partitions[StateStoreReplica.partitionOf(entry.name)];
+    bytesReceived += entry.whole.length;
     final StoredRegister before = partition.stored.get(entry.name);
-    if (before != null && before.mark.compareTo(entry.mark) >= 0) {
+    if (before != null && before.version.compareTo(entry.mark) >= 0) {
       return;
     }
     partition.store(entry.mark.ballot(), false, List.of(entry), new ArrayList<>());
     replica.persist(
         new StoredValues.DiskRecord(
-            StateStoreReplica.REGISTERS,
+            StateStoreReplica.RECORD_REGISTERS,
             partition.number,
             entry.mark.ballot(),
             List.of(entry),
@@ -451,118 +451,118 @@
    * that end are heeded at once.
    */
   void tick(final long now) {
-    if (replica.blank) {
+    if (replica.recovering) {
       advance(now);
-      askWanted(now);
+      retryHistoryRequest(now);
     }
   }
 
   private void advance(final long now) {
-    if (fetching == 0 || fetched) {
+    if (newIncarnation == 0 || registersComplete) {
       return;
     }
-    final Map<String, Source> whole = new LinkedHashMap<>();
+    final Map<String, Source> catalogs = new LinkedHashMap<>();
     for (final Voter voter : replica.roster.voters) {
       if (voter.address.equals(replica.self)) {
         continue;
       }
       final Source source = sources.computeIfAbsent(voter.address, address -> new Source());
-      if (source.first != null && source.first.roster.number != replica.roster.number) {
-        source.first = null;
-        source.after = "";
-        source.catalogued = false;
-        source.asked = null;
+      if (source.firstPage != null && source.firstPage.roster.number != replica.roster.number) {
+        source.firstPage = null;
+        source.lastName = "";
+        source.catalogComplete = false;
+        source.request = null;
       }
-      if (source.catalogued) {
-        whole.put(voter.address, source);
-      } else if (source.asked == null) {
-        ask(
+      if (source.catalogComplete) {
+        catalogs.put(voter.address, source);
+      } else if (source.request == null) {
+        sendRequest(
             voter.address,
             source,
-            new StateStoreMessages.RecoveryRequest(fetching, source.after, null, 0, ++asks),
+            new StateStoreMessages.RecoveryRequest(newIncarnation, source.lastName, null, 0, ++requestCount),
             now);
       }
     }
-    if (whole.size() >= replica.roster.majority()) {
-      final Map<String, RegisterVersion> lacking = lacking(whole);
-      if (lacking.isEmpty()) {
-        finish(whole, now);
+    if (catalogs.size() >= replica.roster.majority()) {
+      final Map<String, RegisterVersion> missing = missingRegisters(catalogs);
+      if (missing.isEmpty()) {
+        completeRegisters(catalogs, now);
         return;
       }
-      askValues(whole, lacking, now);
+      requestValues(catalogs, missing, now);
     }
     for (final Map.Entry<String, Source> one : sources.entrySet()) {
       final Source source = one.getValue();
-      if (source.asked != null && now - source.askedAt > source.pause) {
-        source.pause = Math.min(MOST_PAUSE_MILLIS, source.pause * 2);
-        ask(one.getKey(), source, source.asked, now);
+      if (source.request != null && now - source.requestedAt > source.retryMillis) {
+        source.retryMillis = Math.min(MAX_RETRY_MILLIS, source.retryMillis * 2);
+        sendRequest(one.getKey(), source, source.request, now);
       }
     }
   }
 
-  private void ask(
+  private void sendRequest(
       final String address,
       final Source source,
-      final StateStoreMessages.RecoveryRequest fetch,
+      final StateStoreMessages.RecoveryRequest request,
       final long now) {
-    source.asked = fetch;
-    source.askedAt = now;
-    replica.environment.send(address, fetch);
+    source.request = request;
+    source.requestedAt = now;
+    replica.environment.send(address, request);
   }
 
-  private RegisterVersion floor(final Map<String, Source> whole, final int partition) {
+  private RegisterVersion floor(final Map<String, Source> catalogs, final int partition) {
     RegisterVersion floor = RegisterVersion.NONE;
-    for (final Source source : whole.values()) {
-      final RegisterVersion established = source.first.established.get(partition);
+    for (final Source source : catalogs.values()) {
+      final RegisterVersion established = source.firstPage.established.get(partition);
       floor = established.compareTo(floor) > 0 ? established : floor;
     }
     return floor;
   }
 
   /** The registers that a majority holds under a higher mark than is here. */
-  private Map<String, RegisterVersion> lacking(final Map<String, Source> whole) {
+  private Map<String, RegisterVersion> missingRegisters(final Map<String, Source> catalogs) {
     final RegisterVersion[] floors = new RegisterVersion[StateStoreReplica.PARTITIONS];
     for (int index = 0; index < floors.length; index++) {
-      floors[index] = floor(whole, index);
+      floors[index] = floor(catalogs, index);
     }
-    final Map<String, RegisterVersion> lacking = new TreeMap<>();
-    for (final Source source : whole.values()) {
-      for (final Map.Entry<String, RegisterVersion> one : source.marks.entrySet()) {
-        final int partition = StateStoreReplica.partition(one.getKey());
+    final Map<String, RegisterVersion> missing = new TreeMap<>();
+    for (final Source source : catalogs.values()) {
+      for (final Map.Entry<String, RegisterVersion> one : source.versions.entrySet()) {
+        final int partition = StateStoreReplica.partitionOf(one.getKey());
         final StoredRegister stored = replica.partitions[partition].stored.get(one.getKey());
         if (one.getValue().compareTo(floors[partition]) >= 0
-            && (stored == null || stored.mark.compareTo(one.getValue()) < 0)) {
-          lacking.merge(
+            && (stored == null || stored.version.compareTo(one.getValue()) < 0)) {
+          missing.merge(
               one.getKey(),
               one.getValue(),
-              (before, mark) -> before.compareTo(mark) >= 0 ? before : mark);
+              (before, version) -> before.compareTo(version) >= 0 ? before : version);
         }
       }
     }
-    return lacking;
+    return missing;
   }
 
   /** Shares what is lacking among the voters that hold it, one part under way at each. */
-  private void askValues(
-      final Map<String, Source> whole, final Map<String, RegisterVersion> lacking, final long now) {
-    final Set<String> taken = new HashSet<>();
-    for (final Source source : whole.values()) {
-      if (source.asked != null) {
-        taken.addAll(Protocol.list(source.asked.names));
+  private void requestValues(
+      final Map<String, Source> catalogs, final Map<String, RegisterVersion> missing, final long now) {
+    final Set<String> requested = new HashSet<>();
+    for (final Source source : catalogs.values()) {
+      if (source.request != null) {
+        requested.addAll(Protocol.list(source.request.names));
       }
     }
-    final int share = Math.max(1, Math.min(MOST_NAMES, lacking.size() / Math.max(1, whole.size())));
-    for (final Map.Entry<String, Source> one : whole.entrySet()) {
+    final int share = Math.max(1, Math.min(MAX_NAMES_PER_REQUEST, missing.size() / Math.max(1, catalogs.size())));
+    for (final Map.Entry<String, Source> one : catalogs.entrySet()) {
       final Source source = one.getValue();
-      if (source.asked != null) {
+      if (source.request != null) {
         continue;
       }
       final List<String> names = new ArrayList<>();
-      for (final Map.Entry<String, RegisterVersion> wanted : lacking.entrySet()) {
+      for (final Map.Entry<String, RegisterVersion> wanted : missing.entrySet()) {
         if (names.size() < share
-            && !taken.contains(wanted.getKey())
-            && wanted.getValue().equals(source.marks.get(wanted.getKey()))) {
-          final boolean begun = pieces.containsKey(wanted.getKey());
+            && !requested.contains(wanted.getKey())
+            && wanted.getValue().equals(source.versions.get(wanted.getKey()))) {
+          final boolean begun = partialValues.containsKey(wanted.getKey());
           if (begun && !names.isEmpty()) {
             continue;
           }
@@ -573,69 +573,69 @@
         }
       }
       if (!names.isEmpty()) {
-        taken.addAll(names);
-        final PartialValue piece = pieces.get(names.get(0));
-        ask(
+        requested.addAll(names);
+        final PartialValue partial = partialValues.get(names.get(0));
+        sendRequest(
             one.getKey(),
             source,
             new StateStoreMessages.RecoveryRequest(
-                fetching, "", names, piece == null ? 0 : piece.bytes.size(), ++asks),
+                newIncarnation, "", names, partial == null ? 0 : partial.bytes.size(), ++requestCount),
             now);
       }
     }
   }
 
-  private void finish(final Map<String, Source> whole, final long now) {
-    for (final Source source : whole.values()) {
+  private void completeRegisters(final Map<String, Source> catalogs, final long now) {
+    for (final Source source : catalogs.values()) {
       for (int index = 0; index < replica.roster.voters.size(); index++) {
-        replica.known.merge(
-            replica.roster.voters.get(index).address, source.first.known.get(index), Math::max);
+        replica.knownIncarnations.merge(
+            replica.roster.voters.get(index).address, source.firstPage.known.get(index), Math::max);
       }
       for (final Partition partition : replica.partitions) {
-        final RegisterVersion promised = source.first.promised.get(partition.number);
+        final RegisterVersion promised = source.firstPage.promised.get(partition.number);
         partition.promised =
             promised.compareTo(partition.promised) > 0 ? promised : partition.promised;
       }
     }
     for (final Partition partition : replica.partitions) {
-      final RegisterVersion floor = floor(whole, partition.number);
+      final RegisterVersion floor = floor(catalogs, partition.number);
       partition.established =
           floor.compareTo(partition.established) > 0 ? floor : partition.established;
       partition
           .stored
           .values()
-          .removeIf(stored -> stored.mark.compareTo(partition.established) < 0);
-      partition.vacateAt = now + StateStoreReplica.VACANT_MILLIS + replica.random.nextInt(300);
-    }
-    replica.incarnation = fetching;
-    replica.known.remove(replica.self);
-    fetched = true;
-    pieces.clear();
-    whole.forEach(
+          .removeIf(stored -> stored.version.compareTo(partition.established) < 0);
+      partition.electionDueAt = now + StateStoreReplica.LEADER_TIMEOUT_MILLIS + replica.random.nextInt(300);
+    }
+    replica.incarnation = newIncarnation;
+    replica.knownIncarnations.remove(replica.self);
+    registersComplete = true;
+    partialValues.clear();
+    catalogs.forEach(
         (address, source) -> {
-          if (source.first.audited > wantedAudit) {
-            wantedAudit = source.first.audited;
-            wantedFrom = address;
+          if (source.firstPage.audited > targetHistoryEntry) {
+            targetHistoryEntry = source.firstPage.audited;
+            historySource = address;
           }
         });
-    final List<byte[]> records = replica.claims();
+    final List<byte[]> records = replica.metadataRecords();
     for (int index = 0; index < records.size(); index++) {
       final boolean last = index == records.size() - 1;
       replica.environment.append(
           records.get(index),
           last
               ? () -> {
-                registersKept = true;
-                mayBeWhole();
+                registersDurable = true;
+                completeIfDurable();
               }
               : () -> {});
     }
     LOGGER.atInfo().log(
         "frame %s has the registers of a majority: %s parts, %s KB, %s ms",
-        replica.self, parts, bytes / 1024, now - startedAt);
-    wantedSeen = replica.audit.log().last();
-    if (wantedFrom != null && wantedSeen < wantedAudit) {
-      askHistory(now);
+        replica.self, responsesReceived, bytesReceived / 1024, now - startedAt);
+    lastHistoryEntrySeen = replica.audit.log().last();
+    if (historySource != null && lastHistoryEntrySeen < targetHistoryEntry) {
+      requestHistory(now);
     }
   }
 
@@ -643,16 +643,16 @@
    * A blank daemon counts again once its registers and as much of the history as a majority told of
    * are on its disk, and it has noted there that it counts.
    */
-  void mayBeWhole() {
-    if (replica.blank
-        && registersKept
-        && !wholeAsked
-        && replica.audit.log().durable() >= wantedAudit) {
-      wholeAsked = true;
+  void completeIfDurable() {
+    if (replica.recovering
+        && registersDurable
+        && !completionRecorded
+        && replica.audit.log().durable() >= targetHistoryEntry) {
+      completionRecorded = true;
       replica.persist(
           replica.selfRecord(),
           () -> {
-            replica.blank = false;
+            replica.recovering = false;
             sources.clear();
             LOGGER.atInfo().log(
                 "frame %s refetched everything as incarnation %s, history up to %s",
@@ -665,35 +665,35 @@
    * Asks for the history, of which each part brings the next; where nothing comes for a while,
    * another voter is asked.
    */
-  private void askWanted(final long now) {
+  private void retryHistoryRequest(final long now) {
     final long last = replica.audit.log().last();
-    if (!fetched || wantedFrom == null || last >= wantedAudit) {
+    if (!registersComplete || historySource == null || last >= targetHistoryEntry) {
       return;
     }
-    if (last > wantedSeen) {
-      wantedSeen = last;
-      wantedAskedAt = now;
-    } else if (now - wantedAskedAt > PAUSE_MILLIS) {
+    if (last > lastHistoryEntrySeen) {
+      lastHistoryEntrySeen = last;
+      historyRequestedAt = now;
+    } else if (now - historyRequestedAt > RETRY_MILLIS) {
       final List<String> others = new ArrayList<>(sources.keySet());
       others.removeIf(
           address ->
-              sources.get(address).first == null
-                  || sources.get(address).first.audited < wantedAudit);
-      wantedFrom =
+              sources.get(address).firstPage == null
+                  || sources.get(address).firstPage.audited < targetHistoryEntry);
+      historySource =
           others.isEmpty()
-              ? wantedFrom
-              : others.get((others.indexOf(wantedFrom) + 1) % others.size());
-      askHistory(now);
+              ? historySource
+              : others.get((others.indexOf(historySource) + 1) % others.size());
+      requestHistory(now);
     }
   }
 
-  private void askHistory(final long now) {
-    wantedAskedAt = now;
-    replica.audit.ask(wantedFrom);
+  private void requestHistory(final long now) {
+    historyRequestedAt = now;
+    replica.audit.ask(historySource);
   }
 
   /** What came in parts, as counters. */
   String counters() {
-    return "fetched " + parts + " parts " + bytes / 1024 + " KB";
+    return "fetched " + responsesReceived + " parts " + bytesReceived / 1024 + " KB";
   }
 }
--- a/statestore/src/main/java/weldpoint/statestore/RegisterState.java
+++ b/statestore/src/main/java/weldpoint/statestore/RegisterState.java
@@ -10,13 +10,13 @@
 
 /** A register as the holder of its duty sees it. */
 final class RegisterState {
-  static final class Work {
+  static final class PendingRequest {
     final StoreRequest call;
     final StoreOperation operation;
     final Consumer<StoreResponse> reply;
     final long receivedAt;
 
-    Work(
+    PendingRequest(
         final StoreRequest call,
         final StoreOperation operation,
         final Consumer<StoreResponse> reply,
@@ -29,21 +29,21 @@
   }
 
   static final class Proposal {
-    final Work work;
+    final PendingRequest pending;
     final Decision decision;
 
-    Proposal(final Work work, final Decision decision) {
-      this.work = work;
+    Proposal(final PendingRequest pending, final Decision decision) {
+      this.pending = pending;
       this.decision = decision;
     }
   }
 
   final String name;
   final StoredValues.Kind kind;
-  final long keepMillis;
-  RegisterVersion mark = RegisterVersion.NONE;
-  RegisterVersion source = RegisterVersion.NONE;
-  RegisterVersion establishedMark = RegisterVersion.NONE;
+  final long historyRetentionMillis;
+  RegisterVersion version = RegisterVersion.NONE;
+  RegisterVersion promisedVersion = RegisterVersion.NONE;
+  RegisterVersion establishedVersion = RegisterVersion.NONE;
   Object proposed;
   Object committed;
   byte[] audit;
@@ -51,34 +51,34 @@
   final long[] acked = new long[64];
   final long[] sent = new long[64];
   final long[] sentAt = new long[64];
-  final ArrayDeque<Work> waiting = new ArrayDeque<>();
-  final List<Proposal> uponCommit = new ArrayList<>();
-  final List<Work> parked = new ArrayList<>();
+  final ArrayDeque<PendingRequest> waiting = new ArrayDeque<>();
+  final List<Proposal> awaitingCommit = new ArrayList<>();
+  final List<PendingRequest> parked = new ArrayList<>();
   final ArrayDeque<long[]> putTimes = new ArrayDeque<>();
   long expiresAt;
-  long grants;
+  long ticketCount;
   final long ballotRound;
-  final TakenVersions versions;
+  final TakenVersions takenVersions;
 
   RegisterState(
       final String name,
-      final long keepMillis,
+      final long historyRetentionMillis,
       final long ballotRound,
-      final TakenVersions versions) {
-    this.versions = versions;
+      final TakenVersions takenVersions) {
+    this.takenVersions = takenVersions;
     this.ballotRound = ballotRound;
     this.name = name;
     this.kind = StoredValues.Kind.of(name);
-    this.keepMillis = keepMillis;
+    this.historyRetentionMillis = historyRetentionMillis;
   }
 
   long ticket() {
-    return (ballotRound << 24) + grants;
+    return (ballotRound << 24) + ticketCount;
   }
 
-  long floor(final long now) {
+  long historyFloor(final long now) {
     long floor = 0;
-    while (!putTimes.isEmpty() && putTimes.peekFirst()[1] < now - keepMillis) {
+    while (!putTimes.isEmpty() && putTimes.peekFirst()[1] < now - historyRetentionMillis) {
       floor = putTimes.pollFirst()[0];
     }
     return Math.max(floor, committed == null ? 0 : ((StoredValues.CellGroup) committed).floor);
--- a/statestore/src/main/java/weldpoint/statestore/StateStoreDaemon.java
+++ b/statestore/src/main/java/weldpoint/statestore/StateStoreDaemon.java
@@ -27,11 +27,11 @@
 /** The store as a process: its core on one thread, its lines on another, its disk on a third. */
 public final class StateStoreDaemon implements Daemon {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
-  private static final int FILES = 3;
-  private static final int FILE_BYTES = 1 << 20;
-  private static final int MOST_FILE_BYTES = 1 << 25;
-  private static final int MOST_VOTERS = 5;
-  private static final long TICK_MILLIS = 50;
+  private static final int LOG_FILES = 3;
+  private static final int INITIAL_FILE_BYTES = 1 << 20;
+  private static final int MAX_FILE_BYTES = 1 << 25;
+  private static final int MAX_VOTERS = 5;
+  private static final long TICK_INTERVAL_MILLIS = 50;
 
   private final Settings settings;
   private final SerialExecutor executor = new SerialExecutor("frame");
@@ -40,7 +40,7 @@
   private final Transport transport;
   private final PeerConnections connections;
   private WriteAheadLog log;
-  private long countersAt;
+  private long countersLoggedAt;
 
   /** A store for these settings; nothing runs yet. */
   public StateStoreDaemon(final Settings settings) {
@@ -65,7 +65,7 @@
 
                       @Override
                       public void closed(final Connection connection) {
-                        replica().lineClosed(to, now());
+                        replica().connectionClosed(to, now());
                       }
                     }));
     this.replica =
@@ -74,7 +74,7 @@
             settings.site(),
             settings.region(),
             settings.voter(),
-            MOST_VOTERS,
+            MAX_VOTERS,
             settings.historyMillis(),
             owner,
             new Random(owner),
@@ -121,11 +121,11 @@
         WriteAheadLog.open(
             Path.of(settings.folder(), "frame"),
             "frame " + settings.address(),
-            FILES,
-            FILE_BYTES,
-            MOST_FILE_BYTES,
+            LOG_FILES,
+            INITIAL_FILE_BYTES,
+            MAX_FILE_BYTES,
             executor,
-            replica::view);
+            replica::snapshot);
     final SegmentRing.Recovered found = opened.found();
     if (found.lost()) {
       LOGGER.atSevere().log(
@@ -164,19 +164,19 @@
               }
             }));
     loop.scheduleAtFixedRate(
-        () -> executor.execute(this::tick), TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
+        () -> executor.execute(this::tick), TICK_INTERVAL_MILLIS, TICK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   private void tick() {
     final long now = now();
-    replica.disk(log.busyMillis(), log.refusing(), now);
+    replica.updateDiskState(log.busyMillis(), log.refusing(), now);
     replica.tick(now);
-    if (now - countersAt >= settings.countersMillis()) {
-      countersAt = now;
+    if (now - countersLoggedAt >= settings.countersMillis()) {
+      countersLoggedAt = now;
       LOGGER.atInfo().log(
           "counters: serving %s ballots %s commits %s syncs %s %s roster %s %s %s",
           replica.serving(),
-          replica.ballots(),
+          replica.ballotsStarted(),
           replica.commits(),
           log.syncs(),
           log.counters(),
@@ -187,8 +187,8 @@
   }
 
   @Override
-  public void reload(final Settings news) {
-    executor.execute(() -> replica.seeds(news.seeds()));
+  public void reload(final Settings newSettings) {
+    executor.execute(() -> replica.seeds(newSettings.seeds()));
   }
 
   @Override
@@ -198,7 +198,7 @@
         () ->
             replica.leave(() -> loop.schedule(done::countDown, 60, TimeUnit.MILLISECONDS), now()));
     try {
-      done.await(GracefulLeave.MOST_MILLIS + 1000, TimeUnit.MILLISECONDS);
+      done.await(GracefulLeave.TIMEOUT_MILLIS + 1000, TimeUnit.MILLISECONDS);
     } catch (final InterruptedException ended) {
       Thread.currentThread().interrupt();
     }
