--- a/statestore/src/main/java/weldpoint/statestore/StateStoreReplica.java
+++ b/statestore/src/main/java/weldpoint/statestore/StateStoreReplica.java
@@ -16,7 +16,7 @@
 import weldpoint.audit.AuditStore;
 import weldpoint.audit.HeapStore;
 import weldpoint.statestore.Partition.Phase;
-import weldpoint.statestore.Partition.Waiter;
+import weldpoint.statestore.Partition.ConfirmationWaiter;
 import weldpoint.transport.Message;
 import weldpoint.transport.Protocol;
 import weldpoint.transport.RegisterVersion;
@@ -38,33 +38,33 @@
   /** How many partitions there are. */
   public static final int PARTITIONS = 8;
 
-  private static final int SELF = 0;
-  private static final int PROMISE = 1;
-  static final int REGISTERS = 2;
-  private static final int ROSTER = 3;
-  static final int KNOWN = 4;
-  static final long VACANT_MILLIS = 1000;
-  private static final long PULSE_MILLIS = 250;
-  static final long RESEND_MILLIS = 400;
-  private static final long BALLOT_MILLIS = 900;
-  private static final long PREPARE_MILLIS = 100;
-  private static final long CANVASS_MILLIS = 180;
-  private static final long HEARD_MILLIS = 600;
-  private static final long SEEDS_MILLIS = 1000;
-  private static final long CONTROL_MILLIS = 700;
-  private static final long STALE_WORK_MILLIS = 1300;
+  private static final int RECORD_SELF = 0;
+  private static final int RECORD_PROMISE = 1;
+  static final int RECORD_REGISTERS = 2;
+  private static final int RECORD_ROSTER = 3;
+  static final int RECORD_PEER_INCARNATION = 4;
+  static final long LEADER_TIMEOUT_MILLIS = 1000;
+  private static final long HEARTBEAT_INTERVAL_MILLIS = 250;
+  static final long RESEND_INTERVAL_MILLIS = 400;
+  private static final long BALLOT_TIMEOUT_MILLIS = 900;
+  private static final long PREPARE_RETRY_MILLIS = 100;
+  private static final long PRE_VOTE_TIMEOUT_MILLIS = 180;
+  private static final long PRE_VOTE_LEADER_SILENCE_MILLIS = 600;
+  private static final long SEED_UPDATE_INTERVAL_MILLIS = 1000;
+  private static final long CONTROL_WAIT_TIMEOUT_MILLIS = 700;
+  private static final long PENDING_REQUEST_TIMEOUT_MILLIS = 1300;
 
   /**
    * A copy of a call is void so long after it was sent, as far as the frame's own clock can tell.
    */
-  static final long COPY_MILLIS = 2500;
+  static final long MAX_REQUEST_AGE_MILLIS = 2500;
 
-  private static final long DISK_STUCK_MILLIS = 700;
-  private static final int HISTORY_BYTES = 96 << 10;
-  private static final int VIEW_BYTES = 64 << 10;
-  private static final int REPAIR_BYTES = 32 << 10;
-  private static final int ENTRY_BYTES = 96;
-  private static final long MOST_PAUSE_MILLIS = 6400;
+  private static final long DISK_STALL_TIMEOUT_MILLIS = 700;
+  private static final int HISTORY_RESPONSE_BYTES = 96 << 10;
+  private static final int SNAPSHOT_RECORD_BYTES = 64 << 10;
+  private static final int REPAIR_MESSAGE_BYTES = 32 << 10;
+  private static final int ENTRY_OVERHEAD_BYTES = 96;
+  private static final long MAX_REPAIR_BACKOFF_MILLIS = 6400;
 
   /** What the core does to the world. */
   public interface Environment {
@@ -87,27 +87,27 @@
   private final String site;
   private final String region;
   private final boolean mayVote;
-  private final long keepMillis;
+  private final long historyRetentionMillis;
   private final long owner;
   final Random random;
   final Environment environment;
   private List<String> seeds;
   final Partition[] partitions = new Partition[PARTITIONS];
-  final Map<String, Long> known = new HashMap<>();
+  final Map<String, Long> knownIncarnations = new HashMap<>();
   private final Membership membership;
   Roster roster = new Roster(0, List.of());
   long incarnation;
-  boolean blank = true;
-  private boolean left;
+  boolean recovering = true;
+  private boolean stopped;
   private final GracefulLeave gracefulLeave = new GracefulLeave();
-  private boolean diskTrouble;
-  private long ballots;
+  private boolean diskFailing;
+  private long ballotsStarted;
   private long commits;
   AuditReplica audit;
   private final Recovery recovery = new Recovery(this);
   private AuditSequencer auditSequencer;
-  private TakenVersions versions;
-  private long retention = Long.MAX_VALUE;
+  private TakenVersions takenVersions;
+  private long auditRetention = Long.MAX_VALUE;
 
   /** A core that has read nothing from disk yet. */
   public StateStoreReplica(
@@ -115,7 +115,7 @@
       final String site,
       final String region,
       final boolean mayVote,
-      final int mostVoters,
+      final int maxVoters,
       final long historyMillis,
       final long owner,
       final Random random,
@@ -125,8 +125,8 @@
     this.site = site;
     this.region = region;
     this.mayVote = mayVote;
-    this.membership = new Membership(self, mostVoters);
-    this.keepMillis = historyMillis + 5000;
+    this.membership = new Membership(self, maxVoters);
+    this.historyRetentionMillis = historyMillis + 5000;
     this.owner = owner;
     this.random = random;
     this.seeds = seeds;
@@ -145,29 +145,29 @@
     history(store, entries, new AuditSequencer(entryBytes));
   }
 
-  void history(final AuditStore store, final long entries, final AuditSequencer given) {
-    retention = entries;
-    auditSequencer = given;
+  void history(final AuditStore store, final long entries, final AuditSequencer sequencer) {
+    auditRetention = entries;
+    auditSequencer = sequencer;
     audit =
         new AuditReplica(
-            new AuditLog(self, store, recovery::mayBeWhole), environment::send, new Random(owner));
-    versions = new TakenVersions(auditSequencer, audit.log());
+            new AuditLog(self, store, recovery::completeIfDurable), environment::send, new Random(owner));
+    takenVersions = new TakenVersions(auditSequencer, audit.log());
   }
 
-  void versions(final TakenVersions given) {
-    versions = given;
+  void takenVersions(final TakenVersions replacement) {
+    takenVersions = replacement;
   }
 
   /** The partition of a register. */
-  public static int partition(final String register) {
+  public static int partitionOf(final String register) {
     final StoredValues.Kind kind = StoredValues.Kind.of(register);
-    return kind.control() ? 0 : 1 + Math.floorMod(register.hashCode(), PARTITIONS - 1);
+    return kind.isControl() ? 0 : 1 + Math.floorMod(register.hashCode(), PARTITIONS - 1);
   }
 
   /** Takes another seed list. */
-  public void seeds(final List<String> given) {
-    seeds = given;
-    tellPeers();
+  public void seeds(final List<String> newSeeds) {
+    seeds = newSeeds;
+    updatePeers();
   }
 
   // ---- disk
@@ -180,8 +180,8 @@
     for (final byte[] record : records) {
       replay(Serializer.deserialize(record, StoredValues.DiskRecord.class));
     }
-    if (blank && firstStart) {
-      blank = false;
+    if (recovering && firstStart) {
+      recovering = false;
       incarnation = 1;
       final List<Voter> voters = new ArrayList<>();
       for (int index = 0; index < seeds.size(); index++) {
@@ -191,41 +191,41 @@
       roster = new Roster(1, voters);
     }
     for (final Partition partition : partitions) {
-      partition.vacateAt = now + 60 + rank(partition) * 60L + random.nextInt(60);
+      partition.electionDueAt = now + 60 + electionRank(partition) * 60L + random.nextInt(60);
     }
-    membership.begins(now);
-    tellPeers();
+    membership.onStart(now);
+    updatePeers();
     LOGGER.atInfo().log(
         "frame %s starts: blank %s, roster %s of %s, incarnation %s",
-        self, blank, roster.number, roster.voters.size(), incarnation);
+        self, recovering, roster.number, roster.voters.size(), incarnation);
   }
 
   private void replay(final StoredValues.DiskRecord record) {
     switch (record.type) {
-      case SELF -> {
-        blank = false;
+      case RECORD_SELF -> {
+        recovering = false;
         incarnation = record.incarnation;
       }
-      case PROMISE -> {
+      case RECORD_PROMISE -> {
         final Partition partition = partitions[record.partition];
         if (record.ballot.compareTo(partition.promised) > 0) {
           partition.promised = record.ballot;
         }
       }
-      case REGISTERS ->
+      case RECORD_REGISTERS ->
           partitions[record.partition].store(
               record.ballot,
               record.incarnation == 1,
               Protocol.list(record.entries),
               new ArrayList<>());
-      case ROSTER -> {
+      case RECORD_ROSTER -> {
         if (record.roster.number > roster.number) {
           roster = record.roster;
         }
       }
-      case KNOWN -> {
-        known.merge(record.address, record.incarnation, Math::max);
-        lastingIncarnations.merge(record.address, record.incarnation, Math::max);
+      case RECORD_PEER_INCARNATION -> {
+        knownIncarnations.merge(record.address, record.incarnation, Math::max);
+        durableIncarnations.merge(record.address, record.incarnation, Math::max);
       }
       default ->
           throw new IllegalStateException(
@@ -234,42 +234,42 @@
   }
 
   /** The live state as records, each of a bounded size unless one register is larger. */
-  public List<byte[]> view() {
+  public List<byte[]> snapshot() {
     final List<byte[]> records = new ArrayList<>();
-    if (!blank) {
+    if (!recovering) {
       records.add(Serializer.serialize(selfRecord()));
     }
     for (final Partition partition : partitions) {
-      records.addAll(partition.records(REGISTERS, VIEW_BYTES));
+      records.addAll(partition.records(RECORD_REGISTERS, SNAPSHOT_RECORD_BYTES));
     }
-    records.addAll(claims());
+    records.addAll(metadataRecords());
     return records;
   }
 
   StoredValues.DiskRecord selfRecord() {
-    return new StoredValues.DiskRecord(SELF, 0, null, null, null, null, incarnation);
+    return new StoredValues.DiskRecord(RECORD_SELF, 0, null, null, null, null, incarnation);
   }
 
   /** What is known of the others, the roster, and what was promised and established. */
-  List<byte[]> claims() {
+  List<byte[]> metadataRecords() {
     final List<byte[]> records = new ArrayList<>();
-    for (final Map.Entry<String, Long> entry : known.entrySet()) {
+    for (final Map.Entry<String, Long> entry : knownIncarnations.entrySet()) {
       records.add(
           Serializer.serialize(
               new StoredValues.DiskRecord(
-                  KNOWN, 0, null, null, null, entry.getKey(), entry.getValue())));
+                  RECORD_PEER_INCARNATION, 0, null, null, null, entry.getKey(), entry.getValue())));
     }
     records.add(
-        Serializer.serialize(new StoredValues.DiskRecord(ROSTER, 0, null, null, roster, null, 0)));
+        Serializer.serialize(new StoredValues.DiskRecord(RECORD_ROSTER, 0, null, null, roster, null, 0)));
     for (final Partition partition : partitions) {
       records.add(
           Serializer.serialize(
               new StoredValues.DiskRecord(
-                  PROMISE, partition.number, partition.promised, null, null, null, 0)));
+                  RECORD_PROMISE, partition.number, partition.promised, null, null, null, 0)));
       records.add(
           Serializer.serialize(
               new StoredValues.DiskRecord(
-                  REGISTERS, partition.number, partition.established, null, null, null, 1)));
+                  RECORD_REGISTERS, partition.number, partition.established, null, null, null, 1)));
     }
     return records;
   }
@@ -280,7 +280,7 @@
 
   // ---- peers
 
-  void tellPeers() {
+  void updatePeers() {
     final List<String> addresses = new ArrayList<>();
     for (final Voter voter : roster.voters) {
       addresses.add(voter.address);
@@ -295,8 +295,8 @@
         addresses.add(joiner);
       }
     }
-    for (final String address : met) {
-      if (blank && !addresses.contains(address)) {
+    for (final String address : peersSeen) {
+      if (recovering && !addresses.contains(address)) {
         addresses.add(address);
       }
     }
@@ -304,7 +304,7 @@
     environment.peers(addresses);
   }
 
-  List<Long> knownIncarnations() {
+  List<Long> voterIncarnations() {
     final List<Long> list = new ArrayList<>(roster.voters.size());
     for (final Voter voter : roster.voters) {
       list.add(incarnationOf(voter.address));
@@ -314,10 +314,10 @@
 
   /** The incarnation under which a daemon is known here. */
   public long incarnationOf(final String address) {
-    return address.equals(self) ? incarnation : known.getOrDefault(address, 1L);
+    return address.equals(self) ? incarnation : knownIncarnations.getOrDefault(address, 1L);
   }
 
-  private void learn(final long rosterNumber, final List<Long> incarnations) {
+  private void learnIncarnations(final long rosterNumber, final List<Long> incarnations) {
     if (rosterNumber != roster.number
         || Protocol.list(incarnations).size() != roster.voters.size()) {
       return;
@@ -325,8 +325,8 @@
     for (int index = 0; index < incarnations.size(); index++) {
       final String address = roster.voters.get(index).address;
       if (!address.equals(self) && incarnations.get(index) > incarnationOf(address)) {
-        known.put(address, incarnations.get(index));
-        overtaken(index);
+        knownIncarnations.put(address, incarnations.get(index));
+        onNewIncarnation(index);
       }
     }
   }
@@ -335,24 +335,24 @@
    * Takes the incarnations that the holder of a duty learned from a majority, and puts them on disk
    * before what it established is there.
    */
-  private void learnLasting(final List<Long> incarnations) {
+  private void persistIncarnations(final List<Long> incarnations) {
     if (incarnations.size() != roster.voters.size()) {
       return;
     }
     for (int index = 0; index < incarnations.size(); index++) {
       final String address = roster.voters.get(index).address;
-      final long given = incarnations.get(index);
-      if (address.equals(self) && given > incarnation) {
-        rise(given + 1);
+      final long learned = incarnations.get(index);
+      if (address.equals(self) && learned > incarnation) {
+        raiseIncarnation(learned + 1);
       } else if (!address.equals(self)
-          && given > 1
-          && given >= incarnationOf(address)
-          && lastingIncarnations.getOrDefault(address, 1L) < given) {
-        lastingIncarnations.put(address, given);
-        persist(new StoredValues.DiskRecord(KNOWN, 0, null, null, null, address, given), () -> {});
+          && learned > 1
+          && learned >= incarnationOf(address)
+          && durableIncarnations.getOrDefault(address, 1L) < learned) {
+        durableIncarnations.put(address, learned);
+        persist(new StoredValues.DiskRecord(RECORD_PEER_INCARNATION, 0, null, null, null, address, learned), () -> {});
       }
     }
-    learn(roster.number, incarnations);
+    learnIncarnations(roster.number, incarnations);
   }
 
   /**
@@ -360,11 +360,11 @@
    * asked had not been voters then. They would never count it; what it has promised it keeps, so
    * that it may take a later one at any time.
    */
-  private void rise(final long next) {
-    if (next > rising) {
-      rising = next;
+  private void raiseIncarnation(final long next) {
+    if (next > pendingIncarnation) {
+      pendingIncarnation = next;
       persist(
-          new StoredValues.DiskRecord(SELF, 0, null, null, null, null, next),
+          new StoredValues.DiskRecord(RECORD_SELF, 0, null, null, null, null, next),
           () -> {
             if (next > incarnation) {
               LOGGER.atInfo().log(
@@ -376,25 +376,25 @@
     }
   }
 
-  private long rising;
-  private final Map<String, Long> lastingIncarnations = new HashMap<>();
+  private long pendingIncarnation;
+  private final Map<String, Long> durableIncarnations = new HashMap<>();
 
-  void overtaken(final int index) {
+  void onNewIncarnation(final int voterIndex) {
     for (final Partition partition : partitions) {
-      if (partition.phase.ordinal() > Phase.CANVASSING.ordinal()
-          && index < partition.promises.length) {
-        partition.promises[index] = null;
-        if (partition.phase != Phase.PREPARING && !restart.contains(partition)) {
-          restart.add(partition);
+      if (partition.phase.ordinal() > Phase.PRE_VOTING.ordinal()
+          && voterIndex < partition.promises.length) {
+        partition.promises[voterIndex] = null;
+        if (partition.phase != Phase.PREPARING && !partitionsToRestart.contains(partition)) {
+          partitionsToRestart.add(partition);
         }
       }
     }
   }
 
-  private final List<Partition> restart = new ArrayList<>();
+  private final List<Partition> partitionsToRestart = new ArrayList<>();
 
-  boolean votes() {
-    return !blank && mayVote && roster.index(self) >= 0;
+  boolean canVote() {
+    return !recovering && mayVote && roster.index(self) >= 0;
   }
 
   // ---- messages from frames
@@ -402,25 +402,25 @@
   /** A frame has said something; replies go back over the same line. */
   public void receive(
       final String from, final Message message, final Consumer<Message> reply, final long now) {
-    if (left) {
+    if (stopped) {
       return;
     }
-    membership.heard(from, now);
-    meet(from);
+    membership.onMessage(from, now);
+    rememberPeer(from);
     if (message instanceof StateStoreMessages.MembershipRequest) {
-      recovery.onEnquire(from, (StateStoreMessages.MembershipRequest) message, reply);
+      recovery.onMembershipRequest(from, (StateStoreMessages.MembershipRequest) message, reply);
     } else if (message instanceof StateStoreMessages.MembershipResponse) {
-      recovery.onEnquired(from, (StateStoreMessages.MembershipResponse) message, now);
+      recovery.onMembershipResponse(from, (StateStoreMessages.MembershipResponse) message, now);
     } else if (message instanceof StateStoreMessages.RecoveryResponse) {
-      recovery.onFetched(from, (StateStoreMessages.RecoveryResponse) message, now);
+      recovery.onRecoveryResponse(from, (StateStoreMessages.RecoveryResponse) message, now);
     } else if (audit.receive(from, message, reply)) {
       return;
-    } else if (blank) {
+    } else if (recovering) {
       return;
     } else if (message instanceof StateStoreMessages.RosterUpdate) {
-      adopt(((StateStoreMessages.RosterUpdate) message).roster, now);
+      adoptRoster(((StateStoreMessages.RosterUpdate) message).roster, now);
     } else if (message instanceof StateStoreMessages.RecoveryRequest) {
-      recovery.onFetch(from, (StateStoreMessages.RecoveryRequest) message, reply);
+      recovery.onRecoveryRequest(from, (StateStoreMessages.RecoveryRequest) message, reply);
     } else if (message instanceof StateStoreMessages.Join) {
       onJoin((StateStoreMessages.Join) message, now);
     } else if (message instanceof StateStoreMessages.Resign) {
@@ -428,24 +428,24 @@
     } else if (message instanceof StateStoreMessages.Released) {
       onReleased((StateStoreMessages.Released) message, now);
     } else if (message instanceof StateStoreMessages.PreVote) {
-      onCanvass((StateStoreMessages.PreVote) message, reply, now);
+      onPreVote((StateStoreMessages.PreVote) message, reply, now);
     } else if (message instanceof StateStoreMessages.PreVoteResponse) {
-      onCanvassed(from, (StateStoreMessages.PreVoteResponse) message, now);
+      onPreVoteResponse(from, (StateStoreMessages.PreVoteResponse) message, now);
     } else if (message instanceof StateStoreMessages.Prepare) {
       onPrepare((StateStoreMessages.Prepare) message, reply, now);
     } else if (message instanceof StateStoreMessages.Accept) {
       onAccept(from, (StateStoreMessages.Accept) message, reply, now);
     } else if (message instanceof StateStoreMessages.Heartbeat) {
-      onPulse(from, (StateStoreMessages.Heartbeat) message, reply, now);
+      onHeartbeat(from, (StateStoreMessages.Heartbeat) message, reply, now);
     } else if (message instanceof StateStoreMessages.Promise) {
-      recovery.votes(from);
+      recovery.markRecovered(from);
       onPromise(from, (StateStoreMessages.Promise) message, now);
     } else if (message instanceof StateStoreMessages.Accepted) {
-      recovery.votes(from);
+      recovery.markRecovered(from);
       onAccepted(from, (StateStoreMessages.Accepted) message, now);
     } else if (message instanceof StateStoreMessages.HeartbeatAck) {
-      recovery.votes(from);
-      onPulsed(from, (StateStoreMessages.HeartbeatAck) message, now);
+      recovery.markRecovered(from);
+      onHeartbeatAck(from, (StateStoreMessages.HeartbeatAck) message, now);
     } else if (message instanceof StateStoreMessages.Refused) {
       onRefused(from, (StateStoreMessages.Refused) message, reply, now);
     }
@@ -453,57 +453,57 @@
   }
 
   /** A blank daemon's seeds may be blank too, or gone: whoever speaks to it is asked as well. */
-  private void meet(final String from) {
-    if (blank && !from.equals(self) && met.add(from)) {
-      tellPeers();
+  private void rememberPeer(final String from) {
+    if (recovering && !from.equals(self) && peersSeen.add(from)) {
+      updatePeers();
     }
   }
 
-  private final Set<String> met = new HashSet<>();
+  private final Set<String> peersSeen = new HashSet<>();
 
   private void runRestarts(final long now) {
-    while (!restart.isEmpty()) {
-      final Partition partition = restart.remove(restart.size() - 1);
+    while (!partitionsToRestart.isEmpty()) {
+      final Partition partition = partitionsToRestart.remove(partitionsToRestart.size() - 1);
       if (partition.phase != Phase.IDLE) {
         stepDown(partition, now);
-        begin(partition, now);
+        startBallot(partition, now);
       }
     }
   }
 
   /** The line to a frame has ended. */
-  public void lineClosed(final String address, final long now) {
-    membership.closed(address, now);
-    recovery.lineClosed(address);
+  public void connectionClosed(final String address, final long now) {
+    membership.onConnectionClosed(address, now);
+    recovery.connectionClosed(address);
     final int index = roster.index(address);
     for (final Partition partition : partitions) {
-      if (address.equals(partition.holder)
-          && partition.phase.ordinal() <= Phase.CANVASSING.ordinal()) {
-        partition.heardAt = Long.MIN_VALUE / 2;
-        partition.vacateAt =
-            Math.min(partition.vacateAt, now + 60 + rank(partition) * 120L + random.nextInt(60));
-      }
-      if (index >= 0 && index < partition.establishSent.length) {
-        partition.establishSent[index] = false;
-        partition.establishSentAt[index] = 0;
+      if (address.equals(partition.leader)
+          && partition.phase.ordinal() <= Phase.PRE_VOTING.ordinal()) {
+        partition.leaderHeardAt = Long.MIN_VALUE / 2;
+        partition.electionDueAt =
+            Math.min(partition.electionDueAt, now + 60 + electionRank(partition) * 120L + random.nextInt(60));
+      }
+      if (index >= 0 && index < partition.establishmentSent.length) {
+        partition.establishmentSent[index] = false;
+        partition.establishmentSentAt[index] = 0;
         partition.repairs[index] = new Partition.Repair();
-        for (final RegisterState held : partition.held.values()) {
-          held.sent[index] = -1;
-          held.sentAt[index] = 0;
+        for (final RegisterState register : partition.registers.values()) {
+          register.sent[index] = -1;
+          register.sentAt[index] = 0;
         }
       }
     }
   }
 
-  private boolean agrees(
-      final long theirs,
+  private boolean checkRoster(
+      final long senderRoster,
       final Consumer<Message> reply,
       final int partition,
       final RegisterVersion ballot) {
-    if (theirs == roster.number) {
-      return votes();
+    if (senderRoster == roster.number) {
+      return canVote();
     }
-    if (theirs < roster.number) {
+    if (senderRoster < roster.number) {
       reply.accept(new StateStoreMessages.RosterUpdate(roster));
     } else {
       reply.accept(
@@ -513,51 +513,51 @@
     return false;
   }
 
-  private void onCanvass(
-      final StateStoreMessages.PreVote canvass, final Consumer<Message> reply, final long now) {
-    if (!agrees(canvass.roster, reply, canvass.partition, RegisterVersion.NONE)) {
+  private void onPreVote(
+      final StateStoreMessages.PreVote preVote, final Consumer<Message> reply, final long now) {
+    if (!checkRoster(preVote.roster, reply, preVote.partition, RegisterVersion.NONE)) {
       return;
     }
-    final Partition partition = partitions[canvass.partition];
-    if (partition.phase.ordinal() <= Phase.CANVASSING.ordinal()
-        && now - partition.heardAt > HEARD_MILLIS) {
+    final Partition partition = partitions[preVote.partition];
+    if (partition.phase.ordinal() <= Phase.PRE_VOTING.ordinal()
+        && now - partition.leaderHeardAt > PRE_VOTE_LEADER_SILENCE_MILLIS) {
       reply.accept(
           new StateStoreMessages.PreVoteResponse(
-              canvass.partition, canvass.number, partition.promised.round));
+              preVote.partition, preVote.number, partition.promised.round));
     }
   }
 
-  private void onCanvassed(
-      final String from, final StateStoreMessages.PreVoteResponse canvassed, final long now) {
-    final Partition partition = partitions[canvassed.partition];
-    final int place = roster.index(from);
-    if (partition.phase != Phase.CANVASSING
-        || partition.canvass != canvassed.number
-        || place < 0
-        || place >= partition.agreed.length) {
+  private void onPreVoteResponse(
+      final String from, final StateStoreMessages.PreVoteResponse response, final long now) {
+    final Partition partition = partitions[response.partition];
+    final int voterIndex = roster.index(from);
+    if (partition.phase != Phase.PRE_VOTING
+        || partition.preVoteNumber != response.number
+        || voterIndex < 0
+        || voterIndex >= partition.preVotesGranted.length) {
       return;
     }
-    highest = Math.max(highest, canvassed.round);
-    partition.agreed[place] = true;
-    if (count(partition.agreed) >= roster.majority()) {
-      begin(partition, now);
+    highestRound = Math.max(highestRound, response.round);
+    partition.preVotesGranted[voterIndex] = true;
+    if (count(partition.preVotesGranted) >= roster.majority()) {
+      startBallot(partition, now);
     }
   }
 
-  private void canvass(final Partition partition, final long now) {
-    partition.phase = Phase.CANVASSING;
-    partition.canvass = ++canvasses;
-    partition.canvassedAt = now;
-    partition.agreed = new boolean[roster.voters.size()];
+  private void startPreVote(final Partition partition, final long now) {
+    partition.phase = Phase.PRE_VOTING;
+    partition.preVoteNumber = ++preVotesStarted;
+    partition.preVoteStartedAt = now;
+    partition.preVotesGranted = new boolean[roster.voters.size()];
     broadcast(
-        new StateStoreMessages.PreVote(partition.number, roster.number, partition.canvass), now);
+        new StateStoreMessages.PreVote(partition.number, roster.number, partition.preVoteNumber), now);
   }
 
-  private long canvasses;
+  private long preVotesStarted;
 
   private void onPrepare(
       final StateStoreMessages.Prepare prepare, final Consumer<Message> reply, final long now) {
-    if (!agrees(prepare.roster, reply, prepare.partition, prepare.ballot)) {
+    if (!checkRoster(prepare.roster, reply, prepare.partition, prepare.ballot)) {
       return;
     }
     final Partition partition = partitions[prepare.partition];
@@ -568,7 +568,7 @@
               prepare.ballot,
               partition.promised,
               roster.number,
-              knownIncarnations()));
+              voterIncarnations()));
       return;
     }
     if (prepare.ballot.owner != owner
@@ -577,10 +577,10 @@
       stepDown(partition, now);
     }
     partition.promised = prepare.ballot;
-    partition.vacateAt = Math.max(partition.vacateAt, now + BALLOT_MILLIS + random.nextInt(200));
-    partition.heardAt = now;
+    partition.electionDueAt = Math.max(partition.electionDueAt, now + BALLOT_TIMEOUT_MILLIS + random.nextInt(200));
+    partition.leaderHeardAt = now;
     persist(
-        new StoredValues.DiskRecord(PROMISE, partition.number, prepare.ballot, null, null, null, 0),
+        new StoredValues.DiskRecord(RECORD_PROMISE, partition.number, prepare.ballot, null, null, null, 0),
         () -> {
           if (partition.promised.equals(prepare.ballot) && roster.number == prepare.roster) {
             reply.accept(
@@ -590,7 +590,7 @@
                     partition.established,
                     partition.entries(),
                     incarnation,
-                    knownIncarnations()));
+                    voterIncarnations()));
           }
         });
   }
@@ -600,7 +600,7 @@
       final StateStoreMessages.Accept accept,
       final Consumer<Message> reply,
       final long now) {
-    if (!agrees(accept.roster, reply, accept.partition, accept.ballot)) {
+    if (!checkRoster(accept.roster, reply, accept.partition, accept.ballot)) {
       return;
     }
     final Partition partition = partitions[accept.partition];
@@ -614,7 +614,7 @@
                 accept.ballot,
                 partition.promised,
                 roster.number,
-                knownIncarnations()));
+                voterIncarnations()));
         return;
       }
     }
@@ -625,33 +625,33 @@
               accept.ballot,
               partition.promised,
               roster.number,
-              knownIncarnations()));
+              voterIncarnations()));
       return;
     }
     if (accept.ballot.owner != owner && partition.phase != Phase.IDLE) {
       stepDown(partition, now);
     }
-    heardHolder(partition, from, now);
-    learnLasting(Protocol.list(accept.known));
+    leaderHeard(partition, from, now);
+    persistIncarnations(Protocol.list(accept.known));
     final List<RegisterEntry> entries = Protocol.list(accept.entries);
-    final List<RegisterEntry> lacking = new ArrayList<>();
-    partition.store(accept.ballot, accept.establish, entries, lacking);
+    final List<RegisterEntry> missing = new ArrayList<>();
+    partition.store(accept.ballot, accept.establish, entries, missing);
     final List<String> names = new ArrayList<>(entries.size());
     final List<Long> counts = new ArrayList<>(entries.size());
-    final List<String> lackingNames = new ArrayList<>();
-    final List<RegisterEntry> kept = new ArrayList<>(entries.size());
+    final List<String> missingNames = new ArrayList<>();
+    final List<RegisterEntry> storedEntries = new ArrayList<>(entries.size());
     for (final RegisterEntry entry : entries) {
-      if (lacking.contains(entry)) {
-        lackingNames.add(entry.name);
+      if (missing.contains(entry)) {
+        missingNames.add(entry.name);
       } else {
         names.add(entry.name);
         counts.add(entry.mark.count);
-        kept.add(entry);
+        storedEntries.add(entry);
       }
     }
     persist(
         new StoredValues.DiskRecord(
-            REGISTERS, partition.number, accept.ballot, kept, null, null, accept.establish ? 1 : 0),
+            RECORD_REGISTERS, partition.number, accept.ballot, storedEntries, null, null, accept.establish ? 1 : 0),
         () -> {
           if (roster.number == accept.roster) {
             reply.accept(
@@ -661,54 +661,54 @@
                     accept.establish,
                     names,
                     counts,
-                    lackingNames,
+                    missingNames,
                     incarnation,
-                    knownIncarnations()));
+                    voterIncarnations()));
           }
         });
   }
 
-  private void heardHolder(final Partition partition, final String from, final long now) {
-    partition.holder = from;
-    partition.heardAt = now;
-    if (partition.phase == Phase.CANVASSING) {
+  private void leaderHeard(final Partition partition, final String from, final long now) {
+    partition.leader = from;
+    partition.leaderHeardAt = now;
+    if (partition.phase == Phase.PRE_VOTING) {
       partition.phase = Phase.IDLE;
     }
-    partition.vacateAt = now + VACANT_MILLIS + rank(partition) * 150L + random.nextInt(150);
+    partition.electionDueAt = now + LEADER_TIMEOUT_MILLIS + electionRank(partition) * 150L + random.nextInt(150);
   }
 
-  private void onPulse(
+  private void onHeartbeat(
       final String from,
       final StateStoreMessages.Heartbeat heartbeat,
       final Consumer<Message> reply,
       final long now) {
     final List<Integer> numbers = Protocol.list(heartbeat.partitions);
     if (numbers.isEmpty()
-        || !agrees(heartbeat.roster, reply, numbers.get(0), heartbeat.ballots.get(0))) {
+        || !checkRoster(heartbeat.roster, reply, numbers.get(0), heartbeat.ballots.get(0))) {
       return;
     }
-    final List<Integer> standing = new ArrayList<>(numbers.size());
-    final List<RegisterVersion> ballotsStanding = new ArrayList<>(numbers.size());
+    final List<Integer> followed = new ArrayList<>(numbers.size());
+    final List<RegisterVersion> followedBallots = new ArrayList<>(numbers.size());
     for (int index = 0; index < numbers.size(); index++) {
       final Partition partition = partitions[numbers.get(index)];
       final RegisterVersion ballot = heartbeat.ballots.get(index);
       if (partition.promised.sameBallot(ballot)) {
-        standing.add(partition.number);
-        ballotsStanding.add(ballot);
-        heardHolder(partition, from, now);
-        membership.settled(partition.number, heartbeat.roster);
+        followed.add(partition.number);
+        followedBallots.add(ballot);
+        leaderHeard(partition, from, now);
+        membership.establishedRosters(partition.number, heartbeat.roster);
       } else if (ballot.compareTo(partition.promised) > 0) {
-        heardHolder(partition, from, now);
-        membership.settled(partition.number, heartbeat.roster);
+        leaderHeard(partition, from, now);
+        membership.establishedRosters(partition.number, heartbeat.roster);
       } else {
         reply.accept(
             new StateStoreMessages.Refused(
-                partition.number, ballot, partition.promised, roster.number, knownIncarnations()));
+                partition.number, ballot, partition.promised, roster.number, voterIncarnations()));
       }
     }
     reply.accept(
         new StateStoreMessages.HeartbeatAck(
-            standing, ballotsStanding, incarnation, knownIncarnations(), audit.log().durable()));
+            followed, followedBallots, incarnation, voterIncarnations(), audit.log().durable()));
   }
 
   private void onRefused(
@@ -720,18 +720,18 @@
       environment.send(from, new StateStoreMessages.RosterUpdate(roster));
       return;
     }
-    learn(refused.roster, refused.known);
+    learnIncarnations(refused.roster, refused.known);
     final Partition partition = partitions[refused.partition];
     if (partition.phase != Phase.IDLE
         && partition.ballot.sameBallot(refused.ballot)
         && refused.promised.compareTo(partition.ballot) > 0) {
-      highest = Math.max(highest, refused.promised.round);
+      highestRound = Math.max(highestRound, refused.promised.round);
       stepDown(partition, now);
-      partition.vacateAt = now + 300 + rank(partition) * 150L + random.nextInt(300);
+      partition.electionDueAt = now + 300 + electionRank(partition) * 150L + random.nextInt(300);
     }
   }
 
-  private long highest;
+  private long highestRound;
 
   private void onResign(
       final String from,
@@ -739,15 +739,15 @@
       final Consumer<Message> reply,
       final long now) {
     if (resign.leaving) {
-      membership.leaves(from, now);
-      release(from, reply);
+      membership.onLeave(from, now);
+      sendReleased(from, reply);
     }
     for (final int number : Protocol.list(resign.partitions)) {
       final Partition partition = partitions[number];
-      if (from.equals(partition.holder)
-          && partition.phase.ordinal() <= Phase.CANVASSING.ordinal()) {
-        partition.heardAt = Long.MIN_VALUE / 2;
-        partition.vacateAt = now + rank(partition) * 120L + random.nextInt(20);
+      if (from.equals(partition.leader)
+          && partition.phase.ordinal() <= Phase.PRE_VOTING.ordinal()) {
+        partition.leaderHeardAt = Long.MIN_VALUE / 2;
+        partition.electionDueAt = now + electionRank(partition) * 120L + random.nextInt(20);
       }
     }
   }
@@ -755,36 +755,36 @@
   // ---- newcomers
 
   private void onJoin(final StateStoreMessages.Join join, final long now) {
-    recovery.votes(join.voter.address);
-    if (membership.asks(join.voter, roster, now)) {
-      tellPeers();
+    recovery.markRecovered(join.voter.address);
+    if (membership.onJoin(join.voter, roster, now)) {
+      updatePeers();
     }
   }
 
-  void adopt(final Roster news, final long now) {
-    if (news == null || news.number <= roster.number || blank) {
+  void adoptRoster(final Roster update, final long now) {
+    if (update == null || update.number <= roster.number || recovering) {
       return;
     }
     persist(
-        new StoredValues.DiskRecord(ROSTER, 0, null, null, news, null, 0),
+        new StoredValues.DiskRecord(RECORD_ROSTER, 0, null, null, update, null, 0),
         () -> {
-          if (news.number <= roster.number) {
+          if (update.number <= roster.number) {
             return;
           }
-          roster = news;
-          membership.adopted(news, now);
-          LOGGER.atInfo().log("frame %s adopts roster %s: %s", self, news.number, addresses(news));
-          tellPeers();
-          if (news.index(self) < 0) {
+          roster = update;
+          membership.onRosterAdopted(update, now);
+          LOGGER.atInfo().log("frame %s adopts roster %s: %s", self, update.number, addresses(update));
+          updatePeers();
+          if (update.index(self) < 0) {
             resign(false, now);
           }
           for (final Partition partition : partitions) {
-            final boolean held = partition.phase.ordinal() > Phase.CANVASSING.ordinal();
-            if (held) {
+            final boolean wasLeading = partition.phase.ordinal() > Phase.PRE_VOTING.ordinal();
+            if (wasLeading) {
               stepDown(partition, now);
             }
-            if (votes() && held && !gracefulLeave.begun()) {
-              begin(partition, now);
+            if (canVote() && wasLeading && !gracefulLeave.begun()) {
+              startBallot(partition, now);
             }
           }
         });
@@ -800,12 +800,12 @@
 
   // ---- duties
 
-  private int rank(final Partition partition) {
+  private int electionRank(final Partition partition) {
     final int size = roster.voters.size();
     if (size == 0) {
       return 0;
     }
-    final String best = bestRegion();
+    final String best = preferredRegion();
     final List<String> order = new ArrayList<>(size);
     for (final Voter voter : roster.voters) {
       if (voter.region.equals(best)) {
@@ -824,7 +824,7 @@
     return index < 0 ? size : index;
   }
 
-  private String bestRegion() {
+  private String preferredRegion() {
     String best = "";
     int most = 0;
     for (final Voter voter : roster.voters) {
@@ -842,54 +842,54 @@
 
   private void stepDown(final Partition partition, final long now) {
     partition.phase = Phase.IDLE;
-    partition.holder = null;
-    partition.vacateAt = now + 300 + random.nextInt(200);
-    for (final Waiter waiter : partition.waiters) {
-      waiter.work.reply.accept(redirect(waiter.work.call, partition));
+    partition.leader = null;
+    partition.electionDueAt = now + 300 + random.nextInt(200);
+    for (final ConfirmationWaiter waiter : partition.waiters) {
+      waiter.pending.reply.accept(redirectResponse(waiter.pending.call, partition));
     }
     partition.waiters.clear();
-    partition.confirmOut = false;
+    partition.confirmationInFlight = false;
     if (partition.number == 0) {
-      controlParked.clear();
+      parkedControlRequests.clear();
     }
-    for (final RegisterState held : partition.held.values()) {
-      for (final RegisterState.Proposal proposed : held.uponCommit) {
-        proposed.work.reply.accept(
-            new StoreMessages.StoreResponse(proposed.work.call.number, 504, 0, null, null));
+    for (final RegisterState register : partition.registers.values()) {
+      for (final RegisterState.Proposal proposed : register.awaitingCommit) {
+        proposed.pending.reply.accept(
+            new StoreMessages.StoreResponse(proposed.pending.call.number, 504, 0, null, null));
       }
-      for (final RegisterState.Work work : held.waiting) {
-        work.reply.accept(redirect(work.call, partition));
+      for (final RegisterState.PendingRequest pending : register.waiting) {
+        pending.reply.accept(redirectResponse(pending.call, partition));
       }
-      for (final RegisterState.Work work : held.parked) {
-        work.reply.accept(redirect(work.call, partition));
+      for (final RegisterState.PendingRequest pending : register.parked) {
+        pending.reply.accept(redirectResponse(pending.call, partition));
       }
     }
-    partition.held = new LinkedHashMap<>();
+    partition.registers = new LinkedHashMap<>();
   }
 
-  private static StoreMessages.StoreResponse redirect(
+  private static StoreMessages.StoreResponse redirectResponse(
       final StoreMessages.StoreRequest call, final Partition partition) {
-    return new StoreMessages.StoreResponse(call.number, 0, 0, null, partition.holder);
+    return new StoreMessages.StoreResponse(call.number, 0, 0, null, partition.leader);
   }
 
-  private void begin(final Partition partition, final long now) {
+  private void startBallot(final Partition partition, final long now) {
     final int size = roster.voters.size();
-    highest = Math.max(highest, partition.promised.round);
-    highest = Math.max(highest, partition.ballot.round) + 1;
-    partition.ballot = new RegisterVersion(highest, owner, 0);
+    highestRound = Math.max(highestRound, partition.promised.round);
+    highestRound = Math.max(highestRound, partition.ballot.round) + 1;
+    partition.ballot = new RegisterVersion(highestRound, owner, 0);
     partition.phase = Phase.PREPARING;
     partition.startedAt = now;
     partition.promises = new StateStoreMessages.Promise[size];
-    partition.establishAcked = new boolean[size];
-    partition.establishSent = new boolean[size];
-    partition.establishSentAt = new long[size];
-    partition.pulsed = new long[size];
+    partition.establishmentAcked = new boolean[size];
+    partition.establishmentSent = new boolean[size];
+    partition.establishmentSentAt = new long[size];
+    partition.heartbeatAcked = new long[size];
     partition.repairs = new Partition.Repair[size];
-    Arrays.setAll(partition.repairs, place -> new Partition.Repair());
-    partition.pulseCount = 0;
-    partition.count = 0;
-    partition.confirmOut = false;
-    ballots++;
+    Arrays.setAll(partition.repairs, voterIndex -> new Partition.Repair());
+    partition.heartbeatCount = 0;
+    partition.versionCount = 0;
+    partition.confirmationInFlight = false;
+    ballotsStarted++;
     partition.preparedAt = now;
     broadcast(
         new StateStoreMessages.Prepare(partition.number, roster.number, partition.ballot), now);
@@ -899,17 +899,17 @@
    * Asks those again who have not promised: one that had not adopted the roster when it was asked
    * may have by now.
    */
-  private void prepareAgain(final Partition partition, final long now) {
-    if (now - partition.preparedAt < PREPARE_MILLIS) {
+  private void retryPrepare(final Partition partition, final long now) {
+    if (now - partition.preparedAt < PREPARE_RETRY_MILLIS) {
       return;
     }
     partition.preparedAt = now;
-    for (int place = 0;
-        place < partition.promises.length && place < roster.voters.size();
-        place++) {
-      if (partition.promises[place] == null) {
+    for (int voterIndex = 0;
+        voterIndex < partition.promises.length && voterIndex < roster.voters.size();
+        voterIndex++) {
+      if (partition.promises[voterIndex] == null) {
         send(
-            roster.voters.get(place).address,
+            roster.voters.get(voterIndex).address,
             new StateStoreMessages.Prepare(partition.number, roster.number, partition.ballot),
             now);
       }
@@ -924,36 +924,36 @@
 
   private void send(final String address, final Message message, final long now) {
     if (address.equals(self)) {
-      loop.add(message);
-      runLoop(now);
+      localMessages.add(message);
+      deliverLocalMessages(now);
     } else {
       environment.send(address, message);
     }
   }
 
-  private final java.util.ArrayDeque<Message> loop = new java.util.ArrayDeque<>();
-  private boolean looping;
-  private long lastNow;
+  private final java.util.ArrayDeque<Message> localMessages = new java.util.ArrayDeque<>();
+  private boolean deliveringLocally;
+  private long latestTime;
 
-  private void runLoop(final long now) {
-    lastNow = Math.max(lastNow, now);
-    if (looping) {
+  private void deliverLocalMessages(final long now) {
+    latestTime = Math.max(latestTime, now);
+    if (deliveringLocally) {
       return;
     }
-    looping = true;
+    deliveringLocally = true;
     try {
-      while (!loop.isEmpty()) {
+      while (!localMessages.isEmpty()) {
         receive(
             self,
-            loop.poll(),
+            localMessages.poll(),
             answer -> {
-              loop.add(answer);
-              runLoop(lastNow);
+              localMessages.add(answer);
+              deliverLocalMessages(latestTime);
             },
             now);
       }
     } finally {
-      looping = false;
+      deliveringLocally = false;
     }
   }
 
@@ -966,12 +966,12 @@
         || index < 0) {
       return;
     }
-    learn(roster.number, promise.known);
-    if (restart.contains(partition) || promise.incarnation < incarnationOf(from)) {
+    learnIncarnations(roster.number, promise.known);
+    if (partitionsToRestart.contains(partition) || promise.incarnation < incarnationOf(from)) {
       return;
     }
     if (promise.incarnation > incarnationOf(from)) {
-      known.put(from, promise.incarnation);
+      knownIncarnations.put(from, promise.incarnation);
     }
     partition.promises[index] = promise;
     int count = 0;
@@ -984,16 +984,16 @@
     RegisterVersion floor = RegisterVersion.NONE;
     final Long[] counted = new Long[roster.voters.size()];
     Arrays.fill(counted, 0L);
-    for (int place = 0; place < partition.promises.length; place++) {
-      final StateStoreMessages.Promise one = partition.promises[place];
+    for (int voterIndex = 0; voterIndex < partition.promises.length; voterIndex++) {
+      final StateStoreMessages.Promise one = partition.promises[voterIndex];
       if (one != null) {
-        counted[place] = one.incarnation;
+        counted[voterIndex] = one.incarnation;
         if (one.established.compareTo(floor) > 0) {
           floor = one.established;
         }
       }
     }
-    partition.counted = List.of(counted);
+    partition.countedIncarnations = List.of(counted);
     final Map<String, RegisterEntry> best = new LinkedHashMap<>();
     for (final StateStoreMessages.Promise one : partition.promises) {
       if (one != null) {
@@ -1006,101 +1006,101 @@
         }
       }
     }
-    partition.held = new LinkedHashMap<>();
+    partition.registers = new LinkedHashMap<>();
     for (final RegisterEntry entry : best.values()) {
-      final RegisterState held =
-          new RegisterState(entry.name, keepMillis, partition.ballot.round, versions);
-      held.proposed = held.kind.decode(entry.whole);
-      held.audit = entry.audit;
-      held.source = entry.mark;
-      held.mark = partition.ballot.at(++partition.count);
-      held.establishedMark = held.mark;
-      Arrays.fill(held.acked, -1);
-      Arrays.fill(held.sent, -1);
-      partition.held.put(entry.name, held);
+      final RegisterState register =
+          new RegisterState(entry.name, historyRetentionMillis, partition.ballot.round, takenVersions);
+      register.proposed = register.kind.decode(entry.whole);
+      register.audit = entry.audit;
+      register.promisedVersion = entry.mark;
+      register.version = partition.ballot.at(++partition.versionCount);
+      register.establishedVersion = register.version;
+      Arrays.fill(register.acked, -1);
+      Arrays.fill(register.sent, -1);
+      partition.registers.put(entry.name, register);
     }
     if (partition.number == 0) {
-      auditSequencer.begin(partition.held.values());
+      auditSequencer.restore(partition.registers.values());
     }
     partition.phase = Phase.ESTABLISHING;
     partition.startedAt = now;
-    for (int place = 0; place < roster.voters.size(); place++) {
-      if (!recovery.fetches(roster.voters.get(place).address)) {
-        sendEstablish(partition, place, now);
+    for (int voterIndex = 0; voterIndex < roster.voters.size(); voterIndex++) {
+      if (!recovery.isRecovering(roster.voters.get(voterIndex).address)) {
+        sendEstablishment(partition, voterIndex, now);
       }
     }
   }
 
-  private void sendEstablish(final Partition partition, final int place, final long now) {
-    final List<RegisterEntry> entries = new ArrayList<>(partition.held.size());
-    for (final RegisterState held : partition.held.values()) {
-      if (held.proposed != null) {
+  private void sendEstablishment(final Partition partition, final int voterIndex, final long now) {
+    final List<RegisterEntry> entries = new ArrayList<>(partition.registers.size());
+    for (final RegisterState register : partition.registers.values()) {
+      if (register.proposed != null) {
         entries.add(
             new RegisterEntry(
-                held.name,
-                held.mark,
+                register.name,
+                register.version,
                 RegisterVersion.NONE,
                 null,
-                held.kind.encode(held.proposed),
-                held.audit));
-        held.sent[place] = held.mark.count;
-        held.sentAt[place] = now;
+                register.kind.encode(register.proposed),
+                register.audit));
+        register.sent[voterIndex] = register.version.count;
+        register.sentAt[voterIndex] = now;
       }
     }
-    partition.establishSent[place] = true;
-    partition.establishSentAt[place] = now;
+    partition.establishmentSent[voterIndex] = true;
+    partition.establishmentSentAt[voterIndex] = now;
     send(
-        roster.voters.get(place).address,
+        roster.voters.get(voterIndex).address,
         new StateStoreMessages.Accept(
             partition.number,
             roster.number,
             partition.ballot,
             true,
-            partition.counted,
+            partition.countedIncarnations,
             entries,
-            knownIncarnations()),
+            voterIncarnations()),
         now);
   }
 
   private void onAccepted(
       final String from, final StateStoreMessages.Accepted accepted, final long now) {
     final Partition partition = partitions[accepted.partition];
-    final int place = roster.index(from);
+    final int voterIndex = roster.index(from);
     if (partition.phase != Phase.ESTABLISHING && partition.phase != Phase.SERVING
         || !partition.ballot.sameBallot(accepted.ballot)
-        || place < 0) {
+        || voterIndex < 0) {
       return;
     }
-    learn(roster.number, accepted.known);
-    if (restart.contains(partition) || accepted.incarnation != incarnationOf(from)) {
+    learnIncarnations(roster.number, accepted.known);
+    if (partitionsToRestart.contains(partition) || accepted.incarnation != incarnationOf(from)) {
       return;
     }
     final List<String> names = Protocol.list(accepted.names);
     for (int index = 0; index < names.size(); index++) {
-      final RegisterState held = partition.held.get(names.get(index));
-      if (held != null) {
-        held.acked[place] = Math.max(held.acked[place], accepted.counts.get(index));
+      final RegisterState register = partition.registers.get(names.get(index));
+      if (register != null) {
+        register.acked[voterIndex] = Math.max(register.acked[voterIndex], accepted.counts.get(index));
       }
     }
     if (accepted.establish) {
-      partition.establishAcked[place] = true;
+      partition.establishmentAcked[voterIndex] = true;
     }
-    partition.repairs[place].pause = 0;
+    partition.repairs[voterIndex].backoffMillis = 0;
     for (final String name : Protocol.list(accepted.lacking)) {
-      final RegisterState held = partition.held.get(name);
-      if (held != null) {
-        sendWhole(partition, held, place, now);
+      final RegisterState register = partition.registers.get(name);
+      if (register != null) {
+        sendWhole(partition, register, voterIndex, now);
       }
     }
     if (partition.phase == Phase.ESTABLISHING) {
-      if (count(partition.establishAcked) >= roster.majority()) {
-        serve(partition, now);
+      if (count(partition.establishmentAcked) >= roster.majority()) {
+        startServing(partition, now);
       }
     } else {
       for (final String name : names) {
-        final RegisterState held = partition.held.get(name);
-        if (held != null) {
-          tryCommit(partition, held, now);
+        final RegisterState register = partition.registers.get(name);
+        if (register != null) {
+          tryCommit(partition, register, now);
         }
       }
     }
@@ -1114,153 +1114,153 @@
     return count;
   }
 
-  private void serve(final Partition partition, final long now) {
+  private void startServing(final Partition partition, final long now) {
     partition.phase = Phase.SERVING;
     partition.servedAt = now;
-    partition.recent.clear();
-    partition.holder = self;
-    partition.betterSince = 0;
-    membership.settled(partition.number, roster.number);
-    for (final RegisterState held : partition.held.values()) {
-      held.committed = held.proposed;
-      if (held.kind == StoredValues.Kind.LOCK) {
-        held.expiresAt = now + ((StoredValues.Lock) held.committed).holdMillis;
-      } else if (held.kind == StoredValues.Kind.GROUP) {
-        for (final StoredValues.Put put : ((StoredValues.CellGroup) held.committed).history) {
-          held.putTimes.add(new long[] {put.revision, now});
+    partition.recentCalls.clear();
+    partition.leader = self;
+    partition.preferredRegionReadySince = 0;
+    membership.establishedRosters(partition.number, roster.number);
+    for (final RegisterState register : partition.registers.values()) {
+      register.committed = register.proposed;
+      if (register.kind == StoredValues.Kind.LOCK) {
+        register.expiresAt = now + ((StoredValues.Lock) register.committed).holdMillis;
+      } else if (register.kind == StoredValues.Kind.GROUP) {
+        for (final StoredValues.Put put : ((StoredValues.CellGroup) register.committed).history) {
+          register.putTimes.add(new long[] {put.revision, now});
         }
       }
     }
     LOGGER.atInfo().log(
         "frame %s serves partition %s under ballot %s, roster %s, registers %s",
-        self, partition.number, partition.ballot, roster.number, partition.held.size());
+        self, partition.number, partition.ballot, roster.number, partition.registers.size());
     if (partition.number == 0) {
-      audit.decided(auditSequencer.serve(), others());
-      final RegisterState held = partition.held.get("roster");
-      if (held != null && ((Roster) held.committed).number > roster.number) {
-        announce((Roster) held.committed, now);
+      audit.decided(auditSequencer.decideRestored(), otherReplicas());
+      final RegisterState register = partition.registers.get("roster");
+      if (register != null && ((Roster) register.committed).number > roster.number) {
+        announceRoster((Roster) register.committed, now);
       }
     }
-    pulse(partition, now);
+    sendHeartbeat(partition, now);
   }
 
-  private void announce(final Roster news, final long now) {
-    final List<String> told = new ArrayList<>(addresses(roster));
-    for (final String address : addresses(news)) {
-      if (!told.contains(address)) {
-        told.add(address);
+  private void announceRoster(final Roster update, final long now) {
+    final List<String> recipients = new ArrayList<>(addresses(roster));
+    for (final String address : addresses(update)) {
+      if (!recipients.contains(address)) {
+        recipients.add(address);
       }
     }
-    for (final String address : told) {
+    for (final String address : recipients) {
       if (!address.equals(self)) {
-        environment.send(address, new StateStoreMessages.RosterUpdate(news));
+        environment.send(address, new StateStoreMessages.RosterUpdate(update));
       }
     }
-    adopt(news, now);
+    adoptRoster(update, now);
   }
 
-  private void pulse(final Partition partition, final long now) {
-    partition.pulseCount++;
-    partition.pulsedAt = now;
+  private void sendHeartbeat(final Partition partition, final long now) {
+    partition.heartbeatCount++;
+    partition.heartbeatSentAt = now;
     broadcast(
         new StateStoreMessages.Heartbeat(
             roster.number,
             List.of(partition.number),
-            List.of(partition.ballot.at(partition.pulseCount))),
+            List.of(partition.ballot.at(partition.heartbeatCount))),
         now);
   }
 
-  private void pulseAll(final long now) {
+  private void sendHeartbeats(final long now) {
     final List<Integer> numbers = new ArrayList<>();
-    final List<RegisterVersion> marks = new ArrayList<>();
-    if (now - pulsedAllAt < PULSE_MILLIS) {
+    final List<RegisterVersion> ballots = new ArrayList<>();
+    if (now - heartbeatsSentAt < HEARTBEAT_INTERVAL_MILLIS) {
       return;
     }
-    pulsedAllAt = now;
+    heartbeatsSentAt = now;
     for (final Partition partition : partitions) {
-      if (partition.phase == Phase.SERVING && now - partition.pulsedAt >= PULSE_MILLIS / 2) {
-        partition.pulseCount++;
-        partition.pulsedAt = now;
+      if (partition.phase == Phase.SERVING && now - partition.heartbeatSentAt >= HEARTBEAT_INTERVAL_MILLIS / 2) {
+        partition.heartbeatCount++;
+        partition.heartbeatSentAt = now;
         numbers.add(partition.number);
-        marks.add(partition.ballot.at(partition.pulseCount));
+        ballots.add(partition.ballot.at(partition.heartbeatCount));
       }
     }
     if (!numbers.isEmpty()) {
-      broadcast(new StateStoreMessages.Heartbeat(roster.number, numbers, marks), now);
+      broadcast(new StateStoreMessages.Heartbeat(roster.number, numbers, ballots), now);
     }
   }
 
-  private long pulsedAllAt;
+  private long heartbeatsSentAt;
 
-  private void onPulsed(
+  private void onHeartbeatAck(
       final String from, final StateStoreMessages.HeartbeatAck ack, final long now) {
-    final int place = roster.index(from);
+    final int voterIndex = roster.index(from);
     final List<Integer> numbers = Protocol.list(ack.partitions);
     for (int index = 0; index < numbers.size(); index++) {
       final Partition partition = partitions[numbers.get(index)];
-      if (partition.phase.ordinal() > Phase.CANVASSING.ordinal()
+      if (partition.phase.ordinal() > Phase.PRE_VOTING.ordinal()
           && partition.ballot.sameBallot(ack.ballots.get(index))) {
-        learn(roster.number, ack.known);
+        learnIncarnations(roster.number, ack.known);
         break;
       }
     }
-    if (place < 0 || ack.incarnation != incarnationOf(from)) {
+    if (voterIndex < 0 || ack.incarnation != incarnationOf(from)) {
       return;
     }
     for (final Partition partition : partitions) {
       if (partition.phase == Phase.SERVING) {
-        partition.repairs[place].heardAt = now;
+        partition.repairs[voterIndex].heardAt = now;
       }
     }
     if (partitions[0].phase == Phase.SERVING) {
-      auditSequencer.logged(place, ack.audited);
-      auditSequencer.settle(roster);
+      auditSequencer.loggedThrough(voterIndex, ack.audited);
+      auditSequencer.trimTail(roster);
     }
     for (int index = 0; index < numbers.size(); index++) {
       final Partition partition = partitions[numbers.get(index)];
-      final RegisterVersion mark = ack.ballots.get(index);
+      final RegisterVersion version = ack.ballots.get(index);
       if (partition.phase == Phase.SERVING
-          && partition.ballot.sameBallot(mark)
-          && !restart.contains(partition)) {
-        partition.pulsed[place] = Math.max(partition.pulsed[place], mark.count);
-        confirmed(partition, now);
+          && partition.ballot.sameBallot(version)
+          && !partitionsToRestart.contains(partition)) {
+        partition.heartbeatAcked[voterIndex] = Math.max(partition.heartbeatAcked[voterIndex], version.count);
+        completeConfirmedReads(partition, now);
       }
     }
   }
 
-  private void confirmed(final Partition partition, final long now) {
-    final long[] sorted = partition.pulsed.clone();
+  private void completeConfirmedReads(final Partition partition, final long now) {
+    final long[] sorted = partition.heartbeatAcked.clone();
     Arrays.sort(sorted);
     final long reached = sorted[sorted.length - roster.majority()];
-    if (reached >= partition.pulseCount) {
-      partition.confirmOut = false;
+    if (reached >= partition.heartbeatCount) {
+      partition.confirmationInFlight = false;
     }
     if (!partition.waiters.isEmpty()) {
-      final List<Waiter> due = new ArrayList<>();
-      partition.waiters.removeIf(waiter -> waiter.needed <= reached && due.add(waiter));
-      for (final Waiter waiter : due) {
-        waiter.then.run();
+      final List<ConfirmationWaiter> due = new ArrayList<>();
+      partition.waiters.removeIf(waiter -> waiter.heartbeatNumber <= reached && due.add(waiter));
+      for (final ConfirmationWaiter waiter : due) {
+        waiter.onConfirmed.run();
       }
       if (!partition.waiters.isEmpty()
-          && !partition.confirmOut
+          && !partition.confirmationInFlight
           && partition.phase == Phase.SERVING) {
-        partition.confirmOut = true;
-        pulse(partition, now);
+        partition.confirmationInFlight = true;
+        sendHeartbeat(partition, now);
       }
     }
   }
 
-  private void confirm(
+  private void confirmLeadership(
       final Partition partition,
       final long now,
-      final RegisterState.Work work,
-      final Runnable then) {
-    if (!partition.confirmOut) {
-      partition.confirmOut = true;
-      partition.waiters.add(new Waiter(partition.pulseCount + 1, now, work, then));
-      pulse(partition, now);
+      final RegisterState.PendingRequest pending,
+      final Runnable onConfirmed) {
+    if (!partition.confirmationInFlight) {
+      partition.confirmationInFlight = true;
+      partition.waiters.add(new ConfirmationWaiter(partition.heartbeatCount + 1, now, pending, onConfirmed));
+      sendHeartbeat(partition, now);
     } else {
-      partition.waiters.add(new Waiter(partition.pulseCount + 1, now, work, then));
+      partition.waiters.add(new ConfirmationWaiter(partition.heartbeatCount + 1, now, pending, onConfirmed));
     }
   }
 
@@ -1269,10 +1269,10 @@
   /** A call from an exchange. */
   public void call(
       final StoreMessages.StoreRequest call,
-      final Consumer<StoreMessages.StoreResponse> line,
+      final Consumer<StoreMessages.StoreResponse> connection,
       final long now) {
     final Consumer<StoreMessages.StoreResponse> reply =
-        answer -> line.accept(answer.to(call.caller));
+        answer -> connection.accept(answer.to(call.caller));
     final StoreOperation operation = StoreOperation.of(call.deed);
     if (operation == null) {
       reply.accept(new StoreMessages.StoreResponse(call.number, 400, 0, null, null));
@@ -1282,80 +1282,80 @@
       reply.accept(history(call));
       return;
     }
-    final String register = operation.register(call.name);
-    final Partition partition = partitions[partition(register)];
+    final String registerName = operation.register(call.name);
+    final Partition partition = partitions[partitionOf(registerName)];
     if (partition.phase != Phase.SERVING || gracefulLeave.begun()) {
       reply.accept(
           new StoreMessages.StoreResponse(
-              call.number, 0, 0, null, self.equals(partition.holder) ? null : partition.holder));
+              call.number, 0, 0, null, self.equals(partition.leader) ? null : partition.leader));
       return;
     }
     if (operation == StoreOperation.CONTROL) {
-      control(partition, call, reply, now);
+      controlRequest(partition, call, reply, now);
       return;
     }
     if (operation == StoreOperation.HISTORY_HEAD) {
-      head(partition, call, reply, now);
+      historyHead(partition, call, reply, now);
       return;
     }
-    final RegisterState held = held(partition, register);
-    held.waiting.add(new RegisterState.Work(call, operation, reply, now));
-    drain(partition, held, now);
+    final RegisterState register = registerState(partition, registerName);
+    register.waiting.add(new RegisterState.PendingRequest(call, operation, reply, now));
+    processWaiting(partition, register, now);
   }
 
-  private RegisterState held(final Partition partition, final String register) {
-    return partition.held.computeIfAbsent(
-        register,
+  private RegisterState registerState(final Partition partition, final String registerName) {
+    return partition.registers.computeIfAbsent(
+        registerName,
         name -> {
-          final RegisterState held =
-              new RegisterState(name, keepMillis, partition.ballot.round, versions);
-          held.mark = partition.ballot;
-          Arrays.fill(held.acked, -1);
-          Arrays.fill(held.sent, -1);
-          return held;
+          final RegisterState register =
+              new RegisterState(name, historyRetentionMillis, partition.ballot.round, takenVersions);
+          register.version = partition.ballot;
+          Arrays.fill(register.acked, -1);
+          Arrays.fill(register.sent, -1);
+          return register;
         });
   }
 
-  private static StoreMessages.StoreResponse answer(
-      final RegisterState.Work work, final Decision decision) {
+  private static StoreMessages.StoreResponse response(
+      final RegisterState.PendingRequest pending, final Decision decision) {
     return new StoreMessages.StoreResponse(
-        work.call.number, decision.status, decision.first, decision.body, null);
+        pending.call.number, decision.status, decision.first, decision.body, null);
   }
 
-  private void drain(final Partition partition, final RegisterState held, final long now) {
-    final boolean waits = held.kind.audited() && auditSequencer.busy(held);
-    Object value = held.committed;
+  private void processWaiting(final Partition partition, final RegisterState register, final long now) {
+    final boolean mustWait = register.kind.isAudited() && auditSequencer.mustWait(register);
+    Object value = register.committed;
     boolean changed = false;
     final List<StoredValues.Put> puts = new ArrayList<>();
-    final List<RegisterState.Work> later = new ArrayList<>();
-    while (!held.waiting.isEmpty()) {
-      final RegisterState.Work work = held.waiting.poll();
-      if (work.operation == StoreOperation.CELL_READ
-          || work.operation == StoreOperation.SPEC_READ
-          || work.operation == StoreOperation.WATCH) {
-        look(partition, held, work, now);
+    final List<RegisterState.PendingRequest> later = new ArrayList<>();
+    while (!register.waiting.isEmpty()) {
+      final RegisterState.PendingRequest pending = register.waiting.poll();
+      if (pending.operation == StoreOperation.CELL_READ
+          || pending.operation == StoreOperation.CONFIGURATION_READ
+          || pending.operation == StoreOperation.WATCH) {
+        processRead(partition, register, pending, now);
         continue;
       }
-      if (held.inFlight || waits) {
-        later.add(work);
+      if (register.inFlight || mustWait) {
+        later.add(pending);
         continue;
       }
-      if (late(work.call, now)
-          || work.operation == StoreOperation.LOCK_BEGIN && !datable(partition, work.call, now)) {
-        work.reply.accept(redirect(work.call, partition));
+      if (expired(pending.call, now)
+          || pending.operation == StoreOperation.LOCK_BEGIN && !sendTimeComparable(partition, pending.call, now)) {
+        pending.reply.accept(redirectResponse(pending.call, partition));
         continue;
       }
-      final Decision decision = decide(partition, held, value, work, now);
-      if (decision.way == Decision.Way.WRITE) {
-        if (held.kind.audited()) {
+      final Decision decision = decide(partition, register, value, pending, now);
+      if (decision.action == Decision.Action.WRITE) {
+        if (register.kind.isAudited()) {
           auditSequencer.add(
               auditSequencer.draft(
-                  work.operation,
-                  work.call,
+                  pending.operation,
+                  pending.call,
                   value,
                   decision.value,
-                  work.call.first,
-                  controlMark(partition, held, decision.value),
+                  pending.call.first,
+                  controlSerial(partition, register, decision.value),
                   environment.timeOfDay()));
         }
         changed = true;
@@ -1363,236 +1363,236 @@
         if (decision.put != null) {
           puts.add(decision.put);
         }
-        held.uponCommit.add(new RegisterState.Proposal(work, decision));
+        register.awaitingCommit.add(new RegisterState.Proposal(pending, decision));
       } else if (changed) {
-        held.uponCommit.add(new RegisterState.Proposal(work, decision));
+        register.awaitingCommit.add(new RegisterState.Proposal(pending, decision));
       } else {
-        confirm(partition, now, work, () -> work.reply.accept(answer(work, decision)));
+        confirmLeadership(partition, now, pending, () -> pending.reply.accept(response(pending, decision)));
       }
     }
-    held.waiting.addAll(later);
+    register.waiting.addAll(later);
     if (changed) {
-      propose(partition, held, value, puts, now);
+      propose(partition, register, value, puts, now);
     }
   }
 
   /** Whether a copy was under way for too long; nothing is done for it. */
-  private static boolean late(final StoreMessages.StoreRequest call, final long now) {
-    return call.clock != null && now - call.clock > COPY_MILLIS;
+  private static boolean expired(final StoreMessages.StoreRequest call, final long now) {
+    return call.clock != null && now - call.clock > MAX_REQUEST_AGE_MILLIS;
   }
 
   /**
    * Whether a copy can be told to be of a call that was first sent before this duty began, or after
    * that.
    */
-  private static boolean datable(
+  private static boolean sendTimeComparable(
       final Partition partition, final StoreMessages.StoreRequest call, final long now) {
     return call.clock == null
         || call.clock - call.age >= partition.servedAt
-        || older(partition, call, now);
+        || predatesLeadership(partition, call, now);
   }
 
   /**
    * Whether a call was surely sent before this duty began, so that the holder before may have
    * carried it out.
    */
-  private static boolean older(
+  private static boolean predatesLeadership(
       final Partition partition, final StoreMessages.StoreRequest call, final long now) {
     return call.age > 0 && now - call.age < partition.servedAt;
   }
 
   private Decision decide(
       final Partition partition,
-      final RegisterState held,
+      final RegisterState register,
       final Object value,
-      final RegisterState.Work work,
+      final RegisterState.PendingRequest pending,
       final long now) {
-    if (!work.operation.once()) {
-      return work.operation.decide(held, value, work.call, now);
+    if (!pending.operation.needsDeduplication()) {
+      return pending.operation.decide(register, value, pending.call, now);
     }
-    final Decision before = partition.recent.before(work.call);
+    final Decision before = partition.recentCalls.find(pending.call);
     if (before != null) {
       return before;
     }
-    if (work.operation == StoreOperation.LOCK_BEGIN && older(partition, work.call, now)
-        || partition.recent.full(now)) {
+    if (pending.operation == StoreOperation.LOCK_BEGIN && predatesLeadership(partition, pending.call, now)
+        || partition.recentCalls.full(now)) {
       return Decision.confirm(504, 0);
     }
-    final Decision decision = work.operation.decide(held, value, work.call, now);
-    partition.recent.remember(work.call, decision, now);
+    final Decision decision = pending.operation.decide(register, value, pending.call, now);
+    partition.recentCalls.remember(pending.call, decision, now);
     return decision;
   }
 
-  private void look(
+  private void processRead(
       final Partition partition,
-      final RegisterState held,
-      final RegisterState.Work work,
+      final RegisterState register,
+      final RegisterState.PendingRequest pending,
       final long now) {
-    final Decision decision = work.operation.decide(held, held.committed, work.call, now);
-    switch (decision.way) {
+    final Decision decision = pending.operation.decide(register, register.committed, pending.call, now);
+    switch (decision.action) {
       case READ ->
-          confirm(
+          confirmLeadership(
               partition,
               now,
-              work,
+              pending,
               () ->
-                  work.reply.accept(answer(work, work.operation.read(held.committed, work.call))));
-      case PARK -> held.parked.add(work);
+                  pending.reply.accept(response(pending, pending.operation.read(register.committed, pending.call))));
+      case PARK -> register.parked.add(pending);
       case CONFIRM ->
-          confirm(partition, now, work, () -> work.reply.accept(answer(work, decision)));
-      default -> work.reply.accept(answer(work, decision));
+          confirmLeadership(partition, now, pending, () -> pending.reply.accept(response(pending, decision)));
+      default -> pending.reply.accept(response(pending, decision));
     }
   }
 
   private void propose(
       final Partition partition,
-      final RegisterState held,
+      final RegisterState register,
       final Object value,
       final List<StoredValues.Put> puts,
       final long now) {
-    final RegisterVersion base = held.mark;
-    final boolean fresh = held.committed == null;
-    if (held.kind.audited()) {
-      auditSequencer.propose(held);
-    }
-    held.inFlight = true;
-    held.proposed = value;
-    held.mark = partition.ballot.at(++partition.count);
+    final RegisterVersion base = register.version;
+    final boolean firstValue = register.committed == null;
+    if (register.kind.isAudited()) {
+      auditSequencer.propose(register);
+    }
+    register.inFlight = true;
+    register.proposed = value;
+    register.version = partition.ballot.at(++partition.versionCount);
     byte[] whole = null;
-    byte[] difference = null;
-    for (int place = 0; place < roster.voters.size(); place++) {
-      if (recovery.fetches(roster.voters.get(place).address)) {
+    byte[] delta = null;
+    for (int voterIndex = 0; voterIndex < roster.voters.size(); voterIndex++) {
+      if (recovery.isRecovering(roster.voters.get(voterIndex).address)) {
         continue;
       }
-      final boolean follows = !puts.isEmpty() && !fresh && held.sent[place] == base.count;
+      final boolean sendDelta = !puts.isEmpty() && !firstValue && register.sent[voterIndex] == base.count;
       final RegisterEntry entry;
-      if (follows) {
-        if (difference == null) {
-          difference =
+      if (sendDelta) {
+        if (delta == null) {
+          delta =
               Serializer.serialize(
                   new StoredValues.GroupDelta(puts, ((StoredValues.CellGroup) value).floor));
         }
-        entry = new RegisterEntry(held.name, held.mark, base, difference, null);
+        entry = new RegisterEntry(register.name, register.version, base, delta, null);
       } else {
         if (whole == null) {
-          whole = held.kind.encode(value);
+          whole = register.kind.encode(value);
         }
         entry =
-            new RegisterEntry(held.name, held.mark, RegisterVersion.NONE, null, whole, held.audit);
+            new RegisterEntry(register.name, register.version, RegisterVersion.NONE, null, whole, register.audit);
       }
-      held.sent[place] = held.mark.count;
-      held.sentAt[place] = now;
+      register.sent[voterIndex] = register.version.count;
+      register.sentAt[voterIndex] = now;
       send(
-          roster.voters.get(place).address,
+          roster.voters.get(voterIndex).address,
           new StateStoreMessages.Accept(
               partition.number,
               roster.number,
               partition.ballot,
               false,
-              partition.counted,
+              partition.countedIncarnations,
               List.of(entry)),
           now);
     }
   }
 
   private void sendWhole(
-      final Partition partition, final RegisterState held, final int place, final long now) {
-    if (held.proposed == null) {
+      final Partition partition, final RegisterState register, final int voterIndex, final long now) {
+    if (register.proposed == null) {
       return;
     }
-    held.sent[place] = held.mark.count;
-    held.sentAt[place] = now;
+    register.sent[voterIndex] = register.version.count;
+    register.sentAt[voterIndex] = now;
     send(
-        roster.voters.get(place).address,
+        roster.voters.get(voterIndex).address,
         new StateStoreMessages.Accept(
             partition.number,
             roster.number,
             partition.ballot,
             false,
-            partition.counted,
+            partition.countedIncarnations,
             List.of(
                 new RegisterEntry(
-                    held.name,
-                    held.mark,
+                    register.name,
+                    register.version,
                     RegisterVersion.NONE,
                     null,
-                    held.kind.encode(held.proposed),
-                    held.audit))),
+                    register.kind.encode(register.proposed),
+                    register.audit))),
         now);
   }
 
-  private void tryCommit(final Partition partition, final RegisterState held, final long now) {
-    if (!held.inFlight) {
+  private void tryCommit(final Partition partition, final RegisterState register, final long now) {
+    if (!register.inFlight) {
       return;
     }
     int count = 0;
-    for (int place = 0; place < roster.voters.size(); place++) {
-      count += held.acked[place] >= held.mark.count ? 1 : 0;
+    for (int voterIndex = 0; voterIndex < roster.voters.size(); voterIndex++) {
+      count += register.acked[voterIndex] >= register.version.count ? 1 : 0;
     }
     if (count < roster.majority()) {
       return;
     }
-    held.inFlight = false;
-    held.committed = held.proposed;
+    register.inFlight = false;
+    register.committed = register.proposed;
     commits++;
-    if (held.kind == StoredValues.Kind.LOCK) {
-      held.expiresAt =
-          Math.max(held.expiresAt, now + ((StoredValues.Lock) held.committed).holdMillis);
-      if (((StoredValues.Lock) held.committed).owner.isEmpty()) {
-        held.expiresAt = 0;
-      }
-    } else if (held.kind == StoredValues.Kind.GROUP) {
-      final StoredValues.CellGroup group = (StoredValues.CellGroup) held.committed;
-      final long last = held.putTimes.isEmpty() ? 0 : held.putTimes.peekLast()[0];
+    if (register.kind == StoredValues.Kind.LOCK) {
+      register.expiresAt =
+          Math.max(register.expiresAt, now + ((StoredValues.Lock) register.committed).holdMillis);
+      if (((StoredValues.Lock) register.committed).owner.isEmpty()) {
+        register.expiresAt = 0;
+      }
+    } else if (register.kind == StoredValues.Kind.GROUP) {
+      final StoredValues.CellGroup group = (StoredValues.CellGroup) register.committed;
+      final long last = register.putTimes.isEmpty() ? 0 : register.putTimes.peekLast()[0];
       for (final StoredValues.Put put : group.history) {
         if (put.revision > last) {
-          held.putTimes.add(new long[] {put.revision, now});
+          register.putTimes.add(new long[] {put.revision, now});
         }
       }
     }
-    final List<RegisterState.Proposal> answers = new ArrayList<>(held.uponCommit);
-    held.uponCommit.clear();
+    final List<RegisterState.Proposal> answers = new ArrayList<>(register.awaitingCommit);
+    register.awaitingCommit.clear();
     for (final RegisterState.Proposal one : answers) {
-      one.work.reply.accept(answer(one.work, one.decision));
+      one.pending.reply.accept(response(one.pending, one.decision));
     }
-    if (!held.parked.isEmpty()) {
-      final List<RegisterState.Work> parked = new ArrayList<>(held.parked);
-      held.parked.clear();
-      for (final RegisterState.Work work : parked) {
-        look(partition, held, work, now);
+    if (!register.parked.isEmpty()) {
+      final List<RegisterState.PendingRequest> parked = new ArrayList<>(register.parked);
+      register.parked.clear();
+      for (final RegisterState.PendingRequest pending : parked) {
+        processRead(partition, register, pending, now);
       }
     }
     if (partition.number == 0) {
-      if (held.kind == StoredValues.Kind.ROSTER) {
-        announce((Roster) held.committed, now);
+      if (register.kind == StoredValues.Kind.ROSTER) {
+        announceRoster((Roster) register.committed, now);
         return;
       }
-      wakeControl(partition, now);
-      if (held.kind.audited()) {
-        audit.decided(auditSequencer.commit(held), others());
-        for (final RegisterState other : new ArrayList<>(partition.held.values())) {
-          if (other != held && other.kind.audited() && !other.waiting.isEmpty()) {
-            drain(partition, other, now);
+      answerParkedControlRequests(partition, now);
+      if (register.kind.isAudited()) {
+        audit.decided(auditSequencer.commit(register), otherReplicas());
+        for (final RegisterState other : new ArrayList<>(partition.registers.values())) {
+          if (other != register && other.kind.isAudited() && !other.waiting.isEmpty()) {
+            processWaiting(partition, other, now);
           }
         }
       }
     }
-    drain(partition, held, now);
+    processWaiting(partition, register, now);
   }
 
   // ---- history
 
   /** Which number all evacuations and trials together are under. */
-  private static long controlMark(
-      final Partition partition, final RegisterState changing, final Object value) {
-    long mark = 0;
-    for (final RegisterState held : partition.held.values()) {
-      mark += StoredValues.serial(held.kind, held == changing ? value : held.committed);
+  private static long controlSerial(
+      final Partition partition, final RegisterState changed, final Object value) {
+    long serial = 0;
+    for (final RegisterState register : partition.registers.values()) {
+      serial += StoredValues.serial(register.kind, register == changed ? value : register.committed);
     }
-    return mark;
+    return serial;
   }
 
-  private List<String> others() {
+  private List<String> otherReplicas() {
     final List<String> others = new ArrayList<>(addresses(roster));
     for (final String joiner : membership.joiners()) {
       if (!others.contains(joiner)) {
@@ -1608,7 +1608,7 @@
    * known.
    */
   private List<String> auditPeers() {
-    final List<String> peers = others();
+    final List<String> peers = otherReplicas();
     if (peers.isEmpty()) {
       peers.addAll(seeds);
       peers.remove(self);
@@ -1623,7 +1623,7 @@
     int bytes = 0;
     final long from = Math.max(call.first, log.base() + 1);
     for (long sequence = from;
-        sequence <= log.last() && entries.size() < call.second && bytes < HISTORY_BYTES;
+        sequence <= log.last() && entries.size() < call.second && bytes < HISTORY_RESPONSE_BYTES;
         sequence++) {
       final byte[] entry = log.read(sequence);
       if (entry == null) {
@@ -1638,21 +1638,21 @@
         log.last(),
         Serializer.serialize(
             new StoredValues.HistoryPart(
-                log.base(), log.last(), log.digest(), log.conflicts(), blank, from, entries)),
+                log.base(), log.last(), log.digest(), log.conflicts(), recovering, from, entries)),
         null);
   }
 
-  private void head(
+  private void historyHead(
       final Partition partition,
       final StoreMessages.StoreRequest call,
       final Consumer<StoreMessages.StoreResponse> reply,
       final long now) {
-    final RegisterState.Work work =
-        new RegisterState.Work(call, StoreOperation.HISTORY_HEAD, reply, now);
-    confirm(
+    final RegisterState.PendingRequest pending =
+        new RegisterState.PendingRequest(call, StoreOperation.HISTORY_HEAD, reply, now);
+    confirmLeadership(
         partition,
         now,
-        work,
+        pending,
         () ->
             reply.accept(
                 new StoreMessages.StoreResponse(
@@ -1669,79 +1669,79 @@
    * Proposes, where nothing else is under way, what the history itself needs: its first entry in an
    * older store, and trimming.
    */
-  private void keepHistory(final Partition partition, final long now) {
-    auditSequencer.settle(roster);
+  private void maintainHistory(final Partition partition, final long now) {
+    auditSequencer.trimTail(roster);
     if (!auditSequencer.idle()) {
       return;
     }
-    final RegisterState held = held(partition, StoredValues.Kind.AUDIT.register(""));
-    final RegisterState spec = partition.held.get(StoredValues.Kind.SPEC.register(""));
+    final RegisterState register = registerState(partition, StoredValues.Kind.AUDIT.register(""));
+    final RegisterState configuration = partition.registers.get(StoredValues.Kind.CONFIGURATION.register(""));
     if (auditSequencer.decided() == 0) {
-      if (spec != null && spec.committed != null) {
+      if (configuration != null && configuration.committed != null) {
         auditSequencer.add(
-            auditSequencer.upgrade(
-                (StoredValues.StoredConfiguration) spec.committed, self, environment.timeOfDay()));
-        propose(partition, held, new StoredValues.Retention(0), List.of(), now);
+            auditSequencer.upgradeEntry(
+                (StoredValues.StoredConfiguration) configuration.committed, self, environment.timeOfDay()));
+        propose(partition, register, new StoredValues.Retention(0), List.of(), now);
       }
       return;
     }
     final AuditLog log = audit.log();
-    final long slack = Math.max(16, retention / 10);
-    final long through = auditSequencer.decided() - retention;
-    if (retention < Long.MAX_VALUE / 2
-        && auditSequencer.decided() - log.base() > retention + slack
+    final long slack = Math.max(16, auditRetention / 10);
+    final long through = auditSequencer.decided() - auditRetention;
+    if (auditRetention < Long.MAX_VALUE / 2
+        && auditSequencer.decided() - log.base() > auditRetention + slack
         && log.last() == auditSequencer.decided()
-        && through <= auditSequencer.settled(roster)) {
+        && through <= auditSequencer.majorityLogged(roster)) {
       final String digest = log.digestAt(through);
       if (digest != null) {
         auditSequencer.add(
-            auditSequencer.retention(through, digest, self, environment.timeOfDay()));
-        propose(partition, held, new StoredValues.Retention(through), List.of(), now);
+            auditSequencer.retentionEntry(through, digest, self, environment.timeOfDay()));
+        propose(partition, register, new StoredValues.Retention(through), List.of(), now);
       }
     }
   }
 
   // ---- control state for exchanges
 
-  private final List<RegisterState.Work> controlParked = new ArrayList<>();
+  private final List<RegisterState.PendingRequest> parkedControlRequests = new ArrayList<>();
 
-  private void control(
+  private void controlRequest(
       final Partition partition,
       final StoreMessages.StoreRequest call,
       final Consumer<StoreMessages.StoreResponse> reply,
       final long now) {
-    final RegisterState.Work work =
-        new RegisterState.Work(call, StoreOperation.CONTROL, reply, now);
-    confirm(
+    final RegisterState.PendingRequest pending =
+        new RegisterState.PendingRequest(call, StoreOperation.CONTROL, reply, now);
+    confirmLeadership(
         partition,
         now,
-        work,
+        pending,
         () -> {
-          if (!tellControl(partition, work, false)) {
-            controlParked.add(work);
+          if (!answerControlRequest(partition, pending, false)) {
+            parkedControlRequests.add(pending);
           }
         });
   }
 
-  private boolean tellControl(
-      final Partition partition, final RegisterState.Work work, final boolean always) {
-    final ControlView view = new ControlView(partition.held.values());
-    if (!always && !view.newsFor(work.call)) {
+  private boolean answerControlRequest(
+      final Partition partition, final RegisterState.PendingRequest pending, final boolean evenIfUnchanged) {
+    final ControlView view = new ControlView(partition.registers.values());
+    if (!evenIfUnchanged && !view.isNewerThan(pending.call)) {
       return false;
     }
-    final StoredValues.ControlSnapshot control = view.answer(work.call, roster);
-    work.reply.accept(
+    final StoredValues.ControlSnapshot control = view.snapshotFor(pending.call, roster);
+    pending.reply.accept(
         new StoreMessages.StoreResponse(
-            work.call.number, 200, view.version(), Serializer.serialize(control), null));
+            pending.call.number, 200, view.version(), Serializer.serialize(control), null));
     return true;
   }
 
-  private void wakeControl(final Partition partition, final long now) {
-    final List<RegisterState.Work> parked = new ArrayList<>(controlParked);
-    controlParked.clear();
-    for (final RegisterState.Work work : parked) {
-      if (!tellControl(partition, work, false)) {
-        controlParked.add(work);
+  private void answerParkedControlRequests(final Partition partition, final long now) {
+    final List<RegisterState.PendingRequest> parked = new ArrayList<>(parkedControlRequests);
+    parkedControlRequests.clear();
+    for (final RegisterState.PendingRequest pending : parked) {
+      if (!answerControlRequest(partition, pending, false)) {
+        parkedControlRequests.add(pending);
       }
     }
   }
@@ -1752,56 +1752,56 @@
    * Tells how the disk fares: for how long the present write has lasted, and whether it refuses
    * writes.
    */
-  public void disk(final long busyMillis, final boolean refusing, final long now) {
-    final boolean trouble = refusing || busyMillis > DISK_STUCK_MILLIS;
-    if (trouble && !diskTrouble) {
+  public void updateDiskState(final long writeMillis, final boolean failing, final long now) {
+    final boolean nowFailing = failing || writeMillis > DISK_STALL_TIMEOUT_MILLIS;
+    if (nowFailing && !diskFailing) {
       LOGGER.atWarning().log(
           "frame %s gives its duties up: its disk has hung for %s ms or refuses writes",
-          self, busyMillis);
+          self, writeMillis);
       resign(false, now);
     }
-    diskTrouble = trouble;
+    diskFailing = nowFailing;
   }
 
   /**
    * Gives all duties up because the process ends, and stays a voter until the others hold without
    * it all that this daemon counted for, or too long has passed; then the deed runs.
    */
-  public void leave(final Runnable gone, final long now) {
-    gracefulLeave.begin(gone, roster.number, now);
+  public void leave(final Runnable onStopped, final long now) {
+    gracefulLeave.begin(onStopped, roster.number, now);
     resign(true, now);
-    if (!votes()) {
-      depart(now);
+    if (!canVote()) {
+      completeLeave(now);
     }
   }
 
-  private void depart(final long now) {
-    if (!gracefulLeave.begun() || left) {
+  private void completeLeave(final long now) {
+    if (!gracefulLeave.begun() || stopped) {
       return;
     }
-    if (votes() && !gracefulLeave.released()) {
-      if (!gracefulLeave.late(now)) {
+    if (canVote() && !gracefulLeave.released()) {
+      if (!gracefulLeave.timedOut(now)) {
         return;
       }
       LOGGER.atWarning().log(
           "frame %s leaves although partitions %s may be on too few other disks: no holder has said within %s ms that a majority has them without it; bring it back with its disk, or replace it, before another voter is lost",
-          self, gracefulLeave.open(), GracefulLeave.MOST_MILLIS);
+          self, gracefulLeave.unreleased(), GracefulLeave.TIMEOUT_MILLIS);
     }
     resign(true, now);
-    left = true;
-    gracefulLeave.gone().run();
+    stopped = true;
+    gracefulLeave.onStopped().run();
   }
 
   /**
    * Tells a voter that leaves which partitions served here are on a majority of disks without it.
    */
-  private void release(final String from, final Consumer<Message> reply) {
-    final int place = roster.index(from);
+  private void sendReleased(final String from, final Consumer<Message> reply) {
+    final int voterIndex = roster.index(from);
     final List<Integer> numbers = new ArrayList<>();
     for (final Partition partition : partitions) {
       if (partition.phase == Phase.SERVING
-          && !restart.contains(partition)
-          && (place < 0 || heldWithout(partition, place))) {
+          && !partitionsToRestart.contains(partition)
+          && (voterIndex < 0 || storedWithout(partition, voterIndex))) {
         numbers.add(partition.number);
       }
     }
@@ -1810,22 +1810,22 @@
     }
   }
 
-  private boolean heldWithout(final Partition partition, final int leaver) {
+  private boolean storedWithout(final Partition partition, final int leavingIndex) {
     if (partition.number == 0
-        && auditSequencer.settledWithout(roster, leaver) < auditSequencer.decided()) {
+        && auditSequencer.majorityLoggedWithout(roster, leavingIndex) < auditSequencer.decided()) {
       return false;
     }
-    for (final RegisterState held : partition.held.values()) {
+    for (final RegisterState register : partition.registers.values()) {
       int count = 0;
-      for (int place = 0; place < roster.voters.size(); place++) {
+      for (int voterIndex = 0; voterIndex < roster.voters.size(); voterIndex++) {
         count +=
-            place != leaver
-                    && partition.establishAcked[place]
-                    && held.acked[place] >= held.mark.count
+            voterIndex != leavingIndex
+                    && partition.establishmentAcked[voterIndex]
+                    && register.acked[voterIndex] >= register.version.count
                 ? 1
                 : 0;
       }
-      if (count < roster.majority() && held.proposed != null) {
+      if (count < roster.majority() && register.proposed != null) {
         return false;
       }
     }
@@ -1835,23 +1835,23 @@
   private void onReleased(final StateStoreMessages.Released released, final long now) {
     if (gracefulLeave.begun() && released.roster >= gracefulLeave.roster()) {
       gracefulLeave.released(Protocol.list(released.partitions));
-      depart(now);
+      completeLeave(now);
     }
   }
 
-  private void resign(final boolean ending, final long now) {
+  private void resign(final boolean leaving, final long now) {
     final List<Integer> numbers = new ArrayList<>();
     for (final Partition partition : partitions) {
-      if (partition.phase.ordinal() > Phase.CANVASSING.ordinal()) {
+      if (partition.phase.ordinal() > Phase.PRE_VOTING.ordinal()) {
         numbers.add(partition.number);
         stepDown(partition, now);
-        partition.vacateAt = now + 3000;
+        partition.electionDueAt = now + 3000;
       }
     }
-    if (ending || !numbers.isEmpty()) {
+    if (leaving || !numbers.isEmpty()) {
       for (final Voter voter : roster.voters) {
         if (!voter.address.equals(self)) {
-          environment.send(voter.address, new StateStoreMessages.Resign(ending, numbers));
+          environment.send(voter.address, new StateStoreMessages.Resign(leaving, numbers));
         }
       }
     }
@@ -1859,61 +1859,61 @@
 
   /** Time has passed; to be called every few tens of milliseconds. */
   public void tick(final long now) {
-    if (left) {
+    if (stopped) {
       return;
     }
     if (gracefulLeave.begun()) {
-      depart(now);
-      if (left) {
+      completeLeave(now);
+      if (stopped) {
         return;
       }
-      if (gracefulLeave.again(now)) {
+      if (gracefulLeave.noticeDue(now)) {
         resign(true, now);
       }
     }
-    final int place = roster.index(self);
-    if (blank || place < 0 || roster.voters.get(place).site.isEmpty()) {
-      outsider(now);
+    final int voterIndex = roster.index(self);
+    if (recovering || voterIndex < 0 || roster.voters.get(voterIndex).site.isEmpty()) {
+      requestMembership(now);
     }
-    if (blank) {
+    if (recovering) {
       recovery.tick(now);
       return;
     }
     runRestarts(now);
-    pulseAll(now);
+    sendHeartbeats(now);
     for (final Partition partition : partitions) {
       switch (partition.phase) {
         case IDLE -> {
-          if (votes() && !diskTrouble && !gracefulLeave.begun() && now >= partition.vacateAt) {
-            canvass(partition, now);
+          if (canVote() && !diskFailing && !gracefulLeave.begun() && now >= partition.electionDueAt) {
+            startPreVote(partition, now);
           }
         }
-        case CANVASSING -> {
-          if (now - partition.canvassedAt > CANVASS_MILLIS) {
+        case PRE_VOTING -> {
+          if (now - partition.preVoteStartedAt > PRE_VOTE_TIMEOUT_MILLIS) {
             partition.phase = Phase.IDLE;
-            partition.vacateAt = Math.max(partition.vacateAt, now + random.nextInt(80));
+            partition.electionDueAt = Math.max(partition.electionDueAt, now + random.nextInt(80));
           }
         }
         case PREPARING, ESTABLISHING -> {
-          if (now - partition.startedAt > BALLOT_MILLIS) {
+          if (now - partition.startedAt > BALLOT_TIMEOUT_MILLIS) {
             stepDown(partition, now);
-            partition.vacateAt = now + rank(partition) * 100L + random.nextInt(300);
+            partition.electionDueAt = now + electionRank(partition) * 100L + random.nextInt(300);
           } else if (partition.phase == Phase.PREPARING) {
-            prepareAgain(partition, now);
+            retryPrepare(partition, now);
           }
         }
         default -> {
-          resend(partition, now);
-          expire(partition, now);
-          handOver(partition, now);
+          repairVoters(partition, now);
+          expirePending(partition, now);
+          handOverToPreferredRegion(partition, now);
         }
       }
     }
     audit.tick(auditPeers(), now);
     if (partitions[0].phase == Phase.SERVING) {
-      keepHistory(partitions[0], now);
-      changeRoster(now);
-      tellSeeds(now);
+      maintainHistory(partitions[0], now);
+      proposeRosterChange(now);
+      sendRosterToSeeds(now);
     }
   }
 
@@ -1923,122 +1923,122 @@
    * as it was goes as its old mark: who has it under that one needs no more. The partition counts
    * as established at a voter once all of it is there.
    */
-  private void resend(final Partition partition, final long now) {
-    for (int place = 0; place < roster.voters.size(); place++) {
-      final Partition.Repair repair = partition.repairs[place];
-      if (repair.heardAt <= repair.sentAt || now - repair.sentAt <= repair.pause) {
+  private void repairVoters(final Partition partition, final long now) {
+    for (int voterIndex = 0; voterIndex < roster.voters.size(); voterIndex++) {
+      final Partition.Repair repair = partition.repairs[voterIndex];
+      if (repair.heardAt <= repair.sentAt || now - repair.sentAt <= repair.backoffMillis) {
         continue;
       }
       final List<RegisterEntry> entries = new ArrayList<>();
       boolean whole = true;
       int bytes = 0;
-      for (final RegisterState held : partition.held.values()) {
-        if (held.proposed == null || held.acked[place] >= held.mark.count) {
+      for (final RegisterState register : partition.registers.values()) {
+        if (register.proposed == null || register.acked[voterIndex] >= register.version.count) {
           continue;
         }
-        whole &= held.acked[place] >= 0;
-        if (bytes < REPAIR_BYTES && now - held.sentAt[place] > RESEND_MILLIS) {
-          final boolean renamed = held.acked[place] < 0 && held.mark.equals(held.establishedMark);
-          final byte[] value = renamed ? StoredValues.UNCHANGED : held.kind.encode(held.proposed);
+        whole &= register.acked[voterIndex] >= 0;
+        if (bytes < REPAIR_MESSAGE_BYTES && now - register.sentAt[voterIndex] > RESEND_INTERVAL_MILLIS) {
+          final boolean versionOnly = register.acked[voterIndex] < 0 && register.version.equals(register.establishedVersion);
+          final byte[] value = versionOnly ? StoredValues.UNCHANGED : register.kind.encode(register.proposed);
           bytes +=
-              held.name.length()
-                  + ENTRY_BYTES
+              register.name.length()
+                  + ENTRY_OVERHEAD_BYTES
                   + value.length
-                  + (held.audit == null ? 0 : held.audit.length);
+                  + (register.audit == null ? 0 : register.audit.length);
           entries.add(
-              renamed
-                  ? new RegisterEntry(held.name, held.mark, held.source, value, null, held.audit)
+              versionOnly
+                  ? new RegisterEntry(register.name, register.version, register.promisedVersion, value, null, register.audit)
                   : new RegisterEntry(
-                      held.name, held.mark, RegisterVersion.NONE, null, value, held.audit));
-          held.sent[place] = held.mark.count;
-          held.sentAt[place] = now;
+                      register.name, register.version, RegisterVersion.NONE, null, value, register.audit));
+          register.sent[voterIndex] = register.version.count;
+          register.sentAt[voterIndex] = now;
         }
       }
       final boolean establish =
           whole
-              && !partition.establishAcked[place]
-              && now - partition.establishSentAt[place] > RESEND_MILLIS;
+              && !partition.establishmentAcked[voterIndex]
+              && now - partition.establishmentSentAt[voterIndex] > RESEND_INTERVAL_MILLIS;
       if (establish || !entries.isEmpty()) {
         repair.sentAt = now;
-        repair.pause =
-            repair.pause == 0 ? RESEND_MILLIS : Math.min(MOST_PAUSE_MILLIS, repair.pause * 2);
-        partition.establishSentAt[place] = establish ? now : partition.establishSentAt[place];
-        repaired += bytes;
+        repair.backoffMillis =
+            repair.backoffMillis == 0 ? RESEND_INTERVAL_MILLIS : Math.min(MAX_REPAIR_BACKOFF_MILLIS, repair.backoffMillis * 2);
+        partition.establishmentSentAt[voterIndex] = establish ? now : partition.establishmentSentAt[voterIndex];
+        repairedBytes += bytes;
         send(
-            roster.voters.get(place).address,
+            roster.voters.get(voterIndex).address,
             new StateStoreMessages.Accept(
                 partition.number,
                 roster.number,
                 partition.ballot,
                 establish,
-                partition.counted,
+                partition.countedIncarnations,
                 entries),
             now);
       }
     }
   }
 
-  private long repaired;
+  private long repairedBytes;
 
-  private void expire(final Partition partition, final long now) {
-    partition.waiters.removeIf(waiter -> now - waiter.receivedAt > STALE_WORK_MILLIS);
-    for (final RegisterState held : partition.held.values()) {
-      if (!held.waiting.isEmpty()) {
-        held.waiting.removeIf(work -> now - work.receivedAt > STALE_WORK_MILLIS);
+  private void expirePending(final Partition partition, final long now) {
+    partition.waiters.removeIf(waiter -> now - waiter.receivedAt > PENDING_REQUEST_TIMEOUT_MILLIS);
+    for (final RegisterState register : partition.registers.values()) {
+      if (!register.waiting.isEmpty()) {
+        register.waiting.removeIf(pending -> now - pending.receivedAt > PENDING_REQUEST_TIMEOUT_MILLIS);
       }
-      if (!held.parked.isEmpty()) {
-        held.parked.removeIf(
-            work -> {
-              if (now - work.receivedAt < work.call.second) {
+      if (!register.parked.isEmpty()) {
+        register.parked.removeIf(
+            pending -> {
+              if (now - pending.receivedAt < pending.call.second) {
                 return false;
               }
-              work.reply.accept(
+              pending.reply.accept(
                   new StoreMessages.StoreResponse(
-                      work.call.number,
+                      pending.call.number,
                       200,
-                      work.call.first,
+                      pending.call.first,
                       Serializer.serialize(
-                          new StoredValues.WatchEvents(List.of(), work.call.first)),
+                          new StoredValues.WatchEvents(List.of(), pending.call.first)),
                       null));
               return true;
             });
       }
     }
     if (partition.number == 0) {
-      controlParked.removeIf(
-          work -> now - work.receivedAt >= CONTROL_MILLIS && tellControl(partition, work, true));
+      parkedControlRequests.removeIf(
+          pending -> now - pending.receivedAt >= CONTROL_WAIT_TIMEOUT_MILLIS && answerControlRequest(partition, pending, true));
     }
   }
 
-  private void handOver(final Partition partition, final long now) {
-    final String best = bestRegion();
+  private void handOverToPreferredRegion(final Partition partition, final long now) {
+    final String best = preferredRegion();
     if (region.equals(best)) {
-      partition.betterSince = 0;
+      partition.preferredRegionReadySince = 0;
       return;
     }
-    int better = 0;
-    for (int place = 0; place < roster.voters.size(); place++) {
-      final Voter voter = roster.voters.get(place);
+    int candidates = 0;
+    for (int voterIndex = 0; voterIndex < roster.voters.size(); voterIndex++) {
+      final Voter voter = roster.voters.get(voterIndex);
       if (voter.region.equals(best)
-          && partition.pulsed[place] >= partition.pulseCount - 2
-          && partition.establishAcked[place]) {
-        better++;
+          && partition.heartbeatAcked[voterIndex] >= partition.heartbeatCount - 2
+          && partition.establishmentAcked[voterIndex]) {
+        candidates++;
       }
     }
-    if (better < 2) {
-      partition.betterSince = 0;
-    } else if (partition.betterSince == 0) {
-      partition.betterSince = now;
-    } else if (now - partition.betterSince > 3000) {
+    if (candidates < 2) {
+      partition.preferredRegionReadySince = 0;
+    } else if (partition.preferredRegionReadySince == 0) {
+      partition.preferredRegionReadySince = now;
+    } else if (now - partition.preferredRegionReadySince > 3000) {
       stepDown(partition, now);
-      partition.vacateAt = now + 2000;
+      partition.electionDueAt = now + 2000;
       broadcast(new StateStoreMessages.Resign(false, List.of(partition.number)), now);
     }
   }
 
-  private void outsider(final long now) {
-    final StateStoreMessages.MembershipRequest enquire = recovery.enquire(now);
-    if (enquire == null) {
+  private void requestMembership(final long now) {
+    final StateStoreMessages.MembershipRequest request = recovery.nextMembershipRequest(now);
+    if (request == null) {
       return;
     }
     final List<String> asked = new ArrayList<>(seeds);
@@ -2047,16 +2047,16 @@
         asked.add(address);
       }
     }
-    for (final String address : met) {
-      if (blank && !asked.contains(address)) {
+    for (final String address : peersSeen) {
+      if (recovering && !asked.contains(address)) {
         asked.add(address);
       }
     }
-    membership.describes(new Voter(self, site, region, List.of()));
+    membership.describe(new Voter(self, site, region, List.of()));
     for (final String address : asked) {
       if (!address.equals(self)) {
-        environment.send(address, enquire);
-        if (!blank && mayVote) {
+        environment.send(address, request);
+        if (!recovering && mayVote) {
           environment.send(
               address, new StateStoreMessages.Join(new Voter(self, site, region, List.of())));
         }
@@ -2068,11 +2068,11 @@
    * Seeds that are neither voters nor known to wait may have lost their disks and know nobody: they
    * are told who votes.
    */
-  private void tellSeeds(final long now) {
-    if (now - seedsToldAt < SEEDS_MILLIS) {
+  private void sendRosterToSeeds(final long now) {
+    if (now - seedsUpdatedAt < SEED_UPDATE_INTERVAL_MILLIS) {
       return;
     }
-    seedsToldAt = now;
+    seedsUpdatedAt = now;
     for (final String seed : seeds) {
       if (!seed.equals(self) && roster.index(seed) < 0 && !membership.joiners().contains(seed)) {
         environment.send(seed, new StateStoreMessages.RosterUpdate(roster));
@@ -2080,19 +2080,19 @@
     }
   }
 
-  private long seedsToldAt;
+  private long seedsUpdatedAt;
 
-  private void changeRoster(final long now) {
+  private void proposeRosterChange(final long now) {
     final Partition partition = partitions[0];
-    final RegisterState held = held(partition, "roster");
-    if (held.inFlight
-        || held.committed != null && ((Roster) held.committed).number > roster.number
-        || auditSequencer.settled(roster) < auditSequencer.decided()) {
+    final RegisterState register = registerState(partition, "roster");
+    if (register.inFlight
+        || register.committed != null && ((Roster) register.committed).number > roster.number
+        || auditSequencer.majorityLogged(roster) < auditSequencer.decided()) {
       return;
     }
-    final Roster next = membership.next(roster, now);
+    final Roster next = membership.nextRoster(roster, now);
     if (next != null) {
-      propose(partition, held, next, List.of(), now);
+      propose(partition, register, next, List.of(), now);
     }
   }
 
@@ -2104,8 +2104,8 @@
   }
 
   /** Whether this daemon has forgotten what it held and must not vote. */
-  public boolean blank() {
-    return blank;
+  public boolean recovering() {
+    return recovering;
   }
 
   /** The partitions that this daemon serves. */
@@ -2124,12 +2124,12 @@
 
   /** The counters of the history, as one line. */
   public String historyCounters() {
-    return audit.counters() + " " + recovery.counters() + " repaired " + repaired / 1024 + " KB";
+    return audit.counters() + " " + recovery.counters() + " repaired " + repairedBytes / 1024 + " KB";
   }
 
   /** Ballots begun here. */
-  public long ballots() {
-    return ballots;
+  public long ballotsStarted() {
+    return ballotsStarted;
   }
 
   /** Values that became lasting here. */
--- a/statestore/src/main/java/weldpoint/statestore/StoreOperation.java
+++ b/statestore/src/main/java/weldpoint/statestore/StoreOperation.java
@@ -19,38 +19,38 @@
    * its compressed bytes; the answer's first is 0 if it alters nothing, since this or a later one
    * holds. Status 409 if the version stands for another one.
    */
-  SPEC_REPLACE(StoredValues.Kind.SPEC) {
+  CONFIGURATION_REPLACE(StoredValues.Kind.CONFIGURATION) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
-      final StoredConfiguration spec = (StoredConfiguration) value;
-      return spec != null && call.first <= spec.version
-          ? held.versions.decide(spec, call)
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
+      final StoredConfiguration configuration = (StoredConfiguration) value;
+      return configuration != null && call.first <= configuration.version
+          ? register.takenVersions.decide(configuration, call)
           : Decision.write(
               new StoredConfiguration(
                   call.first,
                   call.body,
                   call.origin == null ? null : call.origin.extra,
                   call.second == 1,
-                  TakenVersions.content(call)),
+                  TakenVersions.contentDigest(call)),
               null,
               call.first);
     }
   },
   /** Reads the configuration: first is its version, body its compressed bytes. */
-  SPEC_READ(StoredValues.Kind.SPEC) {
+  CONFIGURATION_READ(StoredValues.Kind.CONFIGURATION) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
       return Decision.read();
     }
 
     @Override
     Decision read(final Object value, final StoreRequest call) {
-      final StoredConfiguration spec = (StoredConfiguration) value;
-      return spec == null
-          ? Decision.tell(404, 0, null)
-          : Decision.tell(200, spec.version, spec.body);
+      final StoredConfiguration configuration = (StoredConfiguration) value;
+      return configuration == null
+          ? Decision.reply(404, 0, null)
+          : Decision.reply(200, configuration.version, configuration.compressedBody);
     }
   },
   /**
@@ -60,12 +60,12 @@
   EVACUATE(StoredValues.Kind.EVACUATION) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
       final Evacuation evacuation = value == null ? new Evacuation(false, 0) : (Evacuation) value;
-      if (call.caller != 0 && call.second != held.ticket()) {
+      if (call.caller != 0 && call.second != register.ticket()) {
         return Decision.confirm(410, 0);
       }
-      held.grants++;
+      register.ticketCount++;
       final boolean wanted = call.first == 1;
       return evacuation.on == wanted
           ? Decision.confirm(200, evacuation.serial)
@@ -79,7 +79,7 @@
   TRIAL_WRITE(StoredValues.Kind.TRIAL) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
       final weldpoint.transport.TrialMessages.Trial before =
           (weldpoint.transport.TrialMessages.Trial) value;
       final weldpoint.transport.TrialMessages.Trial next =
@@ -104,24 +104,24 @@
   PURGE(StoredValues.Kind.PURGES) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
       final weldpoint.transport.CacheMessages.Purges before =
           value == null
               ? new weldpoint.transport.CacheMessages.Purges(0, 0, List.of())
               : (weldpoint.transport.CacheMessages.Purges) value;
-      final String named = new String(call.body, java.nio.charset.StandardCharsets.UTF_8);
+      final String target = new String(call.body, java.nio.charset.StandardCharsets.UTF_8);
       final long serial = before.mark + 1;
-      final List<weldpoint.transport.CacheMessages.Purge> all =
+      final List<weldpoint.transport.CacheMessages.Purge> purges =
           new ArrayList<>(weldpoint.transport.Protocol.list(before.purges));
-      all.add(
+      purges.add(
           call.owner == null
-              ? new weldpoint.transport.CacheMessages.Purge(serial, null, null, named)
-              : new weldpoint.transport.CacheMessages.Purge(serial, call.owner, named, null));
-      while (all.size() > MOST_PURGES) {
-        all.remove(0);
+              ? new weldpoint.transport.CacheMessages.Purge(serial, null, null, target)
+              : new weldpoint.transport.CacheMessages.Purge(serial, call.owner, target, null));
+      while (purges.size() > MAX_PURGES) {
+        purges.remove(0);
       }
       return Decision.write(
-          new weldpoint.transport.CacheMessages.Purges(all.get(0).serial - 1, serial, all),
+          new weldpoint.transport.CacheMessages.Purges(purges.get(0).serial - 1, serial, purges),
           null,
           serial);
     }
@@ -130,7 +130,7 @@
   ELECTORATE(StoredValues.Kind.ELECTORATE) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
       final weldpoint.transport.RegionMessages.Electorate before =
           (weldpoint.transport.RegionMessages.Electorate) value;
       final weldpoint.transport.RegionMessages.Electorate next =
@@ -145,10 +145,10 @@
    * Waits for control state newer than version first and the marks of evacuations and trials,
    * second.
    */
-  CONTROL(StoredValues.Kind.SPEC) {
+  CONTROL(StoredValues.Kind.CONFIGURATION) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
       return Decision.read();
     }
   },
@@ -156,16 +156,16 @@
   LOCK_BEGIN(StoredValues.Kind.LOCK) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
       final Lock lock = value == null ? new Lock("", 0, 0) : (Lock) value;
-      if (!lock.owner.isEmpty() && now < held.expiresAt) {
+      if (!lock.owner.isEmpty() && now < register.expiresAt) {
         if (!lock.owner.equals(call.owner)) {
           return Decision.confirm(409, 0);
         }
-        return extend(held, lock, call, now);
+        return extend(register, lock, call, now);
       }
-      held.grants++;
-      held.expiresAt = now + call.first;
+      register.ticketCount++;
+      register.expiresAt = now + call.first;
       return Decision.write(new Lock(call.owner, lock.fence + 1, call.first), null, lock.fence + 1);
     }
   },
@@ -173,15 +173,15 @@
   LOCK_HEARTBEAT(StoredValues.Kind.LOCK) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
       final Lock lock = (Lock) value;
       if (lock == null
           || !lock.owner.equals(call.owner)
           || lock.fence != call.second
-          || now >= held.expiresAt) {
+          || now >= register.expiresAt) {
         return Decision.confirm(409, 0);
       }
-      return extend(held, lock, call, now);
+      return extend(register, lock, call, now);
     }
   },
   /**
@@ -191,17 +191,17 @@
   LOCK_TICKET(StoredValues.Kind.LOCK) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
-      return Decision.confirm(200, held.ticket());
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
+      return Decision.confirm(200, register.ticket());
     }
   },
   /** Gives a lock of fence second back, under the ticket first. */
   LOCK_FINISH(StoredValues.Kind.LOCK) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
       final Lock lock = (Lock) value;
-      if (call.first != held.ticket()) {
+      if (call.first != register.ticket()) {
         return Decision.confirm(410, 0);
       }
       return lock == null || !lock.owner.equals(call.owner) || lock.fence != call.second
@@ -213,7 +213,7 @@
   NUMBER(StoredValues.Kind.NUMBER) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
       final long next = value == null ? 1 : ((StoredValues.Number) value).value + 1;
       return Decision.write(new StoredValues.Number(next), null, next);
     }
@@ -225,10 +225,10 @@
   CELL_REPLACE(StoredValues.Kind.GROUP) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
       final CellGroup group = value == null ? CellGroup.EMPTY : (CellGroup) value;
       final String name = new String(call.body, java.nio.charset.StandardCharsets.UTF_8);
-      final Put before = group.first(name, call.owner);
+      final Put before = group.findPut(name, call.owner);
       if (before != null) {
         return Decision.confirm(200, before.revision);
       }
@@ -238,14 +238,14 @@
         return Decision.confirm(412, revision);
       }
       final Put put = new Put(name, call.owner, group.revision + 1);
-      return Decision.write(group.with(List.of(put), held.floor(now)), put, put.revision);
+      return Decision.write(group.with(List.of(put), register.historyFloor(now)), put, put.revision);
     }
   },
   /** Reads a key (body names it). */
   CELL_READ(StoredValues.Kind.GROUP) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
       return Decision.read();
     }
 
@@ -255,8 +255,8 @@
       final Put put =
           group.cells.get(new String(call.body, java.nio.charset.StandardCharsets.UTF_8));
       return put == null
-          ? Decision.tell(404, 0, null)
-          : Decision.tell(
+          ? Decision.reply(404, 0, null)
+          : Decision.reply(
               200, put.revision, put.value.getBytes(java.nio.charset.StandardCharsets.UTF_8));
     }
   },
@@ -264,7 +264,7 @@
   WATCH(StoredValues.Kind.GROUP) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
       if (call.first == 0) {
         return Decision.read();
       }
@@ -278,7 +278,7 @@
     @Override
     Decision read(final Object value, final StoreRequest call) {
       final CellGroup group = value == null ? CellGroup.EMPTY : (CellGroup) value;
-      return Decision.tell(
+      return Decision.reply(
           200,
           group.revision,
           Serializer.serialize(new StoredValues.WatchEvents(List.of(), group.revision)));
@@ -291,7 +291,7 @@
   HISTORY_HEAD(StoredValues.Kind.AUDIT) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
       return Decision.read();
     }
   },
@@ -299,7 +299,7 @@
   HISTORY_READ(StoredValues.Kind.AUDIT) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
       return Decision.read();
     }
   },
@@ -310,7 +310,7 @@
   PLACEMENT_WRITE(StoredValues.Kind.PLACEMENT) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
       final PlacementMessages.Placement next =
           Serializer.deserialize(call.body, PlacementMessages.Placement.class);
       final long serial = value == null ? 0 : ((PlacementMessages.Placement) value).serial;
@@ -320,10 +320,10 @@
     }
   },
   /** Writes which exchange keeps placements (body), if its serial follows the one there. */
-  KEEPER_WRITE(StoredValues.Kind.KEEPER) {
+  PLACEMENT_OWNER_WRITE(StoredValues.Kind.PLACEMENT_OWNER) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
       final PlacementMessages.PlacementOwner next =
           Serializer.deserialize(call.body, PlacementMessages.PlacementOwner.class);
       final long serial = value == null ? 0 : ((PlacementMessages.PlacementOwner) value).serial;
@@ -339,8 +339,8 @@
   EVACUATION_TICKET(StoredValues.Kind.EVACUATION) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
-      return Decision.confirm(200, held.ticket());
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
+      return Decision.confirm(200, register.ticket());
     }
   },
   /**
@@ -351,7 +351,7 @@
   OWNERSHIP_WRITE(StoredValues.Kind.OWNERSHIP) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
       final OwnershipMessages.Assignment next =
           Serializer.deserialize(call.body, OwnershipMessages.Assignment.class);
       final long serial = value == null ? 0 : ((OwnershipMessages.Assignment) value).serial;
@@ -361,7 +361,7 @@
     }
   };
 
-  private static final int MOST_PURGES = 200;
+  private static final int MAX_PURGES = 200;
   private static final StoreOperation[] ALL = values();
   private final StoredValues.Kind kind;
 
@@ -376,10 +376,10 @@
 
   /** The register that a call of this deed concerns. */
   public String register(final String identifier) {
-    return kind == StoredValues.Kind.SPEC
+    return kind == StoredValues.Kind.CONFIGURATION
             || kind == StoredValues.Kind.PURGES
             || kind == StoredValues.Kind.AUDIT
-            || kind == StoredValues.Kind.KEEPER
+            || kind == StoredValues.Kind.PLACEMENT_OWNER
         ? kind.register("")
         : kind.register(identifier);
   }
@@ -388,20 +388,20 @@
    * Whether a copy that comes late would do something that the first did not, so that it must be
    * known by its identity.
    */
-  boolean once() {
+  boolean needsDeduplication() {
     return this == LOCK_BEGIN || this == NUMBER || this == PURGE;
   }
 
-  abstract Decision decide(RegisterState held, Object value, StoreRequest call, long now);
+  abstract Decision decide(RegisterState register, Object value, StoreRequest call, long now);
 
   Decision read(final Object value, final StoreRequest call) {
     throw new IllegalStateException(this + " reads nothing");
   }
 
   private static Decision extend(
-      final RegisterState held, final Lock lock, final StoreRequest call, final long now) {
-    held.grants++;
-    held.expiresAt = Math.max(held.expiresAt, now + call.first);
+      final RegisterState register, final Lock lock, final StoreRequest call, final long now) {
+    register.ticketCount++;
+    register.expiresAt = Math.max(register.expiresAt, now + call.first);
     return call.first > lock.holdMillis
         ? Decision.write(new Lock(lock.owner, lock.fence, call.first), null, lock.fence)
         : Decision.confirm(200, lock.fence);
@@ -414,7 +414,7 @@
         events.add(put);
       }
     }
-    return Decision.tell(
+    return Decision.reply(
         200,
         group.revision,
         Serializer.serialize(new StoredValues.WatchEvents(events, group.revision)));
--- a/statestore/src/main/java/weldpoint/statestore/StoredValues.java
+++ b/statestore/src/main/java/weldpoint/statestore/StoredValues.java
@@ -23,14 +23,14 @@
   /** The kinds of registers, told apart by the beginning of their names. */
   public enum Kind {
     ROSTER("roster", StateStoreMessages.Roster.class),
-    SPEC("spec", StoredConfiguration.class),
+    CONFIGURATION("spec", StoredConfiguration.class),
     EVACUATION("evacuation/", Evacuation.class),
     TRIAL("trial/", TrialMessages.Trial.class),
     PURGES("purges", CacheMessages.Purges.class),
     ELECTORATE("electorate/", RegionMessages.Electorate.class),
     AUDIT("audit", Retention.class),
     PLACEMENT("placement/", PlacementMessages.Placement.class),
-    KEEPER("keeper", PlacementMessages.PlacementOwner.class),
+    PLACEMENT_OWNER("keeper", PlacementMessages.PlacementOwner.class),
     OWNERSHIP("ownership/", OwnershipMessages.Assignment.class),
     LOCK("lock/", Lock.class),
     NUMBER("number/", Number.class),
@@ -55,13 +55,13 @@
     }
 
     /** Whether it belongs to the control state, which one partition holds together. */
-    public boolean control() {
+    public boolean isControl() {
       return ordinal() < LOCK.ordinal();
     }
 
     /** Whether a change of it is a change of routing, which the history records. */
-    public boolean audited() {
-      return this == SPEC || this == EVACUATION || this == TRIAL || this == AUDIT;
+    public boolean isAudited() {
+      return this == CONFIGURATION || this == EVACUATION || this == TRIAL || this == AUDIT;
     }
 
     /** The name of the register of this kind for an identifier. */
@@ -80,8 +80,8 @@
     }
 
     /** A value changed by a difference; only groups have them. */
-    public Object apply(final Object value, final byte[] difference) {
-      final GroupDelta change = Serializer.deserialize(difference, GroupDelta.class);
+    public Object apply(final Object value, final byte[] delta) {
+      final GroupDelta change = Serializer.deserialize(delta, GroupDelta.class);
       return (value == null ? CellGroup.EMPTY : (CellGroup) value)
           .with(Protocol.list(change.puts), change.floor);
     }
@@ -94,22 +94,22 @@
    */
   public static final class StoredConfiguration {
     public final long version;
-    public final byte[] body;
-    public final byte[] summary;
-    public final boolean tied;
-    public final byte[] content;
+    public final byte[] compressedBody;
+    public final byte[] compressedSummary;
+    public final boolean hasAffinity;
+    public final byte[] contentDigest;
 
     public StoredConfiguration(
         final long version,
-        final byte[] body,
-        final byte[] summary,
-        final boolean tied,
-        final byte[] content) {
-      this.content = content;
-      this.tied = tied;
+        final byte[] compressedBody,
+        final byte[] compressedSummary,
+        final boolean hasAffinity,
+        final byte[] contentDigest) {
+      this.contentDigest = contentDigest;
+      this.hasAffinity = hasAffinity;
       this.version = version;
-      this.body = body;
-      this.summary = summary;
+      this.compressedBody = compressedBody;
+      this.compressedSummary = compressedSummary;
     }
   }
 
@@ -144,7 +144,7 @@
     public final long last;
     public final String digest;
     public final long conflicts;
-    public final boolean blank;
+    public final boolean recovering;
     public final long from;
     public final List<byte[]> entries;
 
@@ -153,14 +153,14 @@
         final long last,
         final String digest,
         final long conflicts,
-        final boolean blank,
+        final boolean recovering,
         final long from,
         final List<byte[]> entries) {
       this.base = base;
       this.last = last;
       this.digest = digest;
       this.conflicts = conflicts;
-      this.blank = blank;
+      this.recovering = recovering;
       this.from = from;
       this.entries = entries;
     }
@@ -289,7 +289,7 @@
     }
 
     /** The first put of this value to this key that is still known; null where there is none. */
-    public Put first(final String name, final String value) {
+    public Put findPut(final String name, final String value) {
       for (final Put put : history) {
         if (put.name.equals(name) && put.value.equals(value)) {
           return put;
@@ -305,30 +305,30 @@
     }
 
     static CellGroup decode(final byte[] bytes) {
-      final GroupSnapshot packed = Serializer.deserialize(bytes, GroupSnapshot.class);
+      final GroupSnapshot snapshot = Serializer.deserialize(bytes, GroupSnapshot.class);
       final Map<String, Put> cells = new LinkedHashMap<>();
-      for (final Put put : Protocol.list(packed.cells)) {
+      for (final Put put : Protocol.list(snapshot.cells)) {
         cells.put(put.name, put);
       }
-      return new CellGroup(cells, Protocol.list(packed.history), packed.revision, packed.floor);
+      return new CellGroup(cells, Protocol.list(snapshot.history), snapshot.revision, snapshot.floor);
     }
   }
 
   /** What exchanges learn of control state. */
   public static final class ControlSnapshot {
     public final long version;
-    public final byte[] spec;
+    public final byte[] configuration;
     public final List<String> evacuated;
-    public final long evacuationMark;
+    public final long evacuationSerial;
     public final StateStoreMessages.Roster roster;
     public final List<TrialMessages.Trial> trials;
-    public final long trialMark;
+    public final long trialSerial;
     public final CacheMessages.Purges purges;
     public final List<RegionMessages.Electorate> electorates;
-    public final boolean tied;
-    public final long placementMark;
+    public final boolean hasAffinity;
+    public final long placementSerial;
     public final List<PlacementMessages.Placement> placements;
-    public final PlacementMessages.PlacementOwner keeper;
+    public final PlacementMessages.PlacementOwner placementOwner;
 
     /** Who holds the keys of divided services; null where nothing is news. */
     public final List<OwnershipMessages.Assignment> assignments;
@@ -336,64 +336,64 @@
     /** Control state without divided services. */
     public ControlSnapshot(
         final long version,
-        final byte[] spec,
+        final byte[] configuration,
         final List<String> evacuated,
-        final long evacuationMark,
+        final long evacuationSerial,
         final StateStoreMessages.Roster roster,
         final List<TrialMessages.Trial> trials,
-        final long trialMark,
+        final long trialSerial,
         final CacheMessages.Purges purges,
         final List<RegionMessages.Electorate> electorates,
-        final boolean tied,
-        final long placementMark,
+        final boolean hasAffinity,
+        final long placementSerial,
         final List<PlacementMessages.Placement> placements,
-        final PlacementMessages.PlacementOwner keeper) {
+        final PlacementMessages.PlacementOwner placementOwner) {
       this(
           version,
-          spec,
+          configuration,
           evacuated,
-          evacuationMark,
+          evacuationSerial,
           roster,
           trials,
-          trialMark,
+          trialSerial,
           purges,
           electorates,
-          tied,
-          placementMark,
+          hasAffinity,
+          placementSerial,
           placements,
-          keeper,
+          placementOwner,
           null);
     }
 
     /** Control state. */
     public ControlSnapshot(
         final long version,
-        final byte[] spec,
+        final byte[] configuration,
         final List<String> evacuated,
-        final long evacuationMark,
+        final long evacuationSerial,
         final StateStoreMessages.Roster roster,
         final List<TrialMessages.Trial> trials,
-        final long trialMark,
+        final long trialSerial,
         final CacheMessages.Purges purges,
         final List<RegionMessages.Electorate> electorates,
-        final boolean tied,
-        final long placementMark,
+        final boolean hasAffinity,
+        final long placementSerial,
         final List<PlacementMessages.Placement> placements,
-        final PlacementMessages.PlacementOwner keeper,
+        final PlacementMessages.PlacementOwner placementOwner,
         final List<OwnershipMessages.Assignment> assignments) {
       this.assignments = assignments;
-      this.tied = tied;
-      this.placementMark = placementMark;
+      this.hasAffinity = hasAffinity;
+      this.placementSerial = placementSerial;
       this.placements = placements;
-      this.keeper = keeper;
+      this.placementOwner = placementOwner;
       this.electorates = electorates;
       this.purges = purges;
       this.trials = trials;
-      this.trialMark = trialMark;
+      this.trialSerial = trialSerial;
       this.version = version;
-      this.spec = spec;
+      this.configuration = configuration;
       this.evacuated = evacuated;
-      this.evacuationMark = evacuationMark;
+      this.evacuationSerial = evacuationSerial;
       this.roster = roster;
     }
   }
--- a/statestore/src/main/java/weldpoint/statestore/TakenVersions.java
+++ b/statestore/src/main/java/weldpoint/statestore/TakenVersions.java
@@ -30,26 +30,26 @@
    * What is to be said of a configuration whose version is not above the one held: the same one
    * again, another one, or one that is not known.
    */
-  Decision decide(final StoredConfiguration held, final StoreRequest call) {
-    final AuditEntry entry = entry(call.first);
-    if (call.first == held.version) {
-      return Arrays.equals(content(held), content(call)) ? again() : taken(call.first, entry);
+  Decision decide(final StoredConfiguration current, final StoreRequest call) {
+    final AuditEntry entry = findEntry(call.first);
+    if (call.first == current.version) {
+      return Arrays.equals(contentDigest(current), contentDigest(call)) ? alreadyApplied() : versionConflict(call.first, entry);
     }
     if (entry == null) {
-      return complete() ? again() : Decision.confirm(504, 0);
+      return historyComplete() ? alreadyApplied() : Decision.confirm(504, 0);
     }
     if (entry.content == null) {
-      return again();
+      return alreadyApplied();
     }
-    return Arrays.equals(entry.content, content(call)) ? again() : taken(call.first, entry);
+    return Arrays.equals(entry.content, contentDigest(call)) ? alreadyApplied() : versionConflict(call.first, entry);
   }
 
-  private static Decision again() {
+  private static Decision alreadyApplied() {
     return Decision.confirm(200, 0);
   }
 
-  private Decision taken(final long version, final AuditEntry entry) {
-    if (entry == null && !complete()) {
+  private Decision versionConflict(final long version, final AuditEntry entry) {
+    if (entry == null && !historyComplete()) {
       return Decision.confirm(504, 0);
     }
     final boolean known = entry != null && entry.kind() == ChangeKind.CONFIGURATION;
@@ -60,31 +60,31 @@
             new TakenVersion(version, known ? entry.author : "", known ? entry.time : 0)));
   }
 
-  private AuditEntry entry(final long version) {
-    final AuditEntry young = auditSequencer.taking(version);
-    return young == null ? log.taking(version) : young;
+  private AuditEntry findEntry(final long version) {
+    final AuditEntry recent = auditSequencer.entryForVersion(version);
+    return recent == null ? log.taking(version) : recent;
   }
 
   /** Whether every entry that is kept is here: in the log, or in the tail after it. */
-  private boolean complete() {
+  private boolean historyComplete() {
     return log.last() >= auditSequencer.tailBase();
   }
 
   /** What a configuration says, by the digest of its canonical form. */
-  static byte[] content(final StoredConfiguration spec) {
-    return spec.content == null ? content(spec.body) : spec.content;
+  static byte[] contentDigest(final StoredConfiguration configuration) {
+    return configuration.contentDigest == null ? contentDigest(configuration.compressedBody) : configuration.contentDigest;
   }
 
   /** What a configuration that is sent says. */
-  static byte[] content(final StoreRequest call) {
-    return call.content == null ? content(call.body) : call.content;
+  static byte[] contentDigest(final StoreRequest call) {
+    return call.content == null ? contentDigest(call.body) : call.content;
   }
 
-  private static byte[] content(final byte[] packed) {
+  private static byte[] contentDigest(final byte[] compressed) {
     try {
-      return CanonicalJson.digest(Compression.inflate(packed));
+      return CanonicalJson.digest(Compression.inflate(compressed));
     } catch (final WeldpointException damaged) {
-      return CanonicalJson.digest(packed);
+      return CanonicalJson.digest(compressed);
     }
   }
 }
--- a/statestore/src/main/java/weldpoint/statestore/TokenAssignment.java
+++ b/statestore/src/main/java/weldpoint/statestore/TokenAssignment.java
@@ -12,14 +12,14 @@
  */
 public final class TokenAssignment {
   /** Q, the number of tokens. */
-  public static final int COUNT = 64;
+  public static final int TOKENS = 64;
 
   private TokenAssignment() {}
 
   /** The tokens that a member takes at the very first start. */
   public static List<Integer> initial(final int index, final int members) {
     final List<Integer> tokens = new ArrayList<>();
-    for (int token = index; token < COUNT; token += members) {
+    for (int token = index; token < TOKENS; token += members) {
       tokens.add(token);
     }
     return tokens;
@@ -34,7 +34,7 @@
       lists.add(new ArrayList<>(weldpoint.transport.Protocol.list(voter.tokens)));
     }
     final List<Integer> taken = new ArrayList<>();
-    final int share = COUNT / (roster.voters.size() + 1);
+    final int share = TOKENS / (roster.voters.size() + 1);
     while (taken.size() < share) {
       List<Integer> most = lists.get(0);
       for (final List<Integer> list : lists) {
@@ -52,16 +52,16 @@
   }
 
   /** The roster without a member, whose tokens go one by one to those who have fewest. */
-  public static Roster without(final Roster roster, final Voter gone) {
+  public static Roster without(final Roster roster, final Voter removed) {
     final List<List<Integer>> lists = new ArrayList<>();
-    final List<Voter> staying = new ArrayList<>();
+    final List<Voter> remaining = new ArrayList<>();
     for (final Voter voter : roster.voters) {
-      if (!voter.address.equals(gone.address)) {
-        staying.add(voter);
+      if (!voter.address.equals(removed.address)) {
+        remaining.add(voter);
         lists.add(new ArrayList<>(weldpoint.transport.Protocol.list(voter.tokens)));
       }
     }
-    for (final int token : weldpoint.transport.Protocol.list(gone.tokens)) {
+    for (final int token : weldpoint.transport.Protocol.list(removed.tokens)) {
       List<Integer> least = lists.get(0);
       for (final List<Integer> list : lists) {
         least = list.size() < least.size() ? list : least;
@@ -70,7 +70,7 @@
     }
     final List<Voter> voters = new ArrayList<>();
     for (int index = 0; index < lists.size(); index++) {
-      final Voter voter = staying.get(index);
+      final Voter voter = remaining.get(index);
       voters.add(new Voter(voter.address, voter.site, voter.region, lists.get(index)));
     }
     return new Roster(roster.number + 1, voters);
--- a/statestore/src/main/java/weldpoint/statestore/VoterSelection.java
+++ b/statestore/src/main/java/weldpoint/statestore/VoterSelection.java
@@ -15,18 +15,18 @@
  * good.
  */
 final class VoterSelection {
-  private static final int LEAST = 3;
+  private static final int MIN_VOTERS = 3;
 
   private VoterSelection() {}
 
   /** How good a set of voters is; the smaller, the better. */
-  private record Cost(int crowded, int away, int zones, int regions) {
-    boolean below(final Cost other) {
+  private record Cost(int crowded, int unreachable, int zones, int regions) {
+    boolean isBelow(final Cost other) {
       if (crowded != other.crowded) {
         return crowded < other.crowded;
       }
-      if (away != other.away) {
-        return away < other.away;
+      if (unreachable != other.unreachable) {
+        return unreachable < other.unreachable;
       }
       return zones != other.zones ? zones < other.zones : regions < other.regions;
     }
@@ -42,23 +42,23 @@
     return voter.region == null || voter.region.isEmpty() ? voter.address : voter.region;
   }
 
-  private static Cost cost(final List<Voter> voters, final Set<String> away, final int size) {
+  private static Cost cost(final List<Voter> voters, final Set<String> unreachable, final int size) {
     final Map<String, Integer> zones = new HashMap<>();
     final Map<String, Integer> regions = new HashMap<>();
-    int out = 0;
+    int unreachableVoters = 0;
     for (final Voter voter : voters) {
       zones.merge(zone(voter), 1, Integer::sum);
       regions.merge(region(voter), 1, Integer::sum);
-      out += away.contains(voter.address) ? 1 : 0;
+      unreachableVoters += unreachable.contains(voter.address) ? 1 : 0;
     }
     int crowded = 0;
     for (final int count : zones.values()) {
       crowded += Math.max(0, count - (size - 1) / 2);
     }
-    return new Cost(crowded, out, squares(zones.values()), squares(regions.values()));
+    return new Cost(crowded, unreachableVoters, sumOfSquares(zones.values()), sumOfSquares(regions.values()));
   }
 
-  private static int squares(final Collection<Integer> counts) {
+  private static int sumOfSquares(final Collection<Integer> counts) {
     int sum = 0;
     for (final int count : counts) {
       sum += count * count;
@@ -74,20 +74,20 @@
    */
   static List<Voter> best(
       final List<Voter> voters,
-      final Set<String> away,
-      final List<Voter> newcomers,
-      final int most) {
+      final Set<String> unreachable,
+      final List<Voter> joiners,
+      final int maxVoters) {
     final List<Voter> chosen = new ArrayList<>(voters);
-    final List<Voter> others = new ArrayList<>(newcomers);
-    final int size = Math.min(most, voters.size() + newcomers.size());
+    final List<Voter> others = new ArrayList<>(joiners);
+    final int size = Math.min(maxVoters, voters.size() + joiners.size());
     while (chosen.size() > size) {
       Voter worst = null;
       Cost least = null;
       for (final Voter voter : chosen) {
         final List<Voter> without = new ArrayList<>(chosen);
         without.remove(voter);
-        final Cost cost = cost(without, away, size);
-        if (least == null || !least.below(cost)) {
+        final Cost cost = cost(without, unreachable, size);
+        if (least == null || !least.isBelow(cost)) {
           least = cost;
           worst = voter;
         }
@@ -100,8 +100,8 @@
       for (final Voter voter : others) {
         final List<Voter> with = new ArrayList<>(chosen);
         with.add(voter);
-        final Cost cost = cost(with, away, size);
-        if (least == null || cost.below(least)) {
+        final Cost cost = cost(with, unreachable, size);
+        if (least == null || cost.isBelow(least)) {
           least = cost;
           best = voter;
         }
@@ -109,41 +109,41 @@
       chosen.add(best);
       others.remove(best);
     }
-    while (exchangeOne(chosen, others, away, size)) {
+    while (replaceOne(chosen, others, unreachable, size)) {
       continue;
     }
-    if (size > LEAST && size % 2 == 0) {
+    if (size > MIN_VOTERS && size % 2 == 0) {
       chosen.stream()
-          .filter(voter -> away.contains(voter.address))
+          .filter(voter -> unreachable.contains(voter.address))
           .findFirst()
           .ifPresent(chosen::remove);
     }
     return chosen;
   }
 
-  private static boolean exchangeOne(
-      final List<Voter> chosen, final List<Voter> others, final Set<String> away, final int size) {
-    Cost least = cost(chosen, away, size);
-    Voter in = null;
-    Voter out = null;
+  private static boolean replaceOne(
+      final List<Voter> chosen, final List<Voter> others, final Set<String> unreachable, final int size) {
+    Cost least = cost(chosen, unreachable, size);
+    Voter added = null;
+    Voter removed = null;
     for (final Voter other : others) {
-      for (int place = chosen.size() - 1; place >= 0; place--) {
-        final List<Voter> exchanged = new ArrayList<>(chosen);
-        exchanged.set(place, other);
-        final Cost cost = cost(exchanged, away, size);
-        if (cost.below(least)) {
+      for (int voterIndex = chosen.size() - 1; voterIndex >= 0; voterIndex--) {
+        final List<Voter> candidate = new ArrayList<>(chosen);
+        candidate.set(voterIndex, other);
+        final Cost cost = cost(candidate, unreachable, size);
+        if (cost.isBelow(least)) {
           least = cost;
-          in = other;
-          out = chosen.get(place);
+          added = other;
+          removed = chosen.get(voterIndex);
         }
       }
     }
-    if (in == null) {
+    if (added == null) {
       return false;
     }
-    chosen.set(chosen.indexOf(out), in);
-    others.remove(in);
-    others.add(out);
+    chosen.set(chosen.indexOf(removed), added);
+    others.remove(added);
+    others.add(removed);
     return true;
   }
 
@@ -151,25 +151,25 @@
    * How many of these voters more than a majority are left if the zone is lost that holds most of
    * those in reach; below zero where none is left.
    */
-  static int spareAfterZoneLoss(final List<Voter> voters, final Set<String> away) {
+  static int spareAfterZoneLoss(final List<Voter> voters, final Set<String> unreachable) {
     final Map<String, Integer> zones = new HashMap<>();
-    int here = 0;
-    int most = 0;
+    int reachable = 0;
+    int largestZone = 0;
     for (final Voter voter : voters) {
-      if (!away.contains(voter.address)) {
-        here++;
-        most = Math.max(most, zones.merge(zone(voter), 1, Integer::sum));
+      if (!unreachable.contains(voter.address)) {
+        reachable++;
+        largestZone = Math.max(largestZone, zones.merge(zone(voter), 1, Integer::sum));
       }
     }
-    return here - most - (voters.size() / 2 + 1);
+    return reachable - largestZone - (voters.size() / 2 + 1);
   }
 
   /** How many of these voters more than a majority are in reach. */
-  static int spare(final List<Voter> voters, final Set<String> away) {
-    int here = 0;
+  static int spare(final List<Voter> voters, final Set<String> unreachable) {
+    int reachable = 0;
     for (final Voter voter : voters) {
-      here += away.contains(voter.address) ? 0 : 1;
+      reachable += unreachable.contains(voter.address) ? 0 : 1;
     }
-    return here - (voters.size() / 2 + 1);
+    return reachable - (voters.size() / 2 + 1);
   }
 }
--- a/statestore/src/test/java/weldpoint/statestore/FencingTest.java
+++ b/statestore/src/test/java/weldpoint/statestore/FencingTest.java
@@ -49,7 +49,7 @@
     replica.start(List.of(), true, 0);
   }
 
-  private Message say(final String from, final Message message) {
+  private Message receive(final String from, final Message message) {
     answers.clear();
     replica.receive(from, message, answers::add, 10);
     return answers.isEmpty() ? null : answers.get(0);
@@ -62,22 +62,22 @@
 
   @Test
   public void aBallotThatCountedAnOvertakenIncarnationIsRefused() {
-    assertTrue(say("10.0.0.3", accept(5, 1)) instanceof StateStoreMessages.Accepted);
+    assertTrue(receive("10.0.0.3", accept(5, 1)) instanceof StateStoreMessages.Accepted);
     assertTrue(
-        say("10.0.0.2", new StateStoreMessages.RecoveryRequest(2))
+        receive("10.0.0.2", new StateStoreMessages.RecoveryRequest(2))
             instanceof StateStoreMessages.RecoveryResponse);
-    final Message refused = say("10.0.0.3", accept(6, 1));
+    final Message refused = receive("10.0.0.3", accept(6, 1));
     assertTrue(refused instanceof StateStoreMessages.Refused);
     assertEquals(((StateStoreMessages.Refused) refused).known, List.of(1L, 2L, 1L));
-    assertTrue(say("10.0.0.3", accept(7, 2)) instanceof StateStoreMessages.Accepted);
+    assertTrue(receive("10.0.0.3", accept(7, 2)) instanceof StateStoreMessages.Accepted);
   }
 
   @Test
   public void aLowerBallotIsRefusedWithTheOnePromised() {
     assertTrue(
-        say("10.0.0.2", new StateStoreMessages.Prepare(3, 1, new RegisterVersion(8, 4, 0)))
+        receive("10.0.0.2", new StateStoreMessages.Prepare(3, 1, new RegisterVersion(8, 4, 0)))
             instanceof StateStoreMessages.Promise);
-    final Message refused = say("10.0.0.3", accept(7, 1));
+    final Message refused = receive("10.0.0.3", accept(7, 1));
     assertEquals(((StateStoreMessages.Refused) refused).promised, new RegisterVersion(8, 4, 0));
   }
 
@@ -85,8 +85,8 @@
   public void anOldRosterIsAnsweredWithTheNewerOne() {
     final StateStoreMessages.Roster next =
         new StateStoreMessages.Roster(2, replica.roster().voters);
-    assertEquals(say("10.0.0.2", new StateStoreMessages.RosterUpdate(next)), null);
-    final Message answer = say("10.0.0.3", accept(9, 1));
+    assertEquals(receive("10.0.0.2", new StateStoreMessages.RosterUpdate(next)), null);
+    final Message answer = receive("10.0.0.3", accept(9, 1));
     assertEquals(((StateStoreMessages.RosterUpdate) answer).roster.number, 2);
   }
 
--- a/statestore/src/test/java/weldpoint/statestore/RecentCallsTest.java
+++ b/statestore/src/test/java/weldpoint/statestore/RecentCallsTest.java
@@ -23,33 +23,33 @@
   public void aCallIsKnownByCallerAndNumber() {
     final RecentCalls recent = new RecentCalls();
     recent.remember(call(1, 5), Decision.confirm(200, 77), 0);
-    assertEquals(recent.before(call(1, 5)).first, 77);
-    assertNull(recent.before(call(2, 5)), "another life's number");
-    assertNull(recent.before(call(1, 6)));
+    assertEquals(recent.find(call(1, 5)).first, 77);
+    assertNull(recent.find(call(2, 5)), "another life's number");
+    assertNull(recent.find(call(1, 6)));
     recent.remember(call(0, 5), Decision.confirm(200, 78), 0);
-    assertNull(recent.before(call(0, 5)), "a call that names nobody");
+    assertNull(recent.find(call(0, 5)), "a call that names nobody");
   }
 
   @Test
   public void itIsRememberedAsLongAsACopyCanBeUnderWay() {
     final RecentCalls recent = new RecentCalls();
     recent.remember(call(1, 5), Decision.confirm(200, 77), 1000);
-    assertFalse(recent.full(1000 + RecentCalls.KEEP_MILLIS));
+    assertFalse(recent.full(1000 + RecentCalls.RETENTION_MILLIS));
     assertEquals(recent.size(), 1);
-    assertTrue(RecentCalls.KEEP_MILLIS >= 900 + StateStoreReplica.COPY_MILLIS);
-    assertFalse(recent.full(1001 + RecentCalls.KEEP_MILLIS));
+    assertTrue(RecentCalls.RETENTION_MILLIS >= 900 + StateStoreReplica.MAX_REQUEST_AGE_MILLIS);
+    assertFalse(recent.full(1001 + RecentCalls.RETENTION_MILLIS));
     assertEquals(recent.size(), 0);
   }
 
   @Test
   public void noMoreThanItsBoundIsKeptAndNothingYoungIsForgotten() {
     final RecentCalls recent = new RecentCalls();
-    for (int number = 1; number <= RecentCalls.MOST; number++) {
+    for (int number = 1; number <= RecentCalls.MAX_CALLS; number++) {
       assertFalse(recent.full(number / 10));
       recent.remember(call(1, number), Decision.confirm(200, number), number / 10);
     }
     assertTrue(recent.full(1000));
-    assertEquals(recent.before(call(1, 1)).first, 1);
-    assertFalse(recent.full(RecentCalls.KEEP_MILLIS + 1));
+    assertEquals(recent.find(call(1, 1)).first, 1);
+    assertFalse(recent.full(RecentCalls.RETENTION_MILLIS + 1));
   }
 }
--- a/statestore/src/test/java/weldpoint/statestore/ThawTest.java
+++ b/statestore/src/test/java/weldpoint/statestore/ThawTest.java
@@ -30,25 +30,25 @@
 
   private record Event(long at, long order, Runnable action) {}
 
-  private static final class Frames {
-    final Map<String, StateStoreReplica> cores = new LinkedHashMap<>();
-    final Map<String, Map<String, java.util.ArrayDeque<Runnable>>> heldUp = new LinkedHashMap<>();
-    final List<String> frozen = new ArrayList<>();
+  private static final class Cluster {
+    final Map<String, StateStoreReplica> replicas = new LinkedHashMap<>();
+    final Map<String, Map<String, java.util.ArrayDeque<Runnable>>> delayed = new LinkedHashMap<>();
+    final List<String> paused = new ArrayList<>();
     final PriorityQueue<Event> events =
         new PriorityQueue<>(
             java.util.Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
-    final UnaryOperator<Message> meddler;
+    final UnaryOperator<Message> messageFilter;
     final Random random;
     long now = 100_000;
     long order;
     long calls;
 
-    Frames(final long seed, final UnaryOperator<Message> meddler) {
+    Cluster(final long seed, final UnaryOperator<Message> messageFilter) {
       this.random = new Random(seed);
-      this.meddler = meddler;
+      this.messageFilter = messageFilter;
       for (final String address : SEEDS) {
-        heldUp.put(address, new LinkedHashMap<>());
-        cores.put(
+        delayed.put(address, new LinkedHashMap<>());
+        replicas.put(
             address,
             new StateStoreReplica(
                 address,
@@ -63,30 +63,30 @@
                 new StateStoreReplica.Environment() {
                   @Override
                   public void send(final String to, final Message message) {
-                    post(address, to, message);
+                    deliver(address, to, message);
                   }
 
                   @Override
                   public void append(final byte[] record, final Runnable synced) {
-                    at(address, "disk", 2, synced);
+                    schedule(address, "disk", 2, synced);
                   }
 
                   @Override
                   public void peers(final List<String> addresses) {}
                 }));
       }
-      cores.values().forEach(replica -> replica.start(List.of(), true, now));
+      replicas.values().forEach(replica -> replica.start(List.of(), true, now));
     }
 
-    private void at(
+    private void schedule(
         final String address, final String source, final long millis, final Runnable action) {
       events.add(
           new Event(
               now + millis,
               ++order,
               () -> {
-                if (frozen.contains(address)) {
-                  heldUp
+                if (paused.contains(address)) {
+                  delayed
                       .get(address)
                       .computeIfAbsent(source, key -> new java.util.ArrayDeque<>())
                       .add(action);
@@ -96,37 +96,37 @@
               }));
     }
 
-    private void post(final String from, final String to, final Message message) {
-      if (!cores.containsKey(to)) {
+    private void deliver(final String from, final String to, final Message message) {
+      if (!replicas.containsKey(to)) {
         return;
       }
       final byte[] bytes = Serializer.serialize(message);
-      at(
+      schedule(
           to,
           from,
           1 + random.nextInt(4),
           () ->
-              cores
+              replicas
                   .get(to)
                   .receive(
                       from,
-                      meddler.apply((Message) Serializer.deserialize(bytes, message.getClass())),
-                      answer -> post(to, from, answer),
+                      messageFilter.apply((Message) Serializer.deserialize(bytes, message.getClass())),
+                      answer -> deliver(to, from, answer),
                       now));
     }
 
-    void freeze(final String address) {
-      frozen.add(address);
+    void pause(final String address) {
+      paused.add(address);
     }
 
-    void thaw(final String address, final boolean tickFirst) {
-      frozen.remove(address);
+    void resume(final String address, final boolean tickFirst) {
+      paused.remove(address);
       if (tickFirst) {
-        cores.get(address).tick(now);
+        replicas.get(address).tick(now);
       }
       final Map<String, java.util.ArrayDeque<Runnable>> waiting =
-          new LinkedHashMap<>(heldUp.get(address));
-      heldUp.get(address).clear();
+          new LinkedHashMap<>(delayed.get(address));
+      delayed.get(address).clear();
       while (!waiting.isEmpty()) {
         final List<String> sources = new ArrayList<>(waiting.keySet());
         final String source =
@@ -138,7 +138,7 @@
       }
     }
 
-    void pass(final long millis) {
+    void advance(final long millis) {
       final long end = now + millis;
       while (now < end) {
         now++;
@@ -146,9 +146,9 @@
           events.poll().action.run();
         }
         if (now % 50 == 0) {
-          cores.forEach(
+          replicas.forEach(
               (address, replica) -> {
-                if (!frozen.contains(address)) {
+                if (!paused.contains(address)) {
                   replica.tick(now);
                 }
               });
@@ -175,7 +175,7 @@
               first,
               second,
               body == null ? null : body.getBytes(StandardCharsets.UTF_8));
-      at(to, "caller", 1, () -> cores.get(to).call(call, answers::add, now));
+      schedule(to, "caller", 1, () -> replicas.get(to).call(call, answers::add, now));
       return answers;
     }
 
@@ -183,12 +183,12 @@
      * The frame that answers calls for the lock's, the number's and the key's registers; null where
      * none does.
      */
-    String holder(final StoreOperation operation, final String name, final String body) {
+    String findLeader(final StoreOperation operation, final String name, final String body) {
       for (final String address : SEEDS) {
-        if (!frozen.contains(address)) {
+        if (!paused.contains(address)) {
           final List<StoreMessages.StoreResponse> answers =
               call(address, operation, name, "o", -1, 0, body);
-          pass(60);
+          advance(60);
           if (answers.stream()
               .anyMatch(
                   answer -> answer.status == 200 || answer.status == 404 || answer.status == 409)) {
@@ -209,44 +209,44 @@
    * One story: what was answered by the holder of before after others had acknowledged something
    * newer; empty where all was right.
    */
-  private static List<String> story(final long seed, final UnaryOperator<Message> meddler) {
-    final Frames frames = new Frames(seed, meddler);
+  private static List<String> runScenario(final long seed, final UnaryOperator<Message> messageFilter) {
+    final Cluster cluster = new Cluster(seed, messageFilter);
     final List<String> faults = new ArrayList<>();
-    frames.pass(3000);
-    final String old = frames.holder(StoreOperation.CELL_READ, "g.", "g.k");
-    assertTrue(old != null, "nobody serves");
+    cluster.advance(3000);
+    final String oldLeader = cluster.findLeader(StoreOperation.CELL_READ, "g.", "g.k");
+    assertTrue(oldLeader != null, "nobody serves");
     final List<StoreMessages.StoreResponse> first =
-        frames.call(old, StoreOperation.CELL_REPLACE, "g.", "one", -1, 0, "g.k");
-    frames.pass(100);
+        cluster.call(oldLeader, StoreOperation.CELL_REPLACE, "g.", "one", -1, 0, "g.k");
+    cluster.advance(100);
     assertEquals(first.get(0).status, 200);
     final List<StoreMessages.StoreResponse> early =
-        frames.call(old, StoreOperation.CELL_READ, "g.", null, 0, 0, "g.k");
+        cluster.call(oldLeader, StoreOperation.CELL_READ, "g.", null, 0, 0, "g.k");
     final List<StoreMessages.StoreResponse> earlyPut =
-        frames.call(old, StoreOperation.CELL_REPLACE, "g.", "late", first.get(0).first, 0, "g.k");
-    frames.pass(1 + seed % 13);
-    frames.freeze(old);
-    frames.pass(1500);
-    String holder = null;
-    for (int round = 0; round < 30 && holder == null; round++) {
-      holder = frames.holder(StoreOperation.CELL_READ, "g.", "g.k");
-      frames.pass(100);
+        cluster.call(oldLeader, StoreOperation.CELL_REPLACE, "g.", "late", first.get(0).first, 0, "g.k");
+    cluster.advance(1 + seed % 13);
+    cluster.pause(oldLeader);
+    cluster.advance(1500);
+    String newLeader = null;
+    for (int round = 0; round < 30 && newLeader == null; round++) {
+      newLeader = cluster.findLeader(StoreOperation.CELL_READ, "g.", "g.k");
+      cluster.advance(100);
     }
-    assertTrue(holder != null && !holder.equals(old), "nobody took over");
+    assertTrue(newLeader != null && !newLeader.equals(oldLeader), "nobody took over");
     final List<StoreMessages.StoreResponse> newer =
-        frames.call(holder, StoreOperation.CELL_REPLACE, "g.", "two", -1, 0, "g.k");
-    frames.pass(100);
+        cluster.call(newLeader, StoreOperation.CELL_REPLACE, "g.", "two", -1, 0, "g.k");
+    cluster.advance(100);
     assertEquals(newer.get(0).status, 200);
     final long revision = newer.get(0).first;
     final List<StoreMessages.StoreResponse> queued =
-        frames.call(old, StoreOperation.CELL_READ, "g.", null, 0, 0, "g.k");
+        cluster.call(oldLeader, StoreOperation.CELL_READ, "g.", null, 0, 0, "g.k");
     final List<StoreMessages.StoreResponse> queuedPut =
-        frames.call(old, StoreOperation.CELL_REPLACE, "g.", "three", revision - 1, 0, "g.k");
-    frames.pass(20);
-    frames.thaw(old, seed % 2 == 0);
-    final List<StoreMessages.StoreResponse> woken =
-        frames.call(old, StoreOperation.CELL_READ, "g.", null, 0, 0, "g.k");
-    frames.pass(2000);
-    for (final List<StoreMessages.StoreResponse> reads : List.of(queued, woken)) {
+        cluster.call(oldLeader, StoreOperation.CELL_REPLACE, "g.", "three", revision - 1, 0, "g.k");
+    cluster.advance(20);
+    cluster.resume(oldLeader, seed % 2 == 0);
+    final List<StoreMessages.StoreResponse> afterResume =
+        cluster.call(oldLeader, StoreOperation.CELL_READ, "g.", null, 0, 0, "g.k");
+    cluster.advance(2000);
+    for (final List<StoreMessages.StoreResponse> reads : List.of(queued, afterResume)) {
       for (final StoreMessages.StoreResponse answer : reads) {
         if (answer.status == 404 || answer.status == 200 && answer.first < revision) {
           faults.add(
@@ -284,18 +284,18 @@
   }
 
   @Test
-  public void aHolderThatWakesAnswersNothingFromBefore() {
+  public void aResumedLeaderAnswersNothingStale() {
     for (long seed = 1; seed <= 60; seed++) {
-      assertEquals(story(seed, message -> message), List.of(), "seed " + seed);
+      assertEquals(runScenario(seed, message -> message), List.of(), "seed " + seed);
     }
   }
 
   @Test
-  public void aHolderThatServesOnAfterThawingIsCaught() {
+  public void aResumedLeaderThatSkipsConfirmationIsCaught() {
     final List<String> faults = new ArrayList<>();
     for (long seed = 1; seed <= 20; seed++) {
       faults.addAll(
-          story(
+          runScenario(
               seed,
               message -> {
                 if (!(message instanceof StateStoreMessages.HeartbeatAck)) {
@@ -304,7 +304,7 @@
                 final StateStoreMessages.HeartbeatAck ack =
                     (StateStoreMessages.HeartbeatAck) message;
                 final List<RegisterVersion> later = new ArrayList<>();
-                Protocol.list(ack.ballots).forEach(mark -> later.add(mark.at(Long.MAX_VALUE)));
+                Protocol.list(ack.ballots).forEach(version -> later.add(version.at(Long.MAX_VALUE)));
                 return new StateStoreMessages.HeartbeatAck(
                     ack.partitions, later, ack.incarnation, ack.known, ack.audited);
               }));
