--- a/statestore/src/main/java/weldpoint/statestore/AuditSequencer.java
+++ b/statestore/src/main/java/weldpoint/statestore/AuditSequencer.java
@@ -17,9 +17,9 @@
 import weldpoint.transport.TrialMessages;
 
 /**
- * The history as the holder of partition 0 sees it: which entry is the last, and which are not yet
- * in the logs of a majority and therefore travel with the register that changed. One change is
- * under way at a time.
+ * Numbers the entries of the history on the leader of partition 0. Entries that are not yet in the
+ * logs of a majority (the tail) are replicated with the register whose change they record. One
+ * change is in flight at a time.
  */
 class AuditSequencer {
   private static final int ENTRY_OVERHEAD_BYTES = 456;
@@ -40,8 +40,8 @@
   }
 
   /**
-   * Begins from what a majority told: the register whose tail reaches furthest carries all that may
-   * be missing in logs.
+   * Restores the tail from the registers that a majority promised: the register whose tail ends
+   * last carries every entry that may be missing in logs.
    */
   void restore(final Iterable<RegisterState> registers) {
     tail.clear();
@@ -77,8 +77,8 @@
   }
 
   /**
-   * All that was begun from is on a majority of disks now; the entries of the tail are thereby
-   * decided.
+   * Marks the restored tail as decided, since the restored registers are now on a majority of
+   * disks; returns its entries.
    */
   List<byte[]> decideRestored() {
     decided = last;
@@ -86,12 +86,12 @@
     return new ArrayList<>(tail);
   }
 
-  /** Whether another register's change is under way, so that this one's has to wait. */
+  /** Whether a change of this register has to wait for one of another register in flight. */
   boolean mustWait(final RegisterState register) {
     return inFlight != null && inFlight != register;
   }
 
-  /** Adds an entry to the change that is being put together. */
+  /** Appends an entry for the change that is about to be proposed. */
   void add(final AuditEntry.Draft draft) {
     final byte[] bytes = draft.bytes(last + 1, digest);
     tail.addLast(bytes);
@@ -100,14 +100,16 @@
   }
 
   /**
-   * The change of this register goes out with all entries that are not in the logs of a majority.
+   * Attaches the tail to a register that is about to be proposed, and marks its change as in
+   * flight.
    */
   void propose(final RegisterState register) {
     inFlight = register;
-    register.audit = Serializer.serialize(new AuditTail(tailBase, tailDigest, new ArrayList<>(tail)));
+    register.audit =
+        Serializer.serialize(new AuditTail(tailBase, tailDigest, new ArrayList<>(tail)));
   }
 
-  /** The change of this register is on a majority of disks; the entries that it decided. */
+  /** Returns the entries decided by a register's change that is on a majority of disks. */
   List<byte[]> commit(final RegisterState register) {
     if (inFlight != register) {
       return List.of();
@@ -125,12 +127,12 @@
     return newlyDecided;
   }
 
-  /** A voter's disk has the history up to here. */
+  /** Notes that a voter has the history on disk up to this entry. */
   void loggedThrough(final int voterIndex, final long through) {
     loggedThrough[voterIndex] = Math.max(loggedThrough[voterIndex], through);
   }
 
-  /** Forgets the tail up to where a majority of voters has it in their logs. */
+  /** Drops the decided entries of the tail that a majority of voters has in its logs. */
   void trimTail(final StateStoreMessages.Roster roster) {
     final long majorityThrough = majorityLogged(roster);
     while (!tail.isEmpty() && tailBase < majorityThrough && tailBase < decided) {
@@ -139,19 +141,19 @@
     }
   }
 
-  /** Forgets the whole tail, wherever else it may be. */
+  /** Drops the whole tail, whether or not a majority has it in its logs. */
   final void discardTail() {
     tailBase = last;
     tailDigest = digest;
     tail.clear();
   }
 
-  /** Up to where the logs of a majority reach. */
+  /** The last entry that the logs of a majority of voters have. */
   long majorityLogged(final StateStoreMessages.Roster roster) {
     return majorityLoggedWithout(roster, -1);
   }
 
-  /** Up to where the logs of a majority reach that does without the voter at this place. */
+  /** The last entry that a majority has without the voter at this index. */
   long majorityLoggedWithout(final StateStoreMessages.Roster roster, final int leavingIndex) {
     final long[] sorted = Arrays.copyOf(loggedThrough, roster.voters.size());
     if (leavingIndex >= 0) {
@@ -161,15 +163,12 @@
     return sorted.length == 0 ? 0 : sorted[sorted.length - roster.majority()];
   }
 
-  /** Up to which entry the history is in the logs of a majority, and not here. */
+  /** The last entry before the tail, which a majority has in its logs. */
   long tailBase() {
     return tailBase;
   }
 
-  /**
-   * The entry, among those that travel with a register, with which a configuration took this
-   * version; null where none did.
-   */
+  /** The entry in the tail with which a configuration took this version; null if there is none. */
   AuditEntry entryForVersion(final long version) {
     for (final byte[] bytes : tail) {
       final AuditEntry entry = AuditEntry.read(bytes);
@@ -185,18 +184,19 @@
     return decided;
   }
 
-  /** Its digest. */
+  /** The digest of the last decided entry. */
   String decidedDigest() {
     return decidedDigest;
   }
 
-  /** Whether nothing is under way. */
+  /** Whether no change is in flight. */
   boolean idle() {
     return inFlight == null;
   }
 
   /**
-   * What a call changed, as an entry that has no place yet; null where its deed changes no routing.
+   * The draft of the entry that records a change, not numbered yet; null if the operation changes
+   * no routing.
    */
   AuditEntry.Draft draft(
       final StoreOperation operation,
@@ -240,7 +240,9 @@
         .number(after.version, 0)
         .digests(previous.digest, next.digest)
         .content(after.contentDigest)
-        .difference(new ConfigurationDifference(previous, next), Math.max(0, entryBytes - ENTRY_OVERHEAD_BYTES));
+        .difference(
+            new ConfigurationDifference(previous, next),
+            Math.max(0, entryBytes - ENTRY_OVERHEAD_BYTES));
   }
 
   private AuditEntry.Draft trial(
@@ -267,24 +269,30 @@
                             : after.reason)));
   }
 
-  private static ConfigurationSummary summary(final StoredValues.StoredConfiguration configuration) {
+  private static ConfigurationSummary summary(
+      final StoredValues.StoredConfiguration configuration) {
     return configuration == null || configuration.compressedSummary == null
         ? ConfigurationSummary.none()
-        : Serializer.deserialize(Compression.inflate(configuration.compressedSummary), ConfigurationSummary.class);
+        : Serializer.deserialize(
+            Compression.inflate(configuration.compressedSummary), ConfigurationSummary.class);
   }
 
-  /** The first entry of a store that is older than its history. */
+  /** The first entry in a store that is older than its history. */
   AuditEntry.Draft upgradeEntry(
       final StoredValues.StoredConfiguration configuration, final String taker, final long time) {
     return new AuditEntry.Draft(ChangeKind.UPGRADE, "")
         .number(configuration == null ? 0 : configuration.version, 0)
         .origin(weldpoint.audit.Authors.SYSTEM, "", taker, time)
         .line("the store is older than its history; what was changed before is not in it")
-        .digests("", configuration == null ? "" : AuditEntry.digest(Compression.inflate(configuration.compressedBody)))
+        .digests(
+            "",
+            configuration == null
+                ? ""
+                : AuditEntry.digest(Compression.inflate(configuration.compressedBody)))
         .content(configuration == null ? null : TakenVersions.contentDigest(configuration));
   }
 
-  /** The entry under which all replicas forget the oldest ones. */
+  /** The entry with which all replicas trim the oldest ones. */
   AuditEntry.Draft retentionEntry(
       final long through, final String throughDigest, final String taker, final long time) {
     return new AuditEntry.Draft(ChangeKind.RETENTION, "")
--- a/statestore/src/main/java/weldpoint/statestore/ControlView.java
+++ b/statestore/src/main/java/weldpoint/statestore/ControlView.java
@@ -12,9 +12,9 @@
 import weldpoint.transport.TrialMessages;
 
 /**
- * The control state that is committed at the holder of its partition, gathered from its registers
- * for registries: what they have is told by the configuration's version and a sum of serials, which
- * changes with each change of any other register.
+ * The committed control state, collected from the registers of partition 0 on its leader for the
+ * registries. A registry states what it has by the configuration's version and a sum of serials,
+ * which changes whenever any other control register changes.
  */
 final class ControlView {
   private static final String EVACUATION = StoredValues.Kind.EVACUATION.register("");
@@ -69,7 +69,7 @@
         otherSerials += ((OwnershipMessages.Assignment) register.committed).serial;
       }
       default -> {
-        // not control state that registries are told of
+        // not part of the control state that is sent to registries
       }
     }
   }
@@ -82,18 +82,18 @@
     }
   }
 
-  /** The version of the configuration; 0 before the first. */
+  /** The version of the configuration; 0 if there is none. */
   long version() {
     return configuration == null ? 0 : configuration.version;
   }
 
-  /** Whether a registry lacks anything: first is its version, second the sum of its marks. */
+  /** Whether a registry is out of date: first is its version, second its sum of serials. */
   boolean isNewerThan(final StoreMessages.StoreRequest call) {
     final long serials = evacuationSerial + trialSerial + placementSerial + otherSerials;
     return version() > call.first || serials != call.second;
   }
 
-  /** What the registry that asked so is told. */
+  /** The answer to a registry's request, without the parts that it already has. */
   StoredValues.ControlSnapshot snapshotFor(
       final StoreMessages.StoreRequest call, final StateStoreMessages.Roster roster) {
     final boolean changed = isNewerThan(call);
--- a/statestore/src/main/java/weldpoint/statestore/Decision.java
+++ b/statestore/src/main/java/weldpoint/statestore/Decision.java
@@ -1,17 +1,17 @@
 package weldpoint.statestore;
 
-/** What a call comes to: an answer, a new value to be written first, or a wait. */
+/** The leader's decision on a request: an answer, a new value to write first, or a wait. */
 final class Decision {
   enum Action {
     /** Answer once the ballot is confirmed. */
     CONFIRM,
-    /** Answer at once: what is told was decided before and stays true. */
+    /** Answer at once: the answer was decided before and stays true. */
     REPLY,
     /** Answer once the new value is on a majority of disks. */
     WRITE,
     /** Evaluate again once the ballot is confirmed. */
     READ,
-    /** Wait for a change. */
+    /** Wait until the register changes. */
     PARK,
   }
 
--- a/statestore/src/main/java/weldpoint/statestore/GracefulLeave.java
+++ b/statestore/src/main/java/weldpoint/statestore/GracefulLeave.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** How far a voter is that ends in order: which partitions the others hold without it. */
+/** The orderly exit of a voter: which partitions a majority has on disk without it. */
 final class GracefulLeave {
-  /** For how long a voter that ends waits for the others. */
+  /** How long a leaving voter waits for the partitions' leaders. */
   static final long TIMEOUT_MILLIS = 2000;
 
   private static final long NOTICE_INTERVAL_MILLIS = 150;
@@ -27,7 +27,7 @@
     return onStopped != null;
   }
 
-  /** The roster under which it began; releases under older ones do not count. */
+  /** The number of the roster when the exit began; releases under older rosters do not count. */
   long roster() {
     return roster;
   }
@@ -40,7 +40,7 @@
     return now - begunAt >= TIMEOUT_MILLIS;
   }
 
-  /** Whether it is time to tell the others again. */
+  /** Whether it is time to announce the exit again. */
   boolean noticeDue(final long now) {
     if (now - noticeSentAt < NOTICE_INTERVAL_MILLIS) {
       return false;
@@ -59,7 +59,7 @@
     return unreleased().isEmpty();
   }
 
-  /** The partitions that no holder has released. */
+  /** The partitions that no leader has released yet. */
   List<Integer> unreleased() {
     final List<Integer> open = new ArrayList<>();
     for (int number = 0; number < released.length; number++) {
--- a/statestore/src/main/java/weldpoint/statestore/Membership.java
+++ b/statestore/src/main/java/weldpoint/statestore/Membership.java
@@ -12,8 +12,8 @@
 import weldpoint.transport.StateStoreMessages.Voter;
 
 /**
- * Who votes and who would like to: what the holder of partition 0 knows of members and newcomers,
- * and the next change of the roster.
+ * Failure detection and membership changes: what a replica knows of voters and joiners, and, for
+ * the leader of partition 0, the next change of the roster.
  */
 final class Membership {
   private static final long UNREACHABLE_TIMEOUT_MILLIS = 2500;
@@ -33,7 +33,7 @@
   private final Map<String, Voter> joiners = new LinkedHashMap<>();
   private final Map<String, Long> joinedAt = new HashMap<>();
   private final Map<String, Voter> descriptions = new HashMap<>();
-  private final long[] establishedRosters = new long[StateStoreReplica.PARTITIONS];
+  private final long[] establishedUnder = new long[StateStoreReplica.PARTITIONS];
   private long changedAt;
   private long rebalanceDueSince;
 
@@ -42,33 +42,33 @@
     this.maxVoters = maxVoters;
   }
 
-  /** The process begins. */
+  /** Notes the start of the process. */
   void onStart(final long now) {
     changedAt = now;
   }
 
-  /** A frame has said something. */
+  /** Notes a message from a replica. */
   void onMessage(final String address, final long now) {
     heardAt.put(address, now);
   }
 
-  /** The line to a frame has ended. */
+  /** Notes that the connection to a replica has ended. */
   void onConnectionClosed(final String address, final long now) {
     closedAt.put(address, now);
   }
 
-  /** A member has said that it ends. */
+  /** Notes that a voter has announced that it leaves. */
   void onLeave(final String address, final long now) {
     leavingAt.put(address, now);
     joiners.remove(address);
   }
 
-  /** A member tells its zone and region. */
+  /** Records the zone and region that a voter has reported. */
   void describe(final Voter voter) {
     descriptions.put(voter.address, voter);
   }
 
-  /** A daemon asks to become a voter; true where it was not known to wait. */
+  /** Records a request to become a voter; true if the replica is a new joiner. */
   boolean onJoin(final Voter voter, final Roster roster, final long now) {
     if (roster.index(voter.address) >= 0) {
       describe(voter);
@@ -79,17 +79,17 @@
     return joiners.put(voter.address, voter) == null;
   }
 
-  /** The daemons that wait to become voters. */
+  /** The replicas that wait to become voters. */
   Collection<String> joiners() {
     return joiners.keySet();
   }
 
-  /** A partition has been established under this roster. */
-  void establishedRosters(final int partition, final long roster) {
-    establishedRosters[partition] = roster;
+  /** Notes that a partition has been established under this roster. */
+  void establishedUnder(final int partition, final long roster) {
+    establishedUnder[partition] = roster;
   }
 
-  /** A newer roster is in force. */
+  /** Notes that a newer roster was adopted. */
   void onRosterAdopted(final Roster roster, final long now) {
     changedAt = now;
     rebalanceDueSince = 0;
@@ -98,7 +98,7 @@
     }
   }
 
-  /** Whether a member cannot be reached any more, or says that it leaves. */
+  /** Whether a voter has been silent for too long, or has announced that it leaves. */
   private boolean isUnreachable(final String address, final long now) {
     if (address.equals(self)) {
       return false;
@@ -115,7 +115,8 @@
   private boolean isReachable(final String address, final long now) {
     final long heard = heardAt.getOrDefault(address, Long.MIN_VALUE / 2);
     return address.equals(self)
-        || now - heard <= REACHABLE_WITHIN_MILLIS && closedAt.getOrDefault(address, Long.MIN_VALUE) < heard;
+        || now - heard <= REACHABLE_WITHIN_MILLIS
+            && closedAt.getOrDefault(address, Long.MIN_VALUE) < heard;
   }
 
   private List<Voter> reachableJoiners(final long now) {
@@ -126,7 +127,7 @@
   }
 
   private boolean isEstablished(final Roster roster) {
-    for (final long number : establishedRosters) {
+    for (final long number : establishedUnder) {
       if (number < roster.number) {
         return false;
       }
@@ -135,10 +136,11 @@
   }
 
   /**
-   * The next roster, one voter more or less or better described; null while the present one stays,
-   * or is not whole yet on a majority of its voters, or while it is in doubt whether a voter is
-   * there: one that is lost often goes with others. A change that would leave less behind after the
-   * loss of a zone gives way to the other order, first adding or first removing.
+   * The next roster, with one voter added or removed, or with zones and regions filled in. Returns
+   * null if nothing should change, if a partition is not yet established under the present roster,
+   * or while it is uncertain whether a voter is reachable, since voters are often lost together. Of
+   * adding first and removing first, the order is chosen that leaves more voters after the loss of
+   * a zone.
    */
   Roster nextRoster(final Roster roster, final long now) {
     if (now - changedAt < MIN_CHANGE_INTERVAL_MILLIS || !isEstablished(roster)) {
@@ -165,7 +167,8 @@
   }
 
   private Roster nextStep(final Roster present, final Set<String> unreachable, final long now) {
-    final List<Voter> best = VoterSelection.best(present.voters, unreachable, reachableJoiners(now), maxVoters);
+    final List<Voter> best =
+        VoterSelection.best(present.voters, unreachable, reachableJoiners(now), maxVoters);
     final List<Voter> added = new ArrayList<>(best);
     added.removeIf(voter -> present.index(voter.address) >= 0);
     final List<Voter> removed = new ArrayList<>(present.voters);
@@ -202,13 +205,15 @@
     }
     if (chosen != null
         && optional
-        && zoneSpare < Math.min(0, VoterSelection.spareAfterZoneLoss(present.voters, unreachable))) {
+        && zoneSpare
+            < Math.min(0, VoterSelection.spareAfterZoneLoss(present.voters, unreachable))) {
       return null;
     }
     return chosen;
   }
 
-  private List<Roster> possibleSteps(final Roster present, final List<Voter> added, final List<Voter> removed) {
+  private List<Roster> possibleSteps(
+      final Roster present, final List<Voter> added, final List<Voter> removed) {
     final List<Roster> steps = new ArrayList<>();
     if (present.voters.size() <= maxVoters) {
       for (final Voter voter : added) {
--- a/statestore/src/main/java/weldpoint/statestore/Partition.java
+++ b/statestore/src/main/java/weldpoint/statestore/Partition.java
@@ -11,11 +11,11 @@
 import weldpoint.transport.StateStoreMessages.RegisterEntry;
 
 /**
- * One partition as this daemon sees it: what it has promised and stored, and, where it holds the
- * duty, how that stands.
+ * One partition on this replica: the promised ballot and the stored registers, and, if this replica
+ * leads the partition or tries to, the state of that.
  */
 final class Partition {
-  /** How far this daemon is with the duty. */
+  /** How far this replica is in becoming the partition's leader. */
   enum Phase {
     IDLE,
     PRE_VOTING,
@@ -24,7 +24,7 @@
     SERVING
   }
 
-  /** A register's value under its mark, with the entries of the history that travel with it. */
+  /** A register's value and version, with the history entries that are replicated with it. */
   static final class StoredRegister {
     final RegisterVersion version;
     final Object value;
@@ -38,8 +38,8 @@
   }
 
   /**
-   * How the holder brings a voter up to date: when it last answered a pulse, when it was last sent
-   * something, and how long to wait for that to be acknowledged.
+   * The leader's repair of one voter: when it last answered a heartbeat, when it was last sent
+   * registers, and how long to wait for their acknowledgement.
    */
   static final class Repair {
     long heardAt = Long.MIN_VALUE / 4;
@@ -47,7 +47,7 @@
     long backoffMillis;
   }
 
-  /** Work that waits until a majority has confirmed the ballot. */
+  /** A request that waits until a majority has confirmed the leader's ballot. */
   static final class ConfirmationWaiter {
     final long heartbeatNumber;
     final long receivedAt;
@@ -101,7 +101,7 @@
     this.number = number;
   }
 
-  /** All that is stored, as it travels. */
+  /** All stored registers as message entries. */
   List<RegisterEntry> entries() {
     final List<RegisterEntry> entries = new ArrayList<>(stored.size());
     stored.forEach(
@@ -117,13 +117,14 @@
     return entries;
   }
 
-  /** All that is stored, as records for the disk of about so many bytes each. */
+  /** All stored registers as disk records of about this many bytes each. */
   List<byte[]> records(final int type, final int bytes) {
     final List<byte[]> records = new ArrayList<>();
     final List<RegisterEntry> batch = new ArrayList<>();
     int size = 0;
     for (final Map.Entry<String, StoredRegister> register : stored.entrySet()) {
-      final byte[] encoded = StoredValues.Kind.of(register.getKey()).encode(register.getValue().value);
+      final byte[] encoded =
+          StoredValues.Kind.of(register.getKey()).encode(register.getValue().value);
       if (!batch.isEmpty() && size + encoded.length > bytes) {
         records.add(
             Serializer.serialize(
@@ -152,8 +153,8 @@
   }
 
   /**
-   * Stores what was accepted under a ballot; entries whose base is not here are added to those
-   * lacking.
+   * Stores entries accepted under a ballot; an entry whose base version is not stored here is added
+   * to {@code missing} instead.
    */
   void store(
       final RegisterVersion acceptedBallot,
@@ -163,7 +164,9 @@
     if (acceptedBallot.compareTo(promised) > 0) {
       promised = acceptedBallot.ballot();
     }
-    if (establish && !established.sameBallot(acceptedBallot) && acceptedBallot.compareTo(established) > 0) {
+    if (establish
+        && !established.sameBallot(acceptedBallot)
+        && acceptedBallot.compareTo(established) > 0) {
       stored.values().removeIf(register -> register.version.compareTo(acceptedBallot.ballot()) < 0);
       established = acceptedBallot.ballot();
     }
--- a/statestore/src/main/java/weldpoint/statestore/RecentCalls.java
+++ b/statestore/src/main/java/weldpoint/statestore/RecentCalls.java
@@ -6,21 +6,21 @@
 import weldpoint.transport.StoreMessages.StoreRequest;
 
 /**
- * What a holder of a duty has decided of late, by the identity of each call (its caller's
- * incarnation and its number), so that a copy of a call gets the answer of the first and is not
- * carried out once more. It holds as long as a copy can be under way, and no longer; it goes with
- * the duty, since older calls are then told from newer ones by their age.
+ * The recent decisions of a partition's leader by the identity of each request (its caller's
+ * incarnation and its number), so that a copy of a request gets the first answer and is not carried
+ * out again. A decision is kept for as long as a copy can be in transit. The map is cleared when
+ * the leader changes, since requests sent before that are then recognized by their age.
  */
 final class RecentCalls {
   /**
-   * How long a copy can be under way: a caller sends it again for 900 ms at most, and it is void
-   * {@link StateStoreReplica#MAX_REQUEST_AGE_MILLIS} after it was sent.
+   * How long a copy can be in transit: a caller repeats a request for at most 900 ms, and a copy is
+   * ignored {@link StateStoreReplica#MAX_REQUEST_AGE_MILLIS} after it was sent.
    */
   static final long RETENTION_MILLIS = 4000;
 
   /**
-   * How many calls are remembered at most; while there are so many, further ones are not carried
-   * out.
+   * The maximum number of remembered requests; further ones are not carried out until older ones
+   * expire.
    */
   static final int MAX_CALLS = 8192;
 
@@ -30,14 +30,14 @@
 
   private final Map<CallId, RememberedDecision> decided = new LinkedHashMap<>();
 
-  /** What was decided of a call before; null where nothing is known of it. */
+  /** The earlier decision on a request; null if there is none. */
   Decision find(final StoreRequest call) {
     final RememberedDecision remembered =
         call.caller == 0 ? null : decided.get(new CallId(call.caller, call.number));
     return remembered == null ? null : remembered.decision;
   }
 
-  /** Whether no further call can be remembered. */
+  /** Drops expired decisions; returns whether there is room for no further one. */
   boolean full(final long now) {
     final Iterator<RememberedDecision> oldest = decided.values().iterator();
     while (oldest.hasNext() && now - oldest.next().at > RETENTION_MILLIS) {
@@ -46,12 +46,13 @@
     return decided.size() >= MAX_CALLS;
   }
 
-  /** Remembers what was decided of a call. */
+  /** Remembers the decision on a request. */
   void remember(final StoreRequest call, final Decision decision, final long now) {
     if (call.caller != 0) {
       decided.put(
           new CallId(call.caller, call.number),
-          new RememberedDecision(Decision.confirm(decision.status, decision.first, decision.body), now));
+          new RememberedDecision(
+              Decision.confirm(decision.status, decision.first, decision.body), now));
     }
   }
 
--- a/statestore/src/main/java/weldpoint/statestore/Recovery.java
+++ b/statestore/src/main/java/weldpoint/statestore/Recovery.java
@@ -20,10 +20,11 @@
 import weldpoint.transport.StateStoreMessages.Voter;
 
 /**
- * How a frame whose disk is blank gets back what a majority of voters holds, and how the others
- * help it. It takes one new incarnation, learns from a majority the catalogue of their registers
- * with their marks, and asks, in bounded parts, for the values that it lacks. What has come stays,
- * also over a restart; what changes meanwhile is not asked for anew.
+ * Recovery of a replica with an empty disk from a majority of voters: both the recovering side and
+ * the side that serves it. The recovering replica takes one new incarnation, reads from a majority
+ * the catalog of their registers with their versions, and requests the values that it lacks in
+ * responses of bounded size. Received values are kept, also over a restart; values that change
+ * meanwhile are not requested again.
  */
 final class Recovery {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
@@ -35,7 +36,7 @@
   private static final int ENTRY_OVERHEAD_BYTES = 96;
   private static final int MAX_NAMES_PER_REQUEST = 256;
 
-  /** What a voter that was asked has told so far. */
+  /** What one voter has sent to the recovering replica so far. */
   private static final class Source {
     private final Map<String, RegisterVersion> versions = new HashMap<>();
     private StateStoreMessages.RecoveryResponse firstPage;
@@ -47,7 +48,7 @@
     private long retryMillis = RETRY_MILLIS;
   }
 
-  /** A value of which some bytes have come. */
+  /** A large value of which some bytes have been received. */
   private static final class PartialValue {
     private final RegisterEntry firstEntry;
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
@@ -57,13 +58,14 @@
     }
   }
 
-  /** A value that is being given out piece by piece. */
-  private record OutgoingValue(String name, RegisterVersion mark, byte[] whole) {}
+  /** A large value that is being sent to a recovering replica in chunks. */
+  private record OutgoingValue(String name, RegisterVersion version, byte[] encoded) {}
 
   private final StateStoreReplica replica;
   private long membershipRequestNumber;
   private long membershipRequestedAt = Long.MIN_VALUE / 2;
-  private final Map<String, StateStoreMessages.MembershipResponse> membershipResponses = new HashMap<>();
+  private final Map<String, StateStoreMessages.MembershipResponse> membershipResponses =
+      new HashMap<>();
   private final Map<String, Source> sources = new LinkedHashMap<>();
   private final Map<String, PartialValue> partialValues = new HashMap<>();
   private final Map<String, OutgoingValue> outgoingValues = new HashMap<>();
@@ -85,7 +87,7 @@
     this.replica = replica;
   }
 
-  /** The next enquiry; null where the last one is too fresh. */
+  /** The next membership request; null if the last one is too recent. */
   StateStoreMessages.MembershipRequest nextMembershipRequest(final long now) {
     if (now - membershipRequestedAt < MEMBERSHIP_REQUEST_INTERVAL_MILLIS) {
       return null;
@@ -97,14 +99,14 @@
   }
 
   /**
-   * Whether a frame was last heard to fetch what it had lost: until it votes again, registers sent
-   * to it are lost on it.
+   * Whether a replica is known to be recovering: it drops registers sent to it until it votes
+   * again.
    */
   boolean isRecovering(final String address) {
     return recoveringPeers.contains(address);
   }
 
-  /** A frame has spoken as one that has everything: as a voter, or to become one. */
+  /** Notes that a replica is not recovering: it votes, or asks to become a voter. */
   void markRecovered(final String address) {
     if (recoveringPeers.remove(address)) {
       outgoingValues.remove(address);
@@ -121,7 +123,11 @@
     }
     reply.accept(
         new StateStoreMessages.MembershipResponse(
-            request.number, replica.recovering, replica.roster, replica.incarnationOf(from), holders));
+            request.number,
+            replica.recovering,
+            replica.roster,
+            replica.incarnationOf(from),
+            holders));
   }
 
   void onMembershipResponse(
@@ -165,18 +171,19 @@
     }
   }
 
-  /** A voter that had said nothing yet was perhaps not there when it was asked. */
+  /** Repeats the request to a voter heard for the first time: it may have missed the request. */
   private void retryFirstContact(final String from, final long now) {
     final Source source = sources.get(from);
     if (source != null && !source.heardFrom) {
       source.heardFrom = true;
-      if (source.request != null && now - source.requestedAt > StateStoreReplica.RESEND_INTERVAL_MILLIS / 2) {
+      if (source.request != null
+          && now - source.requestedAt > StateStoreReplica.RESEND_INTERVAL_MILLIS / 2) {
         sendRequest(from, source, source.request, now);
       }
     }
   }
 
-  /** The line to a voter has ended, and with it what was asked there. */
+  /** Drops the pending request to a voter whose connection has ended. */
   void connectionClosed(final String address) {
     final Source source = sources.get(address);
     if (source != null) {
@@ -195,14 +202,15 @@
     }
   }
 
-  // ---- the side that gives
+  // ---- the serving side
 
   void onRecoveryRequest(
       final String from,
       final StateStoreMessages.RecoveryRequest request,
       final Consumer<Message> reply) {
     if (!replica.canVote()
-        || replica.knownIncarnations.containsKey(from) && request.incarnation < replica.knownIncarnations.get(from)) {
+        || replica.knownIncarnations.containsKey(from)
+            && request.incarnation < replica.knownIncarnations.get(from)) {
       return;
     }
     recoveringPeers.add(from);
@@ -211,7 +219,7 @@
     final int index = replica.roster.index(from);
     if (incarnationIsNew && index >= 0) {
       LOGGER.atInfo().log(
-          "frame %s learns that %s lost its disk and is now incarnation %s",
+          "state store %s learns that %s lost its disk and recovers as incarnation %s",
           replica.self, from, request.incarnation);
       replica.onNewIncarnation(index);
     }
@@ -221,7 +229,13 @@
     }
     replica.persist(
         new StoredValues.DiskRecord(
-            StateStoreReplica.RECORD_PEER_INCARNATION, 0, null, null, null, from, request.incarnation),
+            StateStoreReplica.RECORD_PEER_INCARNATION,
+            0,
+            null,
+            null,
+            null,
+            from,
+            request.incarnation),
         () -> reply.accept(recoveryResponse(from, request)));
   }
 
@@ -230,7 +244,7 @@
     return Protocol.list(request.names).isEmpty() ? catalogPage(request) : values(from, request);
   }
 
-  private StateStoreMessages.RecoveryResponse registersComplete(
+  private StateStoreMessages.RecoveryResponse response(
       final StateStoreMessages.RecoveryRequest request,
       final List<RegisterEntry> entries,
       final boolean values,
@@ -262,10 +276,11 @@
   }
 
   /**
-   * The registers behind a name, in their order, until a part is full; values only while there is
-   * room for them.
+   * One page of the catalog: the registers after a name, in order of name, until the response is
+   * full. Only the first page carries values, as long as they fit.
    */
-  private StateStoreMessages.RecoveryResponse catalogPage(final StateStoreMessages.RecoveryRequest request) {
+  private StateStoreMessages.RecoveryResponse catalogPage(
+      final StateStoreMessages.RecoveryRequest request) {
     final TreeMap<String, StoredRegister> all = new TreeMap<>();
     for (final Partition partition : replica.partitions) {
       all.putAll(partition.stored);
@@ -273,13 +288,15 @@
     final List<RegisterEntry> entries = new ArrayList<>();
     int valueBytesLeft = request.after.isEmpty() ? FIRST_PAGE_VALUE_BYTES : 0;
     int remainingBytes = RESPONSE_BYTES;
-    for (final Map.Entry<String, StoredRegister> one : all.tailMap(request.after, false).entrySet()) {
+    for (final Map.Entry<String, StoredRegister> one :
+        all.tailMap(request.after, false).entrySet()) {
       remainingBytes -= ENTRY_OVERHEAD_BYTES + one.getKey().length();
       if (remainingBytes < 0) {
-        return registersComplete(request, entries, false, true, null, 0, 0);
+        return response(request, entries, false, true, null, 0, 0);
       }
       final StoredRegister stored = one.getValue();
-      byte[] whole = valueBytesLeft > 0 ? StoredValues.Kind.of(one.getKey()).encode(stored.value) : null;
+      byte[] whole =
+          valueBytesLeft > 0 ? StoredValues.Kind.of(one.getKey()).encode(stored.value) : null;
       if (whole != null) {
         final int size = whole.length + (stored.audit == null ? 0 : stored.audit.length);
         whole = size <= valueBytesLeft ? whole : null;
@@ -294,7 +311,7 @@
               whole,
               whole == null ? null : stored.audit));
     }
-    return registersComplete(request, entries, false, false, null, 0, 0);
+    return response(request, entries, false, false, null, 0, 0);
   }
 
   private StateStoreMessages.RecoveryResponse values(
@@ -310,27 +327,29 @@
         continue;
       }
       OutgoingValue value = request.offset > 0 ? outgoingValues.get(from) : null;
-      if (value == null || !value.name.equals(name) || request.offset >= value.whole.length) {
-        value = new OutgoingValue(name, stored.version, StoredValues.Kind.of(name).encode(stored.value));
+      if (value == null || !value.name.equals(name) || request.offset >= value.encoded.length) {
+        value =
+            new OutgoingValue(
+                name, stored.version, StoredValues.Kind.of(name).encode(stored.value));
       }
-      final int size = value.whole.length + (stored.audit == null ? 0 : stored.audit.length);
-      if (value.whole.length > RESPONSE_BYTES) {
+      final int size = value.encoded.length + (stored.audit == null ? 0 : stored.audit.length);
+      if (value.encoded.length > RESPONSE_BYTES) {
         if (!entries.isEmpty()) {
           break;
         }
         final int offset = outgoingValues.get(from) == value ? request.offset : 0;
-        final int until = Math.min(value.whole.length, offset + RESPONSE_BYTES);
+        final int until = Math.min(value.encoded.length, offset + RESPONSE_BYTES);
         outgoingValues.put(from, value);
-        if (until == value.whole.length) {
+        if (until == value.encoded.length) {
           outgoingValues.remove(from);
         }
-        final byte[] chunk = java.util.Arrays.copyOfRange(value.whole, offset, until);
-        return registersComplete(
+        final byte[] chunk = java.util.Arrays.copyOfRange(value.encoded, offset, until);
+        return response(
             request,
             List.of(
                 new RegisterEntry(
                     name,
-                    value.mark,
+                    value.version,
                     RegisterVersion.NONE,
                     null,
                     chunk,
@@ -339,23 +358,27 @@
             false,
             absent,
             offset,
-            value.whole.length);
+            value.encoded.length);
       }
       if (size > bytesLeft && !entries.isEmpty()) {
         break;
       }
       bytesLeft -= size;
       entries.add(
-          new RegisterEntry(name, value.mark, RegisterVersion.NONE, null, value.whole, stored.audit));
+          new RegisterEntry(
+              name, value.version, RegisterVersion.NONE, null, value.encoded, stored.audit));
     }
-    return registersComplete(request, entries, true, false, absent, 0, 0);
+    return response(request, entries, true, false, absent, 0, 0);
   }
 
-  // ---- the side that lacks
+  // ---- the recovering side
 
   void onRecoveryResponse(
       final String from, final StateStoreMessages.RecoveryResponse answer, final long now) {
-    if (!replica.recovering || registersComplete || answer.incarnation != newIncarnation || newIncarnation == 0) {
+    if (!replica.recovering
+        || registersComplete
+        || answer.incarnation != newIncarnation
+        || newIncarnation == 0) {
       return;
     }
     takeRoster(answer.roster);
@@ -383,7 +406,8 @@
     }
     source.request = null;
     source.heardFrom = true;
-    source.retryMillis = Math.min(MAX_RETRY_MILLIS, Math.max(RETRY_MILLIS, 2 * (now - source.requestedAt)));
+    source.retryMillis =
+        Math.min(MAX_RETRY_MILLIS, Math.max(RETRY_MILLIS, 2 * (now - source.requestedAt)));
     advance(now);
   }
 
@@ -425,7 +449,7 @@
     }
   }
 
-  /** Keeps a value that a voter holds, in memory and on disk, so that it need not come again. */
+  /** Stores a received value in memory and on disk, so that it is not requested again. */
   private void storeFetched(final RegisterEntry entry) {
     final Partition partition = replica.partitions[StateStoreReplica.partitionOf(entry.name)];
     bytesReceived += entry.whole.length;
@@ -447,8 +471,8 @@
   }
 
   /**
-   * Time has passed: what was asked and not answered is asked again, after pauses that grow; lines
-   * that end are heeded at once.
+   * Repeats unanswered requests with a growing back-off; a request whose connection has ended is
+   * repeated at once.
    */
   void tick(final long now) {
     if (replica.recovering) {
@@ -479,7 +503,8 @@
         sendRequest(
             voter.address,
             source,
-            new StateStoreMessages.RecoveryRequest(newIncarnation, source.lastName, null, 0, ++requestCount),
+            new StateStoreMessages.RecoveryRequest(
+                newIncarnation, source.lastName, null, 0, ++requestCount),
             now);
       }
     }
@@ -519,7 +544,7 @@
     return floor;
   }
 
-  /** The registers that a majority holds under a higher mark than is here. */
+  /** The registers that a majority has under a higher version than this replica. */
   private Map<String, RegisterVersion> missingRegisters(final Map<String, Source> catalogs) {
     final RegisterVersion[] floors = new RegisterVersion[StateStoreReplica.PARTITIONS];
     for (int index = 0; index < floors.length; index++) {
@@ -542,16 +567,19 @@
     return missing;
   }
 
-  /** Shares what is lacking among the voters that hold it, one part under way at each. */
+  /** Spreads requests for missing values over the voters that have them, one at a time each. */
   private void requestValues(
-      final Map<String, Source> catalogs, final Map<String, RegisterVersion> missing, final long now) {
+      final Map<String, Source> catalogs,
+      final Map<String, RegisterVersion> missing,
+      final long now) {
     final Set<String> requested = new HashSet<>();
     for (final Source source : catalogs.values()) {
       if (source.request != null) {
         requested.addAll(Protocol.list(source.request.names));
       }
     }
-    final int share = Math.max(1, Math.min(MAX_NAMES_PER_REQUEST, missing.size() / Math.max(1, catalogs.size())));
+    final int share =
+        Math.max(1, Math.min(MAX_NAMES_PER_REQUEST, missing.size() / Math.max(1, catalogs.size())));
     for (final Map.Entry<String, Source> one : catalogs.entrySet()) {
       final Source source = one.getValue();
       if (source.request != null) {
@@ -579,7 +607,11 @@
             one.getKey(),
             source,
             new StateStoreMessages.RecoveryRequest(
-                newIncarnation, "", names, partial == null ? 0 : partial.bytes.size(), ++requestCount),
+                newIncarnation,
+                "",
+                names,
+                partial == null ? 0 : partial.bytes.size(),
+                ++requestCount),
             now);
       }
     }
@@ -605,7 +637,8 @@
           .stored
           .values()
           .removeIf(stored -> stored.version.compareTo(partition.established) < 0);
-      partition.electionDueAt = now + StateStoreReplica.LEADER_TIMEOUT_MILLIS + replica.random.nextInt(300);
+      partition.electionDueAt =
+          now + StateStoreReplica.LEADER_TIMEOUT_MILLIS + replica.random.nextInt(300);
     }
     replica.incarnation = newIncarnation;
     replica.knownIncarnations.remove(replica.self);
@@ -631,7 +664,7 @@
               : () -> {});
     }
     LOGGER.atInfo().log(
-        "frame %s has the registers of a majority: %s parts, %s KB, %s ms",
+        "state store %s recovered the registers of a majority: %s responses, %s KB, %s ms",
         replica.self, responsesReceived, bytesReceived / 1024, now - startedAt);
     lastHistoryEntrySeen = replica.audit.log().last();
     if (historySource != null && lastHistoryEntrySeen < targetHistoryEntry) {
@@ -640,8 +673,9 @@
   }
 
   /**
-   * A blank daemon counts again once its registers and as much of the history as a majority told of
-   * are on its disk, and it has noted there that it counts.
+   * Completes the recovery once the registers and the history up to the last entry that a majority
+   * reported are on disk: the replica counts as a voter again after it has recorded its incarnation
+   * there too.
    */
   void completeIfDurable() {
     if (replica.recovering
@@ -655,15 +689,15 @@
             replica.recovering = false;
             sources.clear();
             LOGGER.atInfo().log(
-                "frame %s refetched everything as incarnation %s, history up to %s",
+                "state store %s recovered from the other replicas as incarnation %s, history up to entry %s",
                 replica.self, replica.incarnation, replica.audit.log().last());
           });
     }
   }
 
   /**
-   * Asks for the history, of which each part brings the next; where nothing comes for a while,
-   * another voter is asked.
+   * Moves the history request to another voter if no entry has arrived for {@link #RETRY_MILLIS};
+   * each received part triggers the request for the next.
    */
   private void retryHistoryRequest(final long now) {
     final long last = replica.audit.log().last();
@@ -692,7 +726,7 @@
     replica.audit.ask(historySource);
   }
 
-  /** What came in parts, as counters. */
+  /** The counters of received responses and bytes. */
   String counters() {
     return "fetched " + responsesReceived + " parts " + bytesReceived / 1024 + " KB";
   }
--- a/statestore/src/main/java/weldpoint/statestore/RegisterState.java
+++ b/statestore/src/main/java/weldpoint/statestore/RegisterState.java
@@ -8,7 +8,7 @@
 import weldpoint.transport.StoreMessages.StoreRequest;
 import weldpoint.transport.StoreMessages.StoreResponse;
 
-/** A register as the holder of its duty sees it. */
+/** The leader's state of one register: its values, acknowledgements and queued requests. */
 final class RegisterState {
   static final class PendingRequest {
     final StoreRequest call;
--- a/statestore/src/main/java/weldpoint/statestore/StateStoreDaemon.java
+++ b/statestore/src/main/java/weldpoint/statestore/StateStoreDaemon.java
@@ -24,7 +24,10 @@
 import weldpoint.wal.SegmentRing;
 import weldpoint.wal.WriteAheadLog;
 
-/** The store as a process: its core on one thread, its lines on another, its disk on a third. */
+/**
+ * The state store's process: the replica runs on one thread, the network on another, the disk log
+ * on a third. The command line starts it.
+ */
 public final class StateStoreDaemon implements Daemon {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
   private static final int LOG_FILES = 3;
@@ -42,7 +45,7 @@
   private WriteAheadLog log;
   private long countersLoggedAt;
 
-  /** A store for these settings; nothing runs yet. */
+  /** A state store with these settings; {@link #start} starts it. */
   public StateStoreDaemon(final Settings settings) {
     this.settings = settings;
     final long owner = RandomIds.next();
@@ -115,7 +118,7 @@
     if (settings.folder().isEmpty()) {
       throw new WeldpointException(
           WeldpointException.Kind.SETTING,
-          "setting station.folder has the value ''; a frame needs a folder on a disk of its own");
+          "setting station.folder is empty; a state store needs a folder on a disk of its own");
     }
     final WriteAheadLog.Opened opened =
         WriteAheadLog.open(
@@ -129,7 +132,7 @@
     final SegmentRing.Recovered found = opened.found();
     if (found.lost()) {
       LOGGER.atSevere().log(
-          "the disk of %s lost records that had been synced; it counts as blank and is refetched from the other frames",
+          "the disk of %s lost records that had been synced; its state is discarded and recovered from the other state stores",
           settings.name());
     }
     log = opened.log();
@@ -164,12 +167,15 @@
               }
             }));
     loop.scheduleAtFixedRate(
-        () -> executor.execute(this::tick), TICK_INTERVAL_MILLIS, TICK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+        () -> executor.execute(this::tick),
+        TICK_INTERVAL_MILLIS,
+        TICK_INTERVAL_MILLIS,
+        TimeUnit.MILLISECONDS);
   }
 
   private void tick() {
     final long now = now();
-    replica.updateDiskState(log.busyMillis(), log.refusing(), now);
+    replica.updateDiskState(log.currentWriteMillis(), log.failing(), now);
     replica.tick(now);
     if (now - countersLoggedAt >= settings.countersMillis()) {
       countersLoggedAt = now;
--- a/statestore/src/main/java/weldpoint/statestore/StateStoreReplica.java
+++ b/statestore/src/main/java/weldpoint/statestore/StateStoreReplica.java
@@ -15,8 +15,8 @@
 import weldpoint.audit.AuditReplica;
 import weldpoint.audit.AuditStore;
 import weldpoint.audit.HeapStore;
-import weldpoint.statestore.Partition.Phase;
 import weldpoint.statestore.Partition.ConfirmationWaiter;
+import weldpoint.statestore.Partition.Phase;
 import weldpoint.transport.Message;
 import weldpoint.transport.Protocol;
 import weldpoint.transport.RegisterVersion;
@@ -28,14 +28,16 @@
 import weldpoint.transport.StoreMessages;
 
 /**
- * The store's state and rules: registers under marks, ballots for the duty of writing a partition,
- * and the roster of voters. It knows neither threads nor clocks nor sockets: all that happens comes
- * in through its methods, with the time of a steady clock in milliseconds.
+ * One replica of the state store: versioned registers in {@link #PARTITIONS} partitions, the
+ * ballots that elect the leader of each partition, and the roster (the list of voters). It uses no
+ * threads, clocks or sockets of its own: messages, requests and ticks come in through its methods,
+ * with the time of a monotonic clock in milliseconds. Not thread-safe; {@link StateStoreDaemon}
+ * calls it from one thread, and the simulation drives it directly.
  */
 public final class StateStoreReplica {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
-  /** How many partitions there are. */
+  /** The number of partitions. */
   public static final int PARTITIONS = 8;
 
   private static final int RECORD_SELF = 0;
@@ -55,7 +57,8 @@
   private static final long PENDING_REQUEST_TIMEOUT_MILLIS = 1300;
 
   /**
-   * A copy of a call is void so long after it was sent, as far as the frame's own clock can tell.
+   * A copy of a request is ignored this long after it was sent, measured by the replica's own
+   * clock.
    */
   static final long MAX_REQUEST_AGE_MILLIS = 2500;
 
@@ -66,18 +69,18 @@
   private static final int ENTRY_OVERHEAD_BYTES = 96;
   private static final long MAX_REPAIR_BACKOFF_MILLIS = 6400;
 
-  /** What the core does to the world. */
+  /** The replica's access to network, disk and time of day. */
   public interface Environment {
-    /** Sends to another frame, where there is a line to it. */
+    /** Sends to another replica, if there is a connection to it. */
     void send(String address, Message message);
 
-    /** Puts a record on disk; the callback runs, in order, once it is lasting. */
+    /** Appends a record to the disk log; callbacks run in order, once their record is durable. */
     void append(byte[] record, Runnable synced);
 
-    /** The frames to keep lines to. */
+    /** Sets the replicas to keep connections to. */
     void peers(List<String> addresses);
 
-    /** The time of day, in milliseconds; it is recorded and never used for order. */
+    /** The time of day in milliseconds; it is recorded, but never used for ordering. */
     default long timeOfDay() {
       return 0;
     }
@@ -109,7 +112,7 @@
   private TakenVersions takenVersions;
   private long auditRetention = Long.MAX_VALUE;
 
-  /** A core that has read nothing from disk yet. */
+  /** A replica that has read nothing from disk yet. */
   public StateStoreReplica(
       final String self,
       final String site,
@@ -138,8 +141,8 @@
   }
 
   /**
-   * Keeps the history of routing changes in this store: so many entries at least, none above so
-   * many bytes. To be called before the start.
+   * Keeps the history of routing changes in this store: at least this many entries, none larger
+   * than this many bytes. Must be called before {@link #start}.
    */
   public void history(final AuditStore store, final long entries, final int entryBytes) {
     history(store, entries, new AuditSequencer(entryBytes));
@@ -150,7 +153,9 @@
     auditSequencer = sequencer;
     audit =
         new AuditReplica(
-            new AuditLog(self, store, recovery::completeIfDurable), environment::send, new Random(owner));
+            new AuditLog(self, store, recovery::completeIfDurable),
+            environment::send,
+            new Random(owner));
     takenVersions = new TakenVersions(auditSequencer, audit.log());
   }
 
@@ -158,13 +163,13 @@
     takenVersions = replacement;
   }
 
-  /** The partition of a register. */
+  /** The number of the partition that a register belongs to. */
   public static int partitionOf(final String register) {
     final StoredValues.Kind kind = StoredValues.Kind.of(register);
     return kind.isControl() ? 0 : 1 + Math.floorMod(register.hashCode(), PARTITIONS - 1);
   }
 
-  /** Takes another seed list. */
+  /** Replaces the seed list. */
   public void seeds(final List<String> newSeeds) {
     seeds = newSeeds;
     updatePeers();
@@ -173,8 +178,8 @@
   // ---- disk
 
   /**
-   * Takes what the disk held and begins; records are empty where the disk is blank or counts as
-   * lost.
+   * Restores the state from the records on disk and starts; there are no records if the disk is
+   * empty or counts as lost.
    */
   public void start(final List<byte[]> records, final boolean firstStart, final long now) {
     for (final byte[] record : records) {
@@ -196,7 +201,7 @@
     membership.onStart(now);
     updatePeers();
     LOGGER.atInfo().log(
-        "frame %s starts: blank %s, roster %s of %s, incarnation %s",
+        "state store %s starts: recovering %s, roster %s of %s voters, incarnation %s",
         self, recovering, roster.number, roster.voters.size(), incarnation);
   }
 
@@ -229,11 +234,11 @@
       }
       default ->
           throw new IllegalStateException(
-              "disk record of type " + record.type + " is unknown; run the release that wrote it");
+              "disk record has unknown type " + record.type + "; run the release that wrote it");
     }
   }
 
-  /** The live state as records, each of a bounded size unless one register is larger. */
+  /** The live state as records of bounded size; only a single large register exceeds it. */
   public List<byte[]> snapshot() {
     final List<byte[]> records = new ArrayList<>();
     if (!recovering) {
@@ -250,7 +255,7 @@
     return new StoredValues.DiskRecord(RECORD_SELF, 0, null, null, null, null, incarnation);
   }
 
-  /** What is known of the others, the roster, and what was promised and established. */
+  /** Peers' incarnations, the roster, and each partition's promised and established ballots. */
   List<byte[]> metadataRecords() {
     final List<byte[]> records = new ArrayList<>();
     for (final Map.Entry<String, Long> entry : knownIncarnations.entrySet()) {
@@ -260,7 +265,8 @@
                   RECORD_PEER_INCARNATION, 0, null, null, null, entry.getKey(), entry.getValue())));
     }
     records.add(
-        Serializer.serialize(new StoredValues.DiskRecord(RECORD_ROSTER, 0, null, null, roster, null, 0)));
+        Serializer.serialize(
+            new StoredValues.DiskRecord(RECORD_ROSTER, 0, null, null, roster, null, 0)));
     for (final Partition partition : partitions) {
       records.add(
           Serializer.serialize(
@@ -312,7 +318,7 @@
     return list;
   }
 
-  /** The incarnation under which a daemon is known here. */
+  /** The latest incarnation of a replica that is known here. */
   public long incarnationOf(final String address) {
     return address.equals(self) ? incarnation : knownIncarnations.getOrDefault(address, 1L);
   }
@@ -332,8 +338,8 @@
   }
 
   /**
-   * Takes the incarnations that the holder of a duty learned from a majority, and puts them on disk
-   * before what it established is there.
+   * Takes the incarnations that a partition's leader learned from a majority, and writes them to
+   * disk before the registers that it establishes.
    */
   private void persistIncarnations(final List<Long> incarnations) {
     if (incarnations.size() != roster.voters.size()) {
@@ -349,16 +355,20 @@
           && learned >= incarnationOf(address)
           && durableIncarnations.getOrDefault(address, 1L) < learned) {
         durableIncarnations.put(address, learned);
-        persist(new StoredValues.DiskRecord(RECORD_PEER_INCARNATION, 0, null, null, null, address, learned), () -> {});
+        persist(
+            new StoredValues.DiskRecord(
+                RECORD_PEER_INCARNATION, 0, null, null, null, address, learned),
+            () -> {});
       }
     }
     learnIncarnations(roster.number, incarnations);
   }
 
   /**
-   * Others know a later incarnation of this daemon: it lost its disk more than once, and whom it
-   * asked had not been voters then. They would never count it; what it has promised it keeps, so
-   * that it may take a later one at any time.
+   * Takes a later incarnation because others know this replica under one: it lost its disk more
+   * than once, and the replicas it recovered from had not been voters then. Under its present
+   * incarnation they would never count its votes. It keeps its promises, so it may take a later
+   * incarnation at any time.
    */
   private void raiseIncarnation(final long next) {
     if (next > pendingIncarnation) {
@@ -368,7 +378,7 @@
           () -> {
             if (next > incarnation) {
               LOGGER.atInfo().log(
-                  "frame %s is known under a later incarnation than %s and takes %s",
+                  "state store %s is known to others under a later incarnation than %s; continuing as incarnation %s",
                   self, incarnation, next);
               incarnation = next;
             }
@@ -397,9 +407,9 @@
     return !recovering && mayVote && roster.index(self) >= 0;
   }
 
-  // ---- messages from frames
+  // ---- messages from other replicas
 
-  /** A frame has said something; replies go back over the same line. */
+  /** Handles a message from another replica; replies go back over the same connection. */
   public void receive(
       final String from, final Message message, final Consumer<Message> reply, final long now) {
     if (stopped) {
@@ -452,7 +462,7 @@
     runRestarts(now);
   }
 
-  /** A blank daemon's seeds may be blank too, or gone: whoever speaks to it is asked as well. */
+  /** While recovering, remembers who sends messages: the seeds may be gone or recovering too. */
   private void rememberPeer(final String from) {
     if (recovering && !from.equals(self) && peersSeen.add(from)) {
       updatePeers();
@@ -471,7 +481,7 @@
     }
   }
 
-  /** The line to a frame has ended. */
+  /** Handles the end of the connection to another replica. */
   public void connectionClosed(final String address, final long now) {
     membership.onConnectionClosed(address, now);
     recovery.connectionClosed(address);
@@ -481,7 +491,9 @@
           && partition.phase.ordinal() <= Phase.PRE_VOTING.ordinal()) {
         partition.leaderHeardAt = Long.MIN_VALUE / 2;
         partition.electionDueAt =
-            Math.min(partition.electionDueAt, now + 60 + electionRank(partition) * 120L + random.nextInt(60));
+            Math.min(
+                partition.electionDueAt,
+                now + 60 + electionRank(partition) * 120L + random.nextInt(60));
       }
       if (index >= 0 && index < partition.establishmentSent.length) {
         partition.establishmentSent[index] = false;
@@ -550,7 +562,8 @@
     partition.preVoteStartedAt = now;
     partition.preVotesGranted = new boolean[roster.voters.size()];
     broadcast(
-        new StateStoreMessages.PreVote(partition.number, roster.number, partition.preVoteNumber), now);
+        new StateStoreMessages.PreVote(partition.number, roster.number, partition.preVoteNumber),
+        now);
   }
 
   private long preVotesStarted;
@@ -577,10 +590,12 @@
       stepDown(partition, now);
     }
     partition.promised = prepare.ballot;
-    partition.electionDueAt = Math.max(partition.electionDueAt, now + BALLOT_TIMEOUT_MILLIS + random.nextInt(200));
+    partition.electionDueAt =
+        Math.max(partition.electionDueAt, now + BALLOT_TIMEOUT_MILLIS + random.nextInt(200));
     partition.leaderHeardAt = now;
     persist(
-        new StoredValues.DiskRecord(RECORD_PROMISE, partition.number, prepare.ballot, null, null, null, 0),
+        new StoredValues.DiskRecord(
+            RECORD_PROMISE, partition.number, prepare.ballot, null, null, null, 0),
         () -> {
           if (partition.promised.equals(prepare.ballot) && roster.number == prepare.roster) {
             reply.accept(
@@ -651,7 +666,13 @@
     }
     persist(
         new StoredValues.DiskRecord(
-            RECORD_REGISTERS, partition.number, accept.ballot, storedEntries, null, null, accept.establish ? 1 : 0),
+            RECORD_REGISTERS,
+            partition.number,
+            accept.ballot,
+            storedEntries,
+            null,
+            null,
+            accept.establish ? 1 : 0),
         () -> {
           if (roster.number == accept.roster) {
             reply.accept(
@@ -674,7 +695,8 @@
     if (partition.phase == Phase.PRE_VOTING) {
       partition.phase = Phase.IDLE;
     }
-    partition.electionDueAt = now + LEADER_TIMEOUT_MILLIS + electionRank(partition) * 150L + random.nextInt(150);
+    partition.electionDueAt =
+        now + LEADER_TIMEOUT_MILLIS + electionRank(partition) * 150L + random.nextInt(150);
   }
 
   private void onHeartbeat(
@@ -696,10 +718,10 @@
         followed.add(partition.number);
         followedBallots.add(ballot);
         leaderHeard(partition, from, now);
-        membership.establishedRosters(partition.number, heartbeat.roster);
+        membership.establishedUnder(partition.number, heartbeat.roster);
       } else if (ballot.compareTo(partition.promised) > 0) {
         leaderHeard(partition, from, now);
-        membership.establishedRosters(partition.number, heartbeat.roster);
+        membership.establishedUnder(partition.number, heartbeat.roster);
       } else {
         reply.accept(
             new StateStoreMessages.Refused(
@@ -752,7 +774,7 @@
     }
   }
 
-  // ---- newcomers
+  // ---- membership
 
   private void onJoin(final StateStoreMessages.Join join, final long now) {
     recovery.markRecovered(join.voter.address);
@@ -773,7 +795,9 @@
           }
           roster = update;
           membership.onRosterAdopted(update, now);
-          LOGGER.atInfo().log("frame %s adopts roster %s: %s", self, update.number, addresses(update));
+          LOGGER.atInfo().log(
+              "state store %s adopts roster %s with voters %s",
+              self, update.number, addresses(update));
           updatePeers();
           if (update.index(self) < 0) {
             resign(false, now);
@@ -798,7 +822,7 @@
     return list;
   }
 
-  // ---- duties
+  // ---- partition leadership
 
   private int electionRank(final Partition partition) {
     final int size = roster.voters.size();
@@ -896,8 +920,8 @@
   }
 
   /**
-   * Asks those again who have not promised: one that had not adopted the roster when it was asked
-   * may have by now.
+   * Sends Prepare again to voters that have not promised: a voter that had not yet adopted the
+   * roster may have done so by now.
    */
   private void retryPrepare(final Partition partition, final long now) {
     if (now - partition.preparedAt < PREPARE_RETRY_MILLIS) {
@@ -1009,7 +1033,8 @@
     partition.registers = new LinkedHashMap<>();
     for (final RegisterEntry entry : best.values()) {
       final RegisterState register =
-          new RegisterState(entry.name, historyRetentionMillis, partition.ballot.round, takenVersions);
+          new RegisterState(
+              entry.name, historyRetentionMillis, partition.ballot.round, takenVersions);
       register.proposed = register.kind.decode(entry.whole);
       register.audit = entry.audit;
       register.promisedVersion = entry.mark;
@@ -1079,7 +1104,8 @@
     for (int index = 0; index < names.size(); index++) {
       final RegisterState register = partition.registers.get(names.get(index));
       if (register != null) {
-        register.acked[voterIndex] = Math.max(register.acked[voterIndex], accepted.counts.get(index));
+        register.acked[voterIndex] =
+            Math.max(register.acked[voterIndex], accepted.counts.get(index));
       }
     }
     if (accepted.establish) {
@@ -1120,7 +1146,7 @@
     partition.recentCalls.clear();
     partition.leader = self;
     partition.preferredRegionReadySince = 0;
-    membership.establishedRosters(partition.number, roster.number);
+    membership.establishedUnder(partition.number, roster.number);
     for (final RegisterState register : partition.registers.values()) {
       register.committed = register.proposed;
       if (register.kind == StoredValues.Kind.LOCK) {
@@ -1132,7 +1158,7 @@
       }
     }
     LOGGER.atInfo().log(
-        "frame %s serves partition %s under ballot %s, roster %s, registers %s",
+        "state store %s leads partition %s under ballot %s, roster %s, registers %s",
         self, partition.number, partition.ballot, roster.number, partition.registers.size());
     if (partition.number == 0) {
       audit.decided(auditSequencer.decideRestored(), otherReplicas());
@@ -1178,7 +1204,8 @@
     }
     heartbeatsSentAt = now;
     for (final Partition partition : partitions) {
-      if (partition.phase == Phase.SERVING && now - partition.heartbeatSentAt >= HEARTBEAT_INTERVAL_MILLIS / 2) {
+      if (partition.phase == Phase.SERVING
+          && now - partition.heartbeatSentAt >= HEARTBEAT_INTERVAL_MILLIS / 2) {
         partition.heartbeatCount++;
         partition.heartbeatSentAt = now;
         numbers.add(partition.number);
@@ -1218,11 +1245,12 @@
     }
     for (int index = 0; index < numbers.size(); index++) {
       final Partition partition = partitions[numbers.get(index)];
-      final RegisterVersion version = ack.ballots.get(index);
+      final RegisterVersion ballot = ack.ballots.get(index);
       if (partition.phase == Phase.SERVING
-          && partition.ballot.sameBallot(version)
+          && partition.ballot.sameBallot(ballot)
           && !partitionsToRestart.contains(partition)) {
-        partition.heartbeatAcked[voterIndex] = Math.max(partition.heartbeatAcked[voterIndex], version.count);
+        partition.heartbeatAcked[voterIndex] =
+            Math.max(partition.heartbeatAcked[voterIndex], ballot.count);
         completeConfirmedReads(partition, now);
       }
     }
@@ -1257,16 +1285,18 @@
       final Runnable onConfirmed) {
     if (!partition.confirmationInFlight) {
       partition.confirmationInFlight = true;
-      partition.waiters.add(new ConfirmationWaiter(partition.heartbeatCount + 1, now, pending, onConfirmed));
+      partition.waiters.add(
+          new ConfirmationWaiter(partition.heartbeatCount + 1, now, pending, onConfirmed));
       sendHeartbeat(partition, now);
     } else {
-      partition.waiters.add(new ConfirmationWaiter(partition.heartbeatCount + 1, now, pending, onConfirmed));
+      partition.waiters.add(
+          new ConfirmationWaiter(partition.heartbeatCount + 1, now, pending, onConfirmed));
     }
   }
 
-  // ---- calls
+  // ---- client requests
 
-  /** A call from an exchange. */
+  /** Handles a request from a registry. */
   public void call(
       final StoreMessages.StoreRequest call,
       final Consumer<StoreMessages.StoreResponse> connection,
@@ -1308,7 +1338,8 @@
         registerName,
         name -> {
           final RegisterState register =
-              new RegisterState(name, historyRetentionMillis, partition.ballot.round, takenVersions);
+              new RegisterState(
+                  name, historyRetentionMillis, partition.ballot.round, takenVersions);
           register.version = partition.ballot;
           Arrays.fill(register.acked, -1);
           Arrays.fill(register.sent, -1);
@@ -1322,7 +1353,8 @@
         pending.call.number, decision.status, decision.first, decision.body, null);
   }
 
-  private void processWaiting(final Partition partition, final RegisterState register, final long now) {
+  private void processWaiting(
+      final Partition partition, final RegisterState register, final long now) {
     final boolean mustWait = register.kind.isAudited() && auditSequencer.mustWait(register);
     Object value = register.committed;
     boolean changed = false;
@@ -1341,7 +1373,8 @@
         continue;
       }
       if (expired(pending.call, now)
-          || pending.operation == StoreOperation.LOCK_BEGIN && !sendTimeComparable(partition, pending.call, now)) {
+          || pending.operation == StoreOperation.LOCK_BEGIN
+              && !sendTimeComparable(partition, pending.call, now)) {
         pending.reply.accept(redirectResponse(pending.call, partition));
         continue;
       }
@@ -1367,7 +1400,8 @@
       } else if (changed) {
         register.awaitingCommit.add(new RegisterState.Proposal(pending, decision));
       } else {
-        confirmLeadership(partition, now, pending, () -> pending.reply.accept(response(pending, decision)));
+        confirmLeadership(
+            partition, now, pending, () -> pending.reply.accept(response(pending, decision)));
       }
     }
     register.waiting.addAll(later);
@@ -1376,14 +1410,14 @@
     }
   }
 
-  /** Whether a copy was under way for too long; nothing is done for it. */
+  /** Whether a copy of a request was in transit for too long; it is not carried out. */
   private static boolean expired(final StoreMessages.StoreRequest call, final long now) {
     return call.clock != null && now - call.clock > MAX_REQUEST_AGE_MILLIS;
   }
 
   /**
-   * Whether a copy can be told to be of a call that was first sent before this duty began, or after
-   * that.
+   * Whether it can be decided if a request was first sent before or after this replica became the
+   * partition's leader.
    */
   private static boolean sendTimeComparable(
       final Partition partition, final StoreMessages.StoreRequest call, final long now) {
@@ -1393,8 +1427,8 @@
   }
 
   /**
-   * Whether a call was surely sent before this duty began, so that the holder before may have
-   * carried it out.
+   * Whether a request was certainly sent before this replica became the partition's leader, so that
+   * the previous leader may have carried it out.
    */
   private static boolean predatesLeadership(
       final Partition partition, final StoreMessages.StoreRequest call, final long now) {
@@ -1414,7 +1448,8 @@
     if (before != null) {
       return before;
     }
-    if (pending.operation == StoreOperation.LOCK_BEGIN && predatesLeadership(partition, pending.call, now)
+    if (pending.operation == StoreOperation.LOCK_BEGIN
+            && predatesLeadership(partition, pending.call, now)
         || partition.recentCalls.full(now)) {
       return Decision.confirm(504, 0);
     }
@@ -1428,7 +1463,8 @@
       final RegisterState register,
       final RegisterState.PendingRequest pending,
       final long now) {
-    final Decision decision = pending.operation.decide(register, register.committed, pending.call, now);
+    final Decision decision =
+        pending.operation.decide(register, register.committed, pending.call, now);
     switch (decision.action) {
       case READ ->
           confirmLeadership(
@@ -1436,10 +1472,12 @@
               now,
               pending,
               () ->
-                  pending.reply.accept(response(pending, pending.operation.read(register.committed, pending.call))));
+                  pending.reply.accept(
+                      response(pending, pending.operation.read(register.committed, pending.call))));
       case PARK -> register.parked.add(pending);
       case CONFIRM ->
-          confirmLeadership(partition, now, pending, () -> pending.reply.accept(response(pending, decision)));
+          confirmLeadership(
+              partition, now, pending, () -> pending.reply.accept(response(pending, decision)));
       default -> pending.reply.accept(response(pending, decision));
     }
   }
@@ -1464,7 +1502,8 @@
       if (recovery.isRecovering(roster.voters.get(voterIndex).address)) {
         continue;
       }
-      final boolean sendDelta = !puts.isEmpty() && !firstValue && register.sent[voterIndex] == base.count;
+      final boolean sendDelta =
+          !puts.isEmpty() && !firstValue && register.sent[voterIndex] == base.count;
       final RegisterEntry entry;
       if (sendDelta) {
         if (delta == null) {
@@ -1478,7 +1517,8 @@
           whole = register.kind.encode(value);
         }
         entry =
-            new RegisterEntry(register.name, register.version, RegisterVersion.NONE, null, whole, register.audit);
+            new RegisterEntry(
+                register.name, register.version, RegisterVersion.NONE, null, whole, register.audit);
       }
       register.sent[voterIndex] = register.version.count;
       register.sentAt[voterIndex] = now;
@@ -1496,7 +1536,10 @@
   }
 
   private void sendWhole(
-      final Partition partition, final RegisterState register, final int voterIndex, final long now) {
+      final Partition partition,
+      final RegisterState register,
+      final int voterIndex,
+      final long now) {
     if (register.proposed == null) {
       return;
     }
@@ -1582,12 +1625,13 @@
 
   // ---- history
 
-  /** Which number all evacuations and trials together are under. */
+  /** The sum of the serials of all evacuations and trials. */
   private static long controlSerial(
       final Partition partition, final RegisterState changed, final Object value) {
     long serial = 0;
     for (final RegisterState register : partition.registers.values()) {
-      serial += StoredValues.serial(register.kind, register == changed ? value : register.committed);
+      serial +=
+          StoredValues.serial(register.kind, register == changed ? value : register.committed);
     }
     return serial;
   }
@@ -1604,8 +1648,8 @@
   }
 
   /**
-   * The peers with whom the history is reconciled: the voters, and the seeds where no voter is
-   * known.
+   * The peers for anti-entropy of the history: the other voters and joiners, or the seeds if there
+   * are none.
    */
   private List<String> auditPeers() {
     final List<String> peers = otherReplicas();
@@ -1616,7 +1660,7 @@
     return peers;
   }
 
-  /** Answers from what is here, whoever holds the duty: entries from first on, second at most. */
+  /** Answers from the local history, leader or not: from entry first on, at most second entries. */
   private StoreMessages.StoreResponse history(final StoreMessages.StoreRequest call) {
     final AuditLog log = audit.log();
     final List<byte[]> entries = new ArrayList<>();
@@ -1666,8 +1710,8 @@
   }
 
   /**
-   * Proposes, where nothing else is under way, what the history itself needs: its first entry in an
-   * older store, and trimming.
+   * Proposes the history's own changes if no other audited change is in flight: the first entry in
+   * a store that is older than its history, and trimming.
    */
   private void maintainHistory(final Partition partition, final long now) {
     auditSequencer.trimTail(roster);
@@ -1675,12 +1719,15 @@
       return;
     }
     final RegisterState register = registerState(partition, StoredValues.Kind.AUDIT.register(""));
-    final RegisterState configuration = partition.registers.get(StoredValues.Kind.CONFIGURATION.register(""));
+    final RegisterState configuration =
+        partition.registers.get(StoredValues.Kind.CONFIGURATION.register(""));
     if (auditSequencer.decided() == 0) {
       if (configuration != null && configuration.committed != null) {
         auditSequencer.add(
             auditSequencer.upgradeEntry(
-                (StoredValues.StoredConfiguration) configuration.committed, self, environment.timeOfDay()));
+                (StoredValues.StoredConfiguration) configuration.committed,
+                self,
+                environment.timeOfDay()));
         propose(partition, register, new StoredValues.Retention(0), List.of(), now);
       }
       return;
@@ -1701,7 +1748,7 @@
     }
   }
 
-  // ---- control state for exchanges
+  // ---- control state for registries
 
   private final List<RegisterState.PendingRequest> parkedControlRequests = new ArrayList<>();
 
@@ -1724,7 +1771,9 @@
   }
 
   private boolean answerControlRequest(
-      final Partition partition, final RegisterState.PendingRequest pending, final boolean evenIfUnchanged) {
+      final Partition partition,
+      final RegisterState.PendingRequest pending,
+      final boolean evenIfUnchanged) {
     final ControlView view = new ControlView(partition.registers.values());
     if (!evenIfUnchanged && !view.isNewerThan(pending.call)) {
       return false;
@@ -1749,14 +1798,13 @@
   // ---- time
 
   /**
-   * Tells how the disk fares: for how long the present write has lasted, and whether it refuses
-   * writes.
+   * Reports the state of the disk: how long the current write has lasted, and whether writes fail.
    */
   public void updateDiskState(final long writeMillis, final boolean failing, final long now) {
     final boolean nowFailing = failing || writeMillis > DISK_STALL_TIMEOUT_MILLIS;
     if (nowFailing && !diskFailing) {
       LOGGER.atWarning().log(
-          "frame %s gives its duties up: its disk has hung for %s ms or refuses writes",
+          "state store %s gives up its partitions: a disk write has hung for %s ms or writes fail; check free space and health of the disk",
           self, writeMillis);
       resign(false, now);
     }
@@ -1764,8 +1812,9 @@
   }
 
   /**
-   * Gives all duties up because the process ends, and stays a voter until the others hold without
-   * it all that this daemon counted for, or too long has passed; then the deed runs.
+   * Gives up all partitions because the process ends. The replica stays a voter until a majority
+   * has every partition on disk without it, or {@link GracefulLeave#TIMEOUT_MILLIS} have passed;
+   * then the callback runs.
    */
   public void leave(final Runnable onStopped, final long now) {
     gracefulLeave.begin(onStopped, roster.number, now);
@@ -1784,7 +1833,7 @@
         return;
       }
       LOGGER.atWarning().log(
-          "frame %s leaves although partitions %s may be on too few other disks: no holder has said within %s ms that a majority has them without it; bring it back with its disk, or replace it, before another voter is lost",
+          "state store %s leaves although partitions %s may be on too few other disks: no leader confirmed within %s ms that a majority has them without it; bring it back with its disk, or replace it, before another voter is lost",
           self, gracefulLeave.unreleased(), GracefulLeave.TIMEOUT_MILLIS);
     }
     resign(true, now);
@@ -1793,7 +1842,7 @@
   }
 
   /**
-   * Tells a voter that leaves which partitions served here are on a majority of disks without it.
+   * Tells a leaving voter which of the partitions led here are on a majority of disks without it.
    */
   private void sendReleased(final String from, final Consumer<Message> reply) {
     final int voterIndex = roster.index(from);
@@ -1857,7 +1906,7 @@
     }
   }
 
-  /** Time has passed; to be called every few tens of milliseconds. */
+  /** Runs time-outs and periodic work; must be called every few tens of milliseconds. */
   public void tick(final long now) {
     if (stopped) {
       return;
@@ -1884,7 +1933,10 @@
     for (final Partition partition : partitions) {
       switch (partition.phase) {
         case IDLE -> {
-          if (canVote() && !diskFailing && !gracefulLeave.begun() && now >= partition.electionDueAt) {
+          if (canVote()
+              && !diskFailing
+              && !gracefulLeave.begun()
+              && now >= partition.electionDueAt) {
             startPreVote(partition, now);
           }
         }
@@ -1918,10 +1970,10 @@
   }
 
   /**
-   * Brings voters up to date that lack something: in parts of a bounded size, the next once one was
-   * acknowledged, and nothing to those who answer no pulse. A value that the establishing took over
-   * as it was goes as its old mark: who has it under that one needs no more. The partition counts
-   * as established at a voter once all of it is there.
+   * Sends voters the registers that they lack, in messages of bounded size: the next once the last
+   * was acknowledged, and none to voters that answer no heartbeat. A value that is unchanged since
+   * this leader established it goes as its old version only: a voter that has it under that version
+   * needs no more. The partition counts as established on a voter once all of it is there.
    */
   private void repairVoters(final Partition partition, final long now) {
     for (int voterIndex = 0; voterIndex < roster.voters.size(); voterIndex++) {
@@ -1937,9 +1989,13 @@
           continue;
         }
         whole &= register.acked[voterIndex] >= 0;
-        if (bytes < REPAIR_MESSAGE_BYTES && now - register.sentAt[voterIndex] > RESEND_INTERVAL_MILLIS) {
-          final boolean versionOnly = register.acked[voterIndex] < 0 && register.version.equals(register.establishedVersion);
-          final byte[] value = versionOnly ? StoredValues.UNCHANGED : register.kind.encode(register.proposed);
+        if (bytes < REPAIR_MESSAGE_BYTES
+            && now - register.sentAt[voterIndex] > RESEND_INTERVAL_MILLIS) {
+          final boolean versionOnly =
+              register.acked[voterIndex] < 0
+                  && register.version.equals(register.establishedVersion);
+          final byte[] value =
+              versionOnly ? StoredValues.UNCHANGED : register.kind.encode(register.proposed);
           bytes +=
               register.name.length()
                   + ENTRY_OVERHEAD_BYTES
@@ -1947,9 +2003,20 @@
                   + (register.audit == null ? 0 : register.audit.length);
           entries.add(
               versionOnly
-                  ? new RegisterEntry(register.name, register.version, register.promisedVersion, value, null, register.audit)
+                  ? new RegisterEntry(
+                      register.name,
+                      register.version,
+                      register.promisedVersion,
+                      value,
+                      null,
+                      register.audit)
                   : new RegisterEntry(
-                      register.name, register.version, RegisterVersion.NONE, null, value, register.audit));
+                      register.name,
+                      register.version,
+                      RegisterVersion.NONE,
+                      null,
+                      value,
+                      register.audit));
           register.sent[voterIndex] = register.version.count;
           register.sentAt[voterIndex] = now;
         }
@@ -1961,8 +2028,11 @@
       if (establish || !entries.isEmpty()) {
         repair.sentAt = now;
         repair.backoffMillis =
-            repair.backoffMillis == 0 ? RESEND_INTERVAL_MILLIS : Math.min(MAX_REPAIR_BACKOFF_MILLIS, repair.backoffMillis * 2);
-        partition.establishmentSentAt[voterIndex] = establish ? now : partition.establishmentSentAt[voterIndex];
+            repair.backoffMillis == 0
+                ? RESEND_INTERVAL_MILLIS
+                : Math.min(MAX_REPAIR_BACKOFF_MILLIS, repair.backoffMillis * 2);
+        partition.establishmentSentAt[voterIndex] =
+            establish ? now : partition.establishmentSentAt[voterIndex];
         repairedBytes += bytes;
         send(
             roster.voters.get(voterIndex).address,
@@ -1984,7 +2054,8 @@
     partition.waiters.removeIf(waiter -> now - waiter.receivedAt > PENDING_REQUEST_TIMEOUT_MILLIS);
     for (final RegisterState register : partition.registers.values()) {
       if (!register.waiting.isEmpty()) {
-        register.waiting.removeIf(pending -> now - pending.receivedAt > PENDING_REQUEST_TIMEOUT_MILLIS);
+        register.waiting.removeIf(
+            pending -> now - pending.receivedAt > PENDING_REQUEST_TIMEOUT_MILLIS);
       }
       if (!register.parked.isEmpty()) {
         register.parked.removeIf(
@@ -2006,7 +2077,9 @@
     }
     if (partition.number == 0) {
       parkedControlRequests.removeIf(
-          pending -> now - pending.receivedAt >= CONTROL_WAIT_TIMEOUT_MILLIS && answerControlRequest(partition, pending, true));
+          pending ->
+              now - pending.receivedAt >= CONTROL_WAIT_TIMEOUT_MILLIS
+                  && answerControlRequest(partition, pending, true));
     }
   }
 
@@ -2065,8 +2138,8 @@
   }
 
   /**
-   * Seeds that are neither voters nor known to wait may have lost their disks and know nobody: they
-   * are told who votes.
+   * Sends the roster to seeds that are neither voters nor joiners: they may have lost their disks
+   * and know no other replica.
    */
   private void sendRosterToSeeds(final long now) {
     if (now - seedsUpdatedAt < SEED_UPDATE_INTERVAL_MILLIS) {
@@ -2096,19 +2169,19 @@
     }
   }
 
-  // ---- what tests and operators look at
+  // ---- state for tests and operators
 
-  /** The roster in force here. */
+  /** The roster that this replica has adopted. */
   public Roster roster() {
     return roster;
   }
 
-  /** Whether this daemon has forgotten what it held and must not vote. */
+  /** Whether this replica has lost its state, or has none yet, and must not vote. */
   public boolean recovering() {
     return recovering;
   }
 
-  /** The partitions that this daemon serves. */
+  /** The number of partitions that this replica leads. */
   public int serving() {
     int count = 0;
     for (final Partition partition : partitions) {
@@ -2122,17 +2195,22 @@
     return audit.log();
   }
 
-  /** The counters of the history, as one line. */
+  /** The counters of the history and of recovery and repair, as one line. */
   public String historyCounters() {
-    return audit.counters() + " " + recovery.counters() + " repaired " + repairedBytes / 1024 + " KB";
+    return audit.counters()
+        + " "
+        + recovery.counters()
+        + " repaired "
+        + repairedBytes / 1024
+        + " KB";
   }
 
-  /** Ballots begun here. */
+  /** The number of ballots started by this replica. */
   public long ballotsStarted() {
     return ballotsStarted;
   }
 
-  /** Values that became lasting here. */
+  /** The number of values committed by this replica as leader. */
   public long commits() {
     return commits;
   }
--- a/statestore/src/main/java/weldpoint/statestore/StoreOperation.java
+++ b/statestore/src/main/java/weldpoint/statestore/StoreOperation.java
@@ -12,12 +12,12 @@
 import weldpoint.transport.Serializer;
 import weldpoint.transport.StoreMessages.StoreRequest;
 
-/** What may be asked of the store, each with how it is decided at the holder of the duty. */
+/** The operations of the store, each with its decision by the leader of the partition. */
 public enum StoreOperation {
   /**
-   * Takes a configuration: first is its version, second 1 where a route ties callers to nodes, body
-   * its compressed bytes; the answer's first is 0 if it alters nothing, since this or a later one
-   * holds. Status 409 if the version stands for another one.
+   * Replaces the configuration: first is its version, second 1 if a route uses session affinity,
+   * body its compressed bytes. The answer's first is 0 if nothing changes because this or a later
+   * version is stored. Status 409 if the version was taken by another configuration.
    */
   CONFIGURATION_REPLACE(StoredValues.Kind.CONFIGURATION) {
     @Override
@@ -55,7 +55,7 @@
   },
   /**
    * Begins (first is 1) or finishes (0) the evacuation of a site, under the ticket second; status
-   * 410 if another order was decided since the ticket.
+   * 410 if another order was decided since the ticket was issued.
    */
   EVACUATE(StoredValues.Kind.EVACUATION) {
     @Override
@@ -74,7 +74,8 @@
     }
   },
   /**
-   * Writes a trial (body), if the one there has the serial first; a held one is never opened again.
+   * Writes a trial (body) if the stored one has the serial first; a verdict of the same trial is
+   * never lowered, so a trial on hold is not reopened.
    */
   TRIAL_WRITE(StoredValues.Kind.TRIAL) {
     @Override
@@ -98,8 +99,8 @@
     }
   },
   /**
-   * Ends an object (owner its host, body its path) or a label (owner null, body the label) for all
-   * caches.
+   * Purges an object (owner its host, body its path) or a label (owner null, body the label) from
+   * all caches.
    */
   PURGE(StoredValues.Kind.PURGES) {
     @Override
@@ -126,7 +127,7 @@
           serial);
     }
   },
-  /** Writes who may choose a region's chief (body), if its mark follows the one there. */
+  /** Writes a region's electorate (body), who elects its leader, if its serial is the next. */
   ELECTORATE(StoredValues.Kind.ELECTORATE) {
     @Override
     Decision decide(
@@ -142,8 +143,8 @@
     }
   },
   /**
-   * Waits for control state newer than version first and the marks of evacuations and trials,
-   * second.
+   * Waits for control state newer than the configuration version first and the sum of the other
+   * serials second.
    */
   CONTROL(StoredValues.Kind.CONFIGURATION) {
     @Override
@@ -152,7 +153,7 @@
       return Decision.read();
     }
   },
-  /** Takes a lock for first milliseconds. */
+  /** Acquires a lock for first milliseconds. */
   LOCK_BEGIN(StoredValues.Kind.LOCK) {
     @Override
     Decision decide(
@@ -169,7 +170,7 @@
       return Decision.write(new Lock(call.owner, lock.fence + 1, call.first), null, lock.fence + 1);
     }
   },
-  /** Renews a lock of fence second for first milliseconds. */
+  /** Renews the lock with fencing token second for first milliseconds. */
   LOCK_HEARTBEAT(StoredValues.Kind.LOCK) {
     @Override
     Decision decide(
@@ -185,8 +186,8 @@
     }
   },
   /**
-   * Asks for a ticket to give a lock back with: it is void once the lock has been granted or
-   * renewed again.
+   * Issues a ticket for releasing a lock: it is void once the lock has been granted or renewed
+   * again.
    */
   LOCK_TICKET(StoredValues.Kind.LOCK) {
     @Override
@@ -195,7 +196,7 @@
       return Decision.confirm(200, register.ticket());
     }
   },
-  /** Gives a lock of fence second back, under the ticket first. */
+  /** Releases the lock with fencing token second, under the ticket first. */
   LOCK_FINISH(StoredValues.Kind.LOCK) {
     @Override
     Decision decide(
@@ -209,7 +210,7 @@
           : Decision.write(new Lock("", lock.fence, 0), null, lock.fence);
     }
   },
-  /** Gives the next number. */
+  /** Returns the next number of a sequence. */
   NUMBER(StoredValues.Kind.NUMBER) {
     @Override
     Decision decide(
@@ -219,8 +220,8 @@
     }
   },
   /**
-   * Puts a value (owner carries it) under a key (body names it); first is the revision it must
-   * have, -1 for any.
+   * Puts a value (in owner) under a key (in body); first is the revision that the key must have, -1
+   * for any.
    */
   CELL_REPLACE(StoredValues.Kind.GROUP) {
     @Override
@@ -238,10 +239,11 @@
         return Decision.confirm(412, revision);
       }
       final Put put = new Put(name, call.owner, group.revision + 1);
-      return Decision.write(group.with(List.of(put), register.historyFloor(now)), put, put.revision);
+      return Decision.write(
+          group.with(List.of(put), register.historyFloor(now)), put, put.revision);
     }
   },
-  /** Reads a key (body names it). */
+  /** Reads the value of a key (in body). */
   CELL_READ(StoredValues.Kind.GROUP) {
     @Override
     Decision decide(
@@ -260,7 +262,7 @@
               200, put.revision, put.value.getBytes(java.nio.charset.StandardCharsets.UTF_8));
     }
   },
-  /** Waits second milliseconds for puts above revision first. */
+  /** Waits up to second milliseconds for puts above revision first. */
   WATCH(StoredValues.Kind.GROUP) {
     @Override
     Decision decide(
@@ -285,8 +287,8 @@
     }
   },
   /**
-   * Asks how far the history of routing changes reaches: the answer's first is the last decided
-   * entry, its body the digest.
+   * Returns the end of the history of routing changes: the answer's first is the last decided
+   * entry, its body that entry's digest.
    */
   HISTORY_HEAD(StoredValues.Kind.AUDIT) {
     @Override
@@ -295,7 +297,7 @@
       return Decision.read();
     }
   },
-  /** Asks any replica, whoever holds the duty, for second entries of its history from first on. */
+  /** Reads at most second history entries from first on; any replica answers, leader or not. */
   HISTORY_READ(StoredValues.Kind.AUDIT) {
     @Override
     Decision decide(
@@ -304,8 +306,8 @@
     }
   },
   /**
-   * Writes among which upstreams a service's callers are placed (body), if its serial follows the
-   * one there.
+   * Writes a service's placement (body), the upstreams its callers are spread over, if its serial
+   * follows the stored one.
    */
   PLACEMENT_WRITE(StoredValues.Kind.PLACEMENT) {
     @Override
@@ -319,7 +321,7 @@
           : Decision.confirm(412, serial);
     }
   },
-  /** Writes which exchange keeps placements (body), if its serial follows the one there. */
+  /** Writes which registry owns placements (body), if its serial follows the stored one. */
   PLACEMENT_OWNER_WRITE(StoredValues.Kind.PLACEMENT_OWNER) {
     @Override
     Decision decide(
@@ -333,8 +335,8 @@
     }
   },
   /**
-   * Asks for a ticket to order a site's evacuation with: it is void once any order for the site was
-   * decided, and with the duty.
+   * Issues a ticket for ordering a site's evacuation: it is void once any order for the site was
+   * decided, or once the partition has a new leader.
    */
   EVACUATION_TICKET(StoredValues.Kind.EVACUATION) {
     @Override
@@ -344,9 +346,9 @@
     }
   },
   /**
-   * Writes who holds the keys of a divided service (body), if its serial follows the one there.
-   * Only the registry that knows the latest assignment can write, so a change by one that has been
-   * overtaken never takes effect.
+   * Writes the key assignment of a partitioned service (body), if its serial follows the stored
+   * one. Only a registry that knows the latest assignment can write, so a change by one with an
+   * outdated assignment never takes effect.
    */
   OWNERSHIP_WRITE(StoredValues.Kind.OWNERSHIP) {
     @Override
@@ -369,12 +371,12 @@
     this.kind = kind;
   }
 
-  /** The deed of this number; null where there is none. */
+  /** The operation with this number; null if there is none. */
   public static StoreOperation of(final int number) {
     return number < 0 || number >= ALL.length ? null : ALL[number];
   }
 
-  /** The register that a call of this deed concerns. */
+  /** The name of the register that a request for this operation concerns. */
   public String register(final String identifier) {
     return kind == StoredValues.Kind.CONFIGURATION
             || kind == StoredValues.Kind.PURGES
@@ -385,8 +387,8 @@
   }
 
   /**
-   * Whether a copy that comes late would do something that the first did not, so that it must be
-   * known by its identity.
+   * Whether carrying out a late copy of a request would change something again, so that copies must
+   * be recognized by caller and number.
    */
   boolean needsDeduplication() {
     return this == LOCK_BEGIN || this == NUMBER || this == PURGE;
@@ -395,7 +397,7 @@
   abstract Decision decide(RegisterState register, Object value, StoreRequest call, long now);
 
   Decision read(final Object value, final StoreRequest call) {
-    throw new IllegalStateException(this + " reads nothing");
+    throw new IllegalStateException(this + " is not a read operation");
   }
 
   private static Decision extend(
--- a/statestore/src/main/java/weldpoint/statestore/StoredValues.java
+++ b/statestore/src/main/java/weldpoint/statestore/StoredValues.java
@@ -13,14 +13,16 @@
 import weldpoint.transport.StateStoreMessages;
 import weldpoint.transport.TrialMessages;
 
-/** The values that registers hold. All are immutable. */
+/**
+ * The values of registers, answers and disk records, written by field position. All are immutable.
+ */
 public final class StoredValues {
-  /** The difference that leaves a value as it is, under another mark. */
+  /** The delta that leaves a value unchanged and only replaces its version. */
   static final byte[] UNCHANGED = new byte[0];
 
   private StoredValues() {}
 
-  /** The kinds of registers, told apart by the beginning of their names. */
+  /** The kinds of registers, distinguished by the prefix of their names. */
   public enum Kind {
     ROSTER("roster", StateStoreMessages.Roster.class),
     CONFIGURATION("spec", StoredConfiguration.class),
@@ -44,42 +46,42 @@
       this.type = type;
     }
 
-    /** The kind of the register of this name. */
+    /** The kind of the register with this name. */
     public static Kind of(final String name) {
       for (final Kind kind : values()) {
         if (name.startsWith(kind.prefix)) {
           return kind;
         }
       }
-      throw new IllegalArgumentException("no register is named " + name);
+      throw new IllegalArgumentException("register name has no known prefix: " + name);
     }
 
-    /** Whether it belongs to the control state, which one partition holds together. */
+    /** Whether registers of this kind are control state, which is all in partition 0. */
     public boolean isControl() {
       return ordinal() < LOCK.ordinal();
     }
 
-    /** Whether a change of it is a change of routing, which the history records. */
+    /** Whether changes of such registers are routing changes, which the history records. */
     public boolean isAudited() {
       return this == CONFIGURATION || this == EVACUATION || this == TRIAL || this == AUDIT;
     }
 
-    /** The name of the register of this kind for an identifier. */
+    /** The name of the register of this kind with this identifier. */
     public String register(final String identifier) {
       return prefix + identifier;
     }
 
-    /** Reads a whole value. */
+    /** Decodes a complete value. */
     public Object decode(final byte[] bytes) {
       return this == GROUP ? CellGroup.decode(bytes) : Serializer.deserialize(bytes, type);
     }
 
-    /** The bytes of a whole value. */
+    /** Encodes a complete value. */
     public byte[] encode(final Object value) {
       return this == GROUP ? ((CellGroup) value).encode() : Serializer.serialize(value);
     }
 
-    /** A value changed by a difference; only groups have them. */
+    /** Applies a delta to a value; only groups have deltas. */
     public Object apply(final Object value, final byte[] delta) {
       final GroupDelta change = Serializer.deserialize(delta, GroupDelta.class);
       return (value == null ? CellGroup.EMPTY : (CellGroup) value)
@@ -88,9 +90,9 @@
   }
 
   /**
-   * The operators' configuration: its version, its compressed bytes and, compressed too, its
-   * summary for the history; whether a route ties callers to nodes; the digest of what it says,
-   * null in an older store.
+   * The operators' configuration: its version, its compressed bytes and its compressed summary for
+   * the history; whether a route uses session affinity; the digest of its content, null if an older
+   * release stored it.
    */
   public static final class StoredConfiguration {
     public final long version;
@@ -114,8 +116,8 @@
   }
 
   /**
-   * A version that stands for another configuration: who sent that one, and when it was taken, by
-   * the clock of the daemon that decided; empty and 0 where that is not known.
+   * A version that was already taken by another configuration: that one's author, and when it was
+   * accepted, by the clock of the replica that decided; empty and 0 if not known.
    */
   public static final class TakenVersion {
     public final long version;
@@ -129,7 +131,7 @@
     }
   }
 
-  /** Up to which entry the history is forgotten. */
+  /** The last entry up to which the history was trimmed. */
   public static final class Retention {
     public final long through;
 
@@ -138,7 +140,7 @@
     }
   }
 
-  /** Entries of one replica's history, with how far it reaches. */
+  /** Entries of one replica's history, with its first and last entry. */
   public static final class HistoryPart {
     public final long base;
     public final long last;
@@ -166,7 +168,7 @@
     }
   }
 
-  /** How often a register of evacuations or trials has changed; 0 for any other. */
+  /** How often an evacuation or trial register has changed; 0 for other kinds. */
   static long serial(final Kind kind, final Object value) {
     if (value == null) {
       return 0;
@@ -187,7 +189,7 @@
     }
   }
 
-  /** Who holds a lock under which fence; an empty owner means nobody. */
+  /** A lock's owner and fencing token; an empty owner means that the lock is free. */
   public static final class Lock {
     public final String owner;
     public final long fence;
@@ -200,7 +202,7 @@
     }
   }
 
-  /** The last number given. */
+  /** The last number issued from a sequence. */
   public static final class Number {
     public final long value;
 
@@ -209,7 +211,7 @@
     }
   }
 
-  /** One put of a key. */
+  /** A value that was put under a key, with its revision. */
   public static final class Put {
     public final String name;
     public final String value;
@@ -222,7 +224,7 @@
     }
   }
 
-  /** What puts add to a group, and up to which revision its history is forgotten. */
+  /** Puts to add to a group, and the revision up to which its history is trimmed. */
   public static final class GroupDelta {
     public final List<Put> puts;
     public final long floor;
@@ -233,7 +235,7 @@
     }
   }
 
-  /** How a group travels whole. */
+  /** The serialized form of a complete group. */
   public static final class GroupSnapshot {
     public final List<Put> cells;
     public final List<Put> history;
@@ -249,9 +251,9 @@
     }
   }
 
-  /** A group of cells: the present puts by name, and all puts above the floor. */
+  /** A group of cells: the current put of each key, and all puts above the floor revision. */
   public static final class CellGroup {
-    /** A group that nothing was put to. */
+    /** The empty group. */
     public static final CellGroup EMPTY = new CellGroup(Map.of(), List.of(), 0, 0);
 
     public final Map<String, Put> cells;
@@ -270,7 +272,7 @@
       this.floor = floor;
     }
 
-    /** This group after further puts, its history forgotten up to the floor. */
+    /** This group with further puts, its history trimmed up to the floor revision. */
     public CellGroup with(final List<Put> puts, final long newFloor) {
       final Map<String, Put> nextCells = new LinkedHashMap<>(cells);
       final List<Put> nextHistory = new ArrayList<>(history.size() + puts.size());
@@ -288,7 +290,7 @@
       return new CellGroup(nextCells, nextHistory, last, Math.max(floor, newFloor));
     }
 
-    /** The first put of this value to this key that is still known; null where there is none. */
+    /** The first known put of this value under this key; null if there is none. */
     public Put findPut(final String name, final String value) {
       for (final Put put : history) {
         if (put.name.equals(name) && put.value.equals(value)) {
@@ -310,11 +312,12 @@
       for (final Put put : Protocol.list(snapshot.cells)) {
         cells.put(put.name, put);
       }
-      return new CellGroup(cells, Protocol.list(snapshot.history), snapshot.revision, snapshot.floor);
+      return new CellGroup(
+          cells, Protocol.list(snapshot.history), snapshot.revision, snapshot.floor);
     }
   }
 
-  /** What exchanges learn of control state. */
+  /** The control state that is sent to registries. */
   public static final class ControlSnapshot {
     public final long version;
     public final byte[] configuration;
@@ -330,10 +333,10 @@
     public final List<PlacementMessages.Placement> placements;
     public final PlacementMessages.PlacementOwner placementOwner;
 
-    /** Who holds the keys of divided services; null where nothing is news. */
+    /** The key assignments of partitioned services; null if the registry is up to date. */
     public final List<OwnershipMessages.Assignment> assignments;
 
-    /** Control state without divided services. */
+    /** Control state without partitioned services. */
     public ControlSnapshot(
         final long version,
         final byte[] configuration,
@@ -365,7 +368,7 @@
           null);
     }
 
-    /** Control state. */
+    /** Control state with the key assignments of partitioned services. */
     public ControlSnapshot(
         final long version,
         final byte[] configuration,
@@ -398,7 +401,7 @@
     }
   }
 
-  /** What a watch answers. */
+  /** The answer of a watch: the puts above its revision, and the group's revision. */
   public static final class WatchEvents {
     public final List<Put> events;
     public final long revision;
@@ -409,7 +412,7 @@
     }
   }
 
-  /** What lies on disk. */
+  /** A record of the disk log; unused fields are null or 0. */
   public static final class DiskRecord {
     public final int type;
     public final int partition;
--- a/statestore/src/main/java/weldpoint/statestore/TakenVersions.java
+++ b/statestore/src/main/java/weldpoint/statestore/TakenVersions.java
@@ -13,9 +13,9 @@
 import weldpoint.transport.StoreMessages.StoreRequest;
 
 /**
- * Which content each version of the configuration stands for, as the holder of its register knows
- * it: the version held by the register itself, older ones by the history of changes. A version that
- * was taken once never stands for anything else.
+ * Looks up which configuration took each version, on the leader of the configuration's partition:
+ * the current version from the register, older ones from the history. A version that was taken once
+ * never stands for another configuration.
  */
 class TakenVersions {
   private final AuditSequencer auditSequencer;
@@ -27,13 +27,15 @@
   }
 
   /**
-   * What is to be said of a configuration whose version is not above the one held: the same one
-   * again, another one, or one that is not known.
+   * Decides on a configuration whose version is not above the current one: it is the same
+   * configuration again, a conflicting one, or it cannot be told yet.
    */
   Decision decide(final StoredConfiguration current, final StoreRequest call) {
     final AuditEntry entry = findEntry(call.first);
     if (call.first == current.version) {
-      return Arrays.equals(contentDigest(current), contentDigest(call)) ? alreadyApplied() : versionConflict(call.first, entry);
+      return Arrays.equals(contentDigest(current), contentDigest(call))
+          ? alreadyApplied()
+          : versionConflict(call.first, entry);
     }
     if (entry == null) {
       return historyComplete() ? alreadyApplied() : Decision.confirm(504, 0);
@@ -41,7 +43,9 @@
     if (entry.content == null) {
       return alreadyApplied();
     }
-    return Arrays.equals(entry.content, contentDigest(call)) ? alreadyApplied() : versionConflict(call.first, entry);
+    return Arrays.equals(entry.content, contentDigest(call))
+        ? alreadyApplied()
+        : versionConflict(call.first, entry);
   }
 
   private static Decision alreadyApplied() {
@@ -65,17 +69,19 @@
     return recent == null ? log.taking(version) : recent;
   }
 
-  /** Whether every entry that is kept is here: in the log, or in the tail after it. */
+  /** Whether this replica has every retained entry, in its log or in the tail after it. */
   private boolean historyComplete() {
     return log.last() >= auditSequencer.tailBase();
   }
 
-  /** What a configuration says, by the digest of its canonical form. */
+  /** The digest of a stored configuration's canonical form. */
   static byte[] contentDigest(final StoredConfiguration configuration) {
-    return configuration.contentDigest == null ? contentDigest(configuration.compressedBody) : configuration.contentDigest;
+    return configuration.contentDigest == null
+        ? contentDigest(configuration.compressedBody)
+        : configuration.contentDigest;
   }
 
-  /** What a configuration that is sent says. */
+  /** The digest of the canonical form of a configuration in a request. */
   static byte[] contentDigest(final StoreRequest call) {
     return call.content == null ? contentDigest(call.body) : call.content;
   }
--- a/statestore/src/main/java/weldpoint/statestore/TokenAssignment.java
+++ b/statestore/src/main/java/weldpoint/statestore/TokenAssignment.java
@@ -7,16 +7,16 @@
 import weldpoint.transport.StateStoreMessages.Voter;
 
 /**
- * Equal tokens spread over the members, as the paper's third strategy has it: each member keeps Q/S
- * of them.
+ * Assigns equal-sized token ranges to voters by the third strategy of the Dynamo paper: each of S
+ * voters has Q/S of the Q tokens.
  */
 public final class TokenAssignment {
-  /** Q, the number of tokens. */
+  /** The number of tokens, Q in the Dynamo paper. */
   public static final int TOKENS = 64;
 
   private TokenAssignment() {}
 
-  /** The tokens that a member takes at the very first start. */
+  /** The tokens of a voter at the first start of the store. */
   public static List<Integer> initial(final int index, final int members) {
     final List<Integer> tokens = new ArrayList<>();
     for (int token = index; token < TOKENS; token += members) {
@@ -26,7 +26,8 @@
   }
 
   /**
-   * The roster with a newcomer, who takes tokens from those who have most until it has its share.
+   * The next roster with one more voter, which takes tokens from the voters that have most until it
+   * has its share.
    */
   public static Roster with(final Roster roster, final Voter newcomer) {
     final List<List<Integer>> lists = new ArrayList<>();
@@ -51,7 +52,7 @@
     return new Roster(roster.number + 1, voters);
   }
 
-  /** The roster without a member, whose tokens go one by one to those who have fewest. */
+  /** The next roster without a voter; its tokens go one by one to the voters with the fewest. */
   public static Roster without(final Roster roster, final Voter removed) {
     final List<List<Integer>> lists = new ArrayList<>();
     final List<Voter> remaining = new ArrayList<>();
@@ -76,7 +77,7 @@
     return new Roster(roster.number + 1, voters);
   }
 
-  /** The roster with the sites and regions of members filled in; null where nothing changes. */
+  /** The next roster with sites and regions of voters filled in; null if nothing changes. */
   public static Roster described(final Roster roster, final Map<String, Voter> known) {
     boolean changed = false;
     final List<Voter> voters = new ArrayList<>();
--- a/statestore/src/main/java/weldpoint/statestore/VoterSelection.java
+++ b/statestore/src/main/java/weldpoint/statestore/VoterSelection.java
@@ -9,17 +9,17 @@
 import weldpoint.transport.StateStoreMessages.Voter;
 
 /**
- * Which daemons should vote: first, no zone holds so many that its loss takes the majority, even if
- * that means to keep a voter who is out of reach; then, as few as can be are out of reach; then,
- * they are spread over zones, then over regions. Nothing is exchanged for a choice that is only as
- * good.
+ * Selects the replicas that should vote. In order of priority: no zone has so many voters that its
+ * loss costs the majority, even if that keeps an unreachable voter; as few voters as possible are
+ * unreachable; they are spread over zones; they are spread over regions. No voter is replaced for a
+ * selection that is only as good.
  */
 final class VoterSelection {
   private static final int MIN_VOTERS = 3;
 
   private VoterSelection() {}
 
-  /** How good a set of voters is; the smaller, the better. */
+  /** The cost of a set of voters, compared from the first component to the last. */
   private record Cost(int crowded, int unreachable, int zones, int regions) {
     boolean isBelow(final Cost other) {
       if (crowded != other.crowded) {
@@ -42,7 +42,8 @@
     return voter.region == null || voter.region.isEmpty() ? voter.address : voter.region;
   }
 
-  private static Cost cost(final List<Voter> voters, final Set<String> unreachable, final int size) {
+  private static Cost cost(
+      final List<Voter> voters, final Set<String> unreachable, final int size) {
     final Map<String, Integer> zones = new HashMap<>();
     final Map<String, Integer> regions = new HashMap<>();
     int unreachableVoters = 0;
@@ -55,7 +56,8 @@
     for (final int count : zones.values()) {
       crowded += Math.max(0, count - (size - 1) / 2);
     }
-    return new Cost(crowded, unreachableVoters, sumOfSquares(zones.values()), sumOfSquares(regions.values()));
+    return new Cost(
+        crowded, unreachableVoters, sumOfSquares(zones.values()), sumOfSquares(regions.values()));
   }
 
   private static int sumOfSquares(final Collection<Integer> counts) {
@@ -67,10 +69,10 @@
   }
 
   /**
-   * The best set of at most so many voters out of those there are and the newcomers. Zones and
-   * regions are nested, so that exchanging one at a time for the better ends at the best. An even
-   * number with a voter out of reach is better off without it: three of three bear one more loss,
-   * three of four none.
+   * The best set of at most {@code maxVoters} voters out of the present ones and the joiners. Zones
+   * are nested in regions, so that replacing one voter at a time while the cost falls ends at the
+   * best set. A set of even size with an unreachable voter is better off without it: three of three
+   * tolerate one more loss, three of four none.
    */
   static List<Voter> best(
       final List<Voter> voters,
@@ -122,7 +124,10 @@
   }
 
   private static boolean replaceOne(
-      final List<Voter> chosen, final List<Voter> others, final Set<String> unreachable, final int size) {
+      final List<Voter> chosen,
+      final List<Voter> others,
+      final Set<String> unreachable,
+      final int size) {
     Cost least = cost(chosen, unreachable, size);
     Voter added = null;
     Voter removed = null;
@@ -148,8 +153,8 @@
   }
 
   /**
-   * How many of these voters more than a majority are left if the zone is lost that holds most of
-   * those in reach; below zero where none is left.
+   * How many reachable voters above a majority remain after the loss of the zone with most of them;
+   * negative if the majority is lost.
    */
   static int spareAfterZoneLoss(final List<Voter> voters, final Set<String> unreachable) {
     final Map<String, Integer> zones = new HashMap<>();
@@ -164,7 +169,7 @@
     return reachable - largestZone - (voters.size() / 2 + 1);
   }
 
-  /** How many of these voters more than a majority are in reach. */
+  /** How many voters above a majority are reachable; negative if there is no majority. */
   static int spare(final List<Voter> voters, final Set<String> unreachable) {
     int reachable = 0;
     for (final Voter voter : voters) {
--- a/wal/src/main/java/weldpoint/wal/DirectoryFiles.java
+++ b/wal/src/main/java/weldpoint/wal/DirectoryFiles.java
@@ -9,7 +9,7 @@
 
 /** The files of a ring in a folder. */
 public final class DirectoryFiles implements SegmentRing.Files {
-  private static final int CHUNK = 1 << 18;
+  private static final int ZERO_FILL_BYTES = 1 << 18;
 
   private final Path folder;
   private final FileChannel[] channels;
@@ -47,11 +47,11 @@
     final FileChannel channel = channel(file);
     long at = position;
     while (bytes.hasRemaining()) {
-      final int got = channel.read(bytes, at);
-      if (got <= 0) {
+      final int count = channel.read(bytes, at);
+      if (count <= 0) {
         return;
       }
-      at += got;
+      at += count;
     }
   }
 
@@ -77,9 +77,9 @@
     if (at >= size) {
       return;
     }
-    final ByteBuffer zeros = ByteBuffer.allocate(CHUNK);
+    final ByteBuffer zeros = ByteBuffer.allocate(ZERO_FILL_BYTES);
     while (at < size) {
-      zeros.clear().limit((int) Math.min(CHUNK, size - at));
+      zeros.clear().limit((int) Math.min(ZERO_FILL_BYTES, size - at));
       at += channel.write(zeros, at);
     }
     channel.force(true);
--- a/wal/src/main/java/weldpoint/wal/SegmentRing.java
+++ b/wal/src/main/java/weldpoint/wal/SegmentRing.java
@@ -22,13 +22,13 @@
   public static final int FORMAT = 2;
 
   private static final int MAGIC = 0x7e1d90a7;
-  private static final int HEAD = 40;
+  private static final int RECORD_HEADER_BYTES = 40;
   private static final int ALIGNMENT = 64;
-  private static final int WINDOW = 1 << 18;
-  private static final byte PLAIN = 0;
-  private static final byte VIEW = 1;
-  private static final byte VIEW_END = 2;
-  private static final byte HEADER = 3;
+  private static final int BUFFER_BYTES = 1 << 18;
+  private static final byte TYPE_RECORD = 0;
+  private static final byte TYPE_SNAPSHOT = 1;
+  private static final byte TYPE_SNAPSHOT_END = 2;
+  private static final byte TYPE_FILE_HEADER = 3;
 
   /** The files of one ring, as storage that may fail. */
   public interface Files {
@@ -59,16 +59,16 @@
 
   private final Files files;
   private final String owner;
-  private final int count;
-  private final int size;
-  private final int most;
-  private int file;
+  private final int fileCount;
+  private final int initialFileBytes;
+  private final int maxFileBytes;
+  private int currentFile;
   private int capacity;
   private long generation;
   private int position;
-  private long number;
-  private long covered;
-  private boolean named;
+  private long lastNumber;
+  private long syncedThrough;
+  private boolean namesSynced;
   private volatile long snapshots;
   private volatile long damaged;
   private volatile long snapshotBytes;
@@ -76,12 +76,16 @@
 
   /** A ring of an owner, with so many files of this size, none of which grows beyond the most. */
   public SegmentRing(
-      final Files files, final String owner, final int count, final int size, final int most) {
+      final Files files,
+      final String owner,
+      final int fileCount,
+      final int initialFileBytes,
+      final int maxFileBytes) {
     this.files = files;
     this.owner = owner;
-    this.count = count;
-    this.size = size;
-    this.most = most;
+    this.fileCount = fileCount;
+    this.initialFileBytes = initialFileBytes;
+    this.maxFileBytes = maxFileBytes;
   }
 
   /** One file read through a window, so that a large one never lies in memory whole. */
@@ -89,23 +93,24 @@
     private final int index;
     private final int length;
     private ByteBuffer window = ByteBuffer.allocate(0);
-    private int from;
+    private int windowStart;
 
     private Reader(final int index) throws IOException {
       this.index = index;
-      this.length = (int) Math.min(Integer.MAX_VALUE - WINDOW, files.size(index));
+      this.length = (int) Math.min(Integer.MAX_VALUE - BUFFER_BYTES, files.size(index));
     }
 
-    private void load(final int at, final int needed) throws IOException {
-      if (at >= from && at + needed <= from + window.limit()) {
+    private void fillWindow(final int at, final int needed) throws IOException {
+      if (at >= windowStart && at + needed <= windowStart + window.limit()) {
         return;
       }
-      final int wanted = Math.min(length - at, Math.max(needed, WINDOW));
-      if (window.capacity() < wanted || window.capacity() > 2 * WINDOW && needed <= WINDOW) {
+      final int wanted = Math.min(length - at, Math.max(needed, BUFFER_BYTES));
+      if (window.capacity() < wanted
+          || window.capacity() > 2 * BUFFER_BYTES && needed <= BUFFER_BYTES) {
         window = ByteBuffer.allocate(wanted);
       }
       window.clear().limit(wanted);
-      from = at;
+      windowStart = at;
       files.read(index, at, window);
       window.limit(window.position());
     }
@@ -114,33 +119,34 @@
      * The record at a place, of this generation or, below 0, of any; null where there is none that
      * is sound.
      */
-    private Item item(final int at, final long wanted) throws IOException {
-      if (at < 0 || at + HEAD > length) {
+    private StoredRecord recordAt(final int at, final long wantedGeneration) throws IOException {
+      if (at < 0 || at + RECORD_HEADER_BYTES > length) {
         return null;
       }
-      load(at, HEAD);
-      if (window.limit() < at - from + HEAD || window.getInt(at - from) != MAGIC) {
+      fillWindow(at, RECORD_HEADER_BYTES);
+      if (window.limit() < at - windowStart + RECORD_HEADER_BYTES
+          || window.getInt(at - windowStart) != MAGIC) {
         return null;
       }
-      final int bytes = window.getInt(at - from + 4);
+      final int bytes = window.getInt(at - windowStart + 4);
       if (bytes < 0
-          || bytes > length - at - HEAD
-          || wanted >= 0 && window.getLong(at - from + 12) != wanted) {
+          || bytes > length - at - RECORD_HEADER_BYTES
+          || wantedGeneration >= 0 && window.getLong(at - windowStart + 12) != wantedGeneration) {
         return null;
       }
-      load(at, HEAD + bytes);
-      final int place = at - from;
-      if (window.limit() < place + HEAD + bytes) {
+      fillWindow(at, RECORD_HEADER_BYTES + bytes);
+      final int place = at - windowStart;
+      if (window.limit() < place + RECORD_HEADER_BYTES + bytes) {
         return null;
       }
       final CRC32 sum = new CRC32();
-      sum.update(window.array(), place + 12, HEAD - 12 + bytes);
+      sum.update(window.array(), place + 12, RECORD_HEADER_BYTES - 12 + bytes);
       if ((int) sum.getValue() != window.getInt(place + 8)) {
         return null;
       }
       final byte[] payload = new byte[bytes];
-      System.arraycopy(window.array(), place + HEAD, payload, 0, bytes);
-      return new Item(
+      System.arraycopy(window.array(), place + RECORD_HEADER_BYTES, payload, 0, bytes);
+      return new StoredRecord(
           window.getLong(place + 12),
           window.getLong(place + 20),
           window.getLong(place + 28),
@@ -149,61 +155,69 @@
     }
   }
 
-  private record Item(long generation, long number, long covered, byte type, byte[] payload) {}
+  private record StoredRecord(
+      long generation, long number, long syncedThrough, byte type, byte[] payload) {}
 
   private record Scan(
-      long generation, int format, boolean whole, boolean lost, List<byte[]> records, long last) {}
+      long generation,
+      int format,
+      boolean complete,
+      boolean lost,
+      List<byte[]> records,
+      long last) {}
 
   /** The highest generation of any record behind a snapshot in a file; -1 where there is none. */
-  private long strayGeneration(final Reader reader) throws IOException {
-    long found = -1;
-    for (int at = 0; at + HEAD <= reader.length; at += ALIGNMENT) {
-      final Item item = reader.item(at, -1);
-      if (item != null && item.type == PLAIN) {
-        found = Math.max(found, item.generation);
+  private long highestTailGeneration(final Reader reader) throws IOException {
+    long highest = -1;
+    for (int at = 0; at + RECORD_HEADER_BYTES <= reader.length; at += ALIGNMENT) {
+      final StoredRecord record = reader.recordAt(at, -1);
+      if (record != null && record.type == TYPE_RECORD) {
+        highest = Math.max(highest, record.generation);
       }
     }
-    return found;
+    return highest;
   }
 
-  private Scan scan(final Reader reader, final long wanted) throws IOException {
+  private Scan scan(final Reader reader, final long wantedGeneration) throws IOException {
     final List<byte[]> records = new ArrayList<>();
-    final CRC32 whole = new CRC32();
+    final CRC32 checksum = new CRC32();
     boolean ended = false;
     int format = 1;
     int at = 0;
     long last = -1;
     while (true) {
-      final Item item = reader.item(at, wanted);
-      if (item == null || last >= 0 && item.number != last + 1) {
+      final StoredRecord record = reader.recordAt(at, wantedGeneration);
+      if (record == null || last >= 0 && record.number != last + 1) {
         break;
       }
-      if (item.type == VIEW_END && item.payload.length > 0) {
-        final ByteBuffer end = ByteBuffer.wrap(item.payload);
-        if (end.getLong(8) != records.size() || end.getLong(16) != whole.getValue()) {
+      if (record.type == TYPE_SNAPSHOT_END && record.payload.length > 0) {
+        final ByteBuffer end = ByteBuffer.wrap(record.payload);
+        if (end.getLong(8) != records.size() || end.getLong(16) != checksum.getValue()) {
           break;
         }
       }
-      last = item.number;
-      switch (item.type) {
-        case HEADER -> format = check(item.payload);
-        case VIEW_END -> ended = true;
+      last = record.number;
+      switch (record.type) {
+        case TYPE_FILE_HEADER -> format = checkHeader(record.payload);
+        case TYPE_SNAPSHOT_END -> ended = true;
         default -> {
-          whole.update(item.payload);
-          records.add(item.payload);
+          checksum.update(record.payload);
+          records.add(record.payload);
         }
       }
-      at += aligned(HEAD + item.payload.length);
+      at += aligned(RECORD_HEADER_BYTES + record.payload.length);
     }
     boolean lost = false;
-    for (int ahead = at; !lost && ahead + HEAD <= reader.length; ahead += ALIGNMENT) {
-      final Item item = reader.item(ahead, wanted);
-      lost = item != null && (ended ? item.covered > last : item.type == PLAIN);
+    for (int ahead = at;
+        !lost && ahead + RECORD_HEADER_BYTES <= reader.length;
+        ahead += ALIGNMENT) {
+      final StoredRecord record = reader.recordAt(ahead, wantedGeneration);
+      lost = record != null && (ended ? record.syncedThrough > last : record.type == TYPE_RECORD);
     }
-    return new Scan(wanted, format, ended, lost, records, last);
+    return new Scan(wantedGeneration, format, ended, lost, records, last);
   }
 
-  private int check(final byte[] payload) {
+  private int checkHeader(final byte[] payload) {
     final ByteBuffer header = ByteBuffer.wrap(payload);
     final int format = header.getInt();
     if (format > FORMAT) {
@@ -217,15 +231,15 @@
               + FORMAT
               + "; run the release that wrote it, or give an empty folder to have it fetched again");
     }
-    final String whose =
+    final String storedOwner =
         new String(payload, Integer.BYTES, payload.length - Integer.BYTES, StandardCharsets.UTF_8);
-    if (!whose.equals(owner)) {
+    if (!storedOwner.equals(owner)) {
       throw new WeldpointException(
           WeldpointException.Kind.UNREADABLE,
           "the folder of "
               + owner
               + " holds the store of "
-              + whose
+              + storedOwner
               + "; give that machine its disk back, and this one its own or an empty folder");
     }
     return format;
@@ -240,208 +254,211 @@
    * before {@link #begin}.
    */
   public Recovered open() throws IOException {
-    final List<long[]> order = new ArrayList<>();
-    long stray = -1;
+    final List<long[]> byGeneration = new ArrayList<>();
+    long tailGeneration = -1;
     int missing = 0;
-    for (int index = 0; index < count; index++) {
+    for (int index = 0; index < fileCount; index++) {
       if (files.size(index) < 0) {
         missing++;
         continue;
       }
       final Reader reader = new Reader(index);
-      final Item first = reader.item(0, -1);
+      final StoredRecord first = reader.recordAt(0, -1);
       if (first == null) {
-        stray = Math.max(stray, strayGeneration(reader));
+        tailGeneration = Math.max(tailGeneration, highestTailGeneration(reader));
       } else {
-        order.add(new long[] {first.generation, index});
+        byGeneration.add(new long[] {first.generation, index});
       }
     }
-    order.sort(Comparator.comparingLong((long[] one) -> one[0]).reversed());
+    byGeneration.sort(Comparator.comparingLong((long[] candidate) -> candidate[0]).reversed());
     Scan best = null;
     boolean lost = false;
-    long highest = Math.max(0, stray);
-    for (final long[] one : order) {
-      final Scan scan = scan(new Reader((int) one[1]), one[0]);
+    long highest = Math.max(0, tailGeneration);
+    for (final long[] candidate : byGeneration) {
+      final Scan scan = scan(new Reader((int) candidate[1]), candidate[0]);
       highest = Math.max(highest, scan.generation);
-      number = Math.max(number, scan.last);
+      lastNumber = Math.max(lastNumber, scan.last);
       lost |= scan.lost;
-      if (scan.whole) {
+      if (scan.complete) {
         best = scan;
-        file = (int) one[1];
+        currentFile = (int) candidate[1];
         break;
       }
     }
-    lost |= stray > (best == null ? 0 : best.generation);
+    lost |= tailGeneration > (best == null ? 0 : best.generation);
     lost |= best != null && missing > 0;
-    for (int index = 0; best == null && !lost && index < count; index++) {
-      lost = files.size(index) >= 0 && strayGeneration(new Reader(index)) >= 0;
+    for (int index = 0; best == null && !lost && index < fileCount; index++) {
+      lost = files.size(index) >= 0 && highestTailGeneration(new Reader(index)) >= 0;
     }
     damaged = lost ? 1 : 0;
     generation = highest;
-    named = best != null && best.format > 1;
+    namesSynced = best != null && best.format > 1;
     if (best == null) {
-      file = count - 1;
+      currentFile = fileCount - 1;
     }
     return new Recovered(best == null, lost, best == null ? List.of() : best.records);
   }
 
   /** Preallocates the files and starts a fresh one with this snapshot of the state. */
   public void begin(final List<byte[]> snapshot) throws IOException {
-    for (int index = 0; index < count; index++) {
-      files.allocate(index, size);
+    for (int index = 0; index < fileCount; index++) {
+      files.allocate(index, initialFileBytes);
     }
-    if (!named) {
+    if (!namesSynced) {
       files.syncNames();
-      named = true;
+      namesSynced = true;
     }
-    turnOver(snapshot, 0);
+    rotate(snapshot, 0);
   }
 
   /**
    * Goes on to the next file, which opens with this snapshot and has room for so many bytes of
    * records behind it. Where it fails, nothing is appended before it has succeeded.
    */
-  public void turnOver(final List<byte[]> snapshot, final int room) throws IOException {
+  public void rotate(final List<byte[]> snapshot, final int tailBytes) throws IOException {
     final ByteBuffer header =
         ByteBuffer.allocate(Integer.BYTES + owner.getBytes(StandardCharsets.UTF_8).length);
     header.putInt(FORMAT).put(owner.getBytes(StandardCharsets.UTF_8));
-    final int needed = bytes(snapshot) + aligned(HEAD + header.capacity()) + aligned(HEAD + 24);
-    final int next = (file + 1) % count;
-    int wanted = size;
-    while (wanted < most && (needed > wanted / 2 || needed + room > wanted)) {
-      wanted = Math.min(most, wanted * 2);
+    final int needed =
+        recordBytes(snapshot)
+            + aligned(RECORD_HEADER_BYTES + header.capacity())
+            + aligned(RECORD_HEADER_BYTES + 24);
+    final int next = (currentFile + 1) % fileCount;
+    int fileBytes = initialFileBytes;
+    while (fileBytes < maxFileBytes && (needed > fileBytes / 2 || needed + tailBytes > fileBytes)) {
+      fileBytes = Math.min(maxFileBytes, fileBytes * 2);
     }
-    if (needed + room > wanted) {
+    if (needed + tailBytes > fileBytes) {
       throw new IOException(
           "the live state of "
               + needed
               + " bytes and "
-              + room
+              + tailBytes
               + " more do not fit the bound of "
-              + most
+              + maxFileBytes
               + " bytes for a file; remove what is not needed, or raise the bound in a release");
     }
-    if (files.size(next) < wanted) {
-      files.allocate(next, wanted);
+    if (files.size(next) < fileBytes) {
+      files.allocate(next, fileBytes);
     }
-    final long reach = number;
+    final long lastBefore = lastNumber;
     capacity = 0;
     generation++;
     try {
-      position = write(next, snapshot, header.array(), reach);
+      position = writeSnapshot(next, snapshot, header.array(), lastBefore);
     } catch (final IOException problem) {
-      number = reach;
+      lastNumber = lastBefore;
       throw problem;
     }
-    file = next;
-    capacity = (int) Math.min(most, files.size(next));
-    covered = number;
+    currentFile = next;
+    capacity = (int) Math.min(maxFileBytes, files.size(next));
+    syncedThrough = lastNumber;
     snapshots++;
     snapshotBytes = needed;
-    long all = 0;
-    for (int index = 0; index < count; index++) {
-      all += files.size(index);
+    long total = 0;
+    for (int index = 0; index < fileCount; index++) {
+      total += files.size(index);
     }
-    diskBytes = all;
+    diskBytes = total;
   }
 
-  private int write(
-      final int next, final List<byte[]> snapshot, final byte[] header, final long reach)
+  private int writeSnapshot(
+      final int next, final List<byte[]> snapshot, final byte[] header, final long lastBefore)
       throws IOException {
     final Writer writer = new Writer(next);
-    writer.put(HEADER, header);
-    final CRC32 whole = new CRC32();
+    writer.put(TYPE_FILE_HEADER, header);
+    final CRC32 checksum = new CRC32();
     for (final byte[] record : snapshot) {
-      whole.update(record);
-      writer.put(VIEW, record);
+      checksum.update(record);
+      writer.put(TYPE_SNAPSHOT, record);
     }
     writer.put(
-        VIEW_END,
+        TYPE_SNAPSHOT_END,
         ByteBuffer.allocate(24)
-            .putLong(reach)
+            .putLong(lastBefore)
             .putLong(snapshot.size())
-            .putLong(whole.getValue())
+            .putLong(checksum.getValue())
             .array());
     writer.flush();
     files.sync(next);
-    return writer.at;
+    return writer.position;
   }
 
   /** Puts records one behind the other into a file, some at a time. */
   private final class Writer {
     private final int index;
-    private ByteBuffer buffer = ByteBuffer.allocate(WINDOW);
-    private int at;
+    private ByteBuffer buffer = ByteBuffer.allocate(BUFFER_BYTES);
+    private int position;
 
     private Writer(final int index) {
       this.index = index;
     }
 
     private void put(final byte type, final byte[] record) throws IOException {
-      final int bytes = aligned(HEAD + record.length);
+      final int bytes = aligned(RECORD_HEADER_BYTES + record.length);
       if (bytes > buffer.remaining()) {
         flush();
-        buffer = ByteBuffer.allocate(Math.max(WINDOW, bytes));
+        buffer = ByteBuffer.allocate(Math.max(BUFFER_BYTES, bytes));
       }
       SegmentRing.this.put(buffer, type, record);
     }
 
     private void flush() throws IOException {
       buffer.flip();
-      at += buffer.remaining();
-      files.write(index, at - buffer.remaining(), buffer);
+      position += buffer.remaining();
+      files.write(index, position - buffer.remaining(), buffer);
     }
   }
 
   private void put(final ByteBuffer buffer, final byte type, final byte[] record) {
     final int at = buffer.position();
-    number++;
+    lastNumber++;
     buffer
         .putInt(at, MAGIC)
         .putInt(at + 4, record.length)
         .putLong(at + 12, generation)
-        .putLong(at + 20, number)
-        .putLong(at + 28, covered)
+        .putLong(at + 20, lastNumber)
+        .putLong(at + 28, syncedThrough)
         .put(at + 36, type);
-    System.arraycopy(record, 0, buffer.array(), at + HEAD, record.length);
+    System.arraycopy(record, 0, buffer.array(), at + RECORD_HEADER_BYTES, record.length);
     final CRC32 sum = new CRC32();
-    sum.update(buffer.array(), at + 12, HEAD - 12 + record.length);
+    sum.update(buffer.array(), at + 12, RECORD_HEADER_BYTES - 12 + record.length);
     buffer.putInt(at + 8, (int) sum.getValue());
-    buffer.position(at + aligned(HEAD + record.length));
+    buffer.position(at + aligned(RECORD_HEADER_BYTES + record.length));
   }
 
   /** How many bytes these records take. */
-  public static int bytes(final List<byte[]> records) {
+  public static int recordBytes(final List<byte[]> records) {
     long needed = 0;
     for (final byte[] record : records) {
-      needed += aligned(HEAD + record.length);
+      needed += aligned(RECORD_HEADER_BYTES + record.length);
     }
     return (int) Math.min(Integer.MAX_VALUE / 4, needed);
   }
 
-  /** Whether these records still fit the present file; otherwise {@link #turnOver} comes first. */
+  /** Whether these records still fit the present file; otherwise {@link #rotate} comes first. */
   public boolean fits(final List<byte[]> records) {
-    return position + bytes(records) <= capacity;
+    return position + recordBytes(records) <= capacity;
   }
 
   /** Writes the records and makes them lasting. */
   public void append(final List<byte[]> records) throws IOException {
-    final int needed = bytes(records);
+    final int needed = recordBytes(records);
     final ByteBuffer buffer = ByteBuffer.allocate(needed);
-    final long before = number;
+    final long before = lastNumber;
     for (final byte[] record : records) {
-      put(buffer, PLAIN, record);
+      put(buffer, TYPE_RECORD, record);
     }
     buffer.clear();
     try {
-      files.write(file, position, buffer);
-      files.sync(file);
+      files.write(currentFile, position, buffer);
+      files.sync(currentFile);
     } catch (final IOException problem) {
-      number = before;
+      lastNumber = before;
       throw problem;
     }
     position += needed;
-    covered = number;
+    syncedThrough = lastNumber;
   }
 
   /** The bytes that the files take on disk. */
@@ -450,8 +467,8 @@
   }
 
   /** The most bytes that the files may ever take. */
-  public long mostBytes() {
-    return (long) count * most;
+  public long maxBytes() {
+    return (long) fileCount * maxFileBytes;
   }
 
   /** The bytes of the last snapshot. */
--- a/wal/src/main/java/weldpoint/wal/WriteAheadLog.java
+++ b/wal/src/main/java/weldpoint/wal/WriteAheadLog.java
@@ -18,18 +18,18 @@
 
   private final SegmentRing ring;
   private final Executor owner;
-  private final Supplier<List<byte[]>> view;
+  private final Supplier<List<byte[]>> snapshot;
   private List<PendingAppend> waiting = new ArrayList<>();
   private volatile long busySince;
-  private volatile boolean refusing;
+  private volatile boolean failing;
   private volatile long syncs;
 
   /** A tape whose callbacks and views run on the owner's thread. */
   public WriteAheadLog(
-      final SegmentRing ring, final Executor owner, final Supplier<List<byte[]>> view) {
+      final SegmentRing ring, final Executor owner, final Supplier<List<byte[]>> snapshot) {
     this.ring = ring;
     this.owner = owner;
-    this.view = view;
+    this.snapshot = snapshot;
   }
 
   /** A tape that was opened, and what was found on it. */
@@ -41,17 +41,22 @@
    */
   public static Opened open(
       final Path folder,
-      final String whose,
-      final int files,
-      final int bytes,
-      final int most,
+      final String ownerName,
+      final int fileCount,
+      final int initialFileBytes,
+      final int maxFileBytes,
       final Executor owner,
-      final Supplier<List<byte[]>> view)
+      final Supplier<List<byte[]>> snapshot)
       throws IOException {
     final SegmentRing ring =
-        new SegmentRing(new DirectoryFiles(folder, files), whose, files, bytes, most);
+        new SegmentRing(
+            new DirectoryFiles(folder, fileCount),
+            ownerName,
+            fileCount,
+            initialFileBytes,
+            maxFileBytes);
     final SegmentRing.Recovered found = ring.open();
-    return new Opened(new WriteAheadLog(ring, owner, view), found);
+    return new Opened(new WriteAheadLog(ring, owner, snapshot), found);
   }
 
   /** Starts the thread; the ring must have been opened. */
@@ -70,14 +75,14 @@
   }
 
   /** For how many milliseconds the present write has been going on. */
-  public long busyMillis() {
+  public long currentWriteMillis() {
     final long since = busySince;
     return since == 0 ? 0 : (System.nanoTime() - since) / 1_000_000;
   }
 
   /** Whether the disk refuses writes. */
-  public boolean refusing() {
-    return refusing;
+  public boolean failing() {
+    return failing;
   }
 
   /** How many times the disk was synced. */
@@ -97,12 +102,12 @@
         + ring.damaged();
   }
 
-  private List<byte[]> ownersView() {
+  private List<byte[]> ownerSnapshot() {
     final CompletableFuture<List<byte[]>> future = new CompletableFuture<>();
     owner.execute(
         () -> {
           try {
-            future.complete(view.get());
+            future.complete(snapshot.get());
           } catch (final RuntimeException problem) {
             future.completeExceptionally(problem);
           }
@@ -110,21 +115,21 @@
     return future.join();
   }
 
-  private void attempt(final DiskOperation deed) throws InterruptedException {
+  private void runUntilWritten(final DiskOperation operation) throws InterruptedException {
     while (true) {
       busySince = System.nanoTime();
       try {
-        deed.run();
+        operation.run();
         syncs++;
         busySince = 0;
-        if (refusing) {
-          refusing = false;
+        if (failing) {
+          failing = false;
           LOGGER.atInfo().log("the disk takes writes again");
         }
         return;
       } catch (final IOException problem) {
-        if (!refusing) {
-          refusing = true;
+        if (!failing) {
+          failing = true;
           LOGGER.atWarning().log(
               "the disk refuses writes (%s); trying again until it takes them",
               problem.getMessage());
@@ -140,7 +145,7 @@
 
   private void run() {
     try {
-      attempt(() -> ring.begin(ownersView()));
+      runUntilWritten(() -> ring.begin(ownerSnapshot()));
       while (true) {
         final List<PendingAppend> batch;
         synchronized (this) {
@@ -156,14 +161,14 @@
         }
         if (!ring.fits(records)) {
           final long before = ring.diskBytes();
-          attempt(() -> ring.turnOver(ownersView(), SegmentRing.bytes(records)));
+          runUntilWritten(() -> ring.rotate(ownerSnapshot(), SegmentRing.recordBytes(records)));
           if (ring.diskBytes() > before) {
             LOGGER.atInfo().log(
                 "the state has outgrown its files: a snapshot of %s KB, %s KB of disk from now on, %s at most",
-                ring.snapshotBytes() / 1024, ring.diskBytes() / 1024, ring.mostBytes() / 1024);
+                ring.snapshotBytes() / 1024, ring.diskBytes() / 1024, ring.maxBytes() / 1024);
           }
         }
-        attempt(() -> ring.append(records));
+        runUntilWritten(() -> ring.append(records));
         owner.execute(
             () -> {
               for (final PendingAppend item : batch) {
--- a/wal/src/test/java/weldpoint/wal/PowerLossTest.java
+++ b/wal/src/test/java/weldpoint/wal/PowerLossTest.java
@@ -19,108 +19,109 @@
  * broken variants must be caught.
  */
 public final class PowerLossTest {
-  private static final int COUNT = 3;
-  private static final int SIZE = 2048;
-  private static final int MOST = 1 << 16;
-  private static final int SECTOR = 128;
+  private static final int FILES = 3;
+  private static final int INITIAL_FILE_BYTES = 2048;
+  private static final int MAX_FILE_BYTES = 1 << 16;
+  private static final int SECTOR_BYTES = 128;
 
   private enum Variant {
-    SOUND,
+    CORRECT,
     NO_SYNC,
-    NO_NAMES,
+    NO_NAME_SYNC,
     NO_TAIL
   }
 
   private static final class Disk implements SegmentRing.Files {
-    final byte[][] seen = new byte[COUNT][];
-    final byte[][] lasting = new byte[COUNT][];
-    final boolean[] named = new boolean[COUNT];
+    final byte[][] written = new byte[FILES][];
+    final byte[][] durable = new byte[FILES][];
+    final boolean[] nameDurable = new boolean[FILES];
     final Random random;
     final Variant variant;
-    double refusals;
+    double failureRate;
 
     Disk(final Random random, final Variant variant) {
       this.random = random;
       this.variant = variant;
     }
 
-    private void mayRefuse() throws IOException {
-      if (random.nextDouble() < refusals) {
+    private void maybeFail() throws IOException {
+      if (random.nextDouble() < failureRate) {
         throw new IOException("the disk is full");
       }
     }
 
     @Override
     public long size(final int file) {
-      return seen[file] == null ? -1 : seen[file].length;
+      return written[file] == null ? -1 : written[file].length;
     }
 
     @Override
     public void read(final int file, final long position, final ByteBuffer bytes) {
       bytes.put(
-          seen[file],
+          written[file],
           (int) position,
-          Math.min(bytes.remaining(), seen[file].length - (int) position));
+          Math.min(bytes.remaining(), written[file].length - (int) position));
     }
 
     @Override
     public void write(final int file, final long position, final ByteBuffer bytes)
         throws IOException {
-      if (random.nextDouble() < refusals) {
+      if (random.nextDouble() < failureRate) {
         final int part = random.nextInt(bytes.remaining() + 1);
-        bytes.get(seen[file], (int) position, part);
+        bytes.get(written[file], (int) position, part);
         throw new IOException("the disk is full");
       }
-      bytes.get(seen[file], (int) position, bytes.remaining());
+      bytes.get(written[file], (int) position, bytes.remaining());
     }
 
     @Override
     public void sync(final int file) throws IOException {
-      mayRefuse();
+      maybeFail();
       if (variant != Variant.NO_SYNC) {
-        lasting[file] = seen[file].clone();
+        durable[file] = written[file].clone();
       }
     }
 
     @Override
     public void allocate(final int file, final int size) throws IOException {
-      mayRefuse();
-      if (seen[file] == null || seen[file].length < size) {
-        seen[file] = seen[file] == null ? new byte[size] : Arrays.copyOf(seen[file], size);
-        lasting[file] = seen[file].clone();
+      maybeFail();
+      if (written[file] == null || written[file].length < size) {
+        written[file] = written[file] == null ? new byte[size] : Arrays.copyOf(written[file], size);
+        durable[file] = written[file].clone();
       }
     }
 
     @Override
     public void syncNames() throws IOException {
-      mayRefuse();
-      if (variant != Variant.NO_NAMES) {
-        for (int file = 0; file < COUNT; file++) {
-          named[file] |= seen[file] != null;
+      maybeFail();
+      if (variant != Variant.NO_NAME_SYNC) {
+        for (int file = 0; file < FILES; file++) {
+          nameDurable[file] |= written[file] != null;
         }
       }
     }
 
     void losePower() {
       final int way = random.nextInt(3);
-      for (int file = 0; file < COUNT; file++) {
-        if (seen[file] == null) {
+      for (int file = 0; file < FILES; file++) {
+        if (written[file] == null) {
           continue;
         }
-        if (!named[file] && random.nextBoolean()) {
-          seen[file] = null;
-          lasting[file] = null;
+        if (!nameDurable[file] && random.nextBoolean()) {
+          written[file] = null;
+          durable[file] = null;
           continue;
         }
-        named[file] = true;
-        final byte[] after = Arrays.copyOf(lasting[file], lasting[file].length);
-        for (int at = 0; at < after.length; at += SECTOR) {
+        nameDurable[file] = true;
+        final byte[] after = Arrays.copyOf(durable[file], durable[file].length);
+        for (int at = 0; at < after.length; at += SECTOR_BYTES) {
           if (way == 1 && random.nextBoolean() || way == 2 && random.nextInt(8) > 0) {
-            System.arraycopy(seen[file], at, after, at, Math.min(SECTOR, after.length - at));
+            System.arraycopy(
+                written[file], at, after, at, Math.min(SECTOR_BYTES, after.length - at));
           }
         }
-        seen[file] = after.clone();
-        lasting[file] = after;
+        written[file] = after.clone();
+        durable[file] = after;
       }
     }
   }
@@ -136,27 +137,28 @@
   }
 
   /** One day of a disk; returns what went wrong, or null. */
-  private static String day(final long seed, final Variant variant) throws IOException {
+  private static String runScenario(final long seed, final Variant variant) throws IOException {
     final Random random = new Random(seed);
     final Disk disk = new Disk(random, variant);
     final int keep = 1 + random.nextInt(40);
     long acknowledged = 0;
     long written = 0;
-    for (int life = 0; life < 8; life++) {
-      disk.refusals = 0;
-      final SegmentRing ring = new SegmentRing(disk, "frame 10.0.0.4", COUNT, SIZE, MOST);
+    for (int run = 0; run < 8; run++) {
+      disk.failureRate = 0;
+      final SegmentRing ring =
+          new SegmentRing(disk, "frame 10.0.0.4", FILES, INITIAL_FILE_BYTES, MAX_FILE_BYTES);
       final SegmentRing.Recovered found = ring.open();
       final List<byte[]> records =
           variant == Variant.NO_TAIL
               ? found.records().subList(0, Math.min(keep, found.records().size()))
               : found.records();
       if (found.lost()) {
-        return "seed " + seed + " life " + life + ": counts as lost";
+        return "seed " + seed + " life " + run + ": counts as lost";
       }
       long last = records.isEmpty() ? 0 : number(records.get(0)) - 1;
       for (final byte[] record : records) {
         if (number(record) != last + 1) {
-          return "seed " + seed + " life " + life + ": " + number(record) + " follows " + last;
+          return "seed " + seed + " life " + run + ": " + number(record) + " follows " + last;
         }
         last++;
       }
@@ -164,7 +166,7 @@
         return "seed "
             + seed
             + " life "
-            + life
+            + run
             + ": read up to "
             + last
             + ", acknowledged "
@@ -175,7 +177,7 @@
       final List<byte[]> state =
           new ArrayList<>(records.subList(Math.max(0, records.size() - keep), records.size()));
       written = last;
-      disk.refusals = random.nextInt(3) == 0 ? 0.1 : 0;
+      disk.failureRate = random.nextInt(3) == 0 ? 0.1 : 0;
       try {
         ring.begin(state);
         for (int batch = random.nextInt(60); batch > 0; batch--) {
@@ -184,7 +186,7 @@
             news.add(bytes(written + news.size() + 1, random.nextInt(200)));
           }
           if (!ring.fits(news)) {
-            ring.turnOver(state, SegmentRing.bytes(news));
+            ring.rotate(state, SegmentRing.recordBytes(news));
           }
           written += news.size();
           ring.append(news);
@@ -204,10 +206,10 @@
     return null;
   }
 
-  private static int faults(final Variant variant, final int seeds) throws IOException {
+  private static int failures(final Variant variant, final int seeds) throws IOException {
     int faults = 0;
     for (long seed = 1; seed <= seeds; seed++) {
-      faults += day(seed, variant) == null ? 0 : 1;
+      faults += runScenario(seed, variant) == null ? 0 : 1;
     }
     return faults;
   }
@@ -215,22 +217,22 @@
   @Test
   public void whatWasAcknowledgedIsReadAgainAfterAnyLossOfPower() throws IOException {
     for (long seed = 1; seed <= 2000; seed++) {
-      assertEquals(day(seed, Variant.SOUND), null);
+      assertEquals(runScenario(seed, Variant.CORRECT), null);
     }
   }
 
   @Test
   public void aRingThatDoesNotSyncIsCaught() throws IOException {
-    assertTrue(faults(Variant.NO_SYNC, 200) > 100);
+    assertTrue(failures(Variant.NO_SYNC, 200) > 100);
   }
 
   @Test
   public void aRingThatDoesNotSyncTheNamesOfItsFilesIsCaught() throws IOException {
-    assertTrue(faults(Variant.NO_NAMES, 200) > 50);
+    assertTrue(failures(Variant.NO_NAME_SYNC, 200) > 50);
   }
 
   @Test
   public void aSnapshotReadWithoutItsTailIsCaught() throws IOException {
-    assertTrue(faults(Variant.NO_TAIL, 200) > 100);
+    assertTrue(failures(Variant.NO_TAIL, 200) > 100);
   }
 }
--- a/wal/src/test/java/weldpoint/wal/SegmentRingTest.java
+++ b/wal/src/test/java/weldpoint/wal/SegmentRingTest.java
@@ -16,15 +16,15 @@
 
 /** The ring cut at every byte, damaged, turned over, and on a disk that refuses. */
 public final class SegmentRingTest {
-  private static final int COUNT = 3;
-  private static final int SIZE = 4096;
-  private static final int MOST = 1 << 20;
+  private static final int FILES = 3;
+  private static final int INITIAL_FILE_BYTES = 4096;
+  private static final int MAX_FILE_BYTES = 1 << 20;
   private static final String OWNER = "frame 10.0.0.4";
 
-  private static final class Memory implements SegmentRing.Files {
-    final byte[][] files = new byte[COUNT][];
-    boolean refuses;
-    int named;
+  private static final class InMemoryFiles implements SegmentRing.Files {
+    final byte[][] files = new byte[FILES][];
+    boolean failing;
+    int nameSyncs;
 
     @Override
     public long size(final int file) {
@@ -42,7 +42,7 @@
     @Override
     public void write(final int file, final long position, final ByteBuffer bytes)
         throws IOException {
-      if (refuses) {
+      if (failing) {
         throw new IOException("full");
       }
       bytes.get(files[file], (int) position, bytes.remaining());
@@ -53,7 +53,7 @@
 
     @Override
     public void allocate(final int file, final int size) throws IOException {
-      if (refuses) {
+      if (failing) {
         throw new IOException("full");
       }
       files[file] =
@@ -64,12 +64,12 @@
 
     @Override
     public void syncNames() {
-      named++;
+      nameSyncs++;
     }
 
-    Memory copy() {
-      final Memory copy = new Memory();
-      for (int index = 0; index < COUNT; index++) {
+    InMemoryFiles copy() {
+      final InMemoryFiles copy = new InMemoryFiles();
+      for (int index = 0; index < FILES; index++) {
         copy.files[index] = files[index] == null ? null : files[index].clone();
       }
       return copy;
@@ -80,8 +80,10 @@
     return text.getBytes(StandardCharsets.UTF_8);
   }
 
-  private static List<String> read(final Memory memory, final boolean[] lost) throws IOException {
-    final SegmentRing.Recovered found = new SegmentRing(memory, OWNER, COUNT, SIZE, MOST).open();
+  private static List<String> read(final InMemoryFiles memory, final boolean[] lost)
+      throws IOException {
+    final SegmentRing.Recovered found =
+        new SegmentRing(memory, OWNER, FILES, INITIAL_FILE_BYTES, MAX_FILE_BYTES).open();
     lost[0] = found.lost();
     final List<String> texts = new ArrayList<>();
     found.records().forEach(record -> texts.add(new String(record, StandardCharsets.UTF_8)));
@@ -90,12 +92,13 @@
 
   @Test
   public void aTornTailIsDroppedAndNothingBeforeIt() throws IOException {
-    final Memory memory = new Memory();
-    final SegmentRing ring = new SegmentRing(memory, OWNER, COUNT, SIZE, MOST);
+    final InMemoryFiles memory = new InMemoryFiles();
+    final SegmentRing ring =
+        new SegmentRing(memory, OWNER, FILES, INITIAL_FILE_BYTES, MAX_FILE_BYTES);
     assertTrue(ring.open().blank());
     ring.begin(List.of(bytes("view")));
     ring.append(List.of(bytes("one"), bytes("two")));
-    final Memory before = memory.copy();
+    final InMemoryFiles before = memory.copy();
     ring.append(
         List.of(
             bytes(
@@ -103,8 +106,8 @@
     final boolean[] lost = new boolean[1];
     assertEquals(read(memory, lost).size(), 4);
     int whole = 0;
-    for (int cut = 0; cut < SIZE; cut++) {
-      final Memory torn = before.copy();
+    for (int cut = 0; cut < INITIAL_FILE_BYTES; cut++) {
+      final InMemoryFiles torn = before.copy();
       System.arraycopy(memory.files[0], 0, torn.files[0], 0, cut);
       final List<String> texts = read(torn, lost);
       assertFalse(lost[0], "cut at " + cut);
@@ -116,8 +119,9 @@
 
   @Test
   public void aSyncedRecordThatIsDamagedMakesTheDiskCountAsLost() throws IOException {
-    final Memory memory = new Memory();
-    final SegmentRing ring = new SegmentRing(memory, OWNER, COUNT, SIZE, MOST);
+    final InMemoryFiles memory = new InMemoryFiles();
+    final SegmentRing ring =
+        new SegmentRing(memory, OWNER, FILES, INITIAL_FILE_BYTES, MAX_FILE_BYTES);
     ring.open();
     ring.begin(List.of(bytes("view")));
     ring.append(List.of(bytes("first")));
@@ -134,14 +138,15 @@
 
   @Test
   public void theRingTurnsAndCarriesTheLiveStateForward() throws IOException {
-    final Memory memory = new Memory();
-    final SegmentRing ring = new SegmentRing(memory, OWNER, COUNT, SIZE, MOST);
+    final InMemoryFiles memory = new InMemoryFiles();
+    final SegmentRing ring =
+        new SegmentRing(memory, OWNER, FILES, INITIAL_FILE_BYTES, MAX_FILE_BYTES);
     ring.open();
     ring.begin(List.of(bytes("0")));
     for (int index = 1; index < 500; index++) {
       final List<byte[]> records = List.of(bytes("" + index));
       if (!ring.fits(records)) {
-        ring.turnOver(List.of(bytes("" + (index - 1))), SegmentRing.bytes(records));
+        ring.rotate(List.of(bytes("" + (index - 1))), SegmentRing.recordBytes(records));
       }
       ring.append(records);
       final boolean[] lost = new boolean[1];
@@ -153,11 +158,12 @@
 
   @Test
   public void aRefusedWriteIsTriedAgainInTheSamePlace() throws IOException {
-    final Memory memory = new Memory();
-    final SegmentRing ring = new SegmentRing(memory, OWNER, COUNT, SIZE, MOST);
+    final InMemoryFiles memory = new InMemoryFiles();
+    final SegmentRing ring =
+        new SegmentRing(memory, OWNER, FILES, INITIAL_FILE_BYTES, MAX_FILE_BYTES);
     ring.open();
     ring.begin(List.of(bytes("view")));
-    memory.refuses = true;
+    memory.failing = true;
     boolean refused = false;
     try {
       ring.append(List.of(bytes("one")));
@@ -165,7 +171,7 @@
       refused = true;
     }
     assertTrue(refused);
-    memory.refuses = false;
+    memory.failing = false;
     ring.append(List.of(bytes("one")));
     ring.append(List.of(bytes("two")));
     final boolean[] lost = new boolean[1];
@@ -177,20 +183,21 @@
    * A ring of so many records, each of this many bytes, that has turned to its second file, with a
    * tail or none.
    */
-  private static Memory filled(final boolean tail) throws IOException {
-    final Memory memory = new Memory();
-    final SegmentRing ring = new SegmentRing(memory, OWNER, COUNT, SIZE, MOST);
+  private static InMemoryFiles rotatedRing(final boolean tail) throws IOException {
+    final InMemoryFiles memory = new InMemoryFiles();
+    final SegmentRing ring =
+        new SegmentRing(memory, OWNER, FILES, INITIAL_FILE_BYTES, MAX_FILE_BYTES);
     ring.open();
     ring.begin(List.of(bytes("old")));
     ring.append(List.of(bytes("one")));
-    ring.turnOver(List.of(bytes("SNAPSHOT"), bytes("one")), 0);
+    ring.rotate(List.of(bytes("SNAPSHOT"), bytes("one")), 0);
     if (tail) {
       ring.append(List.of(bytes("two")));
     }
     return memory;
   }
 
-  private static int place(final Memory memory, final int file, final String text) {
+  private static int offset(final InMemoryFiles memory, final int file, final String text) {
     return new String(memory.files[file], StandardCharsets.ISO_8859_1).indexOf(text);
   }
 
@@ -198,12 +205,12 @@
   public void aDamagedSnapshotWithATailCountsAsLostWhereverItIsDamaged() throws IOException {
     final boolean[] lost = new boolean[1];
     for (final String part : List.of(OWNER, "SNAPSHOT")) {
-      final Memory memory = filled(true);
-      memory.files[1][place(memory, 1, part)] ^= 1;
+      final InMemoryFiles memory = rotatedRing(true);
+      memory.files[1][offset(memory, 1, part)] ^= 1;
       read(memory, lost);
       assertTrue(lost[0], part);
     }
-    final Memory whole = filled(true);
+    final InMemoryFiles whole = rotatedRing(true);
     assertEquals(read(whole, lost), List.of("SNAPSHOT", "one", "two"));
     assertFalse(lost[0]);
   }
@@ -211,8 +218,8 @@
   @Test
   public void aDamagedSnapshotThatNothingFollowedGivesWayToTheOneBeforeWithItsTail()
       throws IOException {
-    final Memory memory = filled(false);
-    memory.files[1][place(memory, 1, "SNAPSHOT")] ^= 1;
+    final InMemoryFiles memory = rotatedRing(false);
+    memory.files[1][offset(memory, 1, "SNAPSHOT")] ^= 1;
     final boolean[] lost = new boolean[1];
     assertEquals(read(memory, lost), List.of("old", "one"));
     assertFalse(lost[0]);
@@ -220,9 +227,9 @@
 
   @Test
   public void aSnapshotThatLacksARecordIsNotWhole() throws IOException {
-    final Memory memory = filled(true);
+    final InMemoryFiles memory = rotatedRing(true);
     final int head = 128;
-    final int from = place(memory, 1, "one") - 40;
+    final int from = offset(memory, 1, "one") - 40;
     assertEquals(from % 64, 0);
     System.arraycopy(memory.files[1], head - 64, memory.files[1], from, 0);
     Arrays.fill(memory.files[1], from, from + 64, (byte) 0);
@@ -233,7 +240,7 @@
 
   @Test
   public void aMissingFileOfAWrittenRingCountsAsLost() throws IOException {
-    final Memory memory = filled(true);
+    final InMemoryFiles memory = rotatedRing(true);
     memory.files[1] = null;
     final boolean[] lost = new boolean[1];
     read(memory, lost);
@@ -243,8 +250,9 @@
   @Test
   public void aStateThatOutgrowsItsFileGoesOnAndShrinksAgainWithinABoundOfDisk()
       throws IOException {
-    final Memory memory = new Memory();
-    final SegmentRing ring = new SegmentRing(memory, OWNER, COUNT, SIZE, MOST);
+    final InMemoryFiles memory = new InMemoryFiles();
+    final SegmentRing ring =
+        new SegmentRing(memory, OWNER, FILES, INITIAL_FILE_BYTES, MAX_FILE_BYTES);
     ring.open();
     ring.begin(List.of());
     final List<byte[]> state = new ArrayList<>();
@@ -252,7 +260,7 @@
     for (int index = 0; index < 4000; index++) {
       final List<byte[]> news = List.of(bytes("record " + index));
       if (!ring.fits(news)) {
-        ring.turnOver(state, SegmentRing.bytes(news));
+        ring.rotate(state, SegmentRing.recordBytes(news));
       }
       ring.append(news);
       state.add(news.get(0));
@@ -264,41 +272,44 @@
       }
     }
     assertTrue(ring.snapshotBytes() > 100_000, "snapshot of " + ring.snapshotBytes());
-    assertTrue(ring.diskBytes() <= 3L * MOST, "disk " + ring.diskBytes());
-    ring.turnOver(state.subList(0, 3), 0);
+    assertTrue(ring.diskBytes() <= 3L * MAX_FILE_BYTES, "disk " + ring.diskBytes());
+    ring.rotate(state.subList(0, 3), 0);
     assertEquals(read(memory, lost).size(), 3);
-    assertTrue(ring.diskBytes() <= 3L * MOST);
+    assertTrue(ring.diskBytes() <= 3L * MAX_FILE_BYTES);
   }
 
   @Test
   public void aStateBeyondTheBoundIsRefusedWithTheRemedyAndNothingOfItIsUsed() throws IOException {
-    final Memory memory = new Memory();
-    final SegmentRing ring = new SegmentRing(memory, OWNER, COUNT, SIZE, 4 * SIZE);
+    final InMemoryFiles memory = new InMemoryFiles();
+    final SegmentRing ring =
+        new SegmentRing(memory, OWNER, FILES, INITIAL_FILE_BYTES, 4 * INITIAL_FILE_BYTES);
     ring.open();
     ring.begin(List.of(bytes("small")));
     ring.append(List.of(bytes("tail")));
-    final List<byte[]> large = List.of(new byte[4 * SIZE]);
+    final List<byte[]> large = List.of(new byte[4 * INITIAL_FILE_BYTES]);
     final IOException refusal =
-        org.testng.Assert.expectThrows(IOException.class, () -> ring.turnOver(large, 0));
+        org.testng.Assert.expectThrows(IOException.class, () -> ring.rotate(large, 0));
     assertTrue(refusal.getMessage().contains("raise the bound"), refusal.getMessage());
     final boolean[] lost = new boolean[1];
     assertEquals(read(memory, lost), List.of("small", "tail"));
-    ring.turnOver(List.of(bytes("small again")), 0);
+    ring.rotate(List.of(bytes("small again")), 0);
     assertEquals(read(memory, lost), List.of("small again"));
   }
 
   @Test
   public void aStoreOfALaterFormatOrOfAnotherMachineIsRefusedWithTheRemedy() throws IOException {
-    final Memory memory = filled(true);
+    final InMemoryFiles memory = rotatedRing(true);
     final WeldpointException foreign =
         org.testng.Assert.expectThrows(
             WeldpointException.class,
-            () -> new SegmentRing(memory, "frame 10.0.0.9", COUNT, SIZE, MOST).open());
+            () ->
+                new SegmentRing(memory, "frame 10.0.0.9", FILES, INITIAL_FILE_BYTES, MAX_FILE_BYTES)
+                    .open());
     assertTrue(
         foreign.getMessage().contains("holds the store of " + OWNER)
             && foreign.getMessage().contains("give"),
         foreign.getMessage());
-    final int at = place(memory, 1, OWNER) - Integer.BYTES;
+    final int at = offset(memory, 1, OWNER) - Integer.BYTES;
     memory.files[1][at + 3] = SegmentRing.FORMAT + 1;
     final ByteBuffer buffer = ByteBuffer.wrap(memory.files[1]);
     final java.util.zip.CRC32 sum = new java.util.zip.CRC32();
@@ -307,7 +318,7 @@
     final WeldpointException later =
         org.testng.Assert.expectThrows(
             WeldpointException.class,
-            () -> new SegmentRing(memory, OWNER, COUNT, SIZE, MOST).open());
+            () -> new SegmentRing(memory, OWNER, FILES, INITIAL_FILE_BYTES, MAX_FILE_BYTES).open());
     assertTrue(
         later.getMessage().contains("format " + (SegmentRing.FORMAT + 1))
             && later.getMessage().contains("run the release"),
@@ -338,9 +349,9 @@
 
   @Test
   public void aStoreOfTheFirstFormatIsReadAndItsNamesAreMadeLasting() throws IOException {
-    final Memory memory = new Memory();
-    for (int file = 0; file < COUNT; file++) {
-      memory.allocate(file, SIZE);
+    final InMemoryFiles memory = new InMemoryFiles();
+    for (int file = 0; file < FILES; file++) {
+      memory.allocate(file, INITIAL_FILE_BYTES);
     }
     final ByteBuffer old = ByteBuffer.wrap(memory.files[0]);
     oldRecord(old, 1, 1, 0, bytes("view"));
@@ -349,28 +360,31 @@
     final boolean[] lost = new boolean[1];
     assertEquals(read(memory, lost), List.of("view", "one"));
     assertFalse(lost[0]);
-    final SegmentRing ring = new SegmentRing(memory, OWNER, COUNT, SIZE, MOST);
+    final SegmentRing ring =
+        new SegmentRing(memory, OWNER, FILES, INITIAL_FILE_BYTES, MAX_FILE_BYTES);
     assertFalse(ring.open().blank());
     ring.begin(List.of(bytes("view"), bytes("one")));
-    assertEquals(memory.named, 1);
-    final SegmentRing again = new SegmentRing(memory, OWNER, COUNT, SIZE, MOST);
+    assertEquals(memory.nameSyncs, 1);
+    final SegmentRing again =
+        new SegmentRing(memory, OWNER, FILES, INITIAL_FILE_BYTES, MAX_FILE_BYTES);
     again.open();
     again.begin(List.of(bytes("view"), bytes("one")));
-    assertEquals(memory.named, 1, "names that are lasting cost no further sync");
+    assertEquals(memory.nameSyncs, 1, "names that are lasting cost no further sync");
     assertEquals(read(memory, lost), List.of("view", "one"));
   }
 
   @Test
   public void nothingIsAppendedAfterASnapshotThatFailed() throws IOException {
-    final Memory memory = filled(true);
-    final SegmentRing ring = new SegmentRing(memory, OWNER, COUNT, SIZE, MOST);
+    final InMemoryFiles memory = rotatedRing(true);
+    final SegmentRing ring =
+        new SegmentRing(memory, OWNER, FILES, INITIAL_FILE_BYTES, MAX_FILE_BYTES);
     ring.open();
     ring.begin(List.of(bytes("a")));
-    memory.refuses = true;
-    assertThrows(IOException.class, () -> ring.turnOver(List.of(bytes("b")), 0));
+    memory.failing = true;
+    assertThrows(IOException.class, () -> ring.rotate(List.of(bytes("b")), 0));
     assertFalse(ring.fits(List.of(bytes("c"))));
-    memory.refuses = false;
-    ring.turnOver(List.of(bytes("b")), 0);
+    memory.failing = false;
+    ring.rotate(List.of(bytes("b")), 0);
     ring.append(List.of(bytes("c")));
     final boolean[] lost = new boolean[1];
     assertEquals(read(memory, lost), List.of("b", "c"));
--- a/wal/src/test/java/weldpoint/wal/WriteAheadLogTest.java
+++ b/wal/src/test/java/weldpoint/wal/WriteAheadLogTest.java
@@ -16,8 +16,8 @@
 
 /** A tape in a real folder whose state outgrows its files. */
 public final class WriteAheadLogTest {
-  private static final int BYTES = 1 << 16;
-  private static final int MOST = 1 << 22;
+  private static final int INITIAL_FILE_BYTES = 1 << 16;
+  private static final int MAX_FILE_BYTES = 1 << 22;
 
   @BeforeClass
   public void quiet() {
@@ -30,7 +30,13 @@
     final List<byte[]> state = new CopyOnWriteArrayList<>();
     final WriteAheadLog.Opened opened =
         WriteAheadLog.open(
-            folder, "frame 10.0.0.4", 3, BYTES, MOST, Runnable::run, () -> List.copyOf(state));
+            folder,
+            "frame 10.0.0.4",
+            3,
+            INITIAL_FILE_BYTES,
+            MAX_FILE_BYTES,
+            Runnable::run,
+            () -> List.copyOf(state));
     assertTrue(opened.found().blank());
     opened.log().start("tape");
     final CountDownLatch synced = new CountDownLatch(1500);
@@ -44,7 +50,14 @@
     }
     assertTrue(synced.await(60, TimeUnit.SECONDS), "not all became lasting");
     final WriteAheadLog.Opened again =
-        WriteAheadLog.open(folder, "frame 10.0.0.4", 3, BYTES, MOST, Runnable::run, List::of);
+        WriteAheadLog.open(
+            folder,
+            "frame 10.0.0.4",
+            3,
+            INITIAL_FILE_BYTES,
+            MAX_FILE_BYTES,
+            Runnable::run,
+            List::of);
     assertFalse(again.found().lost());
     final java.util.Set<String> read = new java.util.TreeSet<>();
     again
@@ -56,6 +69,6 @@
     for (int file = 0; file < 3; file++) {
       disk += Files.size(folder.resolve("tape-" + file));
     }
-    assertTrue(disk > 3L * BYTES && disk <= 3L * MOST, "disk " + disk);
+    assertTrue(disk > 3L * INITIAL_FILE_BYTES && disk <= 3L * MAX_FILE_BYTES, "disk " + disk);
   }
 }
