--- a/simulation/src/test/java/weldpoint/statestore/BrokenAuditSequencer.java
+++ b/simulation/src/test/java/weldpoint/statestore/BrokenAuditSequencer.java
@@ -4,11 +4,11 @@
 import weldpoint.audit.AuditStore;
 import weldpoint.simulation.StateStoreSimulation;
 
-/** Holders that keep the history wrongly, for the checks to catch. */
+/** Leaders that keep the history wrongly, which the tests' checks must catch. */
 public final class BrokenAuditSequencer {
   private BrokenAuditSequencer() {}
 
-  /** A holder that lets several changes be under way at once, each with its own entry only. */
+  /** A leader that has several changes in flight at once, each with only its own entry. */
   public static void withConcurrentChanges(
       final StateStoreReplica replica, final AuditStore store, final long retention) {
     replica.history(
@@ -27,7 +27,7 @@
         });
   }
 
-  /** A holder that acknowledges whatever is not above the version held, and leaves it at that. */
+  /** A leader that acknowledges any configuration that is not above the current version. */
   public static void withoutVersionCheck(final StateStoreReplica replica) {
     replica.takenVersions(
         new TakenVersions(null, null) {
@@ -40,7 +40,7 @@
         });
   }
 
-  /** A holder that knows what the version held stands for, but of older ones nothing. */
+  /** A leader that knows which configuration took the current version, but no older ones. */
   public static void withoutOlderVersions(
       final StateStoreReplica replica, final AuditStore store, final long retention) {
     replica.history(store, retention, StateStoreSimulation.ENTRY_BYTES);
@@ -50,10 +50,11 @@
             new weldpoint.audit.AuditLog("none", new weldpoint.audit.HeapStore(), () -> {})));
   }
 
-  /** A configuration as a store wrote it before it kept the digest of what it says. */
+  /** A configuration as a release before content digests stored it. */
   public static weldpoint.transport.StateStoreMessages.RegisterEntry withoutContentDigest(
       final weldpoint.transport.StateStoreMessages.RegisterEntry entry) {
-    if (entry.whole == null || StoredValues.Kind.of(entry.name) != StoredValues.Kind.CONFIGURATION) {
+    if (entry.whole == null
+        || StoredValues.Kind.of(entry.name) != StoredValues.Kind.CONFIGURATION) {
       return entry;
     }
     final StoredValues.StoredConfiguration configuration =
@@ -65,11 +66,15 @@
         entry.difference,
         StoredValues.Kind.CONFIGURATION.encode(
             new StoredValues.StoredConfiguration(
-                configuration.version, configuration.compressedBody, configuration.compressedSummary, configuration.hasAffinity, null)),
+                configuration.version,
+                configuration.compressedBody,
+                configuration.compressedSummary,
+                configuration.hasAffinity,
+                null)),
         entry.audit);
   }
 
-  /** A holder as before there was a history: no entries at all. */
+  /** A leader of a release before the history, which writes no entries. */
   public static void withoutHistory(
       final StateStoreReplica replica, final AuditStore store, final long retention) {
     replica.history(
--- a/simulation/src/test/java/weldpoint/statestore/DiskContents.java
+++ b/simulation/src/test/java/weldpoint/statestore/DiskContents.java
@@ -9,9 +9,9 @@
 import weldpoint.transport.Serializer;
 import weldpoint.transport.StateStoreMessages;
 
-/** What the records on one disk say, as a frame would read them after a loss of power. */
+/** The state in one disk's records, as a replica would restore it after a loss of power. */
 public final class DiskContents {
-  /** What a record is about. */
+  /** The types of disk records, in the order of their numbers. */
   public enum Kind {
     SELF,
     PROMISE,
@@ -25,7 +25,7 @@
   private StateStoreMessages.Roster roster = new StateStoreMessages.Roster(0, List.of());
   private long incarnation;
 
-  /** A disk with these records. */
+  /** Restores the state from these records. */
   public DiskContents(final List<byte[]> records) {
     for (int index = 0; index < partitions.length; index++) {
       partitions[index] = new Partition(index);
@@ -33,22 +33,22 @@
     records.forEach(this::apply);
   }
 
-  /** What a record is about. */
+  /** The type of a record. */
   public static Kind kind(final byte[] record) {
     return Kind.values()[Serializer.deserialize(record, StoredValues.DiskRecord.class).type];
   }
 
-  /** The partition of a promise or of registers. */
+  /** The partition of a promise or register record. */
   public static int partition(final byte[] record) {
     return Serializer.deserialize(record, StoredValues.DiskRecord.class).partition;
   }
 
-  /** The ballot of a promise or of registers. */
+  /** The ballot of a promise or register record. */
   public static RegisterVersion ballot(final byte[] record) {
     return Serializer.deserialize(record, StoredValues.DiskRecord.class).ballot;
   }
 
-  /** One more record is lasting. */
+  /** Applies one more durable record. */
   public void apply(final byte[] bytes) {
     final StoredValues.DiskRecord record =
         Serializer.deserialize(bytes, StoredValues.DiskRecord.class);
@@ -66,43 +66,44 @@
               Protocol.list(record.entries),
               new ArrayList<>());
       case ROSTER -> roster = record.roster.number > roster.number ? record.roster : roster;
-      case PEER_INCARNATION -> peerIncarnations.merge(record.address, record.incarnation, Math::max);
-      default -> throw new IllegalStateException("no rule for " + kind(bytes));
+      case PEER_INCARNATION ->
+          peerIncarnations.merge(record.address, record.incarnation, Math::max);
+      default -> throw new IllegalStateException("unhandled record type " + kind(bytes));
     }
   }
 
-  /** The incarnation; 0 while the disk is blank. */
+  /** The replica's incarnation; 0 if the disk has none. */
   public long incarnation() {
     return incarnation;
   }
 
-  /** The roster. */
+  /** The latest roster. */
   public StateStoreMessages.Roster roster() {
     return roster;
   }
 
-  /** The incarnation that is known of another. */
+  /** The incarnation of another replica. */
   public long peerIncarnations(final String address) {
     return peerIncarnations.getOrDefault(address, 1L);
   }
 
-  /** The highest ballot that was promised or accepted. */
+  /** The highest promised or accepted ballot of a partition. */
   public RegisterVersion promised(final int partition) {
     return partitions[partition].promised;
   }
 
-  /** The ballot that established the partition here. */
+  /** The ballot that last established a partition on this disk. */
   public RegisterVersion established(final int partition) {
     return partitions[partition].established;
   }
 
-  /** The mark of a register; none where there is none. */
+  /** The version of a register; {@link RegisterVersion#NONE} if it is not stored. */
   public RegisterVersion stored(final int partition, final String name) {
     final Partition.StoredRegister stored = partitions[partition].stored.get(name);
     return stored == null ? RegisterVersion.NONE : stored.version;
   }
 
-  /** All registers of a partition. */
+  /** All registers of a partition as message entries. */
   public List<StateStoreMessages.RegisterEntry> entries(final int partition) {
     return partitions[partition].entries();
   }
--- a/statestore/src/main/java/weldpoint/statestore/Partition.java
+++ b/statestore/src/main/java/weldpoint/statestore/Partition.java
@@ -42,7 +42,7 @@
    * registers, and how long to wait for their acknowledgement.
    */
   static final class Repair {
-    long heardAt = Long.MIN_VALUE / 4;
+    long lastAckAt = Long.MIN_VALUE / 4;
     long sentAt = Long.MIN_VALUE / 2;
     long backoffMillis;
   }
@@ -75,9 +75,9 @@
   Phase phase = Phase.IDLE;
   RegisterVersion ballot = RegisterVersion.NONE;
   long versionCount;
-  long startedAt;
-  long preparedAt;
-  long servedAt;
+  long phaseStartedAt;
+  long prepareSentAt;
+  long servingSince;
   final RecentCalls recentCalls = new RecentCalls();
   StateStoreMessages.Promise[] promises = new StateStoreMessages.Promise[0];
   List<Long> countedIncarnations = List.of();
--- a/statestore/src/main/java/weldpoint/statestore/Recovery.java
+++ b/statestore/src/main/java/weldpoint/statestore/Recovery.java
@@ -117,9 +117,9 @@
       final String from,
       final StateStoreMessages.MembershipRequest request,
       final Consumer<Message> reply) {
-    final List<String> holders = new ArrayList<>();
+    final List<String> leaders = new ArrayList<>();
     for (final Partition partition : replica.partitions) {
-      holders.add(partition.leader == null ? "" : partition.leader);
+      leaders.add(partition.leader == null ? "" : partition.leader);
     }
     reply.accept(
         new StateStoreMessages.MembershipResponse(
@@ -127,7 +127,7 @@
             replica.recovering,
             replica.roster,
             replica.incarnationOf(from),
-            holders));
+            leaders));
   }
 
   void onMembershipResponse(
@@ -138,10 +138,10 @@
     if (!replica.recovering) {
       replica.adoptRoster(answer.roster, now);
       if (replica.roster.index(replica.self) < 0) {
-        final List<String> holders = Protocol.list(answer.holders);
-        for (int index = 0; index < holders.size(); index++) {
+        final List<String> leaders = Protocol.list(answer.holders);
+        for (int index = 0; index < leaders.size(); index++) {
           replica.partitions[index].leader =
-              holders.get(index).isEmpty() ? null : holders.get(index);
+              leaders.get(index).isEmpty() ? null : leaders.get(index);
         }
       }
       return;
@@ -295,11 +295,11 @@
         return response(request, entries, false, true, null, 0, 0);
       }
       final StoredRegister stored = one.getValue();
-      byte[] whole =
+      byte[] encoded =
           valueBytesLeft > 0 ? StoredValues.Kind.of(one.getKey()).encode(stored.value) : null;
-      if (whole != null) {
-        final int size = whole.length + (stored.audit == null ? 0 : stored.audit.length);
-        whole = size <= valueBytesLeft ? whole : null;
+      if (encoded != null) {
+        final int size = encoded.length + (stored.audit == null ? 0 : stored.audit.length);
+        encoded = size <= valueBytesLeft ? encoded : null;
         valueBytesLeft -= size <= valueBytesLeft ? size : 0;
       }
       entries.add(
@@ -308,8 +308,8 @@
               stored.version,
               RegisterVersion.NONE,
               null,
-              whole,
-              whole == null ? null : stored.audit));
+              encoded,
+              encoded == null ? null : stored.audit));
     }
     return response(request, entries, false, false, null, 0, 0);
   }
--- a/statestore/src/main/java/weldpoint/statestore/RegisterState.java
+++ b/statestore/src/main/java/weldpoint/statestore/RegisterState.java
@@ -53,7 +53,7 @@
   final long[] sentAt = new long[64];
   final ArrayDeque<PendingRequest> waiting = new ArrayDeque<>();
   final List<Proposal> awaitingCommit = new ArrayList<>();
-  final List<PendingRequest> parked = new ArrayList<>();
+  final List<PendingRequest> parkedWatches = new ArrayList<>();
   final ArrayDeque<long[]> putTimes = new ArrayDeque<>();
   long expiresAt;
   long ticketCount;
--- a/statestore/src/main/java/weldpoint/statestore/StateStoreReplica.java
+++ b/statestore/src/main/java/weldpoint/statestore/StateStoreReplica.java
@@ -884,7 +884,7 @@
       for (final RegisterState.PendingRequest pending : register.waiting) {
         pending.reply.accept(redirectResponse(pending.call, partition));
       }
-      for (final RegisterState.PendingRequest pending : register.parked) {
+      for (final RegisterState.PendingRequest pending : register.parkedWatches) {
         pending.reply.accept(redirectResponse(pending.call, partition));
       }
     }
@@ -902,7 +902,7 @@
     highestRound = Math.max(highestRound, partition.ballot.round) + 1;
     partition.ballot = new RegisterVersion(highestRound, owner, 0);
     partition.phase = Phase.PREPARING;
-    partition.startedAt = now;
+    partition.phaseStartedAt = now;
     partition.promises = new StateStoreMessages.Promise[size];
     partition.establishmentAcked = new boolean[size];
     partition.establishmentSent = new boolean[size];
@@ -914,7 +914,7 @@
     partition.versionCount = 0;
     partition.confirmationInFlight = false;
     ballotsStarted++;
-    partition.preparedAt = now;
+    partition.prepareSentAt = now;
     broadcast(
         new StateStoreMessages.Prepare(partition.number, roster.number, partition.ballot), now);
   }
@@ -924,10 +924,10 @@
    * roster may have done so by now.
    */
   private void retryPrepare(final Partition partition, final long now) {
-    if (now - partition.preparedAt < PREPARE_RETRY_MILLIS) {
+    if (now - partition.prepareSentAt < PREPARE_RETRY_MILLIS) {
       return;
     }
-    partition.preparedAt = now;
+    partition.prepareSentAt = now;
     for (int voterIndex = 0;
         voterIndex < partition.promises.length && voterIndex < roster.voters.size();
         voterIndex++) {
@@ -1048,7 +1048,7 @@
       auditSequencer.restore(partition.registers.values());
     }
     partition.phase = Phase.ESTABLISHING;
-    partition.startedAt = now;
+    partition.phaseStartedAt = now;
     for (int voterIndex = 0; voterIndex < roster.voters.size(); voterIndex++) {
       if (!recovery.isRecovering(roster.voters.get(voterIndex).address)) {
         sendEstablishment(partition, voterIndex, now);
@@ -1142,7 +1142,7 @@
 
   private void startServing(final Partition partition, final long now) {
     partition.phase = Phase.SERVING;
-    partition.servedAt = now;
+    partition.servingSince = now;
     partition.recentCalls.clear();
     partition.leader = self;
     partition.preferredRegionReadySince = 0;
@@ -1236,7 +1236,7 @@
     }
     for (final Partition partition : partitions) {
       if (partition.phase == Phase.SERVING) {
-        partition.repairs[voterIndex].heardAt = now;
+        partition.repairs[voterIndex].lastAckAt = now;
       }
     }
     if (partitions[0].phase == Phase.SERVING) {
@@ -1251,22 +1251,23 @@
           && !partitionsToRestart.contains(partition)) {
         partition.heartbeatAcked[voterIndex] =
             Math.max(partition.heartbeatAcked[voterIndex], ballot.count);
-        completeConfirmedReads(partition, now);
+        completeConfirmed(partition, now);
       }
     }
   }
 
-  private void completeConfirmedReads(final Partition partition, final long now) {
+  private void completeConfirmed(final Partition partition, final long now) {
     final long[] sorted = partition.heartbeatAcked.clone();
     Arrays.sort(sorted);
-    final long reached = sorted[sorted.length - roster.majority()];
-    if (reached >= partition.heartbeatCount) {
+    final long confirmedThrough = sorted[sorted.length - roster.majority()];
+    if (confirmedThrough >= partition.heartbeatCount) {
       partition.confirmationInFlight = false;
     }
     if (!partition.waiters.isEmpty()) {
-      final List<ConfirmationWaiter> due = new ArrayList<>();
-      partition.waiters.removeIf(waiter -> waiter.heartbeatNumber <= reached && due.add(waiter));
-      for (final ConfirmationWaiter waiter : due) {
+      final List<ConfirmationWaiter> completed = new ArrayList<>();
+      partition.waiters.removeIf(
+          waiter -> waiter.heartbeatNumber <= confirmedThrough && completed.add(waiter));
+      for (final ConfirmationWaiter waiter : completed) {
         waiter.onConfirmed.run();
       }
       if (!partition.waiters.isEmpty()
@@ -1359,7 +1360,7 @@
     Object value = register.committed;
     boolean changed = false;
     final List<StoredValues.Put> puts = new ArrayList<>();
-    final List<RegisterState.PendingRequest> later = new ArrayList<>();
+    final List<RegisterState.PendingRequest> deferred = new ArrayList<>();
     while (!register.waiting.isEmpty()) {
       final RegisterState.PendingRequest pending = register.waiting.poll();
       if (pending.operation == StoreOperation.CELL_READ
@@ -1369,7 +1370,7 @@
         continue;
       }
       if (register.inFlight || mustWait) {
-        later.add(pending);
+        deferred.add(pending);
         continue;
       }
       if (expired(pending.call, now)
@@ -1404,7 +1405,7 @@
             partition, now, pending, () -> pending.reply.accept(response(pending, decision)));
       }
     }
-    register.waiting.addAll(later);
+    register.waiting.addAll(deferred);
     if (changed) {
       propose(partition, register, value, puts, now);
     }
@@ -1422,7 +1423,7 @@
   private static boolean sendTimeComparable(
       final Partition partition, final StoreMessages.StoreRequest call, final long now) {
     return call.clock == null
-        || call.clock - call.age >= partition.servedAt
+        || call.clock - call.age >= partition.servingSince
         || predatesLeadership(partition, call, now);
   }
 
@@ -1432,7 +1433,7 @@
    */
   private static boolean predatesLeadership(
       final Partition partition, final StoreMessages.StoreRequest call, final long now) {
-    return call.age > 0 && now - call.age < partition.servedAt;
+    return call.age > 0 && now - call.age < partition.servingSince;
   }
 
   private Decision decide(
@@ -1474,7 +1475,7 @@
               () ->
                   pending.reply.accept(
                       response(pending, pending.operation.read(register.committed, pending.call))));
-      case PARK -> register.parked.add(pending);
+      case PARK -> register.parkedWatches.add(pending);
       case CONFIRM ->
           confirmLeadership(
               partition, now, pending, () -> pending.reply.accept(response(pending, decision)));
@@ -1496,7 +1497,7 @@
     register.inFlight = true;
     register.proposed = value;
     register.version = partition.ballot.at(++partition.versionCount);
-    byte[] whole = null;
+    byte[] encoded = null;
     byte[] delta = null;
     for (int voterIndex = 0; voterIndex < roster.voters.size(); voterIndex++) {
       if (recovery.isRecovering(roster.voters.get(voterIndex).address)) {
@@ -1513,12 +1514,17 @@
         }
         entry = new RegisterEntry(register.name, register.version, base, delta, null);
       } else {
-        if (whole == null) {
-          whole = register.kind.encode(value);
+        if (encoded == null) {
+          encoded = register.kind.encode(value);
         }
         entry =
             new RegisterEntry(
-                register.name, register.version, RegisterVersion.NONE, null, whole, register.audit);
+                register.name,
+                register.version,
+                RegisterVersion.NONE,
+                null,
+                encoded,
+                register.audit);
       }
       register.sent[voterIndex] = register.version.count;
       register.sentAt[voterIndex] = now;
@@ -1598,9 +1604,9 @@
     for (final RegisterState.Proposal one : answers) {
       one.pending.reply.accept(response(one.pending, one.decision));
     }
-    if (!register.parked.isEmpty()) {
-      final List<RegisterState.PendingRequest> parked = new ArrayList<>(register.parked);
-      register.parked.clear();
+    if (!register.parkedWatches.isEmpty()) {
+      final List<RegisterState.PendingRequest> parked = new ArrayList<>(register.parkedWatches);
+      register.parkedWatches.clear();
       for (final RegisterState.PendingRequest pending : parked) {
         processRead(partition, register, pending, now);
       }
@@ -1733,10 +1739,10 @@
       return;
     }
     final AuditLog log = audit.log();
-    final long slack = Math.max(16, auditRetention / 10);
+    final long trimThreshold = Math.max(16, auditRetention / 10);
     final long through = auditSequencer.decided() - auditRetention;
     if (auditRetention < Long.MAX_VALUE / 2
-        && auditSequencer.decided() - log.base() > auditRetention + slack
+        && auditSequencer.decided() - log.base() > auditRetention + trimThreshold
         && log.last() == auditSequencer.decided()
         && through <= auditSequencer.majorityLogged(roster)) {
       final String digest = log.digestAt(through);
@@ -1947,7 +1953,7 @@
           }
         }
         case PREPARING, ESTABLISHING -> {
-          if (now - partition.startedAt > BALLOT_TIMEOUT_MILLIS) {
+          if (now - partition.phaseStartedAt > BALLOT_TIMEOUT_MILLIS) {
             stepDown(partition, now);
             partition.electionDueAt = now + electionRank(partition) * 100L + random.nextInt(300);
           } else if (partition.phase == Phase.PREPARING) {
@@ -1978,17 +1984,17 @@
   private void repairVoters(final Partition partition, final long now) {
     for (int voterIndex = 0; voterIndex < roster.voters.size(); voterIndex++) {
       final Partition.Repair repair = partition.repairs[voterIndex];
-      if (repair.heardAt <= repair.sentAt || now - repair.sentAt <= repair.backoffMillis) {
+      if (repair.lastAckAt <= repair.sentAt || now - repair.sentAt <= repair.backoffMillis) {
         continue;
       }
       final List<RegisterEntry> entries = new ArrayList<>();
-      boolean whole = true;
+      boolean complete = true;
       int bytes = 0;
       for (final RegisterState register : partition.registers.values()) {
         if (register.proposed == null || register.acked[voterIndex] >= register.version.count) {
           continue;
         }
-        whole &= register.acked[voterIndex] >= 0;
+        complete &= register.acked[voterIndex] >= 0;
         if (bytes < REPAIR_MESSAGE_BYTES
             && now - register.sentAt[voterIndex] > RESEND_INTERVAL_MILLIS) {
           final boolean versionOnly =
@@ -2022,7 +2028,7 @@
         }
       }
       final boolean establish =
-          whole
+          complete
               && !partition.establishmentAcked[voterIndex]
               && now - partition.establishmentSentAt[voterIndex] > RESEND_INTERVAL_MILLIS;
       if (establish || !entries.isEmpty()) {
@@ -2057,8 +2063,8 @@
         register.waiting.removeIf(
             pending -> now - pending.receivedAt > PENDING_REQUEST_TIMEOUT_MILLIS);
       }
-      if (!register.parked.isEmpty()) {
-        register.parked.removeIf(
+      if (!register.parkedWatches.isEmpty()) {
+        register.parkedWatches.removeIf(
             pending -> {
               if (now - pending.receivedAt < pending.call.second) {
                 return false;
--- a/statestore/src/main/java/weldpoint/statestore/StoreOperation.java
+++ b/statestore/src/main/java/weldpoint/statestore/StoreOperation.java
@@ -136,10 +136,10 @@
           (weldpoint.transport.RegionMessages.Electorate) value;
       final weldpoint.transport.RegionMessages.Electorate next =
           Serializer.deserialize(call.body, weldpoint.transport.RegionMessages.Electorate.class);
-      final long mark = before == null ? 0 : before.mark;
-      return next.mark == mark + 1
+      final long serial = before == null ? 0 : before.mark;
+      return next.mark == serial + 1
           ? Decision.write(next, null, next.mark)
-          : Decision.confirm(412, mark);
+          : Decision.confirm(412, serial);
     }
   },
   /**
--- a/statestore/src/test/java/weldpoint/statestore/FencingTest.java
+++ b/statestore/src/test/java/weldpoint/statestore/FencingTest.java
@@ -13,8 +13,8 @@
 import weldpoint.transport.StateStoreMessages;
 
 /**
- * One voter on its own: what carries an old roster, a lower ballot or an overtaken incarnation is
- * refused.
+ * A single voter refuses messages with an old roster or a lower ballot, and ballots that counted an
+ * outdated incarnation.
  */
 public final class FencingTest {
   private final List<Message> answers = new ArrayList<>();
--- a/statestore/src/test/java/weldpoint/statestore/RecentCallsTest.java
+++ b/statestore/src/test/java/weldpoint/statestore/RecentCallsTest.java
@@ -9,8 +9,8 @@
 import weldpoint.transport.StoreMessages;
 
 /**
- * What a holder remembers of calls: by caller and number, as long as a copy can be under way, and
- * never more than it may.
+ * Decisions are remembered by caller and number, for as long as a copy of a request can be in
+ * transit, and up to a maximum number.
  */
 public final class RecentCallsTest {
   private static StoreMessages.StoreRequest call(final long caller, final long number) {
@@ -24,10 +24,10 @@
     final RecentCalls recent = new RecentCalls();
     recent.remember(call(1, 5), Decision.confirm(200, 77), 0);
     assertEquals(recent.find(call(1, 5)).first, 77);
-    assertNull(recent.find(call(2, 5)), "another life's number");
+    assertNull(recent.find(call(2, 5)), "the same number from another incarnation of the caller");
     assertNull(recent.find(call(1, 6)));
     recent.remember(call(0, 5), Decision.confirm(200, 78), 0);
-    assertNull(recent.find(call(0, 5)), "a call that names nobody");
+    assertNull(recent.find(call(0, 5)), "a request without a caller");
   }
 
   @Test
--- a/statestore/src/test/java/weldpoint/statestore/ThawTest.java
+++ b/statestore/src/test/java/weldpoint/statestore/ThawTest.java
@@ -21,9 +21,9 @@
 import weldpoint.transport.StoreMessages;
 
 /**
- * A holder that stands still at any moment around a call, while another takes its duties over and
- * acknowledges newer values, and that finds all that was sent to it meanwhile waiting when it
- * wakes, each sender in its order.
+ * Guards against stale answers by a paused leader. The leader's process stops at any moment around
+ * a request; another replica becomes leader and acknowledges newer values. When the first resumes,
+ * it finds all messages sent to it meanwhile, in order per sender.
  */
 public final class ThawTest {
   private static final List<String> SEEDS = List.of("10.0.0.1", "10.0.0.2", "10.0.0.3");
@@ -110,7 +110,8 @@
                   .get(to)
                   .receive(
                       from,
-                      messageFilter.apply((Message) Serializer.deserialize(bytes, message.getClass())),
+                      messageFilter.apply(
+                          (Message) Serializer.deserialize(bytes, message.getClass())),
                       answer -> deliver(to, from, answer),
                       now));
     }
@@ -156,7 +157,7 @@
       }
     }
 
-    /** Calls one frame; what it answers is put into the list. */
+    /** Sends a request to one replica; its answers are added to the returned list. */
     List<StoreMessages.StoreResponse> call(
         final String to,
         final StoreOperation operation,
@@ -180,8 +181,8 @@
     }
 
     /**
-     * The frame that answers calls for the lock's, the number's and the key's registers; null where
-     * none does.
+     * The replica that answers requests for the register, which leads its partition; null if none
+     * does.
      */
     String findLeader(final StoreOperation operation, final String name, final String body) {
       for (final String address : SEEDS) {
@@ -206,15 +207,16 @@
   }
 
   /**
-   * One story: what was answered by the holder of before after others had acknowledged something
-   * newer; empty where all was right.
+   * Runs one scenario; returns the stale answers that the old leader gave after another had
+   * acknowledged something newer, which must be none.
    */
-  private static List<String> runScenario(final long seed, final UnaryOperator<Message> messageFilter) {
+  private static List<String> runScenario(
+      final long seed, final UnaryOperator<Message> messageFilter) {
     final Cluster cluster = new Cluster(seed, messageFilter);
     final List<String> faults = new ArrayList<>();
     cluster.advance(3000);
     final String oldLeader = cluster.findLeader(StoreOperation.CELL_READ, "g.", "g.k");
-    assertTrue(oldLeader != null, "nobody serves");
+    assertTrue(oldLeader != null, "no replica leads the partition");
     final List<StoreMessages.StoreResponse> first =
         cluster.call(oldLeader, StoreOperation.CELL_REPLACE, "g.", "one", -1, 0, "g.k");
     cluster.advance(100);
@@ -222,7 +224,8 @@
     final List<StoreMessages.StoreResponse> early =
         cluster.call(oldLeader, StoreOperation.CELL_READ, "g.", null, 0, 0, "g.k");
     final List<StoreMessages.StoreResponse> earlyPut =
-        cluster.call(oldLeader, StoreOperation.CELL_REPLACE, "g.", "late", first.get(0).first, 0, "g.k");
+        cluster.call(
+            oldLeader, StoreOperation.CELL_REPLACE, "g.", "late", first.get(0).first, 0, "g.k");
     cluster.advance(1 + seed % 13);
     cluster.pause(oldLeader);
     cluster.advance(1500);
@@ -231,7 +234,7 @@
       newLeader = cluster.findLeader(StoreOperation.CELL_READ, "g.", "g.k");
       cluster.advance(100);
     }
-    assertTrue(newLeader != null && !newLeader.equals(oldLeader), "nobody took over");
+    assertTrue(newLeader != null && !newLeader.equals(oldLeader), "no other replica became leader");
     final List<StoreMessages.StoreResponse> newer =
         cluster.call(newLeader, StoreOperation.CELL_REPLACE, "g.", "two", -1, 0, "g.k");
     cluster.advance(100);
@@ -304,12 +307,14 @@
                 final StateStoreMessages.HeartbeatAck ack =
                     (StateStoreMessages.HeartbeatAck) message;
                 final List<RegisterVersion> later = new ArrayList<>();
-                Protocol.list(ack.ballots).forEach(version -> later.add(version.at(Long.MAX_VALUE)));
+                Protocol.list(ack.ballots)
+                    .forEach(version -> later.add(version.at(Long.MAX_VALUE)));
                 return new StateStoreMessages.HeartbeatAck(
                     ack.partitions, later, ack.incarnation, ack.known, ack.audited);
               }));
     }
     assertTrue(
-        faults.size() > 0, "a holder whose old confirmations cover later questions was not caught");
+        faults.size() > 0,
+        "a leader that takes old heartbeat acknowledgements for later reads was not caught");
   }
 }
--- a/statestore/src/test/java/weldpoint/statestore/VoterSelectionTest.java
+++ b/statestore/src/test/java/weldpoint/statestore/VoterSelectionTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.Test;
 import weldpoint.transport.StateStoreMessages.Voter;
 
-/** Who should vote in a small site where somebody is out of reach. */
+/** Selection of voters in a small cluster with an unreachable voter. */
 public final class VoterSelectionTest {
   private static final int MOST = 5;
 
--- a/wal/src/main/java/weldpoint/wal/DirectoryFiles.java
+++ b/wal/src/main/java/weldpoint/wal/DirectoryFiles.java
@@ -7,14 +7,14 @@
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
 
-/** The files of a ring in a folder. */
+/** The files of a {@link SegmentRing} in a directory. */
 public final class DirectoryFiles implements SegmentRing.Files {
   private static final int ZERO_FILL_BYTES = 1 << 18;
 
   private final Path folder;
   private final FileChannel[] channels;
 
-  /** Files in this folder, which is made where it is missing. */
+  /** Uses this directory, which is created if it is missing. */
   public DirectoryFiles(final Path folder, final int count) throws IOException {
     this.folder = folder;
     this.channels = new FileChannel[count];
@@ -93,7 +93,7 @@
     }
   }
 
-  /** Makes the names in a folder lasting, which a sync of its files need not do. */
+  /** Syncs a directory, since a sync of its files need not make their names durable. */
   public static void sync(final Path folder) throws IOException {
     try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
       channel.force(true);
--- a/wal/src/main/java/weldpoint/wal/SegmentRing.java
+++ b/wal/src/main/java/weldpoint/wal/SegmentRing.java
@@ -10,15 +10,16 @@
 import weldpoint.common.WeldpointException;
 
 /**
- * The format on disk: a ring of preallocated files. Each file opens with a snapshot of the live
- * state, written and synced before anything else goes there, and goes on with a tail of records. A
- * record carries the file's generation, its own number, a checksum, and the number up to which
- * everything was known to be synced when it was written. The snapshot begins with the format and
- * whose store this is, and ends with the number up to which it reaches and a checksum of the whole.
- * A state that outgrows half a file goes on in larger files, up to a bound.
+ * The on-disk format of the write-ahead log: a ring of preallocated files. Each file starts with a
+ * snapshot of the live state, written and synced before anything else is appended, followed by a
+ * tail of records. A record has the file's generation, its own number, a checksum, and the number
+ * up to which all records were known to be synced when it was written. The snapshot starts with the
+ * format and the owner of the store, and ends with the number of the last record before it and a
+ * checksum of all of it. Once the state exceeds half a file, larger files are used, up to a bound.
+ * {@link WriteAheadLog} writes a ring on its own thread.
  */
 public final class SegmentRing {
-  /** The format that is written; it and the ones before it are read. */
+  /** The format that is written; this one and earlier ones can be read. */
   public static final int FORMAT = 2;
 
   private static final int MAGIC = 0x7e1d90a7;
@@ -30,30 +31,30 @@
   private static final byte TYPE_SNAPSHOT_END = 2;
   private static final byte TYPE_FILE_HEADER = 3;
 
-  /** The files of one ring, as storage that may fail. */
+  /** The storage of one ring, whose operations may fail. */
   public interface Files {
-    /** How many bytes a file has; -1 where there is none. */
+    /** The size of a file in bytes; -1 if it does not exist. */
     long size(int file) throws IOException;
 
-    /** Reads at a place in a file until the buffer is full or the file ends. */
+    /** Reads from a position in a file until the buffer is full or the file ends. */
     void read(int file, long position, ByteBuffer bytes) throws IOException;
 
-    /** Writes at a place in a file. */
+    /** Writes the remaining bytes of a buffer at a position in a file. */
     void write(int file, long position, ByteBuffer bytes) throws IOException;
 
-    /** Makes everything written to a file lasting. */
+    /** Makes everything written to a file durable. */
     void sync(int file) throws IOException;
 
-    /** Makes a file of at least this size exist; its size is lasting. */
+    /** Creates or extends a file to at least this size, and makes its size durable. */
     void allocate(int file, int size) throws IOException;
 
-    /** Makes the names of all files lasting. */
+    /** Makes the names of all files durable. */
     void syncNames() throws IOException;
   }
 
   /**
-   * What was found at opening: nothing ever written, or records that had been synced and cannot be
-   * read.
+   * What was found on disk: {@code blank} if there is no readable snapshot, {@code lost} if records
+   * that had been synced cannot be read, and the readable records.
    */
   public record Recovered(boolean blank, boolean lost, List<byte[]> records) {}
 
@@ -74,7 +75,7 @@
   private volatile long snapshotBytes;
   private volatile long diskBytes;
 
-  /** A ring of an owner, with so many files of this size, none of which grows beyond the most. */
+  /** A ring of an owner, with files of this initial size that grow up to a maximum size. */
   public SegmentRing(
       final Files files,
       final String owner,
@@ -88,7 +89,7 @@
     this.maxFileBytes = maxFileBytes;
   }
 
-  /** One file read through a window, so that a large one never lies in memory whole. */
+  /** Reads a file through a window, so that a large file is never in memory as a whole. */
   private final class Reader {
     private final int index;
     private final int length;
@@ -116,8 +117,8 @@
     }
 
     /**
-     * The record at a place, of this generation or, below 0, of any; null where there is none that
-     * is sound.
+     * The record at a position, of this generation or, if negative, of any; null if there is no
+     * intact one.
      */
     private StoredRecord recordAt(final int at, final long wantedGeneration) throws IOException {
       if (at < 0 || at + RECORD_HEADER_BYTES > length) {
@@ -135,22 +136,22 @@
         return null;
       }
       fillWindow(at, RECORD_HEADER_BYTES + bytes);
-      final int place = at - windowStart;
-      if (window.limit() < place + RECORD_HEADER_BYTES + bytes) {
+      final int offset = at - windowStart;
+      if (window.limit() < offset + RECORD_HEADER_BYTES + bytes) {
         return null;
       }
       final CRC32 sum = new CRC32();
-      sum.update(window.array(), place + 12, RECORD_HEADER_BYTES - 12 + bytes);
-      if ((int) sum.getValue() != window.getInt(place + 8)) {
+      sum.update(window.array(), offset + 12, RECORD_HEADER_BYTES - 12 + bytes);
+      if ((int) sum.getValue() != window.getInt(offset + 8)) {
         return null;
       }
       final byte[] payload = new byte[bytes];
-      System.arraycopy(window.array(), place + RECORD_HEADER_BYTES, payload, 0, bytes);
+      System.arraycopy(window.array(), offset + RECORD_HEADER_BYTES, payload, 0, bytes);
       return new StoredRecord(
-          window.getLong(place + 12),
-          window.getLong(place + 20),
-          window.getLong(place + 28),
-          window.get(place + 36),
+          window.getLong(offset + 12),
+          window.getLong(offset + 20),
+          window.getLong(offset + 28),
+          window.get(offset + 36),
           payload);
     }
   }
@@ -166,7 +167,7 @@
       List<byte[]> records,
       long last) {}
 
-  /** The highest generation of any record behind a snapshot in a file; -1 where there is none. */
+  /** The highest generation of the tail records in a file; -1 if there are none. */
   private long highestTailGeneration(final Reader reader) throws IOException {
     long highest = -1;
     for (int at = 0; at + RECORD_HEADER_BYTES <= reader.length; at += ALIGNMENT) {
@@ -225,11 +226,11 @@
           WeldpointException.Kind.UNREADABLE,
           "the store of "
               + owner
-              + " is of format "
+              + " has format "
               + format
-              + " and this release reads up to "
+              + ", but this release reads only up to "
               + FORMAT
-              + "; run the release that wrote it, or give an empty folder to have it fetched again");
+              + "; run the release that wrote it, or start with an empty folder to recover the state from the other replicas");
     }
     final String storedOwner =
         new String(payload, Integer.BYTES, payload.length - Integer.BYTES, StandardCharsets.UTF_8);
@@ -250,8 +251,8 @@
   }
 
   /**
-   * Reads what is there: the newest snapshot that is whole, with its tail. Nothing may be appended
-   * before {@link #begin}.
+   * Reads the newest complete snapshot with its tail. Nothing may be appended before {@link
+   * #begin}.
    */
   public Recovered open() throws IOException {
     final List<long[]> byGeneration = new ArrayList<>();
@@ -299,7 +300,7 @@
     return new Recovered(best == null, lost, best == null ? List.of() : best.records);
   }
 
-  /** Preallocates the files and starts a fresh one with this snapshot of the state. */
+  /** Preallocates the files, and starts the next one with this snapshot of the state. */
   public void begin(final List<byte[]> snapshot) throws IOException {
     for (int index = 0; index < fileCount; index++) {
       files.allocate(index, initialFileBytes);
@@ -312,8 +313,8 @@
   }
 
   /**
-   * Goes on to the next file, which opens with this snapshot and has room for so many bytes of
-   * records behind it. Where it fails, nothing is appended before it has succeeded.
+   * Starts the next file with this snapshot and room for at least this many bytes of records after
+   * it. After a failure, nothing can be appended until a later call has succeeded.
    */
   public void rotate(final List<byte[]> snapshot, final int tailBytes) throws IOException {
     final ByteBuffer header =
@@ -334,9 +335,9 @@
               + needed
               + " bytes and "
               + tailBytes
-              + " more do not fit the bound of "
+              + " more exceed the maximum of "
               + maxFileBytes
-              + " bytes for a file; remove what is not needed, or raise the bound in a release");
+              + " bytes for a file; remove unneeded state, or raise the bound in a release");
     }
     if (files.size(next) < fileBytes) {
       files.allocate(next, fileBytes);
@@ -384,7 +385,7 @@
     return writer.position;
   }
 
-  /** Puts records one behind the other into a file, some at a time. */
+  /** Writes consecutive records to a file through a buffer. */
   private final class Writer {
     private final int index;
     private ByteBuffer buffer = ByteBuffer.allocate(BUFFER_BYTES);
@@ -427,7 +428,7 @@
     buffer.position(at + aligned(RECORD_HEADER_BYTES + record.length));
   }
 
-  /** How many bytes these records take. */
+  /** The size in bytes of these records on disk. */
   public static int recordBytes(final List<byte[]> records) {
     long needed = 0;
     for (final byte[] record : records) {
@@ -436,12 +437,12 @@
     return (int) Math.min(Integer.MAX_VALUE / 4, needed);
   }
 
-  /** Whether these records still fit the present file; otherwise {@link #rotate} comes first. */
+  /** Whether these records fit the current file; if not, call {@link #rotate} first. */
   public boolean fits(final List<byte[]> records) {
     return position + recordBytes(records) <= capacity;
   }
 
-  /** Writes the records and makes them lasting. */
+  /** Appends the records and makes them durable. */
   public void append(final List<byte[]> records) throws IOException {
     final int needed = recordBytes(records);
     final ByteBuffer buffer = ByteBuffer.allocate(needed);
@@ -461,27 +462,27 @@
     syncedThrough = lastNumber;
   }
 
-  /** The bytes that the files take on disk. */
+  /** The size of all files in bytes. */
   public long diskBytes() {
     return diskBytes;
   }
 
-  /** The most bytes that the files may ever take. */
+  /** The maximum size of all files in bytes. */
   public long maxBytes() {
     return (long) fileCount * maxFileBytes;
   }
 
-  /** The bytes of the last snapshot. */
+  /** The size of the last snapshot in bytes. */
   public long snapshotBytes() {
     return snapshotBytes;
   }
 
-  /** Snapshots written. */
+  /** The number of snapshots written. */
   public long snapshots() {
     return snapshots;
   }
 
-  /** 1 where records that had been synced could not be read at opening. */
+  /** 1 if {@link #open} found that synced records could not be read, otherwise 0. */
   public long damaged() {
     return damaged;
   }
--- a/wal/src/main/java/weldpoint/wal/WriteAheadLog.java
+++ b/wal/src/main/java/weldpoint/wal/WriteAheadLog.java
@@ -9,7 +9,10 @@
 import java.util.concurrent.Executor;
 import java.util.function.Supplier;
 
-/** The thread that writes a ring: records that wait are written and synced together. */
+/**
+ * A write-ahead log on a {@link SegmentRing}. Its own thread writes and syncs all queued records
+ * together; callbacks and snapshots run on the owner's executor.
+ */
 public final class WriteAheadLog {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
   private static final long RETRY_MILLIS = 200;
@@ -24,7 +27,7 @@
   private volatile boolean failing;
   private volatile long syncs;
 
-  /** A tape whose callbacks and views run on the owner's thread. */
+  /** A log whose callbacks and snapshots run on the owner's executor. */
   public WriteAheadLog(
       final SegmentRing ring, final Executor owner, final Supplier<List<byte[]>> snapshot) {
     this.ring = ring;
@@ -32,12 +35,12 @@
     this.snapshot = snapshot;
   }
 
-  /** A tape that was opened, and what was found on it. */
+  /** An opened log, and what was found on disk. */
   public record Opened(WriteAheadLog log, SegmentRing.Recovered found) {}
 
   /**
-   * Opens the ring of an owner in a folder, of so many files that begin with these bytes and grow
-   * to the most; nothing is written before {@link #start}.
+   * Opens the ring of an owner in a folder, with files of an initial size in bytes that grow up to
+   * a maximum; nothing is written before {@link #start}.
    */
   public static Opened open(
       final Path folder,
@@ -59,14 +62,14 @@
     return new Opened(new WriteAheadLog(ring, owner, snapshot), found);
   }
 
-  /** Starts the thread; the ring must have been opened. */
+  /** Starts the writing thread under this name; the ring must have been opened. */
   public void start(final String name) {
     final Thread thread = new Thread(this::run, name);
     thread.setDaemon(true);
     thread.start();
   }
 
-  /** Writes a record; the callback runs once it is lasting. */
+  /** Queues a record; the callback runs on the owner's executor once the record is durable. */
   public void append(final byte[] record, final Runnable synced) {
     synchronized (this) {
       waiting.add(new PendingAppend(record, synced));
@@ -74,23 +77,23 @@
     }
   }
 
-  /** For how many milliseconds the present write has been going on. */
+  /** How long the current write has lasted, in milliseconds; 0 if there is none. */
   public long currentWriteMillis() {
     final long since = busySince;
     return since == 0 ? 0 : (System.nanoTime() - since) / 1_000_000;
   }
 
-  /** Whether the disk refuses writes. */
+  /** Whether the last write failed and is being retried. */
   public boolean failing() {
     return failing;
   }
 
-  /** How many times the disk was synced. */
+  /** The number of successful writes with a sync. */
   public long syncs() {
     return syncs;
   }
 
-  /** What is on disk, as counters. */
+  /** The counters of the files on disk, as one line. */
   public String counters() {
     return "disk "
         + ring.diskBytes() / 1024
@@ -124,14 +127,14 @@
         busySince = 0;
         if (failing) {
           failing = false;
-          LOGGER.atInfo().log("the disk takes writes again");
+          LOGGER.atInfo().log("disk writes succeed again");
         }
         return;
       } catch (final IOException problem) {
         if (!failing) {
           failing = true;
           LOGGER.atWarning().log(
-              "the disk refuses writes (%s); trying again until it takes them",
+              "disk write failed (%s); retrying until it succeeds; check free space and health of the disk",
               problem.getMessage());
         }
         Thread.sleep(RETRY_MILLIS);
@@ -164,7 +167,7 @@
           runUntilWritten(() -> ring.rotate(ownerSnapshot(), SegmentRing.recordBytes(records)));
           if (ring.diskBytes() > before) {
             LOGGER.atInfo().log(
-                "the state has outgrown its files: a snapshot of %s KB, %s KB of disk from now on, %s at most",
+                "the state has outgrown its log files: snapshot %s KB, files now %s KB on disk, at most %s KB",
                 ring.snapshotBytes() / 1024, ring.diskBytes() / 1024, ring.maxBytes() / 1024);
           }
         }
--- a/wal/src/test/java/weldpoint/wal/PowerLossTest.java
+++ b/wal/src/test/java/weldpoint/wal/PowerLossTest.java
@@ -13,10 +13,10 @@
 import org.testng.annotations.Test;
 
 /**
- * The ring on a disk that loses power: of what was not synced, each sector is there or missing by
- * itself, and so is each file whose name was not; some writes are refused, and processes die with
- * and without power. Whatever was acknowledged must be read again, in its order and without a gap;
- * broken variants must be caught.
+ * The ring on a simulated disk that loses power. Each sector that was not synced, and each file
+ * whose name was not synced, independently survives or is lost; some writes fail, and the process
+ * ends with and without power loss. Everything that was acknowledged must be read again, in order
+ * and without a gap; broken variants must be caught.
  */
 public final class PowerLossTest {
   private static final int FILES = 3;
@@ -102,7 +102,7 @@
     }
 
     void losePower() {
-      final int way = random.nextInt(3);
+      final int mode = random.nextInt(3);
       for (int file = 0; file < FILES; file++) {
         if (written[file] == null) {
           continue;
@@ -115,7 +115,7 @@
         nameDurable[file] = true;
         final byte[] after = Arrays.copyOf(durable[file], durable[file].length);
         for (int at = 0; at < after.length; at += SECTOR_BYTES) {
-          if (way == 1 && random.nextBoolean() || way == 2 && random.nextInt(8) > 0) {
+          if (mode == 1 && random.nextBoolean() || mode == 2 && random.nextInt(8) > 0) {
             System.arraycopy(
                 written[file], at, after, at, Math.min(SECTOR_BYTES, after.length - at));
           }
@@ -136,7 +136,7 @@
     return Long.parseLong(text.substring(1, text.indexOf('.')));
   }
 
-  /** One day of a disk; returns what went wrong, or null. */
+  /** Runs a ring through several restarts on one disk; returns the failure, or null. */
   private static String runScenario(final long seed, final Variant variant) throws IOException {
     final Random random = new Random(seed);
     final Disk disk = new Disk(random, variant);
--- a/wal/src/test/java/weldpoint/wal/SegmentRingTest.java
+++ b/wal/src/test/java/weldpoint/wal/SegmentRingTest.java
@@ -14,7 +14,7 @@
 import org.testng.annotations.Test;
 import weldpoint.common.WeldpointException;
 
-/** The ring cut at every byte, damaged, turned over, and on a disk that refuses. */
+/** The ring with torn and damaged records, through rotations, and with failing writes. */
 public final class SegmentRingTest {
   private static final int FILES = 3;
   private static final int INITIAL_FILE_BYTES = 4096;
@@ -179,10 +179,7 @@
     assertFalse(lost[0]);
   }
 
-  /**
-   * A ring of so many records, each of this many bytes, that has turned to its second file, with a
-   * tail or none.
-   */
+  /** The files of a ring that was rotated to its second file, with or without a tail there. */
   private static InMemoryFiles rotatedRing(final boolean tail) throws IOException {
     final InMemoryFiles memory = new InMemoryFiles();
     final SegmentRing ring =
@@ -325,7 +322,7 @@
         later.getMessage());
   }
 
-  /** A record as the first format wrote it. */
+  /** Writes a record in the first format. */
   private static void oldRecord(
       final ByteBuffer buffer,
       final int type,
@@ -369,7 +366,7 @@
         new SegmentRing(memory, OWNER, FILES, INITIAL_FILE_BYTES, MAX_FILE_BYTES);
     again.open();
     again.begin(List.of(bytes("view"), bytes("one")));
-    assertEquals(memory.nameSyncs, 1, "names that are lasting cost no further sync");
+    assertEquals(memory.nameSyncs, 1, "file names that are durable are not synced again");
     assertEquals(read(memory, lost), List.of("view", "one"));
   }
 
--- a/wal/src/test/java/weldpoint/wal/WriteAheadLogTest.java
+++ b/wal/src/test/java/weldpoint/wal/WriteAheadLogTest.java
@@ -14,7 +14,7 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** A tape in a real folder whose state outgrows its files. */
+/** A write-ahead log in a real folder, whose state outgrows its files. */
 public final class WriteAheadLogTest {
   private static final int INITIAL_FILE_BYTES = 1 << 16;
   private static final int MAX_FILE_BYTES = 1 << 22;
@@ -48,7 +48,7 @@
         Thread.yield();
       }
     }
-    assertTrue(synced.await(60, TimeUnit.SECONDS), "not all became lasting");
+    assertTrue(synced.await(60, TimeUnit.SECONDS), "not all records became durable");
     final WriteAheadLog.Opened again =
         WriteAheadLog.open(
             folder,
