--- a/registry/src/main/java/weldpoint/registry/RegistryDaemon.java
+++ b/registry/src/main/java/weldpoint/registry/RegistryDaemon.java
@@ -189,7 +189,7 @@
             MOST_FILE_BYTES,
             executor,
             core::view);
-    final SegmentRing.Recovered found = opened.found();
+    final SegmentRing.Recovered found = opened.recovered();
     if (found.lost()) {
       LOGGER.atSevere().log(
           "the disk of %s lost records that had been synced; it counts as blank and is refetched from the other exchanges",
--- a/simulation/src/test/java/weldpoint/simulation/CatchUpTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/CatchUpTest.java
@@ -138,7 +138,8 @@
     simulation.start(MEMBER, false);
     final long took = untilWhole(simulation, 20_000);
     assertFalse(
-        simulation.machines().get(MEMBER).replica().recovering(), "still blank after " + took + " ms");
+        simulation.machines().get(MEMBER).replica().recovering(),
+        "still blank after " + took + " ms");
     final long fetched =
         simulation.received(MEMBER, StateStoreMessages.RecoveryResponse.class) - before;
     simulation.run(2000);
@@ -168,7 +169,8 @@
     final long took = untilWhole(simulation, 20_000);
     done[0] = true;
     assertFalse(
-        simulation.machines().get(MEMBER).replica().recovering(), "still blank after " + took + " ms");
+        simulation.machines().get(MEMBER).replica().recovering(),
+        "still blank after " + took + " ms");
     final long fetched =
         simulation.received(MEMBER, StateStoreMessages.RecoveryResponse.class) - before;
     assertTrue(
@@ -205,7 +207,8 @@
     final long took = untilWhole(simulation, 20_000);
     done[0] = true;
     assertFalse(
-        simulation.machines().get(MEMBER).replica().recovering(), "still blank after " + took + " ms");
+        simulation.machines().get(MEMBER).replica().recovering(),
+        "still blank after " + took + " ms");
     assertTrue(version[0] > 5, "versions " + version[0] + ", took " + took);
     assertTrue(took < 15_000, "took " + took);
   }
@@ -220,7 +223,14 @@
       simulation.random().nextBytes(body);
       version[0]++;
       simulation.call(
-          SEEDS.get(0), StoreOperation.CONFIGURATION_REPLACE, "", null, version[0], 0, body, answer -> {});
+          SEEDS.get(0),
+          StoreOperation.CONFIGURATION_REPLACE,
+          "",
+          null,
+          version[0],
+          0,
+          body,
+          answer -> {});
       simulation.after(700, () -> configure(simulation, done, version, length));
     }
   }
@@ -297,7 +307,7 @@
     simulation.cut("10.0.2.1", "10.0.1.2", true);
     simulation.run(6000);
     assertTrue(
-        simulation.machines().get(MEMBER).replica().serving() > 0,
+        simulation.machines().get(MEMBER).replica().partitionsLed() > 0,
         "the member with the best reach leads");
     final int[] found = new int[2];
     for (int group = 0; group < 40; group++) {
--- a/simulation/src/test/java/weldpoint/simulation/FrameSafetyTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/FrameSafetyTest.java
@@ -287,7 +287,7 @@
     int serving = 0;
     for (final StateStoreSimulation.Machine machine : simulation.machines().values()) {
       assertEquals(machine.replica().roster().voters.size(), 5);
-      serving += machine.replica().serving();
+      serving += machine.replica().partitionsLed();
     }
     assertEquals(serving, 8);
   }
--- a/simulation/src/test/java/weldpoint/simulation/TrialTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/TrialTest.java
@@ -408,7 +408,7 @@
     stage.cut.set(0, false);
     for (final StateStoreSimulation.Machine machine :
         new ArrayList<>(stage.simulation.machines().values())) {
-      if (machine.replica().serving() > 0) {
+      if (machine.replica().partitionsLed() > 0) {
         stage.simulation.kill(machine.address, true);
         break;
       }
--- a/simulation/src/test/java/weldpoint/statestore/BrokenAuditSequencer.java
+++ b/simulation/src/test/java/weldpoint/statestore/BrokenAuditSequencer.java
@@ -86,11 +86,11 @@
 
           @Override
           void propose(final RegisterState register) {
-            register.audit = null;
+            register.auditTail = null;
           }
 
           @Override
-          boolean idle() {
+          boolean isIdle() {
             return false;
           }
         });
--- a/statestore/src/main/java/weldpoint/statestore/AuditSequencer.java
+++ b/statestore/src/main/java/weldpoint/statestore/AuditSequencer.java
@@ -29,9 +29,9 @@
   private final long[] loggedThrough = new long[64];
   private long tailBase;
   private String tailDigest = AuditEntry.NO_DIGEST;
-  private long last;
-  private String digest = AuditEntry.NO_DIGEST;
-  private long decided;
+  private long lastSequence;
+  private String lastDigest = AuditEntry.NO_DIGEST;
+  private long decidedSequence;
   private String decidedDigest = AuditEntry.NO_DIGEST;
   private RegisterState inFlight;
 
@@ -47,18 +47,18 @@
     tail.clear();
     tailBase = 0;
     tailDigest = AuditEntry.NO_DIGEST;
-    last = 0;
-    digest = AuditEntry.NO_DIGEST;
+    lastSequence = 0;
+    lastDigest = AuditEntry.NO_DIGEST;
     inFlight = null;
     Arrays.fill(loggedThrough, 0);
     RegisterState best = null;
     for (final RegisterState register : registers) {
-      if (register.audit != null) {
-        final AuditTail candidate = Serializer.deserialize(register.audit, AuditTail.class);
+      if (register.auditTail != null) {
+        final AuditTail candidate = Serializer.deserialize(register.auditTail, AuditTail.class);
         final long reach = candidate.base + Protocol.list(candidate.entries).size();
-        if (best == null || reach > last) {
+        if (best == null || reach > lastSequence) {
           best = register;
-          last = reach;
+          lastSequence = reach;
           tailBase = candidate.base;
           tailDigest = candidate.baseDigest == null ? AuditEntry.NO_DIGEST : candidate.baseDigest;
           tail.clear();
@@ -68,11 +68,11 @@
     }
     for (final RegisterState register : registers) {
       if (register != best) {
-        register.audit = null;
+        register.auditTail = null;
       }
     }
-    digest = tail.isEmpty() ? tailDigest : AuditEntry.digest(tail.peekLast());
-    decided = 0;
+    lastDigest = tail.isEmpty() ? tailDigest : AuditEntry.digest(tail.peekLast());
+    decidedSequence = 0;
     decidedDigest = AuditEntry.NO_DIGEST;
   }
 
@@ -81,8 +81,8 @@
    * disks; returns its entries.
    */
   List<byte[]> decideRestored() {
-    decided = last;
-    decidedDigest = digest;
+    decidedSequence = lastSequence;
+    decidedDigest = lastDigest;
     return new ArrayList<>(tail);
   }
 
@@ -93,10 +93,10 @@
 
   /** Appends an entry for the change that is about to be proposed. */
   void add(final AuditEntry.Draft draft) {
-    final byte[] bytes = draft.bytes(last + 1, digest);
+    final byte[] bytes = draft.bytes(lastSequence + 1, lastDigest);
     tail.addLast(bytes);
-    last++;
-    digest = AuditEntry.digest(bytes);
+    lastSequence++;
+    lastDigest = AuditEntry.digest(bytes);
   }
 
   /**
@@ -105,7 +105,7 @@
    */
   void propose(final RegisterState register) {
     inFlight = register;
-    register.audit =
+    register.auditTail =
         Serializer.serialize(new AuditTail(tailBase, tailDigest, new ArrayList<>(tail)));
   }
 
@@ -116,14 +116,14 @@
     }
     inFlight = null;
     final List<byte[]> newlyDecided = new ArrayList<>();
-    int skip = (int) (decided - tailBase);
+    int skip = (int) (decidedSequence - tailBase);
     for (final byte[] entry : tail) {
       if (skip-- <= 0) {
         newlyDecided.add(entry);
       }
     }
-    decided = last;
-    decidedDigest = digest;
+    decidedSequence = lastSequence;
+    decidedDigest = lastDigest;
     return newlyDecided;
   }
 
@@ -135,7 +135,7 @@
   /** Drops the decided entries of the tail that a majority of voters has in its logs. */
   void trimTail(final StateStoreMessages.Roster roster) {
     final long majorityThrough = majorityLogged(roster);
-    while (!tail.isEmpty() && tailBase < majorityThrough && tailBase < decided) {
+    while (!tail.isEmpty() && tailBase < majorityThrough && tailBase < decidedSequence) {
       tailDigest = AuditEntry.digest(tail.pollFirst());
       tailBase++;
     }
@@ -143,8 +143,8 @@
 
   /** Drops the whole tail, whether or not a majority has it in its logs. */
   final void discardTail() {
-    tailBase = last;
-    tailDigest = digest;
+    tailBase = lastSequence;
+    tailDigest = lastDigest;
     tail.clear();
   }
 
@@ -180,8 +180,8 @@
   }
 
   /** The last decided entry. */
-  long decided() {
-    return decided;
+  long decidedSequence() {
+    return decidedSequence;
   }
 
   /** The digest of the last decided entry. */
@@ -190,7 +190,7 @@
   }
 
   /** Whether no change is in flight. */
-  boolean idle() {
+  boolean isIdle() {
     return inFlight == null;
   }
 
--- a/statestore/src/main/java/weldpoint/statestore/GracefulLeave.java
+++ b/statestore/src/main/java/weldpoint/statestore/GracefulLeave.java
@@ -23,7 +23,7 @@
     noticeSentAt = now;
   }
 
-  boolean begun() {
+  boolean isLeaving() {
     return onStopped != null;
   }
 
@@ -56,17 +56,17 @@
   }
 
   boolean released() {
-    return unreleased().isEmpty();
+    return unreleasedPartitions().isEmpty();
   }
 
   /** The partitions that no leader has released yet. */
-  List<Integer> unreleased() {
-    final List<Integer> open = new ArrayList<>();
+  List<Integer> unreleasedPartitions() {
+    final List<Integer> unreleased = new ArrayList<>();
     for (int number = 0; number < released.length; number++) {
       if (!released[number]) {
-        open.add(number);
+        unreleased.add(number);
       }
     }
-    return open;
+    return unreleased;
   }
 }
--- a/statestore/src/main/java/weldpoint/statestore/Membership.java
+++ b/statestore/src/main/java/weldpoint/statestore/Membership.java
@@ -146,7 +146,7 @@
     if (now - changedAt < MIN_CHANGE_INTERVAL_MILLIS || !isEstablished(roster)) {
       return null;
     }
-    final Roster described = TokenAssignment.described(roster, descriptions);
+    final Roster described = TokenAssignment.withDescriptions(roster, descriptions);
     final Roster present = described == null ? roster : new Roster(roster.number, described.voters);
     final Set<String> unreachable = new HashSet<>();
     boolean undescribed = false;
--- a/statestore/src/main/java/weldpoint/statestore/Partition.java
+++ b/statestore/src/main/java/weldpoint/statestore/Partition.java
@@ -28,12 +28,12 @@
   static final class StoredRegister {
     final RegisterVersion version;
     final Object value;
-    final byte[] audit;
+    final byte[] auditTail;
 
-    StoredRegister(final RegisterVersion version, final Object value, final byte[] audit) {
+    StoredRegister(final RegisterVersion version, final Object value, final byte[] auditTail) {
       this.version = version;
       this.value = value;
-      this.audit = audit;
+      this.auditTail = auditTail;
     }
   }
 
@@ -113,7 +113,7 @@
                     RegisterVersion.NONE,
                     null,
                     StoredValues.Kind.of(name).encode(register.value),
-                    register.audit)));
+                    register.auditTail)));
     return entries;
   }
 
@@ -140,7 +140,7 @@
               RegisterVersion.NONE,
               null,
               encoded,
-              register.getValue().audit));
+              register.getValue().auditTail));
       size += encoded.length;
     }
     if (!batch.isEmpty()) {
--- a/statestore/src/main/java/weldpoint/statestore/RecentCalls.java
+++ b/statestore/src/main/java/weldpoint/statestore/RecentCalls.java
@@ -38,7 +38,7 @@
   }
 
   /** Drops expired decisions; returns whether there is room for no further one. */
-  boolean full(final long now) {
+  boolean isFull(final long now) {
     final Iterator<RememberedDecision> oldest = decided.values().iterator();
     while (oldest.hasNext() && now - oldest.next().at > RETENTION_MILLIS) {
       oldest.remove();
--- a/statestore/src/main/java/weldpoint/statestore/Recovery.java
+++ b/statestore/src/main/java/weldpoint/statestore/Recovery.java
@@ -241,7 +241,9 @@
 
   private StateStoreMessages.RecoveryResponse recoveryResponse(
       final String from, final StateStoreMessages.RecoveryRequest request) {
-    return Protocol.list(request.names).isEmpty() ? catalogPage(request) : values(from, request);
+    return Protocol.list(request.names).isEmpty()
+        ? catalogPage(request)
+        : valuesResponse(from, request);
   }
 
   private StateStoreMessages.RecoveryResponse response(
@@ -298,7 +300,7 @@
       byte[] encoded =
           valueBytesLeft > 0 ? StoredValues.Kind.of(one.getKey()).encode(stored.value) : null;
       if (encoded != null) {
-        final int size = encoded.length + (stored.audit == null ? 0 : stored.audit.length);
+        final int size = encoded.length + (stored.auditTail == null ? 0 : stored.auditTail.length);
         encoded = size <= valueBytesLeft ? encoded : null;
         valueBytesLeft -= size <= valueBytesLeft ? size : 0;
       }
@@ -309,12 +311,12 @@
               RegisterVersion.NONE,
               null,
               encoded,
-              encoded == null ? null : stored.audit));
+              encoded == null ? null : stored.auditTail));
     }
     return response(request, entries, false, false, null, 0, 0);
   }
 
-  private StateStoreMessages.RecoveryResponse values(
+  private StateStoreMessages.RecoveryResponse valuesResponse(
       final String from, final StateStoreMessages.RecoveryRequest request) {
     final List<RegisterEntry> entries = new ArrayList<>();
     final List<String> absent = new ArrayList<>();
@@ -332,7 +334,8 @@
             new OutgoingValue(
                 name, stored.version, StoredValues.Kind.of(name).encode(stored.value));
       }
-      final int size = value.encoded.length + (stored.audit == null ? 0 : stored.audit.length);
+      final int size =
+          value.encoded.length + (stored.auditTail == null ? 0 : stored.auditTail.length);
       if (value.encoded.length > RESPONSE_BYTES) {
         if (!entries.isEmpty()) {
           break;
@@ -353,7 +356,7 @@
                     RegisterVersion.NONE,
                     null,
                     chunk,
-                    offset == 0 ? stored.audit : null)),
+                    offset == 0 ? stored.auditTail : null)),
             true,
             false,
             absent,
@@ -366,7 +369,7 @@
       bytesLeft -= size;
       entries.add(
           new RegisterEntry(
-              name, value.version, RegisterVersion.NONE, null, value.encoded, stored.audit));
+              name, value.version, RegisterVersion.NONE, null, value.encoded, stored.auditTail));
     }
     return response(request, entries, true, false, absent, 0, 0);
   }
--- a/statestore/src/main/java/weldpoint/statestore/RegisterState.java
+++ b/statestore/src/main/java/weldpoint/statestore/RegisterState.java
@@ -46,10 +46,10 @@
   RegisterVersion establishedVersion = RegisterVersion.NONE;
   Object proposed;
   Object committed;
-  byte[] audit;
+  byte[] auditTail;
   boolean inFlight;
-  final long[] acked = new long[64];
-  final long[] sent = new long[64];
+  final long[] ackedCounts = new long[64];
+  final long[] sentCounts = new long[64];
   final long[] sentAt = new long[64];
   final ArrayDeque<PendingRequest> waiting = new ArrayDeque<>();
   final List<Proposal> awaitingCommit = new ArrayList<>();
--- a/statestore/src/main/java/weldpoint/statestore/StateStoreDaemon.java
+++ b/statestore/src/main/java/weldpoint/statestore/StateStoreDaemon.java
@@ -129,7 +129,7 @@
             MAX_FILE_BYTES,
             executor,
             replica::snapshot);
-    final SegmentRing.Recovered found = opened.found();
+    final SegmentRing.Recovered found = opened.recovered();
     if (found.lost()) {
       LOGGER.atSevere().log(
           "the disk of %s lost records that had been synced; its state is discarded and recovered from the other state stores",
@@ -181,9 +181,9 @@
       countersLoggedAt = now;
       LOGGER.atInfo().log(
           "counters: serving %s ballots %s commits %s syncs %s %s roster %s %s %s",
-          replica.serving(),
+          replica.partitionsLed(),
           replica.ballotsStarted(),
-          replica.commits(),
+          replica.valuesCommitted(),
           log.syncs(),
           log.counters(),
           replica.roster().number,
--- a/statestore/src/main/java/weldpoint/statestore/StateStoreReplica.java
+++ b/statestore/src/main/java/weldpoint/statestore/StateStoreReplica.java
@@ -105,7 +105,7 @@
   private final GracefulLeave gracefulLeave = new GracefulLeave();
   private boolean diskFailing;
   private long ballotsStarted;
-  private long commits;
+  private long valuesCommitted;
   AuditReplica audit;
   private final Recovery recovery = new Recovery(this);
   private AuditSequencer auditSequencer;
@@ -191,7 +191,8 @@
       final List<Voter> voters = new ArrayList<>();
       for (int index = 0; index < seeds.size(); index++) {
         voters.add(
-            new Voter(seeds.get(index), "", "", TokenAssignment.initial(index, seeds.size())));
+            new Voter(
+                seeds.get(index), "", "", TokenAssignment.initialTokens(index, seeds.size())));
       }
       roster = new Roster(1, voters);
     }
@@ -500,7 +501,7 @@
         partition.establishmentSentAt[index] = 0;
         partition.repairs[index] = new Partition.Repair();
         for (final RegisterState register : partition.registers.values()) {
-          register.sent[index] = -1;
+          register.sentCounts[index] = -1;
           register.sentAt[index] = 0;
         }
       }
@@ -807,7 +808,7 @@
             if (wasLeading) {
               stepDown(partition, now);
             }
-            if (canVote() && wasLeading && !gracefulLeave.begun()) {
+            if (canVote() && wasLeading && !gracefulLeave.isLeaving()) {
               startBallot(partition, now);
             }
           }
@@ -1036,12 +1037,12 @@
           new RegisterState(
               entry.name, historyRetentionMillis, partition.ballot.round, takenVersions);
       register.proposed = register.kind.decode(entry.whole);
-      register.audit = entry.audit;
+      register.auditTail = entry.audit;
       register.promisedVersion = entry.mark;
       register.version = partition.ballot.at(++partition.versionCount);
       register.establishedVersion = register.version;
-      Arrays.fill(register.acked, -1);
-      Arrays.fill(register.sent, -1);
+      Arrays.fill(register.ackedCounts, -1);
+      Arrays.fill(register.sentCounts, -1);
       partition.registers.put(entry.name, register);
     }
     if (partition.number == 0) {
@@ -1067,8 +1068,8 @@
                 RegisterVersion.NONE,
                 null,
                 register.kind.encode(register.proposed),
-                register.audit));
-        register.sent[voterIndex] = register.version.count;
+                register.auditTail));
+        register.sentCounts[voterIndex] = register.version.count;
         register.sentAt[voterIndex] = now;
       }
     }
@@ -1104,8 +1105,8 @@
     for (int index = 0; index < names.size(); index++) {
       final RegisterState register = partition.registers.get(names.get(index));
       if (register != null) {
-        register.acked[voterIndex] =
-            Math.max(register.acked[voterIndex], accepted.counts.get(index));
+        register.ackedCounts[voterIndex] =
+            Math.max(register.ackedCounts[voterIndex], accepted.counts.get(index));
       }
     }
     if (accepted.establish) {
@@ -1115,7 +1116,7 @@
     for (final String name : Protocol.list(accepted.lacking)) {
       final RegisterState register = partition.registers.get(name);
       if (register != null) {
-        sendWhole(partition, register, voterIndex, now);
+        sendFullValue(partition, register, voterIndex, now);
       }
     }
     if (partition.phase == Phase.ESTABLISHING) {
@@ -1315,7 +1316,7 @@
     }
     final String registerName = operation.register(call.name);
     final Partition partition = partitions[partitionOf(registerName)];
-    if (partition.phase != Phase.SERVING || gracefulLeave.begun()) {
+    if (partition.phase != Phase.SERVING || gracefulLeave.isLeaving()) {
       reply.accept(
           new StoreMessages.StoreResponse(
               call.number, 0, 0, null, self.equals(partition.leader) ? null : partition.leader));
@@ -1342,8 +1343,8 @@
               new RegisterState(
                   name, historyRetentionMillis, partition.ballot.round, takenVersions);
           register.version = partition.ballot;
-          Arrays.fill(register.acked, -1);
-          Arrays.fill(register.sent, -1);
+          Arrays.fill(register.ackedCounts, -1);
+          Arrays.fill(register.sentCounts, -1);
           return register;
         });
   }
@@ -1451,7 +1452,7 @@
     }
     if (pending.operation == StoreOperation.LOCK_BEGIN
             && predatesLeadership(partition, pending.call, now)
-        || partition.recentCalls.full(now)) {
+        || partition.recentCalls.isFull(now)) {
       return Decision.confirm(504, 0);
     }
     final Decision decision = pending.operation.decide(register, value, pending.call, now);
@@ -1504,7 +1505,7 @@
         continue;
       }
       final boolean sendDelta =
-          !puts.isEmpty() && !firstValue && register.sent[voterIndex] == base.count;
+          !puts.isEmpty() && !firstValue && register.sentCounts[voterIndex] == base.count;
       final RegisterEntry entry;
       if (sendDelta) {
         if (delta == null) {
@@ -1524,9 +1525,9 @@
                 RegisterVersion.NONE,
                 null,
                 encoded,
-                register.audit);
+                register.auditTail);
       }
-      register.sent[voterIndex] = register.version.count;
+      register.sentCounts[voterIndex] = register.version.count;
       register.sentAt[voterIndex] = now;
       send(
           roster.voters.get(voterIndex).address,
@@ -1541,7 +1542,7 @@
     }
   }
 
-  private void sendWhole(
+  private void sendFullValue(
       final Partition partition,
       final RegisterState register,
       final int voterIndex,
@@ -1549,7 +1550,7 @@
     if (register.proposed == null) {
       return;
     }
-    register.sent[voterIndex] = register.version.count;
+    register.sentCounts[voterIndex] = register.version.count;
     register.sentAt[voterIndex] = now;
     send(
         roster.voters.get(voterIndex).address,
@@ -1566,7 +1567,7 @@
                     RegisterVersion.NONE,
                     null,
                     register.kind.encode(register.proposed),
-                    register.audit))),
+                    register.auditTail))),
         now);
   }
 
@@ -1576,14 +1577,14 @@
     }
     int count = 0;
     for (int voterIndex = 0; voterIndex < roster.voters.size(); voterIndex++) {
-      count += register.acked[voterIndex] >= register.version.count ? 1 : 0;
+      count += register.ackedCounts[voterIndex] >= register.version.count ? 1 : 0;
     }
     if (count < roster.majority()) {
       return;
     }
     register.inFlight = false;
     register.committed = register.proposed;
-    commits++;
+    valuesCommitted++;
     if (register.kind == StoredValues.Kind.LOCK) {
       register.expiresAt =
           Math.max(register.expiresAt, now + ((StoredValues.Lock) register.committed).holdMillis);
@@ -1708,7 +1709,7 @@
                 new StoreMessages.StoreResponse(
                     call.number,
                     200,
-                    auditSequencer.decided(),
+                    auditSequencer.decidedSequence(),
                     auditSequencer
                         .decidedDigest()
                         .getBytes(java.nio.charset.StandardCharsets.UTF_8),
@@ -1721,13 +1722,13 @@
    */
   private void maintainHistory(final Partition partition, final long now) {
     auditSequencer.trimTail(roster);
-    if (!auditSequencer.idle()) {
+    if (!auditSequencer.isIdle()) {
       return;
     }
     final RegisterState register = registerState(partition, StoredValues.Kind.AUDIT.register(""));
     final RegisterState configuration =
         partition.registers.get(StoredValues.Kind.CONFIGURATION.register(""));
-    if (auditSequencer.decided() == 0) {
+    if (auditSequencer.decidedSequence() == 0) {
       if (configuration != null && configuration.committed != null) {
         auditSequencer.add(
             auditSequencer.upgradeEntry(
@@ -1740,10 +1741,10 @@
     }
     final AuditLog log = audit.log();
     final long trimThreshold = Math.max(16, auditRetention / 10);
-    final long through = auditSequencer.decided() - auditRetention;
+    final long through = auditSequencer.decidedSequence() - auditRetention;
     if (auditRetention < Long.MAX_VALUE / 2
-        && auditSequencer.decided() - log.base() > auditRetention + trimThreshold
-        && log.last() == auditSequencer.decided()
+        && auditSequencer.decidedSequence() - log.base() > auditRetention + trimThreshold
+        && log.last() == auditSequencer.decidedSequence()
         && through <= auditSequencer.majorityLogged(roster)) {
       final String digest = log.digestAt(through);
       if (digest != null) {
@@ -1831,7 +1832,7 @@
   }
 
   private void completeLeave(final long now) {
-    if (!gracefulLeave.begun() || stopped) {
+    if (!gracefulLeave.isLeaving() || stopped) {
       return;
     }
     if (canVote() && !gracefulLeave.released()) {
@@ -1840,7 +1841,7 @@
       }
       LOGGER.atWarning().log(
           "state store %s leaves although partitions %s may be on too few other disks: no leader confirmed within %s ms that a majority has them without it; bring it back with its disk, or replace it, before another voter is lost",
-          self, gracefulLeave.unreleased(), GracefulLeave.TIMEOUT_MILLIS);
+          self, gracefulLeave.unreleasedPartitions(), GracefulLeave.TIMEOUT_MILLIS);
     }
     resign(true, now);
     stopped = true;
@@ -1867,7 +1868,8 @@
 
   private boolean storedWithout(final Partition partition, final int leavingIndex) {
     if (partition.number == 0
-        && auditSequencer.majorityLoggedWithout(roster, leavingIndex) < auditSequencer.decided()) {
+        && auditSequencer.majorityLoggedWithout(roster, leavingIndex)
+            < auditSequencer.decidedSequence()) {
       return false;
     }
     for (final RegisterState register : partition.registers.values()) {
@@ -1876,7 +1878,7 @@
         count +=
             voterIndex != leavingIndex
                     && partition.establishmentAcked[voterIndex]
-                    && register.acked[voterIndex] >= register.version.count
+                    && register.ackedCounts[voterIndex] >= register.version.count
                 ? 1
                 : 0;
       }
@@ -1888,7 +1890,7 @@
   }
 
   private void onReleased(final StateStoreMessages.Released released, final long now) {
-    if (gracefulLeave.begun() && released.roster >= gracefulLeave.roster()) {
+    if (gracefulLeave.isLeaving() && released.roster >= gracefulLeave.roster()) {
       gracefulLeave.released(Protocol.list(released.partitions));
       completeLeave(now);
     }
@@ -1917,7 +1919,7 @@
     if (stopped) {
       return;
     }
-    if (gracefulLeave.begun()) {
+    if (gracefulLeave.isLeaving()) {
       completeLeave(now);
       if (stopped) {
         return;
@@ -1941,7 +1943,7 @@
         case IDLE -> {
           if (canVote()
               && !diskFailing
-              && !gracefulLeave.begun()
+              && !gracefulLeave.isLeaving()
               && now >= partition.electionDueAt) {
             startPreVote(partition, now);
           }
@@ -1991,14 +1993,15 @@
       boolean complete = true;
       int bytes = 0;
       for (final RegisterState register : partition.registers.values()) {
-        if (register.proposed == null || register.acked[voterIndex] >= register.version.count) {
+        if (register.proposed == null
+            || register.ackedCounts[voterIndex] >= register.version.count) {
           continue;
         }
-        complete &= register.acked[voterIndex] >= 0;
+        complete &= register.ackedCounts[voterIndex] >= 0;
         if (bytes < REPAIR_MESSAGE_BYTES
             && now - register.sentAt[voterIndex] > RESEND_INTERVAL_MILLIS) {
           final boolean versionOnly =
-              register.acked[voterIndex] < 0
+              register.ackedCounts[voterIndex] < 0
                   && register.version.equals(register.establishedVersion);
           final byte[] value =
               versionOnly ? StoredValues.UNCHANGED : register.kind.encode(register.proposed);
@@ -2006,7 +2009,7 @@
               register.name.length()
                   + ENTRY_OVERHEAD_BYTES
                   + value.length
-                  + (register.audit == null ? 0 : register.audit.length);
+                  + (register.auditTail == null ? 0 : register.auditTail.length);
           entries.add(
               versionOnly
                   ? new RegisterEntry(
@@ -2015,15 +2018,15 @@
                       register.promisedVersion,
                       value,
                       null,
-                      register.audit)
+                      register.auditTail)
                   : new RegisterEntry(
                       register.name,
                       register.version,
                       RegisterVersion.NONE,
                       null,
                       value,
-                      register.audit));
-          register.sent[voterIndex] = register.version.count;
+                      register.auditTail));
+          register.sentCounts[voterIndex] = register.version.count;
           register.sentAt[voterIndex] = now;
         }
       }
@@ -2166,7 +2169,7 @@
     final RegisterState register = registerState(partition, "roster");
     if (register.inFlight
         || register.committed != null && ((Roster) register.committed).number > roster.number
-        || auditSequencer.majorityLogged(roster) < auditSequencer.decided()) {
+        || auditSequencer.majorityLogged(roster) < auditSequencer.decidedSequence()) {
       return;
     }
     final Roster next = membership.nextRoster(roster, now);
@@ -2188,7 +2191,7 @@
   }
 
   /** The number of partitions that this replica leads. */
-  public int serving() {
+  public int partitionsLed() {
     int count = 0;
     for (final Partition partition : partitions) {
       count += partition.phase == Phase.SERVING ? 1 : 0;
@@ -2217,7 +2220,7 @@
   }
 
   /** The number of values committed by this replica as leader. */
-  public long commits() {
-    return commits;
+  public long valuesCommitted() {
+    return valuesCommitted;
   }
 }
--- a/statestore/src/main/java/weldpoint/statestore/TokenAssignment.java
+++ b/statestore/src/main/java/weldpoint/statestore/TokenAssignment.java
@@ -17,7 +17,7 @@
   private TokenAssignment() {}
 
   /** The tokens of a voter at the first start of the store. */
-  public static List<Integer> initial(final int index, final int members) {
+  public static List<Integer> initialTokens(final int index, final int members) {
     final List<Integer> tokens = new ArrayList<>();
     for (int token = index; token < TOKENS; token += members) {
       tokens.add(token);
@@ -78,7 +78,7 @@
   }
 
   /** The next roster with sites and regions of voters filled in; null if nothing changes. */
-  public static Roster described(final Roster roster, final Map<String, Voter> known) {
+  public static Roster withDescriptions(final Roster roster, final Map<String, Voter> known) {
     boolean changed = false;
     final List<Voter> voters = new ArrayList<>();
     for (final Voter voter : roster.voters) {
--- a/statestore/src/test/java/weldpoint/statestore/RecentCallsTest.java
+++ b/statestore/src/test/java/weldpoint/statestore/RecentCallsTest.java
@@ -34,10 +34,10 @@
   public void itIsRememberedAsLongAsACopyCanBeUnderWay() {
     final RecentCalls recent = new RecentCalls();
     recent.remember(call(1, 5), Decision.confirm(200, 77), 1000);
-    assertFalse(recent.full(1000 + RecentCalls.RETENTION_MILLIS));
+    assertFalse(recent.isFull(1000 + RecentCalls.RETENTION_MILLIS));
     assertEquals(recent.size(), 1);
     assertTrue(RecentCalls.RETENTION_MILLIS >= 900 + StateStoreReplica.MAX_REQUEST_AGE_MILLIS);
-    assertFalse(recent.full(1001 + RecentCalls.RETENTION_MILLIS));
+    assertFalse(recent.isFull(1001 + RecentCalls.RETENTION_MILLIS));
     assertEquals(recent.size(), 0);
   }
 
@@ -45,11 +45,11 @@
   public void noMoreThanItsBoundIsKeptAndNothingYoungIsForgotten() {
     final RecentCalls recent = new RecentCalls();
     for (int number = 1; number <= RecentCalls.MAX_CALLS; number++) {
-      assertFalse(recent.full(number / 10));
+      assertFalse(recent.isFull(number / 10));
       recent.remember(call(1, number), Decision.confirm(200, number), number / 10);
     }
-    assertTrue(recent.full(1000));
+    assertTrue(recent.isFull(1000));
     assertEquals(recent.find(call(1, 1)).first, 1);
-    assertFalse(recent.full(RecentCalls.RETENTION_MILLIS + 1));
+    assertFalse(recent.isFull(RecentCalls.RETENTION_MILLIS + 1));
   }
 }
--- a/wal/src/main/java/weldpoint/wal/SegmentRing.java
+++ b/wal/src/main/java/weldpoint/wal/SegmentRing.java
@@ -382,14 +382,14 @@
             .array());
     writer.flush();
     files.sync(next);
-    return writer.position;
+    return writer.flushedBytes;
   }
 
   /** Writes consecutive records to a file through a buffer. */
   private final class Writer {
     private final int index;
     private ByteBuffer buffer = ByteBuffer.allocate(BUFFER_BYTES);
-    private int position;
+    private int flushedBytes;
 
     private Writer(final int index) {
       this.index = index;
@@ -406,8 +406,8 @@
 
     private void flush() throws IOException {
       buffer.flip();
-      position += buffer.remaining();
-      files.write(index, position - buffer.remaining(), buffer);
+      flushedBytes += buffer.remaining();
+      files.write(index, flushedBytes - buffer.remaining(), buffer);
     }
   }
 
--- a/wal/src/main/java/weldpoint/wal/WriteAheadLog.java
+++ b/wal/src/main/java/weldpoint/wal/WriteAheadLog.java
@@ -36,7 +36,7 @@
   }
 
   /** An opened log, and what was found on disk. */
-  public record Opened(WriteAheadLog log, SegmentRing.Recovered found) {}
+  public record Opened(WriteAheadLog log, SegmentRing.Recovered recovered) {}
 
   /**
    * Opens the ring of an owner in a folder, with files of an initial size in bytes that grow up to
--- a/wal/src/test/java/weldpoint/wal/WriteAheadLogTest.java
+++ b/wal/src/test/java/weldpoint/wal/WriteAheadLogTest.java
@@ -37,7 +37,7 @@
             MAX_FILE_BYTES,
             Runnable::run,
             () -> List.copyOf(state));
-    assertTrue(opened.found().blank());
+    assertTrue(opened.recovered().blank());
     opened.log().start("tape");
     final CountDownLatch synced = new CountDownLatch(1500);
     for (int number = 0; number < 1500; number++) {
@@ -58,10 +58,10 @@
             MAX_FILE_BYTES,
             Runnable::run,
             List::of);
-    assertFalse(again.found().lost());
+    assertFalse(again.recovered().lost());
     final java.util.Set<String> read = new java.util.TreeSet<>();
     again
-        .found()
+        .recovered()
         .records()
         .forEach(record -> read.add(new String(record, StandardCharsets.UTF_8).trim()));
     assertEquals(read.size(), 1500);
