--- a/statestore/src/main/java/weldpoint/statestore/Membership.java
+++ b/statestore/src/main/java/weldpoint/statestore/Membership.java
@@ -137,10 +137,10 @@
 
   /**
    * The next roster, with one voter added or removed, or with zones and regions filled in. Returns
-   * null if nothing should change, if a partition is not yet established under the present roster,
-   * or while it is uncertain whether a voter is reachable, since voters are often lost together. Of
-   * adding first and removing first, the order is chosen that leaves more voters after the loss of
-   * a zone.
+   * null if nothing should change, if a partition is not yet established under the present roster
+   * on a majority of its voters, or while it is uncertain whether a voter is reachable, since
+   * voters are often lost together. Of adding first and removing first, the order is chosen that
+   * leaves more voters after the loss of a zone.
    */
   Roster nextRoster(final Roster roster, final long now) {
     if (now - changedAt < MIN_CHANGE_INTERVAL_MILLIS || !isEstablished(roster)) {
--- a/statestore/src/main/java/weldpoint/statestore/StateStoreReplica.java
+++ b/statestore/src/main/java/weldpoint/statestore/StateStoreReplica.java
@@ -2178,7 +2178,7 @@
     }
   }
 
-  // ---- state for tests and operators
+  // ---- state for tests, counters and operators
 
   /** The roster that this replica has adopted. */
   public Roster roster() {
