--- a/registry/src/main/java/weldpoint/registry/ControlCall.java
+++ b/registry/src/main/java/weldpoint/registry/ControlCall.java
@@ -84,7 +84,15 @@
       return (now, waits) ->
           server
               .core()
-              .call(StoreOperation.CONFIGURATION_READ, "", null, 0, 0, null, ControlServer.CALL_MILLIS, now)
+              .call(
+                  StoreOperation.CONFIGURATION_READ,
+                  "",
+                  null,
+                  0,
+                  0,
+                  null,
+                  ControlServer.CALL_MILLIS,
+                  now)
               .thenApply(
                   answer ->
                       answer.status == 200
--- a/registry/src/main/java/weldpoint/registry/HistoryReader.java
+++ b/registry/src/main/java/weldpoint/registry/HistoryReader.java
@@ -150,7 +150,10 @@
                       ? Serializer.deserialize(answer.body, StoredValues.HistoryPart.class)
                       : null;
               final boolean whole =
-                  part != null && reading.headKnown && !part.recovering && part.last >= reading.through;
+                  part != null
+                      && reading.headKnown
+                      && !part.recovering
+                      && part.last >= reading.through;
               if (!whole && reading.headKnown && now < reading.cutoff) {
                 reading.againAt = now + AGAIN_MILLIS;
                 return;
--- a/registry/src/main/java/weldpoint/registry/RegistryCore.java
+++ b/registry/src/main/java/weldpoint/registry/RegistryCore.java
@@ -1306,7 +1306,8 @@
     } else if (given.electorates != null) {
       otherMarks = Protocol.list(given.electorates).stream().mapToLong(one -> one.mark).sum();
     }
-    placementMarks = given.placementSerial + (given.placementOwner == null ? 0 : given.placementOwner.serial);
+    placementMarks =
+        given.placementSerial + (given.placementOwner == null ? 0 : given.placementOwner.serial);
     if (placements != null && placements.take(given, clock)) {
       proxyStreams.tellSwitchboards(placements.coordinator().placements());
     }
--- a/simulation/src/test/java/weldpoint/simulation/VersionsTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/VersionsTest.java
@@ -408,7 +408,8 @@
                 final StateStoreMessages.Accept accept = (StateStoreMessages.Accept) message;
                 final List<StateStoreMessages.RegisterEntry> entries = new ArrayList<>();
                 Protocol.list(accept.entries)
-                    .forEach(entry -> entries.add(BrokenAuditSequencer.withoutContentDigest(entry)));
+                    .forEach(
+                        entry -> entries.add(BrokenAuditSequencer.withoutContentDigest(entry)));
                 return new StateStoreMessages.Accept(
                     accept.partition,
                     accept.roster,
--- a/simulation/src/test/java/weldpoint/simulation/model/Trace.java
+++ b/simulation/src/test/java/weldpoint/simulation/model/Trace.java
@@ -495,7 +495,8 @@
           from,
           what + " and counts a promise of " + voter + " that it has not got");
       must(
-          counted >= machine.heard.getOrDefault(voter, 1L) && counted >= machine.kept.peerIncarnations(voter),
+          counted >= machine.heard.getOrDefault(voter, 1L)
+              && counted >= machine.kept.peerIncarnations(voter),
           from,
           what
               + " and counts a promise of "
