--- a/proxy/src/main/java/weldpoint/proxy/RegistryClient.java
+++ b/proxy/src/main/java/weldpoint/proxy/RegistryClient.java
@@ -430,7 +430,7 @@
       final Registration before = history.get(registration.id);
       if (before == null || LifecycleStage.later(before, registration) != before) {
         history.put(registration.id, registration);
-        final boolean open = LifecycleStage.of(registration).open();
+        final boolean open = LifecycleStage.of(registration).routable();
         if (before == null && !open) {
           continue;
         }
--- a/registry/src/main/java/weldpoint/registry/AppliedState.java
+++ b/registry/src/main/java/weldpoint/registry/AppliedState.java
@@ -5,4 +5,9 @@
  * it had them, and how long ago it told, in milliseconds.
  */
 public record AppliedState(
-    String address, String program, long version, long mark, long heldMillis, long ageMillis) {}
+    String address,
+    String program,
+    long version,
+    long orderVersion,
+    long appliedMillis,
+    long ageMillis) {}
--- a/registry/src/main/java/weldpoint/registry/AppliedStateTable.java
+++ b/registry/src/main/java/weldpoint/registry/AppliedStateTable.java
@@ -16,25 +16,25 @@
   private static final String PROXY = "switchboard";
   private static final String CACHE = "announcer";
 
-  private record Report(long version, long mark, long heldMillis, long at) {}
+  private record Report(long version, long orderVersion, long appliedMillis, long receivedAt) {}
 
   private final Map<String, Report> registries = new HashMap<>();
 
   /** Another registry told what it has in force. */
-  void told(
+  void report(
       final String address,
       final long version,
-      final long mark,
-      final long heldMillis,
+      final long orderVersion,
+      final long appliedMillis,
       final long now) {
-    registries.put(address, new Report(version, mark, heldMillis, now));
+    registries.put(address, new Report(version, orderVersion, appliedMillis, now));
   }
 
   /** This registry's own, then other members, then proxies and caches that are not leaving. */
   List<AppliedState> all(
       final AppliedState own,
       final Set<String> members,
-      final Collection<DaemonTable.Entry> proxies,
+      final Collection<DaemonTable.Entry> daemons,
       final long now) {
     final List<AppliedState> list = new ArrayList<>();
     list.add(own);
@@ -43,16 +43,16 @@
         list.add(registry(member, now));
       }
     }
-    for (final DaemonTable.Entry entry : proxies) {
-      final DaemonEntry board = entry.board;
-      if (!board.leaving) {
+    for (final DaemonTable.Entry entry : daemons) {
+      final DaemonEntry daemon = entry.daemon;
+      if (!daemon.leaving) {
         list.add(
             new AppliedState(
-                board.address,
-                board.announcer ? CACHE : PROXY,
-                board.version,
-                board.mark,
-                board.heldMillis,
+                daemon.address,
+                daemon.announcer ? CACHE : PROXY,
+                daemon.version,
+                daemon.mark,
+                daemon.heldMillis,
                 now - entry.heardAt));
       }
     }
@@ -60,10 +60,15 @@
   }
 
   private AppliedState registry(final String address, final long now) {
-    final Report told = registries.get(address);
-    return told == null
+    final Report report = registries.get(address);
+    return report == null
         ? new AppliedState(address, REGISTRY, 0, 0, 0, Long.MAX_VALUE)
         : new AppliedState(
-            address, REGISTRY, told.version, told.mark, told.heldMillis, now - told.at);
+            address,
+            REGISTRY,
+            report.version,
+            report.orderVersion,
+            report.appliedMillis,
+            now - report.receivedAt);
   }
 }
--- a/registry/src/main/java/weldpoint/registry/ControlCall.java
+++ b/registry/src/main/java/weldpoint/registry/ControlCall.java
@@ -45,7 +45,7 @@
         final StoreMessages.ChangeOrigin cause =
             server
                 .core()
-                .cause(
+                .changeOrigin(
                     origin.author(),
                     origin.caller(),
                     Compression.deflate(
@@ -53,7 +53,7 @@
         final boolean tied = routingTable.all().stream().anyMatch(route -> route.affinity != null);
         return server
             .core()
-            .replace(
+            .replaceConfiguration(
                 routingTable.version(),
                 tied,
                 packed,
@@ -69,7 +69,7 @@
                             ControlServer.status(answer, ControlReply.EMPTY))
                         : server
                             .core()
-                            .spread(
+                            .replicateConfiguration(
                                 routingTable.version(),
                                 answer.first == routingTable.version() ? packed : null,
                                 now)
@@ -84,7 +84,8 @@
       return (now, waits) ->
           server
               .core()
-              .call(StoreOperation.SPEC_READ, "", null, 0, 0, null, ControlServer.CALL_MILLIS, now)
+              .callStore(
+                  StoreOperation.SPEC_READ, "", null, 0, 0, null, ControlServer.CALL_MILLIS, now)
               .thenApply(
                   answer ->
                       answer.status == 200
@@ -117,11 +118,11 @@
       return (now, waits) ->
           server
               .core()
-              .trials()
+              .trialService()
               .begin(
                   ControlServer.named(id),
                   order,
-                  server.core().cause(origin.author(), origin.caller(), null),
+                  server.core().changeOrigin(origin.author(), origin.caller(), null),
                   now)
               .thenApply(server::trial);
     }
@@ -133,10 +134,10 @@
       return (now, waits) ->
           server
               .core()
-              .trials()
+              .trialService()
               .advance(
                   ControlServer.named(id),
-                  server.core().cause(origin.author(), origin.caller(), null),
+                  server.core().changeOrigin(origin.author(), origin.caller(), null),
                   now)
               .thenApply(server::trial);
     }
@@ -150,11 +151,11 @@
       return (now, waits) ->
           server
               .core()
-              .trials()
+              .trialService()
               .hold(
                   ControlServer.named(id),
                   reason == null ? "held by an operator" : reason,
-                  server.core().cause(origin.author(), origin.caller(), null),
+                  server.core().changeOrigin(origin.author(), origin.caller(), null),
                   now)
               .thenApply(server::trial);
     }
@@ -166,10 +167,10 @@
       return (now, waits) ->
           server
               .core()
-              .trials()
+              .trialService()
               .finish(
                   ControlServer.named(id),
-                  server.core().cause(origin.author(), origin.caller(), null),
+                  server.core().changeOrigin(origin.author(), origin.caller(), null),
                   now)
               .thenApply(server::trial);
     }
@@ -182,10 +183,11 @@
         ControlServer.named(id);
         return server
             .core()
-            .refresh(now)
+            .refreshControlState(now)
             .thenApply(
                 done -> {
-                  for (final TrialMessages.Trial trial : server.core().panel().trials()) {
+                  for (final TrialMessages.Trial trial :
+                      server.core().trialCoordinator().trials()) {
                     if (trial.route.equals(id)) {
                       return server.trial(trial);
                     }
@@ -208,7 +210,7 @@
       return (now, waits) ->
           server
               .core()
-              .audit()
+              .historyReader()
               .read(query, server.clock().dayMillis(), now)
               .thenApply(answer -> ControlReply.of(200, ControlApi.HISTORY, answer));
     }
@@ -230,8 +232,8 @@
       return (now, waits) ->
           server
               .core()
-              .audit()
-              .reach(sequence, server.core().inForce(now), server.clock().dayMillis(), now)
+              .historyReader()
+              .reach(sequence, server.core().appliedStates(now), server.clock().dayMillis(), now)
               .thenApply(answer -> ControlReply.of(200, ControlApi.REACH, answer));
     }
   },
@@ -256,7 +258,7 @@
       return (now, waits) ->
           CompletableFuture.completedFuture(
               ControlReply.of(
-                  200, ControlApi.STATE, new ControlApi.State(server.core().recording())));
+                  200, ControlApi.STATE, new ControlApi.State(server.core().recordingStatus())));
     }
   },
   RECORD_DRAIN("record.drain", CutOff.ANSWERED) {
@@ -265,7 +267,7 @@
         final ControlServer server, final String id, final byte[] body, final Origin origin) {
       return (now, waits) ->
           CompletableFuture.completedFuture(
-              new ControlReply(200, Serializer.serialize(server.core().drain(now))));
+              new ControlReply(200, Serializer.serialize(server.core().drainRecording(now))));
     }
   },
   LOCK_BEGIN("locks.begin") {
@@ -307,7 +309,7 @@
       return (now, waits) ->
           server
               .core()
-              .call(
+              .callStore(
                   StoreOperation.CELL_REPLACE,
                   ControlServer.group(ControlServer.named(id)),
                   put.value(),
@@ -333,7 +335,7 @@
       return (now, waits) ->
           server
               .core()
-              .call(
+              .callStore(
                   StoreOperation.CELL_READ,
                   ControlServer.group(ControlServer.named(id)),
                   null,
--- a/registry/src/main/java/weldpoint/registry/ControlServer.java
+++ b/registry/src/main/java/weldpoint/registry/ControlServer.java
@@ -382,7 +382,7 @@
         uri.startsWith("/")
                 && !query.path().equals("/api/resolution")
                 && !query.parameters().containsKey(SENT_ON)
-            ? core.majority(now)
+            ? core.registryWithMajority(now)
             : null;
     if (other == null) {
       return ControlReply.problem(
@@ -449,7 +449,7 @@
       wants(request, HttpMethod.POST);
       final String id = named(path.substring("/api/numbers/".length()));
       return (now, waits) ->
-          core.call(StoreOperation.NUMBER, id, null, 0, 0, null, CALL_MILLIS, now)
+          core.callStore(StoreOperation.NUMBER, id, null, 0, 0, null, CALL_MILLIS, now)
               .thenApply(
                   answer ->
                       status(
@@ -617,21 +617,21 @@
             clock.dayMillis(),
             warmup);
     return (now, waits) ->
-        core.beat(registration, now)
+        core.heartbeat(registration, now)
             .thenApply(
                 done ->
                     ControlReply.of(
                         200,
                         ControlApi.BEAT_ANSWER,
                         new ControlApi.UpstreamHeartbeatResponse(
-                            core.keeper(id, beat.zone(), regions) + ":" + controlPort)));
+                            core.heartbeatOwner(id, beat.zone(), regions) + ":" + controlPort)));
   }
 
   ControlCommand record(final boolean on) {
     return (now, waits) -> {
-      core.record(on, clock.dayMillis(), now);
+      core.setRecording(on, clock.dayMillis(), now);
       return CompletableFuture.completedFuture(
-          ControlReply.of(200, ControlApi.STATE, new ControlApi.State(core.recording())));
+          ControlReply.of(200, ControlApi.STATE, new ControlApi.State(core.recordingStatus())));
     };
   }
 
@@ -654,7 +654,7 @@
           "a purge names more than " + MOST_PURGED + " characters; name one object or tag");
     }
     return (now, waits) ->
-        core.call(
+        core.callStore(
                 StoreOperation.PURGE,
                 "",
                 object ? order.host().toLowerCase(java.util.Locale.ROOT) : null,
@@ -668,26 +668,26 @@
 
   ControlCommand evacuate(final String site, final long on, final ControlCall.Origin origin) {
     return (now, waits) ->
-        core.change(
+        core.changeRouting(
                 StoreOperation.EVACUATE,
                 site,
                 on,
                 0,
                 null,
-                core.cause(origin.author(), origin.caller(), null),
+                core.changeOrigin(origin.author(), origin.caller(), null),
                 CALL_MILLIS,
                 now)
             .thenCompose(
                 answer ->
                     answer.status != 200
                         ? CompletableFuture.completedFuture(status(answer, ControlReply.EMPTY))
-                        : core.settle(now).thenApply(done -> ControlReply.EMPTY));
+                        : core.replicateControlState(now).thenApply(done -> ControlReply.EMPTY));
   }
 
   ControlReply trial(final TrialMessages.Trial trial) {
     final List<ControlApi.ProxyTrialCounts> boards = new java.util.ArrayList<>();
     final long[] sum = TrialCounter.none();
-    core.panel()
+    core.trialCoordinator()
         .byBoard(trial)
         .forEach(
             (board, counts) -> {
@@ -754,7 +754,8 @@
       final ControlApi.LockRequest grip,
       final long began,
       final BooleanSupplier waits) {
-    return core.call(StoreOperation.LOCK_TICKET, id, grip.owner(), 0, 0, null, CALL_MILLIS, began)
+    return core.callStore(
+            StoreOperation.LOCK_TICKET, id, grip.owner(), 0, 0, null, CALL_MILLIS, began)
         .thenCompose(
             ticket -> {
               final long now = clock.steadyMillis();
@@ -765,7 +766,7 @@
                         WeldpointException.Kind.OUT_OF_REACH,
                         "the lock was not given back in time; send the call again"));
               }
-              return core.call(
+              return core.callStore(
                       StoreOperation.LOCK_FINISH,
                       id,
                       grip.owner(),
@@ -799,7 +800,7 @@
     final long hold = grip.holdMs() == null ? 0 : grip.holdMs().longValue();
     final long fence = grip.fenceNumber() == null ? 0 : grip.fenceNumber();
     return (now, waits) ->
-        core.call(operation, id, grip.owner(), hold, fence, null, CALL_MILLIS, now)
+        core.callStore(operation, id, grip.owner(), hold, fence, null, CALL_MILLIS, now)
             .thenApply(
                 answer ->
                     status(
@@ -813,7 +814,7 @@
   private ControlCommand watch(final String group, final long after, final long wait) {
     final long patience = Math.max(0, Math.min(wait, 60_000));
     return (now, waits) ->
-        core.call(
+        core.callStore(
                 StoreOperation.WATCH,
                 group,
                 null,
--- a/registry/src/main/java/weldpoint/registry/ControlState.java
+++ b/registry/src/main/java/weldpoint/registry/ControlState.java
@@ -18,14 +18,14 @@
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
   private final String self;
-  private final TrialCoordinator coordinator = new TrialCoordinator();
+  private final TrialCoordinator trialCoordinator = new TrialCoordinator();
   private long version;
   private byte[] spec;
   private List<String> evacuated = List.of();
-  private long evacuationMark;
+  private long evacuationVersion;
   private List<TrialMessages.Trial> trials = List.of();
-  private long trialMark;
-  private long heldSince;
+  private long trialVersion;
+  private long appliedAt;
   private RoutingTable routingTable;
 
   ControlState(final String self) {
@@ -44,8 +44,8 @@
     return evacuated;
   }
 
-  long evacuationMark() {
-    return evacuationMark;
+  long evacuationVersion() {
+    return evacuationVersion;
   }
 
   /** The trials that have not ended. */
@@ -53,22 +53,22 @@
     return trials;
   }
 
-  long trialMark() {
-    return trialMark;
+  long trialVersion() {
+    return trialVersion;
   }
 
-  TrialCoordinator coordinator() {
-    return coordinator;
+  TrialCoordinator trialCoordinator() {
+    return trialCoordinator;
   }
 
   /** The mark of evacuations and trials together. */
-  long mark() {
-    return evacuationMark + trialMark;
+  long orderVersion() {
+    return evacuationVersion + trialVersion;
   }
 
   /** Since when this has been held. */
-  long heldSince() {
-    return heldSince;
+  long appliedAt() {
+    return appliedAt;
   }
 
   /** The compiled configuration; null where there is none. */
@@ -80,24 +80,24 @@
   }
 
   /** Takes what the disk held. */
-  void recall(final PersistedRecord kept) {
-    if (kept.spec != null && kept.version > version) {
-      version = kept.version;
-      spec = kept.spec;
+  void restore(final PersistedRecord persisted) {
+    if (persisted.spec != null && persisted.version > version) {
+      version = persisted.version;
+      spec = persisted.spec;
     }
-    if (kept.evacuationMark > evacuationMark) {
-      evacuationMark = kept.evacuationMark;
-      evacuated = new ArrayList<>(Protocol.list(kept.evacuated));
+    if (persisted.evacuationVersion > evacuationVersion) {
+      evacuationVersion = persisted.evacuationVersion;
+      evacuated = new ArrayList<>(Protocol.list(persisted.evacuated));
     }
-    if (kept.trialMark > trialMark) {
-      trialMark = kept.trialMark;
-      takeTrials(Protocol.list(kept.trials));
+    if (persisted.trialVersion > trialVersion) {
+      trialVersion = persisted.trialVersion;
+      updateTrials(Protocol.list(persisted.trials));
     }
   }
 
   /** What was news in something taken. */
   record Delta(byte[] spec, boolean evacuations, boolean trials) {
-    boolean any() {
+    boolean anyChange() {
       return spec != null || evacuations || trials;
     }
   }
@@ -106,13 +106,13 @@
    * Takes what the frames hold, or what another exchange has learned from them; only what is newer
    * than what is held.
    */
-  Delta take(
+  Delta update(
       final long givenVersion,
       final byte[] givenSpec,
       final List<String> givenEvacuated,
-      final long givenEvacuationMark,
+      final long givenEvacuationVersion,
       final List<TrialMessages.Trial> givenTrials,
-      final long givenTrialMark,
+      final long givenTrialVersion,
       final long now) {
     byte[] newSpec = null;
     if (givenVersion > version && givenSpec != null) {
@@ -121,25 +121,25 @@
       newSpec = spec;
       LOGGER.atInfo().log("registry %s has configuration %s", self, Long.toHexString(version));
     }
-    final boolean evacuations = givenEvacuationMark > evacuationMark;
-    if (evacuations) {
-      evacuationMark = givenEvacuationMark;
+    final boolean evacuationsChanged = givenEvacuationVersion > evacuationVersion;
+    if (evacuationsChanged) {
+      evacuationVersion = givenEvacuationVersion;
       evacuated = new ArrayList<>(Protocol.list(givenEvacuated));
     }
-    final boolean trialNews = givenTrialMark > trialMark;
-    if (trialNews) {
-      trialMark = givenTrialMark;
-      takeTrials(Protocol.list(givenTrials));
+    final boolean trialsChanged = givenTrialVersion > trialVersion;
+    if (trialsChanged) {
+      trialVersion = givenTrialVersion;
+      updateTrials(Protocol.list(givenTrials));
     }
-    final Delta news = new Delta(newSpec, evacuations, trialNews);
-    heldSince = news.any() ? now : heldSince;
-    return news;
+    final Delta delta = new Delta(newSpec, evacuationsChanged, trialsChanged);
+    appliedAt = delta.anyChange() ? now : appliedAt;
+    return delta;
   }
 
-  private void takeTrials(final List<TrialMessages.Trial> given) {
-    coordinator.take(given);
+  private void updateTrials(final List<TrialMessages.Trial> received) {
+    trialCoordinator.take(received);
     trials = new ArrayList<>();
-    for (final TrialMessages.Trial trial : coordinator.trials()) {
+    for (final TrialMessages.Trial trial : trialCoordinator.trials()) {
       if (TrialVerdict.of(trial) != TrialVerdict.FINISHED) {
         trials.add(trial);
       }
--- a/registry/src/main/java/weldpoint/registry/DaemonTable.java
+++ b/registry/src/main/java/weldpoint/registry/DaemonTable.java
@@ -16,22 +16,22 @@
 final class DaemonTable {
   static final long LIVE_MILLIS = 4000;
   static final long GONE_MILLIS = 20_000;
-  static final long STAYS_MILLIS = 10_000;
-  private static final long PATIENCE_MILLIS = 700;
-  private static final long KEEP_MILLIS = 60_000;
+  static final long SITE_MEMBER_MILLIS = 10_000;
+  private static final long RECONNECT_GRACE_MILLIS = 700;
+  private static final long RETENTION_MILLIS = 60_000;
   private static final long COUNTED_MILLIS = 10_000;
-  private static final long MOST_MILLIS = 20_000;
+  private static final long PEAK_WINDOW_MILLIS = 20_000;
 
   /** One of them. */
   static final class Entry {
-    DaemonEntry board;
+    DaemonEntry daemon;
     long heardAt;
     long closedAt;
   }
 
   private final Map<String, Entry> entries = new LinkedHashMap<>();
-  private int most;
-  private long mostAt;
+  private int peakProxyCount;
+  private long peakAt;
 
   Collection<Entry> all() {
     return entries.values();
@@ -42,54 +42,54 @@
   }
 
   /** The largest number of switchboards lately seen. */
-  int most() {
-    return most;
+  int peakProxyCount() {
+    return peakProxyCount;
   }
 
   /** Whether what this one tells of itself is news to others. */
-  boolean news(final DaemonEntry board, final long now) {
-    final Entry entry = entries.get(board.address);
+  boolean isNew(final DaemonEntry daemon, final long now) {
+    final Entry entry = entries.get(daemon.address);
     return entry == null
-        || entry.board.incarnation != board.incarnation
-        || entry.board.leaving != board.leaving
+        || entry.daemon.incarnation != daemon.incarnation
+        || entry.daemon.leaving != daemon.leaving
         || now - entry.heardAt > LIVE_MILLIS;
   }
 
   void merge(final List<DaemonEntry> list, final long now) {
     boolean changed = false;
-    for (final DaemonEntry board : list) {
-      final Entry entry = entries.computeIfAbsent(board.address, address -> new Entry());
-      final long heardAt = now - board.ageMillis;
-      if (entry.board == null
-          || board.incarnation == entry.board.incarnation
-              && (heardAt > entry.heardAt || board.leaving && !entry.board.leaving)
-          || board.incarnation != entry.board.incarnation && heardAt > entry.heardAt) {
-        final boolean stays =
-            entry.board != null
-                && entry.board.incarnation == board.incarnation
-                && entry.board.leaving;
-        entry.board = stays ? entry.board : board;
+    for (final DaemonEntry daemon : list) {
+      final Entry entry = entries.computeIfAbsent(daemon.address, address -> new Entry());
+      final long heardAt = now - daemon.ageMillis;
+      if (entry.daemon == null
+          || daemon.incarnation == entry.daemon.incarnation
+              && (heardAt > entry.heardAt || daemon.leaving && !entry.daemon.leaving)
+          || daemon.incarnation != entry.daemon.incarnation && heardAt > entry.heardAt) {
+        final boolean keepLeaving =
+            entry.daemon != null
+                && entry.daemon.incarnation == daemon.incarnation
+                && entry.daemon.leaving;
+        entry.daemon = keepLeaving ? entry.daemon : daemon;
         entry.heardAt = Math.max(entry.heardAt, heardAt);
         changed = true;
       }
     }
     if (changed) {
-      count(now);
+      updatePeakCount(now);
     }
   }
 
   /** Another exchange, or this one, holds it to be gone. */
-  void gone(final DaemonEntry board, final long now) {
-    final Entry entry = entries.get(board.address);
+  void markGone(final DaemonEntry daemon, final long now) {
+    final Entry entry = entries.get(daemon.address);
     if (entry != null
-        && entry.board.incarnation == board.incarnation
-        && now - entry.heardAt > PATIENCE_MILLIS) {
+        && entry.daemon.incarnation == daemon.incarnation
+        && now - entry.heardAt > RECONNECT_GRACE_MILLIS) {
       entry.heardAt = Math.min(entry.heardAt, now - GONE_MILLIS);
     }
   }
 
   /** The stream of one of them has ended. */
-  void closed(final String address, final long now) {
+  void streamClosed(final String address, final long now) {
     final Entry entry = entries.get(address);
     if (entry != null) {
       entry.closedAt = now;
@@ -100,76 +100,80 @@
    * Those whose stream ended and who have opened none anywhere for a while: they are now held to be
    * gone.
    */
-  List<DaemonEntry> missed(final long now) {
-    final List<DaemonEntry> missed = new ArrayList<>();
+  List<DaemonEntry> expireDisconnected(final long now) {
+    final List<DaemonEntry> expired = new ArrayList<>();
     for (final Entry entry : entries.values()) {
-      if (entry.closedAt != 0 && now - entry.closedAt > PATIENCE_MILLIS) {
+      if (entry.closedAt != 0 && now - entry.closedAt > RECONNECT_GRACE_MILLIS) {
         if (entry.heardAt <= entry.closedAt && now - entry.heardAt < GONE_MILLIS) {
-          gone(entry.board, now);
-          missed.add(entry.board);
+          markGone(entry.daemon, now);
+          expired.add(entry.daemon);
         }
         entry.closedAt = 0;
       }
     }
-    return missed;
+    return expired;
   }
 
   /** The same one, heard of so long ago. */
-  static DaemonEntry aged(final DaemonEntry board, final long ageMillis) {
+  static DaemonEntry withAge(final DaemonEntry daemon, final long ageMillis) {
     return new DaemonEntry(
-        board.address,
-        board.front,
-        board.site,
-        board.region,
-        board.incarnation,
-        board.leaving,
+        daemon.address,
+        daemon.front,
+        daemon.site,
+        daemon.region,
+        daemon.incarnation,
+        daemon.leaving,
         ageMillis,
-        board.announcer,
-        board.version,
-        board.mark,
-        board.heldMillis);
+        daemon.announcer,
+        daemon.version,
+        daemon.mark,
+        daemon.heldMillis);
   }
 
-  void count(final long now) {
+  void updatePeakCount(final long now) {
     int live = 0;
     for (final Entry entry : entries.values()) {
-      live += !entry.board.announcer && now - entry.heardAt < COUNTED_MILLIS ? 1 : 0;
+      live += !entry.daemon.announcer && now - entry.heardAt < COUNTED_MILLIS ? 1 : 0;
     }
-    if (live >= most || now - mostAt > MOST_MILLIS) {
-      most = live;
-      mostAt = now;
+    if (live >= peakProxyCount || now - peakAt > PEAK_WINDOW_MILLIS) {
+      peakProxyCount = live;
+      peakAt = now;
     }
   }
 
   /** The switchboards that were heard of lately and do not leave. */
-  List<DaemonEntry> live(final long now) {
+  List<DaemonEntry> liveProxies(final long now) {
     final List<DaemonEntry> live = new ArrayList<>();
     for (final Entry entry : entries.values()) {
-      if (!entry.board.announcer && !entry.board.leaving && now - entry.heardAt < LIVE_MILLIS) {
-        live.add(entry.board);
+      if (!entry.daemon.announcer && !entry.daemon.leaving && now - entry.heardAt < LIVE_MILLIS) {
+        live.add(entry.daemon);
       }
     }
     return live;
   }
 
   /** The addresses of announcers, null where there are none. */
-  List<String> announcers(final long now) {
-    List<String> announcers = null;
+  List<String> liveCaches(final long now) {
+    List<String> caches = null;
     for (final Entry entry : entries.values()) {
-      if (entry.board.announcer && !entry.board.leaving && now - entry.heardAt < GONE_MILLIS) {
-        announcers = announcers == null ? new ArrayList<>() : announcers;
-        announcers.add(entry.board.address);
+      if (entry.daemon.announcer && !entry.daemon.leaving && now - entry.heardAt < GONE_MILLIS) {
+        caches = caches == null ? new ArrayList<>() : caches;
+        caches.add(entry.daemon.address);
       }
     }
-    return announcers;
+    return caches;
   }
 
   /** The switchboards of each site. */
-  Map<String, List<String>> sites(final long now) {
+  Map<String, List<String>> proxiesBySite(final long now) {
     final Map<String, List<String>> sites = new HashMap<>();
     for (final Entry entry : entries.values()) {
-      if (!entry.board.announcer && !entry.board.leaving && now - entry.heardAt < STAYS_MILLIS) {
-        sites.computeIfAbsent(entry.board.site, site -> new ArrayList<>()).add(entry.board.address);
+      if (!entry.daemon.announcer
+          && !entry.daemon.leaving
+          && now - entry.heardAt < SITE_MEMBER_MILLIS) {
+        sites
+            .computeIfAbsent(entry.daemon.site, site -> new ArrayList<>())
+            .add(entry.daemon.address);
       }
     }
     return sites;
@@ -177,34 +181,34 @@
 
   // ---- gossip
 
-  private TreeMap<String, Entry> kept(final long now) {
-    final TreeMap<String, Entry> kept = new TreeMap<>();
+  private TreeMap<String, Entry> retained(final long now) {
+    final TreeMap<String, Entry> retained = new TreeMap<>();
     entries.forEach(
         (address, entry) -> {
-          if (now - entry.heardAt < KEEP_MILLIS) {
-            kept.put(address, entry);
+          if (now - entry.heardAt < RETENTION_MILLIS) {
+            retained.put(address, entry);
           }
         });
-    return kept;
+    return retained;
   }
 
   /** All that are still told of, with their ages. */
-  List<DaemonEntry> told(final long now) {
+  List<DaemonEntry> entriesWithAges(final long now) {
     final List<DaemonEntry> list = new ArrayList<>();
-    kept(now).values().forEach(entry -> list.add(aged(entry.board, now - entry.heardAt)));
+    retained(now).values().forEach(entry -> list.add(withAge(entry.daemon, now - entry.heardAt)));
     return list;
   }
 
   long digest(final long now) {
     long sum = 0;
-    for (final Entry entry : kept(now).values()) {
-      final DaemonEntry board = entry.board;
-      long hash = board.address.hashCode() * 0x9e3779b97f4a7c15L + board.incarnation;
+    for (final Entry entry : retained(now).values()) {
+      final DaemonEntry daemon = entry.daemon;
+      long hash = daemon.address.hashCode() * 0x9e3779b97f4a7c15L + daemon.incarnation;
       hash =
           (hash ^ hash >>> 29) * 0xbf58476d1ce4e5b9L
-              + board.version * 31
-              + board.mark * 7
-              + (board.leaving ? 1 : 0);
+              + daemon.version * 31
+              + daemon.mark * 7
+              + (daemon.leaving ? 1 : 0);
       sum += (hash ^ hash >>> 31) * 0xff51afd7ed558ccdL;
     }
     return sum;
@@ -215,10 +219,10 @@
    * addresses.
    */
   byte[] ages(final long now) {
-    final TreeMap<String, Entry> kept = kept(now);
-    final byte[] ages = new byte[2 * kept.size()];
+    final TreeMap<String, Entry> retained = retained(now);
+    final byte[] ages = new byte[2 * retained.size()];
     int index = 0;
-    for (final Entry entry : kept.values()) {
+    for (final Entry entry : retained.values()) {
       final int age = (int) Math.max(0, Math.min(0xffff, (now - entry.heardAt) / 10 + 1));
       ages[index++] = (byte) (age >> 8);
       ages[index++] = (byte) age;
@@ -227,11 +231,11 @@
   }
 
   /** Takes the ages that a peer who knows of the same ones tells. */
-  void takeAges(final byte[] ages, final long now) {
-    final TreeMap<String, Entry> kept = kept(now);
-    if (ages.length == 2 * kept.size()) {
+  void mergeAges(final byte[] ages, final long now) {
+    final TreeMap<String, Entry> retained = retained(now);
+    if (ages.length == 2 * retained.size()) {
       int index = 0;
-      for (final Entry entry : kept.values()) {
+      for (final Entry entry : retained.values()) {
         final long age = 10L * ((ages[index++] & 0xff) << 8 | ages[index++] & 0xff);
         entry.heardAt = Math.max(entry.heardAt, now - age);
       }
--- a/registry/src/main/java/weldpoint/registry/Directory.java
+++ b/registry/src/main/java/weldpoint/registry/Directory.java
@@ -19,37 +19,37 @@
   List<String> resolve(
       final String region,
       final String site,
-      final int most,
+      final int limit,
       final boolean cutOff,
       final long now) {
     final List<DaemonEntry> live = new ArrayList<>();
-    final List<DaemonEntry> dim = new ArrayList<>();
+    final List<DaemonEntry> stale = new ArrayList<>();
     for (final DaemonTable.Entry entry : daemons.all()) {
-      if (!entry.board.leaving && !entry.board.announcer) {
-        (now - entry.heardAt < DaemonTable.LIVE_MILLIS ? live : dim).add(entry.board);
+      if (!entry.daemon.leaving && !entry.daemon.announcer) {
+        (now - entry.heardAt < DaemonTable.LIVE_MILLIS ? live : stale).add(entry.daemon);
       }
     }
     if (live.isEmpty() || cutOff) {
-      live.addAll(dim);
+      live.addAll(stale);
     }
-    final List<String> near = new ArrayList<>();
-    for (final DaemonEntry board : live) {
-      if (board.site.equals(site)) {
-        near.add(board.front);
+    final List<String> chosen = new ArrayList<>();
+    for (final DaemonEntry proxy : live) {
+      if (proxy.site.equals(site)) {
+        chosen.add(proxy.front);
       }
     }
-    if (near.size() < 2) {
-      for (final DaemonEntry board : live) {
-        if (board.region.equals(region) && !near.contains(board.front)) {
-          near.add(board.front);
+    if (chosen.size() < 2) {
+      for (final DaemonEntry proxy : live) {
+        if (proxy.region.equals(region) && !chosen.contains(proxy.front)) {
+          chosen.add(proxy.front);
         }
       }
     }
-    if (near.isEmpty()) {
-      for (final DaemonEntry board : live) {
-        near.add(board.front);
+    if (chosen.isEmpty()) {
+      for (final DaemonEntry proxy : live) {
+        chosen.add(proxy.front);
       }
     }
-    return near.size() > most ? near.subList(0, most) : near;
+    return chosen.size() > limit ? chosen.subList(0, limit) : chosen;
   }
 }
--- a/registry/src/main/java/weldpoint/registry/Electorates.java
+++ b/registry/src/main/java/weldpoint/registry/Electorates.java
@@ -21,7 +21,7 @@
  * to the region's switchboards.
  */
 final class Electorates {
-  private static final long STILL_MILLIS = 2000;
+  private static final long STABLE_MILLIS = 2000;
 
   /** Writes a region's electorate. */
   interface Writer {
@@ -29,44 +29,44 @@
   }
 
   private final Writer writer;
-  private final Map<String, Electorate> known = new HashMap<>();
-  private final Map<String, List<Elector>> wanted = new HashMap<>();
-  private final Map<String, Long> wantedAt = new HashMap<>();
-  private final Map<Object, String> regions = new HashMap<>();
-  private boolean out;
+  private final Map<String, Electorate> current = new HashMap<>();
+  private final Map<String, List<Elector>> desired = new HashMap<>();
+  private final Map<String, Long> desiredSince = new HashMap<>();
+  private final Map<Object, String> regionByStream = new HashMap<>();
+  private boolean writePending;
 
   Electorates(final Writer writer) {
     this.writer = writer;
   }
 
-  long marks() {
-    return known.values().stream().mapToLong(one -> one.mark).sum();
+  long versionSum() {
+    return current.values().stream().mapToLong(electorate -> electorate.mark).sum();
   }
 
-  void stream(final Object stream, final String region) {
-    regions.put(stream, region);
+  void addStream(final Object stream, final String region) {
+    regionByStream.put(stream, region);
   }
 
-  void closed(final Object stream) {
-    regions.remove(stream);
+  void removeStream(final Object stream) {
+    regionByStream.remove(stream);
   }
 
-  void tell(final Object stream, final BiConsumer<Object, Message> board) {
-    final Electorate one = known.get(regions.getOrDefault(stream, ""));
-    if (one != null) {
-      board.accept(stream, one);
+  void sendTo(final Object stream, final BiConsumer<Object, Message> sender) {
+    final Electorate electorate = current.get(regionByStream.getOrDefault(stream, ""));
+    if (electorate != null) {
+      sender.accept(stream, electorate);
     }
   }
 
-  void take(final List<Electorate> given, final BiConsumer<Object, Message> board) {
-    for (final Electorate one : given) {
-      final Electorate before = known.get(one.region);
-      if (before == null || one.mark > before.mark) {
-        known.put(one.region, one);
-        regions.forEach(
+  void update(final List<Electorate> received, final BiConsumer<Object, Message> sender) {
+    for (final Electorate electorate : received) {
+      final Electorate previous = current.get(electorate.region);
+      if (previous == null || electorate.mark > previous.mark) {
+        current.put(electorate.region, electorate);
+        regionByStream.forEach(
             (stream, region) -> {
-              if (region.equals(one.region)) {
-                board.accept(stream, one);
+              if (region.equals(electorate.region)) {
+                sender.accept(stream, electorate);
               }
             });
       }
@@ -74,39 +74,39 @@
   }
 
   /** Takes which switchboards live now, and writes what has not been written. */
-  void keep(final List<DaemonEntry> live, final long now) {
-    final Map<String, List<Elector>> present = new TreeMap<>();
-    for (final DaemonEntry entry : live) {
-      present
+  void reconcile(final List<DaemonEntry> liveProxies, final long now) {
+    final Map<String, List<Elector>> electorsByRegion = new TreeMap<>();
+    for (final DaemonEntry entry : liveProxies) {
+      electorsByRegion
           .computeIfAbsent(entry.region, region -> new ArrayList<>())
           .add(new Elector(entry.address, entry.incarnation));
     }
-    present.forEach(
+    electorsByRegion.forEach(
         (region, electors) -> {
-          electors.sort(Comparator.comparing(one -> one.address));
-          if (!same(electors, wanted.get(region))) {
-            wanted.put(region, electors);
-            wantedAt.put(region, now);
+          electors.sort(Comparator.comparing(elector -> elector.address));
+          if (!sameElectors(electors, desired.get(region))) {
+            desired.put(region, electors);
+            desiredSince.put(region, now);
           }
-          final Electorate before = known.get(region);
-          if (!out
-              && now - wantedAt.get(region) >= STILL_MILLIS
-              && (before == null || !same(electors, Protocol.list(before.electors)))) {
-            out = true;
+          final Electorate previous = current.get(region);
+          if (!writePending
+              && now - desiredSince.get(region) >= STABLE_MILLIS
+              && (previous == null || !sameElectors(electors, Protocol.list(previous.electors)))) {
+            writePending = true;
             final Electorate next =
                 new Electorate(
                     region,
-                    before == null ? 1 : before.mark + 1,
+                    previous == null ? 1 : previous.mark + 1,
                     electors,
-                    electors.size() / (double) live.size());
+                    electors.size() / (double) liveProxies.size());
             writer
                 .write(region, Serializer.serialize(next), now)
-                .whenComplete((answer, problem) -> out = false);
+                .whenComplete((answer, error) -> writePending = false);
           }
         });
   }
 
-  private static boolean same(final List<Elector> one, final List<Elector> other) {
+  private static boolean sameElectors(final List<Elector> one, final List<Elector> other) {
     if (other == null || one.size() != other.size()) {
       return false;
     }
--- a/registry/src/main/java/weldpoint/registry/HeartbeatOwners.java
+++ b/registry/src/main/java/weldpoint/registry/HeartbeatOwners.java
@@ -14,18 +14,19 @@
  */
 final class HeartbeatOwners {
   /** How many of the preference list may be taken for being in the upstream's own region. */
-  private static final int NEAR_CHOICES = 3;
+  private static final int MAX_LOCAL_CANDIDATES = 3;
 
   private HeartbeatOwners() {}
 
   /** The address of the keeper; null where no voter can be reached. */
-  static String keeper(
+  static String heartbeatOwner(
       final List<Voter> voters,
       final String id,
       final String region,
       final Predicate<String> reachable) {
-    final List<Voter> preference = preference(voters, id);
-    for (final Voter voter : preference.subList(0, Math.min(NEAR_CHOICES, preference.size()))) {
+    final List<Voter> preference = preferenceList(voters, id);
+    for (final Voter voter :
+        preference.subList(0, Math.min(MAX_LOCAL_CANDIDATES, preference.size()))) {
       if (voter.region.equals(region) && reachable.test(voter.address)) {
         return voter.address;
       }
@@ -38,8 +39,8 @@
     return null;
   }
 
-  private static List<Voter> preference(final List<Voter> voters, final String id) {
-    final int first = owner(voters, id);
+  private static List<Voter> preferenceList(final List<Voter> voters, final String id) {
+    final int first = tokenOwnerIndex(voters, id);
     final List<Voter> preference = new ArrayList<>();
     for (int step = 0; step < voters.size(); step++) {
       final Voter voter = voters.get((first + step) % voters.size());
@@ -57,14 +58,14 @@
   }
 
   /** The index of the voter that has the upstream's token. */
-  private static int owner(final List<Voter> voters, final String id) {
+  private static int tokenOwnerIndex(final List<Voter> voters, final String id) {
     final int token = Math.floorMod(id.hashCode() * 0x9e3779b1, TokenAssignment.COUNT);
-    int owner = 0;
+    int ownerIndex = 0;
     for (int index = 0; index < voters.size(); index++) {
       if (Protocol.list(voters.get(index).tokens).contains(token)) {
-        owner = index;
+        ownerIndex = index;
       }
     }
-    return owner;
+    return ownerIndex;
   }
 }
--- a/registry/src/main/java/weldpoint/registry/HistoryReader.java
+++ b/registry/src/main/java/weldpoint/registry/HistoryReader.java
@@ -136,7 +136,7 @@
   private void look(final PendingRead reading, final long now) {
     reading.out = true;
     store
-        .here(
+        .callLocalReplica(
             StoreOperation.HISTORY_READ,
             Math.max(1, reading.range.from()),
             reading.range.most(),
@@ -319,7 +319,7 @@
             || change.kind() == ChangeKind.EVACUATION_FINISHED
             || change.kind() == ChangeKind.TRIAL;
     for (final AppliedState one : daemons) {
-      final long held = configuration ? one.version() : one.mark();
+      final long held = configuration ? one.version() : one.orderVersion();
       final long wanted = configuration ? change.version : change.mark;
       final String heard =
           one.ageMillis() == Long.MAX_VALUE
@@ -344,7 +344,7 @@
         list.add(new ControlApi.DaemonReach(one.address(), one.program(), "NOT_YET", "", heard));
       } else {
         final String since =
-            Instant.ofEpochMilli(wall - one.ageMillis() - one.heldMillis()).toString();
+            Instant.ofEpochMilli(wall - one.ageMillis() - one.appliedMillis()).toString();
         list.add(
             new ControlApi.DaemonReach(
                 one.address(),
@@ -383,7 +383,7 @@
                     "change " + sequence + " is not known here: " + found.problem());
               }
               return store
-                  .here(StoreOperation.HISTORY_READ, sequence, 1, now, LOCAL_MILLIS)
+                  .callLocalReplica(StoreOperation.HISTORY_READ, sequence, 1, now, LOCAL_MILLIS)
                   .thenApply(
                       answer ->
                           reach(
--- a/registry/src/main/java/weldpoint/registry/LifecycleStage.java
+++ b/registry/src/main/java/weldpoint/registry/LifecycleStage.java
@@ -17,12 +17,12 @@
   REMOVED(2, false);
 
   private static final LifecycleStage[] ALL = values();
-  private final int rank;
-  private final boolean open;
+  private final int precedence;
+  private final boolean routable;
 
-  LifecycleStage(final int rank, final boolean open) {
-    this.rank = rank;
-    this.open = open;
+  LifecycleStage(final int precedence, final boolean routable) {
+    this.precedence = precedence;
+    this.routable = routable;
   }
 
   /** The stage of a registration. */
@@ -31,8 +31,8 @@
   }
 
   /** Whether requests may be sent to an upstream at this stage. */
-  public boolean open() {
-    return open;
+  public boolean routable() {
+    return routable;
   }
 
   /**
@@ -44,7 +44,7 @@
   }
 
   static int compare(final Registration one, final Registration other) {
-    int order = Integer.compare(of(one).rank, of(other).rank);
+    int order = Integer.compare(of(one).precedence, of(other).precedence);
     if (order == 0) {
       order = Long.compare(one.sequence, other.sequence);
     }
--- a/registry/src/main/java/weldpoint/registry/MajorityReachability.java
+++ b/registry/src/main/java/weldpoint/registry/MajorityReachability.java
@@ -16,20 +16,20 @@
  */
 class MajorityReachability {
   private static final long CUT_OFF_MILLIS = 1500;
-  private static final long ASK_MILLIS = 300;
-  private static final long TOLD_MILLIS = 1000;
+  private static final long PROBE_INTERVAL_MILLIS = 300;
+  private static final long REPORT_VALID_MILLIS = 1000;
 
-  private record PeerReport(long at, long majorityAgeMillis) {}
+  private record PeerReport(long receivedAt, long majorityAgeMillis) {}
 
   private final String self;
-  private final BiConsumer<String, Message> members;
-  private final Map<String, PeerReport> told = new HashMap<>();
+  private final BiConsumer<String, Message> sender;
+  private final Map<String, PeerReport> reports = new HashMap<>();
   private long startedAt;
-  private long askedAt;
+  private long lastProbeAt;
 
-  MajorityReachability(final String self, final BiConsumer<String, Message> members) {
+  MajorityReachability(final String self, final BiConsumer<String, Message> sender) {
     this.self = self;
-    this.members = members;
+    this.sender = sender;
   }
 
   void started(final long now) {
@@ -52,11 +52,11 @@
     if (roster.number == 0) {
       return connected.isEmpty() && seeds.stream().anyMatch(seed -> !seed.equals(self));
     }
-    int reached = 0;
+    int reachable = 0;
     for (final Voter voter : roster.voters) {
-      reached += voter.address.equals(self) || connected.contains(voter.address) ? 1 : 0;
+      reachable += voter.address.equals(self) || connected.contains(voter.address) ? 1 : 0;
     }
-    return reached < roster.majority();
+    return reachable < roster.majority();
   }
 
   /**
@@ -68,33 +68,36 @@
       final Set<String> connected,
       final long majorityAt,
       final long now) {
-    if (now - askedAt >= ASK_MILLIS && cutOff(roster, seeds, connected, majorityAt, now)) {
-      askedAt = now;
-      final Message question =
+    if (now - lastProbeAt >= PROBE_INTERVAL_MILLIS
+        && cutOff(roster, seeds, connected, majorityAt, now)) {
+      lastProbeAt = now;
+      final Message probe =
           new RegistryMessages.ControlStateRequest(
               0, roster.number, Long.MAX_VALUE, Long.MAX_VALUE, Long.MAX_VALUE, null, 0);
-      connected.forEach(member -> members.accept(member, question));
+      connected.forEach(member -> sender.accept(member, probe));
     }
   }
 
   /** An exchange has told how long ago it heard of a majority. */
-  void told(final String member, final long majorityAgeMillis, final long now) {
-    told.put(member, new PeerReport(now, majorityAgeMillis));
+  void reported(final String member, final long majorityAgeMillis, final long now) {
+    reports.put(member, new PeerReport(now, majorityAgeMillis));
   }
 
   /**
    * An exchange that can be reached and told lately that it hears a majority: the one whose word is
    * newest; null where there is none.
    */
-  String elsewhere(final Set<String> connected, final long now) {
+  String peerWithMajority(final Set<String> connected, final long now) {
     String best = null;
-    long youngest = CUT_OFF_MILLIS;
-    for (final Map.Entry<String, PeerReport> entry : told.entrySet()) {
-      final long silent = now - entry.getValue().at();
-      final long age = entry.getValue().majorityAgeMillis() + silent;
-      if (silent <= TOLD_MILLIS && age <= youngest && connected.contains(entry.getKey())) {
+    long smallestAge = CUT_OFF_MILLIS;
+    for (final Map.Entry<String, PeerReport> entry : reports.entrySet()) {
+      final long reportAge = now - entry.getValue().receivedAt();
+      final long age = entry.getValue().majorityAgeMillis() + reportAge;
+      if (reportAge <= REPORT_VALID_MILLIS
+          && age <= smallestAge
+          && connected.contains(entry.getKey())) {
         best = entry.getKey();
-        youngest = age;
+        smallestAge = age;
       }
     }
     return best;
--- a/registry/src/main/java/weldpoint/registry/OwnershipEndpoint.java
+++ b/registry/src/main/java/weldpoint/registry/OwnershipEndpoint.java
@@ -182,7 +182,7 @@
     if (LifecycleStage.of(one) == LifecycleStage.REMOVED && lives.containsKey(one.address)) {
       return Member.Standing.ENDED;
     }
-    if (!LifecycleStage.of(one).open() || evacuated.contains(one.site)) {
+    if (!LifecycleStage.of(one).routable() || evacuated.contains(one.site)) {
       return Member.Standing.LEAVES;
     }
     return suspects.contains(one.id) || one.warmupMillis > 0
--- a/registry/src/main/java/weldpoint/registry/PersistedRecord.java
+++ b/registry/src/main/java/weldpoint/registry/PersistedRecord.java
@@ -8,91 +8,101 @@
 
 /** What an exchange keeps on disk; parts that a record does not concern are null. */
 final class PersistedRecord {
-  static final int UNSAID = 0;
-  static final int LEARNING = 1;
-  static final int WHOLE = 2;
+  static final int BOOTSTRAP_UNCHANGED = 0;
+  static final int BOOTSTRAPPING = 1;
+  static final int BOOTSTRAPPED = 2;
 
-  final List<Registration> history;
+  final List<Registration> registrations;
   final Roster roster;
   final long version;
   final byte[] spec;
   final List<String> evacuated;
-  final long evacuationMark;
+  final long evacuationVersion;
   final List<Trial> trials;
-  final long trialMark;
-  final int learning;
+  final long trialVersion;
+  final int bootstrapState;
   final List<Claim> claims;
 
   PersistedRecord(
-      final List<Registration> history,
+      final List<Registration> registrations,
       final Roster roster,
       final long version,
       final byte[] spec,
       final List<String> evacuated,
-      final long evacuationMark,
+      final long evacuationVersion,
       final List<Trial> trials,
-      final long trialMark) {
-    this(history, roster, version, spec, evacuated, evacuationMark, trials, trialMark, UNSAID);
+      final long trialVersion) {
+    this(
+        registrations,
+        roster,
+        version,
+        spec,
+        evacuated,
+        evacuationVersion,
+        trials,
+        trialVersion,
+        BOOTSTRAP_UNCHANGED);
   }
 
   PersistedRecord(
-      final List<Registration> history,
+      final List<Registration> registrations,
       final Roster roster,
       final long version,
       final byte[] spec,
       final List<String> evacuated,
-      final long evacuationMark,
+      final long evacuationVersion,
       final List<Trial> trials,
-      final long trialMark,
-      final int learning) {
+      final long trialVersion,
+      final int bootstrapState) {
     this(
-        history,
+        registrations,
         roster,
         version,
         spec,
         evacuated,
-        evacuationMark,
+        evacuationVersion,
         trials,
-        trialMark,
-        learning,
+        trialVersion,
+        bootstrapState,
         null);
   }
 
   PersistedRecord(
-      final List<Registration> history,
+      final List<Registration> registrations,
       final Roster roster,
       final long version,
       final byte[] spec,
       final List<String> evacuated,
-      final long evacuationMark,
+      final long evacuationVersion,
       final List<Trial> trials,
-      final long trialMark,
-      final int learning,
+      final long trialVersion,
+      final int bootstrapState,
       final List<Claim> claims) {
     this.claims = claims;
-    this.history = history;
+    this.registrations = registrations;
     this.roster = roster;
     this.version = version;
     this.spec = spec;
     this.evacuated = evacuated;
-    this.evacuationMark = evacuationMark;
+    this.evacuationVersion = evacuationVersion;
     this.trials = trials;
-    this.trialMark = trialMark;
-    this.learning = learning;
+    this.trialVersion = trialVersion;
+    this.bootstrapState = bootstrapState;
   }
 
   /** A record of registrations and, where it changed, the roster. */
-  static PersistedRecord membership(final List<Registration> history, final Roster roster) {
-    return new PersistedRecord(history, roster, 0, null, null, 0, null, 0);
+  static PersistedRecord membership(final List<Registration> registrations, final Roster roster) {
+    return new PersistedRecord(registrations, roster, 0, null, null, 0, null, 0);
   }
 
   /** A record of claims of idempotency keys. */
   static PersistedRecord claims(final List<Claim> claims) {
-    return new PersistedRecord(null, null, 0, null, null, 0, null, 0, UNSAID, claims);
+    return new PersistedRecord(null, null, 0, null, null, 0, null, 0, BOOTSTRAP_UNCHANGED, claims);
   }
 
   /** A record of whether this disk still lacks what was acknowledged before it came. */
-  static PersistedRecord learning(final boolean learning) {
-    return new PersistedRecord(null, null, 0, null, null, 0, null, 0, learning ? LEARNING : WHOLE);
+  static PersistedRecord bootstrapState(final boolean bootstrapping) {
+    return new PersistedRecord(
+        null, null, 0, null, null, 0, null, 0, bootstrapping ? BOOTSTRAPPING : BOOTSTRAPPED);
   }
 }
--- a/registry/src/main/java/weldpoint/registry/ProxyStreams.java
+++ b/registry/src/main/java/weldpoint/registry/ProxyStreams.java
@@ -19,28 +19,28 @@
  * view, and those that wait for it.
  */
 final class ProxyStreams {
-  private static final long PATIENCE_MILLIS = 900;
+  private static final long INITIAL_VIEW_GRACE_MILLIS = 900;
 
-  private final BiConsumer<Object, Message> outlet;
+  private final BiConsumer<Object, Message> sender;
   private final Registrations registrations;
   private final ControlState control;
   private final DaemonTable daemons;
   private final Set<Object> streams = new LinkedHashSet<>();
-  private final Set<Object> hopefuls = new LinkedHashSet<>();
-  private final Set<Object> announcers = new HashSet<>();
-  private final Map<Object, Opening> opening = new HashMap<>();
-  private RegistryMessages.View whole;
-  private long[] wholeState;
+  private final Set<Object> waitingStreams = new LinkedHashSet<>();
+  private final Set<Object> cacheStreams = new HashSet<>();
+  private final Map<Object, Opening> pendingOpenings = new HashMap<>();
+  private RegistryMessages.View fullView;
+  private long[] fullViewState;
 
   /** What a switchboard has when its stream opens. */
-  private record Opening(long version, List<Long> buckets, long read, long at) {}
+  private record Opening(long version, List<Long> buckets, long read, long openedAt) {}
 
   ProxyStreams(
-      final BiConsumer<Object, Message> outlet,
+      final BiConsumer<Object, Message> sender,
       final Registrations registrations,
       final ControlState control,
       final DaemonTable daemons) {
-    this.outlet = outlet;
+    this.sender = sender;
     this.registrations = registrations;
     this.control = control;
     this.daemons = daemons;
@@ -60,9 +60,9 @@
   }
 
   /** Whether any may be given its first view when the quorum read of this number is done. */
-  boolean waiting(final long read) {
-    for (final Object stream : hopefuls) {
-      if (opening.get(stream).read <= read) {
+  boolean anyReady(final long completedRead) {
+    for (final Object stream : waitingStreams) {
+      if (pendingOpenings.get(stream).read <= completedRead) {
         return true;
       }
     }
@@ -70,167 +70,170 @@
   }
 
   /** A stream has opened and waits for its first view: until this quorum read is done, or 0. */
-  void opened(
+  void add(
       final Object stream,
       final DaemonEntry entry,
       final List<Long> buckets,
       final long read,
       final long now) {
     if (entry.announcer) {
-      announcers.add(stream);
+      cacheStreams.add(stream);
     }
-    opening.put(
+    pendingOpenings.put(
         stream, new Opening(entry.version, buckets == null ? List.of() : buckets, read, now));
-    hopefuls.add(stream);
+    waitingStreams.add(stream);
   }
 
-  void closed(final Object stream) {
+  void remove(final Object stream) {
     streams.remove(stream);
-    announcers.remove(stream);
-    opening.remove(stream);
-    hopefuls.remove(stream);
+    cacheStreams.remove(stream);
+    pendingOpenings.remove(stream);
+    waitingStreams.remove(stream);
   }
 
   /**
    * Gives those their first view that waited for this quorum read or an earlier one; whoever is
    * given is told of each.
    */
-  void admit(final long read, final Consumer<Object> admitted) {
-    final RegistryMessages.View view = wholeView();
-    final List<Long> here = registrations.buckets(false);
+  void sendInitialViews(final long completedRead, final Consumer<Object> onSent) {
+    final RegistryMessages.View view = buildFullView();
+    final List<Long> localDigests = registrations.bucketDigests(false);
     final List<Object> due = new ArrayList<>();
-    for (final Object stream : hopefuls) {
-      if (opening.get(stream).read <= read) {
-        final Opening opened = opening.remove(stream);
-        outlet.accept(
+    for (final Object stream : waitingStreams) {
+      if (pendingOpenings.get(stream).read <= completedRead) {
+        final Opening opening = pendingOpenings.remove(stream);
+        sender.accept(
             stream,
-            opened.buckets.isEmpty() || RegistrationBuckets.empty(opened.buckets)
+            opening.buckets.isEmpty() || RegistrationBuckets.allEmpty(opening.buckets)
                 ? view
-                : partView(opened, here));
+                : partialView(opening, localDigests));
         due.add(stream);
       }
     }
     for (final Object stream : due) {
-      hopefuls.remove(stream);
+      waitingStreams.remove(stream);
       streams.add(stream);
-      admitted.accept(stream);
+      onSent.accept(stream);
     }
   }
 
   /** What a switchboard that has been told before lacks. */
-  private RegistryMessages.View partView(final Opening opened, final List<Long> here) {
-    final Set<String> named = new HashSet<>();
-    final List<Registration> lacking =
-        RegistrationBuckets.differing(registrations.all().values(), here, opened.buckets);
-    lacking.forEach(one -> named.add(one.id));
-    for (final Registration one : registrations.all().values()) {
-      if (one.warmupMillis > 0
-          && LifecycleStage.of(one) != LifecycleStage.REMOVED
-          && named.add(one.id)) {
-        lacking.add(one);
+  private RegistryMessages.View partialView(final Opening opening, final List<Long> localDigests) {
+    final Set<String> includedIds = new HashSet<>();
+    final List<Registration> missing =
+        RegistrationBuckets.differing(registrations.all().values(), localDigests, opening.buckets);
+    missing.forEach(registration -> includedIds.add(registration.id));
+    for (final Registration registration : registrations.all().values()) {
+      if (registration.warmupMillis > 0
+          && LifecycleStage.of(registration) != LifecycleStage.REMOVED
+          && includedIds.add(registration.id)) {
+        missing.add(registration);
       }
     }
-    final boolean newer = opened.version < control.version();
+    final boolean newer = opening.version < control.version();
     return new RegistryMessages.View(
         newer ? control.version() : 0,
         newer ? control.spec() : null,
         true,
         control.evacuated(),
-        control.evacuationMark(),
+        control.evacuationVersion(),
         null,
         true,
         new ArrayList<>(registrations.suspects()),
-        daemons.most(),
+        daemons.peakProxyCount(),
         control.trials(),
-        control.trialMark(),
-        lacking.isEmpty() ? null : RegistrationBuckets.pack(lacking));
+        control.trialVersion(),
+        missing.isEmpty() ? null : RegistrationBuckets.pack(missing));
   }
 
   /**
    * All that a switchboard must know; the same object while nothing has changed, so that a
    * returning fleet costs one encoding.
    */
-  private RegistryMessages.View wholeView() {
+  private RegistryMessages.View buildFullView() {
     final long[] state = {
       control.version(),
       registrations.revision(),
-      control.evacuationMark(),
-      control.trialMark(),
+      control.evacuationVersion(),
+      control.trialVersion(),
       registrations.size(),
       registrations.suspects().hashCode()
     };
-    if (whole == null || !java.util.Arrays.equals(state, wholeState)) {
-      wholeState = state;
+    if (fullView == null || !java.util.Arrays.equals(state, fullViewState)) {
+      fullViewState = state;
       final List<Registration> present = new ArrayList<>();
-      for (final Registration one : registrations.all().values()) {
-        if (LifecycleStage.of(one) != LifecycleStage.REMOVED) {
-          present.add(one);
+      for (final Registration registration : registrations.all().values()) {
+        if (LifecycleStage.of(registration) != LifecycleStage.REMOVED) {
+          present.add(registration);
         }
       }
-      whole =
+      fullView =
           new RegistryMessages.View(
               control.version(),
               control.spec(),
               true,
               control.evacuated(),
-              control.evacuationMark(),
+              control.evacuationVersion(),
               null,
               true,
               new ArrayList<>(registrations.suspects()),
               0,
               control.trials(),
-              control.trialMark(),
+              control.trialVersion(),
               RegistrationBuckets.pack(present));
     }
-    return whole;
+    return fullView;
   }
 
-  boolean announces(final Object stream) {
-    return announcers.contains(stream);
+  boolean isCache(final Object stream) {
+    return cacheStreams.contains(stream);
   }
 
   /** Tells all that have had their first view. */
-  void tell(final Message message) {
-    streams.forEach(stream -> outlet.accept(stream, message));
+  void sendToAll(final Message message) {
+    streams.forEach(stream -> sender.accept(stream, message));
   }
 
   /** Tells the announcers among them. */
-  void tellAnnouncers(final Message message) {
-    announcers.stream().filter(streams::contains).forEach(stream -> outlet.accept(stream, message));
+  void sendToCaches(final Message message) {
+    cacheStreams.stream()
+        .filter(streams::contains)
+        .forEach(stream -> sender.accept(stream, message));
   }
 
   /** Tells the switchboards among them. */
-  void tellSwitchboards(final Message message) {
+  void sendToProxies(final Message message) {
     streams.stream()
-        .filter(stream -> !announcers.contains(stream))
-        .forEach(stream -> outlet.accept(stream, message));
+        .filter(stream -> !cacheStreams.contains(stream))
+        .forEach(stream -> sender.accept(stream, message));
   }
 
   /**
    * Tells all, also those that wait for their first view and should go elsewhere: who came only
    * just now may yet get it here.
    */
-  void tellEverybody(final Message message, final boolean informed, final long now) {
-    tell(message);
-    for (final Object stream : hopefuls) {
-      if (!informed || now - opening.get(stream).at > PATIENCE_MILLIS) {
-        outlet.accept(stream, message);
+  void sendToAllAndWaiting(final Message message, final boolean canServeProxies, final long now) {
+    sendToAll(message);
+    for (final Object stream : waitingStreams) {
+      if (!canServeProxies
+          || now - pendingOpenings.get(stream).openedAt > INITIAL_VIEW_GRACE_MILLIS) {
+        sender.accept(stream, message);
       }
     }
   }
 
   /** Tells of changed registrations. */
-  void registrations(final List<Registration> changes) {
+  void sendRegistrations(final List<Registration> changes) {
     if (!streams.isEmpty()) {
-      tell(
+      sendToAll(
           new RegistryMessages.View(
-              0, null, false, null, 0, changes, false, null, daemons.most(), null, -1));
+              0, null, false, null, 0, changes, false, null, daemons.peakProxyCount(), null, -1));
     }
   }
 
   /** Tells who is suspect. */
-  void suspects() {
-    tell(
+  void sendSuspects() {
+    sendToAll(
         new RegistryMessages.View(
             0,
             null,
@@ -240,7 +243,7 @@
             null,
             true,
             new ArrayList<>(registrations.suspects()),
-            daemons.most(),
+            daemons.peakProxyCount(),
             null,
             -1));
   }
--- a/registry/src/main/java/weldpoint/registry/QuorumReads.java
+++ b/registry/src/main/java/weldpoint/registry/QuorumReads.java
@@ -15,20 +15,20 @@
  * earlier ones as well.
  */
 class QuorumReads {
-  private static final long AGAIN_MILLIS = 400;
-  private static final long PAUSE_MILLIS = 40;
-  private static final long KEPT_READS = 64;
+  private static final long RETRY_MILLIS = 400;
+  private static final long MIN_INTERVAL_MILLIS = 40;
+  private static final long RETAINED_READS = 64;
 
   private final String self;
-  private final Map<String, Long> answered = new HashMap<>();
-  private final Map<String, Long> asked = new HashMap<>();
-  private final Map<String, Long> leased = new HashMap<>();
-  private final Map<Long, Long> began = new HashMap<>();
-  private long last;
-  private long done;
-  private long wanted;
-  private long beganAt = Long.MIN_VALUE / 2;
-  private long doneSince = Long.MIN_VALUE / 2;
+  private final Map<String, Long> answers = new HashMap<>();
+  private final Map<String, Long> requested = new HashMap<>();
+  private final Map<String, Long> leases = new HashMap<>();
+  private final Map<Long, Long> startTimes = new HashMap<>();
+  private long lastStarted;
+  private long lastCompleted;
+  private long nextRequested;
+  private long lastStartedAt = Long.MIN_VALUE / 2;
+  private long confirmedAt = Long.MIN_VALUE / 2;
 
   /** Reads for this exchange. */
   QuorumReads(final String self) {
@@ -36,14 +36,14 @@
   }
 
   /** The read that a question that comes now must wait for. */
-  long next() {
-    wanted = last + 1;
-    return wanted;
+  long requestRead() {
+    nextRequested = lastStarted + 1;
+    return nextRequested;
   }
 
   /** The newest read that is done. */
-  long done() {
-    return done;
+  long lastCompleted() {
+    return lastCompleted;
   }
 
   /**
@@ -51,20 +51,21 @@
    * majority.
    */
   long confirmedAt() {
-    return doneSince;
+    return confirmedAt;
   }
 
   /**
    * Begins the next read where one is wanted, and again where the last one has not met a majority
    * in time.
    */
-  void tick(final LongFunction<Message> question, final Consumer<Message> voters, final long now) {
-    if (wanted > last && now - beganAt >= PAUSE_MILLIS
-        || last > done && now - beganAt > AGAIN_MILLIS) {
-      last++;
-      beganAt = now;
-      began.put(last, now);
-      voters.accept(question.apply(last));
+  void tick(
+      final LongFunction<Message> request, final Consumer<Message> sendToVoters, final long now) {
+    if (nextRequested > lastStarted && now - lastStartedAt >= MIN_INTERVAL_MILLIS
+        || lastStarted > lastCompleted && now - lastStartedAt > RETRY_MILLIS) {
+      lastStarted++;
+      lastStartedAt = now;
+      startTimes.put(lastStarted, now);
+      sendToVoters.accept(request.apply(lastStarted));
     }
   }
 
@@ -72,29 +73,31 @@
    * There is a line to a voter's exchange, perhaps a new one: it is asked too, where a read is
    * under way that it has not answered.
    */
-  void line(
-      final String address, final LongFunction<Message> question, final Consumer<Message> line) {
-    if (last > done
-        && answered.getOrDefault(address, 0L) < last
-        && asked.getOrDefault(address, 0L) < last) {
-      asked.put(address, last);
-      line.accept(question.apply(last));
+  void onConnected(
+      final String address,
+      final LongFunction<Message> request,
+      final Consumer<Message> connection) {
+    if (lastStarted > lastCompleted
+        && answers.getOrDefault(address, 0L) < lastStarted
+        && requested.getOrDefault(address, 0L) < lastStarted) {
+      requested.put(address, lastStarted);
+      connection.accept(request.apply(lastStarted));
     }
   }
 
   /** A voter that has all that it should has answered the read of this number. */
-  void answered(final String from, final long number) {
-    answered.merge(from, number, Math::max);
+  void recordAnswer(final String from, final long number) {
+    answers.merge(from, number, Math::max);
   }
 
   /** A voter confirms no change before this time, and what it holds is held here. */
-  void leased(final String voter, final long until) {
-    leased.merge(voter, until, Math::max);
+  void recordLease(final String voter, final long expiresAt) {
+    leases.merge(voter, expiresAt, Math::max);
   }
 
   /** When the read of this number began; the start of time where that is not known any more. */
-  long began(final long number) {
-    return began.getOrDefault(number, Long.MIN_VALUE / 2);
+  long startedAt(final long number) {
+    return startTimes.getOrDefault(number, Long.MIN_VALUE / 2);
   }
 
   /**
@@ -104,42 +107,42 @@
   long leasedUntil(final Roster roster) {
     return roster.number == 0
         ? Long.MIN_VALUE / 2
-        : reached(
-            roster, leased, leased.getOrDefault(self, Long.MIN_VALUE / 2), Long.MIN_VALUE / 2);
+        : majorityValue(
+            roster, leases, leases.getOrDefault(self, Long.MIN_VALUE / 2), Long.MIN_VALUE / 2);
   }
 
-  private long reached(
-      final Roster roster, final Map<String, Long> answers, final long own, final long none) {
-    final long[] reached = new long[roster.voters.size()];
-    for (int place = 0; place < reached.length; place++) {
-      final String address = roster.voters.get(place).address;
-      reached[place] = address.equals(self) ? own : answers.getOrDefault(address, none);
+  private long majorityValue(
+      final Roster roster, final Map<String, Long> byVoter, final long own, final long absent) {
+    final long[] values = new long[roster.voters.size()];
+    for (int index = 0; index < values.length; index++) {
+      final String address = roster.voters.get(index).address;
+      values[index] = address.equals(self) ? own : byVoter.getOrDefault(address, absent);
     }
-    Arrays.sort(reached);
-    return reached[reached.length - roster.majority()];
+    Arrays.sort(values);
+    return values[values.length - roster.majority()];
   }
 
   /**
    * Whether a newer read has just met a majority; the own disk counts where it has all that it
    * should.
    */
-  boolean complete(final Roster roster, final boolean whole) {
+  boolean completeReads(final Roster roster, final boolean selfCounts) {
     if (roster.number == 0) {
       return false;
     }
-    final long majority = reached(roster, answered, whole ? last : 0, 0);
-    if (majority <= done) {
+    final long majority = majorityValue(roster, answers, selfCounts ? lastStarted : 0, 0);
+    if (majority <= lastCompleted) {
       return false;
     }
-    done = majority;
-    doneSince = began.getOrDefault(done, doneSince);
-    began.keySet().removeIf(number -> number <= done - KEPT_READS);
+    lastCompleted = majority;
+    confirmedAt = startTimes.getOrDefault(lastCompleted, confirmedAt);
+    startTimes.keySet().removeIf(number -> number <= lastCompleted - RETAINED_READS);
     return true;
   }
 
   /** The roster has changed: the new voters are asked at once. */
-  void restart() {
-    leased.clear();
-    beganAt = Long.MIN_VALUE / 2;
+  void onRosterChanged() {
+    leases.clear();
+    lastStartedAt = Long.MIN_VALUE / 2;
   }
 }
--- a/registry/src/main/java/weldpoint/registry/QuorumWrites.java
+++ b/registry/src/main/java/weldpoint/registry/QuorumWrites.java
@@ -17,26 +17,26 @@
 class QuorumWrites {
   private static final long RESEND_MILLIS = 300;
 
-  private static final class Quorum {
+  private static final class PendingWrite {
     final LongFunction<Message> message;
-    final Set<String> kept = new HashSet<>();
+    final Set<String> ackedBy = new HashSet<>();
     final CompletableFuture<Void> future = new CompletableFuture<>();
     final long deadline;
     long sentAt;
 
-    Quorum(final LongFunction<Message> message, final long deadline, final long now) {
+    PendingWrite(final LongFunction<Message> message, final long deadline, final long now) {
       this.message = message;
       this.deadline = deadline;
       this.sentAt = now;
     }
   }
 
-  private final Map<Long, Quorum> quorums = new LinkedHashMap<>();
-  private long number;
+  private final Map<Long, PendingWrite> pending = new LinkedHashMap<>();
+  private long lastNumber;
 
   /** The number of the change that was begun last. */
-  long last() {
-    return number;
+  long lastNumber() {
+    return lastNumber;
   }
 
   /**
@@ -45,14 +45,14 @@
    */
   CompletableFuture<Void> begin(
       final LongFunction<Message> message,
-      final Consumer<Message> everybody,
+      final Consumer<Message> sendToMembers,
       final long deadline,
       final long now) {
-    final long key = ++number;
-    final Quorum quorum = new Quorum(message, deadline, now);
-    quorums.put(key, quorum);
-    everybody.accept(message.apply(key));
-    return quorum.future;
+    final long changeNumber = ++lastNumber;
+    final PendingWrite write = new PendingWrite(message, deadline, now);
+    pending.put(changeNumber, write);
+    sendToMembers.accept(message.apply(changeNumber));
+    return write.future;
   }
 
   /**
@@ -61,40 +61,45 @@
    * What comes past the deadline counts for nothing, so that a disk that was wiped meanwhile has
    * had its learning time before anything counts on it.
    */
-  void kept(
-      final String from, final long key, final Roster roster, final Roster before, final long now) {
-    final Quorum quorum = quorums.get(key);
-    if (quorum == null || now >= quorum.deadline) {
+  void acknowledged(
+      final String from,
+      final long changeNumber,
+      final Roster roster,
+      final Roster previousRoster,
+      final long now) {
+    final PendingWrite write = pending.get(changeNumber);
+    if (write == null || now >= write.deadline) {
       return;
     }
-    quorum.kept.add(from);
-    if (majority(quorum, roster) && (before == null || majority(quorum, before))) {
-      quorums.remove(key);
-      quorum.future.complete(null);
+    write.ackedBy.add(from);
+    if (hasMajority(write, roster)
+        && (previousRoster == null || hasMajority(write, previousRoster))) {
+      pending.remove(changeNumber);
+      write.future.complete(null);
     }
   }
 
-  private static boolean majority(final Quorum quorum, final Roster roster) {
+  private static boolean hasMajority(final PendingWrite write, final Roster roster) {
     int count = 0;
     for (final Voter voter : roster.voters) {
-      count += quorum.kept.contains(voter.address) ? 1 : 0;
+      count += write.ackedBy.contains(voter.address) ? 1 : 0;
     }
     return count >= roster.majority();
   }
 
   /** Time has passed. */
-  void tick(final Consumer<Message> everybody, final long now) {
-    for (final Map.Entry<Long, Quorum> entry : new ArrayList<>(quorums.entrySet())) {
-      final Quorum quorum = entry.getValue();
-      if (now >= quorum.deadline) {
-        quorums.remove(entry.getKey());
-        quorum.future.completeExceptionally(
+  void tick(final Consumer<Message> sendToMembers, final long now) {
+    for (final Map.Entry<Long, PendingWrite> entry : new ArrayList<>(pending.entrySet())) {
+      final PendingWrite write = entry.getValue();
+      if (now >= write.deadline) {
+        pending.remove(entry.getKey());
+        write.future.completeExceptionally(
             new WeldpointException(
                 WeldpointException.Kind.OUT_OF_REACH,
                 "no majority of disks has taken the change yet; send it to another daemon"));
-      } else if (now - quorum.sentAt > RESEND_MILLIS) {
-        quorum.sentAt = now;
-        everybody.accept(quorum.message.apply(entry.getKey()));
+      } else if (now - write.sentAt > RESEND_MILLIS) {
+        write.sentAt = now;
+        sendToMembers.accept(write.message.apply(entry.getKey()));
       }
     }
   }
--- a/registry/src/main/java/weldpoint/registry/RegistrationBuckets.java
+++ b/registry/src/main/java/weldpoint/registry/RegistrationBuckets.java
@@ -29,17 +29,17 @@
   private RegistrationBuckets() {}
 
   /** The bucket of the registration of this id. */
-  static int of(final String id) {
+  static int bucketOf(final String id) {
     return Math.floorMod(id.hashCode() * 0x9e3779b1, COUNT);
   }
 
   /** The digest of each bucket, of all registrations or only of those that have not ended. */
   public static List<Long> digests(
-      final Collection<Registration> registrations, final boolean ended) {
+      final Collection<Registration> registrations, final boolean includeRemoved) {
     final long[] sums = new long[COUNT];
-    for (final Registration one : registrations) {
-      if (ended || LifecycleStage.of(one) != LifecycleStage.REMOVED) {
-        sums[of(one.id)] += LifecycleStage.digest(one);
+    for (final Registration registration : registrations) {
+      if (includeRemoved || LifecycleStage.of(registration) != LifecycleStage.REMOVED) {
+        sums[bucketOf(registration.id)] += LifecycleStage.digest(registration);
       }
     }
     final List<Long> digests = new ArrayList<>(COUNT);
@@ -50,9 +50,9 @@
   }
 
   /** Whether there is nothing in any bucket. */
-  static boolean empty(final List<Long> digests) {
-    for (final long one : digests) {
-      if (one != 0) {
+  static boolean allEmpty(final List<Long> digests) {
+    for (final long digest : digests) {
+      if (digest != 0) {
         return false;
       }
     }
@@ -61,12 +61,14 @@
 
   /** The registrations in buckets where the two differ; all where the other side gave none. */
   static List<Registration> differing(
-      final Collection<Registration> registrations, final List<Long> here, final List<Long> there) {
+      final Collection<Registration> registrations,
+      final List<Long> local,
+      final List<Long> remote) {
     final List<Registration> list = new ArrayList<>();
-    for (final Registration one : registrations) {
-      final int bucket = of(one.id);
-      if (there.size() != COUNT || !here.get(bucket).equals(there.get(bucket))) {
-        list.add(one);
+    for (final Registration registration : registrations) {
+      final int bucket = bucketOf(registration.id);
+      if (remote.size() != COUNT || !local.get(bucket).equals(remote.get(bucket))) {
+        list.add(registration);
       }
     }
     return list;
@@ -89,7 +91,7 @@
   }
 
   /** Names in the order in which ages travel. */
-  static <T> TreeMap<String, T> ordered(final Map<String, T> named) {
-    return new TreeMap<>(named);
+  static <T> TreeMap<String, T> sortedById(final Map<String, T> byId) {
+    return new TreeMap<>(byId);
   }
 }
--- a/registry/src/main/java/weldpoint/registry/Registrations.java
+++ b/registry/src/main/java/weldpoint/registry/Registrations.java
@@ -15,37 +15,37 @@
  * and who is suspect.
  */
 final class Registrations {
-  private static final int MOST_REMOVED = 2000;
-  private static final long SUSPECT_BEATS = 4;
-  static final long LAPSE_BEATS = 20;
-  private static final long CONTEST_BEATS = 2;
-  private static final int OLD = 255;
+  private static final int MAX_REMOVED = 2000;
+  private static final long SUSPECT_HEARTBEATS = 4;
+  static final long LAPSE_HEARTBEATS = 20;
+  private static final long CONTEST_HEARTBEATS = 2;
+  private static final int MAX_AGE = 255;
 
-  private final long beatMillis;
-  private final Map<String, Registration> history = new LinkedHashMap<>();
-  private final Map<String, Long> beatAt = new HashMap<>();
+  private final long heartbeatMillis;
+  private final Map<String, Registration> byId = new LinkedHashMap<>();
+  private final Map<String, Long> heartbeatAt = new HashMap<>();
   private final Set<String> suspects = new HashSet<>();
-  private final Set<String> contested = new HashSet<>();
-  private long superseded;
+  private final Set<String> contestedAddresses = new HashSet<>();
+  private long supersededCount;
   private long digest;
-  private final long[] bucketsOfAll = new long[RegistrationBuckets.COUNT];
-  private final long[] bucketsOfLive = new long[RegistrationBuckets.COUNT];
+  private final long[] digestsOfAll = new long[RegistrationBuckets.COUNT];
+  private final long[] digestsOfLive = new long[RegistrationBuckets.COUNT];
   private long revision;
 
-  Registrations(final long beatMillis) {
-    this.beatMillis = beatMillis;
+  Registrations(final long heartbeatMillis) {
+    this.heartbeatMillis = heartbeatMillis;
   }
 
   Map<String, Registration> all() {
-    return history;
+    return byId;
   }
 
   Registration get(final String id) {
-    return history.get(id);
+    return byId.get(id);
   }
 
   int size() {
-    return history.size();
+    return byId.size();
   }
 
   /** A sum over all registrations: two histories with the same one are alike. */
@@ -54,18 +54,18 @@
   }
 
   /** The digest of each bucket, of all registrations or only of those that have not ended. */
-  List<Long> buckets(final boolean ended) {
-    return Arrays.stream(ended ? bucketsOfAll : bucketsOfLive).boxed().toList();
+  List<Long> bucketDigests(final boolean includeRemoved) {
+    return Arrays.stream(includeRemoved ? digestsOfAll : digestsOfLive).boxed().toList();
   }
 
   /** Adds a registration to the digests, or with the factor -1 takes it out. */
-  private void count(final Registration registration, final long factor) {
-    final long counted = factor * LifecycleStage.digest(registration);
-    final int bucket = RegistrationBuckets.of(registration.id);
-    digest += counted;
-    bucketsOfAll[bucket] += counted;
+  private void updateDigests(final Registration registration, final long factor) {
+    final long delta = factor * LifecycleStage.digest(registration);
+    final int bucket = RegistrationBuckets.bucketOf(registration.id);
+    digest += delta;
+    digestsOfAll[bucket] += delta;
     if (LifecycleStage.of(registration) != LifecycleStage.REMOVED) {
-      bucketsOfLive[bucket] += counted;
+      digestsOfLive[bucket] += delta;
     }
   }
 
@@ -83,31 +83,32 @@
    * who send requests.
    */
   boolean put(final Registration registration) {
-    final Registration before = history.get(registration.id);
+    final Registration before = byId.get(registration.id);
     if (before != null && LifecycleStage.later(before, registration) == before) {
       return false;
     }
-    history.put(registration.id, registration);
-    count(registration, 1);
+    byId.put(registration.id, registration);
+    updateDigests(registration, 1);
     if (before != null) {
-      count(before, -1);
+      updateDigests(before, -1);
     }
-    final boolean matters =
+    final boolean relevant =
         before == null
             || before.stage != registration.stage
-            || warms(before, registration)
+            || warmupChanged(before, registration)
             || !before.address.equals(registration.address);
-    revision += matters ? 1 : 0;
-    return matters;
+    revision += relevant ? 1 : 0;
+    return relevant;
   }
 
-  private static boolean warms(final Registration before, final Registration after) {
+  private static boolean warmupChanged(final Registration before, final Registration after) {
     return after.warmupMillis > 0 && after.warmupMillis > before.warmupMillis
         || after.warmupMillis == 0 && before.warmupMillis > 0;
   }
 
   /** The same upstream at another stage. */
-  static Registration step(final Registration from, final LifecycleStage stage, final long issued) {
+  static Registration withStage(
+      final Registration from, final LifecycleStage stage, final long issued) {
     return new Registration(
         from.id,
         from.service,
@@ -123,20 +124,20 @@
 
   /** Takes what another exchange has; those that matter and were news. */
   List<Registration> merge(final List<Registration> registrations, final long now) {
-    final List<Registration> news = new ArrayList<>();
+    final List<Registration> changed = new ArrayList<>();
     for (final Registration registration : registrations) {
-      final boolean unknown = !history.containsKey(registration.id);
+      final boolean unknown = !byId.containsKey(registration.id);
       if (put(registration)) {
-        news.add(registration);
+        changed.add(registration);
       }
       if (unknown) {
-        beatAt.put(registration.id, now);
+        heartbeatAt.put(registration.id, now);
         if (LifecycleStage.of(registration) == LifecycleStage.JOINED) {
-          news.addAll(supersede(registration, now));
+          changed.addAll(supersede(registration, now));
         }
       }
     }
-    return news;
+    return changed;
   }
 
   /**
@@ -147,16 +148,16 @@
    */
   List<Registration> supersede(final Registration newcomer, final long now) {
     final List<Registration> changes = new ArrayList<>();
-    for (final Registration other : new ArrayList<>(history.values())) {
+    for (final Registration other : new ArrayList<>(byId.values())) {
       if (other.id.equals(newcomer.id) || !other.address.equals(newcomer.address)) {
         continue;
       }
       if (LifecycleStage.of(other) == LifecycleStage.JOINED) {
-        contested.add(other.address);
-        writeOff(other, LifecycleStage.LAPSED, newcomer.issued, changes);
+        contestedAddresses.add(other.address);
+        retire(other, LifecycleStage.LAPSED, newcomer.issued, changes);
       } else if (LifecycleStage.of(other) == LifecycleStage.DRAINING
-          || LifecycleStage.of(other) == LifecycleStage.LAPSED && longSilent(other, now)) {
-        writeOff(other, LifecycleStage.REMOVED, newcomer.issued, changes);
+          || LifecycleStage.of(other) == LifecycleStage.LAPSED && silentBeyondLapse(other, now)) {
+        retire(other, LifecycleStage.REMOVED, newcomer.issued, changes);
       }
     }
     return changes;
@@ -167,53 +168,54 @@
    * some beats; those that changed. Only one process can be bound to an address, so of two lives
    * that claim it the one that goes on beating is there.
    */
-  List<Registration> settleAddress(final Registration beating, final long now) {
-    if (!contested.contains(beating.address)) {
+  List<Registration> resolveContestedAddress(final Registration current, final long now) {
+    if (!contestedAddresses.contains(current.address)) {
       return List.of();
     }
     final List<Registration> changes = new ArrayList<>();
-    for (final Registration other : new ArrayList<>(history.values())) {
-      if (!other.id.equals(beating.id)
-          && other.address.equals(beating.address)
+    for (final Registration other : new ArrayList<>(byId.values())) {
+      if (!other.id.equals(current.id)
+          && other.address.equals(current.address)
           && LifecycleStage.of(other) == LifecycleStage.JOINED
-          && now - beatAt.getOrDefault(other.id, now) > CONTEST_BEATS * beatMillis) {
-        writeOff(other, LifecycleStage.LAPSED, other.issued, changes);
+          && now - heartbeatAt.getOrDefault(other.id, now) > CONTEST_HEARTBEATS * heartbeatMillis) {
+        retire(other, LifecycleStage.LAPSED, other.issued, changes);
       }
     }
     return changes;
   }
 
-  private boolean longSilent(final Registration one, final long now) {
-    return now - beatAt.getOrDefault(one.id, now) > LAPSE_BEATS * beatMillis;
+  private boolean silentBeyondLapse(final Registration registration, final long now) {
+    return now - heartbeatAt.getOrDefault(registration.id, now)
+        > LAPSE_HEARTBEATS * heartbeatMillis;
   }
 
-  private void writeOff(
-      final Registration one,
+  private void retire(
+      final Registration registration,
       final LifecycleStage stage,
       final long issued,
       final List<Registration> changes) {
-    final Registration ended = step(one, stage, issued);
-    put(ended);
-    changes.add(ended);
-    superseded++;
+    final Registration retired = withStage(registration, stage, issued);
+    put(retired);
+    changes.add(retired);
+    supersededCount++;
   }
 
   /** How many lives were written off since another one beat from their address. */
-  long superseded() {
-    return superseded;
+  long supersededCount() {
+    return supersededCount;
   }
 
   /** Drops one of those that signed off, where there are too many. */
-  void forget() {
-    int removed = 0;
-    for (final Registration registration : history.values()) {
-      removed += LifecycleStage.of(registration) == LifecycleStage.REMOVED ? 1 : 0;
+  void pruneRemoved() {
+    int removedCount = 0;
+    for (final Registration registration : byId.values()) {
+      removedCount += LifecycleStage.of(registration) == LifecycleStage.REMOVED ? 1 : 0;
     }
-    if (removed > MOST_REMOVED) {
-      for (final Registration registration : new ArrayList<>(history.values())) {
+    if (removedCount > MAX_REMOVED) {
+      for (final Registration registration : new ArrayList<>(byId.values())) {
         if (LifecycleStage.of(registration) == LifecycleStage.REMOVED) {
-          history.remove(registration.id);
-          count(registration, -1);
+          byId.remove(registration.id);
+          updateDigests(registration, -1);
           break;
         }
       }
@@ -223,49 +225,52 @@
   // ---- beats
 
   /** All are taken to have beaten now, since this exchange has only just started. */
-  void began(final long now) {
-    history.keySet().forEach(id -> beatAt.put(id, now));
+  void resetHeartbeats(final long now) {
+    byId.keySet().forEach(id -> heartbeatAt.put(id, now));
   }
 
   /** An upstream beat here; true where it was suspect. */
-  boolean beat(final String id, final long now) {
-    beatAt.put(id, now);
+  boolean heartbeat(final String id, final long now) {
+    heartbeatAt.put(id, now);
     return suspects.remove(id);
   }
 
   /** An upstream beat elsewhere; true where it was suspect. */
-  boolean beaten(final String id, final long heardAt, final long now) {
-    if (heardAt <= beatAt.getOrDefault(id, Long.MIN_VALUE)) {
+  boolean mergeHeartbeat(final String id, final long heardAt, final long now) {
+    if (heardAt <= heartbeatAt.getOrDefault(id, Long.MIN_VALUE)) {
       return false;
     }
-    beatAt.put(id, heardAt);
-    return now - heardAt < SUSPECT_BEATS * beatMillis && suspects.remove(id);
+    heartbeatAt.put(id, heardAt);
+    return now - heardAt < SUSPECT_HEARTBEATS * heartbeatMillis && suspects.remove(id);
   }
 
-  private long ageUnit() {
-    return Math.max(1, SUSPECT_BEATS * beatMillis / (OLD - 1));
+  private long ageUnitMillis() {
+    return Math.max(1, SUSPECT_HEARTBEATS * heartbeatMillis / (MAX_AGE - 1));
   }
 
   /** How long ago each upstream beat, one byte each, in the order of their names. */
-  byte[] beatAges(final long now) {
-    final byte[] ages = new byte[history.size()];
+  byte[] heartbeatAges(final long now) {
+    final byte[] ages = new byte[byId.size()];
     int index = 0;
-    for (final String id : RegistrationBuckets.ordered(history).keySet()) {
+    for (final String id : RegistrationBuckets.sortedById(byId).keySet()) {
       ages[index++] =
-          (byte) Math.min(OLD, (now - beatAt.getOrDefault(id, Long.MIN_VALUE / 2)) / ageUnit() + 1);
+          (byte)
+              Math.min(
+                  MAX_AGE,
+                  (now - heartbeatAt.getOrDefault(id, Long.MIN_VALUE / 2)) / ageUnitMillis() + 1);
     }
     return ages;
   }
 
   /** Takes the ages that a peer with the same history tells; true where a suspect was cleared. */
-  boolean takeBeatAges(final byte[] ages, final long now) {
+  boolean mergeHeartbeatAges(final byte[] ages, final long now) {
     boolean cleared = false;
-    if (ages.length == history.size()) {
+    if (ages.length == byId.size()) {
       int index = 0;
-      for (final String id : RegistrationBuckets.ordered(history).keySet()) {
+      for (final String id : RegistrationBuckets.sortedById(byId).keySet()) {
         final int age = ages[index++] & 0xff;
-        if (age < OLD) {
-          cleared |= beaten(id, now - age * ageUnit(), now);
+        if (age < MAX_AGE) {
+          cleared |= mergeHeartbeat(id, now - age * ageUnitMillis(), now);
         }
       }
     }
@@ -273,10 +278,10 @@
   }
 
   /** Tells of each upstream that beat lately. */
-  void recent(final List<String> ids, final List<Long> ages, final long now) {
-    for (final Map.Entry<String, Long> entry : beatAt.entrySet()) {
+  void recentHeartbeats(final List<String> ids, final List<Long> ages, final long now) {
+    for (final Map.Entry<String, Long> entry : heartbeatAt.entrySet()) {
       final long age = now - entry.getValue();
-      if (age < SUSPECT_BEATS * beatMillis) {
+      if (age < SUSPECT_HEARTBEATS * heartbeatMillis) {
         ids.add(entry.getKey());
         ages.add(age);
       }
@@ -287,21 +292,21 @@
    * Judges who is suspect; true where that changed. Those silent for so long that they may be
    * written off are added to the list.
    */
-  boolean judge(final List<Registration> silentTooLong, final long now) {
+  boolean updateSuspects(final List<Registration> expired, final long now) {
     boolean changed = false;
-    for (final Registration registration : new ArrayList<>(history.values())) {
+    for (final Registration registration : new ArrayList<>(byId.values())) {
       if (LifecycleStage.of(registration) == LifecycleStage.REMOVED
           || LifecycleStage.of(registration) == LifecycleStage.LAPSED) {
         changed |= suspects.remove(registration.id);
         continue;
       }
-      final long silent = now - beatAt.getOrDefault(registration.id, now);
-      if (silent > SUSPECT_BEATS * beatMillis
+      final long silentMillis = now - heartbeatAt.getOrDefault(registration.id, now);
+      if (silentMillis > SUSPECT_HEARTBEATS * heartbeatMillis
           && LifecycleStage.of(registration) == LifecycleStage.JOINED) {
         changed |= suspects.add(registration.id);
       }
-      if (silent > LAPSE_BEATS * beatMillis) {
-        silentTooLong.add(registration);
+      if (silentMillis > LAPSE_HEARTBEATS * heartbeatMillis) {
+        expired.add(registration);
       }
     }
     return changed;
--- a/registry/src/main/java/weldpoint/registry/RegistryCore.java
+++ b/registry/src/main/java/weldpoint/registry/RegistryCore.java
@@ -48,40 +48,40 @@
  */
 public final class RegistryCore {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
-  private static final long GOSSIP_MILLIS = 1000;
-  private static final long REACH_MILLIS = 500;
+  private static final long GOSSIP_INTERVAL_MILLIS = 1000;
+  private static final long STATUS_INTERVAL_MILLIS = 500;
 
   /** How long the word to proxies waits for the quorum read that makes it a proof. */
-  private static final long PROOF_MILLIS = 260;
+  private static final long STATUS_READ_TIMEOUT_MILLIS = 260;
 
-  private static final long QUORUM_MILLIS = 900;
-  private static final long REFRESH_MILLIS = 400;
-  private static final long CONFIRM_MILLIS = 1600;
-  private static final long YOUNG_MILLIS = 1500;
-  private static final long LEARNING_MILLIS = 1500;
-  private static final long MOST_LEARNING_MILLIS = 10_000;
-  private static final long JOINT_MILLIS = 3000;
-  private static final long MAJORITY_MILLIS = 2500;
+  private static final long QUORUM_WRITE_TIMEOUT_MILLIS = 900;
+  private static final long REFRESH_TIMEOUT_MILLIS = 400;
+  private static final long RECONFIRM_AFTER_MILLIS = 1600;
+  private static final long START_LEASE_MILLIS = 1500;
+  private static final long MIN_BOOTSTRAP_MILLIS = 1500;
+  private static final long MAX_BOOTSTRAP_MILLIS = 10_000;
+  private static final long JOINT_ROSTER_MILLIS = 3000;
+  private static final long MAJORITY_TIMEOUT_MILLIS = 2500;
 
   /** What the core does to the world. */
   public interface Environment {
     /** Sends to another exchange; false where there is no line to it. */
-    boolean member(String address, Message message);
+    boolean sendToMember(String address, Message message);
 
     /** Sends to a frame; false where there is no line to it. */
-    boolean frame(String address, StoreMessages.StoreRequest call);
+    boolean sendToReplica(String address, StoreMessages.StoreRequest call);
 
     /** Sends to a switchboard's stream. */
-    void board(Object stream, Message message);
+    void sendToStream(Object stream, Message message);
 
     /** Puts a record on disk; the callback runs once it is lasting. */
     void append(byte[] record, Runnable synced);
 
     /** The machines whose exchanges and frames to keep lines to. */
-    void peers(List<String> members);
+    void updatePeers(List<String> members);
 
     /** What is on disk, as counters. */
-    default String disk() {
+    default String diskCounters() {
       return "";
     }
   }
@@ -89,87 +89,88 @@
   private final String self;
   private final Random random;
   private final Environment environment;
-  private List<String> seeds;
+  private List<String> seedAddresses;
   private final boolean firstStart;
   private final StoreClient store;
   private final HistoryReader historyReader;
   private final TrialService trialService;
   private final Registrations registrations;
-  private final ControlState control;
-  private final DaemonTable switchboards = new DaemonTable();
-  private final Directory directory = new Directory(switchboards);
+  private final ControlState controlState;
+  private final DaemonTable daemonTable = new DaemonTable();
+  private final Directory directory = new Directory(daemonTable);
   private final ProxyStreams proxyStreams;
-  private QuorumWrites quorums = new QuorumWrites();
-  private QuorumReads reads;
-  private MajorityReachability majority;
+  private QuorumWrites quorumWrites = new QuorumWrites();
+  private QuorumReads quorumReads;
+  private MajorityReachability majorityReachability;
   private CacheMessages.Purges purges;
-  private QuotaEndpoint quotas;
+  private QuotaEndpoint quotaEndpoint;
   private final KeyClaims keyClaims;
   private final SiteMembership siteMembership = new SiteMembership();
   private Electorates electorates;
-  private PlacementService placements;
-  private OwnershipEndpoint ownership;
+  private PlacementService placementService;
+  private OwnershipEndpoint ownershipEndpoint;
   private final RecordingBuffer recordingBuffer = new RecordingBuffer();
   private final Map<String, Long> members = new LinkedHashMap<>();
   private final Set<String> connected = new HashSet<>();
   private Roster roster = new Roster(0, List.of());
-  private Roster rosterBefore;
-  private long rosterAt;
-  private boolean learning;
-  private long learningRead = Long.MAX_VALUE;
-  private long withheldUntil = Long.MIN_VALUE / 2;
-  private final List<Runnable> withheld = new ArrayList<>();
-  private long gossipAt;
-  private long reachAt;
-  private boolean proofDue;
-  private long proofRead;
+  private Roster previousRoster;
+  private long rosterChangedAt;
+  private boolean bootstrapping;
+  private long bootstrapRead = Long.MAX_VALUE;
+  private long acksWithheldUntil = Long.MIN_VALUE / 2;
+  private final List<Runnable> withheldAcks = new ArrayList<>();
+  private long lastGossipAt;
+  private long lastStatusAt;
+  private boolean statusPending;
+  private long statusRead;
   private long startedAt;
   private boolean reconciled;
   private long majorityAt = Long.MIN_VALUE / 2;
-  private boolean controlOut;
+  private boolean controlRequestPending;
   private boolean leaving;
-  private long beats;
-  private long gossips;
+  private long heartbeats;
+  private long gossipRounds;
 
   /** A core for these settings. */
   public RegistryCore(
       final String self,
-      final List<String> seeds,
+      final List<String> seedAddresses,
       final boolean firstStart,
-      final long beatMillis,
+      final long heartbeatMillis,
       final Random random,
       final Environment environment) {
     this.self = self;
-    this.seeds = seeds;
+    this.seedAddresses = seedAddresses;
     this.firstStart = firstStart;
-    this.registrations = new Registrations(beatMillis);
-    this.control = new ControlState(self);
-    this.proxyStreams = new ProxyStreams(environment::board, registrations, control, switchboards);
+    this.registrations = new Registrations(heartbeatMillis);
+    this.controlState = new ControlState(self);
+    this.proxyStreams =
+        new ProxyStreams(environment::sendToStream, registrations, controlState, daemonTable);
     this.random = random;
     this.environment = environment;
-    this.store = new StoreClient(self, random, environment::frame);
+    this.store = new StoreClient(self, random, environment::sendToReplica);
     this.historyReader = new HistoryReader(self, store);
-    this.trialService = new TrialService(self, control, store, new TrialSurroundings());
-    this.reads = new QuorumReads(self);
-    this.majority = new MajorityReachability(self, environment::member);
+    this.trialService = new TrialService(self, controlState, store, new TrialRegistry());
+    this.quorumReads = new QuorumReads(self);
+    this.majorityReachability = new MajorityReachability(self, environment::sendToMember);
     this.keyClaims =
         new KeyClaims(
             self,
-            environment::member,
+            environment::sendToMember,
             (claims, synced) ->
                 environment.append(Serializer.serialize(PersistedRecord.claims(claims)), synced));
   }
 
   /** What trials need of this registry. */
-  private final class TrialSurroundings implements TrialService.Registry {
+  private final class TrialRegistry implements TrialService.Registry {
     @Override
     public CompletableFuture<Void> refresh(final long now) {
-      return RegistryCore.this.refresh(now);
+      return RegistryCore.this.refreshControlState(now);
     }
 
     @Override
     public CompletableFuture<Void> settle() {
-      return RegistryCore.this.settle(clock);
+      return RegistryCore.this.replicateControlState(clock);
     }
 
     @Override
@@ -180,35 +181,35 @@
     @Override
     public List<String> liveProxies(final long now) {
       final List<String> live = new ArrayList<>();
-      switchboards.live(now).forEach(board -> live.add(board.address));
+      daemonTable.liveProxies(now).forEach(proxy -> live.add(proxy.address));
       return live;
     }
 
     @Override
     public boolean hearsMajority(final long now) {
-      return now - majorityAt < MAJORITY_MILLIS;
+      return now - majorityAt < MAJORITY_TIMEOUT_MILLIS;
     }
 
     @Override
     public void relay(final TrialMessages.TrialReport report) {
       for (final String member : members.keySet()) {
-        environment.member(member, report);
+        environment.sendToMember(member, report);
       }
     }
   }
 
   /** Takes other judges of what may be answered, for tests that break them. */
-  void judges(
-      final QuorumWrites givenQuorums,
+  void replaceQuorumChecks(
+      final QuorumWrites givenWrites,
       final QuorumReads givenReads,
-      final MajorityReachability givenAuthority) {
-    quorums = givenQuorums;
-    reads = givenReads;
-    majority = givenAuthority;
+      final MajorityReachability givenReachability) {
+    quorumWrites = givenWrites;
+    quorumReads = givenReads;
+    majorityReachability = givenReachability;
   }
 
   /** Takes to keeping who may choose a region's chief. */
-  public void chiefs() {
+  public void enableElectorates() {
     electorates =
         new Electorates(
             (region, body, now) ->
@@ -216,14 +217,14 @@
   }
 
   /** Takes to placing callers on nodes, by what settings say of write routes without a rule. */
-  public void placements(
-      final Affinity usual,
+  public void enablePlacements(
+      final Affinity defaultAffinity,
       final long incarnation,
       final long leaseMillis,
       final long batchMillis) {
-    placements =
+    placementService =
         new PlacementService(
-            usual,
+            defaultAffinity,
             new PlacementCoordinator(
                 self,
                 incarnation,
@@ -263,45 +264,47 @@
   }
 
   /** A switchboard asks for a lease on placements. */
-  public void lease(final Object stream, final PlacementMessages.LeaseRequest ask, final long now) {
-    if (placements == null) {
+  public void requestPlacementLease(
+      final Object stream, final PlacementMessages.LeaseRequest request, final long now) {
+    if (placementService == null) {
       return;
     }
-    if (placements.coordinator().keeps()) {
-      environment.board(stream, placements.coordinator().ask(ask, majorityAt, now));
+    if (placementService.coordinator().keeps()) {
+      environment.sendToStream(
+          stream, placementService.coordinator().ask(request, majorityAt, now));
     } else {
-      placements.asker(ask.board, stream);
-      environment.member(placements.coordinator().keeper(), ask);
+      placementService.asker(request.board, stream);
+      environment.sendToMember(placementService.coordinator().keeper(), request);
     }
   }
 
   /** Takes to assigning the keys of divided services. */
-  void ownership(
+  void enableOwnership(
       final long incarnation, final GrantTimings timings, final KeyGrantClient grantClient) {
-    ownership =
+    ownershipEndpoint =
         new OwnershipEndpoint(
             self,
             incarnation,
             timings,
             new AssignerEnvironment(store, grantClient, () -> clock),
-            this::tellMembers,
-            environment::member);
+            this::sendToMembers,
+            environment::sendToMember);
   }
 
   /** A proxy tells what it sent to the holders of keys. */
   public void slotReport(final SlotReport report) {
-    if (ownership != null) {
-      ownership.fromProxy(report);
+    if (ownershipEndpoint != null) {
+      ownershipEndpoint.fromProxy(report);
     }
   }
 
   /** Takes to giving out permits. */
-  public void quotas(final QuotaAllocator allocator) {
-    quotas = new QuotaEndpoint(self, allocator, environment::member);
+  public void enableQuotas(final QuotaAllocator allocator) {
+    quotaEndpoint = new QuotaEndpoint(self, allocator, environment::sendToMember);
   }
 
   /** Takes where this daemon stands. */
-  public void place(final String givenSite, final String givenRegion) {
+  public void setLocation(final String givenSite, final String givenRegion) {
     site = givenSite;
     region = givenRegion;
   }
@@ -310,12 +313,12 @@
   private String region = "";
 
   /** Takes another seed list. */
-  public void seeds(final List<String> given, final long now) {
-    seeds = given;
-    for (final String seed : given) {
+  public void updateSeeds(final List<String> newSeeds, final long now) {
+    seedAddresses = newSeeds;
+    for (final String seed : newSeeds) {
       members.putIfAbsent(seed, now);
     }
-    tellPeers(now);
+    updatePeers(now);
   }
 
   // ---- disk
@@ -323,73 +326,76 @@
   /** Takes what the disk held and begins. */
   public void start(final List<byte[]> records, final long now) {
     startedAt = now;
-    learning = records.isEmpty() && !(firstStart && seeds.contains(self));
+    bootstrapping = records.isEmpty() && !(firstStart && seedAddresses.contains(self));
     for (final byte[] record : records) {
-      final PersistedRecord kept = Serializer.deserialize(record, PersistedRecord.class);
-      learning =
-          kept.learning == PersistedRecord.UNSAID
-              ? learning
-              : kept.learning == PersistedRecord.LEARNING;
-      for (final Registration registration : Protocol.list(kept.history)) {
+      final PersistedRecord persisted = Serializer.deserialize(record, PersistedRecord.class);
+      bootstrapping =
+          persisted.bootstrapState == PersistedRecord.BOOTSTRAP_UNCHANGED
+              ? bootstrapping
+              : persisted.bootstrapState == PersistedRecord.BOOTSTRAPPING;
+      for (final Registration registration : Protocol.list(persisted.registrations)) {
         registrations.put(registration);
       }
-      if (kept.roster != null && kept.roster.number > roster.number) {
-        roster = kept.roster;
+      if (persisted.roster != null && persisted.roster.number > roster.number) {
+        roster = persisted.roster;
       }
-      control.recall(kept);
-      keyClaims.recall(Protocol.list(kept.claims), now);
+      controlState.restore(persisted);
+      keyClaims.recall(Protocol.list(persisted.claims), now);
     }
-    if (learning && records.isEmpty()) {
-      keepLearning();
+    if (bootstrapping && records.isEmpty()) {
+      persistBootstrapState();
     }
-    rosterAt = now;
+    rosterChangedAt = now;
     if (!firstStart && !records.isEmpty()) {
-      withheldUntil = now + YOUNG_MILLIS;
-      reads.next();
-      if (lease(now) > 0) {
-        reads.leased(self, withheldUntil);
+      acksWithheldUntil = now + START_LEASE_MILLIS;
+      quorumReads.requestRead();
+      if (startLeaseMillis(now) > 0) {
+        quorumReads.recordLease(self, acksWithheldUntil);
       }
     }
     clock = now;
-    majority.started(now);
-    if (quotas != null) {
-      quotas.began(roster);
+    majorityReachability.started(now);
+    if (quotaEndpoint != null) {
+      quotaEndpoint.began(roster);
     }
     reconciled = firstStart || registrations.size() > 0;
-    registrations.began(now);
-    for (final String seed : seeds) {
+    registrations.resetHeartbeats(now);
+    for (final String seed : seedAddresses) {
       members.put(seed, now);
     }
-    tellPeers(now);
+    updatePeers(now);
     LOGGER.atInfo().log(
         "registry %s starts with %s registrations, roster %s",
         self, registrations.size(), roster.number);
   }
 
   /** The live state as records. */
-  public List<byte[]> view() {
+  public List<byte[]> snapshot() {
     final List<Registration> all = new ArrayList<>(registrations.all().values());
     return List.of(
         Serializer.serialize(
             new PersistedRecord(
                 all,
                 roster.number == 0 ? null : roster,
-                control.version(),
-                control.spec(),
-                control.evacuated(),
-                control.evacuationMark(),
-                control.coordinator().trials(),
-                control.trialMark(),
-                learning ? PersistedRecord.LEARNING : PersistedRecord.WHOLE,
+                controlState.version(),
+                controlState.spec(),
+                controlState.evacuated(),
+                controlState.evacuationVersion(),
+                controlState.trialCoordinator().trials(),
+                controlState.trialVersion(),
+                bootstrapping ? PersistedRecord.BOOTSTRAPPING : PersistedRecord.BOOTSTRAPPED,
                 keyClaims.live())));
   }
 
-  private void keepLearning() {
-    environment.append(Serializer.serialize(PersistedRecord.learning(learning)), () -> {});
+  private void persistBootstrapState() {
+    environment.append(
+        Serializer.serialize(PersistedRecord.bootstrapState(bootstrapping)), () -> {});
   }
 
-  private void persist(final List<Registration> changes, final Roster news, final Runnable synced) {
-    environment.append(Serializer.serialize(PersistedRecord.membership(changes, news)), synced);
+  private void persist(
+      final List<Registration> changes, final Roster newRoster, final Runnable synced) {
+    environment.append(
+        Serializer.serialize(PersistedRecord.membership(changes, newRoster)), synced);
   }
 
   // ---- upstreams
@@ -398,10 +404,11 @@
    * Who keeps the beats of an upstream: the token's owner if it can be reached, otherwise the next
    * of the list.
    */
-  public String keeper(final String id, final String site, final Map<String, String> regions) {
-    final String keeper =
-        HeartbeatOwners.keeper(roster.voters, id, regions.get(site), this::reachable);
-    return keeper == null ? self : keeper;
+  public String heartbeatOwner(
+      final String id, final String site, final Map<String, String> regions) {
+    final String owner =
+        HeartbeatOwners.heartbeatOwner(roster.voters, id, regions.get(site), this::reachable);
+    return owner == null ? self : owner;
   }
 
   private boolean reachable(final String address) {
@@ -409,41 +416,42 @@
   }
 
   /** A beat of an upstream; completes once it may be acknowledged. */
-  public CompletableFuture<Void> beat(final Registration beat, final long now) {
-    beats++;
-    final Registration before = registrations.get(beat.id);
-    if (registrations.beat(beat.id, now)) {
-      proxyStreams.suspects();
+  public CompletableFuture<Void> heartbeat(final Registration heartbeat, final long now) {
+    heartbeats++;
+    final Registration before = registrations.get(heartbeat.id);
+    if (registrations.heartbeat(heartbeat.id, now)) {
+      proxyStreams.sendSuspects();
     }
-    final boolean drains = LifecycleStage.of(beat) == LifecycleStage.DRAINING;
+    final boolean draining = LifecycleStage.of(heartbeat) == LifecycleStage.DRAINING;
     final boolean late =
         before != null
             && (LifecycleStage.of(before) == LifecycleStage.REMOVED
-                || beat.sequence < before.sequence);
-    if (late && !drains) {
+                || heartbeat.sequence < before.sequence);
+    if (late && !draining) {
       return CompletableFuture.completedFuture(null);
     }
     final List<Registration> changes = new ArrayList<>();
-    if (registrations.put(beat)) {
-      changes.add(beat);
+    if (registrations.put(heartbeat)) {
+      changes.add(heartbeat);
       if (before == null) {
-        LOGGER.atInfo().log("upstream %s joined %s at %s", beat.id, beat.service, beat.address);
-      } else if (before.stage != beat.stage) {
-        LOGGER.atInfo().log("upstream %s is %s", beat.id, LifecycleStage.of(beat));
+        LOGGER.atInfo().log(
+            "upstream %s joined %s at %s", heartbeat.id, heartbeat.service, heartbeat.address);
+      } else if (before.stage != heartbeat.stage) {
+        LOGGER.atInfo().log("upstream %s is %s", heartbeat.id, LifecycleStage.of(heartbeat));
       }
     }
-    changes.addAll(claimAddress(beat, before == null, now));
+    changes.addAll(claimAddress(heartbeat, before == null, now));
     if (!changes.isEmpty()) {
-      if (drains) {
-        proxyStreams.registrations(changes);
-        return quorum(changes, now);
+      if (draining) {
+        proxyStreams.sendRegistrations(changes);
+        return writeToQuorum(changes, now);
       }
       persist(changes, null, () -> {});
-      tellMembers(new RegistryMessages.Changes(0, changes, null));
-      proxyStreams.registrations(changes);
+      sendToMembers(new RegistryMessages.Changes(0, changes, null));
+      proxyStreams.sendRegistrations(changes);
     }
-    return drains
-        ? quorum(List.of(registrations.get(beat.id)), now)
+    return draining
+        ? writeToQuorum(List.of(registrations.get(heartbeat.id)), now)
         : CompletableFuture.completedFuture(null);
   }
 
@@ -452,18 +460,20 @@
    * leaves claims nothing: it may be a life of which nothing but its end is heard, late.
    */
   private List<Registration> claimAddress(
-      final Registration beat, final boolean newcomer, final long now) {
-    if (LifecycleStage.of(beat) != LifecycleStage.JOINED) {
+      final Registration heartbeat, final boolean newcomer, final long now) {
+    if (LifecycleStage.of(heartbeat) != LifecycleStage.JOINED) {
       return List.of();
     }
-    final List<Registration> ended =
-        newcomer ? registrations.supersede(beat, now) : registrations.settleAddress(beat, now);
-    for (final Registration one : ended) {
+    final List<Registration> superseded =
+        newcomer
+            ? registrations.supersede(heartbeat, now)
+            : registrations.resolveContestedAddress(heartbeat, now);
+    for (final Registration registration : superseded) {
       LOGGER.atInfo().log(
           "upstream %s is %s, since %s beats from its address %s",
-          one.id, LifecycleStage.of(one), beat.id, beat.address);
+          registration.id, LifecycleStage.of(registration), heartbeat.id, heartbeat.address);
     }
-    return ended;
+    return superseded;
   }
 
   /** An upstream signs off; completes once a majority of disks holds it. */
@@ -473,47 +483,56 @@
         before == null
             ? new Registration(
                 id, "", "", "", "", 0, LifecycleStage.REMOVED.ordinal(), 0, issued, 0)
-            : Registrations.step(before, LifecycleStage.REMOVED, issued);
+            : Registrations.withStage(before, LifecycleStage.REMOVED, issued);
     if (before == null || LifecycleStage.of(before) != LifecycleStage.REMOVED) {
       registrations.put(ended);
       LOGGER.atInfo().log("upstream %s signed off", id);
-      proxyStreams.registrations(List.of(ended));
+      proxyStreams.sendRegistrations(List.of(ended));
     }
-    return quorum(List.of(registrations.get(id)), now);
+    return writeToQuorum(List.of(registrations.get(id)), now);
   }
 
-  private CompletableFuture<Void> quorum(final List<Registration> changes, final long now) {
-    return begin(
-        changes, key -> new RegistryMessages.Changes(key, changes, null), now + QUORUM_MILLIS, now);
+  private CompletableFuture<Void> writeToQuorum(final List<Registration> changes, final long now) {
+    return beginQuorumWrite(
+        changes,
+        changeNumber -> new RegistryMessages.Changes(changeNumber, changes, null),
+        now + QUORUM_WRITE_TIMEOUT_MILLIS,
+        now);
   }
 
-  private CompletableFuture<Void> begin(
+  private CompletableFuture<Void> beginQuorumWrite(
       final List<Registration> changes,
       final LongFunction<Message> message,
       final long deadline,
       final long now) {
-    final CompletableFuture<Void> future = quorums.begin(message, this::tellMembers, deadline, now);
-    final long key = quorums.last();
-    persist(changes, null, () -> confirm(() -> kept(self, key, clock)));
+    final CompletableFuture<Void> future =
+        quorumWrites.begin(message, this::sendToMembers, deadline, now);
+    final long changeNumber = quorumWrites.lastNumber();
+    persist(changes, null, () -> acknowledge(() -> recordAck(self, changeNumber, clock)));
     return future;
   }
 
-  private void kept(final String from, final long key, final long now) {
-    quorums.kept(from, key, roster, now - rosterAt < JOINT_MILLIS ? rosterBefore : null, now);
+  private void recordAck(final String from, final long changeNumber, final long now) {
+    quorumWrites.acknowledged(
+        from,
+        changeNumber,
+        roster,
+        now - rosterChangedAt < JOINT_ROSTER_MILLIS ? previousRoster : null,
+        now);
   }
 
-  private void tellVoters(final Message message) {
+  private void sendToVoters(final Message message) {
     for (final Voter voter : roster.voters) {
       if (!voter.address.equals(self)) {
-        environment.member(voter.address, message);
+        environment.sendToMember(voter.address, message);
       }
     }
   }
 
-  private void tellMembers(final Message message) {
+  private void sendToMembers(final Message message) {
     for (final String member : members.keySet()) {
       if (!member.equals(self)) {
-        environment.member(member, message);
+        environment.sendToMember(member, message);
       }
     }
   }
@@ -522,39 +541,49 @@
    * The frames have taken a configuration (null where they hold it, or a later one, already);
    * completes once a majority of exchanges has it, or a later one, on disk too.
    */
-  public CompletableFuture<Void> spread(final long given, final byte[] body, final long now) {
+  public CompletableFuture<Void> replicateConfiguration(
+      final long version, final byte[] body, final long now) {
     if (body == null) {
-      return refresh(clock).thenCompose(done -> spreadHeld(now));
+      return refreshControlState(clock).thenCompose(done -> replicateCurrentConfiguration(now));
     }
-    take(given, body, null, 0, null, 0);
-    return spreadHeld(now);
+    applyControlState(version, body, null, 0, null, 0);
+    return replicateCurrentConfiguration(now);
   }
 
-  private CompletableFuture<Void> spreadHeld(final long now) {
-    final long given = control.version();
-    final byte[] body = control.spec();
-    return begin(
+  private CompletableFuture<Void> replicateCurrentConfiguration(final long now) {
+    final long version = controlState.version();
+    final byte[] body = controlState.spec();
+    return beginQuorumWrite(
         List.of(),
-        key -> new RegistryMessages.Changes(key, null, null, given, body, null, 0, null, 0),
-        now + QUORUM_MILLIS,
+        changeNumber ->
+            new RegistryMessages.Changes(changeNumber, null, null, version, body, null, 0, null, 0),
+        now + QUORUM_WRITE_TIMEOUT_MILLIS,
         now);
   }
 
   /** The frames have taken an order; completes once a majority of exchanges has it on disk too. */
-  public CompletableFuture<Void> settle(final long now) {
-    return refresh(clock)
+  public CompletableFuture<Void> replicateControlState(final long now) {
+    return refreshControlState(clock)
         .thenCompose(
             done -> {
-              final List<String> evacuated = control.evacuated();
-              final long evacuationMark = control.evacuationMark();
-              final List<TrialMessages.Trial> trials = control.coordinator().trials();
-              final long trialMark = control.trialMark();
-              return begin(
+              final List<String> evacuated = controlState.evacuated();
+              final long evacuationMark = controlState.evacuationVersion();
+              final List<TrialMessages.Trial> trials = controlState.trialCoordinator().trials();
+              final long trialMark = controlState.trialVersion();
+              return beginQuorumWrite(
                   List.of(),
-                  key ->
+                  changeNumber ->
                       new RegistryMessages.Changes(
-                          key, null, null, 0, null, evacuated, evacuationMark, trials, trialMark),
-                  now + QUORUM_MILLIS,
+                          changeNumber,
+                          null,
+                          null,
+                          0,
+                          null,
+                          evacuated,
+                          evacuationMark,
+                          trials,
+                          trialMark),
+                  now + QUORUM_WRITE_TIMEOUT_MILLIS,
                   now);
             });
   }
@@ -563,18 +592,18 @@
    * Asks the frames for what they hold; completes once a majority has confirmed it after this
    * question.
    */
-  public CompletableFuture<Void> refresh(final long now) {
+  public CompletableFuture<Void> refreshControlState(final long now) {
     return store
         .call(
             StoreOperation.CONTROL,
             "",
             null,
-            control.version(),
+            controlState.version(),
             -1,
             null,
             null,
             now,
-            REFRESH_MILLIS)
+            REFRESH_TIMEOUT_MILLIS)
         .thenAccept(
             answer -> {
               if (answer.status != 200) {
@@ -582,46 +611,46 @@
                     WeldpointException.Kind.OUT_OF_REACH,
                     "no majority confirmed what is in force; ask another daemon");
               }
-              takeControl(
+              applyControlSnapshot(
                   Serializer.deserialize(answer.body, StoredValues.ControlSnapshot.class), now);
             });
   }
 
-  private void take(
+  private void applyControlState(
       final long version,
       final byte[] spec,
       final List<String> evacuated,
       final long evacuationMark,
       final List<TrialMessages.Trial> trials,
       final long trialMark) {
-    final ControlState.Delta news =
-        control.take(version, spec, evacuated, evacuationMark, trials, trialMark, clock);
-    if (news.any()) {
+    final ControlState.Delta delta =
+        controlState.update(version, spec, evacuated, evacuationMark, trials, trialMark, clock);
+    if (delta.anyChange()) {
       environment.append(
           Serializer.serialize(
               new PersistedRecord(
                   null,
                   null,
-                  control.version(),
-                  news.spec(),
-                  control.evacuated(),
-                  control.evacuationMark(),
-                  control.coordinator().trials(),
-                  control.trialMark())),
+                  controlState.version(),
+                  delta.spec(),
+                  controlState.evacuated(),
+                  controlState.evacuationVersion(),
+                  controlState.trialCoordinator().trials(),
+                  controlState.trialVersion())),
           () -> {});
-      proxyStreams.tell(
+      proxyStreams.sendToAll(
           new RegistryMessages.View(
-              news.spec() == null ? 0 : control.version(),
-              news.spec(),
-              news.evacuations(),
-              control.evacuated(),
-              control.evacuationMark(),
+              delta.spec() == null ? 0 : controlState.version(),
+              delta.spec(),
+              delta.evacuations(),
+              controlState.evacuated(),
+              controlState.evacuationVersion(),
               null,
               false,
               null,
-              switchboards.most(),
-              news.trials() ? control.trials() : null,
-              news.trials() ? control.trialMark() : -1));
+              daemonTable.peakProxyCount(),
+              delta.trials() ? controlState.trials() : null,
+              delta.trials() ? controlState.trialVersion() : -1));
     }
   }
 
@@ -634,138 +663,144 @@
       final java.util.function.Consumer<Message> reply,
       final long now) {
     if (members.put(from, now) == null) {
-      tellPeers(now);
+      updatePeers(now);
     }
     if (message instanceof RegistryMessages.Changes) {
       final RegistryMessages.Changes changes = (RegistryMessages.Changes) message;
-      merge(Protocol.list(changes.registrations), now);
-      take(
+      mergeRegistrations(Protocol.list(changes.registrations), now);
+      applyControlState(
           changes.version,
           changes.spec,
           changes.evacuated,
           changes.evacuationMark,
           changes.trials,
           changes.trialMark);
-      switchboards.merge(Protocol.list(changes.boards), now);
-      for (final DaemonEntry board : Protocol.list(changes.boards)) {
-        if (board.ageMillis >= DaemonTable.GONE_MILLIS) {
-          switchboards.gone(board, now);
+      daemonTable.merge(Protocol.list(changes.boards), now);
+      for (final DaemonEntry daemon : Protocol.list(changes.boards)) {
+        if (daemon.ageMillis >= DaemonTable.GONE_MILLIS) {
+          daemonTable.markGone(daemon, now);
         }
       }
       if (changes.number != 0) {
-        final List<Registration> held = new ArrayList<>();
+        final List<Registration> current = new ArrayList<>();
         for (final Registration registration : Protocol.list(changes.registrations)) {
-          held.add(registrations.get(registration.id));
+          current.add(registrations.get(registration.id));
         }
         persist(
-            held,
+            current,
             null,
             () ->
-                confirm(
+                acknowledge(
                     () ->
                         reply.accept(
                             new RegistryMessages.ChangesAck(changes.number, roster.number))));
       }
     } else if (message instanceof RegistryMessages.ChangesAck) {
-      onKept(from, (RegistryMessages.ChangesAck) message, now);
+      onChangesAck(from, (RegistryMessages.ChangesAck) message, now);
     } else if (message instanceof RegistryMessages.ControlStateRequest) {
-      onRead(from, (RegistryMessages.ControlStateRequest) message, reply, now);
+      onControlStateRequest(from, (RegistryMessages.ControlStateRequest) message, reply, now);
     } else if (message instanceof RegistryMessages.ControlStateResponse) {
-      onHeld(from, (RegistryMessages.ControlStateResponse) message, now);
+      onControlStateResponse(from, (RegistryMessages.ControlStateResponse) message, now);
     } else if (message instanceof TrialMessages.TrialReport) {
       trialService.report((TrialMessages.TrialReport) message, now);
     } else if (message instanceof RecordingMessages.RecordingState) {
       if (recordingBuffer.take((RecordingMessages.RecordingState) message)) {
-        proxyStreams.tell(message);
+        proxyStreams.sendToAll(message);
       }
     } else if (message instanceof PermitMessages.PermitRequest) {
-      permit((PermitMessages.PermitRequest) message, reply, now);
-    } else if (message instanceof PermitMessages.PermitResponse && quotas != null) {
-      quotas.answered((PermitMessages.PermitResponse) message, now);
+      requestPermits((PermitMessages.PermitRequest) message, reply, now);
+    } else if (message instanceof PermitMessages.PermitResponse && quotaEndpoint != null) {
+      quotaEndpoint.answered((PermitMessages.PermitResponse) message, now);
     } else if (message instanceof KeyMessages.ClaimVoteRequest
         || message instanceof KeyMessages.ClaimVoteResponse
         || message instanceof KeyMessages.ClaimRelease) {
-      takeKeyRoster(now);
+      updateKeyRoster(now);
       keyClaims.receive(from, message, reply, now);
-    } else if (message instanceof PlacementMessages.LeaseRequest && placements != null) {
+    } else if (message instanceof PlacementMessages.LeaseRequest && placementService != null) {
       reply.accept(
-          placements.coordinator().ask((PlacementMessages.LeaseRequest) message, majorityAt, now));
-    } else if (message instanceof PlacementMessages.LeaseGrant && placements != null) {
-      placements.granted(
-          (PlacementMessages.LeaseGrant) message, proxyStreams::contains, environment::board);
-    } else if (message instanceof AssignerHeartbeat && ownership != null) {
-      ownership.pulse(from, (AssignerHeartbeat) message, now);
-    } else if (message instanceof SlotReport && ownership != null) {
-      ownership.fromRegistry((SlotReport) message, now);
+          placementService
+              .coordinator()
+              .ask((PlacementMessages.LeaseRequest) message, majorityAt, now));
+    } else if (message instanceof PlacementMessages.LeaseGrant && placementService != null) {
+      placementService.granted(
+          (PlacementMessages.LeaseGrant) message,
+          proxyStreams::contains,
+          environment::sendToStream);
+    } else if (message instanceof AssignerHeartbeat && ownershipEndpoint != null) {
+      ownershipEndpoint.pulse(from, (AssignerHeartbeat) message, now);
+    } else if (message instanceof SlotReport && ownershipEndpoint != null) {
+      ownershipEndpoint.fromRegistry((SlotReport) message, now);
     } else if (message instanceof RegistryMessages.Gossip) {
       onGossip(from, (RegistryMessages.Gossip) message, reply, now);
     }
   }
 
-  private void merge(final List<Registration> given, final long now) {
-    final List<Registration> news = registrations.merge(given, now);
-    if (!news.isEmpty()) {
-      persist(news, null, () -> {});
-      proxyStreams.registrations(news);
+  private void mergeRegistrations(final List<Registration> received, final long now) {
+    final List<Registration> changed = registrations.merge(received, now);
+    if (!changed.isEmpty()) {
+      persist(changed, null, () -> {});
+      proxyStreams.sendRegistrations(changed);
     }
   }
 
-  private void onKept(final String from, final RegistryMessages.ChangesAck kept, final long now) {
-    if (kept.rosterNumber > roster.number) {
-      environment.member(from, gossip(0, false, false, false, null, now));
+  private void onChangesAck(
+      final String from, final RegistryMessages.ChangesAck ack, final long now) {
+    if (ack.rosterNumber > roster.number) {
+      environment.sendToMember(from, gossipMessage(0, false, false, false, null, now));
       return;
     }
-    kept(from, kept.number, now);
+    recordAck(from, ack.number, now);
   }
 
-  private Message question(final long number) {
-    return question(number, 0);
+  private Message controlStateRequest(final long readNumber) {
+    return controlStateRequest(readNumber, 0);
   }
 
   /**
    * The question with a lease. It goes only over a line that the other was at the end of before
    * this clock was read: the other counts the lease from its own start.
    */
-  private Message offer(final long number) {
-    return question(number, lease(clock));
+  private Message controlStateRequestWithLease(final long readNumber) {
+    return controlStateRequest(readNumber, startLeaseMillis(clock));
   }
 
-  private Message question(final long number, final long leaseMillis) {
+  private Message controlStateRequest(final long readNumber, final long leaseMillis) {
     return new RegistryMessages.ControlStateRequest(
-        number,
+        readNumber,
         roster.number,
-        control.version(),
-        control.evacuationMark(),
-        control.trialMark(),
-        registrations.buckets(true),
+        controlState.version(),
+        controlState.evacuationVersion(),
+        controlState.trialVersion(),
+        registrations.bucketDigests(true),
         leaseMillis,
-        learning);
+        bootstrapping);
   }
 
-  private RegistryMessages.ControlStateResponse held(
-      final RegistryMessages.ControlStateRequest read, final long now) {
-    final boolean spec = control.version() > read.version;
-    final boolean evacuations = control.evacuationMark() > read.evacuationMark;
-    final boolean trials = control.trialMark() > read.trialMark;
-    List<Registration> lacking = List.of();
-    final List<Long> buckets = registrations.buckets(true);
-    if (read.buckets != null && !buckets.equals(read.buckets)) {
-      lacking = RegistrationBuckets.differing(registrations.all().values(), buckets, read.buckets);
+  private RegistryMessages.ControlStateResponse controlStateResponse(
+      final RegistryMessages.ControlStateRequest request, final long now) {
+    final boolean includeSpec = controlState.version() > request.version;
+    final boolean includeEvacuations = controlState.evacuationVersion() > request.evacuationMark;
+    final boolean includeTrials = controlState.trialVersion() > request.trialMark;
+    List<Registration> missing = List.of();
+    final List<Long> buckets = registrations.bucketDigests(true);
+    if (request.buckets != null && !buckets.equals(request.buckets)) {
+      missing =
+          RegistrationBuckets.differing(registrations.all().values(), buckets, request.buckets);
     }
     return new RegistryMessages.ControlStateResponse(
-        read.number,
-        roster.number > read.rosterNumber ? roster : null,
-        learning,
-        Math.min(Integer.MAX_VALUE, now - contactAt()),
-        spec ? control.version() : 0,
-        spec ? control.spec() : null,
-        evacuations ? control.evacuated() : null,
-        evacuations ? control.evacuationMark() : 0,
-        trials ? control.coordinator().trials() : null,
-        trials ? control.trialMark() : 0,
-        lacking.isEmpty() ? null : RegistrationBuckets.pack(lacking),
-        lease(now),
-        read.claimsToo ? keyClaims.live() : null);
+        request.number,
+        roster.number > request.rosterNumber ? roster : null,
+        bootstrapping,
+        Math.min(Integer.MAX_VALUE, now - lastMajorityContactAt()),
+        includeSpec ? controlState.version() : 0,
+        includeSpec ? controlState.spec() : null,
+        includeEvacuations ? controlState.evacuated() : null,
+        includeEvacuations ? controlState.evacuationVersion() : 0,
+        includeTrials ? controlState.trialCoordinator().trials() : null,
+        includeTrials ? controlState.trialVersion() : 0,
+        missing.isEmpty() ? null : RegistrationBuckets.pack(missing),
+        startLeaseMillis(now),
+        request.claimsToo ? keyClaims.live() : null);
   }
 
   /**
@@ -773,108 +808,117 @@
    * everywhere, what a majority says over its first lines then holds for all switchboards that come
    * back meanwhile, and nothing is held up, since the frames need longer for their ballots.
    */
-  private long lease(final long now) {
-    return learning || roster.index(self) < 0 ? 0 : Math.max(0, withheldUntil - now);
+  private long startLeaseMillis(final long now) {
+    return bootstrapping || roster.index(self) < 0 ? 0 : Math.max(0, acksWithheldUntil - now);
   }
 
   /**
    * Another exchange asks, and says so what it holds; a line of this life carries nothing that was
    * said before this life began.
    */
-  private void onRead(
+  private void onControlStateRequest(
       final String from,
-      final RegistryMessages.ControlStateRequest read,
+      final RegistryMessages.ControlStateRequest request,
       final java.util.function.Consumer<Message> reply,
       final long now) {
     clock = Math.max(clock, now);
-    reply.accept(held(read, now));
+    reply.accept(controlStateResponse(request, now));
     final boolean nothingNew =
-        read.buckets != null
-            && read.rosterNumber <= roster.number
-            && read.version <= control.version()
-            && read.evacuationMark <= control.evacuationMark()
-            && read.trialMark <= control.trialMark()
-            && read.buckets.equals(registrations.buckets(true));
-    if (read.leaseMillis > 0 && nothingNew) {
-      reads.leased(from, startedAt + read.leaseMillis);
+        request.buckets != null
+            && request.rosterNumber <= roster.number
+            && request.version <= controlState.version()
+            && request.evacuationMark <= controlState.evacuationVersion()
+            && request.trialMark <= controlState.trialVersion()
+            && request.buckets.equals(registrations.bucketDigests(true));
+    if (request.leaseMillis > 0 && nothingNew) {
+      quorumReads.recordLease(from, startedAt + request.leaseMillis);
     }
     if (roster.index(from) >= 0 && !connected.contains(from)) {
-      reads.line(from, this::offer, reply);
+      quorumReads.onConnected(from, this::controlStateRequestWithLease, reply);
     }
-    admit(now);
+    sendInitialViews(now);
   }
 
   /**
    * Confirms that a change is on this disk: at once, or when a lease that was given has run out.
    */
-  private void confirm(final Runnable confirmation) {
-    if (clock < withheldUntil) {
-      withheld.add(confirmation);
+  private void acknowledge(final Runnable ack) {
+    if (clock < acksWithheldUntil) {
+      withheldAcks.add(ack);
     } else {
-      confirmation.run();
+      ack.run();
     }
   }
 
-  private void onHeld(
-      final String from, final RegistryMessages.ControlStateResponse held, final long now) {
+  private void onControlStateResponse(
+      final String from, final RegistryMessages.ControlStateResponse response, final long now) {
     clock = Math.max(clock, now);
-    majority.told(from, held.majorityAgeMillis, now);
-    takeRoster(held.roster, now);
-    take(held.version, held.spec, held.evacuated, held.evacuationMark, held.trials, held.trialMark);
-    merge(RegistrationBuckets.unpack(held.packed), now);
-    keyClaims.learn(Protocol.list(held.claims), now);
-    if (!held.learning) {
-      reads.answered(from, held.number);
-      if (held.leaseMillis > 0) {
-        reads.leased(from, reads.began(held.number) + held.leaseMillis);
+    majorityReachability.reported(from, response.majorityAgeMillis, now);
+    applyRoster(response.roster, now);
+    applyControlState(
+        response.version,
+        response.spec,
+        response.evacuated,
+        response.evacuationMark,
+        response.trials,
+        response.trialMark);
+    mergeRegistrations(RegistrationBuckets.unpack(response.packed), now);
+    keyClaims.learn(Protocol.list(response.claims), now);
+    if (!response.learning) {
+      quorumReads.recordAnswer(from, response.number);
+      if (response.leaseMillis > 0) {
+        quorumReads.recordLease(
+            from, quorumReads.startedAt(response.number) + response.leaseMillis);
       }
     }
-    read(now);
+    advanceQuorumReads(now);
   }
 
   /** Looks whether the quorum read under way is done, and begins the next where one is wanted. */
-  private void read(final long now) {
-    if (learning
-        && learningRead == Long.MAX_VALUE
+  private void advanceQuorumReads(final long now) {
+    if (bootstrapping
+        && bootstrapRead == Long.MAX_VALUE
         && roster.index(self) >= 0
-        && now - startedAt >= LEARNING_MILLIS) {
-      learningRead = reads.next();
+        && now - startedAt >= MIN_BOOTSTRAP_MILLIS) {
+      bootstrapRead = quorumReads.requestRead();
     }
-    if (now - majorityAt > CONFIRM_MILLIS
-        && now - reads.confirmedAt() > CONFIRM_MILLIS
+    if (now - majorityAt > RECONFIRM_AFTER_MILLIS
+        && now - quorumReads.confirmedAt() > RECONFIRM_AFTER_MILLIS
         && roster.number > 0) {
-      reads.next();
+      quorumReads.requestRead();
     }
-    if (reads.complete(roster, !learning)) {
+    if (quorumReads.completeReads(roster, !bootstrapping)) {
       reconciled = true;
-      admit(now);
+      sendInitialViews(now);
     }
-    if (learning && reads.done() >= learningRead) {
-      learned(now);
-    } else if (learning
+    if (bootstrapping && quorumReads.lastCompleted() >= bootstrapRead) {
+      finishBootstrap(now);
+    } else if (bootstrapping
         && roster.index(self) >= 0
-        && now - Math.max(rosterAt, startedAt) > MOST_LEARNING_MILLIS
-        && now - majorityAt < MAJORITY_MILLIS) {
+        && now - Math.max(rosterChangedAt, startedAt) > MAX_BOOTSTRAP_MILLIS
+        && now - majorityAt < MAJORITY_TIMEOUT_MILLIS) {
       LOGGER.atWarning().log(
           "registry %s found no majority of registries that have all that was acknowledged; it counts with what it has",
           self);
-      learned(now);
+      finishBootstrap(now);
     }
-    reads.tick(this::question, this::tellVoters, now);
-    if (proofDue && (reads.done() >= proofRead || now - reachAt >= PROOF_MILLIS)) {
-      proofDue = false;
-      proxyStreams.tellEverybody(reach(now, false), informed(now), now);
+    quorumReads.tick(this::controlStateRequest, this::sendToVoters, now);
+    if (statusPending
+        && (quorumReads.lastCompleted() >= statusRead
+            || now - lastStatusAt >= STATUS_READ_TIMEOUT_MILLIS)) {
+      statusPending = false;
+      proxyStreams.sendToAllAndWaiting(registryStatus(now, false), canServeProxies(now), now);
     }
   }
 
-  private void learned(final long now) {
-    learning = false;
-    keepLearning();
+  private void finishBootstrap(final long now) {
+    bootstrapping = false;
+    persistBootstrapState();
     LOGGER.atInfo().log(
         "registry %s has learned what was acknowledged before it came, and counts", self);
   }
 
-  private boolean writesElectorates() {
+  private boolean isFirstReachableVoter() {
     for (final Voter voter : roster.voters) {
       if (voter.address.equals(self) || connected.contains(voter.address)) {
         return voter.address.equals(self);
@@ -883,13 +927,13 @@
     return false;
   }
 
-  private void missSwitchboards(final long now) {
-    for (final DaemonEntry board : switchboards.missed(now)) {
+  private void announceDisconnectedDaemons(final long now) {
+    for (final DaemonEntry daemon : daemonTable.expireDisconnected(now)) {
       final RegistryMessages.Changes message =
           new RegistryMessages.Changes(
-              0, null, List.of(DaemonTable.aged(board, DaemonTable.GONE_MILLIS)));
+              0, null, List.of(DaemonTable.withAge(daemon, DaemonTable.GONE_MILLIS)));
       for (final String member : members.keySet()) {
-        environment.member(member, message);
+        environment.sendToMember(member, message);
       }
     }
   }
@@ -899,60 +943,62 @@
       final RegistryMessages.Gossip gossip,
       final java.util.function.Consumer<Message> reply,
       final long now) {
-    final boolean alike = gossip.digest == registrations.digest();
-    merge(Protocol.list(gossip.history), now);
-    merge(RegistrationBuckets.unpack(gossip.packed), now);
-    appliedStates.told(from, gossip.version, gossip.mark, gossip.heldMillis, now);
+    final boolean registrationsEqual = gossip.digest == registrations.digest();
+    mergeRegistrations(Protocol.list(gossip.history), now);
+    mergeRegistrations(RegistrationBuckets.unpack(gossip.packed), now);
+    appliedStates.report(from, gossip.version, gossip.mark, gossip.heldMillis, now);
     if (gossip.region != null && !gossip.region.isEmpty()) {
-      memberPlaces.put(from, gossip.region + "/" + gossip.site);
+      memberLocations.put(from, gossip.region + "/" + gossip.site);
     }
-    final boolean boardsAlike = gossip.boardDigest == switchboards.digest(now);
-    if (boardsAlike && gossip.boardAges != null) {
-      switchboards.takeAges(gossip.boardAges, now);
+    final boolean daemonsEqual = gossip.boardDigest == daemonTable.digest(now);
+    if (daemonsEqual && gossip.boardAges != null) {
+      daemonTable.mergeAges(gossip.boardAges, now);
     }
-    switchboards.merge(Protocol.list(gossip.boards), now);
-    takeRoster(gossip.roster, now);
-    boolean more = false;
+    daemonTable.merge(Protocol.list(gossip.boards), now);
+    applyRoster(gossip.roster, now);
+    boolean newMembers = false;
     for (final String member : Protocol.list(gossip.members)) {
       if (!members.containsKey(member) && !member.equals(self)) {
         members.put(member, now - 1500);
-        more = true;
+        newMembers = true;
       }
     }
-    if (more) {
-      tellPeers(now);
+    if (newMembers) {
+      updatePeers(now);
     }
-    boolean cleared = false;
-    if (alike && gossip.beatAges != null) {
-      cleared = registrations.takeBeatAges(gossip.beatAges, now);
+    boolean suspectsCleared = false;
+    if (registrationsEqual && gossip.beatAges != null) {
+      suspectsCleared = registrations.mergeHeartbeatAges(gossip.beatAges, now);
     }
-    final List<String> beaten = Protocol.list(gossip.beaten);
-    for (int index = 0; index < beaten.size(); index++) {
-      cleared |= registrations.beaten(beaten.get(index), now - gossip.ages.get(index), now);
+    final List<String> heardIds = Protocol.list(gossip.beaten);
+    for (int index = 0; index < heardIds.size(); index++) {
+      suspectsCleared |=
+          registrations.mergeHeartbeat(heardIds.get(index), now - gossip.ages.get(index), now);
     }
-    if (cleared) {
-      proxyStreams.suspects();
+    if (suspectsCleared) {
+      proxyStreams.sendSuspects();
     }
     if (gossip.depth == 0) {
       reply.accept(
-          gossip(
+          gossipMessage(
               1,
-              !alike,
-              !boardsAlike,
+              !registrationsEqual,
+              !daemonsEqual,
               gossip.rosterNumber < roster.number,
               gossip.count == 0 ? List.of() : null,
               now));
       return;
     }
-    if (gossip.depth < 3 && !alike && gossip.digest != registrations.digest()) {
+    if (gossip.depth < 3 && !registrationsEqual && gossip.digest != registrations.digest()) {
       reply.accept(
-          gossip(gossip.depth + 1, true, !boardsAlike, false, Protocol.list(gossip.buckets), now));
-    } else if (gossip.depth == 1 && (!boardsAlike || gossip.rosterNumber < roster.number)) {
-      reply.accept(gossip(3, false, true, gossip.rosterNumber < roster.number, null, now));
+          gossipMessage(
+              gossip.depth + 1, true, !daemonsEqual, false, Protocol.list(gossip.buckets), now));
+    } else if (gossip.depth == 1 && (!daemonsEqual || gossip.rosterNumber < roster.number)) {
+      reply.accept(gossipMessage(3, false, true, gossip.rosterNumber < roster.number, null, now));
     }
     if (!reconciled
         && (gossip.depth > 1
-            || alike
+            || registrationsEqual
             || gossip.digest == registrations.digest()
             || gossip.packed != null
             || gossip.history != null)) {
@@ -965,123 +1011,125 @@
    * What is told to a peer: the history where it differs (all of it where there are no buckets to
    * compare), switchboards and the roster where they do.
    */
-  private RegistryMessages.Gossip gossip(
+  private RegistryMessages.Gossip gossipMessage(
       final int depth,
-      final boolean differs,
-      final boolean boardsDiffer,
-      final boolean rosterToo,
-      final List<Long> there,
+      final boolean registrationsDiffer,
+      final boolean daemonsDiffer,
+      final boolean includeRoster,
+      final List<Long> peerDigests,
       final long now) {
-    final List<String> beaten = new ArrayList<>();
+    final List<String> heardIds = new ArrayList<>();
     final List<Long> ages = new ArrayList<>();
-    if (differs) {
-      registrations.recent(beaten, ages, now);
+    if (registrationsDiffer) {
+      registrations.recentHeartbeats(heardIds, ages, now);
     }
-    final List<DaemonEntry> list = boardsDiffer ? switchboards.told(now) : new ArrayList<>();
-    final List<Long> here = differs ? registrations.buckets(true) : null;
+    final List<DaemonEntry> daemons =
+        daemonsDiffer ? daemonTable.entriesWithAges(now) : new ArrayList<>();
+    final List<Long> localDigests = registrationsDiffer ? registrations.bucketDigests(true) : null;
     final byte[] packed =
-        differs && there != null
+        registrationsDiffer && peerDigests != null
             ? RegistrationBuckets.pack(
-                RegistrationBuckets.differing(registrations.all().values(), here, there))
+                RegistrationBuckets.differing(
+                    registrations.all().values(), localDigests, peerDigests))
             : null;
     return new RegistryMessages.Gossip(
         depth,
         registrations.digest(),
-        rosterToo ? roster : null,
-        depth == 0 || boardsDiffer ? new ArrayList<>(members.keySet()) : null,
+        includeRoster ? roster : null,
+        depth == 0 || daemonsDiffer ? new ArrayList<>(members.keySet()) : null,
         null,
-        list,
-        beaten,
+        daemons,
+        heardIds,
         ages,
-        control.version(),
-        control.mark(),
-        now - control.heldSince(),
+        controlState.version(),
+        controlState.orderVersion(),
+        now - controlState.appliedAt(),
         roster.number,
         registrations.size(),
-        registrations.beatAges(now),
-        switchboards.digest(now),
-        switchboards.ages(now),
-        here,
+        registrations.heartbeatAges(now),
+        daemonTable.digest(now),
+        daemonTable.ages(now),
+        localDigests,
         packed,
         site,
         region);
   }
 
-  private void takeRoster(final Roster news, final long now) {
-    if (news == null || news.number <= roster.number) {
+  private void applyRoster(final Roster newRoster, final long now) {
+    if (newRoster == null || newRoster.number <= roster.number) {
       return;
     }
-    if (!learning
-        && news.index(self) >= 0
+    if (!bootstrapping
+        && newRoster.index(self) >= 0
         && roster.index(self) < 0
-        && (roster.number > 0 || !seeds.contains(self) || !firstStart)) {
-      learning = true;
-      keepLearning();
-    }
-    learningRead = Long.MAX_VALUE;
-    rosterBefore = roster.number == 0 ? null : roster;
-    rosterAt = now;
-    roster = news;
-    reads.restart();
-    persist(List.of(), news, () -> {});
-    for (final Voter voter : news.voters) {
+        && (roster.number > 0 || !seedAddresses.contains(self) || !firstStart)) {
+      bootstrapping = true;
+      persistBootstrapState();
+    }
+    bootstrapRead = Long.MAX_VALUE;
+    previousRoster = roster.number == 0 ? null : roster;
+    rosterChangedAt = now;
+    roster = newRoster;
+    quorumReads.onRosterChanged();
+    persist(List.of(), newRoster, () -> {});
+    for (final Voter voter : newRoster.voters) {
       members.putIfAbsent(voter.address, now - 1500);
     }
-    tellPeers(now);
+    updatePeers(now);
   }
 
-  private void tellPeers(final long now) {
+  private void updatePeers(final long now) {
     final List<String> addresses = new ArrayList<>();
     for (final String member : members.keySet()) {
       if (!member.equals(self)) {
         addresses.add(member);
       }
     }
-    environment.peers(addresses);
-    final List<String> frames = new ArrayList<>(addresses);
-    frames.add(self);
-    store.frames(frames);
+    environment.updatePeers(addresses);
+    final List<String> replicas = new ArrayList<>(addresses);
+    replicas.add(self);
+    store.replicas(replicas);
   }
 
   /** Orders switchboards to begin or end recording. */
-  public RecordingMessages.RecordingState record(
-      final boolean on, final long wall, final long now) {
-    final RecordingMessages.RecordingState state = recordingBuffer.order(on, wall);
-    proxyStreams.tell(state);
-    tellRecording(now);
+  public RecordingMessages.RecordingState setRecording(
+      final boolean on, final long wallClock, final long now) {
+    final RecordingMessages.RecordingState state = recordingBuffer.order(on, wallClock);
+    proxyStreams.sendToAll(state);
+    broadcastRecordingState(now);
     return state;
   }
 
-  private void tellRecording(final long now) {
+  private void broadcastRecordingState(final long now) {
     if (recordingBuffer.tells(now)) {
       for (final String member : members.keySet()) {
-        environment.member(member, recordingBuffer.state());
+        environment.sendToMember(member, recordingBuffer.state());
       }
     }
   }
 
   /** A switchboard has recorded something. */
-  public void reel(final RecordingMessages.RecordingBatch batch, final long now) {
+  public void addRecordingBatch(final RecordingMessages.RecordingBatch batch, final long now) {
     recordingBuffer.add(batch, now);
   }
 
   /** What was recorded here since it was last collected, with what is in force. */
-  public RecordingBuffer.Collection drain(final long now) {
-    final List<RecordingBuffer.CollectedBatch> list = recordingBuffer.drain(now);
+  public RecordingBuffer.Collection drainRecording(final long now) {
+    final List<RecordingBuffer.CollectedBatch> batches = recordingBuffer.drain(now);
     return new RecordingBuffer.Collection(
         recordingBuffer.state().on,
         recordingBuffer.state().mark,
         recordingBuffer.dropped(),
         recordingBuffer.left(),
-        list,
-        control.version(),
-        control.spec(),
+        batches,
+        controlState.version(),
+        controlState.spec(),
         new ArrayList<>(registrations.all().values()),
-        control.evacuated());
+        controlState.evacuated());
   }
 
   /** Whether switchboards record, and how much waits here. */
-  public String recording() {
+  public String recordingStatus() {
     return (recordingBuffer.state().on ? "recording" : "not recording")
         + ", "
         + recordingBuffer.left()
@@ -1091,142 +1139,158 @@
   }
 
   /** A proxy claims an idempotency key for a request, or gives one back. */
-  public void key(
+  public void onKeyMessage(
       final Message message, final java.util.function.Consumer<Message> reply, final long now) {
     if (message instanceof KeyMessages.ClaimRequest && cutOff(now)) {
       final long number = ((KeyMessages.ClaimRequest) message).claim.number;
       reply.accept(new KeyMessages.ClaimResponse(number, KeyMessages.ClaimResult.UNKNOWN, null));
       return;
     }
-    takeKeyRoster(now);
+    updateKeyRoster(now);
     keyClaims.fromProxy(message, reply, now);
   }
 
-  private void takeKeyRoster(final long now) {
-    final boolean joint = now - rosterAt < JOINT_MILLIS;
-    keyClaims.roster(roster, joint ? rosterBefore : null, !learning && roster.index(self) >= 0);
+  private void updateKeyRoster(final long now) {
+    final boolean joint = now - rosterChangedAt < JOINT_ROSTER_MILLIS;
+    keyClaims.roster(
+        roster, joint ? previousRoster : null, !bootstrapping && roster.index(self) >= 0);
   }
 
   /** Somebody asks for permits. */
-  public void permit(
+  public void requestPermits(
       final PermitMessages.PermitRequest request,
       final java.util.function.Consumer<Message> reply,
       final long now) {
-    if (quotas == null) {
+    if (quotaEndpoint == null) {
       reply.accept(
           new PermitMessages.PermitResponse(
-              request.number, 0, control.version(), Integer.MAX_VALUE));
+              request.number, 0, controlState.version(), Integer.MAX_VALUE));
       return;
     }
-    quotas.ask(
-        request, reply, control.routingTable(), roster, control.version(), now - majorityAt, now);
+    quotaEndpoint.ask(
+        request,
+        reply,
+        controlState.routingTable(),
+        roster,
+        controlState.version(),
+        now - majorityAt,
+        now);
   }
 
   // ---- switchboards
 
   /** Whether this exchange knows enough to tell switchboards what to do. */
-  public boolean informed(final long now) {
-    return reconciled && control.version() > 0 && !leaving;
+  public boolean canServeProxies(final long now) {
+    return reconciled && controlState.version() > 0 && !leaving;
   }
 
   /** A switchboard tells of itself over its stream. */
-  public void boardState(final Object stream, final DaemonEntry board, final long now) {
-    boardState(stream, board, null, now);
+  public void onDaemonReport(final Object stream, final DaemonEntry daemon, final long now) {
+    onDaemonReport(stream, daemon, null, now);
   }
 
   /** A switchboard tells of itself, and at the opening of its stream, by digests, what it has. */
-  public void boardState(
-      final Object stream, final DaemonEntry board, final List<Long> buckets, final long now) {
-    final boolean news = switchboards.news(board, now);
-    switchboards.merge(List.of(board), now);
-    if (news) {
+  public void onDaemonReport(
+      final Object stream,
+      final DaemonEntry daemon,
+      final List<Long> bucketDigests,
+      final long now) {
+    final boolean isNew = daemonTable.isNew(daemon, now);
+    daemonTable.merge(List.of(daemon), now);
+    if (isNew) {
       for (final String member : members.keySet()) {
-        environment.member(member, new RegistryMessages.Changes(0, null, List.of(board)));
+        environment.sendToMember(member, new RegistryMessages.Changes(0, null, List.of(daemon)));
       }
     }
     if (!proxyStreams.contains(stream)) {
       if (electorates != null) {
-        electorates.stream(stream, board.region);
+        electorates.addStream(stream, daemon.region);
       }
-      proxyStreams.opened(stream, board, buckets, board.version == 0 ? reads.next() : 0, now);
-      siteMembership.stream(stream, board.announcer ? "" : board.site);
-      read(now);
-      admit(now);
+      proxyStreams.add(
+          stream, daemon, bucketDigests, daemon.version == 0 ? quorumReads.requestRead() : 0, now);
+      siteMembership.addStream(stream, daemon.announcer ? "" : daemon.site);
+      advanceQuorumReads(now);
+      sendInitialViews(now);
     }
   }
 
-  private void admit(final long now) {
-    final long read = now < reads.leasedUntil(roster) ? Long.MAX_VALUE : reads.done();
-    if (informed(now) && proxyStreams.waiting(read)) {
-      proxyStreams.admit(read, stream -> admitted(stream, now));
+  private void sendInitialViews(final long now) {
+    final long completedRead =
+        now < quorumReads.leasedUntil(roster) ? Long.MAX_VALUE : quorumReads.lastCompleted();
+    if (canServeProxies(now) && proxyStreams.anyReady(completedRead)) {
+      proxyStreams.sendInitialViews(completedRead, stream -> onInitialViewSent(stream, now));
     }
   }
 
-  private void admitted(final Object stream, final long now) {
-    if (purges != null && proxyStreams.announces(stream)) {
-      environment.board(stream, purges);
+  private void onInitialViewSent(final Object stream, final long now) {
+    if (purges != null && proxyStreams.isCache(stream)) {
+      environment.sendToStream(stream, purges);
     }
     if (electorates != null) {
-      electorates.tell(stream, environment::board);
+      electorates.sendTo(stream, environment::sendToStream);
     }
     if (recordingBuffer.state().mark > 0) {
-      environment.board(stream, recordingBuffer.state());
+      environment.sendToStream(stream, recordingBuffer.state());
     }
-    if (placements != null && placements.coordinator().mark() > 0) {
-      environment.board(stream, placements.coordinator().placements());
+    if (placementService != null && placementService.coordinator().mark() > 0) {
+      environment.sendToStream(stream, placementService.coordinator().placements());
     }
-    if (ownership != null && ownership.all() != null && !proxyStreams.announces(stream)) {
-      environment.board(stream, ownership.all());
+    if (ownershipEndpoint != null
+        && ownershipEndpoint.all() != null
+        && !proxyStreams.isCache(stream)) {
+      environment.sendToStream(stream, ownershipEndpoint.all());
     }
-    siteMembership.tell(stream, environment::board);
-    environment.board(stream, reach(now, true));
+    siteMembership.sendTo(stream, environment::sendToStream);
+    environment.sendToStream(stream, registryStatus(now, true));
   }
 
   /** A switchboard's stream has ended. */
-  public void streamClosed(final Object stream, final String address, final long now) {
-    proxyStreams.closed(stream);
-    siteMembership.closed(stream);
+  public void onStreamClosed(final Object stream, final String address, final long now) {
+    proxyStreams.remove(stream);
+    siteMembership.removeStream(stream);
     if (electorates != null) {
-      electorates.closed(stream);
+      electorates.removeStream(stream);
     }
-    switchboards.closed(address, now);
+    daemonTable.streamClosed(address, now);
   }
 
   /**
    * What is told each time, with the registries that there is a line to where they have changed
    * since they were told to all. Machines that are gone must not be named: proxies dial them.
    */
-  private RegistryMessages.RegistryStatus reach(final long now, final boolean first) {
-    final List<String> caches = switchboards.announcers(now);
-    final List<String> places = new ArrayList<>();
-    final List<String> named = new ArrayList<>(members.keySet());
-    named.removeIf(member -> !member.equals(self) && !connected.contains(member));
-    for (final String member : named) {
-      places.add(member.equals(self) ? region + "/" + site : memberPlaces.getOrDefault(member, ""));
-    }
-    final boolean news = !named.equals(toldMembers) || !places.equals(toldPlaces);
-    if (!first) {
-      toldMembers = named;
-      toldPlaces = places;
+  private RegistryMessages.RegistryStatus registryStatus(final long now, final boolean initial) {
+    final List<String> caches = daemonTable.liveCaches(now);
+    final List<String> locations = new ArrayList<>();
+    final List<String> reachableMembers = new ArrayList<>(members.keySet());
+    reachableMembers.removeIf(member -> !member.equals(self) && !connected.contains(member));
+    for (final String member : reachableMembers) {
+      locations.add(
+          member.equals(self) ? region + "/" + site : memberLocations.getOrDefault(member, ""));
+    }
+    final boolean changed =
+        !reachableMembers.equals(lastSentMembers) || !locations.equals(lastSentLocations);
+    if (!initial) {
+      lastSentMembers = reachableMembers;
+      lastSentLocations = locations;
     }
     return new RegistryMessages.RegistryStatus(
         Math.min(Integer.MAX_VALUE, now - majorityAt),
-        switchboards.most(),
-        first || news ? named : null,
+        daemonTable.peakProxyCount(),
+        initial || changed ? reachableMembers : null,
         caches,
-        first || news ? places : null,
-        Math.min(Integer.MAX_VALUE, now - contactAt()),
-        reads.done() == 0 ? null : Long.valueOf(reads.confirmedAt()),
+        initial || changed ? locations : null,
+        Math.min(Integer.MAX_VALUE, now - lastMajorityContactAt()),
+        quorumReads.lastCompleted() == 0 ? null : Long.valueOf(quorumReads.confirmedAt()),
         now);
   }
 
-  private List<String> toldMembers = List.of();
-  private List<String> toldPlaces = List.of();
-  private final Map<String, String> memberPlaces = new HashMap<>();
+  private List<String> lastSentMembers = List.of();
+  private List<String> lastSentLocations = List.of();
+  private final Map<String, String> memberLocations = new HashMap<>();
 
   /** When this exchange was last surely in touch with a majority, of frames or of exchanges. */
-  private long contactAt() {
-    return Math.max(majorityAt, reads.confirmedAt());
+  private long lastMajorityContactAt() {
+    return Math.max(majorityAt, quorumReads.confirmedAt());
   }
 
   /**
@@ -1234,116 +1298,123 @@
    * there are not enough lines to voters.
    */
   public boolean cutOff(final long now) {
-    return majority.cutOff(roster, seeds, connected, contactAt(), now);
+    return majorityReachability.cutOff(
+        roster, seedAddresses, connected, lastMajorityContactAt(), now);
   }
 
   /** An exchange that told lately that it hears a majority; null where there is none. */
-  public String majority(final long now) {
-    return majority.elsewhere(connected, now);
+  public String registryWithMajority(final long now) {
+    return majorityReachability.peerWithMajority(connected, now);
   }
 
   /** The fronts that a client in this place should use; empty where none is known. */
   public List<String> resolve(
-      final String region, final String site, final int most, final long now) {
-    return directory.resolve(region, site, most, now - majorityAt > MAJORITY_MILLIS, now);
+      final String region, final String site, final int limit, final long now) {
+    return directory.resolve(region, site, limit, now - majorityAt > MAJORITY_TIMEOUT_MILLIS, now);
   }
 
   // ---- control state
 
-  private void askControl(final long now) {
-    if (controlOut || leaving) {
+  private void pollControlState(final long now) {
+    if (controlRequestPending || leaving) {
       return;
     }
-    controlOut = true;
-    controlAskedAt = now;
-    final boolean stale = now - majorityAt > CONFIRM_MILLIS;
+    controlRequestPending = true;
+    controlRequestedAt = now;
+    final boolean stale = now - majorityAt > RECONFIRM_AFTER_MILLIS;
     store
         .call(
             StoreOperation.CONTROL,
             "",
             null,
-            control.version(),
+            controlState.version(),
             stale
                 ? -1
-                : control.mark()
+                : controlState.orderVersion()
                     + (purges == null ? 0 : purges.mark)
-                    + (electorates == null ? otherMarks : electorates.marks())
-                    + (placements == null ? placementMarks : placements.marks())
-                    + (ownership == null ? ownershipMark : ownership.mark()),
+                    + (electorates == null ? electorateVersions : electorates.versionSum())
+                    + (placementService == null ? placementVersions : placementService.marks())
+                    + (ownershipEndpoint == null ? ownershipVersion : ownershipEndpoint.mark()),
             null,
             null,
             now,
             2500)
         .whenComplete(
-            (answer, problem) -> {
-              controlOut = false;
-              if (problem == null && answer.status == 200) {
-                takeControl(
+            (answer, error) -> {
+              controlRequestPending = false;
+              if (error == null && answer.status == 200) {
+                applyControlSnapshot(
                     Serializer.deserialize(answer.body, StoredValues.ControlSnapshot.class),
-                    controlAskedAt);
+                    controlRequestedAt);
               }
             });
   }
 
-  private long controlAskedAt;
-  private long otherMarks;
-  private long placementMarks;
-  private long ownershipMark;
+  private long controlRequestedAt;
+  private long electorateVersions;
+  private long placementVersions;
+  private long ownershipVersion;
   private long clock;
 
-  private void takeControl(final StoredValues.ControlSnapshot given, final long askedAt) {
-    majorityAt = Math.max(majorityAt, askedAt);
-    takeRoster(given.roster, clock);
-    take(
-        given.version,
-        given.spec,
-        given.evacuated,
-        given.evacuationMark,
-        given.trials,
-        given.trialMark);
+  private void applyControlSnapshot(
+      final StoredValues.ControlSnapshot snapshot, final long requestedAt) {
+    majorityAt = Math.max(majorityAt, requestedAt);
+    applyRoster(snapshot.roster, clock);
+    applyControlState(
+        snapshot.version,
+        snapshot.spec,
+        snapshot.evacuated,
+        snapshot.evacuationMark,
+        snapshot.trials,
+        snapshot.trialMark);
     if (electorates != null) {
-      electorates.take(Protocol.list(given.electorates), environment::board);
-    } else if (given.electorates != null) {
-      otherMarks = Protocol.list(given.electorates).stream().mapToLong(one -> one.mark).sum();
+      electorates.update(Protocol.list(snapshot.electorates), environment::sendToStream);
+    } else if (snapshot.electorates != null) {
+      electorateVersions =
+          Protocol.list(snapshot.electorates).stream()
+              .mapToLong(electorate -> electorate.mark)
+              .sum();
     }
-    placementMarks = given.placementMark + (given.keeper == null ? 0 : given.keeper.serial);
-    if (placements != null && placements.take(given, clock)) {
-      proxyStreams.tellSwitchboards(placements.coordinator().placements());
+    placementVersions =
+        snapshot.placementMark + (snapshot.keeper == null ? 0 : snapshot.keeper.serial);
+    if (placementService != null && placementService.take(snapshot, clock)) {
+      proxyStreams.sendToProxies(placementService.coordinator().placements());
     }
-    takeAssignments(given.assignments);
-    if (given.purges != null && (purges == null || given.purges.mark > purges.mark)) {
-      purges = given.purges;
-      proxyStreams.tellAnnouncers(purges);
+    applyAssignments(snapshot.assignments);
+    if (snapshot.purges != null && (purges == null || snapshot.purges.mark > purges.mark)) {
+      purges = snapshot.purges;
+      proxyStreams.sendToCaches(purges);
     }
-    admit(clock);
-    askControl(clock);
+    sendInitialViews(clock);
+    pollControlState(clock);
   }
 
-  private void takeAssignments(final List<Assignment> given) {
-    if (given == null) {
+  private void applyAssignments(final List<Assignment> received) {
+    if (received == null) {
       return;
     }
-    ownershipMark = given.stream().mapToLong(assignment -> assignment.serial).sum();
-    final Assignments news = ownership == null ? null : ownership.take(given, clock);
-    if (news != null) {
-      proxyStreams.tellSwitchboards(news);
+    ownershipVersion = received.stream().mapToLong(assignment -> assignment.serial).sum();
+    final Assignments changed =
+        ownershipEndpoint == null ? null : ownershipEndpoint.take(received, clock);
+    if (changed != null) {
+      proxyStreams.sendToProxies(changed);
     }
   }
 
   // ---- trials
 
   /** Trials of services: their reports and operators' orders. */
-  public TrialService trials() {
+  public TrialService trialService() {
     return trialService;
   }
 
   /** All that is known of trials. */
-  public TrialCoordinator panel() {
-    return control.coordinator();
+  public TrialCoordinator trialCoordinator() {
+    return controlState.trialCoordinator();
   }
 
   /** Calls the store. */
-  public CompletableFuture<StoreMessages.StoreResponse> call(
+  public CompletableFuture<StoreMessages.StoreResponse> callStore(
       final StoreOperation operation,
       final String name,
       final String owner,
@@ -1356,7 +1427,7 @@
   }
 
   /** Calls the store with a change of routing, and who wants it. */
-  public CompletableFuture<StoreMessages.StoreResponse> change(
+  public CompletableFuture<StoreMessages.StoreResponse> changeRouting(
       final StoreOperation operation,
       final String name,
       final long first,
@@ -1377,11 +1448,12 @@
    */
   private CompletableFuture<StoreMessages.StoreResponse> evacuate(
       final String zone,
-      final long on,
+      final long begin,
       final StoreMessages.ChangeOrigin origin,
-      final long cutoff) {
+      final long deadline) {
     return store
-        .call(StoreOperation.EVACUATION_TICKET, zone, null, 0, 0, null, null, clock, cutoff - clock)
+        .call(
+            StoreOperation.EVACUATION_TICKET, zone, null, 0, 0, null, null, clock, deadline - clock)
         .thenCompose(
             ticket ->
                 ticket.status != 200
@@ -1391,23 +1463,23 @@
                             StoreOperation.EVACUATE,
                             zone,
                             null,
-                            on,
+                            begin,
                             ticket.first,
                             null,
                             origin,
                             clock,
-                            cutoff - clock)
+                            deadline - clock)
                         .thenCompose(
                             answer ->
                                 answer.status != 410
                                     ? CompletableFuture.completedFuture(answer)
-                                    : evacuate(zone, on, origin, cutoff)));
+                                    : evacuate(zone, begin, origin, deadline)));
   }
 
   /** Calls the store with a configuration, the digest of what it says, and who wants it. */
-  public CompletableFuture<StoreMessages.StoreResponse> replace(
-      final long given,
-      final boolean tied,
+  public CompletableFuture<StoreMessages.StoreResponse> replaceConfiguration(
+      final long version,
+      final boolean usesAffinity,
       final byte[] packed,
       final byte[] content,
       final StoreMessages.ChangeOrigin origin,
@@ -1417,8 +1489,8 @@
         StoreOperation.SPEC_REPLACE,
         "",
         null,
-        given,
-        tied ? 1 : 0,
+        version,
+        usesAffinity ? 1 : 0,
         packed,
         origin,
         content,
@@ -1427,43 +1499,45 @@
   }
 
   /** Who wants a change that came in here. */
-  public StoreMessages.ChangeOrigin cause(
+  public StoreMessages.ChangeOrigin changeOrigin(
       final String author, final String caller, final byte[] extra) {
     return new StoreMessages.ChangeOrigin(author, caller, self, extra);
   }
 
   /** The history of routing changes, read from the replica on this machine. */
-  public HistoryReader audit() {
+  public HistoryReader historyReader() {
     return historyReader;
   }
 
   /** How all stands, as far as it is known here. */
   public ControlApi.StatusResponse status(final long now) {
     final List<ControlApi.DaemonStatus> daemons = new ArrayList<>();
-    for (final AppliedState one : inForce(now)) {
+    for (final AppliedState entry : appliedStates(now)) {
       daemons.add(
           new ControlApi.DaemonStatus(
-              one.address(),
-              one.program(),
-              String.format("%08x", one.version()),
-              one.mark(),
-              one.ageMillis() == Long.MAX_VALUE ? -1 : one.ageMillis()));
+              entry.address(),
+              entry.program(),
+              String.format("%08x", entry.version()),
+              entry.orderVersion(),
+              entry.ageMillis() == Long.MAX_VALUE ? -1 : entry.ageMillis()));
     }
-    final List<ControlApi.PlacementStatus> placed = new ArrayList<>();
+    final List<ControlApi.PlacementStatus> placementStatuses = new ArrayList<>();
     final List<ControlApi.WriteCount> writes = new ArrayList<>();
-    if (placements != null) {
-      for (final PlacementMessages.Placement one :
-          placements.coordinator().placements().placements) {
-        placed.add(
+    if (placementService != null) {
+      for (final PlacementMessages.Placement entry :
+          placementService.coordinator().placements().placements) {
+        placementStatuses.add(
             new ControlApi.PlacementStatus(
-                one.service,
-                one.epoch,
-                Protocol.list(one.members).size(),
-                one.prepared,
-                Protocol.list(one.next).size()));
+                entry.service,
+                entry.epoch,
+                Protocol.list(entry.members).size(),
+                entry.prepared,
+                Protocol.list(entry.next).size()));
       }
-      final long[] counts = placements.coordinator().counts();
-      for (int index = 0; placements.coordinator().keeps() && index < counts.length; index++) {
+      final long[] counts = placementService.coordinator().counts();
+      for (int index = 0;
+          placementService.coordinator().keeps() && index < counts.length;
+          index++) {
         writes.add(
             new ControlApi.WriteCount(
                 weldpoint.affinity.WriteDecision.values()[index]
@@ -1474,64 +1548,67 @@
     }
     final List<String> voters = new ArrayList<>();
     roster.voters.forEach(voter -> voters.add(voter.address));
-    final boolean settled = now - majorityAt < MAJORITY_MILLIS;
+    final boolean settled = now - majorityAt < MAJORITY_TIMEOUT_MILLIS;
     return new ControlApi.StatusResponse(
         self,
         settled,
         settled ? now - majorityAt : -1,
         roster.number,
         voters,
-        String.format("%08x", control.version()),
-        control.evacuated(),
+        String.format("%08x", controlState.version()),
+        controlState.evacuated(),
         registrations.size(),
         registrations.suspects().size(),
         daemons,
-        placements == null ? "" : placements.coordinator().keeper(),
-        placed,
+        placementService == null ? "" : placementService.coordinator().keeper(),
+        placementStatuses,
         writes,
-        environment.disk(),
-        ownership == null ? List.of() : ownership.status());
+        environment.diskCounters(),
+        ownershipEndpoint == null ? List.of() : ownershipEndpoint.status());
   }
 
   /** What each daemon has in force, as it told last. */
-  public List<AppliedState> inForce(final long now) {
+  public List<AppliedState> appliedStates(final long now) {
     final AppliedState own =
         new AppliedState(
             self,
             AppliedStateTable.REGISTRY,
-            control.version(),
-            control.mark(),
-            now - control.heldSince(),
+            controlState.version(),
+            controlState.orderVersion(),
+            now - controlState.appliedAt(),
             0);
-    return appliedStates.all(own, members.keySet(), switchboards.all(), now);
+    return appliedStates.all(own, members.keySet(), daemonTable.all(), now);
   }
 
   private final AppliedStateTable appliedStates = new AppliedStateTable();
 
   /** A frame has answered. */
-  public void answered(
+  public void onStoreResponse(
       final String from, final StoreMessages.StoreResponse answer, final long now) {
     clock = now;
-    store.answered(from, answer, now);
+    store.onResponse(from, answer, now);
   }
 
   /** The line to a frame has ended. */
-  public void frameClosed(final String address, final long now) {
-    store.closed(address, now);
+  public void onReplicaDisconnected(final String address, final long now) {
+    store.onDisconnected(address, now);
   }
 
   /** There is a line to an exchange. */
-  public void memberOpened(final String address, final long now) {
+  public void onMemberConnected(final String address, final long now) {
     connected.add(address);
     members.put(address, now);
     if (roster.index(address) >= 0) {
       clock = Math.max(clock, now);
-      reads.line(address, this::offer, question -> environment.member(address, question));
+      quorumReads.onConnected(
+          address,
+          this::controlStateRequestWithLease,
+          request -> environment.sendToMember(address, request));
     }
   }
 
   /** The line to an exchange has ended. */
-  public void memberClosed(final String address, final long now) {
+  public void onMemberDisconnected(final String address, final long now) {
     connected.remove(address);
   }
 
@@ -1542,71 +1619,74 @@
     clock = now;
     store.tick(now);
     historyReader.tick(now);
-    if (quotas != null) {
-      quotas.tick(now);
+    if (quotaEndpoint != null) {
+      quotaEndpoint.tick(now);
     }
-    takeKeyRoster(now);
+    updateKeyRoster(now);
     keyClaims.tick(now);
-    if (now >= withheldUntil && !withheld.isEmpty()) {
-      final List<Runnable> due = new ArrayList<>(withheld);
-      withheld.clear();
+    if (now >= acksWithheldUntil && !withheldAcks.isEmpty()) {
+      final List<Runnable> due = new ArrayList<>(withheldAcks);
+      withheldAcks.clear();
       due.forEach(Runnable::run);
     }
-    read(now);
-    admit(now);
-    majority.tick(roster, seeds, connected, contactAt(), now);
-    askControl(now);
-    if (placements != null && placements.active()) {
-      final String keeper = placements.coordinator().keeper();
-      placements.tick(
-          control.routingTable(),
+    advanceQuorumReads(now);
+    sendInitialViews(now);
+    majorityReachability.tick(roster, seedAddresses, connected, lastMajorityContactAt(), now);
+    pollControlState(now);
+    if (placementService != null && placementService.active()) {
+      final String coordinator = placementService.coordinator().keeper();
+      placementService.tick(
+          controlState.routingTable(),
           registrations.all().values(),
-          control.evacuated(),
+          controlState.evacuated(),
           registrations.suspects(),
           registrations.revision(),
-          writesElectorates(),
-          keeper.equals(self) || connected.contains(keeper),
-          now - majorityAt < MAJORITY_MILLIS,
+          isFirstReachableVoter(),
+          coordinator.equals(self) || connected.contains(coordinator),
+          now - majorityAt < MAJORITY_TIMEOUT_MILLIS,
           now);
     }
-    if (ownership != null) {
-      ownership.tick(
-          control.routingTable(),
+    if (ownershipEndpoint != null) {
+      ownershipEndpoint.tick(
+          controlState.routingTable(),
           registrations,
-          control.evacuated(),
+          controlState.evacuated(),
           new OwnershipCoordinator.Position(roster.index(self), roster.voters.size(), majorityAt),
           now);
     }
-    if (now - reachAt >= REACH_MILLIS) {
-      reachAt = now;
-      switchboards.count(now);
-      siteMembership.keep(switchboards.sites(now), proxyStreams.all(), environment::board);
-      missSwitchboards(now);
+    if (now - lastStatusAt >= STATUS_INTERVAL_MILLIS) {
+      lastStatusAt = now;
+      daemonTable.updatePeakCount(now);
+      siteMembership.update(
+          daemonTable.proxiesBySite(now), proxyStreams.all(), environment::sendToStream);
+      announceDisconnectedDaemons(now);
       trialService.judge(now);
-      tellRecording(now);
-      if (electorates != null && now - majorityAt < MAJORITY_MILLIS && writesElectorates()) {
-        electorates.keep(switchboards.live(now), now);
+      broadcastRecordingState(now);
+      if (electorates != null
+          && now - majorityAt < MAJORITY_TIMEOUT_MILLIS
+          && isFirstReachableVoter()) {
+        electorates.reconcile(daemonTable.liveProxies(now), now);
       }
-      proofRead = reads.next();
-      proofDue = true;
-      read(now);
-      judge(now);
+      statusRead = quorumReads.requestRead();
+      statusPending = true;
+      advanceQuorumReads(now);
+      expireSilentUpstreams(now);
     }
-    quorums.tick(this::tellMembers, now);
-    if (now - gossipAt >= GOSSIP_MILLIS) {
-      gossipAt = now;
-      gossipWithOne(now);
+    quorumWrites.tick(this::sendToMembers, now);
+    if (now - lastGossipAt >= GOSSIP_INTERVAL_MILLIS) {
+      lastGossipAt = now;
+      gossipWithRandomPeer(now);
     }
   }
 
-  private void gossipWithOne(final long now) {
+  private void gossipWithRandomPeer(final long now) {
     final List<String> others = new ArrayList<>();
     members
         .entrySet()
         .removeIf(
             entry ->
                 now - entry.getValue() > 60_000
-                    && !seeds.contains(entry.getKey())
+                    && !seedAddresses.contains(entry.getKey())
                     && roster.index(entry.getKey()) < 0);
     for (final String member : members.keySet()) {
       if (!member.equals(self)) {
@@ -1614,10 +1694,10 @@
       }
     }
     java.util.Collections.shuffle(others, random);
-    final RegistryMessages.Gossip message = gossip(0, false, false, false, null, now);
+    final RegistryMessages.Gossip message = gossipMessage(0, false, false, false, null, now);
     for (final String other : others) {
-      if (environment.member(other, message)) {
-        gossips++;
+      if (environment.sendToMember(other, message)) {
+        gossipRounds++;
         return;
       }
     }
@@ -1626,15 +1706,15 @@
     }
   }
 
-  private void judge(final long now) {
+  private void expireSilentUpstreams(final long now) {
     final List<Registration> silent = new ArrayList<>();
-    final boolean changed = registrations.judge(silent, now);
-    final List<Registration> lapsed = new ArrayList<>();
+    final boolean suspectsChanged = registrations.updateSuspects(silent, now);
+    final List<Registration> expired = new ArrayList<>();
     for (final Registration registration : silent) {
-      if (now - majorityAt < MAJORITY_MILLIS
-          && self.equals(keeper(registration.id, registration.site, Map.of()))) {
-        lapsed.add(
-            Registrations.step(
+      if (now - majorityAt < MAJORITY_TIMEOUT_MILLIS
+          && self.equals(heartbeatOwner(registration.id, registration.site, Map.of()))) {
+        expired.add(
+            Registrations.withStage(
                 registration,
                 LifecycleStage.of(registration) == LifecycleStage.DRAINING
                     ? LifecycleStage.REMOVED
@@ -1642,35 +1722,35 @@
                 registration.issued));
       }
     }
-    if (!lapsed.isEmpty()) {
-      for (final Registration registration : lapsed) {
+    if (!expired.isEmpty()) {
+      for (final Registration registration : expired) {
         LOGGER.atInfo().log(
             "upstream %s was silent for %s beats and is written off",
-            registration.id, Registrations.LAPSE_BEATS);
+            registration.id, Registrations.LAPSE_HEARTBEATS);
         registrations.put(registration);
       }
-      persist(lapsed, null, () -> {});
-      tellMembers(new RegistryMessages.Changes(0, lapsed, null));
-      proxyStreams.registrations(lapsed);
+      persist(expired, null, () -> {});
+      sendToMembers(new RegistryMessages.Changes(0, expired, null));
+      proxyStreams.sendRegistrations(expired);
     }
-    if (changed) {
-      proxyStreams.suspects();
+    if (suspectsChanged) {
+      proxyStreams.sendSuspects();
     }
-    registrations.forget();
+    registrations.pruneRemoved();
   }
 
   /** The process ends: its streams should go elsewhere. */
   public void leave() {
     leaving = true;
-    if (ownership != null) {
-      ownership.leave();
+    if (ownershipEndpoint != null) {
+      ownershipEndpoint.leave();
     }
   }
 
   // ---- what tests and operators look at
 
   /** The history, by upstream. */
-  public Map<String, Registration> history() {
+  public Map<String, Registration> registrations() {
     return registrations.all();
   }
 
@@ -1680,53 +1760,53 @@
   }
 
   /** What this registry tells of itself. */
-  public List<Metric> figures(final long now) {
-    final List<Metric> figures = new ArrayList<>();
-    figures.add(Metric.gauge("weldpoint_registrations", "Upstreams known.", registrations.size()));
-    figures.add(Metric.counter("weldpoint_beats", "Beats of upstreams taken here.", beats));
-    figures.add(
+  public List<Metric> metrics(final long now) {
+    final List<Metric> metrics = new ArrayList<>();
+    metrics.add(Metric.gauge("weldpoint_registrations", "Upstreams known.", registrations.size()));
+    metrics.add(Metric.counter("weldpoint_beats", "Beats of upstreams taken here.", heartbeats));
+    metrics.add(
         Metric.counter(
             "weldpoint_superseded_registrations",
             "Upstreams written off since another one beat from their address.",
-            registrations.superseded()));
-    figures.add(Metric.gauge("weldpoint_streams", "Streams to proxies.", proxyStreams.size()));
-    figures.add(Metric.gauge("weldpoint_roster_number", "The roster's number.", roster.number));
-    figures.add(
+            registrations.supersededCount()));
+    metrics.add(Metric.gauge("weldpoint_streams", "Streams to proxies.", proxyStreams.size()));
+    metrics.add(Metric.gauge("weldpoint_roster_number", "The roster's number.", roster.number));
+    metrics.add(
         Metric.gauge(
             "weldpoint_majority_age_seconds",
             "Time since a majority of state stores was last heard.",
             Math.min(1e6, (now - majorityAt) / 1000.0)));
-    if (quotas != null) {
-      figures.addAll(quotas.figures());
+    if (quotaEndpoint != null) {
+      metrics.addAll(quotaEndpoint.figures());
     }
-    figures.addAll(keyClaims.figures());
-    if (ownership != null) {
-      figures.addAll(ownership.figures(now));
+    metrics.addAll(keyClaims.figures());
+    if (ownershipEndpoint != null) {
+      metrics.addAll(ownershipEndpoint.figures(now));
     }
-    return figures;
+    return metrics;
   }
 
   /** The counters, as one line. */
   public String counters() {
-    return (placements == null || !placements.active()
+    return (placementService == null || !placementService.active()
             ? ""
-            : placements.coordinator().counters() + " ")
+            : placementService.coordinator().counters() + " ")
         + "registrations "
         + registrations.size()
         + " beats "
-        + beats
+        + heartbeats
         + " gossips "
-        + gossips
+        + gossipRounds
         + " streams "
         + proxyStreams.size()
         + " boards "
-        + switchboards.size()
-        + (quotas == null ? "" : " " + quotas.counters())
+        + daemonTable.size()
+        + (quotaEndpoint == null ? "" : " " + quotaEndpoint.counters())
         + keyClaims.counters()
-        + (ownership == null ? "" : ownership.counters())
+        + (ownershipEndpoint == null ? "" : ownershipEndpoint.counters())
         + " roster "
         + roster.number
         + " spec "
-        + Long.toHexString(control.version());
+        + Long.toHexString(controlState.version());
   }
 }
