--- a/registry/src/main/java/weldpoint/registry/RegistryDaemon.java
+++ b/registry/src/main/java/weldpoint/registry/RegistryDaemon.java
@@ -41,9 +41,9 @@
  */
 public final class RegistryDaemon implements Daemon {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
-  private static final int FILES = 3;
-  private static final int FILE_BYTES = 1 << 19;
-  private static final int MOST_FILE_BYTES = 1 << 24;
+  private static final int LOG_FILES = 3;
+  private static final int LOG_FILE_BYTES = 1 << 19;
+  private static final int MAX_LOG_FILE_BYTES = 1 << 24;
   private static final long TICK_MILLIS = 40;
 
   private final Settings settings;
@@ -51,13 +51,13 @@
   private final EventLoopGroup loop = new NioEventLoopGroup(1);
   private final Transport transport;
   private final RegistryCore core;
-  private final PeerConnections members;
-  private final PeerConnections frames;
+  private final PeerConnections memberConnections;
+  private final PeerConnections replicaConnections;
   private WriteAheadLog log;
-  private long countersAt;
+  private long countersLoggedAt;
   private final long incarnation;
-  private Message unsealed;
-  private Message sealed;
+  private Message lastMessage;
+  private Message lastSealedMessage;
 
   /** A registry for these settings; nothing runs yet. */
   public RegistryDaemon(final Settings settings) {
@@ -67,7 +67,7 @@
         new Transport(
             loop,
             new Protocol.Hello(Serializer.PROTOCOL, "exchange", settings.address(), incarnation));
-    this.members =
+    this.memberConnections =
         new PeerConnections(
             transport,
             settings.transportPort(0),
@@ -77,7 +77,7 @@
                     new Transport.Listener() {
                       @Override
                       public void opened(final Connection connection) {
-                        core().memberOpened(to, now());
+                        core().onMemberConnected(to, now());
                       }
 
                       @Override
@@ -88,10 +88,10 @@
 
                       @Override
                       public void closed(final Connection connection) {
-                        core().memberClosed(to, now());
+                        core().onMemberDisconnected(to, now());
                       }
                     }));
-    this.frames =
+    this.replicaConnections =
         new PeerConnections(
             transport,
             settings.transportPort(1),
@@ -104,13 +104,13 @@
                           final Connection connection, final Message message) {
                         if (message instanceof StoreMessages.StoreResponse) {
                           connection.heardClock(((StoreMessages.StoreResponse) message).clock);
-                          core().answered(to, (StoreMessages.StoreResponse) message, now());
+                          core().onStoreResponse(to, (StoreMessages.StoreResponse) message, now());
                         }
                       }
 
                       @Override
                       public void closed(final Connection connection) {
-                        core().frameClosed(to, now());
+                        core().onReplicaDisconnected(to, now());
                       }
                     }));
     this.core =
@@ -122,13 +122,14 @@
             new Random(incarnation),
             new RegistryCore.Environment() {
               @Override
-              public boolean member(final String address, final Message message) {
-                return members.send(address, message);
+              public boolean sendToMember(final String address, final Message message) {
+                return memberConnections.send(address, message);
               }
 
               @Override
-              public boolean frame(final String address, final StoreMessages.StoreRequest call) {
-                return frames.send(
+              public boolean sendToReplica(
+                  final String address, final StoreMessages.StoreRequest call) {
+                return replicaConnections.send(
                     address,
                     connection -> {
                       final Long clock = connection.peerClock();
@@ -137,12 +138,12 @@
               }
 
               @Override
-              public void board(final Object stream, final Message message) {
-                if (message != unsealed) {
-                  unsealed = message;
-                  sealed = Transport.seal(message);
+              public void sendToStream(final Object stream, final Message message) {
+                if (message != lastMessage) {
+                  lastMessage = message;
+                  lastSealedMessage = Transport.seal(message);
                 }
-                ((Connection) stream).send(sealed);
+                ((Connection) stream).send(lastSealedMessage);
               }
 
               @Override
@@ -151,16 +152,16 @@
               }
 
               @Override
-              public String disk() {
+              public String diskCounters() {
                 return log == null ? "" : log.counters();
               }
 
               @Override
-              public void peers(final List<String> addresses) {
-                members.keep(addresses);
+              public void updatePeers(final List<String> addresses) {
+                memberConnections.keep(addresses);
                 final List<String> all = new ArrayList<>(addresses);
                 all.add(settings.address());
-                frames.keep(all);
+                replicaConnections.keep(all);
               }
             });
   }
@@ -184,37 +185,37 @@
         WriteAheadLog.open(
             Path.of(settings.folder(), "exchange"),
             "exchange " + settings.address(),
-            FILES,
-            FILE_BYTES,
-            MOST_FILE_BYTES,
+            LOG_FILES,
+            LOG_FILE_BYTES,
+            MAX_LOG_FILE_BYTES,
             executor,
-            core::view);
-    final SegmentRing.Recovered found = opened.found();
-    if (found.lost()) {
+            core::snapshot);
+    final SegmentRing.Recovered recovered = opened.found();
+    if (recovered.lost()) {
       LOGGER.atSevere().log(
           "the disk of %s lost records that had been synced; it counts as blank and is refetched from the other exchanges",
           settings.name());
     }
     log = opened.log();
     if (settings.regionLeaderEnabled()) {
-      core.chiefs();
+      core.enableElectorates();
     }
-    core.place(settings.site(), settings.region());
-    core.placements(
+    core.setLocation(settings.site(), settings.region());
+    core.enablePlacements(
         Affinity.setting("affinity.default", settings.affinityUsual()),
         incarnation,
         settings.affinityLeaseMillis(),
         settings.affinityBatchMillis());
-    core.quotas(
+    core.enableQuotas(
         new weldpoint.ratelimit.QuotaAllocator(
-            settings, settings.firstStart() && found.blank() && !found.lost(), now()));
+            settings, settings.firstStart() && recovered.blank() && !recovered.lost(), now()));
     final GrantTimings timings =
         GrantTimings.of(settings.ownershipHoldMillis(), settings.ownershipLateMillis());
-    core.ownership(
+    core.enableOwnership(
         incarnation,
         timings,
         new KeyGrantClient(loop, executor, timings.holdMillis(), timings.sendMillis()));
-    executor.execute(() -> core.start(found.lost() ? List.of() : found.records(), now()));
+    executor.execute(() -> core.start(recovered.lost() ? List.of() : recovered.records(), now()));
     log.start("tape");
     transport.serve(
         settings.bindAddress(),
@@ -225,29 +226,31 @@
               @Override
               public void messageReceived(final Connection connection, final Message message) {
                 if (message instanceof RegistryMessages.DaemonReport) {
-                  core.boardState(
+                  core.onDaemonReport(
                       connection,
                       ((RegistryMessages.DaemonReport) message).entry,
                       Protocol.list(((RegistryMessages.DaemonReport) message).buckets),
                       now());
                 } else if (message instanceof TrialMessages.TrialReport
                     && "switchboard".equals(connection.peer().program)) {
-                  core.trials().report((TrialMessages.TrialReport) message, now());
+                  core.trialService().report((TrialMessages.TrialReport) message, now());
                 } else if (message instanceof PlacementMessages.LeaseRequest
                     && "switchboard".equals(connection.peer().program)) {
-                  core.lease(connection, (PlacementMessages.LeaseRequest) message, now());
+                  core.requestPlacementLease(
+                      connection, (PlacementMessages.LeaseRequest) message, now());
                 } else if (message instanceof RecordingMessages.RecordingBatch) {
-                  core.reel((RecordingMessages.RecordingBatch) message, now());
+                  core.addRecordingBatch((RecordingMessages.RecordingBatch) message, now());
                 } else if (message instanceof KeyMessages.ClaimRequest
                     || message instanceof KeyMessages.ClaimRelease
                         && "switchboard".equals(connection.peer().program)) {
-                  core.key(message, connection::send, now());
+                  core.onKeyMessage(message, connection::send, now());
                 } else if (message instanceof SlotReport
                     && "switchboard".equals(connection.peer().program)) {
                   core.slotReport((SlotReport) message);
                 } else if (message instanceof PermitMessages.PermitRequest
                     && !"exchange".equals(connection.peer().program)) {
-                  core.permit((PermitMessages.PermitRequest) message, connection::send, now());
+                  core.requestPermits(
+                      (PermitMessages.PermitRequest) message, connection::send, now());
                 } else {
                   core.receive(connection.peer().address, message, connection::send, now());
                 }
@@ -256,7 +259,7 @@
               @Override
               public void closed(final Connection connection) {
                 if (!"exchange".equals(connection.peer().program)) {
-                  core.streamClosed(connection, connection.peer().address, now());
+                  core.onStreamClosed(connection, connection.peer().address, now());
                 }
               }
             }));
@@ -271,7 +274,7 @@
           loop,
           settings.address(),
           settings.metricsPort() + 1,
-          () -> CompletableFuture.supplyAsync(() -> core.figures(now()), executor));
+          () -> CompletableFuture.supplyAsync(() -> core.metrics(now()), executor));
     }
     loop.scheduleWithFixedDelay(server::awake, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
     loop.scheduleAtFixedRate(
@@ -281,16 +284,16 @@
   private void tick() {
     final long now = now();
     core.tick(now);
-    if (now - countersAt >= settings.countersMillis()) {
-      countersAt = now;
+    if (now - countersLoggedAt >= settings.countersMillis()) {
+      countersLoggedAt = now;
       LOGGER.atInfo().log(
           "counters: %s %s %s", core.counters(), log.counters(), transport.trafficCounters());
     }
   }
 
   @Override
-  public void reload(final Settings news) {
-    executor.execute(() -> core.seeds(news.seeds(), now()));
+  public void reload(final Settings newSettings) {
+    executor.execute(() -> core.updateSeeds(newSettings.seeds(), now()));
   }
 
   @Override
@@ -298,7 +301,7 @@
     executor.execute(core::leave);
     try {
       Thread.sleep(400);
-    } catch (final InterruptedException ended) {
+    } catch (final InterruptedException interrupted) {
       Thread.currentThread().interrupt();
     }
   }
--- a/registry/src/main/java/weldpoint/registry/SiteMembership.java
+++ b/registry/src/main/java/weldpoint/registry/SiteMembership.java
@@ -10,48 +10,48 @@
 
 /** Which switchboards share a site: told to those of the site, and only when it changes. */
 final class SiteMembership {
-  private final Map<Object, String> sites = new HashMap<>();
-  private Map<String, RegistryMessages.SiteProxies> known = Map.of();
+  private final Map<Object, String> siteByStream = new HashMap<>();
+  private Map<String, RegistryMessages.SiteProxies> current = Map.of();
 
-  void stream(final Object stream, final String site) {
-    sites.put(stream, site);
+  void addStream(final Object stream, final String site) {
+    siteByStream.put(stream, site);
   }
 
-  void closed(final Object stream) {
-    sites.remove(stream);
+  void removeStream(final Object stream) {
+    siteByStream.remove(stream);
   }
 
-  void tell(final Object stream, final BiConsumer<Object, Message> board) {
-    final RegistryMessages.SiteProxies one = known.get(sites.getOrDefault(stream, ""));
-    if (one != null) {
-      board.accept(stream, one);
+  void sendTo(final Object stream, final BiConsumer<Object, Message> sender) {
+    final RegistryMessages.SiteProxies members = current.get(siteByStream.getOrDefault(stream, ""));
+    if (members != null) {
+      sender.accept(stream, members);
     }
   }
 
   /** Takes who lives where now. */
-  void keep(
-      final Map<String, List<String>> present,
+  void update(
+      final Map<String, List<String>> proxiesBySite,
       final Set<Object> streams,
-      final BiConsumer<Object, Message> board) {
+      final BiConsumer<Object, Message> sender) {
     final Map<String, RegistryMessages.SiteProxies> next = new HashMap<>();
-    present.forEach(
+    proxiesBySite.forEach(
         (site, addresses) -> {
           addresses.sort(null);
-          final RegistryMessages.SiteProxies before = known.get(site);
+          final RegistryMessages.SiteProxies previous = current.get(site);
           next.put(
               site,
-              before != null && before.addresses.equals(addresses)
-                  ? before
+              previous != null && previous.addresses.equals(addresses)
+                  ? previous
                   : new RegistryMessages.SiteProxies(addresses));
         });
-    final Map<String, RegistryMessages.SiteProxies> last = known;
-    known = next;
+    final Map<String, RegistryMessages.SiteProxies> previousBySite = current;
+    current = next;
     next.forEach(
-        (site, one) -> {
-          if (last.get(site) != one) {
+        (site, members) -> {
+          if (previousBySite.get(site) != members) {
             for (final Object stream : streams) {
-              if (site.equals(sites.get(stream))) {
-                board.accept(stream, one);
+              if (site.equals(siteByStream.get(stream))) {
+                sender.accept(stream, members);
               }
             }
           }
--- a/registry/src/main/java/weldpoint/registry/StoreClient.java
+++ b/registry/src/main/java/weldpoint/registry/StoreClient.java
@@ -20,51 +20,51 @@
  */
 final class StoreClient {
   private static final long RETRY_MILLIS = 30;
-  private static final long SILENCE_MILLIS = 400;
+  private static final long RESPONSE_TIMEOUT_MILLIS = 400;
 
   /** Sends a call to a frame; false where there is no line to it. */
   interface Sender {
     boolean send(String address, StoreMessages.StoreRequest call);
   }
 
-  private static final class Pending {
+  private static final class PendingCall {
     final StoreMessages.StoreRequest call;
     final int partition;
-    final long cutoff;
+    final long deadline;
     final CompletableFuture<StoreMessages.StoreResponse> future = new CompletableFuture<>();
-    final Map<String, Integer> copies = new HashMap<>();
-    boolean doubtful;
+    final Map<String, Integer> copiesInFlight = new HashMap<>();
+    boolean mayHaveExecuted;
     boolean copyLost;
-    String at;
+    String target;
     long firstSentAt;
     long sentAt;
     long resendAt;
-    int tries;
-    final long patience;
-    final String pinned;
+    int attempts;
+    final long responseTimeoutMillis;
+    final String pinnedReplica;
 
-    Pending(
+    PendingCall(
         final StoreMessages.StoreRequest call,
         final int partition,
-        final long cutoff,
-        final long patience,
-        final String pinned) {
-      this.pinned = pinned;
+        final long deadline,
+        final long responseTimeoutMillis,
+        final String pinnedReplica) {
+      this.pinnedReplica = pinnedReplica;
       this.call = call;
       this.partition = partition;
-      this.cutoff = cutoff;
-      this.patience = patience;
+      this.deadline = deadline;
+      this.responseTimeoutMillis = responseTimeoutMillis;
     }
   }
 
   private final String self;
   private final Sender sender;
   private final Random random;
-  private final Map<Long, Pending> pending = new HashMap<>();
-  private final String[] holders = new String[StateStoreReplica.PARTITIONS];
-  private List<String> frames = List.of();
+  private final Map<Long, PendingCall> pending = new HashMap<>();
+  private final String[] knownHolders = new String[StateStoreReplica.PARTITIONS];
+  private List<String> replicas = List.of();
   private final long caller;
-  private long number;
+  private long lastNumber;
 
   StoreClient(final String self, final Random random, final Sender sender) {
     this.self = self;
@@ -73,24 +73,26 @@
     this.caller = random.nextLong() | 1;
   }
 
-  void frames(final List<String> addresses) {
-    frames = addresses;
+  void replicas(final List<String> addresses) {
+    replicas = addresses;
   }
 
   /** Calls the frame of this very machine, whoever holds the duty. */
-  CompletableFuture<StoreMessages.StoreResponse> here(
+  CompletableFuture<StoreMessages.StoreResponse> callLocalReplica(
       final StoreOperation operation,
       final long first,
       final long second,
       final long now,
       final long timeout) {
-    final StoreMessages.StoreRequest call =
-        new StoreMessages.StoreRequest(++number, operation.ordinal(), "", null, first, second, null)
+    final StoreMessages.StoreRequest request =
+        new StoreMessages.StoreRequest(
+                ++lastNumber, operation.ordinal(), "", null, first, second, null)
             .from(caller);
-    final Pending one = new Pending(call, 0, now + timeout, SILENCE_MILLIS, self);
-    pending.put(call.number, one);
-    send(one, now);
-    return one.future;
+    final PendingCall pendingCall =
+        new PendingCall(request, 0, now + timeout, RESPONSE_TIMEOUT_MILLIS, self);
+    pending.put(request.number, pendingCall);
+    send(pendingCall, now);
+    return pendingCall.future;
   }
 
   CompletableFuture<StoreMessages.StoreResponse> call(
@@ -117,118 +119,133 @@
       final byte[] content,
       final long now,
       final long timeout) {
-    final StoreMessages.StoreRequest call =
+    final StoreMessages.StoreRequest request =
         new StoreMessages.StoreRequest(
-                ++number, operation.ordinal(), name, owner, first, second, body, origin, content)
+                ++lastNumber,
+                operation.ordinal(),
+                name,
+                owner,
+                first,
+                second,
+                body,
+                origin,
+                content)
             .from(caller);
-    final long patience =
+    final long responseTimeoutMillis =
         operation == StoreOperation.WATCH
-            ? second + SILENCE_MILLIS
-            : operation == StoreOperation.CONTROL ? 700 + SILENCE_MILLIS : SILENCE_MILLIS;
-    final Pending one =
-        new Pending(
-            call,
+            ? second + RESPONSE_TIMEOUT_MILLIS
+            : operation == StoreOperation.CONTROL
+                ? 700 + RESPONSE_TIMEOUT_MILLIS
+                : RESPONSE_TIMEOUT_MILLIS;
+    final PendingCall pendingCall =
+        new PendingCall(
+            request,
             StateStoreReplica.partition(operation.register(name)),
             now + timeout,
-            patience,
+            responseTimeoutMillis,
             null);
-    pending.put(call.number, one);
-    send(one, now);
-    return one.future;
+    pending.put(request.number, pendingCall);
+    send(pendingCall, now);
+    return pendingCall.future;
   }
 
-  private void send(final Pending one, final long now) {
-    one.tries++;
-    one.sentAt = now;
-    one.resendAt = 0;
-    if (one.pinned != null) {
-      one.at = sent(one, one.pinned, now) ? one.pinned : null;
-      one.resendAt = one.at == null ? now + RETRY_MILLIS : 0;
+  private void send(final PendingCall pendingCall, final long now) {
+    pendingCall.attempts++;
+    pendingCall.sentAt = now;
+    pendingCall.resendAt = 0;
+    if (pendingCall.pinnedReplica != null) {
+      pendingCall.target =
+          trySend(pendingCall, pendingCall.pinnedReplica, now) ? pendingCall.pinnedReplica : null;
+      pendingCall.resendAt = pendingCall.target == null ? now + RETRY_MILLIS : 0;
       return;
     }
-    final String hint = holders[one.partition];
-    if (hint != null && sent(one, hint, now)) {
-      one.at = hint;
+    final String hint = knownHolders[pendingCall.partition];
+    if (hint != null && trySend(pendingCall, hint, now)) {
+      pendingCall.target = hint;
       return;
     }
-    if (one.tries % 2 == 1 && sent(one, self, now)) {
-      one.at = self;
+    if (pendingCall.attempts % 2 == 1 && trySend(pendingCall, self, now)) {
+      pendingCall.target = self;
       return;
     }
-    final List<String> others = new ArrayList<>(frames);
+    final List<String> others = new ArrayList<>(replicas);
     java.util.Collections.shuffle(others, random);
     for (final String other : others) {
-      if (sent(one, other, now)) {
-        one.at = other;
+      if (trySend(pendingCall, other, now)) {
+        pendingCall.target = other;
         return;
       }
     }
-    one.at = null;
-    one.resendAt = now + RETRY_MILLIS;
+    pendingCall.target = null;
+    pendingCall.resendAt = now + RETRY_MILLIS;
   }
 
-  private boolean sent(final Pending one, final String to, final long now) {
-    final boolean again = one.doubtful;
-    one.copies.merge(to, 1, Integer::sum);
-    one.firstSentAt = again ? one.firstSentAt : now;
-    one.doubtful = true;
+  private boolean trySend(final PendingCall pendingCall, final String to, final long now) {
+    final boolean resend = pendingCall.mayHaveExecuted;
+    pendingCall.copiesInFlight.merge(to, 1, Integer::sum);
+    pendingCall.firstSentAt = resend ? pendingCall.firstSentAt : now;
+    pendingCall.mayHaveExecuted = true;
     if (sender.send(
-        to, again ? one.call.aged(Math.max(1, now - one.firstSentAt), now) : one.call)) {
+        to,
+        resend
+            ? pendingCall.call.aged(Math.max(1, now - pendingCall.firstSentAt), now)
+            : pendingCall.call)) {
       return true;
     }
-    one.doubtful = again;
-    forget(one, to);
+    pendingCall.mayHaveExecuted = resend;
+    forgetCopy(pendingCall, to);
     return false;
   }
 
   /** A copy was not sent, or its frame says that it did nothing for it. */
-  private static void forget(final Pending one, final String to) {
-    one.copies.computeIfPresent(to, (address, count) -> count == 1 ? null : count - 1);
-    one.doubtful &= one.copyLost || !one.copies.isEmpty();
+  private static void forgetCopy(final PendingCall pendingCall, final String to) {
+    pendingCall.copiesInFlight.computeIfPresent(
+        to, (address, count) -> count == 1 ? null : count - 1);
+    pendingCall.mayHaveExecuted &= pendingCall.copyLost || !pendingCall.copiesInFlight.isEmpty();
   }
 
-  void answered(final String from, final StoreMessages.StoreResponse answer, final long now) {
-    final Pending one = answer.caller == caller ? pending.get(answer.number) : null;
-    if (one == null || !one.copies.containsKey(from)) {
+  void onResponse(final String from, final StoreMessages.StoreResponse response, final long now) {
+    final PendingCall pendingCall = response.caller == caller ? pending.get(response.number) : null;
+    if (pendingCall == null || !pendingCall.copiesInFlight.containsKey(from)) {
       return;
     }
-    if (answer.status == 0) {
-      forget(one, from);
-      if (!from.equals(one.at)) {
+    if (response.status == 0) {
+      forgetCopy(pendingCall, from);
+      if (!from.equals(pendingCall.target)) {
         return;
       }
-      if (answer.holder != null && !answer.holder.equals(from)) {
-        holders[one.partition] = answer.holder;
-        if (one.tries < 4) {
-          send(one, now);
+      if (response.holder != null && !response.holder.equals(from)) {
+        knownHolders[pendingCall.partition] = response.holder;
+        if (pendingCall.attempts < 4) {
+          send(pendingCall, now);
           return;
         }
-      } else if (from.equals(holders[one.partition])) {
-        holders[one.partition] = null;
+      } else if (from.equals(knownHolders[pendingCall.partition])) {
+        knownHolders[pendingCall.partition] = null;
       }
-      one.at = null;
-      one.resendAt = now + RETRY_MILLIS + random.nextInt(20);
-      one.tries = Math.min(one.tries, 2);
+      pendingCall.target = null;
+      pendingCall.resendAt = now + RETRY_MILLIS + random.nextInt(20);
+      pendingCall.attempts = Math.min(pendingCall.attempts, 2);
       return;
     }
-    if (answer.status != 504 && one.pinned == null) {
-      holders[one.partition] = from;
+    if (response.status != 504 && pendingCall.pinnedReplica == null) {
+      knownHolders[pendingCall.partition] = from;
     }
-    pending.remove(answer.number);
-    one.future.complete(answer);
+    pending.remove(response.number);
+    pendingCall.future.complete(response);
   }
 
-  void closed(final String address, final long now) {
-    for (int index = 0; index < holders.length; index++) {
-      if (address.equals(holders[index])) {
-        holders[index] = null;
+  void onDisconnected(final String address, final long now) {
+    for (int index = 0; index < knownHolders.length; index++) {
+      if (address.equals(knownHolders[index])) {
+        knownHolders[index] = null;
       }
     }
-    for (final Pending one : pending.values()) {
-      one.copyLost |= one.copies.remove(address) != null;
-      if (address.equals(one.at)) {
-        one.at = null;
-        one.resendAt = now + RETRY_MILLIS;
+    for (final PendingCall pendingCall : pending.values()) {
+      pendingCall.copyLost |= pendingCall.copiesInFlight.remove(address) != null;
+      if (address.equals(pendingCall.target)) {
+        pendingCall.target = null;
+        pendingCall.resendAt = now + RETRY_MILLIS;
       }
     }
   }
@@ -237,20 +254,21 @@
     if (pending.isEmpty()) {
       return;
     }
-    for (final Pending one : new ArrayList<>(pending.values())) {
-      if (now >= one.cutoff) {
-        pending.remove(one.call.number);
-        one.future.completeExceptionally(
+    for (final PendingCall pendingCall : new ArrayList<>(pending.values())) {
+      if (now >= pendingCall.deadline) {
+        pending.remove(pendingCall.call.number);
+        pendingCall.future.completeExceptionally(
             new WeldpointException(
                 WeldpointException.Kind.OUT_OF_REACH,
                 "no frame that holds the duty answered in time; ask another daemon"));
-      } else if (one.resendAt != 0 && now >= one.resendAt) {
-        send(one, now);
-      } else if (one.at != null && now - one.sentAt > one.patience) {
-        if (one.at.equals(holders[one.partition])) {
-          holders[one.partition] = null;
+      } else if (pendingCall.resendAt != 0 && now >= pendingCall.resendAt) {
+        send(pendingCall, now);
+      } else if (pendingCall.target != null
+          && now - pendingCall.sentAt > pendingCall.responseTimeoutMillis) {
+        if (pendingCall.target.equals(knownHolders[pendingCall.partition])) {
+          knownHolders[pendingCall.partition] = null;
         }
-        send(one, now);
+        send(pendingCall, now);
       }
     }
   }
--- a/registry/src/main/java/weldpoint/registry/TrialService.java
+++ b/registry/src/main/java/weldpoint/registry/TrialService.java
@@ -61,7 +61,7 @@
 
   /** A proxy, or another registry that passes it on, tells what was counted in trials. */
   public void report(final TrialMessages.TrialReport report, final long now) {
-    control.coordinator().report(report, now);
+    control.trialCoordinator().report(report, now);
     if (!report.relayed) {
       registry.relay(new TrialMessages.TrialReport(true, report.tallies, report.digests));
     }
@@ -75,7 +75,7 @@
     }
     judgedAt = now;
     for (final TrialMessages.Trial verdict :
-        control.coordinator().verdicts(control.routingTable())) {
+        control.trialCoordinator().verdicts(control.routingTable())) {
       write(verdict, new StoreMessages.ChangeOrigin(Authors.SYSTEM, "", self, null), now);
     }
   }
@@ -139,7 +139,7 @@
     return order(
         () ->
             control
-                .coordinator()
+                .trialCoordinator()
                 .begin(
                     route,
                     String.valueOf(order.oldService()),
@@ -158,7 +158,7 @@
       final String route, final StoreMessages.ChangeOrigin origin, final long now) {
     final List<String> live = registry.liveProxies(now);
     return order(
-        () -> control.coordinator().advance(route, live, registry.hearsMajority(now), now),
+        () -> control.trialCoordinator().advance(route, live, registry.hearsMajority(now), now),
         origin,
         now);
   }
@@ -169,12 +169,12 @@
       final String reason,
       final StoreMessages.ChangeOrigin origin,
       final long now) {
-    return order(() -> control.coordinator().hold(route, reason), origin, now);
+    return order(() -> control.trialCoordinator().hold(route, reason), origin, now);
   }
 
   /** Ends a trial. */
   CompletableFuture<TrialMessages.Trial> finish(
       final String route, final StoreMessages.ChangeOrigin origin, final long now) {
-    return order(() -> control.coordinator().finish(route), origin, now);
+    return order(() -> control.trialCoordinator().finish(route), origin, now);
   }
 }
--- a/registry/src/test/java/weldpoint/registry/ConfirmationProofTest.java
+++ b/registry/src/test/java/weldpoint/registry/ConfirmationProofTest.java
@@ -47,10 +47,10 @@
 
   private void leave(final SimulatedCoreNetwork net, final int registry, final String id) {
     final RegistryCore core = net.node(registry).core;
-    core.beat(SimulatedCoreNetwork.upstream(id, LifecycleStage.JOINED, 1), net.now);
+    core.heartbeat(SimulatedCoreNetwork.upstream(id, LifecycleStage.JOINED, 1), net.now);
     note(
         net,
-        core.beat(SimulatedCoreNetwork.upstream(id, LifecycleStage.DRAINING, 2), net.now),
+        core.heartbeat(SimulatedCoreNetwork.upstream(id, LifecycleStage.DRAINING, 2), net.now),
         id,
         0);
   }
@@ -60,7 +60,9 @@
     final long version = net.version;
     note(
         net,
-        net.node(registry).core.spread(version, SimulatedCoreNetwork.spec(version), net.now),
+        net.node(registry)
+            .core
+            .replicateConfiguration(version, SimulatedCoreNetwork.spec(version), net.now),
         null,
         version);
   }
@@ -97,7 +99,7 @@
         final List<Registration> given = new ArrayList<>(Protocol.list(view.registrations));
         given.addAll(RegistrationBuckets.unpack(view.packed));
         for (final Registration one : given) {
-          if (LifecycleStage.of(one).open()) {
+          if (LifecycleStage.of(one).routable()) {
             open.add(one.id);
           } else {
             open.remove(one.id);
--- a/registry/src/test/java/weldpoint/registry/ControlServerFuzzTest.java
+++ b/registry/src/test/java/weldpoint/registry/ControlServerFuzzTest.java
@@ -111,25 +111,26 @@
             new Random(1),
             new RegistryCore.Environment() {
               @Override
-              public boolean member(final String address, final Message message) {
+              public boolean sendToMember(final String address, final Message message) {
                 return false;
               }
 
               @Override
-              public boolean frame(final String address, final StoreMessages.StoreRequest call) {
+              public boolean sendToReplica(
+                  final String address, final StoreMessages.StoreRequest call) {
                 final StoreMessages.StoreResponse answer =
                     call.deed == StoreOperation.CONTROL.ordinal()
                         ? held(call)
                         : new StoreMessages.StoreResponse(call.number, 409, 0, null, null);
                 loop.schedule(
-                    () -> core.answered(address, answer.to(call.caller), clock.get()),
+                    () -> core.onStoreResponse(address, answer.to(call.caller), clock.get()),
                     2,
                     TimeUnit.MILLISECONDS);
                 return true;
               }
 
               @Override
-              public void board(final Object stream, final Message message) {}
+              public void sendToStream(final Object stream, final Message message) {}
 
               @Override
               public void append(final byte[] record, final Runnable synced) {
@@ -137,7 +138,7 @@
               }
 
               @Override
-              public void peers(final List<String> members) {}
+              public void updatePeers(final List<String> members) {}
             });
     core.start(List.of(), 0);
     final Settings settings =
--- a/registry/src/test/java/weldpoint/registry/ControlServerTest.java
+++ b/registry/src/test/java/weldpoint/registry/ControlServerTest.java
@@ -47,24 +47,25 @@
             new Random(1),
             new RegistryCore.Environment() {
               @Override
-              public boolean member(final String address, final Message message) {
+              public boolean sendToMember(final String address, final Message message) {
                 return false;
               }
 
               @Override
-              public boolean frame(final String address, final StoreMessages.StoreRequest call) {
+              public boolean sendToReplica(
+                  final String address, final StoreMessages.StoreRequest call) {
                 storeCalls++;
                 return true;
               }
 
               @Override
-              public void board(final Object stream, final Message message) {}
+              public void sendToStream(final Object stream, final Message message) {}
 
               @Override
               public void append(final byte[] record, final Runnable synced) {}
 
               @Override
-              public void peers(final List<String> members) {}
+              public void updatePeers(final List<String> members) {}
             });
     core.start(List.of(), 0);
     final Settings settings =
--- a/registry/src/test/java/weldpoint/registry/CutOffControlServerTest.java
+++ b/registry/src/test/java/weldpoint/registry/CutOffControlServerTest.java
@@ -77,22 +77,23 @@
             new Random(1),
             new RegistryCore.Environment() {
               @Override
-              public boolean member(final String address, final Message message) {
+              public boolean sendToMember(final String address, final Message message) {
                 return false;
               }
 
               @Override
-              public boolean frame(final String address, final StoreMessages.StoreRequest call) {
+              public boolean sendToReplica(
+                  final String address, final StoreMessages.StoreRequest call) {
                 calls.add(call);
                 final StoreMessages.StoreResponse answer = frames.apply(call);
                 if (answer != null) {
-                  core.answered(address, answer.to(call.caller), now());
+                  core.onStoreResponse(address, answer.to(call.caller), now());
                 }
                 return true;
               }
 
               @Override
-              public void board(final Object stream, final Message message) {}
+              public void sendToStream(final Object stream, final Message message) {}
 
               @Override
               public void append(final byte[] record, final Runnable synced) {
@@ -100,14 +101,14 @@
               }
 
               @Override
-              public void peers(final List<String> members) {}
+              public void updatePeers(final List<String> members) {}
             });
     core.start(
         List.of(
             Serializer.serialize(
                 PersistedRecord.membership(List.of(), SimulatedCoreNetwork.roster(4, VOTERS)))),
         now() - 60_000);
-    core.boardState(
+    core.onDaemonReport(
         "s",
         new RegistryMessages.DaemonEntry("10.9.0.1", "10.9.0.1:80", "a", "r", 1, false, 0),
         now());
@@ -202,7 +203,7 @@
   private void told(final long ageMillis) throws Exception {
     loop.submit(
             () -> {
-              core.memberOpened("10.0.0.9", now());
+              core.onMemberConnected("10.0.0.9", now());
               core.receive(
                   "10.0.0.9",
                   new RegistryMessages.ControlStateResponse(
@@ -244,7 +245,7 @@
 
   @Test
   public void anOrderThatDependsOnWhatIsHeldIsRefusedOnlyOnAMajoritysWord() throws Exception {
-    loop.submit(() -> VOTERS.forEach(voter -> core.memberOpened(voter, now()))).get();
+    loop.submit(() -> VOTERS.forEach(voter -> core.onMemberConnected(voter, now()))).get();
     frames =
         call ->
             call.deed == StoreOperation.CONTROL.ordinal()
@@ -277,7 +278,7 @@
 
   @Test
   public void aConfigurationThatOnlyTheFramesHaveIsNotAcknowledged() throws Exception {
-    loop.submit(() -> VOTERS.forEach(voter -> core.memberOpened(voter, now()))).get();
+    loop.submit(() -> VOTERS.forEach(voter -> core.onMemberConnected(voter, now()))).get();
     frames =
         call ->
             call.deed != StoreOperation.SPEC_REPLACE.ordinal()
@@ -298,7 +299,7 @@
 
   @Test
   public void whoHearsAMajorityAnswersAsEver() throws Exception {
-    loop.submit(() -> VOTERS.forEach(voter -> core.memberOpened(voter, now()))).get();
+    loop.submit(() -> VOTERS.forEach(voter -> core.onMemberConnected(voter, now()))).get();
     frames =
         call ->
             call.deed == StoreOperation.NUMBER.ordinal()
--- a/registry/src/test/java/weldpoint/registry/CutOffTest.java
+++ b/registry/src/test/java/weldpoint/registry/CutOffTest.java
@@ -39,7 +39,9 @@
   @Test
   public void aFreshSwitchboardGetsNothingFromAnExchangeThatRestartedWhileCutOff() {
     final SimulatedCoreNetwork net = settled();
-    net.node(1).core.beat(SimulatedCoreNetwork.upstream("u", LifecycleStage.JOINED, 1), net.now);
+    net.node(1)
+        .core
+        .heartbeat(SimulatedCoreNetwork.upstream("u", LifecycleStage.JOINED, 1), net.now);
     net.pass(100);
     net.cut(1, true, true);
     net.restart(1, true);
@@ -91,7 +93,7 @@
     net.version = 7;
     net.pass(500);
     final CompletableFuture<Void> acknowledged =
-        net.node(2).core.spread(7, SimulatedCoreNetwork.spec(7), net.now);
+        net.node(2).core.replicateConfiguration(7, SimulatedCoreNetwork.spec(7), net.now);
     net.pass(100);
     assertTrue(acknowledged.isDone() && !refused(acknowledged));
     net.framesDown = true;
@@ -112,11 +114,12 @@
     final SimulatedCoreNetwork net = settled();
     net.cut(1, true, true);
     final CompletableFuture<Void> cutOff =
-        net.node(1).core.spread(7, SimulatedCoreNetwork.spec(7), net.now);
+        net.node(1).core.replicateConfiguration(7, SimulatedCoreNetwork.spec(7), net.now);
     net.pass(1000);
     assertTrue(refused(cutOff));
     net.version = 8;
-    final CompletableFuture<Void> reached = net.node(2).core.spread(7, null, net.now);
+    final CompletableFuture<Void> reached =
+        net.node(2).core.replicateConfiguration(7, null, net.now);
     net.pass(1000);
     assertTrue(reached.isDone() && !refused(reached));
     assertEquals(
@@ -130,7 +133,7 @@
     final SimulatedCoreNetwork net = settled();
     net.evacuated = List.of("a", "b");
     net.evacuationMark = 2;
-    final CompletableFuture<Void> done = net.node(2).core.settle(net.now);
+    final CompletableFuture<Void> done = net.node(2).core.replicateControlState(net.now);
     net.pass(200);
     assertTrue(done.isDone() && !refused(done));
     net.framesDown = true;
@@ -141,7 +144,7 @@
     net.pass(500);
     assertEquals(net.node(1).views("1").get(0).evacuated, List.of("a", "b"));
     net.cut(1, true, true);
-    final CompletableFuture<Void> alone = net.node(1).core.settle(net.now);
+    final CompletableFuture<Void> alone = net.node(1).core.replicateControlState(net.now);
     net.pass(1000);
     assertTrue(refused(alone));
   }
@@ -149,25 +152,27 @@
   @Test
   public void aDrainIsAcknowledgedByAMajorityEachTimeItIsSaid() {
     final SimulatedCoreNetwork net = settled();
-    net.node(1).core.beat(SimulatedCoreNetwork.upstream("i", LifecycleStage.JOINED, 1), net.now);
+    net.node(1)
+        .core
+        .heartbeat(SimulatedCoreNetwork.upstream("i", LifecycleStage.JOINED, 1), net.now);
     net.pass(100);
     final CompletableFuture<Void> first =
         net.node(1)
             .core
-            .beat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 2), net.now);
+            .heartbeat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 2), net.now);
     net.pass(100);
     assertTrue(first.isDone() && !refused(first));
     net.cut(1, true, true);
     final CompletableFuture<Void> again =
         net.node(1)
             .core
-            .beat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 3), net.now);
+            .heartbeat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 3), net.now);
     final CompletableFuture<Void> gone = net.node(1).core.deregister("i", 1, net.now);
     final CompletableFuture<Void> goneAgain = net.node(1).core.deregister("i", 1, net.now);
     final CompletableFuture<Void> late =
         net.node(1)
             .core
-            .beat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 2), net.now);
+            .heartbeat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 2), net.now);
     net.pass(1000);
     for (final CompletableFuture<Void> future : List.of(again, gone, goneAgain, late)) {
       assertTrue(refused(future), "acknowledged without a majority since the question");
@@ -177,13 +182,15 @@
   @Test
   public void aFreshSwitchboardNeverHearsOfAnUpstreamAsOpenThatAMajorityKnowsToLeave() {
     final SimulatedCoreNetwork net = settled();
-    net.node(1).core.beat(SimulatedCoreNetwork.upstream("i", LifecycleStage.JOINED, 1), net.now);
+    net.node(1)
+        .core
+        .heartbeat(SimulatedCoreNetwork.upstream("i", LifecycleStage.JOINED, 1), net.now);
     net.pass(100);
     net.cut(1, true, true);
     final CompletableFuture<Void> drained =
         net.node(2)
             .core
-            .beat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 2), net.now);
+            .heartbeat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 2), net.now);
     net.pass(100);
     assertTrue(drained.isDone() && !refused(drained));
     net.framesDown = true;
@@ -206,7 +213,7 @@
     final CompletableFuture<Void> drained =
         net.node(1)
             .core
-            .beat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 2), net.now);
+            .heartbeat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 2), net.now);
     net.pass(3);
     net.freeze(1);
     net.pass(5000);
@@ -220,11 +227,13 @@
     final SimulatedCoreNetwork net = settled();
     net.cut(4, true, true);
     net.cut(5, true, true);
-    net.node(1).core.beat(SimulatedCoreNetwork.upstream("i", LifecycleStage.JOINED, 1), net.now);
+    net.node(1)
+        .core
+        .heartbeat(SimulatedCoreNetwork.upstream("i", LifecycleStage.JOINED, 1), net.now);
     final CompletableFuture<Void> drained =
         net.node(1)
             .core
-            .beat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 2), net.now);
+            .heartbeat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 2), net.now);
     net.pass(100);
     assertTrue(drained.isDone() && !refused(drained));
     net.framesDown = true;
@@ -264,7 +273,7 @@
     final CompletableFuture<Void> drained =
         net.node(1)
             .core
-            .beat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 2), net.now);
+            .heartbeat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 2), net.now);
     net.pass(100);
     assertTrue(drained.isDone() && !refused(drained));
     net.framesDown = true;
@@ -294,7 +303,8 @@
     net.cut.clear();
     net.pass(5000);
     assertTrue(net.node(5).views("5").size() > 0);
-    assertEquals(LifecycleStage.of(net.node(6).core.history().get("i")), LifecycleStage.DRAINING);
+    assertEquals(
+        LifecycleStage.of(net.node(6).core.registrations().get("i")), LifecycleStage.DRAINING);
   }
 
   @Test
@@ -309,7 +319,7 @@
     final CompletableFuture<Void> drained =
         net.node(1)
             .core
-            .beat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 2), net.now);
+            .heartbeat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 2), net.now);
     net.pass(1000);
     assertTrue(
         refused(drained),
@@ -318,7 +328,7 @@
     final CompletableFuture<Void> later =
         net.node(1)
             .core
-            .beat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 3), net.now);
+            .heartbeat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 3), net.now);
     net.pass(1000);
     assertTrue(later.isDone() && !refused(later));
   }
@@ -340,7 +350,7 @@
       net.cut(1, ways[0], ways[1]);
       net.pass(3000);
       assertTrue(net.node(1).core.cutOff(net.now));
-      assertEquals(net.node(1).core.majority(net.now), null);
+      assertEquals(net.node(1).core.registryWithMajority(net.now), null);
       assertFalse(net.node(2).core.cutOff(net.now));
       net.restart(1, true);
       net.pass(1600);
@@ -362,10 +372,10 @@
     net.cut("10.0.0.1", "10.0.0.6", true, true);
     net.pass(4000);
     assertTrue(net.node(1).core.cutOff(net.now));
-    assertEquals(net.node(1).core.majority(net.now), "10.0.0.7");
+    assertEquals(net.node(1).core.registryWithMajority(net.now), "10.0.0.7");
     net.cut(7, true, true);
     net.pass(1500);
-    assertEquals(net.node(1).core.majority(net.now), null);
+    assertEquals(net.node(1).core.registryWithMajority(net.now), null);
   }
 
   /**
@@ -391,7 +401,7 @@
     final SimulatedCoreNetwork net = restarted(null);
     net.cut(1, true, true);
     final CompletableFuture<Void> spread =
-        net.node(2).core.spread(7, SimulatedCoreNetwork.spec(7), net.now);
+        net.node(2).core.replicateConfiguration(7, SimulatedCoreNetwork.spec(7), net.now);
     net.pass(150);
     net.node(1).opens("2", 0);
     net.pass(1);
@@ -409,7 +419,7 @@
     final SimulatedCoreNetwork net = restarted(null);
     net.freeze(1);
     final CompletableFuture<Void> spread =
-        net.node(2).core.spread(7, SimulatedCoreNetwork.spec(7), net.now);
+        net.node(2).core.replicateConfiguration(7, SimulatedCoreNetwork.spec(7), net.now);
     net.pass(1200);
     assertTrue(spread.isDone() && !refused(spread));
     net.cut(1, true, true);
@@ -426,7 +436,7 @@
     final SimulatedCoreNetwork net =
         restarted(
             node ->
-                node.core.judges(
+                node.core.replaceQuorumChecks(
                     new QuorumWrites(),
                     new QuorumReads(node.address) {
                       @Override
@@ -437,7 +447,7 @@
                     new MajorityReachability(node.address, (to, message) -> {})));
     net.cut(1, true, true);
     final CompletableFuture<Void> spread =
-        net.node(2).core.spread(7, SimulatedCoreNetwork.spec(7), net.now);
+        net.node(2).core.replicateConfiguration(7, SimulatedCoreNetwork.spec(7), net.now);
     net.pass(880);
     assertTrue(spread.isDone() && !refused(spread));
     net.node(1).opens("3", 0);
@@ -464,13 +474,13 @@
     final SimulatedCoreNetwork net =
         broken(
             node ->
-                node.core.judges(
+                node.core.replaceQuorumChecks(
                     new QuorumWrites(),
                     new QuorumReads(node.address) {
                       @Override
-                      boolean complete(
+                      boolean completeReads(
                           final StateStoreMessages.Roster roster, final boolean whole) {
-                        return super.complete(
+                        return super.completeReads(
                             new StateStoreMessages.Roster(
                                 1,
                                 List.of(
@@ -495,12 +505,12 @@
     final SimulatedCoreNetwork net =
         broken(
             node ->
-                node.core.judges(
+                node.core.replaceQuorumChecks(
                     new QuorumWrites(),
                     new QuorumReads(node.address) {
                       @Override
-                      long next() {
-                        return Math.min(super.next(), Math.max(1, done()));
+                      long requestRead() {
+                        return Math.min(super.requestRead(), Math.max(1, lastCompleted()));
                       }
                     },
                     new MajorityReachability(node.address, (to, message) -> {})));
@@ -518,16 +528,16 @@
     final SimulatedCoreNetwork net =
         broken(
             node ->
-                node.core.judges(
+                node.core.replaceQuorumChecks(
                     new QuorumWrites() {
                       @Override
-                      void kept(
+                      void acknowledged(
                           final String from,
                           final long key,
                           final StateStoreMessages.Roster roster,
                           final StateStoreMessages.Roster before,
                           final long now) {
-                        super.kept(from, key, roster, before, Long.MIN_VALUE);
+                        super.acknowledged(from, key, roster, before, Long.MIN_VALUE);
                       }
                     },
                     new QuorumReads(node.address),
@@ -535,7 +545,7 @@
     final CompletableFuture<Void> drained =
         net.node(1)
             .core
-            .beat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 2), net.now);
+            .heartbeat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 2), net.now);
     net.pass(3);
     net.freeze(1);
     net.pass(5000);
--- a/registry/src/test/java/weldpoint/registry/HistoryReaderTest.java
+++ b/registry/src/test/java/weldpoint/registry/HistoryReaderTest.java
@@ -198,7 +198,7 @@
     final CompletableFuture<ControlApi.HistoryResponse> future =
         desk.read(query(null, null, null, null, null), WALL, 1000);
     assertEquals(frames.reads.size(), 0);
-    frames.store.answered(
+    frames.store.onResponse(
         "10.0.0.1",
         new StoreMessages.StoreResponse(
                 frames.heads.get(0).number,
@@ -208,7 +208,7 @@
                 null)
             .to(frames.heads.get(0).caller),
         1010);
-    frames.store.answered(
+    frames.store.onResponse(
         "10.0.0.1",
         new StoreMessages.StoreResponse(
                 frames.reads.get(0).number,
@@ -220,7 +220,7 @@
         1020);
     assertFalse(future.isDone());
     desk.tick(1200);
-    frames.store.answered(
+    frames.store.onResponse(
         "10.0.0.1",
         new StoreMessages.StoreResponse(
                 frames.reads.get(1).number,
--- a/registry/src/test/java/weldpoint/registry/KeyClaimsTest.java
+++ b/registry/src/test/java/weldpoint/registry/KeyClaimsTest.java
@@ -45,7 +45,7 @@
     final Claim claim = new Claim(key, key, "10.9.0." + node, node, ++number, KEEP_MILLIS);
     net.node(node)
         .core
-        .key(
+        .onKeyMessage(
             new ClaimRequest(claim),
             answer -> {
               assertFalse(answers.containsKey(claim.number), "answered twice");
@@ -149,12 +149,12 @@
     final SimulatedCoreNetwork net = settled();
     final Claim first = ask(net, 1, 7);
     net.pass(100);
-    net.node(1).core.key(new ClaimRelease(List.of(first)), unused -> {}, net.now);
+    net.node(1).core.onKeyMessage(new ClaimRelease(List.of(first)), unused -> {}, net.now);
     net.pass(100);
     final Claim second = ask(net, 2, 7);
     net.pass(100);
     assertEquals(result(second), ClaimResult.GRANTED);
-    net.node(1).core.key(new ClaimRelease(List.of(first)), unused -> {}, net.now);
+    net.node(1).core.onKeyMessage(new ClaimRelease(List.of(first)), unused -> {}, net.now);
     net.pass(100);
     final Claim third = ask(net, 3, 7);
     net.pass(100);
@@ -167,7 +167,7 @@
     final Claim first = ask(net, 1, 7);
     net.pass(100);
     net.cut("10.0.0.1", "10.0.0.2", true, true);
-    net.node(2).core.key(new ClaimRelease(List.of(first)), unused -> {}, net.now);
+    net.node(2).core.onKeyMessage(new ClaimRelease(List.of(first)), unused -> {}, net.now);
     net.pass(100);
     final Claim second = ask(net, 1, 7);
     net.pass(1200);
--- a/registry/src/test/java/weldpoint/registry/LargeFleetTest.java
+++ b/registry/src/test/java/weldpoint/registry/LargeFleetTest.java
@@ -44,18 +44,19 @@
               new Random(1),
               new RegistryCore.Environment() {
                 @Override
-                public boolean member(final String to, final Message message) {
+                public boolean sendToMember(final String to, final Message message) {
                   members.computeIfAbsent(to, key -> new ArrayList<>()).add(message);
                   return true;
                 }
 
                 @Override
-                public boolean frame(final String to, final StoreMessages.StoreRequest call) {
+                public boolean sendToReplica(
+                    final String to, final StoreMessages.StoreRequest call) {
                   return false;
                 }
 
                 @Override
-                public void board(final Object stream, final Message message) {
+                public void sendToStream(final Object stream, final Message message) {
                   boards.computeIfAbsent(stream, key -> new ArrayList<>()).add(message);
                 }
 
@@ -65,9 +66,9 @@
                 }
 
                 @Override
-                public void peers(final List<String> addresses) {}
+                public void updatePeers(final List<String> addresses) {}
               });
-      core.place("a", "north");
+      core.setLocation("a", "north");
       final byte[] spec =
           Compression.deflate(
               "{\"version\":\"00000001\",\"listeners\":[],\"pools\":[]}"
@@ -125,7 +126,7 @@
     final Told told = new Told();
     final RegistryCore core = told.exchange("10.0.0.1", UPSTREAMS);
     for (int index = 0; index < BOARDS; index++) {
-      core.boardState("stream-" + index, board(index), null, told.now);
+      core.onDaemonReport("stream-" + index, board(index), null, told.now);
     }
     Message first = null;
     for (final List<Message> messages : told.boards.values()) {
@@ -146,7 +147,7 @@
     final List<Registration> had = upstreams(UPSTREAMS);
     long bytes = 0;
     for (int index = 0; index < BOARDS; index++) {
-      core.boardState(
+      core.onDaemonReport(
           "stream-" + index, board(index), RegistrationBuckets.digests(had, false), told.now);
     }
     for (final List<Message> messages : told.boards.values()) {
@@ -170,7 +171,7 @@
             99,
             gone.issued,
             0));
-    core.boardState("late", board(BOARDS), RegistrationBuckets.digests(had, false), told.now);
+    core.onDaemonReport("late", board(BOARDS), RegistrationBuckets.digests(had, false), told.now);
     final RegistryMessages.View view = (RegistryMessages.View) told.boards.get("late").get(0);
     final List<Registration> given = RegistrationBuckets.unpack(view.packed);
     assertTrue(given.size() < UPSTREAMS / 8, given.size() + " were told");
@@ -208,7 +209,7 @@
       told[0].exchange("10.0.0.1", UPSTREAMS), told[1].exchange("10.0.0.2", UPSTREAMS)
     };
     for (int index = 0; index < 100; index++) {
-      cores[0].boardState("stream-" + index, board(index), null, told[0].now);
+      cores[0].onDaemonReport("stream-" + index, board(index), null, told[0].now);
     }
     final long[] first = new long[1];
     meet(told, cores, 0, gossip(told[0], cores[0], "10.0.0.2"), first);
@@ -221,14 +222,15 @@
     };
     final long[] refill = new long[1];
     meet(told, wiped, 1, gossip(told[1], wiped[1], "10.0.0.1"), refill);
-    assertEquals(wiped[1].history().size(), UPSTREAMS);
-    assertTrue(wiped[1].informed(told[1].now) || wiped[1].history().size() == UPSTREAMS);
+    assertEquals(wiped[1].registrations().size(), UPSTREAMS);
+    assertTrue(
+        wiped[1].canServeProxies(told[1].now) || wiped[1].registrations().size() == UPSTREAMS);
     final RegistryCore[] apart = {
       told[0].exchange("10.0.0.1", UPSTREAMS), told[1].exchange("10.0.0.2", UPSTREAMS - 2)
     };
     final long[] few = new long[1];
     meet(told, apart, 0, gossip(told[0], apart[0], "10.0.0.2"), few);
-    assertEquals(apart[1].history().size(), UPSTREAMS);
+    assertEquals(apart[1].registrations().size(), UPSTREAMS);
     assertTrue(few[0] < refill[0] * 2, few[0] + " bytes for two, " + refill[0] + " for all");
   }
 
@@ -252,7 +254,7 @@
     }
     assertTrue(told[0].now - silentSince > 10_000);
     final List<Message> last = new ArrayList<>();
-    cores[0].boardState("s", board(1), null, told[0].now + 700);
+    cores[0].onDaemonReport("s", board(1), null, told[0].now + 700);
     last.addAll(told[0].boards.get("s"));
     assertEquals(
         ((RegistryMessages.View) last.get(0)).suspects.size(),
@@ -265,7 +267,7 @@
     final Told told = new Told();
     final RegistryCore core = told.exchange("10.0.0.1", 10);
     for (int index = 0; index < 24; index++) {
-      core.boardState("stream-" + index, board(index), null, told.now);
+      core.onDaemonReport("stream-" + index, board(index), null, told.now);
     }
     told.now += 600;
     core.tick(told.now);
@@ -279,7 +281,7 @@
       assertEquals(lists.size(), 1);
       assertEquals(((RegistryMessages.SiteProxies) lists.get(0)).addresses.size(), 3);
     }
-    core.boardState("new", board(24), null, told.now);
+    core.onDaemonReport("new", board(24), null, told.now);
     told.now += 600;
     core.tick(told.now);
     assertEquals(
@@ -299,7 +301,7 @@
     assertEquals(RegistrationBuckets.unpack(RegistrationBuckets.pack(List.of())), List.of());
     assertEquals(RegistrationBuckets.unpack(RegistrationBuckets.pack(upstreams(2))).size(), 2);
     final Told told = new Told();
-    told.exchange("10.0.0.1", 0).boardState("s", board(1), null, told.now);
+    told.exchange("10.0.0.1", 0).onDaemonReport("s", board(1), null, told.now);
     assertTrue(
         told.boards.isEmpty()
             || RegistrationBuckets.unpack(
@@ -311,7 +313,7 @@
   public void theStatusNamesWhoIsThereAndThatNoMajorityWasHeardOf() {
     final Told told = new Told();
     final RegistryCore core = told.exchange("10.0.0.1", 3);
-    core.boardState("s", board(1), null, told.now);
+    core.onDaemonReport("s", board(1), null, told.now);
     final ControlApi.StatusResponse status = core.status(told.now + 500);
     assertEquals(status.settled(), false);
     assertEquals(status.upstreams(), 3);
--- a/registry/src/test/java/weldpoint/registry/LateBeatsTest.java
+++ b/registry/src/test/java/weldpoint/registry/LateBeatsTest.java
@@ -46,7 +46,7 @@
 
     private void beat(
         final int at, final String id, final LifecycleStage stage, final long number) {
-      net.node(at).core.beat(SimulatedCoreNetwork.upstream(id, stage, number), net.now);
+      net.node(at).core.heartbeat(SimulatedCoreNetwork.upstream(id, stage, number), net.now);
     }
 
     /** A call that comes late, twice, or out of order. */
@@ -81,8 +81,8 @@
       for (int index = 1; index <= REGISTRIES; index++) {
         final boolean learned = net.now - startedAt[index] > LEARNING_MILLIS;
         final weldpoint.transport.RegistryMessages.Registration held =
-            net.node(index).core.history().get("sound");
-        if (learned && (held == null || !LifecycleStage.of(held).open())) {
+            net.node(index).core.registrations().get("sound");
+        if (learned && (held == null || !LifecycleStage.of(held).routable())) {
           return index;
         }
       }
--- a/registry/src/test/java/weldpoint/registry/RegistryCoreTest.java
+++ b/registry/src/test/java/weldpoint/registry/RegistryCoreTest.java
@@ -42,7 +42,7 @@
                 new Random(address.hashCode()),
                 new RegistryCore.Environment() {
                   @Override
-                  public boolean member(final String to, final Message message) {
+                  public boolean sendToMember(final String to, final Message message) {
                     if (down.contains(to) || down.contains(address) || !cores.containsKey(to)) {
                       return false;
                     }
@@ -64,17 +64,18 @@
                   }
 
                   @Override
-                  public String disk() {
+                  public String diskCounters() {
                     return "disk 1536 KB of " + address;
                   }
 
                   @Override
-                  public boolean frame(final String to, final StoreMessages.StoreRequest call) {
+                  public boolean sendToReplica(
+                      final String to, final StoreMessages.StoreRequest call) {
                     return false;
                   }
 
                   @Override
-                  public void board(final Object stream, final Message message) {}
+                  public void sendToStream(final Object stream, final Message message) {}
 
                   @Override
                   public void append(final byte[] record, final Runnable synced) {
@@ -82,7 +83,7 @@
                   }
 
                   @Override
-                  public void peers(final List<String> members) {}
+                  public void updatePeers(final List<String> members) {}
                 }));
       }
       final List<StateStoreMessages.Voter> voters = new ArrayList<>();
@@ -138,10 +139,10 @@
   public void drainIsAcknowledgedOnlyOnceAMajorityOfDisksHasIt() {
     final Net net = new Net();
     final RegistryCore first = net.cores.get(SEEDS.get(0));
-    first.beat(beat("i", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
+    first.heartbeat(beat("i", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
     net.pass(200);
     final CompletableFuture<Void> done =
-        first.beat(beat("i", "10.9.0.1:80", LifecycleStage.DRAINING, 2), net.now);
+        first.heartbeat(beat("i", "10.9.0.1:80", LifecycleStage.DRAINING, 2), net.now);
     net.talk();
     net.sync(SEEDS.get(0));
     net.talk();
@@ -159,7 +160,7 @@
     final CompletableFuture<Void> done =
         net.cores
             .get(SEEDS.get(0))
-            .beat(beat("i", "10.9.0.1:80", LifecycleStage.DRAINING, 2), net.now);
+            .heartbeat(beat("i", "10.9.0.1:80", LifecycleStage.DRAINING, 2), net.now);
     net.pass(1500);
     assertTrue(done.isCompletedExceptionally());
   }
@@ -167,22 +168,28 @@
   @Test
   public void aNewLifeAtAnAddressEndsTheOldOneEverywhere() {
     final Net net = new Net();
-    net.cores.get(SEEDS.get(0)).beat(beat("old", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
+    net.cores
+        .get(SEEDS.get(0))
+        .heartbeat(beat("old", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
     net.pass(300);
-    net.cores.get(SEEDS.get(2)).beat(beat("old", "10.9.0.1:80", LifecycleStage.JOINED, 5), net.now);
-    net.cores.get(SEEDS.get(1)).beat(beat("new", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
+    net.cores
+        .get(SEEDS.get(2))
+        .heartbeat(beat("old", "10.9.0.1:80", LifecycleStage.JOINED, 5), net.now);
+    net.cores
+        .get(SEEDS.get(1))
+        .heartbeat(beat("new", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
     for (int second = 0; second < 10; second++) {
       net.pass(300);
       everywhere(net, "old", LifecycleStage.LAPSED);
       everywhere(net, "new", LifecycleStage.JOINED);
       net.pass(700);
     }
-    assertFalse(LifecycleStage.LAPSED.open(), "nothing is sent to a life that was written off");
+    assertFalse(LifecycleStage.LAPSED.routable(), "nothing is sent to a life that was written off");
   }
 
   private static void everywhere(final Net net, final String id, final LifecycleStage stage) {
     for (final RegistryCore core : net.cores.values()) {
-      assertEquals(LifecycleStage.of(core.history().get(id)), stage, id);
+      assertEquals(LifecycleStage.of(core.registrations().get(id)), stage, id);
     }
   }
 
@@ -190,11 +197,11 @@
   public void aNewLifeAtTheAddressOfOneThatDrainsEndsItForGood() {
     final Net net = new Net();
     final RegistryCore core = net.cores.get(SEEDS.get(0));
-    core.beat(beat("old", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
-    core.beat(beat("old", "10.9.0.1:80", LifecycleStage.DRAINING, 2), net.now);
-    core.beat(beat("new", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
+    core.heartbeat(beat("old", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
+    core.heartbeat(beat("old", "10.9.0.1:80", LifecycleStage.DRAINING, 2), net.now);
+    core.heartbeat(beat("new", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
     net.pass(300);
-    core.beat(beat("old", "10.9.0.1:80", LifecycleStage.JOINED, 3), net.now);
+    core.heartbeat(beat("old", "10.9.0.1:80", LifecycleStage.JOINED, 3), net.now);
     net.pass(300);
     everywhere(net, "old", LifecycleStage.REMOVED);
   }
@@ -210,16 +217,16 @@
       long sequence = 0;
       for (int beats = 0; beats < 3; beats++) {
         final RegistryCore core = net.cores.get(SEEDS.get(beats));
-        core.beat(beat("sound", "10.9.0.1:80", LifecycleStage.JOINED, ++sequence), net.now);
+        core.heartbeat(beat("sound", "10.9.0.1:80", LifecycleStage.JOINED, ++sequence), net.now);
         net.pass(1500);
       }
       net.cores
           .get(SEEDS.get(late))
-          .beat(beat("late", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
+          .heartbeat(beat("late", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
       net.pass(1500);
       for (int beats = 0; beats < 4; beats++) {
         final RegistryCore core = net.cores.get(SEEDS.get(beats % 3));
-        core.beat(beat("sound", "10.9.0.1:80", LifecycleStage.JOINED, ++sequence), net.now);
+        core.heartbeat(beat("sound", "10.9.0.1:80", LifecycleStage.JOINED, ++sequence), net.now);
         net.pass(300);
         everywhere(net, "sound", LifecycleStage.JOINED);
         net.pass(1200);
@@ -234,19 +241,19 @@
     final Net net = new Net();
     net.cores
         .get(SEEDS.get(0))
-        .beat(beat("sound", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
+        .heartbeat(beat("sound", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
     net.pass(300);
     net.cores
         .get(SEEDS.get(1))
-        .beat(beat("late-1", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
+        .heartbeat(beat("late-1", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
     net.pass(300);
     net.cores
         .get(SEEDS.get(2))
-        .beat(beat("late-2", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
+        .heartbeat(beat("late-2", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
     net.pass(300);
     net.cores
         .get(SEEDS.get(0))
-        .beat(beat("sound", "10.9.0.1:80", LifecycleStage.JOINED, 2), net.now);
+        .heartbeat(beat("sound", "10.9.0.1:80", LifecycleStage.JOINED, 2), net.now);
     net.pass(300);
     everywhere(net, "sound", LifecycleStage.JOINED);
   }
@@ -257,11 +264,11 @@
     final Net net = new Net();
     net.cores
         .get(SEEDS.get(0))
-        .beat(beat("sound", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
+        .heartbeat(beat("sound", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
     net.pass(300);
     net.cores
         .get(SEEDS.get(1))
-        .beat(beat("late", "10.9.0.1:80", LifecycleStage.DRAINING, 7), net.now);
+        .heartbeat(beat("late", "10.9.0.1:80", LifecycleStage.DRAINING, 7), net.now);
     net.pass(300);
     everywhere(net, "sound", LifecycleStage.JOINED);
     everywhere(net, "late", LifecycleStage.DRAINING);
@@ -270,18 +277,22 @@
   @Test
   public void aLateBeatOfALifeThatCrashedIsTakenBackWithinBeats() {
     final Net net = new Net();
-    net.cores.get(SEEDS.get(0)).beat(beat("old", "10.9.0.1:80", LifecycleStage.JOINED, 4), net.now);
+    net.cores
+        .get(SEEDS.get(0))
+        .heartbeat(beat("old", "10.9.0.1:80", LifecycleStage.JOINED, 4), net.now);
     net.pass(300);
     long sequence = 0;
     net.cores
         .get(SEEDS.get(1))
-        .beat(beat("new", "10.9.0.1:80", LifecycleStage.JOINED, ++sequence), net.now);
+        .heartbeat(beat("new", "10.9.0.1:80", LifecycleStage.JOINED, ++sequence), net.now);
     net.pass(300);
-    net.cores.get(SEEDS.get(2)).beat(beat("old", "10.9.0.1:80", LifecycleStage.JOINED, 5), net.now);
+    net.cores
+        .get(SEEDS.get(2))
+        .heartbeat(beat("old", "10.9.0.1:80", LifecycleStage.JOINED, 5), net.now);
     for (int beats = 0; beats < 4; beats++) {
       net.pass(1200);
       final RegistryCore core = net.cores.get(SEEDS.get(beats % 3));
-      core.beat(beat("new", "10.9.0.1:80", LifecycleStage.JOINED, ++sequence), net.now);
+      core.heartbeat(beat("new", "10.9.0.1:80", LifecycleStage.JOINED, ++sequence), net.now);
       net.pass(300);
       everywhere(net, "new", LifecycleStage.JOINED);
     }
@@ -292,19 +303,21 @@
   public void gossipRepairsWhatThePushMissed() {
     final Net net = new Net();
     net.down.add(SEEDS.get(2));
-    net.cores.get(SEEDS.get(0)).beat(beat("i", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
+    net.cores
+        .get(SEEDS.get(0))
+        .heartbeat(beat("i", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
     net.pass(500);
-    assertFalse(net.cores.get(SEEDS.get(2)).history().containsKey("i"));
+    assertFalse(net.cores.get(SEEDS.get(2)).registrations().containsKey("i"));
     net.down.clear();
     net.pass(5000);
-    assertTrue(net.cores.get(SEEDS.get(2)).history().containsKey("i"));
+    assertTrue(net.cores.get(SEEDS.get(2)).registrations().containsKey("i"));
   }
 
   @Test
   public void anAcknowledgedConfigurationIsKeptByAMajorityOfExchangesAndNeverGoesBack() {
     final Net net = new Net();
     final RegistryCore first = net.cores.get(SEEDS.get(0));
-    final CompletableFuture<Void> done = first.spread(7, new byte[] {1}, net.now);
+    final CompletableFuture<Void> done = first.replicateConfiguration(7, new byte[] {1}, net.now);
     net.talk();
     net.sync(SEEDS.get(0));
     net.talk();
@@ -312,7 +325,7 @@
     net.sync(SEEDS.get(2));
     net.talk();
     assertTrue(done.isDone());
-    net.cores.get(SEEDS.get(1)).spread(6, new byte[] {2}, net.now);
+    net.cores.get(SEEDS.get(1)).replicateConfiguration(6, new byte[] {2}, net.now);
     net.pass(300);
     for (final RegistryCore core : net.cores.values()) {
       assertTrue(core.counters().endsWith("spec 7"), core.counters());
@@ -325,25 +338,26 @@
               new Random(1),
               new RegistryCore.Environment() {
                 @Override
-                public boolean member(final String to, final Message message) {
+                public boolean sendToMember(final String to, final Message message) {
                   return false;
                 }
 
                 @Override
-                public boolean frame(final String to, final StoreMessages.StoreRequest call) {
+                public boolean sendToReplica(
+                    final String to, final StoreMessages.StoreRequest call) {
                   return false;
                 }
 
                 @Override
-                public void board(final Object stream, final Message message) {}
+                public void sendToStream(final Object stream, final Message message) {}
 
                 @Override
                 public void append(final byte[] record, final Runnable synced) {}
 
                 @Override
-                public void peers(final List<String> members) {}
+                public void updatePeers(final List<String> members) {}
               });
-      again.start(core.view(), net.now);
+      again.start(core.snapshot(), net.now);
       assertTrue(
           again.counters().endsWith("spec 7"),
           "it is not there after a restart: " + again.counters());
@@ -354,8 +368,9 @@
   public void aStaleBeatChangesNothing() {
     final Net net = new Net();
     final RegistryCore core = net.cores.get(SEEDS.get(0));
-    core.beat(beat("i", "10.9.0.1:80", LifecycleStage.JOINED, 7), net.now);
-    assertTrue(core.beat(beat("i", "10.9.0.2:80", LifecycleStage.JOINED, 3), net.now).isDone());
-    assertEquals(core.history().get("i").address, "10.9.0.1:80");
+    core.heartbeat(beat("i", "10.9.0.1:80", LifecycleStage.JOINED, 7), net.now);
+    assertTrue(
+        core.heartbeat(beat("i", "10.9.0.2:80", LifecycleStage.JOINED, 3), net.now).isDone());
+    assertEquals(core.registrations().get("i").address, "10.9.0.1:80");
   }
 }
--- a/registry/src/test/java/weldpoint/registry/SimulatedCoreNetwork.java
+++ b/registry/src/test/java/weldpoint/registry/SimulatedCoreNetwork.java
@@ -59,7 +59,7 @@
               new Random(address.hashCode() + life),
               new RegistryCore.Environment() {
                 @Override
-                public boolean member(final String to, final Message message) {
+                public boolean sendToMember(final String to, final Message message) {
                   if (!open.contains(to)) {
                     return false;
                   }
@@ -86,7 +86,8 @@
                 }
 
                 @Override
-                public boolean frame(final String to, final StoreMessages.StoreRequest call) {
+                public boolean sendToReplica(
+                    final String to, final StoreMessages.StoreRequest call) {
                   if (!to.equals(address) && !open.contains(to)) {
                     return false;
                   }
@@ -103,14 +104,14 @@
                                       address,
                                       () -> {
                                         if (life == mine) {
-                                          core.answered(to, answer.to(call.caller), now);
+                                          core.onStoreResponse(to, answer.to(call.caller), now);
                                         }
                                       })));
                   return true;
                 }
 
                 @Override
-                public void board(final Object stream, final Message message) {
+                public void sendToStream(final Object stream, final Message message) {
                   told.computeIfAbsent(stream, key -> new ArrayList<>()).add(message);
                 }
 
@@ -128,7 +129,7 @@
                 }
 
                 @Override
-                public void peers(final List<String> members) {}
+                public void updatePeers(final List<String> members) {}
               });
       if (judges != null) {
         judges.accept(this);
@@ -145,7 +146,7 @@
 
     /** A switchboard opens a stream; version is what it has in force. */
     void opens(final Object stream, final long version) {
-      core.boardState(
+      core.onDaemonReport(
           stream,
           new RegistryMessages.DaemonEntry(
               "10.9.0." + stream,
@@ -333,7 +334,7 @@
     }
     node.start(false);
     nodes.values().forEach(other -> other.open.remove(node.address));
-    nodes.values().forEach(other -> other.core.memberClosed(node.address, now));
+    nodes.values().forEach(other -> other.core.onMemberDisconnected(node.address, now));
   }
 
   void freeze(final int index) {
@@ -363,12 +364,12 @@
         if (both) {
           node.silentSince.put(other, now);
           if (node.open.add(other)) {
-            node.core.memberOpened(other, now);
+            node.core.onMemberConnected(other, now);
           }
         } else if (now - node.silentSince.getOrDefault(other, now) >= SILENCE_MILLIS
             && node.open.remove(other)) {
-          node.core.memberClosed(other, now);
-          node.core.frameClosed(other, now);
+          node.core.onMemberDisconnected(other, now);
+          node.core.onReplicaDisconnected(other, now);
         }
       }
     }
--- a/registry/src/test/java/weldpoint/registry/StoreClientTest.java
+++ b/registry/src/test/java/weldpoint/registry/StoreClientTest.java
@@ -37,7 +37,7 @@
               sent.add(new Sent(address, call));
               return true;
             });
-    one.frames(List.of("here", "there"));
+    one.replicas(List.of("here", "there"));
     return one;
   }
 
@@ -71,11 +71,11 @@
     final StoreMessages.StoreRequest mine = sent.get(1).call;
     assertEquals(mine.number, earlier.number);
     assertNotEquals(mine.caller, earlier.caller);
-    later.answered("here", good(earlier), 20);
+    later.onResponse("here", good(earlier), 20);
     assertFalse(future.isDone());
-    later.answered("here", new StoreMessages.StoreResponse(mine.number, 200, 7, null, null), 20);
+    later.onResponse("here", new StoreMessages.StoreResponse(mine.number, 200, 7, null, null), 20);
     assertFalse(future.isDone(), "an answer that names nobody");
-    later.answered("here", good(mine), 20);
+    later.onResponse("here", good(mine), 20);
     assertTrue(future.isDone());
   }
 
@@ -83,14 +83,14 @@
   public void anAnswerCountsOnlyFromAFrameThatWasAskedOnTheLineThatThereIs() {
     final CompletableFuture<StoreMessages.StoreResponse> future = begin(store, 0);
     assertEquals(sent.get(0).to, "here");
-    store.answered("there", good(sent.get(0).call), 5);
+    store.onResponse("there", good(sent.get(0).call), 5);
     assertFalse(future.isDone(), "a frame that was not asked");
-    store.closed("here", 10);
-    store.answered("here", good(sent.get(0).call), 15);
+    store.onDisconnected("here", 10);
+    store.onResponse("here", good(sent.get(0).call), 15);
     assertFalse(future.isDone(), "the line on which it was asked has ended");
     store.tick(50);
     assertEquals(sent.size(), 2);
-    store.answered(sent.get(1).to, good(sent.get(1).call), 60);
+    store.onResponse(sent.get(1).to, good(sent.get(1).call), 60);
     assertTrue(future.isDone());
   }
 
@@ -100,7 +100,7 @@
     store.tick(401);
     assertEquals(sent.size(), 2);
     assertNotEquals(sent.get(1).to, sent.get(0).to);
-    store.answered("here", good(sent.get(0).call), 450);
+    store.onResponse("here", good(sent.get(0).call), 450);
     assertTrue(future.isDone());
   }
 
@@ -112,7 +112,7 @@
     assertEquals(sent.get(1).call.age, 401);
     assertEquals(sent.get(1).call.number, sent.get(0).call.number);
     assertEquals(sent.get(1).call.caller, sent.get(0).call.caller);
-    store.closed(sent.get(1).to, 510);
+    store.onDisconnected(sent.get(1).to, 510);
     store.tick(560);
     assertEquals(sent.get(2).call.age, 460);
   }
@@ -120,10 +120,10 @@
   @Test
   public void whatCertainlyDidNothingLeavesNoAge() {
     begin(store, 100);
-    store.answered("here", nothing(sent.get(0).call, "there"), 130);
+    store.onResponse("here", nothing(sent.get(0).call, "there"), 130);
     assertEquals(sent.get(1).to, "there");
     assertEquals(sent.get(1).call.age, 0);
-    store.answered("there", nothing(sent.get(1).call, null), 140);
+    store.onResponse("there", nothing(sent.get(1).call, null), 140);
     store.tick(200);
     assertEquals(sent.get(2).call.age, 0);
   }
@@ -131,12 +131,12 @@
   @Test
   public void whatMayHaveBeenDoneOnAnEndedLineKeepsItsAge() {
     begin(store, 100);
-    store.closed("here", 120);
+    store.onDisconnected("here", 120);
     down.add("here");
     store.tick(160);
     assertEquals(sent.get(1).to, "there");
     assertEquals(sent.get(1).call.age, 60);
-    store.answered("there", nothing(sent.get(1).call, null), 170);
+    store.onResponse("there", nothing(sent.get(1).call, null), 170);
     store.tick(230);
     assertEquals(sent.get(2).call.age, 130);
   }
--- a/simulation/src/main/java/weldpoint/simulation/ControlPlaneSimulation.java
+++ b/simulation/src/main/java/weldpoint/simulation/ControlPlaneSimulation.java
@@ -535,7 +535,7 @@
             @Override
             public void heard(final SimulatedConnection connection, final Message message) {
               if (message instanceof RegistryMessages.DaemonReport) {
-                life.exchange.boardState(
+                life.exchange.onDaemonReport(
                     connection,
                     ((RegistryMessages.DaemonReport) message).entry,
                     Protocol.list(((RegistryMessages.DaemonReport) message).buckets),
@@ -547,7 +547,7 @@
 
             @Override
             public void closed(final SimulatedConnection connection) {
-              life.exchange.streamClosed(connection, connection.from(), now);
+              life.exchange.onStreamClosed(connection, connection.from(), now);
             }
           };
     };
@@ -685,7 +685,7 @@
             new SimulatedConnection.Receiver() {
               @Override
               public void opened(final SimulatedConnection connection) {
-                life.exchange.memberOpened(to, now);
+                life.exchange.onMemberConnected(to, now);
               }
 
               @Override
@@ -695,7 +695,7 @@
 
               @Override
               public void closed(final SimulatedConnection connection) {
-                life.exchange.memberClosed(to, now);
+                life.exchange.onMemberDisconnected(to, now);
               }
             };
     life.calls.ears =
@@ -704,13 +704,13 @@
               @Override
               public void heard(final SimulatedConnection connection, final Message message) {
                 if (message instanceof StoreMessages.StoreResponse) {
-                  life.exchange.answered(to, (StoreMessages.StoreResponse) message, now);
+                  life.exchange.onStoreResponse(to, (StoreMessages.StoreResponse) message, now);
                 }
               }
 
               @Override
               public void closed(final SimulatedConnection connection) {
-                life.exchange.frameClosed(to, now);
+                life.exchange.onReplicaDisconnected(to, now);
               }
             };
     final List<byte[]> found = machine.exchangeRecords.lasting();
@@ -723,17 +723,18 @@
             new Random(random.nextLong()),
             new RegistryCore.Environment() {
               @Override
-              public boolean member(final String address, final Message message) {
+              public boolean sendToMember(final String address, final Message message) {
                 return life.members.send(address, message);
               }
 
               @Override
-              public boolean frame(final String address, final StoreMessages.StoreRequest call) {
+              public boolean sendToReplica(
+                  final String address, final StoreMessages.StoreRequest call) {
                 return life.calls.send(address, call);
               }
 
               @Override
-              public void board(final Object stream, final Message message) {
+              public void sendToStream(final Object stream, final Message message) {
                 ((SimulatedConnection) stream).reply(message);
               }
 
@@ -744,7 +745,7 @@
               }
 
               @Override
-              public void peers(final List<String> addresses) {
+              public void updatePeers(final List<String> addresses) {
                 life.members.keep(addresses);
                 final List<String> all = new ArrayList<>(addresses);
                 all.add(machine.address);
@@ -752,8 +753,8 @@
               }
             });
     life.exchangeWriter =
-        machine.disk.new Writer(machine.exchangeRecords, life, () -> life.exchange.view());
-    life.exchange.place(machine.site, machine.region);
+        machine.disk.new Writer(machine.exchangeRecords, life, () -> life.exchange.snapshot());
+    life.exchange.setLocation(machine.site, machine.region);
     life.exchange.start(found, now);
     life.exchangeWriter.begin();
     life.server =
@@ -1003,7 +1004,7 @@
           () -> {
             if (life.replica != null) {
               life.replica.seeds(given);
-              life.exchange.seeds(given, now);
+              life.exchange.updateSeeds(given, now);
             } else {
               life.registry.seeds(given);
             }
--- a/simulation/src/test/java/weldpoint/registry/CopiesTest.java
+++ b/simulation/src/test/java/weldpoint/registry/CopiesTest.java
@@ -66,7 +66,7 @@
         for (final String[] machine : MACHINES) {
           all.add(machine[0]);
         }
-        store.frames(all);
+        store.replicas(all);
         stores.add(store);
       }
       tick();
@@ -112,7 +112,8 @@
                   if (chance > 0) {
                     simulation.after(
                         chance == 1 ? 500 : 1 + simulation.random().nextInt(8),
-                        () -> stores.get(which).answered(to, answer.to(caller), simulation.now()));
+                        () ->
+                            stores.get(which).onResponse(to, answer.to(caller), simulation.now()));
                   }
                 },
                 simulation.now());
@@ -200,7 +201,7 @@
       switch (simulation.random().nextInt(4)) {
         case 0 -> {
           simulation.kill(one, true);
-          stores.forEach(store -> store.closed(one, simulation.now()));
+          stores.forEach(store -> store.onDisconnected(one, simulation.now()));
           simulation.after(
               500 + simulation.random().nextInt(1500), () -> simulation.start(one, false));
         }
