--- a/registry/src/main/java/weldpoint/registry/AppliedState.java
+++ b/registry/src/main/java/weldpoint/registry/AppliedState.java
@@ -1,8 +1,8 @@
 package weldpoint.registry;
 
 /**
- * What one daemon has in force: the configuration, the mark of evacuations and trials, for how long
- * it had them, and how long ago it told, in milliseconds.
+ * What one daemon has applied: the version of the configuration, the version of evacuations and
+ * trials, for how long it has had them, and how long ago it reported, both in milliseconds.
  */
 public record AppliedState(
     String address,
--- a/registry/src/main/java/weldpoint/registry/AppliedStateTable.java
+++ b/registry/src/main/java/weldpoint/registry/AppliedStateTable.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import weldpoint.transport.RegistryMessages.DaemonEntry;
 
-/** What the daemons that this registry knows of have in force, as each told last. */
+/** What the daemons known to this registry have applied, by each one's last report. */
 final class AppliedStateTable {
   /** The program name under which registries are listed. */
   static final String REGISTRY = "exchange";
@@ -20,7 +20,7 @@
 
   private final Map<String, Report> registries = new HashMap<>();
 
-  /** Another registry told what it has in force. */
+  /** Records another registry's report of what it has applied. */
   void report(
       final String address,
       final long version,
@@ -30,7 +30,10 @@
     registries.put(address, new Report(version, orderVersion, appliedMillis, now));
   }
 
-  /** This registry's own, then other members, then proxies and caches that are not leaving. */
+  /**
+   * Lists this registry's own state, then other registries', then those of proxies and caches that
+   * are not leaving.
+   */
   List<AppliedState> all(
       final AppliedState own,
       final Set<String> members,
--- a/registry/src/main/java/weldpoint/registry/ControlState.java
+++ b/registry/src/main/java/weldpoint/registry/ControlState.java
@@ -11,8 +11,8 @@
 import weldpoint.trial.TrialVerdict;
 
 /**
- * What operators have ordered as this exchange has learned it: the configuration, evacuations and
- * trials, each under its mark.
+ * What operators have ordered, as known to this registry: the configuration, evacuations and
+ * trials, each with its version.
  */
 final class ControlState {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
@@ -48,7 +48,7 @@
     return evacuationVersion;
   }
 
-  /** The trials that have not ended. */
+  /** The trials that are not finished. */
   List<TrialMessages.Trial> trials() {
     return trials;
   }
@@ -61,17 +61,17 @@
     return trialCoordinator;
   }
 
-  /** The mark of evacuations and trials together. */
+  /** The version of evacuations and trials together: the sum of both versions. */
   long orderVersion() {
     return evacuationVersion + trialVersion;
   }
 
-  /** Since when this has been held. */
+  /** When this state last changed here. */
   long appliedAt() {
     return appliedAt;
   }
 
-  /** The compiled configuration; null where there is none. */
+  /** The compiled configuration; null if there is none. */
   RoutingTable routingTable() {
     if (spec != null && (routingTable == null || routingTable.version() < version)) {
       routingTable = RoutingTable.compile(Compression.inflate(spec));
@@ -79,7 +79,7 @@
     return routingTable;
   }
 
-  /** Takes what the disk held. */
+  /** Restores what a record on disk holds. */
   void restore(final PersistedRecord persisted) {
     if (persisted.spec != null && persisted.version > version) {
       version = persisted.version;
@@ -95,7 +95,7 @@
     }
   }
 
-  /** What was news in something taken. */
+  /** What has changed in an update. */
   record Delta(byte[] spec, boolean evacuations, boolean trials) {
     boolean anyChange() {
       return spec != null || evacuations || trials;
@@ -103,8 +103,8 @@
   }
 
   /**
-   * Takes what the frames hold, or what another exchange has learned from them; only what is newer
-   * than what is held.
+   * Takes what the state store holds, or what another registry has learned from it; only the parts
+   * that are newer than those held.
    */
   Delta update(
       final long givenVersion,
@@ -119,7 +119,8 @@
       version = givenVersion;
       spec = givenSpec;
       newSpec = spec;
-      LOGGER.atInfo().log("registry %s has configuration %s", self, Long.toHexString(version));
+      LOGGER.atInfo().log(
+          "registry %s now has configuration version %s", self, Long.toHexString(version));
     }
     final boolean evacuationsChanged = givenEvacuationVersion > evacuationVersion;
     if (evacuationsChanged) {
@@ -144,7 +145,7 @@
         trials.add(trial);
       }
       LOGGER.atInfo().log(
-          "trial %s of route %s: stage %s, %s %s",
+          "trial %s of route %s: stage %s, verdict %s %s",
           trial.number, trial.route, trial.stage, TrialVerdict.of(trial), trial.reason);
     }
   }
--- a/registry/src/main/java/weldpoint/registry/DaemonTable.java
+++ b/registry/src/main/java/weldpoint/registry/DaemonTable.java
@@ -10,8 +10,8 @@
 import weldpoint.transport.RegistryMessages.DaemonEntry;
 
 /**
- * The switchboards and announcers that this exchange has heard of, itself or from other exchanges,
- * and when.
+ * The proxies and cache daemons that this registry knows, from their own streams or from other
+ * registries, and when each was last heard of.
  */
 final class DaemonTable {
   static final long LIVE_MILLIS = 4000;
@@ -22,7 +22,7 @@
   private static final long COUNTED_MILLIS = 10_000;
   private static final long PEAK_WINDOW_MILLIS = 20_000;
 
-  /** One of them. */
+  /** A proxy or cache daemon. */
   static final class Entry {
     DaemonEntry daemon;
     long heardAt;
@@ -41,12 +41,12 @@
     return entries.size();
   }
 
-  /** The largest number of switchboards lately seen. */
+  /** The peak number of proxies in the recent past. */
   int peakProxyCount() {
     return peakProxyCount;
   }
 
-  /** Whether what this one tells of itself is news to others. */
+  /** Whether a daemon's report should be pushed to other registries. */
   boolean isNew(final DaemonEntry daemon, final long now) {
     final Entry entry = entries.get(daemon.address);
     return entry == null
@@ -78,7 +78,7 @@
     }
   }
 
-  /** Another exchange, or this one, holds it to be gone. */
+  /** Marks a daemon as gone, as found by this or another registry. */
   void markGone(final DaemonEntry daemon, final long now) {
     final Entry entry = entries.get(daemon.address);
     if (entry != null
@@ -88,7 +88,7 @@
     }
   }
 
-  /** The stream of one of them has ended. */
+  /** Records the end of a daemon's stream. */
   void streamClosed(final String address, final long now) {
     final Entry entry = entries.get(address);
     if (entry != null) {
@@ -97,8 +97,8 @@
   }
 
   /**
-   * Those whose stream ended and who have opened none anywhere for a while: they are now held to be
-   * gone.
+   * Marks those as gone whose stream ended and who have not reconnected to any registry within the
+   * grace period; returns them.
    */
   List<DaemonEntry> expireDisconnected(final long now) {
     final List<DaemonEntry> expired = new ArrayList<>();
@@ -114,7 +114,7 @@
     return expired;
   }
 
-  /** The same one, heard of so long ago. */
+  /** A copy of the entry with this age. */
   static DaemonEntry withAge(final DaemonEntry daemon, final long ageMillis) {
     return new DaemonEntry(
         daemon.address,
@@ -141,7 +141,7 @@
     }
   }
 
-  /** The switchboards that were heard of lately and do not leave. */
+  /** The proxies that were heard of recently and are not leaving. */
   List<DaemonEntry> liveProxies(final long now) {
     final List<DaemonEntry> live = new ArrayList<>();
     for (final Entry entry : entries.values()) {
@@ -152,7 +152,7 @@
     return live;
   }
 
-  /** The addresses of announcers, null where there are none. */
+  /** The addresses of cache daemons; null if there are none. */
   List<String> liveCaches(final long now) {
     List<String> caches = null;
     for (final Entry entry : entries.values()) {
@@ -164,7 +164,7 @@
     return caches;
   }
 
-  /** The switchboards of each site. */
+  /** The addresses of the proxies of each site. */
   Map<String, List<String>> proxiesBySite(final long now) {
     final Map<String, List<String>> sites = new HashMap<>();
     for (final Entry entry : entries.values()) {
@@ -192,7 +192,7 @@
     return retained;
   }
 
-  /** All that are still told of, with their ages. */
+  /** All entries that are still gossiped, with their ages. */
   List<DaemonEntry> entriesWithAges(final long now) {
     final List<DaemonEntry> list = new ArrayList<>();
     retained(now).values().forEach(entry -> list.add(withAge(entry.daemon, now - entry.heardAt)));
@@ -214,10 +214,7 @@
     return sum;
   }
 
-  /**
-   * How long ago each was heard of, two bytes each in tens of milliseconds, in the order of their
-   * addresses.
-   */
+  /** The age of each entry, two bytes each in units of 10 ms, in the order of their addresses. */
   byte[] ages(final long now) {
     final TreeMap<String, Entry> retained = retained(now);
     final byte[] ages = new byte[2 * retained.size()];
@@ -230,7 +227,7 @@
     return ages;
   }
 
-  /** Takes the ages that a peer who knows of the same ones tells. */
+  /** Merges the ages of a peer that knows the same daemons. */
   void mergeAges(final byte[] ages, final long now) {
     final TreeMap<String, Entry> retained = retained(now);
     if (ages.length == 2 * retained.size()) {
--- a/registry/src/main/java/weldpoint/registry/Directory.java
+++ b/registry/src/main/java/weldpoint/registry/Directory.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import weldpoint.transport.RegistryMessages.DaemonEntry;
 
-/** Answers of the directory: which switchboards a client in some place should use. */
+/** Answers of the directory: which proxies a client at some site should use. */
 final class Directory {
   private final DaemonTable daemons;
 
@@ -13,8 +13,9 @@
   }
 
   /**
-   * The fronts that a client in this place should use; empty where none is known. One that is cut
-   * off also names those of whom it has heard nothing lately.
+   * The proxy addresses that a client at this site should use: those of its site, those of its
+   * region if there are fewer than two, otherwise any; empty if none is known. A registry that is
+   * cut off also lists proxies that it has not heard of recently.
    */
   List<String> resolve(
       final String region,
--- a/registry/src/main/java/weldpoint/registry/Electorates.java
+++ b/registry/src/main/java/weldpoint/registry/Electorates.java
@@ -17,13 +17,13 @@
 import weldpoint.transport.StoreMessages;
 
 /**
- * Who may choose a region's chief: written to the frames once it has stood still for a while, told
- * to the region's switchboards.
+ * The electorate of each region: the proxies that may elect the region's leader. It is written to
+ * the state store once it has been stable for a while, and sent to the region's proxies.
  */
 final class Electorates {
   private static final long STABLE_MILLIS = 2000;
 
-  /** Writes a region's electorate. */
+  /** Writes a region's electorate to the state store. */
   interface Writer {
     CompletableFuture<StoreMessages.StoreResponse> write(String region, byte[] body, long now);
   }
@@ -73,7 +73,9 @@
     }
   }
 
-  /** Takes which switchboards live now, and writes what has not been written. */
+  /**
+   * Takes the proxies that are live now, and writes an electorate that has changed and is stable.
+   */
   void reconcile(final List<DaemonEntry> liveProxies, final long now) {
     final Map<String, List<Elector>> electorsByRegion = new TreeMap<>();
     for (final DaemonEntry entry : liveProxies) {
--- a/registry/src/main/java/weldpoint/registry/HeartbeatOwners.java
+++ b/registry/src/main/java/weldpoint/registry/HeartbeatOwners.java
@@ -8,17 +8,17 @@
 import weldpoint.transport.StateStoreMessages.Voter;
 
 /**
- * Which registry keeps the beats of an upstream: the preference list of its token, over distinct
- * zones first, as in the Dynamo paper's Strategy 3. Unreachable ones are passed over and keep their
- * tokens.
+ * Which registry owns the heartbeats of an upstream: the first reachable one of its token's
+ * preference list, distinct sites first, as in Strategy 3 of the Dynamo paper. Unreachable
+ * registries are skipped and keep their tokens.
  */
 final class HeartbeatOwners {
-  /** How many of the preference list may be taken for being in the upstream's own region. */
+  /** How many entries of the preference list are checked for one in the upstream's own region. */
   private static final int MAX_LOCAL_CANDIDATES = 3;
 
   private HeartbeatOwners() {}
 
-  /** The address of the keeper; null where no voter can be reached. */
+  /** The address of the owning registry; null if no voter is reachable. */
   static String heartbeatOwner(
       final List<Voter> voters,
       final String id,
@@ -57,7 +57,7 @@
     return preference;
   }
 
-  /** The index of the voter that has the upstream's token. */
+  /** The index of the voter that owns the upstream's token. */
   private static int tokenOwnerIndex(final List<Voter> voters, final String id) {
     final int token = Math.floorMod(id.hashCode() * 0x9e3779b1, TokenAssignment.COUNT);
     int ownerIndex = 0;
--- a/registry/src/main/java/weldpoint/registry/LifecycleStage.java
+++ b/registry/src/main/java/weldpoint/registry/LifecycleStage.java
@@ -2,18 +2,21 @@
 
 import weldpoint.transport.RegistryMessages.Registration;
 
-/** The steps of an upstream's life as the history records them. */
+/**
+ * The lifecycle stages of an upstream as its registration records them. Used by registries and
+ * proxies; the ordinal is sent and stored.
+ */
 public enum LifecycleStage {
-  /** Its first beat came. */
+  /** It has sent its first heartbeat. */
   JOINED(0, true),
   /**
-   * It was silent for so long that it was written off; a later beat of the same life takes that
-   * back.
+   * It was silent for too long, or another upstream claimed its address; a later heartbeat of the
+   * same registration brings it back to joined.
    */
   LAPSED(0, false),
-  /** It has said that it will leave. */
+  /** It has announced that it will leave. */
   DRAINING(1, false),
-  /** It has signed off, or another life has taken its address. */
+  /** It has deregistered, or another upstream has taken over its address. */
   REMOVED(2, false);
 
   private static final LifecycleStage[] ALL = values();
@@ -36,8 +39,8 @@
   }
 
   /**
-   * The later of two registrations of one upstream. It is the greater one of a total order, so that
-   * merging is commutative, associative and idempotent, whatever the clocks say.
+   * The later of two registrations of one upstream. It is the greater one in a total order, so that
+   * merging is commutative, associative and idempotent, independent of clocks.
    */
   public static Registration later(final Registration one, final Registration other) {
     return compare(one, other) >= 0 ? one : other;
@@ -63,7 +66,10 @@
     return order;
   }
 
-  /** A digest of what must be alike everywhere: sums of these tell whether two histories differ. */
+  /**
+   * A digest of what must be equal at all registries: sums of these show whether two sets of
+   * registrations differ.
+   */
   static long digest(final Registration registration) {
     long hash =
         registration.id.hashCode() * 0x9e3779b97f4a7c15L + registration.stage * 0xc2b2ae3d27d4eb4fL;
--- a/registry/src/main/java/weldpoint/registry/MajorityReachability.java
+++ b/registry/src/main/java/weldpoint/registry/MajorityReachability.java
@@ -11,8 +11,8 @@
 import weldpoint.transport.StateStoreMessages.Voter;
 
 /**
- * Whether this exchange knows itself to be cut off from a majority, and who told lately that it is
- * not.
+ * Whether this registry knows itself to be cut off from a majority, and which peer recently
+ * reported that it is not.
  */
 class MajorityReachability {
   private static final long CUT_OFF_MILLIS = 1500;
@@ -37,8 +37,8 @@
   }
 
   /**
-   * Cut off: no majority has answered lately, though there was time for it, and there are lines to
-   * too few voters.
+   * Whether this registry is cut off: no majority has answered recently, although there was time
+   * for it, and it is connected to too few voters.
    */
   boolean cutOff(
       final Roster roster,
@@ -60,7 +60,8 @@
   }
 
   /**
-   * Time has passed: one that is cut off asks those it still reaches whether they hear a majority.
+   * If cut off, asks the registries it still reaches at intervals whether they are in contact with
+   * a majority.
    */
   void tick(
       final Roster roster,
@@ -78,14 +79,14 @@
     }
   }
 
-  /** An exchange has told how long ago it heard of a majority. */
+  /** Records another registry's report of how long ago it was in contact with a majority. */
   void reported(final String member, final long majorityAgeMillis, final long now) {
     reports.put(member, new PeerReport(now, majorityAgeMillis));
   }
 
   /**
-   * An exchange that can be reached and told lately that it hears a majority: the one whose word is
-   * newest; null where there is none.
+   * A connected registry that recently reported contact with a majority: the one whose contact is
+   * the most recent; null if there is none.
    */
   String peerWithMajority(final Set<String> connected, final long now) {
     String best = null;
--- a/registry/src/main/java/weldpoint/registry/PersistedRecord.java
+++ b/registry/src/main/java/weldpoint/registry/PersistedRecord.java
@@ -6,7 +6,10 @@
 import weldpoint.transport.StateStoreMessages.Roster;
 import weldpoint.transport.TrialMessages.Trial;
 
-/** What an exchange keeps on disk; parts that a record does not concern are null. */
+/**
+ * A record of a registry's log on disk, written by field position; parts that a record does not
+ * concern are null.
+ */
 final class PersistedRecord {
   static final int BOOTSTRAP_UNCHANGED = 0;
   static final int BOOTSTRAPPING = 1;
@@ -90,7 +93,7 @@
     this.bootstrapState = bootstrapState;
   }
 
-  /** A record of registrations and, where it changed, the roster. */
+  /** A record of registrations and, if it changed, the roster. */
   static PersistedRecord membership(final List<Registration> registrations, final Roster roster) {
     return new PersistedRecord(registrations, roster, 0, null, null, 0, null, 0);
   }
@@ -100,7 +103,10 @@
     return new PersistedRecord(null, null, 0, null, null, 0, null, 0, BOOTSTRAP_UNCHANGED, claims);
   }
 
-  /** A record of whether this disk still lacks what was acknowledged before it came. */
+  /**
+   * A record of whether this registry is still bootstrapping: its disk may lack what was
+   * acknowledged before it joined.
+   */
   static PersistedRecord bootstrapState(final boolean bootstrapping) {
     return new PersistedRecord(
         null, null, 0, null, null, 0, null, 0, bootstrapping ? BOOTSTRAPPING : BOOTSTRAPPED);
--- a/registry/src/main/java/weldpoint/registry/ProxyStreams.java
+++ b/registry/src/main/java/weldpoint/registry/ProxyStreams.java
@@ -15,7 +15,7 @@
 import weldpoint.transport.RegistryMessages.Registration;
 
 /**
- * The streams of switchboards and announcers to this exchange: those that have been given a first
+ * The streams of proxies and cache daemons to this registry: those that have received their initial
  * view, and those that wait for it.
  */
 final class ProxyStreams {
@@ -32,7 +32,9 @@
   private RegistryMessages.View fullView;
   private long[] fullViewState;
 
-  /** What a switchboard has when its stream opens. */
+  /**
+   * What a daemon holds when its stream opens, and the quorum read that its initial view waits for.
+   */
   private record Opening(long version, List<Long> buckets, long read, long openedAt) {}
 
   ProxyStreams(
@@ -46,7 +48,7 @@
     this.daemons = daemons;
   }
 
-  /** The streams that have been given a first view. */
+  /** The streams that have received their initial view. */
   Set<Object> all() {
     return streams;
   }
@@ -59,7 +61,10 @@
     return streams.size();
   }
 
-  /** Whether any may be given its first view when the quorum read of this number is done. */
+  /**
+   * Whether any waiting stream may receive its initial view once the quorum read of this number is
+   * complete.
+   */
   boolean anyReady(final long completedRead) {
     for (final Object stream : waitingStreams) {
       if (pendingOpenings.get(stream).read <= completedRead) {
@@ -69,7 +74,10 @@
     return false;
   }
 
-  /** A stream has opened and waits for its first view: until this quorum read is done, or 0. */
+  /**
+   * Adds a stream that waits for its initial view until this quorum read is complete; 0 to wait for
+   * none.
+   */
   void add(
       final Object stream,
       final DaemonEntry entry,
@@ -92,8 +100,8 @@
   }
 
   /**
-   * Gives those their first view that waited for this quorum read or an earlier one; whoever is
-   * given is told of each.
+   * Sends the initial view to the streams that waited for this quorum read or an earlier one, and
+   * calls back for each.
    */
   void sendInitialViews(final long completedRead, final Consumer<Object> onSent) {
     final RegistryMessages.View view = buildFullView();
@@ -117,7 +125,7 @@
     }
   }
 
-  /** What a switchboard that has been told before lacks. */
+  /** The part of the view that a daemon which already holds some registrations lacks. */
   private RegistryMessages.View partialView(final Opening opening, final List<Long> localDigests) {
     final Set<String> includedIds = new HashSet<>();
     final List<Registration> missing =
@@ -147,8 +155,8 @@
   }
 
   /**
-   * All that a switchboard must know; the same object while nothing has changed, so that a
-   * returning fleet costs one encoding.
+   * The full view; the same object while nothing has changed, so that it is encoded only once when
+   * a whole fleet reconnects.
    */
   private RegistryMessages.View buildFullView() {
     final long[] state = {
@@ -189,19 +197,19 @@
     return cacheStreams.contains(stream);
   }
 
-  /** Tells all that have had their first view. */
+  /** Sends to all streams that have received their initial view. */
   void sendToAll(final Message message) {
     streams.forEach(stream -> sender.accept(stream, message));
   }
 
-  /** Tells the announcers among them. */
+  /** Sends to the cache daemons among them. */
   void sendToCaches(final Message message) {
     cacheStreams.stream()
         .filter(streams::contains)
         .forEach(stream -> sender.accept(stream, message));
   }
 
-  /** Tells the switchboards among them. */
+  /** Sends to the proxies among them. */
   void sendToProxies(final Message message) {
     streams.stream()
         .filter(stream -> !cacheStreams.contains(stream))
@@ -209,8 +217,8 @@
   }
 
   /**
-   * Tells all, also those that wait for their first view and should go elsewhere: who came only
-   * just now may yet get it here.
+   * Sends to all streams, including those that wait for their initial view and should try another
+   * registry; a stream that opened only just now is left out, since it may still get its view here.
    */
   void sendToAllAndWaiting(final Message message, final boolean canServeProxies, final long now) {
     sendToAll(message);
@@ -222,7 +230,7 @@
     }
   }
 
-  /** Tells of changed registrations. */
+  /** Sends changed registrations. */
   void sendRegistrations(final List<Registration> changes) {
     if (!streams.isEmpty()) {
       sendToAll(
@@ -231,7 +239,7 @@
     }
   }
 
-  /** Tells who is suspect. */
+  /** Sends the ids of the suspect upstreams. */
   void sendSuspects() {
     sendToAll(
         new RegistryMessages.View(
--- a/registry/src/main/java/weldpoint/registry/QuorumReads.java
+++ b/registry/src/main/java/weldpoint/registry/QuorumReads.java
@@ -9,9 +9,9 @@
 import weldpoint.transport.StateStoreMessages.Roster;
 
 /**
- * Reads of what a majority of the voters' exchanges have on disk. Every acknowledgement was counted
- * on such a majority, so a read that began after a question came has met all that was acknowledged
- * before the question. Reads are numbered and may overlap: an answer to a later one serves the
+ * Reads of what a majority of the voters' registries have on disk. Every acknowledged change is on
+ * such a majority, so a read that starts after a request arrived sees all that was acknowledged
+ * before the request. Reads are numbered and may overlap: an answer to a later read counts for the
  * earlier ones as well.
  */
 class QuorumReads {
@@ -30,33 +30,35 @@
   private long lastStartedAt = Long.MIN_VALUE / 2;
   private long confirmedAt = Long.MIN_VALUE / 2;
 
-  /** Reads for this exchange. */
+  /** Creates the quorum reads of this registry. */
   QuorumReads(final String self) {
     this.self = self;
   }
 
-  /** The read that a question that comes now must wait for. */
+  /**
+   * Requests a read and returns the number of the read that a request arriving now must wait for.
+   */
   long requestRead() {
     nextRequested = lastStarted + 1;
     return nextRequested;
   }
 
-  /** The newest read that is done. */
+  /** The number of the latest completed read. */
   long lastCompleted() {
     return lastCompleted;
   }
 
   /**
-   * When the newest read that is done began: until then, this exchange was surely in touch with a
-   * majority.
+   * The start time of the latest completed read: up to then, this registry was certainly in contact
+   * with a majority.
    */
   long confirmedAt() {
     return confirmedAt;
   }
 
   /**
-   * Begins the next read where one is wanted, and again where the last one has not met a majority
-   * in time.
+   * Starts the next read if one is requested, and another one if the last has not reached a
+   * majority in time.
    */
   void tick(
       final LongFunction<Message> request, final Consumer<Message> sendToVoters, final long now) {
@@ -70,8 +72,8 @@
   }
 
   /**
-   * There is a line to a voter's exchange, perhaps a new one: it is asked too, where a read is
-   * under way that it has not answered.
+   * Sends the read in progress to a voter's registry over a connection, perhaps a new one, unless
+   * that voter was asked or has answered already.
    */
   void onConnected(
       final String address,
@@ -85,24 +87,29 @@
     }
   }
 
-  /** A voter that has all that it should has answered the read of this number. */
+  /** Records that a voter with complete data has answered the read of this number. */
   void recordAnswer(final String from, final long number) {
     answers.merge(from, number, Math::max);
   }
 
-  /** A voter confirms no change before this time, and what it holds is held here. */
+  /**
+   * Records that a voter acknowledges no change before this time, and that this registry holds all
+   * that the voter holds.
+   */
   void recordLease(final String voter, final long expiresAt) {
     leases.merge(voter, expiresAt, Math::max);
   }
 
-  /** When the read of this number began; the start of time where that is not known any more. */
+  /**
+   * The start time of the read of this number; a time in the distant past if it is no longer known.
+   */
   long startedAt(final long number) {
     return startTimes.getOrDefault(number, Long.MIN_VALUE / 2);
   }
 
   /**
-   * Until when no change can be acknowledged that is not held here, since a majority of voters
-   * confirms none.
+   * The time until which no change that is missing here can be acknowledged, since a majority of
+   * voters has leased that it acknowledges none.
    */
   long leasedUntil(final Roster roster) {
     return roster.number == 0
@@ -123,8 +130,8 @@
   }
 
   /**
-   * Whether a newer read has just met a majority; the own disk counts where it has all that it
-   * should.
+   * Whether a newer read has just reached a majority; this registry's own disk counts if its data
+   * is complete.
    */
   boolean completeReads(final Roster roster, final boolean selfCounts) {
     if (roster.number == 0) {
@@ -140,7 +147,7 @@
     return true;
   }
 
-  /** The roster has changed: the new voters are asked at once. */
+  /** Drops all leases after a change of roster and lets the new voters be asked at once. */
   void onRosterChanged() {
     leases.clear();
     lastStartedAt = Long.MIN_VALUE / 2;
--- a/registry/src/main/java/weldpoint/registry/QuorumWrites.java
+++ b/registry/src/main/java/weldpoint/registry/QuorumWrites.java
@@ -13,7 +13,7 @@
 import weldpoint.transport.StateStoreMessages.Roster;
 import weldpoint.transport.StateStoreMessages.Voter;
 
-/** Changes that are acknowledged once a majority of the exchanges' disks has them. */
+/** Changes that are acknowledged once a majority of registries has them on disk. */
 class QuorumWrites {
   private static final long RESEND_MILLIS = 300;
 
@@ -34,14 +34,14 @@
   private final Map<Long, PendingWrite> pending = new LinkedHashMap<>();
   private long lastNumber;
 
-  /** The number of the change that was begun last. */
+  /** The number of the last change begun. */
   long lastNumber() {
     return lastNumber;
   }
 
   /**
-   * Sends a change under a new number, again and again until a majority has it or its time has run
-   * out.
+   * Sends a change under a new number and resends it until a majority has it or the deadline has
+   * passed.
    */
   CompletableFuture<Void> begin(
       final LongFunction<Message> message,
@@ -56,10 +56,11 @@
   }
 
   /**
-   * An exchange has the change of this number on disk. Counted are distinct voters of the roster in
-   * force now, and, for a while after a change of roster, a majority of the one before besides.
-   * What comes past the deadline counts for nothing, so that a disk that was wiped meanwhile has
-   * had its learning time before anything counts on it.
+   * Records that a registry has the change of this number on disk. Distinct voters of the current
+   * roster are counted; for a while after a change of roster, a majority of the previous roster is
+   * required as well. Acknowledgements after the deadline do not count, so that a registry whose
+   * disk was wiped in the meantime has finished its minimum bootstrap time before its
+   * acknowledgements count.
    */
   void acknowledged(
       final String from,
@@ -87,7 +88,7 @@
     return count >= roster.majority();
   }
 
-  /** Time has passed. */
+  /** Fails the writes whose deadline has passed and resends the others. */
   void tick(final Consumer<Message> sendToMembers, final long now) {
     for (final Map.Entry<Long, PendingWrite> entry : new ArrayList<>(pending.entrySet())) {
       final PendingWrite write = entry.getValue();
@@ -96,7 +97,7 @@
         write.future.completeExceptionally(
             new WeldpointException(
                 WeldpointException.Kind.OUT_OF_REACH,
-                "no majority of disks has taken the change yet; send it to another daemon"));
+                "no majority of registries has the change on disk yet; retry at another daemon"));
       } else if (now - write.sentAt > RESEND_MILLIS) {
         write.sentAt = now;
         sendToMembers.accept(write.message.apply(entry.getKey()));
--- a/registry/src/main/java/weldpoint/registry/RegistrationBuckets.java
+++ b/registry/src/main/java/weldpoint/registry/RegistrationBuckets.java
@@ -10,14 +10,15 @@
 import weldpoint.transport.Serializer;
 
 /**
- * Registrations by buckets of their names, so that two sides find what differs without telling all;
- * and their packed form.
+ * Registrations hashed into buckets by id, so that two sides find their differences by comparing
+ * one digest per bucket; and the packed form in which registrations are sent. Used by registries
+ * and proxies.
  */
 public final class RegistrationBuckets {
-  /** How many there are. */
+  /** The number of buckets. */
   public static final int COUNT = 32;
 
-  /** How registrations travel packed. */
+  /** The packed form of registrations on the wire. */
   static final class PackedRegistrations {
     final List<Registration> registrations;
 
@@ -28,12 +29,12 @@
 
   private RegistrationBuckets() {}
 
-  /** The bucket of the registration of this id. */
+  /** The bucket of the registration with this id. */
   static int bucketOf(final String id) {
     return Math.floorMod(id.hashCode() * 0x9e3779b1, COUNT);
   }
 
-  /** The digest of each bucket, of all registrations or only of those that have not ended. */
+  /** The digest of each bucket, of all registrations or only of those that are not removed. */
   public static List<Long> digests(
       final Collection<Registration> registrations, final boolean includeRemoved) {
     final long[] sums = new long[COUNT];
@@ -49,7 +50,7 @@
     return digests;
   }
 
-  /** Whether there is nothing in any bucket. */
+  /** Whether all buckets are empty. */
   static boolean allEmpty(final List<Long> digests) {
     for (final long digest : digests) {
       if (digest != 0) {
@@ -59,7 +60,10 @@
     return true;
   }
 
-  /** The registrations in buckets where the two differ; all where the other side gave none. */
+  /**
+   * The registrations in buckets whose digests differ; all of them if the other side gave no
+   * digests.
+   */
   static List<Registration> differing(
       final Collection<Registration> registrations,
       final List<Long> local,
@@ -74,12 +78,12 @@
     return list;
   }
 
-  /** Registrations as few bytes. */
+  /** Serializes and compresses registrations. */
   static byte[] pack(final List<Registration> registrations) {
     return Compression.deflate(Serializer.serialize(new PackedRegistrations(registrations)));
   }
 
-  /** What was packed; empty for null. */
+  /** The registrations of a packed form; empty for null. */
   public static List<Registration> unpack(final byte[] packed) {
     if (packed == null) {
       return List.of();
@@ -90,7 +94,7 @@
     return list == null ? List.of() : list;
   }
 
-  /** Names in the order in which ages travel. */
+  /** A copy sorted by id, the order in which ages are sent. */
   static <T> TreeMap<String, T> sortedById(final Map<String, T> byId) {
     return new TreeMap<>(byId);
   }
--- a/registry/src/main/java/weldpoint/registry/Registrations.java
+++ b/registry/src/main/java/weldpoint/registry/Registrations.java
@@ -11,8 +11,8 @@
 import weldpoint.transport.RegistryMessages.Registration;
 
 /**
- * The history of upstreams as this exchange has it: registrations, when each upstream beat last,
- * and who is suspect.
+ * The upstreams as this registry knows them: their registrations, the time of each one's last
+ * heartbeat, and which are suspect.
  */
 final class Registrations {
   private static final int MAX_REMOVED = 2000;
@@ -48,17 +48,19 @@
     return byId.size();
   }
 
-  /** A sum over all registrations: two histories with the same one are alike. */
+  /**
+   * A sum over all registrations: two registries with the same digest have the same registrations.
+   */
   long digest() {
     return digest;
   }
 
-  /** The digest of each bucket, of all registrations or only of those that have not ended. */
+  /** The digest of each bucket, of all registrations or only of those that are not removed. */
   List<Long> bucketDigests(final boolean includeRemoved) {
     return Arrays.stream(includeRemoved ? digestsOfAll : digestsOfLive).boxed().toList();
   }
 
-  /** Adds a registration to the digests, or with the factor -1 takes it out. */
+  /** Adds a registration to the digests, or takes it out with the factor -1. */
   private void updateDigests(final Registration registration, final long factor) {
     final long delta = factor * LifecycleStage.digest(registration);
     final int bucket = RegistrationBuckets.bucketOf(registration.id);
@@ -69,7 +71,7 @@
     }
   }
 
-  /** Rises with each change that matters to those who send requests. */
+  /** A counter that rises with each change that is relevant to routing. */
   long revision() {
     return revision;
   }
@@ -79,8 +81,7 @@
   }
 
   /**
-   * Takes a registration if it is later than the one held; true where the change matters to those
-   * who send requests.
+   * Takes a registration if it supersedes the one held; true if the change is relevant to routing.
    */
   boolean put(final Registration registration) {
     final Registration before = byId.get(registration.id);
@@ -106,7 +107,7 @@
         || after.warmupMillis == 0 && before.warmupMillis > 0;
   }
 
-  /** The same upstream at another stage. */
+  /** A copy of the registration at another lifecycle stage. */
   static Registration withStage(
       final Registration from, final LifecycleStage stage, final long issued) {
     return new Registration(
@@ -122,7 +123,10 @@
         from.warmupMillis);
   }
 
-  /** Takes what another exchange has; those that matter and were news. */
+  /**
+   * Merges another registry's registrations; returns those that changed something relevant to
+   * routing.
+   */
   List<Registration> merge(final List<Registration> registrations, final long now) {
     final List<Registration> changed = new ArrayList<>();
     for (final Registration registration : registrations) {
@@ -141,10 +145,11 @@
   }
 
   /**
-   * Writes off the other lives at the address of a newcomer; those that changed. The wire does not
-   * tell which of two lives is the later one, and a first beat may come seconds late: so a life
-   * that has not said that it leaves is written off only until its next beat, however many
-   * newcomers there are before that. One that was written off and has long been silent is ended.
+   * Lapses or removes the other registrations at the address of a newcomer; returns those that
+   * changed. The protocol does not say which of two processes is the later one, and a first
+   * heartbeat may arrive seconds late. A registration that is not draining is therefore only lapsed
+   * until its next heartbeat, however many newcomers come before that. One that is lapsed and has
+   * long been silent is removed.
    */
   List<Registration> supersede(final Registration newcomer, final long now) {
     final List<Registration> changes = new ArrayList<>();
@@ -164,9 +169,9 @@
   }
 
   /**
-   * Writes off those at the address of an upstream that beats which have themselves been silent for
-   * some beats; those that changed. Only one process can be bound to an address, so of two lives
-   * that claim it the one that goes on beating is there.
+   * Lapses the other registrations at a heartbeating upstream's address that have missed some
+   * heartbeats themselves; returns those that changed. Only one process can be bound to an address,
+   * so of two that claim it the one that continues to send heartbeats is there.
    */
   List<Registration> resolveContestedAddress(final Registration current, final long now) {
     if (!contestedAddresses.contains(current.address)) {
@@ -200,12 +205,15 @@
     supersededCount++;
   }
 
-  /** How many lives were written off since another one beat from their address. */
+  /**
+   * How many registrations were lapsed or removed because another upstream sent heartbeats from
+   * their address.
+   */
   long supersededCount() {
     return supersededCount;
   }
 
-  /** Drops one of those that signed off, where there are too many. */
+  /** Drops one removed registration if there are too many. */
   void pruneRemoved() {
     int removedCount = 0;
     for (final Registration registration : byId.values()) {
@@ -222,20 +230,23 @@
     }
   }
 
-  // ---- beats
+  // ---- heartbeats
 
-  /** All are taken to have beaten now, since this exchange has only just started. */
+  /** Sets the last heartbeat of all upstreams to now, since this registry has only just started. */
   void resetHeartbeats(final long now) {
     byId.keySet().forEach(id -> heartbeatAt.put(id, now));
   }
 
-  /** An upstream beat here; true where it was suspect. */
+  /** Records a heartbeat received here; true if the upstream was suspect. */
   boolean heartbeat(final String id, final long now) {
     heartbeatAt.put(id, now);
     return suspects.remove(id);
   }
 
-  /** An upstream beat elsewhere; true where it was suspect. */
+  /**
+   * Records a heartbeat received by another registry; true if the upstream was suspect and no
+   * longer is.
+   */
   boolean mergeHeartbeat(final String id, final long heardAt, final long now) {
     if (heardAt <= heartbeatAt.getOrDefault(id, Long.MIN_VALUE)) {
       return false;
@@ -248,7 +259,7 @@
     return Math.max(1, SUSPECT_HEARTBEATS * heartbeatMillis / (MAX_AGE - 1));
   }
 
-  /** How long ago each upstream beat, one byte each, in the order of their names. */
+  /** The age of each upstream's last heartbeat, one byte each, in the order of the ids. */
   byte[] heartbeatAges(final long now) {
     final byte[] ages = new byte[byId.size()];
     int index = 0;
@@ -262,7 +273,9 @@
     return ages;
   }
 
-  /** Takes the ages that a peer with the same history tells; true where a suspect was cleared. */
+  /**
+   * Merges the heartbeat ages of a peer with the same registrations; true if a suspect was cleared.
+   */
   boolean mergeHeartbeatAges(final byte[] ages, final long now) {
     boolean cleared = false;
     if (ages.length == byId.size()) {
@@ -277,7 +290,7 @@
     return cleared;
   }
 
-  /** Tells of each upstream that beat lately. */
+  /** Adds the id and heartbeat age of each upstream that sent a heartbeat recently. */
   void recentHeartbeats(final List<String> ids, final List<Long> ages, final long now) {
     for (final Map.Entry<String, Long> entry : heartbeatAt.entrySet()) {
       final long age = now - entry.getValue();
@@ -289,8 +302,8 @@
   }
 
   /**
-   * Judges who is suspect; true where that changed. Those silent for so long that they may be
-   * written off are added to the list.
+   * Updates which upstreams are suspect; true if that changed. Those silent for so long that they
+   * may be lapsed or removed are added to the list.
    */
   boolean updateSuspects(final List<Registration> expired, final long now) {
     boolean changed = false;
--- a/registry/src/main/java/weldpoint/registry/RegistryCore.java
+++ b/registry/src/main/java/weldpoint/registry/RegistryCore.java
@@ -42,45 +42,58 @@
 import weldpoint.trial.TrialCoordinator;
 
 /**
- * The membership: a persisted history of upstreams, reconciled with a random peer every second and
- * pushed at once, and the map of tokens that says which daemon keeps whose beats. It knows neither
- * threads nor clocks nor sockets.
+ * The state machine of a registry: a persisted set of upstream registrations, pushed to the other
+ * registries on each change and reconciled with a random peer every second (anti-entropy), and the
+ * token map that says which registry owns the heartbeats of which upstream. It has no threads,
+ * clocks or sockets of its own: {@link RegistryDaemon} and {@link ControlServer} call it from the
+ * registry's serial executor and pass in the time.
  */
 public final class RegistryCore {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
   private static final long GOSSIP_INTERVAL_MILLIS = 1000;
   private static final long STATUS_INTERVAL_MILLIS = 500;
 
-  /** How long the word to proxies waits for the quorum read that makes it a proof. */
+  /** How long the periodic status to proxies waits for the quorum read that confirms it. */
   private static final long STATUS_READ_TIMEOUT_MILLIS = 260;
 
   private static final long QUORUM_WRITE_TIMEOUT_MILLIS = 900;
   private static final long REFRESH_TIMEOUT_MILLIS = 400;
+
+  /** After this time without a confirmed majority, a fresh confirmation is requested. */
   private static final long RECONFIRM_AFTER_MILLIS = 1600;
+
+  /** How long a voter withholds acknowledgements after its start, and leases that to its peers. */
   private static final long START_LEASE_MILLIS = 1500;
+
+  /** A voter without complete data bootstraps for at least this time after its start. */
   private static final long MIN_BOOTSTRAP_MILLIS = 1500;
+
+  /** After this time without a majority of complete voters, it counts with the data it has. */
   private static final long MAX_BOOTSTRAP_MILLIS = 10_000;
+
+  /** How long after a change of roster a write needs majorities of both rosters. */
   private static final long JOINT_ROSTER_MILLIS = 3000;
+
   private static final long MAJORITY_TIMEOUT_MILLIS = 2500;
 
-  /** What the core does to the world. */
+  /** The side effects of the core: sending messages and writing to disk. */
   public interface Environment {
-    /** Sends to another exchange; false where there is no line to it. */
+    /** Sends to another registry; false if there is no connection to it. */
     boolean sendToMember(String address, Message message);
 
-    /** Sends to a frame; false where there is no line to it. */
+    /** Sends to a state store replica; false if there is no connection to it. */
     boolean sendToReplica(String address, StoreMessages.StoreRequest call);
 
-    /** Sends to a switchboard's stream. */
+    /** Sends to the stream of a proxy or cache daemon. */
     void sendToStream(Object stream, Message message);
 
-    /** Puts a record on disk; the callback runs once it is lasting. */
+    /** Appends a record to the log on disk; the callback runs once the record is durable. */
     void append(byte[] record, Runnable synced);
 
-    /** The machines whose exchanges and frames to keep lines to. */
+    /** Sets the machines to whose registries and state store replicas connections are kept open. */
     void updatePeers(List<String> members);
 
-    /** What is on disk, as counters. */
+    /** The counters of the log on disk, as one line. */
     default String diskCounters() {
       return "";
     }
@@ -131,7 +144,7 @@
   private long heartbeats;
   private long gossipRounds;
 
-  /** A core for these settings. */
+  /** Creates a core for these settings; it does nothing until it is started. */
   public RegistryCore(
       final String self,
       final List<String> seedAddresses,
@@ -161,7 +174,7 @@
                 environment.append(Serializer.serialize(PersistedRecord.claims(claims)), synced));
   }
 
-  /** What trials need of this registry. */
+  /** What the trial service needs of this registry. */
   private final class TrialRegistry implements TrialService.Registry {
     @Override
     public CompletableFuture<Void> refresh(final long now) {
@@ -198,7 +211,7 @@
     }
   }
 
-  /** Takes other judges of what may be answered, for tests that break them. */
+  /** Replaces the quorum checks, for tests that inject broken ones. */
   void replaceQuorumChecks(
       final QuorumWrites givenWrites,
       final QuorumReads givenReads,
@@ -208,7 +221,7 @@
     majorityReachability = givenReachability;
   }
 
-  /** Takes to keeping who may choose a region's chief. */
+  /** Enables maintenance of the electorates: the proxies that may elect a region's leader. */
   public void enableElectorates() {
     electorates =
         new Electorates(
@@ -216,7 +229,10 @@
                 store.call(StoreOperation.ELECTORATE, region, null, 0, 0, body, null, now, 900));
   }
 
-  /** Takes to placing callers on nodes, by what settings say of write routes without a rule. */
+  /**
+   * Enables placement of callers on nodes; the default affinity applies to write routes without a
+   * rule of their own.
+   */
   public void enablePlacements(
       final Affinity defaultAffinity,
       final long incarnation,
@@ -263,7 +279,7 @@
                 }));
   }
 
-  /** A switchboard asks for a lease on placements. */
+  /** Handles a proxy's request for a lease on placements, or forwards it to the placement owner. */
   public void requestPlacementLease(
       final Object stream, final PlacementMessages.LeaseRequest request, final long now) {
     if (placementService == null) {
@@ -278,7 +294,7 @@
     }
   }
 
-  /** Takes to assigning the keys of divided services. */
+  /** Enables the assignment of keys of partitioned services. */
   void enableOwnership(
       final long incarnation, final GrantTimings timings, final KeyGrantClient grantClient) {
     ownershipEndpoint =
@@ -291,19 +307,19 @@
             environment::sendToMember);
   }
 
-  /** A proxy tells what it sent to the holders of keys. */
+  /** Takes a proxy's report of what it sent to the holders of keys. */
   public void slotReport(final SlotReport report) {
     if (ownershipEndpoint != null) {
       ownershipEndpoint.fromProxy(report);
     }
   }
 
-  /** Takes to giving out permits. */
+  /** Enables handing out permits against quotas. */
   public void enableQuotas(final QuotaAllocator allocator) {
     quotaEndpoint = new QuotaEndpoint(self, allocator, environment::sendToMember);
   }
 
-  /** Takes where this daemon stands. */
+  /** Sets the site and region of this daemon. */
   public void setLocation(final String givenSite, final String givenRegion) {
     site = givenSite;
     region = givenRegion;
@@ -312,7 +328,7 @@
   private String site = "";
   private String region = "";
 
-  /** Takes another seed list. */
+  /** Replaces the list of seed registries. */
   public void updateSeeds(final List<String> newSeeds, final long now) {
     seedAddresses = newSeeds;
     for (final String seed : newSeeds) {
@@ -323,7 +339,7 @@
 
   // ---- disk
 
-  /** Takes what the disk held and begins. */
+  /** Restores the records found on disk and starts. */
   public void start(final List<byte[]> records, final long now) {
     startedAt = now;
     bootstrapping = records.isEmpty() && !(firstStart && seedAddresses.contains(self));
@@ -365,11 +381,11 @@
     }
     updatePeers(now);
     LOGGER.atInfo().log(
-        "registry %s starts with %s registrations, roster %s",
+        "registry %s started with %s registrations from disk, roster %s",
         self, registrations.size(), roster.number);
   }
 
-  /** The live state as records. */
+  /** The live state as records, for compaction of the log. */
   public List<byte[]> snapshot() {
     final List<Registration> all = new ArrayList<>(registrations.all().values());
     return List.of(
@@ -401,8 +417,8 @@
   // ---- upstreams
 
   /**
-   * Who keeps the beats of an upstream: the token's owner if it can be reached, otherwise the next
-   * of the list.
+   * The registry that owns the heartbeats of an upstream: the owner of its token if reachable,
+   * otherwise the next reachable one of the preference list.
    */
   public String heartbeatOwner(
       final String id, final String site, final Map<String, String> regions) {
@@ -415,7 +431,7 @@
     return address.equals(self) || connected.contains(address);
   }
 
-  /** A beat of an upstream; completes once it may be acknowledged. */
+  /** Handles a heartbeat of an upstream; completes once it may be acknowledged. */
   public CompletableFuture<Void> heartbeat(final Registration heartbeat, final long now) {
     heartbeats++;
     final Registration before = registrations.get(heartbeat.id);
@@ -435,9 +451,10 @@
       changes.add(heartbeat);
       if (before == null) {
         LOGGER.atInfo().log(
-            "upstream %s joined %s at %s", heartbeat.id, heartbeat.service, heartbeat.address);
+            "upstream %s joined service %s at %s",
+            heartbeat.id, heartbeat.service, heartbeat.address);
       } else if (before.stage != heartbeat.stage) {
-        LOGGER.atInfo().log("upstream %s is %s", heartbeat.id, LifecycleStage.of(heartbeat));
+        LOGGER.atInfo().log("upstream %s is now %s", heartbeat.id, LifecycleStage.of(heartbeat));
       }
     }
     changes.addAll(claimAddress(heartbeat, before == null, now));
@@ -456,8 +473,9 @@
   }
 
   /**
-   * Writes off other lives at the address of an upstream that beats; those that changed. One that
-   * leaves claims nothing: it may be a life of which nothing but its end is heard, late.
+   * Marks other registrations at the address of a heartbeating upstream as lapsed or removed;
+   * returns those that changed. A draining upstream claims no address: it may be an earlier process
+   * of which only the late end arrives.
    */
   private List<Registration> claimAddress(
       final Registration heartbeat, final boolean newcomer, final long now) {
@@ -470,13 +488,13 @@
             : registrations.resolveContestedAddress(heartbeat, now);
     for (final Registration registration : superseded) {
       LOGGER.atInfo().log(
-          "upstream %s is %s, since %s beats from its address %s",
+          "upstream %s is now %s: upstream %s sends heartbeats from its address %s",
           registration.id, LifecycleStage.of(registration), heartbeat.id, heartbeat.address);
     }
     return superseded;
   }
 
-  /** An upstream signs off; completes once a majority of disks holds it. */
+  /** Deregisters an upstream; completes once a majority of registries has the removal on disk. */
   public CompletableFuture<Void> deregister(final String id, final long issued, final long now) {
     final Registration before = registrations.get(id);
     final Registration ended =
@@ -486,7 +504,7 @@
             : Registrations.withStage(before, LifecycleStage.REMOVED, issued);
     if (before == null || LifecycleStage.of(before) != LifecycleStage.REMOVED) {
       registrations.put(ended);
-      LOGGER.atInfo().log("upstream %s signed off", id);
+      LOGGER.atInfo().log("upstream %s deregistered", id);
       proxyStreams.sendRegistrations(List.of(ended));
     }
     return writeToQuorum(List.of(registrations.get(id)), now);
@@ -538,8 +556,8 @@
   }
 
   /**
-   * The frames have taken a configuration (null where they hold it, or a later one, already);
-   * completes once a majority of exchanges has it, or a later one, on disk too.
+   * Replicates a configuration that the state store has accepted (null if the store already held it
+   * or a later one); completes once a majority of registries has it, or a later one, on disk too.
    */
   public CompletableFuture<Void> replicateConfiguration(
       final long version, final byte[] body, final long now) {
@@ -561,7 +579,10 @@
         now);
   }
 
-  /** The frames have taken an order; completes once a majority of exchanges has it on disk too. */
+  /**
+   * Replicates evacuations and trials that the state store has accepted; completes once a majority
+   * of registries has them on disk too.
+   */
   public CompletableFuture<Void> replicateControlState(final long now) {
     return refreshControlState(clock)
         .thenCompose(
@@ -589,8 +610,8 @@
   }
 
   /**
-   * Asks the frames for what they hold; completes once a majority has confirmed it after this
-   * question.
+   * Reads the control state from the state store; completes once a majority of replicas has
+   * confirmed it after this request.
    */
   public CompletableFuture<Void> refreshControlState(final long now) {
     return store
@@ -609,7 +630,7 @@
               if (answer.status != 200) {
                 throw new WeldpointException(
                     WeldpointException.Kind.OUT_OF_REACH,
-                    "no majority confirmed what is in force; ask another daemon");
+                    "no majority of state store replicas confirmed the control state; retry at another daemon");
               }
               applyControlSnapshot(
                   Serializer.deserialize(answer.body, StoredValues.ControlSnapshot.class), now);
@@ -654,9 +675,9 @@
     }
   }
 
-  // ---- other exchanges
+  // ---- other registries
 
-  /** Another exchange has said something. */
+  /** Handles a message of another registry. */
   public void receive(
       final String from,
       final Message message,
@@ -757,8 +778,8 @@
   }
 
   /**
-   * The question with a lease. It goes only over a line that the other was at the end of before
-   * this clock was read: the other counts the lease from its own start.
+   * The request that grants a lease. It may be sent only over a connection that the peer had
+   * accepted before this clock was read, since the peer counts the lease from its own start.
    */
   private Message controlStateRequestWithLease(final long readNumber) {
     return controlStateRequest(readNumber, startLeaseMillis(clock));
@@ -804,17 +825,17 @@
   }
 
   /**
-   * For how long a voter that has only just started confirms no change yet. After a loss of power
-   * everywhere, what a majority says over its first lines then holds for all switchboards that come
-   * back meanwhile, and nothing is held up, since the frames need longer for their ballots.
+   * For how long a voter that has only just started acknowledges no change yet. After a power loss
+   * everywhere, the first answers of a majority are then valid for all proxies that reconnect in
+   * the meantime. This delays nothing, since the state store needs longer for its ballots.
    */
   private long startLeaseMillis(final long now) {
     return bootstrapping || roster.index(self) < 0 ? 0 : Math.max(0, acksWithheldUntil - now);
   }
 
   /**
-   * Another exchange asks, and says so what it holds; a line of this life carries nothing that was
-   * said before this life began.
+   * Answers another registry's request, which also says what that registry holds. A connection
+   * opened by this process carries nothing that was sent before this process started.
    */
   private void onControlStateRequest(
       final String from,
@@ -840,7 +861,8 @@
   }
 
   /**
-   * Confirms that a change is on this disk: at once, or when a lease that was given has run out.
+   * Acknowledges that a change is on this disk: at once, or once a lease that this registry granted
+   * has expired.
    */
   private void acknowledge(final Runnable ack) {
     if (clock < acksWithheldUntil) {
@@ -874,7 +896,9 @@
     advanceQuorumReads(now);
   }
 
-  /** Looks whether the quorum read under way is done, and begins the next where one is wanted. */
+  /**
+   * Checks whether the quorum read in progress is complete, and starts the next one if requested.
+   */
   private void advanceQuorumReads(final long now) {
     if (bootstrapping
         && bootstrapRead == Long.MAX_VALUE
@@ -898,7 +922,7 @@
         && now - Math.max(rosterChangedAt, startedAt) > MAX_BOOTSTRAP_MILLIS
         && now - majorityAt < MAJORITY_TIMEOUT_MILLIS) {
       LOGGER.atWarning().log(
-          "registry %s found no majority of registries that have all that was acknowledged; it counts with what it has",
+          "registry %s found no majority of registries with complete data to bootstrap from; it now counts as a voter with the data it has",
           self);
       finishBootstrap(now);
     }
@@ -914,8 +938,7 @@
   private void finishBootstrap(final long now) {
     bootstrapping = false;
     persistBootstrapState();
-    LOGGER.atInfo().log(
-        "registry %s has learned what was acknowledged before it came, and counts", self);
+    LOGGER.atInfo().log("registry %s has finished its bootstrap and counts as a voter", self);
   }
 
   private boolean isFirstReachableVoter() {
@@ -1003,13 +1026,13 @@
             || gossip.packed != null
             || gossip.history != null)) {
       reconciled = true;
-      LOGGER.atInfo().log("registry %s has reconciled its history with a peer", self);
+      LOGGER.atInfo().log("registry %s has reconciled its registrations with a peer", self);
     }
   }
 
   /**
-   * What is told to a peer: the history where it differs (all of it where there are no buckets to
-   * compare), switchboards and the roster where they do.
+   * A gossip message for a peer: the registrations of buckets that differ (all of them if the peer
+   * sent no bucket digests), and the daemons and the roster where they differ.
    */
   private RegistryMessages.Gossip gossipMessage(
       final int depth,
@@ -1091,7 +1114,7 @@
     store.replicas(replicas);
   }
 
-  /** Orders switchboards to begin or end recording. */
+  /** Tells proxies to begin or end recording. */
   public RecordingMessages.RecordingState setRecording(
       final boolean on, final long wallClock, final long now) {
     final RecordingMessages.RecordingState state = recordingBuffer.order(on, wallClock);
@@ -1108,12 +1131,12 @@
     }
   }
 
-  /** A switchboard has recorded something. */
+  /** Takes a batch of what a proxy has recorded. */
   public void addRecordingBatch(final RecordingMessages.RecordingBatch batch, final long now) {
     recordingBuffer.add(batch, now);
   }
 
-  /** What was recorded here since it was last collected, with what is in force. */
+  /** What was recorded here since the last collection, with the state that is applied now. */
   public RecordingBuffer.Collection drainRecording(final long now) {
     final List<RecordingBuffer.CollectedBatch> batches = recordingBuffer.drain(now);
     return new RecordingBuffer.Collection(
@@ -1128,7 +1151,7 @@
         controlState.evacuated());
   }
 
-  /** Whether switchboards record, and how much waits here. */
+  /** Whether proxies record, and how many recorded calls wait here. */
   public String recordingStatus() {
     return (recordingBuffer.state().on ? "recording" : "not recording")
         + ", "
@@ -1138,7 +1161,7 @@
         + " dropped here";
   }
 
-  /** A proxy claims an idempotency key for a request, or gives one back. */
+  /** Handles a proxy's claim of an idempotency key for a request, or the release of one. */
   public void onKeyMessage(
       final Message message, final java.util.function.Consumer<Message> reply, final long now) {
     if (message instanceof KeyMessages.ClaimRequest && cutOff(now)) {
@@ -1156,7 +1179,7 @@
         roster, joint ? previousRoster : null, !bootstrapping && roster.index(self) >= 0);
   }
 
-  /** Somebody asks for permits. */
+  /** Handles a request for permits against a quota. */
   public void requestPermits(
       final PermitMessages.PermitRequest request,
       final java.util.function.Consumer<Message> reply,
@@ -1177,19 +1200,22 @@
         now);
   }
 
-  // ---- switchboards
+  // ---- proxies and cache daemons
 
-  /** Whether this exchange knows enough to tell switchboards what to do. */
+  /** Whether this registry knows enough to configure proxies. */
   public boolean canServeProxies(final long now) {
     return reconciled && controlState.version() > 0 && !leaving;
   }
 
-  /** A switchboard tells of itself over its stream. */
+  /** Handles a report that a proxy or cache daemon sends about itself over its stream. */
   public void onDaemonReport(final Object stream, final DaemonEntry daemon, final long now) {
     onDaemonReport(stream, daemon, null, now);
   }
 
-  /** A switchboard tells of itself, and at the opening of its stream, by digests, what it has. */
+  /**
+   * Handles a report that a proxy or cache daemon sends about itself; the first one on a stream
+   * also has the bucket digests of the registrations that the daemon holds.
+   */
   public void onDaemonReport(
       final Object stream,
       final DaemonEntry daemon,
@@ -1244,7 +1270,7 @@
     environment.sendToStream(stream, registryStatus(now, true));
   }
 
-  /** A switchboard's stream has ended. */
+  /** Handles the end of a daemon's stream. */
   public void onStreamClosed(final Object stream, final String address, final long now) {
     proxyStreams.remove(stream);
     siteMembership.removeStream(stream);
@@ -1255,8 +1281,9 @@
   }
 
   /**
-   * What is told each time, with the registries that there is a line to where they have changed
-   * since they were told to all. Machines that are gone must not be named: proxies dial them.
+   * The periodic status to proxies; it lists the connected registries only if they have changed
+   * since they were last sent to all. Machines that are gone must not be listed, since proxies dial
+   * them.
    */
   private RegistryMessages.RegistryStatus registryStatus(final long now, final boolean initial) {
     final List<String> caches = daemonTable.liveCaches(now);
@@ -1288,26 +1315,29 @@
   private List<String> lastSentLocations = List.of();
   private final Map<String, String> memberLocations = new HashMap<>();
 
-  /** When this exchange was last surely in touch with a majority, of frames or of exchanges. */
+  /**
+   * When this registry was last known to be in touch with a majority of state store replicas or of
+   * registries.
+   */
   private long lastMajorityContactAt() {
     return Math.max(majorityAt, quorumReads.confirmedAt());
   }
 
   /**
-   * Whether this exchange knows that it is without a majority: none has answered it lately, and
-   * there are not enough lines to voters.
+   * Whether this registry knows that it has no majority: none has answered it recently, and it is
+   * connected to too few voters.
    */
   public boolean cutOff(final long now) {
     return majorityReachability.cutOff(
         roster, seedAddresses, connected, lastMajorityContactAt(), now);
   }
 
-  /** An exchange that told lately that it hears a majority; null where there is none. */
+  /** A registry that recently reported contact with a majority; null if there is none. */
   public String registryWithMajority(final long now) {
     return majorityReachability.peerWithMajority(connected, now);
   }
 
-  /** The fronts that a client in this place should use; empty where none is known. */
+  /** The proxy addresses that a client at this site should use; empty if none is known. */
   public List<String> resolve(
       final String region, final String site, final int limit, final long now) {
     return directory.resolve(region, site, limit, now - majorityAt > MAJORITY_TIMEOUT_MILLIS, now);
@@ -1403,17 +1433,17 @@
 
   // ---- trials
 
-  /** Trials of services: their reports and operators' orders. */
+  /** The trials of services: their reports and the commands of operators. */
   public TrialService trialService() {
     return trialService;
   }
 
-  /** All that is known of trials. */
+  /** The state of all known trials. */
   public TrialCoordinator trialCoordinator() {
     return controlState.trialCoordinator();
   }
 
-  /** Calls the store. */
+  /** Calls the state store. */
   public CompletableFuture<StoreMessages.StoreResponse> callStore(
       final StoreOperation operation,
       final String name,
@@ -1426,7 +1456,7 @@
     return store.call(operation, name, owner, first, second, body, null, now, timeout);
   }
 
-  /** Calls the store with a change of routing, and who wants it. */
+  /** Calls the state store with a routing change and its origin. */
   public CompletableFuture<StoreMessages.StoreResponse> changeRouting(
       final StoreOperation operation,
       final String name,
@@ -1443,8 +1473,8 @@
   }
 
   /**
-   * An evacuation is ordered under a ticket, so that a copy that comes late does nothing once
-   * another order was decided.
+   * Begins or ends an evacuation under a ticket, so that a late duplicate has no effect once
+   * another evacuation command was decided.
    */
   private CompletableFuture<StoreMessages.StoreResponse> evacuate(
       final String zone,
@@ -1476,7 +1506,10 @@
                                     : evacuate(zone, begin, origin, deadline)));
   }
 
-  /** Calls the store with a configuration, the digest of what it says, and who wants it. */
+  /**
+   * Calls the state store with a configuration, the digest of its content, and the origin of the
+   * change.
+   */
   public CompletableFuture<StoreMessages.StoreResponse> replaceConfiguration(
       final long version,
       final boolean usesAffinity,
@@ -1498,7 +1531,7 @@
         timeout);
   }
 
-  /** Who wants a change that came in here. */
+  /** The origin of a change that was requested at this registry. */
   public StoreMessages.ChangeOrigin changeOrigin(
       final String author, final String caller, final byte[] extra) {
     return new StoreMessages.ChangeOrigin(author, caller, self, extra);
@@ -1509,7 +1542,7 @@
     return historyReader;
   }
 
-  /** How all stands, as far as it is known here. */
+  /** The status of the system, as far as this registry knows it. */
   public ControlApi.StatusResponse status(final long now) {
     final List<ControlApi.DaemonStatus> daemons = new ArrayList<>();
     for (final AppliedState entry : appliedStates(now)) {
@@ -1567,7 +1600,7 @@
         ownershipEndpoint == null ? List.of() : ownershipEndpoint.status());
   }
 
-  /** What each daemon has in force, as it told last. */
+  /** The state that each daemon has applied, by its last report. */
   public List<AppliedState> appliedStates(final long now) {
     final AppliedState own =
         new AppliedState(
@@ -1582,19 +1615,19 @@
 
   private final AppliedStateTable appliedStates = new AppliedStateTable();
 
-  /** A frame has answered. */
+  /** Handles a response of a state store replica. */
   public void onStoreResponse(
       final String from, final StoreMessages.StoreResponse answer, final long now) {
     clock = now;
     store.onResponse(from, answer, now);
   }
 
-  /** The line to a frame has ended. */
+  /** Handles the end of the connection to a state store replica. */
   public void onReplicaDisconnected(final String address, final long now) {
     store.onDisconnected(address, now);
   }
 
-  /** There is a line to an exchange. */
+  /** Handles a new connection to another registry. */
   public void onMemberConnected(final String address, final long now) {
     connected.add(address);
     members.put(address, now);
@@ -1607,14 +1640,14 @@
     }
   }
 
-  /** The line to an exchange has ended. */
+  /** Handles the end of the connection to another registry. */
   public void onMemberDisconnected(final String address, final long now) {
     connected.remove(address);
   }
 
-  // ---- time
+  // ---- periodic work
 
-  /** Time has passed; to be called every few tens of milliseconds. */
+  /** Runs all periodic work; to be called every few tens of milliseconds. */
   public void tick(final long now) {
     clock = now;
     store.tick(now);
@@ -1725,7 +1758,7 @@
     if (!expired.isEmpty()) {
       for (final Registration registration : expired) {
         LOGGER.atInfo().log(
-            "upstream %s was silent for %s beats and is written off",
+            "upstream %s missed %s heartbeats and is no longer routable",
             registration.id, Registrations.LAPSE_HEARTBEATS);
         registrations.put(registration);
       }
@@ -1739,7 +1772,9 @@
     registrations.pruneRemoved();
   }
 
-  /** The process ends: its streams should go elsewhere. */
+  /**
+   * Prepares for shutdown: proxies and cache daemons should move their streams to other registries.
+   */
   public void leave() {
     leaving = true;
     if (ownershipEndpoint != null) {
@@ -1747,34 +1782,37 @@
     }
   }
 
-  // ---- what tests and operators look at
+  // ---- for tests and operators
 
-  /** The history, by upstream. */
+  /** All registrations, by upstream id. */
   public Map<String, Registration> registrations() {
     return registrations.all();
   }
 
-  /** The roster known here. */
+  /** The roster of voters known here. */
   public Roster roster() {
     return roster;
   }
 
-  /** What this registry tells of itself. */
+  /** The metrics of this registry. */
   public List<Metric> metrics(final long now) {
     final List<Metric> metrics = new ArrayList<>();
-    metrics.add(Metric.gauge("weldpoint_registrations", "Upstreams known.", registrations.size()));
-    metrics.add(Metric.counter("weldpoint_beats", "Beats of upstreams taken here.", heartbeats));
+    metrics.add(
+        Metric.gauge("weldpoint_registrations", "Upstreams registered.", registrations.size()));
+    metrics.add(
+        Metric.counter("weldpoint_beats", "Heartbeats of upstreams received here.", heartbeats));
     metrics.add(
         Metric.counter(
             "weldpoint_superseded_registrations",
-            "Upstreams written off since another one beat from their address.",
+            "Registrations lapsed or removed since another upstream sent heartbeats from their address.",
             registrations.supersededCount()));
     metrics.add(Metric.gauge("weldpoint_streams", "Streams to proxies.", proxyStreams.size()));
-    metrics.add(Metric.gauge("weldpoint_roster_number", "The roster's number.", roster.number));
+    metrics.add(
+        Metric.gauge("weldpoint_roster_number", "Number of the roster of voters.", roster.number));
     metrics.add(
         Metric.gauge(
             "weldpoint_majority_age_seconds",
-            "Time since a majority of state stores was last heard.",
+            "Time since a majority of state store replicas last answered.",
             Math.min(1e6, (now - majorityAt) / 1000.0)));
     if (quotaEndpoint != null) {
       metrics.addAll(quotaEndpoint.figures());
@@ -1793,13 +1831,13 @@
             : placementService.coordinator().counters() + " ")
         + "registrations "
         + registrations.size()
-        + " beats "
+        + " heartbeats "
         + heartbeats
-        + " gossips "
+        + " gossip rounds "
         + gossipRounds
         + " streams "
         + proxyStreams.size()
-        + " boards "
+        + " daemons "
         + daemonTable.size()
         + (quotaEndpoint == null ? "" : " " + quotaEndpoint.counters())
         + keyClaims.counters()
--- a/registry/src/main/java/weldpoint/registry/RegistryDaemon.java
+++ b/registry/src/main/java/weldpoint/registry/RegistryDaemon.java
@@ -36,8 +36,9 @@
 import weldpoint.wal.WriteAheadLog;
 
 /**
- * The registry as a process: it takes all outside calls, keeps the membership and tells
- * switchboards.
+ * The registry as a process: it serves the control calls, keeps the membership of upstreams,
+ * proxies and cache daemons, and updates proxies and caches over their streams. All state is in
+ * {@link RegistryCore}, which is called only from the serial executor.
  */
 public final class RegistryDaemon implements Daemon {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
@@ -59,7 +60,7 @@
   private Message lastMessage;
   private Message lastSealedMessage;
 
-  /** A registry for these settings; nothing runs yet. */
+  /** Creates a registry for these settings; nothing runs until it is started. */
   public RegistryDaemon(final Settings settings) {
     this.settings = settings;
     incarnation = RandomIds.next();
@@ -179,7 +180,7 @@
     if (settings.folder().isEmpty()) {
       throw new WeldpointException(
           WeldpointException.Kind.SETTING,
-          "setting station.folder has the value ''; an exchange needs a folder on a disk of its own");
+          "setting station.folder has the value ''; a registry needs a folder on a disk of its own");
     }
     final WriteAheadLog.Opened opened =
         WriteAheadLog.open(
@@ -193,7 +194,7 @@
     final SegmentRing.Recovered recovered = opened.found();
     if (recovered.lost()) {
       LOGGER.atSevere().log(
-          "the disk of %s lost records that had been synced; it counts as blank and is refetched from the other exchanges",
+          "the disk of %s lost records that had been synced; it is treated as empty and its data is fetched again from the other registries",
           settings.name());
     }
     log = opened.log();
--- a/registry/src/main/java/weldpoint/registry/SiteMembership.java
+++ b/registry/src/main/java/weldpoint/registry/SiteMembership.java
@@ -8,7 +8,7 @@
 import weldpoint.transport.Message;
 import weldpoint.transport.RegistryMessages;
 
-/** Which switchboards share a site: told to those of the site, and only when it changes. */
+/** The proxies of each site; sent to the proxies of that site, and only when the list changes. */
 final class SiteMembership {
   private final Map<Object, String> siteByStream = new HashMap<>();
   private Map<String, RegistryMessages.SiteProxies> current = Map.of();
@@ -28,7 +28,7 @@
     }
   }
 
-  /** Takes who lives where now. */
+  /** Takes the current proxies of each site. */
   void update(
       final Map<String, List<String>> proxiesBySite,
       final Set<Object> streams,
--- a/registry/src/main/java/weldpoint/registry/StoreClient.java
+++ b/registry/src/main/java/weldpoint/registry/StoreClient.java
@@ -12,17 +12,17 @@
 import weldpoint.transport.StoreMessages;
 
 /**
- * Carries calls to the frames: to the holder of the duty where it is known, otherwise to the frame
- * of the own machine, which names it. A call may be sent again: it carries its identity, and how
- * long ago a copy was sent that may have been carried out, so that the store does nothing twice. An
- * answer counts only if it names this life, and comes from a frame to which a copy is under way on
- * the line that there still is.
+ * Sends calls to the state store: to the replica that holds the call's partition if it is known,
+ * otherwise to the replica on this machine, which names the holder. A call may be resent: it
+ * carries its identity, and how long ago a copy was sent that may have been executed, so that the
+ * store executes nothing twice. A response counts only if it names this process, and comes from a
+ * replica to which a copy is in flight on a connection that is still open.
  */
 final class StoreClient {
   private static final long RETRY_MILLIS = 30;
   private static final long RESPONSE_TIMEOUT_MILLIS = 400;
 
-  /** Sends a call to a frame; false where there is no line to it. */
+  /** Sends a call to a replica; false if there is no connection to it. */
   interface Sender {
     boolean send(String address, StoreMessages.StoreRequest call);
   }
@@ -77,7 +77,7 @@
     replicas = addresses;
   }
 
-  /** Calls the frame of this very machine, whoever holds the duty. */
+  /** Calls the replica on this machine, whichever replica holds the partition. */
   CompletableFuture<StoreMessages.StoreResponse> callLocalReplica(
       final StoreOperation operation,
       final long first,
@@ -197,7 +197,7 @@
     return false;
   }
 
-  /** A copy was not sent, or its frame says that it did nothing for it. */
+  /** Forgets a copy that was not sent, or that its replica reports as not executed. */
   private static void forgetCopy(final PendingCall pendingCall, final String to) {
     pendingCall.copiesInFlight.computeIfPresent(
         to, (address, count) -> count == 1 ? null : count - 1);
@@ -260,7 +260,7 @@
         pendingCall.future.completeExceptionally(
             new WeldpointException(
                 WeldpointException.Kind.OUT_OF_REACH,
-                "no frame that holds the duty answered in time; ask another daemon"));
+                "the replica that holds the partition did not answer in time; retry at another daemon"));
       } else if (pendingCall.resendAt != 0 && now >= pendingCall.resendAt) {
         send(pendingCall, now);
       } else if (pendingCall.target != null
