--- a/registry/src/test/java/weldpoint/registry/ConfirmationProofTest.java
+++ b/registry/src/test/java/weldpoint/registry/ConfirmationProofTest.java
@@ -28,7 +28,7 @@
   private static final int STEPS = 40;
 
   @BeforeClass
-  public void quiet() {
+  public void disableLogging() {
     java.util.logging.Logger.getLogger("").setLevel(java.util.logging.Level.OFF);
   }
 
@@ -37,7 +37,7 @@
 
   private final List<Acknowledged> acknowledged = new ArrayList<>();
 
-  private void note(
+  private void recordWhenAcknowledged(
       final SimulatedCoreNetwork net,
       final CompletableFuture<Void> change,
       final String upstream,
@@ -45,10 +45,10 @@
     change.thenRun(() -> acknowledged.add(new Acknowledged(upstream, version, net.now)));
   }
 
-  private void leave(final SimulatedCoreNetwork net, final int registry, final String id) {
+  private void drainUpstream(final SimulatedCoreNetwork net, final int registry, final String id) {
     final RegistryCore core = net.node(registry).core;
     core.heartbeat(SimulatedCoreNetwork.upstream(id, LifecycleStage.JOINED, 1), net.now);
-    note(
+    recordWhenAcknowledged(
         net,
         core.heartbeat(SimulatedCoreNetwork.upstream(id, LifecycleStage.DRAINING, 2), net.now),
         id,
@@ -58,7 +58,7 @@
   private void configure(final SimulatedCoreNetwork net, final int registry) {
     net.version++;
     final long version = net.version;
-    note(
+    recordWhenAcknowledged(
         net,
         net.node(registry)
             .core
@@ -67,60 +67,60 @@
         version);
   }
 
-  private static void trouble(final SimulatedCoreNetwork net, final Random random) {
-    final int one = 1 + random.nextInt(REGISTRIES);
+  private static void injectFault(final SimulatedCoreNetwork net, final Random random) {
+    final int node = 1 + random.nextInt(REGISTRIES);
     switch (random.nextInt(8)) {
-      case 0 -> net.cut(one, true, random.nextBoolean());
+      case 0 -> net.cut(node, true, random.nextBoolean());
       case 1 -> net.cut.clear();
-      case 2 -> net.freeze(one);
-      case 3 -> net.restart(one, true);
+      case 2 -> net.freeze(node);
+      case 3 -> net.restart(node, true);
       case 4, 5, 6 -> {
         final String other = "10.0.0." + (1 + random.nextInt(REGISTRIES));
-        net.cut("10.0.0." + one, other, true, random.nextBoolean());
+        net.cut("10.0.0." + node, other, true, random.nextBoolean());
       }
       default -> {
         for (int index = 1; index <= REGISTRIES; index++) {
-          net.thaw(index);
+          net.unfreeze(index);
         }
       }
     }
   }
 
   /** Checks each proof that a stream was given after its first view; how many there were. */
-  private int check(final List<Message> told, final String what) {
-    final Set<String> open = new HashSet<>();
-    boolean viewed = false;
+  private int checkConfirmations(final List<Message> sent, final String description) {
+    final Set<String> routable = new HashSet<>();
+    boolean hasView = false;
     long version = 0;
-    int proofs = 0;
-    for (final Message message : told) {
+    int confirmations = 0;
+    for (final Message message : sent) {
       if (message instanceof RegistryMessages.View view) {
-        viewed = true;
+        hasView = true;
         version = Math.max(version, view.version);
-        final List<Registration> given = new ArrayList<>(Protocol.list(view.registrations));
-        given.addAll(RegistrationBuckets.unpack(view.packed));
-        for (final Registration one : given) {
+        final List<Registration> received = new ArrayList<>(Protocol.list(view.registrations));
+        received.addAll(RegistrationBuckets.unpack(view.packed));
+        for (final Registration one : received) {
           if (LifecycleStage.of(one).routable()) {
-            open.add(one.id);
+            routable.add(one.id);
           } else {
-            open.remove(one.id);
+            routable.remove(one.id);
           }
         }
-      } else if (viewed
-          && message instanceof RegistryMessages.RegistryStatus reach
-          && reach.confirmedClock != null) {
-        proofs++;
+      } else if (hasView
+          && message instanceof RegistryMessages.RegistryStatus status
+          && status.confirmedClock != null) {
+        confirmations++;
         for (final Acknowledged change : acknowledged) {
-          if (change.at < reach.confirmedClock) {
+          if (change.at < status.confirmedClock) {
             assertTrue(
                 change.upstream == null
                     ? version >= change.version
-                    : !open.contains(change.upstream),
-                what + ": proof up to " + reach.confirmedClock + " lacks " + change);
+                    : !routable.contains(change.upstream),
+                description + ": proof up to " + status.confirmedClock + " lacks " + change);
           }
         }
       }
     }
-    return proofs;
+    return confirmations;
   }
 
   /**
@@ -128,48 +128,48 @@
    * is missing.
    */
   @Test
-  public void whatIsProvedToAProxyWasToldToItBefore() {
-    int proofs = 0;
+  public void confirmedChangesWereSentToTheProxyBefore() {
+    int confirmations = 0;
     int changes = 0;
     for (int seed = 0; seed < SEEDS; seed++) {
       final Random random = new Random(seed);
       final SimulatedCoreNetwork net = new SimulatedCoreNetwork(REGISTRIES, VOTERS).startAll(true);
       acknowledged.clear();
       net.version = 1;
-      net.pass(2500);
-      final Map<Integer, Long> lives = new HashMap<>();
+      net.advance(2500);
+      final Map<Integer, Long> incarnations = new HashMap<>();
       for (int step = 0; step < STEPS; step++) {
         for (int index = 1; index <= REGISTRIES; index++) {
-          if (lives.getOrDefault(index, 0L) != net.node(index).life) {
-            lives.put(index, net.node(index).life);
-            net.node(index).opens("s" + index, 0);
+          if (incarnations.getOrDefault(index, 0L) != net.node(index).incarnation) {
+            incarnations.put(index, net.node(index).incarnation);
+            net.node(index).openStream("s" + index, 0);
           }
         }
         if (random.nextInt(4) == 0) {
-          trouble(net, random);
+          injectFault(net, random);
         }
         final int registry = 1 + random.nextInt(REGISTRIES);
         if (!net.node(registry).frozen && random.nextBoolean()) {
-          leave(net, registry, "u" + step);
+          drainUpstream(net, registry, "u" + step);
         } else if (!net.node(registry).frozen) {
           configure(net, registry);
         }
-        net.pass(50 + random.nextInt(600));
+        net.advance(50 + random.nextInt(600));
         for (int index = 1; index <= REGISTRIES; index++) {
-          final Map<Object, List<Message>> told = net.node(index).told;
-          for (final Map.Entry<Object, List<Message>> stream : told.entrySet()) {
-            check(stream.getValue(), "seed " + seed + ", registry " + index);
+          final Map<Object, List<Message>> sent = net.node(index).sentToStreams;
+          for (final Map.Entry<Object, List<Message>> stream : sent.entrySet()) {
+            checkConfirmations(stream.getValue(), "seed " + seed + ", registry " + index);
           }
         }
       }
       for (int index = 1; index <= REGISTRIES; index++) {
-        for (final List<Message> told : net.node(index).told.values()) {
-          proofs += check(told, "seed " + seed + ", registry " + index);
+        for (final List<Message> sent : net.node(index).sentToStreams.values()) {
+          confirmations += checkConfirmations(sent, "seed " + seed + ", registry " + index);
         }
       }
       changes += acknowledged.size();
     }
     assertTrue(changes > 10 * SEEDS, "too few changes were acknowledged: " + changes);
-    assertTrue(proofs > 50 * SEEDS, "too few proofs were given: " + proofs);
+    assertTrue(confirmations > 50 * SEEDS, "too few proofs were given: " + confirmations);
   }
 }
--- a/registry/src/test/java/weldpoint/registry/CutOffTest.java
+++ b/registry/src/test/java/weldpoint/registry/CutOffTest.java
@@ -18,110 +18,110 @@
  */
 public final class CutOffTest {
   @BeforeClass
-  public void quiet() {
+  public void disableLogging() {
     java.util.logging.Logger.getLogger("").setLevel(java.util.logging.Level.OFF);
   }
 
-  private static SimulatedCoreNetwork settled() {
+  private static SimulatedCoreNetwork settledNetwork() {
     final SimulatedCoreNetwork net = new SimulatedCoreNetwork(5, 5).startAll(true);
-    net.pass(2000);
+    net.advance(2000);
     net.version = 6;
     net.evacuated = List.of("a");
     net.evacuationMark = 1;
-    net.pass(2000);
+    net.advance(2000);
     return net;
   }
 
-  private static boolean refused(final CompletableFuture<Void> future) {
+  private static boolean failed(final CompletableFuture<Void> future) {
     return future.isCompletedExceptionally();
   }
 
   @Test
-  public void aFreshSwitchboardGetsNothingFromAnExchangeThatRestartedWhileCutOff() {
-    final SimulatedCoreNetwork net = settled();
+  public void newProxyGetsNothingFromARegistryRestartedWhileCutOff() {
+    final SimulatedCoreNetwork net = settledNetwork();
     net.node(1)
         .core
         .heartbeat(SimulatedCoreNetwork.upstream("u", LifecycleStage.JOINED, 1), net.now);
-    net.pass(100);
+    net.advance(100);
     net.cut(1, true, true);
     net.restart(1, true);
     net.version = 7;
     for (int round = 0; round < 20; round++) {
-      net.node(1).opens("1" + round, 0);
-      net.pass(1000);
+      net.node(1).openStream("1" + round, 0);
+      net.advance(1000);
       assertEquals(
           net.node(1).views("1" + round),
           List.of(),
           "an old configuration set a fresh switchboard going");
     }
     net.cut.clear();
-    net.pass(1000);
-    assertEquals(net.node(1).given("10"), 7);
+    net.advance(1000);
+    assertEquals(net.node(1).latestVersionSentTo("10"), 7);
   }
 
   @Test
-  public void aFreshSwitchboardGetsNothingFromAnExchangeThatIsCutOffNow() {
+  public void newProxyGetsNothingFromARegistryThatIsCutOff() {
     for (final boolean[] ways : new boolean[][] {{true, true}, {true, false}, {false, true}}) {
-      final SimulatedCoreNetwork net = settled();
+      final SimulatedCoreNetwork net = settledNetwork();
       net.cut(1, ways[0], ways[1]);
-      net.pass(1);
+      net.advance(1);
       net.version = 7;
-      net.node(1).opens("1", 0);
-      net.pass(20_000);
+      net.node(1).openStream("1", 0);
+      net.advance(20_000);
       assertEquals(net.node(1).views("1"), List.of());
       net.cut.clear();
-      net.pass(4000);
-      assertEquals(net.node(1).given("1"), 7);
+      net.advance(4000);
+      assertEquals(net.node(1).latestVersionSentTo("1"), 7);
     }
   }
 
   @Test
-  public void aSwitchboardThatServesIsServedOn() {
-    final SimulatedCoreNetwork net = settled();
+  public void servingProxyIsStillSentAView() {
+    final SimulatedCoreNetwork net = settledNetwork();
     net.cut(1, true, true);
-    net.pass(5000);
-    net.node(1).opens("1", 6);
-    net.pass(100);
+    net.advance(5000);
+    net.node(1).openStream("1", 6);
+    net.advance(100);
     assertEquals(net.node(1).views("1").size(), 1);
   }
 
   @Test
   public void
-      afterALossOfPowerAFreshSwitchboardGetsWhatWasAcknowledgedBeforeTheFramesHaveAMajority() {
-    final SimulatedCoreNetwork net = settled();
+      afterAPowerLossANewProxyGetsAcknowledgedStateBeforeTheStoreHasAMajority() {
+    final SimulatedCoreNetwork net = settledNetwork();
     net.cut(1, true, true);
     net.version = 7;
-    net.pass(500);
+    net.advance(500);
     final CompletableFuture<Void> acknowledged =
         net.node(2).core.replicateConfiguration(7, SimulatedCoreNetwork.spec(7), net.now);
-    net.pass(100);
-    assertTrue(acknowledged.isDone() && !refused(acknowledged));
-    net.framesDown = true;
+    net.advance(100);
+    assertTrue(acknowledged.isDone() && !failed(acknowledged));
+    net.storeDown = true;
     net.cut.clear();
     for (int index = 1; index <= 5; index++) {
       net.restart(index, true);
     }
-    net.node(1).opens("1", 0);
-    net.node(5).opens("5", 0);
-    net.pass(150);
-    assertEquals(net.node(1).given("1"), 7);
+    net.node(1).openStream("1", 0);
+    net.node(5).openStream("5", 0);
+    net.advance(150);
+    assertEquals(net.node(1).latestVersionSentTo("1"), 7);
     assertEquals(net.node(1).views("1").get(0).version, 7, "the first view was an old one");
-    assertEquals(net.node(5).given("5"), 7);
+    assertEquals(net.node(5).latestVersionSentTo("5"), 7);
   }
 
   @Test
-  public void aConfigurationIsNotAcknowledgedWithoutAMajorityOfExchanges() {
-    final SimulatedCoreNetwork net = settled();
+  public void configurationIsNotAcknowledgedWithoutAMajorityOfRegistries() {
+    final SimulatedCoreNetwork net = settledNetwork();
     net.cut(1, true, true);
-    final CompletableFuture<Void> cutOff =
+    final CompletableFuture<Void> cutOffWrite =
         net.node(1).core.replicateConfiguration(7, SimulatedCoreNetwork.spec(7), net.now);
-    net.pass(1000);
-    assertTrue(refused(cutOff));
+    net.advance(1000);
+    assertTrue(failed(cutOffWrite));
     net.version = 8;
-    final CompletableFuture<Void> reached =
+    final CompletableFuture<Void> connectedWrite =
         net.node(2).core.replicateConfiguration(7, null, net.now);
-    net.pass(1000);
-    assertTrue(reached.isDone() && !refused(reached));
+    net.advance(1000);
+    assertTrue(connectedWrite.isDone() && !failed(connectedWrite));
     assertEquals(
         net.node(3).core.status(net.now).version(),
         "00000008",
@@ -129,39 +129,39 @@
   }
 
   @Test
-  public void anEvacuationIsAcknowledgedOnlyOnceAFreshSwitchboardWouldLearnOfIt() {
-    final SimulatedCoreNetwork net = settled();
+  public void evacuationIsAcknowledgedOnlyOnceANewProxyWouldLearnOfIt() {
+    final SimulatedCoreNetwork net = settledNetwork();
     net.evacuated = List.of("a", "b");
     net.evacuationMark = 2;
     final CompletableFuture<Void> done = net.node(2).core.replicateControlState(net.now);
-    net.pass(200);
-    assertTrue(done.isDone() && !refused(done));
-    net.framesDown = true;
+    net.advance(200);
+    assertTrue(done.isDone() && !failed(done));
+    net.storeDown = true;
     for (int index = 1; index <= 5; index++) {
       net.restart(index, true);
     }
-    net.node(1).opens("1", 0);
-    net.pass(500);
+    net.node(1).openStream("1", 0);
+    net.advance(500);
     assertEquals(net.node(1).views("1").get(0).evacuated, List.of("a", "b"));
     net.cut(1, true, true);
     final CompletableFuture<Void> alone = net.node(1).core.replicateControlState(net.now);
-    net.pass(1000);
-    assertTrue(refused(alone));
+    net.advance(1000);
+    assertTrue(failed(alone));
   }
 
   @Test
-  public void aDrainIsAcknowledgedByAMajorityEachTimeItIsSaid() {
-    final SimulatedCoreNetwork net = settled();
+  public void repeatedDrainIsAcknowledgedByAMajorityEachTime() {
+    final SimulatedCoreNetwork net = settledNetwork();
     net.node(1)
         .core
         .heartbeat(SimulatedCoreNetwork.upstream("i", LifecycleStage.JOINED, 1), net.now);
-    net.pass(100);
+    net.advance(100);
     final CompletableFuture<Void> first =
         net.node(1)
             .core
             .heartbeat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 2), net.now);
-    net.pass(100);
-    assertTrue(first.isDone() && !refused(first));
+    net.advance(100);
+    assertTrue(first.isDone() && !failed(first));
     net.cut(1, true, true);
     final CompletableFuture<Void> again =
         net.node(1)
@@ -173,58 +173,58 @@
         net.node(1)
             .core
             .heartbeat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 2), net.now);
-    net.pass(1000);
+    net.advance(1000);
     for (final CompletableFuture<Void> future : List.of(again, gone, goneAgain, late)) {
-      assertTrue(refused(future), "acknowledged without a majority since the question");
+      assertTrue(failed(future), "acknowledged without a majority since the question");
     }
   }
 
   @Test
-  public void aFreshSwitchboardNeverHearsOfAnUpstreamAsOpenThatAMajorityKnowsToLeave() {
-    final SimulatedCoreNetwork net = settled();
+  public void newProxyNeverSeesAnUpstreamAsRoutableThatAMajorityKnowsToBeDraining() {
+    final SimulatedCoreNetwork net = settledNetwork();
     net.node(1)
         .core
         .heartbeat(SimulatedCoreNetwork.upstream("i", LifecycleStage.JOINED, 1), net.now);
-    net.pass(100);
+    net.advance(100);
     net.cut(1, true, true);
     final CompletableFuture<Void> drained =
         net.node(2)
             .core
             .heartbeat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 2), net.now);
-    net.pass(100);
-    assertTrue(drained.isDone() && !refused(drained));
-    net.framesDown = true;
+    net.advance(100);
+    assertTrue(drained.isDone() && !failed(drained));
+    net.storeDown = true;
     net.cut.clear();
     for (int index = 1; index <= 5; index++) {
       net.restart(index, true);
     }
-    net.node(1).opens("1", 0);
-    net.pass(500);
-    final List<RegistryMessages.Registration> given =
+    net.node(1).openStream("1", 0);
+    net.advance(500);
+    final List<RegistryMessages.Registration> received =
         new ArrayList<>(RegistrationBuckets.unpack(net.node(1).views("1").get(0).packed));
     assertEquals(
-        given.stream().map(one -> LifecycleStage.of(one)).toList(),
+        received.stream().map(one -> LifecycleStage.of(one)).toList(),
         List.of(LifecycleStage.DRAINING));
   }
 
   @Test
-  public void aThawedExchangeAcknowledgesNothingThatItsDeadlineHasPassedFor() {
-    final SimulatedCoreNetwork net = settled();
+  public void unfrozenRegistryAcknowledgesNothingPastItsDeadline() {
+    final SimulatedCoreNetwork net = settledNetwork();
     final CompletableFuture<Void> drained =
         net.node(1)
             .core
             .heartbeat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 2), net.now);
-    net.pass(3);
+    net.advance(3);
     net.freeze(1);
-    net.pass(5000);
-    net.thaw(1);
-    net.pass(1000);
-    assertTrue(refused(drained));
+    net.advance(5000);
+    net.unfreeze(1);
+    net.advance(1000);
+    assertTrue(failed(drained));
   }
 
   @Test
-  public void aDiskThatWasWipedCountsForNothingUntilItHasLearnedWhatWasAcknowledged() {
-    final SimulatedCoreNetwork net = settled();
+  public void wipedDiskDoesNotCountUntilItsBootstrapIsFinished() {
+    final SimulatedCoreNetwork net = settledNetwork();
     net.cut(4, true, true);
     net.cut(5, true, true);
     net.node(1)
@@ -234,39 +234,39 @@
         net.node(1)
             .core
             .heartbeat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 2), net.now);
-    net.pass(100);
-    assertTrue(drained.isDone() && !refused(drained));
-    net.framesDown = true;
+    net.advance(100);
+    assertTrue(drained.isDone() && !failed(drained));
+    net.storeDown = true;
     net.cut.clear();
     net.cut(1, true, true);
     net.cut(2, true, true);
     net.restart(3, false);
-    net.node(4).opens("4", 0);
-    net.pass(9000);
+    net.node(4).openStream("4", 0);
+    net.advance(9000);
     assertEquals(
         net.node(4).views("4"),
         List.of(),
         "3 lost its disk, 1 and 2 are away: 4 and 5 cannot know");
     net.cut.clear();
     net.cut(1, true, true);
-    net.pass(6000);
+    net.advance(6000);
     assertEquals(
         RegistrationBuckets.unpack(net.node(4).views("4").get(0).packed).stream()
             .map(one -> LifecycleStage.of(one))
             .toList(),
         List.of(LifecycleStage.DRAINING));
     net.cut(2, true, true);
-    net.node(5).opens("5", 0);
-    net.pass(1000);
+    net.node(5).openStream("5", 0);
+    net.advance(1000);
     assertEquals(net.node(5).views("5").size() > 0, true, "3 has learned meanwhile and counts");
   }
 
   @Test
-  public void aNewcomerToTheRosterLearnsBeforeItCounts() {
+  public void newVoterBootstrapsBeforeItCounts() {
     final SimulatedCoreNetwork net = new SimulatedCoreNetwork(6, 5).startAll(true);
-    net.pass(4000);
+    net.advance(4000);
     net.version = 6;
-    net.pass(1000);
+    net.advance(1000);
     net.cut(6, true, true);
     net.cut(4, true, true);
     net.cut(5, true, true);
@@ -274,9 +274,9 @@
         net.node(1)
             .core
             .heartbeat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 2), net.now);
-    net.pass(100);
-    assertTrue(drained.isDone() && !refused(drained));
-    net.framesDown = true;
+    net.advance(100);
+    assertTrue(drained.isDone() && !failed(drained));
+    net.storeDown = true;
     net.roster =
         SimulatedCoreNetwork.roster(
             3, List.of("10.0.0.2", "10.0.0.3", "10.0.0.4", "10.0.0.5", "10.0.0.6"));
@@ -294,87 +294,87 @@
               ignored -> {},
               net.now);
     }
-    net.node(5).opens("5", 0);
-    net.pass(9000);
+    net.node(5).openStream("5", 0);
+    net.advance(9000);
     assertEquals(
         net.node(5).views("5"),
         List.of(),
         "4, 5 and the newcomer are a majority, but none of them has what 1, 2 and 3 acknowledged");
     net.cut.clear();
-    net.pass(5000);
+    net.advance(5000);
     assertTrue(net.node(5).views("5").size() > 0);
     assertEquals(
         LifecycleStage.of(net.node(6).core.registrations().get("i")), LifecycleStage.DRAINING);
   }
 
   @Test
-  public void anAcknowledgementCountsUnderTheRosterInForceAndTheOneJustBefore() {
+  public void acknowledgementNeedsMajoritiesOfTheCurrentAndThePreviousRoster() {
     final SimulatedCoreNetwork net = new SimulatedCoreNetwork(7, 5).startAll(true);
-    net.pass(4000);
+    net.advance(4000);
     net.cut(2, true, true);
     net.cut(3, true, true);
     net.cut(4, true, true);
     net.roster = SimulatedCoreNetwork.roster(2, List.of("10.0.0.1", "10.0.0.5", "10.0.0.6"));
-    net.pass(800);
+    net.advance(800);
     final CompletableFuture<Void> drained =
         net.node(1)
             .core
             .heartbeat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 2), net.now);
-    net.pass(1000);
+    net.advance(1000);
     assertTrue(
-        refused(drained),
+        failed(drained),
         "1, 5 and 6 are a majority of the new roster, but 2, 3 and 4 may not know of it yet");
-    net.pass(3000);
+    net.advance(3000);
     final CompletableFuture<Void> later =
         net.node(1)
             .core
             .heartbeat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 3), net.now);
-    net.pass(1000);
-    assertTrue(later.isDone() && !refused(later));
+    net.advance(1000);
+    assertTrue(later.isDone() && !failed(later));
   }
 
   @Test
-  public void onlyWhoIsWithoutAMajorityKnowsItselfCutOff() {
-    final SimulatedCoreNetwork net = settled();
+  public void onlyARegistryWithoutAMajorityIsCutOff() {
+    final SimulatedCoreNetwork net = settledNetwork();
     for (int index = 1; index <= 5; index++) {
       assertFalse(net.node(index).core.cutOff(net.now));
     }
-    net.framesDown = true;
-    net.pass(5000);
+    net.storeDown = true;
+    net.advance(5000);
     assertFalse(
         net.node(1).core.cutOff(net.now),
         "the duty is vacant, but the voters are there: calls wait as they do");
-    net.framesDown = false;
-    net.pass(2000);
+    net.storeDown = false;
+    net.advance(2000);
     for (final boolean[] ways : new boolean[][] {{true, true}, {true, false}, {false, true}}) {
       net.cut(1, ways[0], ways[1]);
-      net.pass(3000);
+      net.advance(3000);
       assertTrue(net.node(1).core.cutOff(net.now));
       assertEquals(net.node(1).core.registryWithMajority(net.now), null);
       assertFalse(net.node(2).core.cutOff(net.now));
       net.restart(1, true);
-      net.pass(1600);
+      net.advance(1600);
       assertTrue(net.node(1).core.cutOff(net.now), "restarted while cut off");
       net.cut.clear();
-      net.pass(1500);
+      net.advance(1500);
       assertFalse(net.node(1).core.cutOff(net.now));
     }
   }
 
   @Test
-  public void whoIsCutOffNamesOneThatToldLatelyThatItHearsAMajority() {
+  public void cutOffRegistryNamesAPeerThatRecentlyReportedAMajority() {
     final SimulatedCoreNetwork net = new SimulatedCoreNetwork(7, 5).startAll(true);
-    net.pass(4000);
+    net.advance(4000);
     net.version = 6;
     for (int voter = 2; voter <= 5; voter++) {
       net.cut("10.0.0.1", "10.0.0." + voter, true, true);
     }
     net.cut("10.0.0.1", "10.0.0.6", true, true);
-    net.pass(4000);
+    net.advance(4000);
     assertTrue(net.node(1).core.cutOff(net.now));
     assertEquals(net.node(1).core.registryWithMajority(net.now), "10.0.0.7");
     net.cut(7, true, true);
-    net.pass(1500);
+    net.advance(1500);
     assertEquals(net.node(1).core.registryWithMajority(net.now), null);
   }
 
@@ -382,59 +382,59 @@
    * All lose power; two that start a little later open a stream at the first exchange when its
    * first read is done.
    */
-  private static SimulatedCoreNetwork restarted(
-      final java.util.function.Consumer<SimulatedCoreNetwork.Node> judges) {
-    final SimulatedCoreNetwork net = settled();
-    net.framesDown = true;
-    net.judges = judges;
+  private static SimulatedCoreNetwork restartedAfterPowerLoss(
+      final java.util.function.Consumer<SimulatedCoreNetwork.Node> checksOverride) {
+    final SimulatedCoreNetwork net = settledNetwork();
+    net.storeDown = true;
+    net.checksOverride = checksOverride;
     for (int index = 1; index <= 5; index++) {
       net.restart(index, true);
     }
-    net.node(1).opens("1", 0);
-    net.pass(660);
-    assertEquals(net.node(1).given("1"), 6);
+    net.node(1).openStream("1", 0);
+    net.advance(660);
+    assertEquals(net.node(1).latestVersionSentTo("1"), 6);
     return net;
   }
 
   @Test
-  public void afterALossOfPowerOneReadServesAllThatComeBackWhileItsLeaseLasts() {
-    final SimulatedCoreNetwork net = restarted(null);
+  public void afterAPowerLossOneReadServesAllReconnectingProxiesDuringItsLease() {
+    final SimulatedCoreNetwork net = restartedAfterPowerLoss(null);
     net.cut(1, true, true);
-    final CompletableFuture<Void> spread =
+    final CompletableFuture<Void> write =
         net.node(2).core.replicateConfiguration(7, SimulatedCoreNetwork.spec(7), net.now);
-    net.pass(150);
-    net.node(1).opens("2", 0);
-    net.pass(1);
-    assertEquals(net.node(1).given("2"), 6, "the lease still holds");
-    assertFalse(spread.isDone(), "acknowledged while 1 may give what was before");
-    net.pass(750);
-    assertTrue(spread.isDone() && !refused(spread), "the lease has run out");
-    net.node(1).opens("3", 0);
-    net.pass(5000);
+    net.advance(150);
+    net.node(1).openStream("2", 0);
+    net.advance(1);
+    assertEquals(net.node(1).latestVersionSentTo("2"), 6, "the lease still holds");
+    assertFalse(write.isDone(), "acknowledged while 1 may give what was before");
+    net.advance(750);
+    assertTrue(write.isDone() && !failed(write), "the lease has run out");
+    net.node(1).openStream("3", 0);
+    net.advance(5000);
     assertEquals(net.node(1).views("3"), List.of(), "given after the lease had run out");
   }
 
   @Test
-  public void aLeaseThatRanOutInAFreezeServesNobody() {
-    final SimulatedCoreNetwork net = restarted(null);
+  public void leaseThatExpiredDuringAFreezeServesNobody() {
+    final SimulatedCoreNetwork net = restartedAfterPowerLoss(null);
     net.freeze(1);
-    final CompletableFuture<Void> spread =
+    final CompletableFuture<Void> write =
         net.node(2).core.replicateConfiguration(7, SimulatedCoreNetwork.spec(7), net.now);
-    net.pass(1200);
-    assertTrue(spread.isDone() && !refused(spread));
+    net.advance(1200);
+    assertTrue(write.isDone() && !failed(write));
     net.cut(1, true, true);
-    net.thaw(1);
-    net.node(1).opens("2", 0);
-    net.pass(3000);
-    assertEquals(net.node(1).given("2"), net.node(1).views("2").isEmpty() ? 0 : 7);
+    net.unfreeze(1);
+    net.node(1).openStream("2", 0);
+    net.advance(3000);
+    assertEquals(net.node(1).latestVersionSentTo("2"), net.node(1).views("2").isEmpty() ? 0 : 7);
   }
 
   // ---- broken variants: each must be caught
 
   @Test
-  public void aLeaseThatIsTakenForLongerThanItWasGivenIsCaught() {
+  public void detectsALeaseHeldLongerThanGranted() {
     final SimulatedCoreNetwork net =
-        restarted(
+        restartedAfterPowerLoss(
             node ->
                 node.core.replaceQuorumChecks(
                     new QuorumWrites(),
@@ -446,33 +446,33 @@
                     },
                     new MajorityReachability(node.address, (to, message) -> {})));
     net.cut(1, true, true);
-    final CompletableFuture<Void> spread =
+    final CompletableFuture<Void> write =
         net.node(2).core.replicateConfiguration(7, SimulatedCoreNetwork.spec(7), net.now);
-    net.pass(880);
-    assertTrue(spread.isDone() && !refused(spread));
-    net.node(1).opens("3", 0);
-    net.pass(100);
+    net.advance(880);
+    assertTrue(write.isDone() && !failed(write));
+    net.node(1).openStream("3", 0);
+    net.advance(100);
     assertEquals(
-        net.node(1).given("3"),
+        net.node(1).latestVersionSentTo("3"),
         6,
         "the broken variant gives the old configuration after the new one was acknowledged");
   }
 
-  private static SimulatedCoreNetwork broken(
-      final java.util.function.Consumer<SimulatedCoreNetwork.Node> judges) {
+  private static SimulatedCoreNetwork networkWithBrokenChecks(
+      final java.util.function.Consumer<SimulatedCoreNetwork.Node> checksOverride) {
     final SimulatedCoreNetwork net = new SimulatedCoreNetwork(5, 5);
-    net.judges = judges;
+    net.checksOverride = checksOverride;
     net.startAll(true);
-    net.pass(2000);
+    net.advance(2000);
     net.version = 6;
-    net.pass(2000);
+    net.advance(2000);
     return net;
   }
 
   @Test
-  public void aReadThatCountsOnItselfAloneIsCaught() {
+  public void detectsAReadThatCountsOnlyItself() {
     final SimulatedCoreNetwork net =
-        broken(
+        networkWithBrokenChecks(
             node ->
                 node.core.replaceQuorumChecks(
                     new QuorumWrites(),
@@ -492,18 +492,18 @@
     net.cut(1, true, true);
     net.restart(1, true);
     net.version = 7;
-    net.node(1).opens("1", 0);
-    net.pass(1000);
+    net.node(1).openStream("1", 0);
+    net.advance(1000);
     assertEquals(
-        net.node(1).given("1"),
+        net.node(1).latestVersionSentTo("1"),
         6,
         "the broken variant gives the old configuration; the test above would fail");
   }
 
   @Test
-  public void aReadDoneBeforeTheQuestionCameIsCaught() {
+  public void detectsAReadCompletedBeforeTheRequest() {
     final SimulatedCoreNetwork net =
-        broken(
+        networkWithBrokenChecks(
             node ->
                 node.core.replaceQuorumChecks(
                     new QuorumWrites(),
@@ -514,19 +514,19 @@
                       }
                     },
                     new MajorityReachability(node.address, (to, message) -> {})));
-    net.node(1).opens("0", 0);
-    net.pass(1000);
+    net.node(1).openStream("0", 0);
+    net.advance(1000);
     net.cut(1, true, true);
     net.version = 7;
-    net.node(1).opens("1", 0);
-    net.pass(1000);
-    assertEquals(net.node(1).given("1"), 6, "a confirmation from before the question serves on");
+    net.node(1).openStream("1", 0);
+    net.advance(1000);
+    assertEquals(net.node(1).latestVersionSentTo("1"), 6, "a confirmation from before the question serves on");
   }
 
   @Test
-  public void anAcknowledgementCountedAfterThawingIsCaught() {
+  public void detectsAnAcknowledgementCountedAfterUnfreezing() {
     final SimulatedCoreNetwork net =
-        broken(
+        networkWithBrokenChecks(
             node ->
                 node.core.replaceQuorumChecks(
                     new QuorumWrites() {
@@ -546,13 +546,13 @@
         net.node(1)
             .core
             .heartbeat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 2), net.now);
-    net.pass(3);
+    net.advance(3);
     net.freeze(1);
-    net.pass(5000);
-    net.thaw(1);
-    net.pass(1000);
+    net.advance(5000);
+    net.unfreeze(1);
+    net.advance(1000);
     assertFalse(
-        refused(drained),
+        failed(drained),
         "the broken variant acknowledges with answers that waited out the freeze");
   }
 }
--- a/registry/src/test/java/weldpoint/registry/KeyClaimsTest.java
+++ b/registry/src/test/java/weldpoint/registry/KeyClaimsTest.java
@@ -35,9 +35,9 @@
     answers.clear();
     number = 0;
     final SimulatedCoreNetwork net = new SimulatedCoreNetwork(5, 5).startAll(true);
-    net.pass(2000);
+    net.advance(2000);
     net.version = 6;
-    net.pass(4000);
+    net.advance(4000);
     return net;
   }
 
@@ -64,15 +64,15 @@
   public void theFirstGetsTheKeyAndTheSecondHearsWhoHasIt() {
     final SimulatedCoreNetwork net = settled();
     final Claim first = ask(net, 1, 7);
-    net.pass(100);
+    net.advance(100);
     final Claim second = ask(net, 4, 7);
-    net.pass(100);
+    net.advance(100);
     assertEquals(result(first), ClaimResult.GRANTED);
     assertEquals(result(second), ClaimResult.HELD);
     assertEquals(answers.get(second.number).holder.number, first.number);
-    net.pass(KEEP_MILLIS);
+    net.advance(KEEP_MILLIS);
     final Claim later = ask(net, 4, 7);
-    net.pass(100);
+    net.advance(100);
     assertEquals(result(later), ClaimResult.GRANTED, "after its span the key is free");
   }
 
@@ -81,14 +81,14 @@
     final SimulatedCoreNetwork net = settled();
     for (int key = 1; key <= 50; key++) {
       final Claim one = ask(net, 1 + key % 5, key);
-      net.pass(key % 7);
+      net.advance(key % 7);
       final Claim other = ask(net, 1 + (key + 2) % 5, key);
-      net.pass(1200);
+      net.advance(1200);
       assertFalse(
           result(one) == ClaimResult.GRANTED && result(other) == ClaimResult.GRANTED, "key " + key);
       if (result(one) != ClaimResult.GRANTED && result(other) != ClaimResult.GRANTED) {
         final Claim again = ask(net, 3, key);
-        net.pass(1200);
+        net.advance(1200);
         assertEquals(result(again), ClaimResult.GRANTED, "neither had it, key " + key);
       }
     }
@@ -99,13 +99,13 @@
     answers.clear();
     number = 0;
     final SimulatedCoreNetwork net = new SimulatedCoreNetwork(6, 5).startAll(true);
-    net.pass(2000);
+    net.advance(2000);
     net.version = 6;
-    net.pass(4000);
+    net.advance(4000);
     final Claim first = ask(net, 6, 7);
-    net.pass(100);
+    net.advance(100);
     final Claim second = ask(net, 1, 7);
-    net.pass(100);
+    net.advance(100);
     assertEquals(result(first), ClaimResult.GRANTED);
     assertEquals(result(second), ClaimResult.HELD);
   }
@@ -115,29 +115,29 @@
     answers.clear();
     number = 0;
     final SimulatedCoreNetwork net = new SimulatedCoreNetwork(7, 5).startAll(true);
-    net.pass(2000);
+    net.advance(2000);
     net.version = 6;
-    net.pass(4000);
+    net.advance(4000);
     net.cut(5, true, true);
     net.cut(4, true, true);
     final Claim first = ask(net, 1, 7);
-    net.pass(100);
+    net.advance(100);
     assertEquals(result(first), ClaimResult.GRANTED);
     net.cut.clear();
-    net.pass(3000);
+    net.advance(3000);
     net.roster =
         SimulatedCoreNetwork.roster(
             2, List.of("10.0.0.2", "10.0.0.3", "10.0.0.4", "10.0.0.5", "10.0.0.6"));
-    net.pass(8000);
+    net.advance(8000);
     net.roster =
         SimulatedCoreNetwork.roster(
             3, List.of("10.0.0.3", "10.0.0.4", "10.0.0.5", "10.0.0.6", "10.0.0.7"));
-    net.pass(8000);
+    net.advance(8000);
     net.freeze(3);
     net.freeze(1);
     net.freeze(2);
     final Claim second = ask(net, 6, 7);
-    net.pass(1200);
+    net.advance(1200);
     assertEquals(
         result(second),
         ClaimResult.UNKNOWN,
@@ -148,16 +148,16 @@
   public void aKeyThatIsGivenBackIsFree() {
     final SimulatedCoreNetwork net = settled();
     final Claim first = ask(net, 1, 7);
-    net.pass(100);
+    net.advance(100);
     net.node(1).core.onKeyMessage(new ClaimRelease(List.of(first)), unused -> {}, net.now);
-    net.pass(100);
+    net.advance(100);
     final Claim second = ask(net, 2, 7);
-    net.pass(100);
+    net.advance(100);
     assertEquals(result(second), ClaimResult.GRANTED);
     net.node(1).core.onKeyMessage(new ClaimRelease(List.of(first)), unused -> {}, net.now);
-    net.pass(100);
+    net.advance(100);
     final Claim third = ask(net, 3, 7);
-    net.pass(100);
+    net.advance(100);
     assertEquals(result(third), ClaimResult.HELD, "a late release frees nobody else's claim");
   }
 
@@ -165,16 +165,16 @@
   public void aGrantThatIsGivenBackThroughAnotherRegistryFreesItsKeyEverywhere() {
     final SimulatedCoreNetwork net = settled();
     final Claim first = ask(net, 1, 7);
-    net.pass(100);
+    net.advance(100);
     net.cut("10.0.0.1", "10.0.0.2", true, true);
     net.node(2).core.onKeyMessage(new ClaimRelease(List.of(first)), unused -> {}, net.now);
-    net.pass(100);
+    net.advance(100);
     final Claim second = ask(net, 1, 7);
-    net.pass(1200);
+    net.advance(1200);
     assertEquals(result(second), ClaimResult.GRANTED, "by the voters that heard of it");
     net.cut.clear();
     final Claim third = ask(net, 1, 7);
-    net.pass(1200);
+    net.advance(1200);
     assertEquals(result(third), ClaimResult.HELD);
   }
 
@@ -183,12 +183,12 @@
     final SimulatedCoreNetwork net = settled();
     net.cut(1, true, true);
     final Claim lost = ask(net, 1, 7);
-    net.pass(1500);
+    net.advance(1500);
     assertEquals(result(lost), ClaimResult.UNKNOWN);
     net.cut.clear();
-    net.pass(3000);
+    net.advance(3000);
     final Claim next = ask(net, 2, 7);
-    net.pass(1200);
+    net.advance(1200);
     assertEquals(result(next), ClaimResult.GRANTED);
   }
 
@@ -196,14 +196,14 @@
   public void aGrantSurvivesALossOfPowerEverywhere() {
     final SimulatedCoreNetwork net = settled();
     final Claim first = ask(net, 1, 7);
-    net.pass(100);
+    net.advance(100);
     assertEquals(result(first), ClaimResult.GRANTED);
     for (int node = 1; node <= 5; node++) {
       net.restart(node, true);
     }
-    net.pass(5000);
+    net.advance(5000);
     final Claim second = ask(net, 2, 7);
-    net.pass(1200);
+    net.advance(1200);
     assertEquals(result(second), ClaimResult.HELD);
   }
 
@@ -223,13 +223,13 @@
       if (random.nextInt(8) == 0) {
         trouble(net, random, wipedAt, learns);
       }
-      net.pass(1 + random.nextInt(300));
+      net.advance(1 + random.nextInt(300));
     }
     net.cut.clear();
     for (int node = 1; node <= 5; node++) {
-      net.thaw(node);
+      net.unfreeze(node);
     }
-    net.pass(3000);
+    net.advance(3000);
     final Map<Long, Claim> granted = new HashMap<>();
     final List<String> twice = new ArrayList<>();
     asked
@@ -272,7 +272,7 @@
       case 2 -> net.freeze(node);
       case 3 -> {
         for (int other = 1; other <= 5; other++) {
-          net.thaw(other);
+          net.unfreeze(other);
         }
       }
       case 4 -> net.cut(node, random.nextBoolean(), random.nextBoolean());
--- a/registry/src/test/java/weldpoint/registry/LargeFleetTest.java
+++ b/registry/src/test/java/weldpoint/registry/LargeFleetTest.java
@@ -27,14 +27,14 @@
  */
 public final class LargeFleetTest {
   private static final int UPSTREAMS = 300;
-  private static final int BOARDS = 400;
+  private static final int PROXIES = 400;
 
-  private static final class Told {
-    final Map<Object, List<Message>> boards = new LinkedHashMap<>();
-    final Map<String, List<Message>> members = new HashMap<>();
+  private static final class SentMessages {
+    final Map<Object, List<Message>> toStreams = new LinkedHashMap<>();
+    final Map<String, List<Message>> toMembers = new HashMap<>();
     long now = 100_000;
 
-    RegistryCore exchange(final String self, final int upstreams) {
+    RegistryCore startRegistry(final String self, final int upstreams) {
       final RegistryCore core =
           new RegistryCore(
               self,
@@ -45,7 +45,7 @@
               new RegistryCore.Environment() {
                 @Override
                 public boolean sendToMember(final String to, final Message message) {
-                  members.computeIfAbsent(to, key -> new ArrayList<>()).add(message);
+                  toMembers.computeIfAbsent(to, key -> new ArrayList<>()).add(message);
                   return true;
                 }
 
@@ -57,7 +57,7 @@
 
                 @Override
                 public void sendToStream(final Object stream, final Message message) {
-                  boards.computeIfAbsent(stream, key -> new ArrayList<>()).add(message);
+                  toStreams.computeIfAbsent(stream, key -> new ArrayList<>()).add(message);
                 }
 
                 @Override
@@ -83,7 +83,7 @@
   }
 
   @BeforeClass
-  public void quiet() {
+  public void disableLogging() {
     java.util.logging.Logger.getLogger("").setLevel(java.util.logging.Level.OFF);
   }
 
@@ -106,7 +106,7 @@
     return list;
   }
 
-  private static RegistryMessages.DaemonEntry board(final int index) {
+  private static RegistryMessages.DaemonEntry proxy(final int index) {
     return new RegistryMessages.DaemonEntry(
         "10." + index % 8 + ".0." + index,
         "10." + index % 8 + ".0." + index + ":8161",
@@ -122,14 +122,14 @@
   }
 
   @Test
-  public void aFleetThatReturnsAtOnceCostsOneEncodingAndLittleEach() {
-    final Told told = new Told();
-    final RegistryCore core = told.exchange("10.0.0.1", UPSTREAMS);
-    for (int index = 0; index < BOARDS; index++) {
-      core.onDaemonReport("stream-" + index, board(index), null, told.now);
+  public void fleetReconnectingAtOnceIsSentOneSharedView() {
+    final SentMessages sent = new SentMessages();
+    final RegistryCore core = sent.startRegistry("10.0.0.1", UPSTREAMS);
+    for (int index = 0; index < PROXIES; index++) {
+      core.onDaemonReport("stream-" + index, proxy(index), null, sent.now);
     }
     Message first = null;
-    for (final List<Message> messages : told.boards.values()) {
+    for (final List<Message> messages : sent.toStreams.values()) {
       final Message view = messages.get(0);
       first = first == null ? view : first;
       assertSame(view, first, "one view for all");
@@ -141,45 +141,45 @@
   }
 
   @Test
-  public void whoReturnsWithWhatItHadIsToldOnlyWhatDiffers() {
-    final Told told = new Told();
-    final RegistryCore core = told.exchange("10.0.0.1", UPSTREAMS);
-    final List<Registration> had = upstreams(UPSTREAMS);
+  public void reconnectingProxyIsSentOnlyDifferences() {
+    final SentMessages sent = new SentMessages();
+    final RegistryCore core = sent.startRegistry("10.0.0.1", UPSTREAMS);
+    final List<Registration> held = upstreams(UPSTREAMS);
     long bytes = 0;
-    for (int index = 0; index < BOARDS; index++) {
+    for (int index = 0; index < PROXIES; index++) {
       core.onDaemonReport(
-          "stream-" + index, board(index), RegistrationBuckets.digests(had, false), told.now);
+          "stream-" + index, proxy(index), RegistrationBuckets.digests(held, false), sent.now);
     }
-    for (final List<Message> messages : told.boards.values()) {
+    for (final List<Message> messages : sent.toStreams.values()) {
       final RegistryMessages.View view = (RegistryMessages.View) messages.get(0);
       assertNull(view.packed);
       assertNull(view.spec);
       bytes += Serializer.serialize(view).length;
     }
-    assertTrue(bytes < 60L * BOARDS, bytes + " bytes for " + BOARDS + " switchboards");
-    final Registration gone = had.get(7);
-    had.set(
+    assertTrue(bytes < 60L * PROXIES, bytes + " bytes for " + PROXIES + " switchboards");
+    final Registration draining = held.get(7);
+    held.set(
         7,
         new Registration(
-            gone.id,
-            gone.service,
-            gone.address,
-            gone.site,
-            gone.software,
-            gone.capacity,
+            draining.id,
+            draining.service,
+            draining.address,
+            draining.site,
+            draining.software,
+            draining.capacity,
             LifecycleStage.DRAINING.ordinal(),
             99,
-            gone.issued,
+            draining.issued,
             0));
-    core.onDaemonReport("late", board(BOARDS), RegistrationBuckets.digests(had, false), told.now);
-    final RegistryMessages.View view = (RegistryMessages.View) told.boards.get("late").get(0);
-    final List<Registration> given = RegistrationBuckets.unpack(view.packed);
-    assertTrue(given.size() < UPSTREAMS / 8, given.size() + " were told");
-    assertTrue(given.stream().anyMatch(one -> one.id.equals(gone.id)));
+    core.onDaemonReport("late", proxy(PROXIES), RegistrationBuckets.digests(held, false), sent.now);
+    final RegistryMessages.View view = (RegistryMessages.View) sent.toStreams.get("late").get(0);
+    final List<Registration> received = RegistrationBuckets.unpack(view.packed);
+    assertTrue(received.size() < UPSTREAMS / 8, received.size() + " were told");
+    assertTrue(received.stream().anyMatch(one -> one.id.equals(draining.id)));
   }
 
-  private static void meet(
-      final Told[] told,
+  private static void exchangeMessages(
+      final SentMessages[] sent,
       final RegistryCore[] cores,
       final int from,
       final Message message,
@@ -188,74 +188,74 @@
     cores[1 - from].receive(
         "10.0.0." + (1 + from),
         (Message) Serializer.deserialize(Serializer.serialize(message), message.getClass()),
-        answer -> meet(told, cores, 1 - from, answer, bytes),
-        told[0].now);
+        answer -> exchangeMessages(sent, cores, 1 - from, answer, bytes),
+        sent[0].now);
   }
 
-  private static Message gossip(final Told told, final RegistryCore core, final String to) {
-    told.members.clear();
-    told.now += 1000;
-    core.tick(told.now);
-    return told.members.get(to).stream()
+  private static Message gossip(final SentMessages sent, final RegistryCore core, final String to) {
+    sent.toMembers.clear();
+    sent.now += 1000;
+    core.tick(sent.now);
+    return sent.toMembers.get(to).stream()
         .filter(message -> message instanceof RegistryMessages.Gossip)
         .findFirst()
         .orElseThrow();
   }
 
   @Test
-  public void exchangesThatAgreeSpendFewBytesAndThoseThatDifferMeetOnce() {
-    final Told[] told = {new Told(), new Told()};
+  public void equalRegistriesSendFewBytesAndDifferentOnesConvergeInOneRound() {
+    final SentMessages[] sent = {new SentMessages(), new SentMessages()};
     final RegistryCore[] cores = {
-      told[0].exchange("10.0.0.1", UPSTREAMS), told[1].exchange("10.0.0.2", UPSTREAMS)
+      sent[0].startRegistry("10.0.0.1", UPSTREAMS), sent[1].startRegistry("10.0.0.2", UPSTREAMS)
     };
     for (int index = 0; index < 100; index++) {
-      cores[0].onDaemonReport("stream-" + index, board(index), null, told[0].now);
+      cores[0].onDaemonReport("stream-" + index, proxy(index), null, sent[0].now);
     }
     final long[] first = new long[1];
-    meet(told, cores, 0, gossip(told[0], cores[0], "10.0.0.2"), first);
-    final long[] calm = new long[1];
-    meet(told, cores, 0, gossip(told[0], cores[0], "10.0.0.2"), calm);
+    exchangeMessages(sent, cores, 0, gossip(sent[0], cores[0], "10.0.0.2"), first);
+    final long[] unchanged = new long[1];
+    exchangeMessages(sent, cores, 0, gossip(sent[0], cores[0], "10.0.0.2"), unchanged);
     assertTrue(
-        calm[0] < 2L * (UPSTREAMS + 2 * 100 + 200), calm[0] + " bytes while nothing differs");
+        unchanged[0] < 2L * (UPSTREAMS + 2 * 100 + 200), unchanged[0] + " bytes while nothing differs");
     final RegistryCore[] wiped = {
-      told[0].exchange("10.0.0.1", UPSTREAMS), told[1].exchange("10.0.0.2", 0)
+      sent[0].startRegistry("10.0.0.1", UPSTREAMS), sent[1].startRegistry("10.0.0.2", 0)
     };
     final long[] refill = new long[1];
-    meet(told, wiped, 1, gossip(told[1], wiped[1], "10.0.0.1"), refill);
+    exchangeMessages(sent, wiped, 1, gossip(sent[1], wiped[1], "10.0.0.1"), refill);
     assertEquals(wiped[1].registrations().size(), UPSTREAMS);
     assertTrue(
-        wiped[1].canServeProxies(told[1].now) || wiped[1].registrations().size() == UPSTREAMS);
-    final RegistryCore[] apart = {
-      told[0].exchange("10.0.0.1", UPSTREAMS), told[1].exchange("10.0.0.2", UPSTREAMS - 2)
+        wiped[1].canServeProxies(sent[1].now) || wiped[1].registrations().size() == UPSTREAMS);
+    final RegistryCore[] different = {
+      sent[0].startRegistry("10.0.0.1", UPSTREAMS), sent[1].startRegistry("10.0.0.2", UPSTREAMS - 2)
     };
     final long[] few = new long[1];
-    meet(told, apart, 0, gossip(told[0], apart[0], "10.0.0.2"), few);
-    assertEquals(apart[1].registrations().size(), UPSTREAMS);
+    exchangeMessages(sent, different, 0, gossip(sent[0], different[0], "10.0.0.2"), few);
+    assertEquals(different[1].registrations().size(), UPSTREAMS);
     assertTrue(few[0] < refill[0] * 2, few[0] + " bytes for two, " + refill[0] + " for all");
   }
 
   @Test
-  public void agesAreNotMadeYoungerByTellingThemOn() {
-    final Told[] told = {new Told(), new Told()};
-    final RegistryCore[] cores = {told[0].exchange("10.0.0.1", 4), told[1].exchange("10.0.0.2", 4)};
-    final long silentSince = told[0].now;
+  public void gossipDoesNotMakeHeartbeatAgesYounger() {
+    final SentMessages[] sent = {new SentMessages(), new SentMessages()};
+    final RegistryCore[] cores = {sent[0].startRegistry("10.0.0.1", 4), sent[1].startRegistry("10.0.0.2", 4)};
+    final long silentSince = sent[0].now;
     for (int round = 0; round < 12; round++) {
-      told[1].now = told[0].now;
-      meet(
-          told,
+      sent[1].now = sent[0].now;
+      exchangeMessages(
+          sent,
           cores,
           round % 2,
-          gossip(told[round % 2], cores[round % 2], "10.0.0." + (2 - round % 2)),
+          gossip(sent[round % 2], cores[round % 2], "10.0.0." + (2 - round % 2)),
           new long[1]);
-      told[0].now = Math.max(told[0].now, told[1].now);
+      sent[0].now = Math.max(sent[0].now, sent[1].now);
     }
     for (final RegistryCore core : cores) {
-      core.tick(told[0].now + 600);
+      core.tick(sent[0].now + 600);
     }
-    assertTrue(told[0].now - silentSince > 10_000);
+    assertTrue(sent[0].now - silentSince > 10_000);
     final List<Message> last = new ArrayList<>();
-    cores[0].onDaemonReport("s", board(1), null, told[0].now + 700);
-    last.addAll(told[0].boards.get("s"));
+    cores[0].onDaemonReport("s", proxy(1), null, sent[0].now + 700);
+    last.addAll(sent[0].toStreams.get("s"));
     assertEquals(
         ((RegistryMessages.View) last.get(0)).suspects.size(),
         4,
@@ -263,17 +263,17 @@
   }
 
   @Test
-  public void neighboursAreToldToTheirZoneOnceAndWhenTheyChange() {
-    final Told told = new Told();
-    final RegistryCore core = told.exchange("10.0.0.1", 10);
+  public void siteProxiesAreSentToTheirSiteOnceAndOnChange() {
+    final SentMessages sent = new SentMessages();
+    final RegistryCore core = sent.startRegistry("10.0.0.1", 10);
     for (int index = 0; index < 24; index++) {
-      core.onDaemonReport("stream-" + index, board(index), null, told.now);
+      core.onDaemonReport("stream-" + index, proxy(index), null, sent.now);
     }
-    told.now += 600;
-    core.tick(told.now);
-    told.now += 600;
-    core.tick(told.now);
-    for (final List<Message> messages : told.boards.values()) {
+    sent.now += 600;
+    core.tick(sent.now);
+    sent.now += 600;
+    core.tick(sent.now);
+    for (final List<Message> messages : sent.toStreams.values()) {
       final List<Message> lists =
           messages.stream()
               .filter(message -> message instanceof RegistryMessages.SiteProxies)
@@ -281,40 +281,40 @@
       assertEquals(lists.size(), 1);
       assertEquals(((RegistryMessages.SiteProxies) lists.get(0)).addresses.size(), 3);
     }
-    core.onDaemonReport("new", board(24), null, told.now);
-    told.now += 600;
-    core.tick(told.now);
+    core.onDaemonReport("new", proxy(24), null, sent.now);
+    sent.now += 600;
+    core.tick(sent.now);
     assertEquals(
-        told.boards.get("stream-0").stream()
+        sent.toStreams.get("stream-0").stream()
             .filter(message -> message instanceof RegistryMessages.SiteProxies)
             .count(),
         2);
     assertEquals(
-        told.boards.get("stream-1").stream()
+        sent.toStreams.get("stream-1").stream()
             .filter(message -> message instanceof RegistryMessages.SiteProxies)
             .count(),
         1);
   }
 
   @Test
-  public void aViewWithoutUpstreamsIsOneToo() {
+  public void viewWithoutUpstreamsIsValid() {
     assertEquals(RegistrationBuckets.unpack(RegistrationBuckets.pack(List.of())), List.of());
     assertEquals(RegistrationBuckets.unpack(RegistrationBuckets.pack(upstreams(2))).size(), 2);
-    final Told told = new Told();
-    told.exchange("10.0.0.1", 0).onDaemonReport("s", board(1), null, told.now);
+    final SentMessages sent = new SentMessages();
+    sent.startRegistry("10.0.0.1", 0).onDaemonReport("s", proxy(1), null, sent.now);
     assertTrue(
-        told.boards.isEmpty()
+        sent.toStreams.isEmpty()
             || RegistrationBuckets.unpack(
-                    ((RegistryMessages.View) told.boards.get("s").get(0)).packed)
+                    ((RegistryMessages.View) sent.toStreams.get("s").get(0)).packed)
                 .isEmpty());
   }
 
   @Test
-  public void theStatusNamesWhoIsThereAndThatNoMajorityWasHeardOf() {
-    final Told told = new Told();
-    final RegistryCore core = told.exchange("10.0.0.1", 3);
-    core.onDaemonReport("s", board(1), null, told.now);
-    final ControlApi.StatusResponse status = core.status(told.now + 500);
+  public void statusListsDaemonsAndReportsAMissingMajority() {
+    final SentMessages sent = new SentMessages();
+    final RegistryCore core = sent.startRegistry("10.0.0.1", 3);
+    core.onDaemonReport("s", proxy(1), null, sent.now);
+    final ControlApi.StatusResponse status = core.status(sent.now + 500);
     assertEquals(status.settled(), false);
     assertEquals(status.upstreams(), 3);
     assertEquals(status.version(), "00000001");
--- a/registry/src/test/java/weldpoint/registry/LifecycleStageTest.java
+++ b/registry/src/test/java/weldpoint/registry/LifecycleStageTest.java
@@ -12,7 +12,7 @@
 
 /** Merging histories must not depend on order, grouping or repetition. */
 public final class LifecycleStageTest {
-  private static Registration one(final Random random) {
+  private static Registration randomRegistration(final Random random) {
     return new Registration(
         "i",
         "s",
@@ -32,7 +32,7 @@
     for (int round = 0; round < 2000; round++) {
       final List<Registration> all = new ArrayList<>();
       for (int index = 0; index < 4; index++) {
-        all.add(one(random));
+        all.add(randomRegistration(random));
       }
       final Registration expected = all.stream().reduce(LifecycleStage::later).orElseThrow();
       Collections.shuffle(all, random);
@@ -50,7 +50,7 @@
   }
 
   @Test
-  public void aDrainingUpstreamNeverComesBackAndALapsedOneDoes() {
+  public void lapsedUpstreamCanRejoinButADrainingOneCannot() {
     final Registration joined =
         new Registration("i", "s", "a:1", "z", "v", 4, LifecycleStage.JOINED.ordinal(), 9, 0, 0);
     final Registration draining =
--- a/registry/src/test/java/weldpoint/registry/RegistryCoreTest.java
+++ b/registry/src/test/java/weldpoint/registry/RegistryCoreTest.java
@@ -22,16 +22,16 @@
 public final class RegistryCoreTest {
   private static final List<String> SEEDS = List.of("10.0.0.1", "10.0.0.2", "10.0.0.3");
 
-  private static final class Net {
+  private static final class Network {
     final Map<String, RegistryCore> cores = new LinkedHashMap<>();
-    final Map<String, List<Runnable>> syncs = new HashMap<>();
+    final Map<String, List<Runnable>> pendingSyncs = new HashMap<>();
     final List<Runnable> queue = new ArrayList<>();
     final List<String> down = new ArrayList<>();
     long now = 1000;
 
-    Net() {
+    Network() {
       for (final String address : SEEDS) {
-        syncs.put(address, new ArrayList<>());
+        pendingSyncs.put(address, new ArrayList<>());
         cores.put(
             address,
             new RegistryCore(
@@ -79,7 +79,7 @@
 
                   @Override
                   public void append(final byte[] record, final Runnable synced) {
-                    syncs.get(address).add(synced);
+                    pendingSyncs.get(address).add(synced);
                   }
 
                   @Override
@@ -96,19 +96,19 @@
       cores.values().forEach(core -> core.start(List.of(record), now));
     }
 
-    void talk() {
+    void deliverMessages() {
       while (!queue.isEmpty()) {
         queue.remove(0).run();
       }
     }
 
     void sync(final String address) {
-      final List<Runnable> due = new ArrayList<>(syncs.get(address));
-      syncs.get(address).clear();
+      final List<Runnable> due = new ArrayList<>(pendingSyncs.get(address));
+      pendingSyncs.get(address).clear();
       due.forEach(Runnable::run);
     }
 
-    void pass(final long millis) {
+    void advance(final long millis) {
       for (long step = 0; step < millis; step += 100) {
         now += 100;
         cores.forEach(
@@ -117,93 +117,93 @@
                 core.tick(now);
               }
             });
-        talk();
+        deliverMessages();
         SEEDS.forEach(this::sync);
-        talk();
+        deliverMessages();
       }
     }
   }
 
-  private static Registration beat(
+  private static Registration heartbeat(
       final String id, final String address, final LifecycleStage stage, final long sequence) {
     return new Registration(id, "s", address, "z", "v", 4, stage.ordinal(), sequence, 1, 0);
   }
 
   @Test
-  public void theStatusTellsWhatTheStoreTakesOnDisk() {
-    final Net net = new Net();
+  public void statusReportsDiskUsage() {
+    final Network net = new Network();
     assertEquals(net.cores.get(SEEDS.get(1)).status(net.now).disk(), "disk 1536 KB of 10.0.0.2");
   }
 
   @Test
   public void drainIsAcknowledgedOnlyOnceAMajorityOfDisksHasIt() {
-    final Net net = new Net();
+    final Network net = new Network();
     final RegistryCore first = net.cores.get(SEEDS.get(0));
-    first.heartbeat(beat("i", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
-    net.pass(200);
+    first.heartbeat(heartbeat("i", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
+    net.advance(200);
     final CompletableFuture<Void> done =
-        first.heartbeat(beat("i", "10.9.0.1:80", LifecycleStage.DRAINING, 2), net.now);
-    net.talk();
+        first.heartbeat(heartbeat("i", "10.9.0.1:80", LifecycleStage.DRAINING, 2), net.now);
+    net.deliverMessages();
     net.sync(SEEDS.get(0));
-    net.talk();
+    net.deliverMessages();
     assertFalse(done.isDone(), "one disk of three is no majority");
     net.sync(SEEDS.get(1));
-    net.talk();
+    net.deliverMessages();
     assertTrue(done.isDone() && !done.isCompletedExceptionally());
   }
 
   @Test
-  public void withoutAMajorityTheDrainIsNotAcknowledged() {
-    final Net net = new Net();
+  public void drainIsNotAcknowledgedWithoutAMajority() {
+    final Network net = new Network();
     net.down.add(SEEDS.get(1));
     net.down.add(SEEDS.get(2));
     final CompletableFuture<Void> done =
         net.cores
             .get(SEEDS.get(0))
-            .heartbeat(beat("i", "10.9.0.1:80", LifecycleStage.DRAINING, 2), net.now);
-    net.pass(1500);
+            .heartbeat(heartbeat("i", "10.9.0.1:80", LifecycleStage.DRAINING, 2), net.now);
+    net.advance(1500);
     assertTrue(done.isCompletedExceptionally());
   }
 
   @Test
-  public void aNewLifeAtAnAddressEndsTheOldOneEverywhere() {
-    final Net net = new Net();
+  public void newUpstreamAtAnAddressLapsesTheOldOneEverywhere() {
+    final Network net = new Network();
     net.cores
         .get(SEEDS.get(0))
-        .heartbeat(beat("old", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
-    net.pass(300);
+        .heartbeat(heartbeat("old", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
+    net.advance(300);
     net.cores
         .get(SEEDS.get(2))
-        .heartbeat(beat("old", "10.9.0.1:80", LifecycleStage.JOINED, 5), net.now);
+        .heartbeat(heartbeat("old", "10.9.0.1:80", LifecycleStage.JOINED, 5), net.now);
     net.cores
         .get(SEEDS.get(1))
-        .heartbeat(beat("new", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
+        .heartbeat(heartbeat("new", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
     for (int second = 0; second < 10; second++) {
-      net.pass(300);
-      everywhere(net, "old", LifecycleStage.LAPSED);
-      everywhere(net, "new", LifecycleStage.JOINED);
-      net.pass(700);
+      net.advance(300);
+      assertStageEverywhere(net, "old", LifecycleStage.LAPSED);
+      assertStageEverywhere(net, "new", LifecycleStage.JOINED);
+      net.advance(700);
     }
     assertFalse(LifecycleStage.LAPSED.routable(), "nothing is sent to a life that was written off");
   }
 
-  private static void everywhere(final Net net, final String id, final LifecycleStage stage) {
+  private static void assertStageEverywhere(final Network net, final String id, final LifecycleStage stage) {
     for (final RegistryCore core : net.cores.values()) {
       assertEquals(LifecycleStage.of(core.registrations().get(id)), stage, id);
     }
   }
 
   @Test
-  public void aNewLifeAtTheAddressOfOneThatDrainsEndsItForGood() {
-    final Net net = new Net();
+  public void newUpstreamAtTheAddressOfADrainingOneRemovesIt() {
+    final Network net = new Network();
     final RegistryCore core = net.cores.get(SEEDS.get(0));
-    core.heartbeat(beat("old", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
-    core.heartbeat(beat("old", "10.9.0.1:80", LifecycleStage.DRAINING, 2), net.now);
-    core.heartbeat(beat("new", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
-    net.pass(300);
-    core.heartbeat(beat("old", "10.9.0.1:80", LifecycleStage.JOINED, 3), net.now);
-    net.pass(300);
-    everywhere(net, "old", LifecycleStage.REMOVED);
+    core.heartbeat(heartbeat("old", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
+    core.heartbeat(heartbeat("old", "10.9.0.1:80", LifecycleStage.DRAINING, 2), net.now);
+    core.heartbeat(heartbeat("new", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
+    net.advance(300);
+    core.heartbeat(heartbeat("old", "10.9.0.1:80", LifecycleStage.JOINED, 3), net.now);
+    net.advance(300);
+    assertStageEverywhere(net, "old", LifecycleStage.REMOVED);
   }
 
   /**
@@ -211,125 +211,125 @@
    * each of that one's beats was acknowledged.
    */
   @Test
-  public void aLateFirstBeatOfAnEndedLifeCostsOneBeatOfTheOneThatIsThere() {
+  public void lateFirstHeartbeatLapsesTheCurrentUpstreamForAtMostOneHeartbeat() {
     for (final int late : new int[] {0, 1, 2}) {
-      final Net net = new Net();
+      final Network net = new Network();
       long sequence = 0;
-      for (int beats = 0; beats < 3; beats++) {
-        final RegistryCore core = net.cores.get(SEEDS.get(beats));
-        core.heartbeat(beat("sound", "10.9.0.1:80", LifecycleStage.JOINED, ++sequence), net.now);
-        net.pass(1500);
+      for (int round = 0; round < 3; round++) {
+        final RegistryCore core = net.cores.get(SEEDS.get(round));
+        core.heartbeat(heartbeat("sound", "10.9.0.1:80", LifecycleStage.JOINED, ++sequence), net.now);
+        net.advance(1500);
       }
       net.cores
           .get(SEEDS.get(late))
-          .heartbeat(beat("late", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
-      net.pass(1500);
-      for (int beats = 0; beats < 4; beats++) {
-        final RegistryCore core = net.cores.get(SEEDS.get(beats % 3));
-        core.heartbeat(beat("sound", "10.9.0.1:80", LifecycleStage.JOINED, ++sequence), net.now);
-        net.pass(300);
-        everywhere(net, "sound", LifecycleStage.JOINED);
-        net.pass(1200);
+          .heartbeat(heartbeat("late", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
+      net.advance(1500);
+      for (int round = 0; round < 4; round++) {
+        final RegistryCore core = net.cores.get(SEEDS.get(round % 3));
+        core.heartbeat(heartbeat("sound", "10.9.0.1:80", LifecycleStage.JOINED, ++sequence), net.now);
+        net.advance(300);
+        assertStageEverywhere(net, "sound", LifecycleStage.JOINED);
+        net.advance(1200);
       }
-      everywhere(net, "late", LifecycleStage.LAPSED);
+      assertStageEverywhere(net, "late", LifecycleStage.LAPSED);
     }
   }
 
   /** Guards against two late first beats within one beat that ended a sound upstream for good. */
   @Test
-  public void twoLateFirstBeatsBeforeTheNextBeatEndNobody() {
-    final Net net = new Net();
+  public void twoLateFirstHeartbeatsRemoveNoUpstream() {
+    final Network net = new Network();
     net.cores
         .get(SEEDS.get(0))
-        .heartbeat(beat("sound", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
-    net.pass(300);
+        .heartbeat(heartbeat("sound", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
+    net.advance(300);
     net.cores
         .get(SEEDS.get(1))
-        .heartbeat(beat("late-1", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
-    net.pass(300);
+        .heartbeat(heartbeat("late-1", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
+    net.advance(300);
     net.cores
         .get(SEEDS.get(2))
-        .heartbeat(beat("late-2", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
-    net.pass(300);
+        .heartbeat(heartbeat("late-2", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
+    net.advance(300);
     net.cores
         .get(SEEDS.get(0))
-        .heartbeat(beat("sound", "10.9.0.1:80", LifecycleStage.JOINED, 2), net.now);
-    net.pass(300);
-    everywhere(net, "sound", LifecycleStage.JOINED);
+        .heartbeat(heartbeat("sound", "10.9.0.1:80", LifecycleStage.JOINED, 2), net.now);
+    net.advance(300);
+    assertStageEverywhere(net, "sound", LifecycleStage.JOINED);
   }
 
   /** Guards against a late drain of an unknown life that shut a sound upstream out. */
   @Test
-  public void aLateDrainOfALifeThatIsNotKnownWritesNobodyOff() {
-    final Net net = new Net();
+  public void lateDrainOfAnUnknownUpstreamLapsesNobody() {
+    final Network net = new Network();
     net.cores
         .get(SEEDS.get(0))
-        .heartbeat(beat("sound", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
-    net.pass(300);
+        .heartbeat(heartbeat("sound", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
+    net.advance(300);
     net.cores
         .get(SEEDS.get(1))
-        .heartbeat(beat("late", "10.9.0.1:80", LifecycleStage.DRAINING, 7), net.now);
-    net.pass(300);
-    everywhere(net, "sound", LifecycleStage.JOINED);
-    everywhere(net, "late", LifecycleStage.DRAINING);
+        .heartbeat(heartbeat("late", "10.9.0.1:80", LifecycleStage.DRAINING, 7), net.now);
+    net.advance(300);
+    assertStageEverywhere(net, "sound", LifecycleStage.JOINED);
+    assertStageEverywhere(net, "late", LifecycleStage.DRAINING);
   }
 
   @Test
-  public void aLateBeatOfALifeThatCrashedIsTakenBackWithinBeats() {
-    final Net net = new Net();
+  public void lateHeartbeatOfACrashedUpstreamIsUndoneWithinAFewHeartbeats() {
+    final Network net = new Network();
     net.cores
         .get(SEEDS.get(0))
-        .heartbeat(beat("old", "10.9.0.1:80", LifecycleStage.JOINED, 4), net.now);
-    net.pass(300);
+        .heartbeat(heartbeat("old", "10.9.0.1:80", LifecycleStage.JOINED, 4), net.now);
+    net.advance(300);
     long sequence = 0;
     net.cores
         .get(SEEDS.get(1))
-        .heartbeat(beat("new", "10.9.0.1:80", LifecycleStage.JOINED, ++sequence), net.now);
-    net.pass(300);
+        .heartbeat(heartbeat("new", "10.9.0.1:80", LifecycleStage.JOINED, ++sequence), net.now);
+    net.advance(300);
     net.cores
         .get(SEEDS.get(2))
-        .heartbeat(beat("old", "10.9.0.1:80", LifecycleStage.JOINED, 5), net.now);
-    for (int beats = 0; beats < 4; beats++) {
-      net.pass(1200);
-      final RegistryCore core = net.cores.get(SEEDS.get(beats % 3));
-      core.heartbeat(beat("new", "10.9.0.1:80", LifecycleStage.JOINED, ++sequence), net.now);
-      net.pass(300);
-      everywhere(net, "new", LifecycleStage.JOINED);
+        .heartbeat(heartbeat("old", "10.9.0.1:80", LifecycleStage.JOINED, 5), net.now);
+    for (int round = 0; round < 4; round++) {
+      net.advance(1200);
+      final RegistryCore core = net.cores.get(SEEDS.get(round % 3));
+      core.heartbeat(heartbeat("new", "10.9.0.1:80", LifecycleStage.JOINED, ++sequence), net.now);
+      net.advance(300);
+      assertStageEverywhere(net, "new", LifecycleStage.JOINED);
     }
-    everywhere(net, "old", LifecycleStage.LAPSED);
+    assertStageEverywhere(net, "old", LifecycleStage.LAPSED);
   }
 
   @Test
-  public void gossipRepairsWhatThePushMissed() {
-    final Net net = new Net();
+  public void gossipRepairsAMissedPush() {
+    final Network net = new Network();
     net.down.add(SEEDS.get(2));
     net.cores
         .get(SEEDS.get(0))
-        .heartbeat(beat("i", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
-    net.pass(500);
+        .heartbeat(heartbeat("i", "10.9.0.1:80", LifecycleStage.JOINED, 1), net.now);
+    net.advance(500);
     assertFalse(net.cores.get(SEEDS.get(2)).registrations().containsKey("i"));
     net.down.clear();
-    net.pass(5000);
+    net.advance(5000);
     assertTrue(net.cores.get(SEEDS.get(2)).registrations().containsKey("i"));
   }
 
   @Test
-  public void anAcknowledgedConfigurationIsKeptByAMajorityOfExchangesAndNeverGoesBack() {
-    final Net net = new Net();
+  public void acknowledgedConfigurationIsOnAMajorityOfDisksAndNeverReverts() {
+    final Network net = new Network();
     final RegistryCore first = net.cores.get(SEEDS.get(0));
     final CompletableFuture<Void> done = first.replicateConfiguration(7, new byte[] {1}, net.now);
-    net.talk();
+    net.deliverMessages();
     net.sync(SEEDS.get(0));
-    net.talk();
+    net.deliverMessages();
     assertFalse(done.isDone(), "one disk of three is no majority");
     net.sync(SEEDS.get(2));
-    net.talk();
+    net.deliverMessages();
     assertTrue(done.isDone());
     net.cores.get(SEEDS.get(1)).replicateConfiguration(6, new byte[] {2}, net.now);
-    net.pass(300);
+    net.advance(300);
     for (final RegistryCore core : net.cores.values()) {
       assertTrue(core.counters().endsWith("spec 7"), core.counters());
-      final RegistryCore again =
+      final RegistryCore restarted =
           new RegistryCore(
               "10.0.0.9",
               SEEDS,
@@ -357,20 +357,20 @@
                 @Override
                 public void updatePeers(final List<String> members) {}
               });
-      again.start(core.snapshot(), net.now);
+      restarted.start(core.snapshot(), net.now);
       assertTrue(
-          again.counters().endsWith("spec 7"),
-          "it is not there after a restart: " + again.counters());
+          restarted.counters().endsWith("spec 7"),
+          "it is not there after a restart: " + restarted.counters());
     }
   }
 
   @Test
-  public void aStaleBeatChangesNothing() {
-    final Net net = new Net();
+  public void staleHeartbeatChangesNothing() {
+    final Network net = new Network();
     final RegistryCore core = net.cores.get(SEEDS.get(0));
-    core.heartbeat(beat("i", "10.9.0.1:80", LifecycleStage.JOINED, 7), net.now);
+    core.heartbeat(heartbeat("i", "10.9.0.1:80", LifecycleStage.JOINED, 7), net.now);
     assertTrue(
-        core.heartbeat(beat("i", "10.9.0.2:80", LifecycleStage.JOINED, 3), net.now).isDone());
+        core.heartbeat(heartbeat("i", "10.9.0.2:80", LifecycleStage.JOINED, 3), net.now).isDone());
     assertEquals(core.registrations().get("i").address, "10.9.0.1:80");
   }
 }
--- a/registry/src/test/java/weldpoint/registry/SimulatedCoreNetwork.java
+++ b/registry/src/test/java/weldpoint/registry/SimulatedCoreNetwork.java
@@ -25,7 +25,7 @@
  */
 final class SimulatedCoreNetwork {
   private static final long LINK_MILLIS = 5;
-  private static final long SILENCE_MILLIS = 1900;
+  private static final long DISCONNECT_MILLIS = 1900;
 
   private record Event(long at, long order, Runnable action) {}
 
@@ -33,34 +33,34 @@
   final class Node {
     final String address;
     final List<byte[]> disk = new ArrayList<>();
-    final Map<Object, List<Message>> told = new LinkedHashMap<>();
-    final Set<String> open = new HashSet<>();
+    final Map<Object, List<Message>> sentToStreams = new LinkedHashMap<>();
+    final Set<String> connections = new HashSet<>();
     final Map<String, Long> silentSince = new HashMap<>();
-    final List<Runnable> heldUp = new ArrayList<>();
+    final List<Runnable> deferred = new ArrayList<>();
     RegistryCore core;
-    long life;
+    long incarnation;
     boolean frozen;
 
     Node(final String address) {
       this.address = address;
     }
 
-    void start(final boolean first) {
-      final long mine = ++life;
-      open.clear();
-      told.clear();
-      heldUp.clear();
+    void start(final boolean firstStart) {
+      final long mine = ++incarnation;
+      connections.clear();
+      sentToStreams.clear();
+      deferred.clear();
       core =
           new RegistryCore(
               address,
               seeds,
-              first,
+              firstStart,
               1500,
-              new Random(address.hashCode() + life),
+              new Random(address.hashCode() + incarnation),
               new RegistryCore.Environment() {
                 @Override
                 public boolean sendToMember(final String to, final Message message) {
-                  if (!open.contains(to)) {
+                  if (!connections.contains(to)) {
                     return false;
                   }
                   send(
@@ -76,7 +76,7 @@
                                     peer,
                                     address,
                                     () -> {
-                                      if (life == mine) {
+                                      if (incarnation == mine) {
                                         core.receive(to, copy(answer), ignored -> {}, now);
                                       }
                                     }),
@@ -88,14 +88,14 @@
                 @Override
                 public boolean sendToReplica(
                     final String to, final StoreMessages.StoreRequest call) {
-                  if (!to.equals(address) && !open.contains(to)) {
+                  if (!to.equals(address) && !connections.contains(to)) {
                     return false;
                   }
                   send(
                       Node.this,
                       to,
                       () ->
-                          answerCall(
+                          answerStoreCall(
                               to,
                               call,
                               answer ->
@@ -103,7 +103,7 @@
                                       nodes.get(to),
                                       address,
                                       () -> {
-                                        if (life == mine) {
+                                        if (incarnation == mine) {
                                           core.onStoreResponse(to, answer.to(call.caller), now);
                                         }
                                       })));
@@ -112,7 +112,7 @@
 
                 @Override
                 public void sendToStream(final Object stream, final Message message) {
-                  told.computeIfAbsent(stream, key -> new ArrayList<>()).add(message);
+                  sentToStreams.computeIfAbsent(stream, key -> new ArrayList<>()).add(message);
                 }
 
                 @Override
@@ -121,7 +121,7 @@
                       Node.this,
                       2,
                       () -> {
-                        if (life == mine) {
+                        if (incarnation == mine) {
                           disk.add(record);
                           synced.run();
                         }
@@ -131,21 +131,21 @@
                 @Override
                 public void updatePeers(final List<String> members) {}
               });
-      if (judges != null) {
-        judges.accept(this);
+      if (checksOverride != null) {
+        checksOverride.accept(this);
       }
       core.start(new ArrayList<>(disk), now);
     }
 
     List<RegistryMessages.View> views(final Object stream) {
-      return told.getOrDefault(stream, List.of()).stream()
+      return sentToStreams.getOrDefault(stream, List.of()).stream()
           .filter(message -> message instanceof RegistryMessages.View)
           .map(message -> (RegistryMessages.View) message)
           .toList();
     }
 
     /** A switchboard opens a stream; version is what it has in force. */
-    void opens(final Object stream, final long version) {
+    void openStream(final Object stream, final long appliedVersion) {
       core.onDaemonReport(
           stream,
           new RegistryMessages.DaemonEntry(
@@ -157,7 +157,7 @@
               false,
               0,
               false,
-              version,
+              appliedVersion,
               0,
               0),
           null,
@@ -165,7 +165,7 @@
     }
 
     /** The newest configuration that a stream was given; 0 where none was. */
-    long given(final Object stream) {
+    long latestVersionSentTo(final Object stream) {
       return views(stream).stream()
           .filter(view -> view.spec != null)
           .mapToLong(view -> view.version)
@@ -177,13 +177,13 @@
   final List<String> seeds;
   final Map<String, Node> nodes = new LinkedHashMap<>();
   final Set<String> cut = new HashSet<>();
-  java.util.function.Consumer<Node> judges;
+  java.util.function.Consumer<Node> checksOverride;
   long now = 10_000;
   StateStoreMessages.Roster roster;
   long version;
   List<String> evacuated = List.of();
   long evacuationMark;
-  boolean framesDown;
+  boolean storeDown;
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(
           java.util.Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
@@ -228,16 +228,16 @@
 
   /** Cuts all that one machine sends to the others, or that they send to it, or both. */
   void cut(final int index, final boolean out, final boolean in) {
-    nodes.keySet().forEach(other -> cut("10.0.0." + index, other, out, in));
+    nodes.keySet().forEach(to -> cut("10.0.0." + index, to, out, in));
   }
 
-  void cut(final String one, final String other, final boolean out, final boolean in) {
-    if (!one.equals(other)) {
+  void cut(final String from, final String to, final boolean out, final boolean in) {
+    if (!from.equals(to)) {
       if (out) {
-        cut.add(one + ">" + other);
+        cut.add(from + ">" + to);
       }
       if (in) {
-        cut.add(other + ">" + one);
+        cut.add(to + ">" + from);
       }
     }
   }
@@ -247,8 +247,8 @@
     return (T) Serializer.deserialize(Serializer.serialize(message), message.getClass());
   }
 
-  private boolean passes(final String from, final String to) {
-    return !cut.contains(from + ">" + to) && nodes.get(to).life > 0;
+  private boolean delivers(final String from, final String to) {
+    return !cut.contains(from + ">" + to) && nodes.get(to).incarnation > 0;
   }
 
   private void after(final Node node, final long millis, final Runnable action) {
@@ -258,7 +258,7 @@
             ++order,
             () -> {
               if (node.frozen) {
-                node.heldUp.add(action);
+                node.deferred.add(action);
               } else {
                 action.run();
               }
@@ -266,39 +266,39 @@
   }
 
   private void send(final Node from, final String to, final Runnable action) {
-    if (from.address.equals(to) || passes(from.address, to)) {
+    if (from.address.equals(to) || delivers(from.address, to)) {
       after(nodes.get(to), from.address.equals(to) ? 1 : LINK_MILLIS, action);
     }
   }
 
-  private boolean majority(final String address) {
+  private boolean hasMajority(final String address) {
     int count = 0;
     for (final StateStoreMessages.Voter voter : roster.voters) {
-      final boolean runs = nodes.get(voter.address).life > 0 && !nodes.get(voter.address).frozen;
+      final boolean runs = nodes.get(voter.address).incarnation > 0 && !nodes.get(voter.address).frozen;
       count +=
           runs
                   && (voter.address.equals(address)
-                      || passes(address, voter.address) && passes(voter.address, address))
+                      || delivers(address, voter.address) && delivers(voter.address, address))
               ? 1
               : 0;
     }
-    return !framesDown && count >= roster.majority();
+    return !storeDown && count >= roster.majority();
   }
 
   /**
    * The frame of a machine answers where a majority confirms, as the frames do: at once with news,
    * else after a while.
    */
-  private void answerCall(
+  private void answerStoreCall(
       final String at,
       final StoreMessages.StoreRequest call,
       final java.util.function.Consumer<StoreMessages.StoreResponse> reply) {
-    if (StoreOperation.of(call.deed) != StoreOperation.CONTROL || !majority(at)) {
+    if (StoreOperation.of(call.deed) != StoreOperation.CONTROL || !hasMajority(at)) {
       return;
     }
     final boolean news = version > call.first || call.second != evacuationMark;
-    final StoreMessages.StoreResponse asked = control(call);
-    final Runnable answer = () -> reply.accept(majority(at) ? control(call) : asked);
+    final StoreMessages.StoreResponse asked = controlResponse(call);
+    final Runnable answer = () -> reply.accept(hasMajority(at) ? controlResponse(call) : asked);
     if (news) {
       answer.run();
     } else {
@@ -306,8 +306,8 @@
     }
   }
 
-  private StoreMessages.StoreResponse control(final StoreMessages.StoreRequest call) {
-    final StoredValues.ControlSnapshot control =
+  private StoreMessages.StoreResponse controlResponse(final StoreMessages.StoreRequest call) {
+    final StoredValues.ControlSnapshot snapshot =
         new StoredValues.ControlSnapshot(
             version,
             version > call.first ? spec(version) : null,
@@ -323,7 +323,7 @@
             null,
             null);
     return new StoreMessages.StoreResponse(
-        call.number, 200, version, Serializer.serialize(control), null);
+        call.number, 200, version, Serializer.serialize(snapshot), null);
   }
 
   /** Restarts a machine: without its disk, what it held is lost. */
@@ -333,7 +333,7 @@
       node.disk.clear();
     }
     node.start(false);
-    nodes.values().forEach(other -> other.open.remove(node.address));
+    nodes.values().forEach(other -> other.connections.remove(node.address));
     nodes.values().forEach(other -> other.core.onMemberDisconnected(node.address, now));
   }
 
@@ -341,33 +341,33 @@
     node(index).frozen = true;
   }
 
-  void thaw(final int index) {
+  void unfreeze(final int index) {
     final Node node = node(index);
     node.frozen = false;
-    final List<Runnable> due = new ArrayList<>(node.heldUp);
-    node.heldUp.clear();
-    due.forEach(Runnable::run);
+    final List<Runnable> deferred = new ArrayList<>(node.deferred);
+    node.deferred.clear();
+    deferred.forEach(Runnable::run);
   }
 
   /** Lines open where both ways pass, and end after a silence. */
-  private void lines() {
+  private void updateConnections() {
     for (final Node node : nodes.values()) {
-      if (node.life == 0 || node.frozen) {
+      if (node.incarnation == 0 || node.frozen) {
         continue;
       }
       for (final String other : nodes.keySet()) {
         if (other.equals(node.address)) {
           continue;
         }
-        final boolean both =
-            passes(node.address, other) && passes(other, node.address) && !nodes.get(other).frozen;
-        if (both) {
+        final boolean bothWays =
+            delivers(node.address, other) && delivers(other, node.address) && !nodes.get(other).frozen;
+        if (bothWays) {
           node.silentSince.put(other, now);
-          if (node.open.add(other)) {
+          if (node.connections.add(other)) {
             node.core.onMemberConnected(other, now);
           }
-        } else if (now - node.silentSince.getOrDefault(other, now) >= SILENCE_MILLIS
-            && node.open.remove(other)) {
+        } else if (now - node.silentSince.getOrDefault(other, now) >= DISCONNECT_MILLIS
+            && node.connections.remove(other)) {
           node.core.onMemberDisconnected(other, now);
           node.core.onReplicaDisconnected(other, now);
         }
@@ -375,7 +375,7 @@
     }
   }
 
-  void pass(final long millis) {
+  void advance(final long millis) {
     final long end = now + millis;
     while (now < end) {
       now++;
@@ -383,9 +383,9 @@
         events.poll().action.run();
       }
       if (now % 40 == 0) {
-        lines();
+        updateConnections();
         for (final Node node : nodes.values()) {
-          if (node.life > 0 && !node.frozen) {
+          if (node.incarnation > 0 && !node.frozen) {
             node.core.tick(now);
           }
         }
--- a/registry/src/test/java/weldpoint/registry/StandstillTest.java
+++ b/registry/src/test/java/weldpoint/registry/StandstillTest.java
@@ -100,24 +100,24 @@
         });
   }
 
-  private void runs(final int ticks) {
-    for (int tick = 0; tick < ticks; tick++) {
+  private void tick(final int ticks) {
+    for (int count = 0; count < ticks; count++) {
       now += 40;
       server.awake();
     }
   }
 
   @Test
-  public void aCallIsCarriedOutWhileTheDaemonRuns() {
-    runs(5);
+  public void callIsExecutedWhileTheDaemonRuns() {
+    tick(5);
     call();
     assertEquals(storeCalls, 1);
     assertEquals(statuses, List.of());
   }
 
   @Test
-  public void whatWaitedThroughAStandstillIsNot() {
-    runs(5);
+  public void callThatWaitedThroughAPauseIsNotExecuted() {
+    tick(5);
     now += 2000;
     call();
     assertEquals(storeCalls, 0);
@@ -125,21 +125,21 @@
   }
 
   @Test
-  public void norIsWhatIsReadAfterTheFirstTickFollowingIt() {
-    runs(5);
+  public void callReadAfterTheFirstTickFollowingAPauseIsNotExecuted() {
+    tick(5);
     now += 2000;
     server.awake();
     call();
     assertEquals(storeCalls, 0);
     assertEquals(statuses, List.of(504));
-    runs(2);
+    tick(2);
     call();
     assertEquals(storeCalls, 1);
   }
 
   @Test
-  public void aShortStandstillCountsAgainstTheTimeOfTheCall() {
-    runs(5);
+  public void shortPauseCountsAgainstTheDeadlineOfTheCall() {
+    tick(5);
     now += 600;
     call();
     assertEquals(storeCalls, 1);
--- a/registry/src/test/java/weldpoint/registry/StoreClientTest.java
+++ b/registry/src/test/java/weldpoint/registry/StoreClientTest.java
@@ -25,8 +25,8 @@
   private final List<String> down = new ArrayList<>();
   private StoreClient store;
 
-  private StoreClient life(final long seed) {
-    final StoreClient one =
+  private StoreClient newClient(final long seed) {
+    final StoreClient client =
         new StoreClient(
             "here",
             new Random(seed),
@@ -37,75 +37,75 @@
               sent.add(new Sent(address, call));
               return true;
             });
-    one.replicas(List.of("here", "there"));
-    return one;
+    client.replicas(List.of("here", "there"));
+    return client;
   }
 
   @BeforeMethod
   public void open() {
     sent.clear();
     down.clear();
-    store = life(1);
+    store = newClient(1);
   }
 
   private CompletableFuture<StoreMessages.StoreResponse> begin(
-      final StoreClient one, final long now) {
-    return one.call(StoreOperation.LOCK_BEGIN, "l", "owner", 3000, 0, null, null, now, 900);
+      final StoreClient client, final long now) {
+    return client.call(StoreOperation.LOCK_BEGIN, "l", "owner", 3000, 0, null, null, now, 900);
   }
 
-  private static StoreMessages.StoreResponse good(final StoreMessages.StoreRequest call) {
+  private static StoreMessages.StoreResponse success(final StoreMessages.StoreRequest call) {
     return new StoreMessages.StoreResponse(call.number, 200, 7, null, null).to(call.caller);
   }
 
-  private static StoreMessages.StoreResponse nothing(
+  private static StoreMessages.StoreResponse notExecuted(
       final StoreMessages.StoreRequest call, final String holder) {
     return new StoreMessages.StoreResponse(call.number, 0, 0, null, holder).to(call.caller);
   }
 
   @Test
-  public void anAnswerToTheNumberOfAnotherLifeIsNotTaken() {
+  public void responseToAnotherProcessWithTheSameNumberIsIgnored() {
     begin(store, 0);
     final StoreMessages.StoreRequest earlier = sent.get(0).call;
-    final StoreClient later = life(2);
+    final StoreClient later = newClient(2);
     final CompletableFuture<StoreMessages.StoreResponse> future = begin(later, 10);
-    final StoreMessages.StoreRequest mine = sent.get(1).call;
-    assertEquals(mine.number, earlier.number);
-    assertNotEquals(mine.caller, earlier.caller);
-    later.onResponse("here", good(earlier), 20);
+    final StoreMessages.StoreRequest current = sent.get(1).call;
+    assertEquals(current.number, earlier.number);
+    assertNotEquals(current.caller, earlier.caller);
+    later.onResponse("here", success(earlier), 20);
     assertFalse(future.isDone());
-    later.onResponse("here", new StoreMessages.StoreResponse(mine.number, 200, 7, null, null), 20);
+    later.onResponse("here", new StoreMessages.StoreResponse(current.number, 200, 7, null, null), 20);
     assertFalse(future.isDone(), "an answer that names nobody");
-    later.onResponse("here", good(mine), 20);
+    later.onResponse("here", success(current), 20);
     assertTrue(future.isDone());
   }
 
   @Test
-  public void anAnswerCountsOnlyFromAFrameThatWasAskedOnTheLineThatThereIs() {
+  public void responseCountsOnlyFromAReplicaAskedOnAnOpenConnection() {
     final CompletableFuture<StoreMessages.StoreResponse> future = begin(store, 0);
     assertEquals(sent.get(0).to, "here");
-    store.onResponse("there", good(sent.get(0).call), 5);
+    store.onResponse("there", success(sent.get(0).call), 5);
     assertFalse(future.isDone(), "a frame that was not asked");
     store.onDisconnected("here", 10);
-    store.onResponse("here", good(sent.get(0).call), 15);
+    store.onResponse("here", success(sent.get(0).call), 15);
     assertFalse(future.isDone(), "the line on which it was asked has ended");
     store.tick(50);
     assertEquals(sent.size(), 2);
-    store.onResponse(sent.get(1).to, good(sent.get(1).call), 60);
+    store.onResponse(sent.get(1).to, success(sent.get(1).call), 60);
     assertTrue(future.isDone());
   }
 
   @Test
-  public void aLateAnswerToTheFirstCopyCountsToo() {
+  public void lateResponseToTheFirstCopyCounts() {
     final CompletableFuture<StoreMessages.StoreResponse> future = begin(store, 0);
     store.tick(401);
     assertEquals(sent.size(), 2);
     assertNotEquals(sent.get(1).to, sent.get(0).to);
-    store.onResponse("here", good(sent.get(0).call), 450);
+    store.onResponse("here", success(sent.get(0).call), 450);
     assertTrue(future.isDone());
   }
 
   @Test
-  public void aCopyTellsHowLongAgoTheFirstWasSent() {
+  public void resentCopyCarriesTheAgeOfTheFirst() {
     begin(store, 100);
     assertEquals(sent.get(0).call.age, 0);
     store.tick(501);
@@ -118,31 +118,31 @@
   }
 
   @Test
-  public void whatCertainlyDidNothingLeavesNoAge() {
+  public void callThatWasNotExecutedLeavesNoAge() {
     begin(store, 100);
-    store.onResponse("here", nothing(sent.get(0).call, "there"), 130);
+    store.onResponse("here", notExecuted(sent.get(0).call, "there"), 130);
     assertEquals(sent.get(1).to, "there");
     assertEquals(sent.get(1).call.age, 0);
-    store.onResponse("there", nothing(sent.get(1).call, null), 140);
+    store.onResponse("there", notExecuted(sent.get(1).call, null), 140);
     store.tick(200);
     assertEquals(sent.get(2).call.age, 0);
   }
 
   @Test
-  public void whatMayHaveBeenDoneOnAnEndedLineKeepsItsAge() {
+  public void callThatMayHaveExecutedOnAClosedConnectionKeepsItsAge() {
     begin(store, 100);
     store.onDisconnected("here", 120);
     down.add("here");
     store.tick(160);
     assertEquals(sent.get(1).to, "there");
     assertEquals(sent.get(1).call.age, 60);
-    store.onResponse("there", nothing(sent.get(1).call, null), 170);
+    store.onResponse("there", notExecuted(sent.get(1).call, null), 170);
     store.tick(230);
     assertEquals(sent.get(2).call.age, 130);
   }
 
   @Test
-  public void aCopyThatNoLineTakesIsNone() {
+  public void copyWithoutAConnectionDoesNotCount() {
     down.add("here");
     down.add("there");
     begin(store, 100);
@@ -153,7 +153,7 @@
   }
 
   @Test
-  public void whatLeavesLaterIsOlder() {
+  public void callThatIsSentLaterIsOlder() {
     final StoreMessages.StoreRequest call =
         new StoreMessages.StoreRequest(1, 0, "l", "o", 0, 0, null).from(5);
     assertEquals(call.leaving(77L, 1000).age, 0);
--- a/simulation/src/test/java/weldpoint/registry/CopiesTest.java
+++ b/simulation/src/test/java/weldpoint/registry/CopiesTest.java
@@ -34,7 +34,7 @@
   };
 
   @BeforeClass
-  public void quiet() {
+  public void disableLogging() {
     java.util.logging.Logger.getLogger("").setLevel(java.util.logging.Level.OFF);
   }
 
@@ -44,8 +44,8 @@
     private final List<StoreClient> stores = new ArrayList<>();
     private final Map<String, Boolean> frozen = new HashMap<>();
     private int begins;
-    private int mayHold;
-    private int orders;
+    private int possibleHolders;
+    private int evacuations;
     private boolean stopped;
 
     private World(final long seed, final boolean identified) {
@@ -120,40 +120,40 @@
       }
     }
 
-    private StoreClient any() {
+    private StoreClient randomClient() {
       return stores.get(simulation.random().nextInt(stores.size()));
     }
 
-    private void begin() {
+    private void beginLocks() {
       if (stopped) {
         return;
       }
       final String owner = "owner " + ++begins;
-      any()
+      randomClient()
           .call(StoreOperation.LOCK_BEGIN, "l", owner, 30, 0, null, null, simulation.now(), 900)
           .whenComplete(
               (answer, problem) ->
-                  mayHold +=
+                  possibleHolders +=
                       problem != null || answer.status == 200 || answer.status == 504 ? 1 : 0);
-      simulation.after(60 + simulation.random().nextInt(80), this::begin);
+      simulation.after(60 + simulation.random().nextInt(80), this::beginLocks);
     }
 
-    private void order() {
+    private void nextEvacuation() {
       if (stopped) {
         return;
       }
-      orders++;
-      repeat(orders % 2);
+      evacuations++;
+      evacuateUntilDone(evacuations % 2);
     }
 
-    private void repeat(final int on) {
-      evacuate(any(), on, simulation.now() + 900)
+    private void evacuateUntilDone(final int on) {
+      evacuate(randomClient(), on, simulation.now() + 900)
           .whenComplete(
               (answer, problem) -> {
                 if (problem == null && answer.status == 200) {
-                  simulation.after(20 + simulation.random().nextInt(300), this::order);
+                  simulation.after(20 + simulation.random().nextInt(300), this::nextEvacuation);
                 } else {
-                  simulation.after(20, () -> repeat(on));
+                  simulation.after(20, () -> evacuateUntilDone(on));
                 }
               });
     }
@@ -195,7 +195,7 @@
                                       : evacuate(store, on, cutoff)));
     }
 
-    private void trouble() {
+    private void injectFault() {
       final List<String> running = simulation.running();
       final String one = running.get(simulation.random().nextInt(running.size()));
       switch (simulation.random().nextInt(4)) {
@@ -229,11 +229,11 @@
       }
     }
 
-    private List<String> finish() {
+    private List<String> violations() {
       stopped = true;
       simulation.heal();
       simulation.run(12_000);
-      final List<String> breaches = new ArrayList<>();
+      final List<String> violations = new ArrayList<>();
       final long[] fence = new long[1];
       for (int round = 0; round < 20 && fence[0] == 0; round++) {
         simulation.call(
@@ -247,9 +247,9 @@
             answer -> fence[0] = answer.status == 200 ? answer.first : 0);
         simulation.run(400);
       }
-      if (fence[0] - 1 > mayHold) {
-        breaches.add(
-            "the lock was granted " + (fence[0] - 1) + " times to " + mayHold + " callers");
+      if (fence[0] - 1 > possibleHolders) {
+        violations.add(
+            "the lock was granted " + (fence[0] - 1) + " times to " + possibleHolders + " callers");
       }
       final AuditLog log = simulation.machines().get("10.0.1.1").replica().history();
       long before = 0;
@@ -259,35 +259,35 @@
         begun += entry.kind() == ChangeKind.EVACUATION_BEGUN ? 1 : 0;
         before++;
       }
-      if (before != orders || begun != (orders + 1) / 2) {
-        breaches.add(
-            orders + " orders, one after the other, changed the evacuation " + before + " times");
+      if (before != evacuations || begun != (evacuations + 1) / 2) {
+        violations.add(
+            evacuations + " orders, one after the other, changed the evacuation " + before + " times");
       }
-      return breaches;
+      return violations;
     }
   }
 
-  private static List<String> play(final long seed, final boolean identified, final int[] counts) {
+  private static List<String> run(final long seed, final boolean identified, final int[] counts) {
     final World world = new World(seed, identified);
-    world.begin();
-    world.order();
+    world.beginLocks();
+    world.nextEvacuation();
     for (int round = 0; round < 4; round++) {
       world.simulation.run(2500);
-      world.trouble();
+      world.injectFault();
       world.simulation.run(3000);
     }
-    final List<String> breaches = world.finish();
+    final List<String> violations = world.violations();
     counts[0] += world.begins;
-    counts[1] += world.orders;
-    return breaches;
+    counts[1] += world.evacuations;
+    return violations;
   }
 
   @Test
-  public void nothingIsCarriedOutTwiceOrOutOfItsTime() {
+  public void noCallIsExecutedTwiceOrTooLate() {
     final int[] counts = new int[2];
     for (long seed = 1; seed <= 30; seed++) {
-      final List<String> breaches = play(seed, true, counts);
-      assertTrue(breaches.isEmpty(), "seed " + seed + ": " + breaches);
+      final List<String> violations = run(seed, true, counts);
+      assertTrue(violations.isEmpty(), "seed " + seed + ": " + violations);
     }
     assertTrue(
         counts[0] > 30 * 150 && counts[1] > 30 * 15,
@@ -295,10 +295,10 @@
   }
 
   @Test
-  public void copiesWithoutAnIdentityAreCaught() {
+  public void detectsCopiesWithoutAnIdentity() {
     int caught = 0;
     for (long seed = 1; seed <= 6; seed++) {
-      caught += play(seed, false, new int[2]).isEmpty() ? 0 : 1;
+      caught += run(seed, false, new int[2]).isEmpty() ? 0 : 1;
     }
     assertEquals(caught, 6);
   }
@@ -343,7 +343,7 @@
   }
 
   @Test
-  public void aCopyOfWhatTheHolderBeforeMayHaveDoneIsLeftUnclear() {
+  public void copyOfACallThatThePreviousHolderMayHaveExecutedFails() {
     final World world = new World(5, true);
     final StoreMessages.StoreRequest call = begin(1, 200);
     final long sentAt = world.simulation.now();
@@ -365,7 +365,7 @@
   }
 
   @Test
-  public void aCopyOfUnknownAgeOrUnderWayForTooLongDoesNothing() {
+  public void copyOfUnknownAgeOrTooLongInFlightIsNotExecuted() {
     final World world = new World(6, true);
     world.simulation.run(6000);
     final String at = holder(world, 1, 100);
@@ -388,7 +388,7 @@
   }
 
   @Test
-  public void aSecondCopyGetsTheAnswerOfTheFirst() {
+  public void secondCopyGetsTheResponseOfTheFirst() {
     final World world = new World(7, true);
     final String at = holder(world, 1, 100);
     world.simulation.run(300);
