--- a/registry/src/test/java/weldpoint/registry/ConfirmationProofTest.java
+++ b/registry/src/test/java/weldpoint/registry/ConfirmationProofTest.java
@@ -17,10 +17,7 @@
 import weldpoint.transport.RegistryMessages;
 import weldpoint.transport.RegistryMessages.Registration;
 
-/**
- * What a registry tells a proxy that it has been told: seven registries, five of them voters, with
- * cuts either way, freezes and restarts, while upstreams leave and configurations change.
- */
+/** A registry's status confirms to a proxy that it was sent everything acknowledged up to some time. Checked with seven registries, five of them voters, under cuts in either direction, freezes and restarts, while upstreams leave and configurations change. */
 public final class ConfirmationProofTest {
   private static final int REGISTRIES = 7;
   private static final int VOTERS = 5;
@@ -32,7 +29,7 @@
     java.util.logging.Logger.getLogger("").setLevel(java.util.logging.Level.OFF);
   }
 
-  /** One change and when it was acknowledged. */
+  /** A change and when it was acknowledged. */
   private record Acknowledged(String upstream, long version, long at) {}
 
   private final List<Acknowledged> acknowledged = new ArrayList<>();
@@ -86,7 +83,7 @@
     }
   }
 
-  /** Checks each proof that a stream was given after its first view; how many there were. */
+  /** Checks each confirmation sent to a stream after its initial view; returns their number. */
   private int checkConfirmations(final List<Message> sent, final String description) {
     final Set<String> routable = new HashSet<>();
     boolean hasView = false;
@@ -115,7 +112,7 @@
                 change.upstream == null
                     ? version >= change.version
                     : !routable.contains(change.upstream),
-                description + ": proof up to " + status.confirmedClock + " lacks " + change);
+                description + ": confirmation up to " + status.confirmedClock + " lacks " + change);
           }
         }
       }
@@ -123,10 +120,7 @@
     return confirmations;
   }
 
-  /**
-   * Guards against CONFIG and DRAIN: a registry that missed a push tells its proxies that nothing
-   * is missing.
-   */
+  /** Guards against violations of CONFIG and DRAIN: a registry that missed a push confirms to its proxies that nothing is missing. */
   @Test
   public void confirmedChangesWereSentToTheProxyBefore() {
     int confirmations = 0;
@@ -170,6 +164,6 @@
       changes += acknowledged.size();
     }
     assertTrue(changes > 10 * SEEDS, "too few changes were acknowledged: " + changes);
-    assertTrue(confirmations > 50 * SEEDS, "too few proofs were given: " + confirmations);
+    assertTrue(confirmations > 50 * SEEDS, "too few confirmations were sent: " + confirmations);
   }
 }
--- a/registry/src/test/java/weldpoint/registry/CutOffTest.java
+++ b/registry/src/test/java/weldpoint/registry/CutOffTest.java
@@ -12,10 +12,7 @@
 import weldpoint.transport.RegistryMessages;
 import weldpoint.transport.StateStoreMessages;
 
-/**
- * Exchanges that are cut off, restarted while cut off, frozen and thawed: none gives or
- * acknowledges anything on its own authority.
- */
+/** Registries that are cut off, restarted while cut off, frozen and unfrozen: none sends a view to a new proxy or acknowledges a change without a majority. */
 public final class CutOffTest {
   @BeforeClass
   public void disableLogging() {
@@ -52,7 +49,7 @@
       assertEquals(
           net.node(1).views("1" + round),
           List.of(),
-          "an old configuration set a fresh switchboard going");
+          "a new proxy was sent an old configuration");
     }
     net.cut.clear();
     net.advance(1000);
@@ -105,7 +102,7 @@
     net.node(5).openStream("5", 0);
     net.advance(150);
     assertEquals(net.node(1).latestVersionSentTo("1"), 7);
-    assertEquals(net.node(1).views("1").get(0).version, 7, "the first view was an old one");
+    assertEquals(net.node(1).views("1").get(0).version, 7, "the first view had an old configuration");
     assertEquals(net.node(5).latestVersionSentTo("5"), 7);
   }
 
@@ -125,7 +122,7 @@
     assertEquals(
         net.node(3).core.status(net.now).version(),
         "00000008",
-        "an older number is acknowledged once the later one that holds is everywhere");
+        "an older version is acknowledged once the later one that supersedes it is replicated");
   }
 
   @Test
@@ -175,7 +172,7 @@
             .heartbeat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 2), net.now);
     net.advance(1000);
     for (final CompletableFuture<Void> future : List.of(again, gone, goneAgain, late)) {
-      assertTrue(failed(future), "acknowledged without a majority since the question");
+      assertTrue(failed(future), "acknowledged without a majority that confirmed it after the request");
     }
   }
 
@@ -246,7 +243,7 @@
     assertEquals(
         net.node(4).views("4"),
         List.of(),
-        "3 lost its disk, 1 and 2 are away: 4 and 5 cannot know");
+        "3 lost its disk, 1 and 2 are unreachable: 4 and 5 cannot know of the drain");
     net.cut.clear();
     net.cut(1, true, true);
     net.advance(6000);
@@ -258,7 +255,7 @@
     net.cut(2, true, true);
     net.node(5).openStream("5", 0);
     net.advance(1000);
-    assertEquals(net.node(5).views("5").size() > 0, true, "3 has learned meanwhile and counts");
+    assertEquals(net.node(5).views("5").size() > 0, true, "3 has finished its bootstrap and counts");
   }
 
   @Test
@@ -299,7 +296,7 @@
     assertEquals(
         net.node(5).views("5"),
         List.of(),
-        "4, 5 and the newcomer are a majority, but none of them has what 1, 2 and 3 acknowledged");
+        "4, 5 and the new voter are a majority, but none of them has what 1, 2 and 3 acknowledged");
     net.cut.clear();
     net.advance(5000);
     assertTrue(net.node(5).views("5").size() > 0);
@@ -343,7 +340,7 @@
     net.advance(5000);
     assertFalse(
         net.node(1).core.cutOff(net.now),
-        "the duty is vacant, but the voters are there: calls wait as they do");
+        "no replica holds the partition, but the voters are reachable: calls wait");
     net.storeDown = false;
     net.advance(2000);
     for (final boolean[] ways : new boolean[][] {{true, true}, {true, false}, {false, true}}) {
@@ -378,10 +375,7 @@
     assertEquals(net.node(1).core.registryWithMajority(net.now), null);
   }
 
-  /**
-   * All lose power; two that start a little later open a stream at the first exchange when its
-   * first read is done.
-   */
+  /** All registries lose power and restart; a new proxy opens a stream at the first registry and gets its view once the first quorum read is complete. */
   private static SimulatedCoreNetwork restartedAfterPowerLoss(
       final java.util.function.Consumer<SimulatedCoreNetwork.Node> checksOverride) {
     final SimulatedCoreNetwork net = settledNetwork();
@@ -406,12 +400,12 @@
     net.node(1).openStream("2", 0);
     net.advance(1);
     assertEquals(net.node(1).latestVersionSentTo("2"), 6, "the lease still holds");
-    assertFalse(write.isDone(), "acknowledged while 1 may give what was before");
+    assertFalse(write.isDone(), "acknowledged while 1 may still send the old configuration");
     net.advance(750);
-    assertTrue(write.isDone() && !failed(write), "the lease has run out");
+    assertTrue(write.isDone() && !failed(write), "the lease has expired");
     net.node(1).openStream("3", 0);
     net.advance(5000);
-    assertEquals(net.node(1).views("3"), List.of(), "given after the lease had run out");
+    assertEquals(net.node(1).views("3"), List.of(), "a view was sent after the lease had expired");
   }
 
   @Test
@@ -429,7 +423,7 @@
     assertEquals(net.node(1).latestVersionSentTo("2"), net.node(1).views("2").isEmpty() ? 0 : 7);
   }
 
-  // ---- broken variants: each must be caught
+  // ---- broken variants of the quorum checks: each must be detected
 
   @Test
   public void detectsALeaseHeldLongerThanGranted() {
@@ -455,7 +449,7 @@
     assertEquals(
         net.node(1).latestVersionSentTo("3"),
         6,
-        "the broken variant gives the old configuration after the new one was acknowledged");
+        "the broken variant sends the old configuration after the new one was acknowledged");
   }
 
   private static SimulatedCoreNetwork networkWithBrokenChecks(
@@ -497,7 +491,7 @@
     assertEquals(
         net.node(1).latestVersionSentTo("1"),
         6,
-        "the broken variant gives the old configuration; the test above would fail");
+        "the broken variant sends the old configuration; the unbroken test would fail");
   }
 
   @Test
@@ -520,7 +514,7 @@
     net.version = 7;
     net.node(1).openStream("1", 0);
     net.advance(1000);
-    assertEquals(net.node(1).latestVersionSentTo("1"), 6, "a confirmation from before the question serves on");
+    assertEquals(net.node(1).latestVersionSentTo("1"), 6, "the broken variant accepts a confirmation from before the request");
   }
 
   @Test
@@ -553,6 +547,6 @@
     net.advance(1000);
     assertFalse(
         failed(drained),
-        "the broken variant acknowledges with answers that waited out the freeze");
+        "the broken variant acknowledges with answers that were delivered after the freeze");
   }
 }
--- a/registry/src/test/java/weldpoint/registry/LargeFleetTest.java
+++ b/registry/src/test/java/weldpoint/registry/LargeFleetTest.java
@@ -21,10 +21,7 @@
 import weldpoint.transport.Serializer;
 import weldpoint.transport.StoreMessages;
 
-/**
- * What an exchange tells at hundreds of switchboards and upstreams: little while nothing differs,
- * and only what differs otherwise.
- */
+/** What a registry sends with hundreds of proxies and upstreams: little while nothing differs, and otherwise only the differences. */
 public final class LargeFleetTest {
   private static final int UPSTREAMS = 300;
   private static final int PROXIES = 400;
@@ -132,12 +129,12 @@
     for (final List<Message> messages : sent.toStreams.values()) {
       final Message view = messages.get(0);
       first = first == null ? view : first;
-      assertSame(view, first, "one view for all");
-      assertTrue(messages.size() <= 3, messages.size() + " messages to one switchboard");
+      assertSame(view, first, "all proxies are sent the same view object");
+      assertTrue(messages.size() <= 3, messages.size() + " messages to one proxy");
     }
     assertTrue(
         Serializer.serialize(first).length < 45 * UPSTREAMS,
-        "a whole view of " + Serializer.serialize(first).length + " bytes");
+        "a full view of " + Serializer.serialize(first).length + " bytes");
   }
 
   @Test
@@ -156,7 +153,7 @@
       assertNull(view.spec);
       bytes += Serializer.serialize(view).length;
     }
-    assertTrue(bytes < 60L * PROXIES, bytes + " bytes for " + PROXIES + " switchboards");
+    assertTrue(bytes < 60L * PROXIES, bytes + " bytes for " + PROXIES + " proxies");
     final Registration draining = held.get(7);
     held.set(
         7,
@@ -174,7 +171,7 @@
     core.onDaemonReport("late", proxy(PROXIES), RegistrationBuckets.digests(held, false), sent.now);
     final RegistryMessages.View view = (RegistryMessages.View) sent.toStreams.get("late").get(0);
     final List<Registration> received = RegistrationBuckets.unpack(view.packed);
-    assertTrue(received.size() < UPSTREAMS / 8, received.size() + " were told");
+    assertTrue(received.size() < UPSTREAMS / 8, received.size() + " registrations were sent");
     assertTrue(received.stream().anyMatch(one -> one.id.equals(draining.id)));
   }
 
@@ -231,7 +228,7 @@
     final long[] few = new long[1];
     exchangeMessages(sent, different, 0, gossip(sent[0], different[0], "10.0.0.2"), few);
     assertEquals(different[1].registrations().size(), UPSTREAMS);
-    assertTrue(few[0] < refill[0] * 2, few[0] + " bytes for two, " + refill[0] + " for all");
+    assertTrue(few[0] < refill[0] * 2, few[0] + " bytes for two differences, " + refill[0] + " for all");
   }
 
   @Test
@@ -259,7 +256,7 @@
     assertEquals(
         ((RegistryMessages.View) last.get(0)).suspects.size(),
         4,
-        "upstreams that nobody has heard of for 10 s are suspect");
+        "upstreams without a heartbeat at any registry for 10 s are suspect");
   }
 
   @Test
--- a/registry/src/test/java/weldpoint/registry/LateBeatsTest.java
+++ b/registry/src/test/java/weldpoint/registry/LateBeatsTest.java
@@ -5,11 +5,7 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-/**
- * Calls of upstreams that come late, doubled and in another order, at any registry, also at one
- * that has just joined with an empty disk: the upstream that goes on beating from an address is
- * open at all registries again within a named bound.
- */
+/** Calls of upstreams that arrive late, duplicated or out of order, at any registry, including one that has just started with an empty disk: the upstream that continues to send heartbeats from an address is routable at all registries again within a fixed bound. */
 public final class LateBeatsTest {
   private static final int SEEDS = Integer.getInteger("beats.seeds", 60);
   private static final int REGISTRIES = 5;
@@ -18,13 +14,13 @@
   private static final long FAULT_PHASE_MILLIS = 40_000;
   private static final long STEP_MILLIS = 100;
 
-  /** A beat, and the time that registries need to tell each other. */
+  /** A heartbeat interval, and the time that registries need to propagate it. */
   private static final long BOUND_MILLIS = HEARTBEAT_MILLIS + 500;
 
-  /** What a registry that starts with an empty disk has to learn first. */
+  /** The time that a registry needs to bootstrap from an empty disk. */
   private static final long BOOTSTRAP_MILLIS = 4000;
 
-  /** One fleet under one seed. */
+  /** One simulated fleet, driven by one random seed. */
   private static final class World {
     private final Random random;
     private final SimulatedCoreNetwork network =
@@ -49,7 +45,7 @@
       network.node(registry).core.heartbeat(SimulatedCoreNetwork.upstream(id, stage, heartbeatSequence), network.now);
     }
 
-    /** A call that comes late, twice, or out of order. */
+    /** Sends a call that is late, duplicated or out of order, or restarts a registry. */
     private void injectFault() {
       faults++;
       lastFaultAt = network.now;
@@ -76,7 +72,7 @@
       lastHeartbeatAt = network.now;
     }
 
-    /** The registry that does not have the sound upstream open, though it must; 0 if none. */
+    /** A registry that must have the healthy upstream as routable but does not; 0 if none. */
     private int registryWithoutCurrent() {
       for (int index = 1; index <= REGISTRIES; index++) {
         final boolean bootstrapped = network.now - startedAt[index] > BOOTSTRAP_MILLIS;
@@ -109,14 +105,14 @@
             lacking == 0 || network.now - lastFaultAt <= BOUND_MILLIS,
             "registry "
                 + lacking
-                + " has not the sound upstream, "
+                + " does not have the healthy upstream as routable, "
                 + (network.now - lastFaultAt)
-                + " ms after the last odd call");
+                + " ms after the last fault");
       }
     }
   }
 
-  /** Guards against a late or doubled call of another life that shuts a sound upstream out. */
+  /** Guards against a late or duplicated call of another process that makes a healthy upstream at the same address unroutable. */
   @Test
   public void currentUpstreamIsRoutableAgainWithinOneHeartbeatOfALateCall() {
     int faults = 0;
@@ -129,6 +125,6 @@
       }
       faults += world.faults;
     }
-    assertTrue(faults > 8 * SEEDS, "calls came late: " + faults);
+    assertTrue(faults > 8 * SEEDS, "too few faults were injected: " + faults);
   }
 }
--- a/registry/src/test/java/weldpoint/registry/LifecycleStageTest.java
+++ b/registry/src/test/java/weldpoint/registry/LifecycleStageTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.Test;
 import weldpoint.transport.RegistryMessages.Registration;
 
-/** Merging histories must not depend on order, grouping or repetition. */
+/** Merging registrations must not depend on order, grouping or repetition. */
 public final class LifecycleStageTest {
   private static Registration randomRegistration(final Random random) {
     return new Registration(
--- a/registry/src/test/java/weldpoint/registry/RegistryCoreTest.java
+++ b/registry/src/test/java/weldpoint/registry/RegistryCoreTest.java
@@ -18,7 +18,7 @@
 import weldpoint.transport.StateStoreMessages;
 import weldpoint.transport.StoreMessages;
 
-/** Three exchanges that talk directly, on a fake clock, with disks that sync when told. */
+/** Three registries that exchange messages directly, on a fake clock, with disks that sync on command. */
 public final class RegistryCoreTest {
   private static final List<String> SEEDS = List.of("10.0.0.1", "10.0.0.2", "10.0.0.3");
 
@@ -184,7 +184,7 @@
       assertStageEverywhere(net, "new", LifecycleStage.JOINED);
       net.advance(700);
     }
-    assertFalse(LifecycleStage.LAPSED.routable(), "nothing is sent to a life that was written off");
+    assertFalse(LifecycleStage.LAPSED.routable(), "no requests are sent to a lapsed upstream");
   }
 
   private static void assertStageEverywhere(final Network net, final String id, final LifecycleStage stage) {
@@ -206,10 +206,7 @@
     assertStageEverywhere(net, "old", LifecycleStage.REMOVED);
   }
 
-  /**
-   * Guards against a late first beat that ended another upstream's registration for good, while
-   * each of that one's beats was acknowledged.
-   */
+  /** Guards against a late first heartbeat of another process that removed a healthy upstream's registration for good, although each of the healthy upstream's heartbeats was acknowledged. */
   @Test
   public void lateFirstHeartbeatLapsesTheCurrentUpstreamForAtMostOneHeartbeat() {
     for (final int late : new int[] {0, 1, 2}) {
@@ -235,7 +232,7 @@
     }
   }
 
-  /** Guards against two late first beats within one beat that ended a sound upstream for good. */
+  /** Guards against two late first heartbeats within one heartbeat interval that removed a healthy upstream for good. */
   @Test
   public void twoLateFirstHeartbeatsRemoveNoUpstream() {
     final Network net = new Network();
@@ -258,7 +255,7 @@
     assertStageEverywhere(net, "sound", LifecycleStage.JOINED);
   }
 
-  /** Guards against a late drain of an unknown life that shut a sound upstream out. */
+  /** Guards against a late drain of an unknown upstream that made a healthy one at the same address unroutable. */
   @Test
   public void lateDrainOfAnUnknownUpstreamLapsesNobody() {
     final Network net = new Network();
@@ -360,7 +357,7 @@
       restarted.start(core.snapshot(), net.now);
       assertTrue(
           restarted.counters().endsWith("spec 7"),
-          "it is not there after a restart: " + restarted.counters());
+          "the configuration is lost after a restart: " + restarted.counters());
     }
   }
 
--- a/registry/src/test/java/weldpoint/registry/SimulatedCoreNetwork.java
+++ b/registry/src/test/java/weldpoint/registry/SimulatedCoreNetwork.java
@@ -19,17 +19,14 @@
 import weldpoint.transport.StateStoreMessages;
 import weldpoint.transport.StoreMessages;
 
-/**
- * Exchanges over scripted frames, on a fake clock: lines that can be cut one way, freezes, restarts
- * with and without disks.
- */
+/** A simulated network of registries on a fake clock, with a scripted state store: connections that can be cut in one direction, frozen processes, restarts with and without the disk. */
 final class SimulatedCoreNetwork {
   private static final long LINK_MILLIS = 5;
   private static final long DISCONNECT_MILLIS = 1900;
 
   private record Event(long at, long order, Runnable action) {}
 
-  /** One core machine. */
+  /** A core machine. */
   final class Node {
     final String address;
     final List<byte[]> disk = new ArrayList<>();
@@ -144,7 +141,7 @@
           .toList();
     }
 
-    /** A switchboard opens a stream; version is what it has in force. */
+    /** Opens a stream of a proxy that has applied this version of the configuration. */
     void openStream(final Object stream, final long appliedVersion) {
       core.onDaemonReport(
           stream,
@@ -164,7 +161,7 @@
           now);
     }
 
-    /** The newest configuration that a stream was given; 0 where none was. */
+    /** The newest configuration version sent to a stream; 0 if none was. */
     long latestVersionSentTo(final Object stream) {
       return views(stream).stream()
           .filter(view -> view.spec != null)
@@ -226,7 +223,7 @@
     return nodes.get("10.0.0." + index);
   }
 
-  /** Cuts all that one machine sends to the others, or that they send to it, or both. */
+  /** Cuts what a machine sends to all others, what they send to it, or both. */
   void cut(final int index, final boolean out, final boolean in) {
     nodes.keySet().forEach(to -> cut("10.0.0." + index, to, out, in));
   }
@@ -285,10 +282,7 @@
     return !storeDown && count >= roster.majority();
   }
 
-  /**
-   * The frame of a machine answers where a majority confirms, as the frames do: at once with news,
-   * else after a while.
-   */
+  /** Answers a call as the state store replica of a machine does if a majority confirms: at once if something changed, otherwise after 700 ms. */
   private void answerStoreCall(
       final String at,
       final StoreMessages.StoreRequest call,
@@ -326,7 +320,7 @@
         call.number, 200, version, Serializer.serialize(snapshot), null);
   }
 
-  /** Restarts a machine: without its disk, what it held is lost. */
+  /** Restarts a machine, with its disk or with an empty one. */
   void restart(final int index, final boolean disk) {
     final Node node = node(index);
     if (!disk) {
@@ -349,7 +343,7 @@
     deferred.forEach(Runnable::run);
   }
 
-  /** Lines open where both ways pass, and end after a silence. */
+  /** Opens connections where both directions pass, and closes those that have been silent for too long. */
   private void updateConnections() {
     for (final Node node : nodes.values()) {
       if (node.incarnation == 0 || node.frozen) {
--- a/registry/src/test/java/weldpoint/registry/StandstillTest.java
+++ b/registry/src/test/java/weldpoint/registry/StandstillTest.java
@@ -15,10 +15,7 @@
 import weldpoint.transport.Message;
 import weldpoint.transport.StoreMessages;
 
-/**
- * A daemon that stood still: what waited in its sockets for longer than a caller waits is not
- * carried out.
- */
+/** A daemon whose process was paused: calls that waited in its sockets for longer than a caller waits are not executed. */
 public final class StandstillTest {
   private long now;
   private int storeCalls;
--- a/registry/src/test/java/weldpoint/registry/StoreClientTest.java
+++ b/registry/src/test/java/weldpoint/registry/StoreClientTest.java
@@ -14,10 +14,7 @@
 import weldpoint.statestore.StoreOperation;
 import weldpoint.transport.StoreMessages;
 
-/**
- * Calls to frames under scripted lines: each carries who calls, and an answer counts only from
- * whom, and for whom, it was asked.
- */
+/** Calls to state store replicas over scripted connections: each carries the identity of the calling process, and a response counts only if it comes from a replica that was asked and names this process. */
 public final class StoreClientTest {
   private record Sent(String to, StoreMessages.StoreRequest call) {}
 
@@ -74,7 +71,7 @@
     later.onResponse("here", success(earlier), 20);
     assertFalse(future.isDone());
     later.onResponse("here", new StoreMessages.StoreResponse(current.number, 200, 7, null, null), 20);
-    assertFalse(future.isDone(), "an answer that names nobody");
+    assertFalse(future.isDone(), "a response that names no caller");
     later.onResponse("here", success(current), 20);
     assertTrue(future.isDone());
   }
@@ -84,10 +81,10 @@
     final CompletableFuture<StoreMessages.StoreResponse> future = begin(store, 0);
     assertEquals(sent.get(0).to, "here");
     store.onResponse("there", success(sent.get(0).call), 5);
-    assertFalse(future.isDone(), "a frame that was not asked");
+    assertFalse(future.isDone(), "a replica that was not asked");
     store.onDisconnected("here", 10);
     store.onResponse("here", success(sent.get(0).call), 15);
-    assertFalse(future.isDone(), "the line on which it was asked has ended");
+    assertFalse(future.isDone(), "the connection on which it was asked is closed");
     store.tick(50);
     assertEquals(sent.size(), 2);
     store.onResponse(sent.get(1).to, success(sent.get(1).call), 60);
@@ -160,7 +157,7 @@
     assertEquals(
         call.aged(40, 1000).leaving(77L, 1600).age,
         640,
-        "a process that stood still between the two");
+        "a process that was paused between the two");
     assertEquals((long) call.leaving(77L, 1000).clock, 77);
     assertEquals(call.leaving(null, 1000).clock, null);
   }
--- a/simulation/src/test/java/weldpoint/registry/CopiesTest.java
+++ b/simulation/src/test/java/weldpoint/registry/CopiesTest.java
@@ -19,10 +19,7 @@
 import weldpoint.transport.Serializer;
 import weldpoint.transport.StoreMessages;
 
-/**
- * Three exchanges whose copies of calls are lost, come late by seconds, and cross changes of duty:
- * nothing is carried out twice or out of its time.
- */
+/** Three registries whose copies of calls are lost, arrive seconds late, and overlap with changes of the partition's holder: no call is executed twice or after its deadline. */
 public final class CopiesTest {
   private static final List<String> SEEDS = List.of("10.0.1.1", "10.0.2.1", "10.0.3.1");
   private static final String[][] MACHINES = {
@@ -261,7 +258,7 @@
       }
       if (before != evacuations || begun != (evacuations + 1) / 2) {
         violations.add(
-            evacuations + " orders, one after the other, changed the evacuation " + before + " times");
+            evacuations + " sequential evacuation commands changed the evacuation " + before + " times");
       }
       return violations;
     }
@@ -291,7 +288,7 @@
     }
     assertTrue(
         counts[0] > 30 * 150 && counts[1] > 30 * 15,
-        "only " + counts[0] + " calls for the lock and " + counts[1] + " orders");
+        "only " + counts[0] + " calls for the lock and " + counts[1] + " evacuation commands");
   }
 
   @Test
@@ -325,10 +322,7 @@
     return answer[0];
   }
 
-  /**
-   * Whoever holds the duty, found by beginning the lock under this number, or one of those after it
-   * where another holds it still.
-   */
+  /** The replica that holds the lock's partition, found by acquiring the lock under this number, or under one of the following numbers while another owner still holds the lock. */
   private static String holder(final World world, final long number, final long hold) {
     for (int round = 0; round < 40; round++) {
       for (final String address : world.simulation.running()) {
@@ -339,7 +333,7 @@
         }
       }
     }
-    throw new AssertionError("nobody holds the duty");
+    throw new AssertionError("no replica holds the partition");
   }
 
   @Test
@@ -361,7 +355,7 @@
     final StoreMessages.StoreResponse fresh =
         ask(world, next, begin(203, 100).leaving(world.simulation.now(), 0));
     assertEquals(fresh.status, 200);
-    assertEquals(fresh.first, 3, "the copy was carried out after all");
+    assertEquals(fresh.first, 3, "the copy was executed");
   }
 
   @Test
@@ -382,7 +376,7 @@
     assertEquals(
         ask(world, next, begin(205, 100).leaving(before, 0)).status,
         0,
-        "sent before the duty began, or after: not known");
+        "not known whether it was sent before the replica took over the partition or after");
     world.simulation.run(300);
     assertEquals(ask(world, next, begin(205, 100).leaving(world.simulation.now(), 0)).first, 5);
   }
