--- a/registry/src/test/java/weldpoint/registry/ConfirmationProofTest.java
+++ b/registry/src/test/java/weldpoint/registry/ConfirmationProofTest.java
@@ -17,7 +17,11 @@
 import weldpoint.transport.RegistryMessages;
 import weldpoint.transport.RegistryMessages.Registration;
 
-/** A registry's status confirms to a proxy that it was sent everything acknowledged up to some time. Checked with seven registries, five of them voters, under cuts in either direction, freezes and restarts, while upstreams leave and configurations change. */
+/**
+ * A registry's status confirms to a proxy that it was sent everything acknowledged up to some time.
+ * Checked with seven registries, five of them voters, under cuts in either direction, freezes and
+ * restarts, while upstreams leave and configurations change.
+ */
 public final class ConfirmationProofTest {
   private static final int REGISTRIES = 7;
   private static final int VOTERS = 5;
@@ -120,7 +124,10 @@
     return confirmations;
   }
 
-  /** Guards against violations of CONFIG and DRAIN: a registry that missed a push confirms to its proxies that nothing is missing. */
+  /**
+   * Guards against violations of CONFIG and DRAIN: a registry that missed a push confirms to its
+   * proxies that nothing is missing.
+   */
   @Test
   public void confirmedChangesWereSentToTheProxyBefore() {
     int confirmations = 0;
--- a/registry/src/test/java/weldpoint/registry/CutOffTest.java
+++ b/registry/src/test/java/weldpoint/registry/CutOffTest.java
@@ -12,7 +12,10 @@
 import weldpoint.transport.RegistryMessages;
 import weldpoint.transport.StateStoreMessages;
 
-/** Registries that are cut off, restarted while cut off, frozen and unfrozen: none sends a view to a new proxy or acknowledges a change without a majority. */
+/**
+ * Registries that are cut off, restarted while cut off, frozen and unfrozen: none sends a view to a
+ * new proxy or acknowledges a change without a majority.
+ */
 public final class CutOffTest {
   @BeforeClass
   public void disableLogging() {
@@ -47,9 +50,7 @@
       net.node(1).openStream("1" + round, 0);
       net.advance(1000);
       assertEquals(
-          net.node(1).views("1" + round),
-          List.of(),
-          "a new proxy was sent an old configuration");
+          net.node(1).views("1" + round), List.of(), "a new proxy was sent an old configuration");
     }
     net.cut.clear();
     net.advance(1000);
@@ -83,8 +84,7 @@
   }
 
   @Test
-  public void
-      afterAPowerLossANewProxyGetsAcknowledgedStateBeforeTheStoreHasAMajority() {
+  public void afterAPowerLossANewProxyGetsAcknowledgedStateBeforeTheStoreHasAMajority() {
     final SimulatedCoreNetwork net = settledNetwork();
     net.cut(1, true, true);
     net.version = 7;
@@ -102,7 +102,8 @@
     net.node(5).openStream("5", 0);
     net.advance(150);
     assertEquals(net.node(1).latestVersionSentTo("1"), 7);
-    assertEquals(net.node(1).views("1").get(0).version, 7, "the first view had an old configuration");
+    assertEquals(
+        net.node(1).views("1").get(0).version, 7, "the first view had an old configuration");
     assertEquals(net.node(5).latestVersionSentTo("5"), 7);
   }
 
@@ -172,7 +173,8 @@
             .heartbeat(SimulatedCoreNetwork.upstream("i", LifecycleStage.DRAINING, 2), net.now);
     net.advance(1000);
     for (final CompletableFuture<Void> future : List.of(again, gone, goneAgain, late)) {
-      assertTrue(failed(future), "acknowledged without a majority that confirmed it after the request");
+      assertTrue(
+          failed(future), "acknowledged without a majority that confirmed it after the request");
     }
   }
 
@@ -255,7 +257,8 @@
     net.cut(2, true, true);
     net.node(5).openStream("5", 0);
     net.advance(1000);
-    assertEquals(net.node(5).views("5").size() > 0, true, "3 has finished its bootstrap and counts");
+    assertEquals(
+        net.node(5).views("5").size() > 0, true, "3 has finished its bootstrap and counts");
   }
 
   @Test
@@ -375,7 +378,10 @@
     assertEquals(net.node(1).core.registryWithMajority(net.now), null);
   }
 
-  /** All registries lose power and restart; a new proxy opens a stream at the first registry and gets its view once the first quorum read is complete. */
+  /**
+   * All registries lose power and restart; a new proxy opens a stream at the first registry and
+   * gets its view once the first quorum read is complete.
+   */
   private static SimulatedCoreNetwork restartedAfterPowerLoss(
       final java.util.function.Consumer<SimulatedCoreNetwork.Node> checksOverride) {
     final SimulatedCoreNetwork net = settledNetwork();
@@ -514,7 +520,10 @@
     net.version = 7;
     net.node(1).openStream("1", 0);
     net.advance(1000);
-    assertEquals(net.node(1).latestVersionSentTo("1"), 6, "the broken variant accepts a confirmation from before the request");
+    assertEquals(
+        net.node(1).latestVersionSentTo("1"),
+        6,
+        "the broken variant accepts a confirmation from before the request");
   }
 
   @Test
--- a/registry/src/test/java/weldpoint/registry/LargeFleetTest.java
+++ b/registry/src/test/java/weldpoint/registry/LargeFleetTest.java
@@ -21,7 +21,10 @@
 import weldpoint.transport.Serializer;
 import weldpoint.transport.StoreMessages;
 
-/** What a registry sends with hundreds of proxies and upstreams: little while nothing differs, and otherwise only the differences. */
+/**
+ * What a registry sends with hundreds of proxies and upstreams: little while nothing differs, and
+ * otherwise only the differences.
+ */
 public final class LargeFleetTest {
   private static final int UPSTREAMS = 300;
   private static final int PROXIES = 400;
@@ -213,7 +216,8 @@
     final long[] unchanged = new long[1];
     exchangeMessages(sent, cores, 0, gossip(sent[0], cores[0], "10.0.0.2"), unchanged);
     assertTrue(
-        unchanged[0] < 2L * (UPSTREAMS + 2 * 100 + 200), unchanged[0] + " bytes while nothing differs");
+        unchanged[0] < 2L * (UPSTREAMS + 2 * 100 + 200),
+        unchanged[0] + " bytes while nothing differs");
     final RegistryCore[] wiped = {
       sent[0].startRegistry("10.0.0.1", UPSTREAMS), sent[1].startRegistry("10.0.0.2", 0)
     };
@@ -228,13 +232,16 @@
     final long[] few = new long[1];
     exchangeMessages(sent, different, 0, gossip(sent[0], different[0], "10.0.0.2"), few);
     assertEquals(different[1].registrations().size(), UPSTREAMS);
-    assertTrue(few[0] < refill[0] * 2, few[0] + " bytes for two differences, " + refill[0] + " for all");
+    assertTrue(
+        few[0] < refill[0] * 2, few[0] + " bytes for two differences, " + refill[0] + " for all");
   }
 
   @Test
   public void gossipDoesNotMakeHeartbeatAgesYounger() {
     final SentMessages[] sent = {new SentMessages(), new SentMessages()};
-    final RegistryCore[] cores = {sent[0].startRegistry("10.0.0.1", 4), sent[1].startRegistry("10.0.0.2", 4)};
+    final RegistryCore[] cores = {
+      sent[0].startRegistry("10.0.0.1", 4), sent[1].startRegistry("10.0.0.2", 4)
+    };
     final long silentSince = sent[0].now;
     for (int round = 0; round < 12; round++) {
       sent[1].now = sent[0].now;
--- a/registry/src/test/java/weldpoint/registry/LateBeatsTest.java
+++ b/registry/src/test/java/weldpoint/registry/LateHeartbeatsTest.java
@@ -5,8 +5,12 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-/** Calls of upstreams that arrive late, duplicated or out of order, at any registry, including one that has just started with an empty disk: the upstream that continues to send heartbeats from an address is routable at all registries again within a fixed bound. */
-public final class LateBeatsTest {
+/**
+ * Calls of upstreams that arrive late, duplicated or out of order, at any registry, including one
+ * that has just started with an empty disk: the upstream that continues to send heartbeats from an
+ * address is routable at all registries again within a fixed bound.
+ */
+public final class LateHeartbeatsTest {
   private static final int SEEDS = Integer.getInteger("beats.seeds", 60);
   private static final int REGISTRIES = 5;
   private static final int VOTERS = 3;
@@ -41,8 +45,14 @@
     }
 
     private void heartbeat(
-        final int registry, final String id, final LifecycleStage stage, final long heartbeatSequence) {
-      network.node(registry).core.heartbeat(SimulatedCoreNetwork.upstream(id, stage, heartbeatSequence), network.now);
+        final int registry,
+        final String id,
+        final LifecycleStage stage,
+        final long heartbeatSequence) {
+      network
+          .node(registry)
+          .core
+          .heartbeat(SimulatedCoreNetwork.upstream(id, stage, heartbeatSequence), network.now);
     }
 
     /** Sends a call that is late, duplicated or out of order, or restarts a registry. */
@@ -52,12 +62,28 @@
       final long other = 1 + random.nextInt((int) otherUpstreams + 1);
       switch (random.nextInt(6)) {
         case 0 -> heartbeat(randomRegistry(), "late-" + ++otherUpstreams, LifecycleStage.JOINED, 1);
-        case 1 -> heartbeat(randomRegistry(), "late-" + other, LifecycleStage.JOINED, 1 + random.nextInt(4));
-        case 2 -> heartbeat(randomRegistry(), "late-" + other, LifecycleStage.DRAINING, 1 + random.nextInt(4));
-        case 3 -> network.node(randomRegistry()).core.deregister("late-" + other, network.now, network.now);
+        case 1 ->
+            heartbeat(
+                randomRegistry(), "late-" + other, LifecycleStage.JOINED, 1 + random.nextInt(4));
+        case 2 ->
+            heartbeat(
+                randomRegistry(), "late-" + other, LifecycleStage.DRAINING, 1 + random.nextInt(4));
+        case 3 ->
+            network
+                .node(randomRegistry())
+                .core
+                .deregister("late-" + other, network.now, network.now);
         case 4 -> {
-          heartbeat(randomRegistry(), "sound", LifecycleStage.JOINED, Math.max(1, sequence - random.nextInt(3)));
-          heartbeat(randomRegistry(), "sound", LifecycleStage.JOINED, Math.max(1, sequence - random.nextInt(3)));
+          heartbeat(
+              randomRegistry(),
+              "sound",
+              LifecycleStage.JOINED,
+              Math.max(1, sequence - random.nextInt(3)));
+          heartbeat(
+              randomRegistry(),
+              "sound",
+              LifecycleStage.JOINED,
+              Math.max(1, sequence - random.nextInt(3)));
         }
         default -> {
           final int restarted = randomRegistry();
@@ -112,7 +138,10 @@
     }
   }
 
-  /** Guards against a late or duplicated call of another process that makes a healthy upstream at the same address unroutable. */
+  /**
+   * Guards against a late or duplicated call of another process that makes a healthy upstream at
+   * the same address unroutable.
+   */
   @Test
   public void currentUpstreamIsRoutableAgainWithinOneHeartbeatOfALateCall() {
     int faults = 0;
--- a/registry/src/test/java/weldpoint/registry/StandstillTest.java
+++ b/registry/src/test/java/weldpoint/registry/PausedDaemonTest.java
@@ -15,8 +15,11 @@
 import weldpoint.transport.Message;
 import weldpoint.transport.StoreMessages;
 
-/** A daemon whose process was paused: calls that waited in its sockets for longer than a caller waits are not executed. */
-public final class StandstillTest {
+/**
+ * A daemon whose process was paused: calls that waited in its sockets for longer than a caller
+ * waits are not executed.
+ */
+public final class PausedDaemonTest {
   private long now;
   private int storeCalls;
   private List<Integer> statuses;
--- a/registry/src/test/java/weldpoint/registry/RegistryCoreTest.java
+++ b/registry/src/test/java/weldpoint/registry/RegistryCoreTest.java
@@ -18,7 +18,10 @@
 import weldpoint.transport.StateStoreMessages;
 import weldpoint.transport.StoreMessages;
 
-/** Three registries that exchange messages directly, on a fake clock, with disks that sync on command. */
+/**
+ * Three registries that exchange messages directly, on a fake clock, with disks that sync on
+ * command.
+ */
 public final class RegistryCoreTest {
   private static final List<String> SEEDS = List.of("10.0.0.1", "10.0.0.2", "10.0.0.3");
 
@@ -187,7 +190,8 @@
     assertFalse(LifecycleStage.LAPSED.routable(), "no requests are sent to a lapsed upstream");
   }
 
-  private static void assertStageEverywhere(final Network net, final String id, final LifecycleStage stage) {
+  private static void assertStageEverywhere(
+      final Network net, final String id, final LifecycleStage stage) {
     for (final RegistryCore core : net.cores.values()) {
       assertEquals(LifecycleStage.of(core.registrations().get(id)), stage, id);
     }
@@ -206,7 +210,10 @@
     assertStageEverywhere(net, "old", LifecycleStage.REMOVED);
   }
 
-  /** Guards against a late first heartbeat of another process that removed a healthy upstream's registration for good, although each of the healthy upstream's heartbeats was acknowledged. */
+  /**
+   * Guards against a late first heartbeat of another process that removed a healthy upstream's
+   * registration for good, although each of the healthy upstream's heartbeats was acknowledged.
+   */
   @Test
   public void lateFirstHeartbeatLapsesTheCurrentUpstreamForAtMostOneHeartbeat() {
     for (final int late : new int[] {0, 1, 2}) {
@@ -214,7 +221,8 @@
       long sequence = 0;
       for (int round = 0; round < 3; round++) {
         final RegistryCore core = net.cores.get(SEEDS.get(round));
-        core.heartbeat(heartbeat("sound", "10.9.0.1:80", LifecycleStage.JOINED, ++sequence), net.now);
+        core.heartbeat(
+            heartbeat("sound", "10.9.0.1:80", LifecycleStage.JOINED, ++sequence), net.now);
         net.advance(1500);
       }
       net.cores
@@ -223,7 +231,8 @@
       net.advance(1500);
       for (int round = 0; round < 4; round++) {
         final RegistryCore core = net.cores.get(SEEDS.get(round % 3));
-        core.heartbeat(heartbeat("sound", "10.9.0.1:80", LifecycleStage.JOINED, ++sequence), net.now);
+        core.heartbeat(
+            heartbeat("sound", "10.9.0.1:80", LifecycleStage.JOINED, ++sequence), net.now);
         net.advance(300);
         assertStageEverywhere(net, "sound", LifecycleStage.JOINED);
         net.advance(1200);
@@ -232,7 +241,10 @@
     }
   }
 
-  /** Guards against two late first heartbeats within one heartbeat interval that removed a healthy upstream for good. */
+  /**
+   * Guards against two late first heartbeats within one heartbeat interval that removed a healthy
+   * upstream for good.
+   */
   @Test
   public void twoLateFirstHeartbeatsRemoveNoUpstream() {
     final Network net = new Network();
@@ -255,7 +267,10 @@
     assertStageEverywhere(net, "sound", LifecycleStage.JOINED);
   }
 
-  /** Guards against a late drain of an unknown upstream that made a healthy one at the same address unroutable. */
+  /**
+   * Guards against a late drain of an unknown upstream that made a healthy one at the same address
+   * unroutable.
+   */
   @Test
   public void lateDrainOfAnUnknownUpstreamLapsesNobody() {
     final Network net = new Network();
--- a/registry/src/test/java/weldpoint/registry/SimulatedCoreNetwork.java
+++ b/registry/src/test/java/weldpoint/registry/SimulatedCoreNetwork.java
@@ -19,7 +19,10 @@
 import weldpoint.transport.StateStoreMessages;
 import weldpoint.transport.StoreMessages;
 
-/** A simulated network of registries on a fake clock, with a scripted state store: connections that can be cut in one direction, frozen processes, restarts with and without the disk. */
+/**
+ * A simulated network of registries on a fake clock, with a scripted state store: connections that
+ * can be cut in one direction, frozen processes, restarts with and without the disk.
+ */
 final class SimulatedCoreNetwork {
   private static final long LINK_MILLIS = 5;
   private static final long DISCONNECT_MILLIS = 1900;
@@ -271,7 +274,8 @@
   private boolean hasMajority(final String address) {
     int count = 0;
     for (final StateStoreMessages.Voter voter : roster.voters) {
-      final boolean runs = nodes.get(voter.address).incarnation > 0 && !nodes.get(voter.address).frozen;
+      final boolean runs =
+          nodes.get(voter.address).incarnation > 0 && !nodes.get(voter.address).frozen;
       count +=
           runs
                   && (voter.address.equals(address)
@@ -282,7 +286,10 @@
     return !storeDown && count >= roster.majority();
   }
 
-  /** Answers a call as the state store replica of a machine does if a majority confirms: at once if something changed, otherwise after 700 ms. */
+  /**
+   * Answers a call as the state store replica of a machine does if a majority confirms: at once if
+   * something changed, otherwise after 700 ms.
+   */
   private void answerStoreCall(
       final String at,
       final StoreMessages.StoreRequest call,
@@ -343,7 +350,10 @@
     deferred.forEach(Runnable::run);
   }
 
-  /** Opens connections where both directions pass, and closes those that have been silent for too long. */
+  /**
+   * Opens connections where both directions pass, and closes those that have been silent for too
+   * long.
+   */
   private void updateConnections() {
     for (final Node node : nodes.values()) {
       if (node.incarnation == 0 || node.frozen) {
@@ -354,7 +364,9 @@
           continue;
         }
         final boolean bothWays =
-            delivers(node.address, other) && delivers(other, node.address) && !nodes.get(other).frozen;
+            delivers(node.address, other)
+                && delivers(other, node.address)
+                && !nodes.get(other).frozen;
         if (bothWays) {
           node.silentSince.put(other, now);
           if (node.connections.add(other)) {
--- a/registry/src/test/java/weldpoint/registry/StoreClientTest.java
+++ b/registry/src/test/java/weldpoint/registry/StoreClientTest.java
@@ -14,7 +14,11 @@
 import weldpoint.statestore.StoreOperation;
 import weldpoint.transport.StoreMessages;
 
-/** Calls to state store replicas over scripted connections: each carries the identity of the calling process, and a response counts only if it comes from a replica that was asked and names this process. */
+/**
+ * Calls to state store replicas over scripted connections: each carries the identity of the calling
+ * process, and a response counts only if it comes from a replica that was asked and names this
+ * process.
+ */
 public final class StoreClientTest {
   private record Sent(String to, StoreMessages.StoreRequest call) {}
 
@@ -70,7 +74,8 @@
     assertNotEquals(current.caller, earlier.caller);
     later.onResponse("here", success(earlier), 20);
     assertFalse(future.isDone());
-    later.onResponse("here", new StoreMessages.StoreResponse(current.number, 200, 7, null, null), 20);
+    later.onResponse(
+        "here", new StoreMessages.StoreResponse(current.number, 200, 7, null, null), 20);
     assertFalse(future.isDone(), "a response that names no caller");
     later.onResponse("here", success(current), 20);
     assertTrue(future.isDone());
--- a/simulation/src/test/java/weldpoint/registry/CopiesTest.java
+++ b/simulation/src/test/java/weldpoint/registry/DuplicateCallsTest.java
@@ -19,8 +19,11 @@
 import weldpoint.transport.Serializer;
 import weldpoint.transport.StoreMessages;
 
-/** Three registries whose copies of calls are lost, arrive seconds late, and overlap with changes of the partition's holder: no call is executed twice or after its deadline. */
-public final class CopiesTest {
+/**
+ * Three registries whose copies of calls are lost, arrive seconds late, and overlap with changes of
+ * the partition's holder: no call is executed twice or after its deadline.
+ */
+public final class DuplicateCallsTest {
   private static final List<String> SEEDS = List.of("10.0.1.1", "10.0.2.1", "10.0.3.1");
   private static final String[][] MACHINES = {
     {"10.0.1.1", "a", "x"},
@@ -258,7 +261,10 @@
       }
       if (before != evacuations || begun != (evacuations + 1) / 2) {
         violations.add(
-            evacuations + " sequential evacuation commands changed the evacuation " + before + " times");
+            evacuations
+                + " sequential evacuation commands changed the evacuation "
+                + before
+                + " times");
       }
       return violations;
     }
@@ -322,7 +328,10 @@
     return answer[0];
   }
 
-  /** The replica that holds the lock's partition, found by acquiring the lock under this number, or under one of the following numbers while another owner still holds the lock. */
+  /**
+   * The replica that holds the lock's partition, found by acquiring the lock under this number, or
+   * under one of the following numbers while another owner still holds the lock.
+   */
   private static String holder(final World world, final long number, final long hold) {
     for (int round = 0; round < 40; round++) {
       for (final String address : world.simulation.running()) {
