--- a/registry/src/main/java/weldpoint/registry/DaemonTable.java
+++ b/registry/src/main/java/weldpoint/registry/DaemonTable.java
@@ -14,12 +14,25 @@
  * registries, and when each was last heard of.
  */
 final class DaemonTable {
+  /** A proxy heard of within this time is live. */
   static final long LIVE_MILLIS = 4000;
+
+  /** A daemon that was not heard of for this time is gone. */
   static final long GONE_MILLIS = 20_000;
+
+  /** A proxy heard of within this time is listed among the proxies of its site. */
   static final long SITE_MEMBER_MILLIS = 10_000;
+
+  /** The time a daemon has to reconnect after its stream ended. */
   private static final long RECONNECT_GRACE_MILLIS = 700;
+
+  /** A daemon heard of within this time is still gossiped. */
   private static final long RETENTION_MILLIS = 60_000;
+
+  /** A proxy heard of within this time counts towards the peak. */
   private static final long COUNTED_MILLIS = 10_000;
+
+  /** How long a peak is kept before a smaller count replaces it. */
   private static final long PEAK_WINDOW_MILLIS = 20_000;
 
   /** A proxy or cache daemon. */
--- a/registry/src/main/java/weldpoint/registry/Electorates.java
+++ b/registry/src/main/java/weldpoint/registry/Electorates.java
@@ -21,6 +21,7 @@
  * the state store once it has been stable for a while, and sent to the region's proxies.
  */
 final class Electorates {
+  /** How long the proxies of a region must be unchanged before their electorate is written. */
   private static final long STABLE_MILLIS = 2000;
 
   /** Writes a region's electorate to the state store. */
--- a/registry/src/main/java/weldpoint/registry/MajorityReachability.java
+++ b/registry/src/main/java/weldpoint/registry/MajorityReachability.java
@@ -17,6 +17,8 @@
 class MajorityReachability {
   private static final long CUT_OFF_MILLIS = 1500;
   private static final long PROBE_INTERVAL_MILLIS = 300;
+
+  /** How long a peer's report is used. */
   private static final long REPORT_VALID_MILLIS = 1000;
 
   private record PeerReport(long receivedAt, long majorityAgeMillis) {}
--- a/registry/src/main/java/weldpoint/registry/ProxyStreams.java
+++ b/registry/src/main/java/weldpoint/registry/ProxyStreams.java
@@ -19,6 +19,7 @@
  * view, and those that wait for it.
  */
 final class ProxyStreams {
+  /** How long after its opening a waiting stream is left out of the status. */
   private static final long INITIAL_VIEW_GRACE_MILLIS = 900;
 
   private final BiConsumer<Object, Message> sender;
--- a/registry/src/main/java/weldpoint/registry/QuorumReads.java
+++ b/registry/src/main/java/weldpoint/registry/QuorumReads.java
@@ -15,8 +15,13 @@
  * earlier ones as well.
  */
 class QuorumReads {
+  /** After this time without a majority, another read is started. */
   private static final long RETRY_MILLIS = 400;
+
+  /** The least time between the starts of two requested reads. */
   private static final long MIN_INTERVAL_MILLIS = 40;
+
+  /** The start times of this many completed reads are kept. */
   private static final long RETAINED_READS = 64;
 
   private final String self;
--- a/registry/src/main/java/weldpoint/registry/Registrations.java
+++ b/registry/src/main/java/weldpoint/registry/Registrations.java
@@ -15,10 +15,19 @@
  * heartbeat, and which are suspect.
  */
 final class Registrations {
+  /** Above this number of removed registrations, one is dropped at a time. */
   private static final int MAX_REMOVED = 2000;
+
+  /** Heartbeat intervals of silence after which an upstream is suspect. */
   private static final long SUSPECT_HEARTBEATS = 4;
+
+  /** Heartbeat intervals of silence after which an upstream may be lapsed or removed. */
   static final long LAPSE_HEARTBEATS = 20;
+
+  /** Heartbeat intervals of silence after which an upstream loses a contested address. */
   private static final long CONTEST_HEARTBEATS = 2;
+
+  /** The largest heartbeat age on the wire: this age or older. */
   private static final int MAX_AGE = 255;
 
   private final long heartbeatMillis;
--- a/registry/src/main/java/weldpoint/registry/RegistryCore.java
+++ b/registry/src/main/java/weldpoint/registry/RegistryCore.java
@@ -62,13 +62,19 @@
   /** After this time without a confirmed majority, a fresh confirmation is requested. */
   private static final long RECONFIRM_AFTER_MILLIS = 1600;
 
-  /** How long a voter withholds acknowledgements after its start, and leases that to its peers. */
+  /** How long a voter withholds acknowledgements after a restart, and leases that to its peers. */
   private static final long START_LEASE_MILLIS = 1500;
 
-  /** A voter without complete data bootstraps for at least this time after its start. */
+  /**
+   * A bootstrapping voter starts the quorum read that completes its data no earlier after its
+   * start.
+   */
   private static final long MIN_BOOTSTRAP_MILLIS = 1500;
 
-  /** After this time without a majority of complete voters, it counts with the data it has. */
+  /**
+   * After this time without a majority of complete voters, a voter that still reaches a majority of
+   * state store replicas counts with the data it has.
+   */
   private static final long MAX_BOOTSTRAP_MILLIS = 10_000;
 
   /** How long after a change of roster a write needs majorities of both rosters. */
--- a/registry/src/main/java/weldpoint/registry/RegistryDaemon.java
+++ b/registry/src/main/java/weldpoint/registry/RegistryDaemon.java
@@ -38,7 +38,7 @@
 /**
  * The registry as a process: it serves the control calls, keeps the membership of upstreams,
  * proxies and cache daemons, and updates proxies and caches over their streams. All state is in
- * {@link RegistryCore}, which is called only from the serial executor.
+ * {@link RegistryCore}, which, once started, is called only from the serial executor.
  */
 public final class RegistryDaemon implements Daemon {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
--- a/registry/src/main/java/weldpoint/registry/StoreClient.java
+++ b/registry/src/main/java/weldpoint/registry/StoreClient.java
@@ -19,7 +19,10 @@
  * replica to which a copy is in flight on a connection that is still open.
  */
 final class StoreClient {
+  /** The delay before a call that no replica took is sent again. */
   private static final long RETRY_MILLIS = 30;
+
+  /** After this time without a response, a call is sent again. */
   private static final long RESPONSE_TIMEOUT_MILLIS = 400;
 
   /** Sends a call to a replica; false if there is no connection to it. */
