--- a/registry/src/main/java/weldpoint/registry/RegistryCore.java
+++ b/registry/src/main/java/weldpoint/registry/RegistryCore.java
@@ -636,7 +636,7 @@
               if (answer.status != 200) {
                 throw new WeldpointException(
                     WeldpointException.Kind.OUT_OF_REACH,
-                    "no majority of state store replicas confirmed the control state; retry at another daemon");
+                    "no majority of replicas confirmed the control state; retry elsewhere");
               }
               applyControlSnapshot(
                   Serializer.deserialize(answer.body, StoredValues.ControlSnapshot.class), now);
@@ -1810,7 +1810,7 @@
     metrics.add(
         Metric.counter(
             "weldpoint_superseded_registrations",
-            "Registrations lapsed or removed since another upstream sent heartbeats from their address.",
+            "Registrations ended by heartbeats of another upstream from their address.",
             registrations.supersededCount()));
     metrics.add(Metric.gauge("weldpoint_streams", "Streams to proxies.", proxyStreams.size()));
     metrics.add(
--- a/registry/src/main/java/weldpoint/registry/StoreClient.java
+++ b/registry/src/main/java/weldpoint/registry/StoreClient.java
@@ -263,7 +263,7 @@
         pendingCall.future.completeExceptionally(
             new WeldpointException(
                 WeldpointException.Kind.OUT_OF_REACH,
-                "the replica that holds the partition did not answer in time; retry at another daemon"));
+                "the holder of the partition did not answer in time; retry elsewhere"));
       } else if (pendingCall.resendAt != 0 && now >= pendingCall.resendAt) {
         send(pendingCall, now);
       } else if (pendingCall.target != null
