--- a/cli/src/main/java/weldpoint/cli/RecordCommand.java
+++ b/cli/src/main/java/weldpoint/cli/RecordCommand.java
@@ -94,7 +94,7 @@
                 sites.equals(evacuated) ? null : sites));
         evacuated = sites;
       }
-      for (final RecordingBuffer.CollectedBatch kept : Protocol.list(drained.reels)) {
+      for (final RecordingBuffer.CollectedBatch kept : Protocol.list(drained.batches)) {
         final String life = kept.batch.board + "#" + kept.batch.incarnation;
         final long offset = asked - kept.ageMillis - kept.batch.sentAt;
         offsets.merge(life, offset, Math::min);
@@ -177,7 +177,7 @@
                   new ControlClient(List.of(address)).bytes("record.drain", "all"),
                   RecordingBuffer.Collection.class);
           collector.add(address, drained, asked, System.nanoTime() / 1_000_000);
-          on |= drained.on;
+          on |= drained.recording;
           heard = true;
           missed.remove(address);
         } catch (final WeldpointException silent) {
--- a/registry/src/main/java/weldpoint/registry/AssignerEnvironment.java
+++ b/registry/src/main/java/weldpoint/registry/AssignerEnvironment.java
@@ -11,7 +11,7 @@
 
 /** What an assigner does, done: writes to the state store and calls of upstreams. */
 final class AssignerEnvironment implements Assigner.Environment {
-  private static final long WRITE_MILLIS = 900;
+  private static final long WRITE_TIMEOUT_MILLIS = 900;
 
   private final StoreClient store;
   private final KeyGrantClient grantClient;
@@ -30,7 +30,7 @@
   }
 
   @Override
-  public void write(final Assignment next, final Runnable done) {
+  public void write(final Assignment next, final Runnable callback) {
     store
         .call(
             StoreOperation.OWNERSHIP_WRITE,
@@ -41,21 +41,22 @@
             Serializer.serialize(next),
             null,
             clock.getAsLong(),
-            WRITE_MILLIS)
-        .whenComplete((answer, problem) -> done.run());
+            WRITE_TIMEOUT_MILLIS)
+        .whenComplete((response, problem) -> callback.run());
   }
 
   @Override
-  public void grant(final KeyRange range, final long sendBy, final Consumer<CallResult> done) {
-    grantClient.grant(range, sendBy, done);
+  public void grant(
+      final KeyRange range, final long sendDeadline, final Consumer<CallResult> callback) {
+    grantClient.grant(range, sendDeadline, callback);
   }
 
   @Override
   public void release(
       final KeyRange range,
-      final long sendBy,
-      final long answerBy,
-      final Consumer<CallResult> done) {
-    grantClient.release(range, sendBy, answerBy, done);
+      final long sendDeadline,
+      final long responseDeadline,
+      final Consumer<CallResult> callback) {
+    grantClient.release(range, sendDeadline, responseDeadline, callback);
   }
 }
--- a/registry/src/main/java/weldpoint/registry/ControlApi.java
+++ b/registry/src/main/java/weldpoint/registry/ControlApi.java
@@ -5,32 +5,35 @@
 import io.avaje.jsonb.Jsonb;
 import java.util.List;
 
-/** The bodies of calls to the system's own interfaces, and of its answers. */
+/**
+ * The JSON bodies of the control interface, the directory and the calls of upstreams, requests and
+ * responses. The names of record components are the names on the wire.
+ */
 public final class ControlApi {
   private static final Jsonb JSON = Jsonb.builder().build();
-  static final JsonType<UpstreamHeartbeat> BEAT = JSON.type(UpstreamHeartbeat.class);
-  static final JsonType<LockRequest> GRIP = JSON.type(LockRequest.class);
+  static final JsonType<UpstreamHeartbeat> HEARTBEAT = JSON.type(UpstreamHeartbeat.class);
+  static final JsonType<LockRequest> LOCK_REQUEST = JSON.type(LockRequest.class);
   static final JsonType<CellPut> CELL_PUT = JSON.type(CellPut.class);
-  static final JsonType<UpstreamHeartbeatResponse> BEAT_ANSWER =
+  static final JsonType<UpstreamHeartbeatResponse> HEARTBEAT_RESPONSE =
       JSON.type(UpstreamHeartbeatResponse.class);
   static final JsonType<Resolution> RESOLUTION = JSON.type(Resolution.class);
-  static final JsonType<FencingToken> FENCE = JSON.type(FencingToken.class);
-  static final JsonType<NumberResponse> NUMBER = JSON.type(NumberResponse.class);
+  static final JsonType<FencingToken> FENCING_TOKEN = JSON.type(FencingToken.class);
+  static final JsonType<NumberResponse> NUMBER_RESPONSE = JSON.type(NumberResponse.class);
   static final JsonType<Revision> REVISION = JSON.type(Revision.class);
-  static final JsonType<CellResponse> CELL = JSON.type(CellResponse.class);
-  static final JsonType<WatchResponse> WATCH = JSON.type(WatchResponse.class);
+  static final JsonType<CellResponse> CELL_RESPONSE = JSON.type(CellResponse.class);
+  static final JsonType<WatchResponse> WATCH_RESPONSE = JSON.type(WatchResponse.class);
   static final JsonType<Problem> PROBLEM = JSON.type(Problem.class);
 
   static final JsonType<State> STATE = JSON.type(State.class);
-  static final JsonType<PurgeRequest> PURGE = JSON.type(PurgeRequest.class);
-  static final JsonType<TrialRequest> TRIAL_ORDER = JSON.type(TrialRequest.class);
+  static final JsonType<PurgeRequest> PURGE_REQUEST = JSON.type(PurgeRequest.class);
+  static final JsonType<TrialRequest> TRIAL_REQUEST = JSON.type(TrialRequest.class);
   static final JsonType<TrialStatus> TRIAL_STATUS = JSON.type(TrialStatus.class);
 
   static final JsonType<HistoryQuery> HISTORY_QUERY = JSON.type(HistoryQuery.class);
-  static final JsonType<HistoryResponse> HISTORY = JSON.type(HistoryResponse.class);
-  static final JsonType<ReachResponse> REACH = JSON.type(ReachResponse.class);
+  static final JsonType<HistoryResponse> HISTORY_RESPONSE = JSON.type(HistoryResponse.class);
+  static final JsonType<ReachResponse> REACH_RESPONSE = JSON.type(ReachResponse.class);
 
-  static final JsonType<StatusResponse> STATUS = JSON.type(StatusResponse.class);
+  static final JsonType<StatusResponse> STATUS_RESPONSE = JSON.type(StatusResponse.class);
 
   static final JsonType<Grant> GRANT = JSON.type(Grant.class);
 
@@ -39,20 +42,21 @@
   private ControlApi() {}
 
   /**
-   * Gives an upstream the keys from source to targetVersion, both inside, for holdMs from its
-   * arrival.
+   * Grants an upstream the keys from source to targetVersion, both inclusive, for holdMs from the
+   * arrival of the call.
    */
   @Json
   public record Grant(
       int source, int targetVersion, long fenceNumber, long holdMs, String transfer) {}
 
-  /** Takes keys back from an upstream. */
+  /** Asks an upstream to release the keys from source to targetVersion, both inclusive. */
   @Json
   public record Release(int source, int targetVersion, long fenceNumber) {}
 
   /**
-   * What one exchange knows. Counts of tied writes are those of the switchboards that hold leases,
-   * from the keeper only; disk is what the exchange itself takes there.
+   * What one registry knows. Counts of writes on routes with affinity are those of the proxies that
+   * hold leases, and are known to the owner of the leases (field keeper) only; disk is the disk
+   * space that the registry itself uses.
    */
   @Json
   public record StatusResponse(
@@ -73,7 +77,8 @@
       List<KeyRangeStatus> keys) {}
 
   /**
-   * Who holds a range of a divided service's keys, both ends inside, and which registry assigns.
+   * The holder of a range of the keys of a partitioned service, both ends inclusive, and the
+   * registry that assigns the keys.
    */
   @Json
   public record KeyRangeStatus(
@@ -85,23 +90,26 @@
       long fence,
       String state) {}
 
-  /** One daemon as it told last; heardMs is -1 for one that has never been heard of. */
+  /**
+   * One daemon as it last reported itself; mark is its register version, heardMs the age of the
+   * report, or -1 if it has never reported.
+   */
   @Json
   public record DaemonStatus(
       String address, String program, String version, long mark, long heardMs) {}
 
-  /** One service's placement. */
+  /** The placement of one service. */
   @Json
   public record PlacementStatus(
       String service, long epoch, int nodes, boolean prepared, int nextNodes) {}
 
-  /** How many tied writes ended so. */
+  /** How many writes on routes with affinity ended with this outcome. */
   @Json
   public record WriteCount(String outcome, long count) {}
 
   /**
-   * What of the history of routing changes is asked for: entries by number, by time (both ends
-   * included), by route, zone or service, and by author.
+   * Selects entries of the history of routing changes: by number, by time (both ends inclusive), by
+   * route, zone or service, and by author; most limits their number.
    */
   @Json
   public record HistoryQuery(
@@ -129,8 +137,8 @@
       String previous) {}
 
   /**
-   * A part of the history: whether all decided entries of the range are in it, how far the history
-   * reaches, and where to go on.
+   * A page of the history: whether it contains all decided entries of the range, how far the
+   * history reaches, and the entry at which the next page begins (0 if there is none).
    */
   @Json
   public record HistoryResponse(
@@ -142,17 +150,17 @@
       long next,
       List<HistoryEntry> entries) {}
 
-  /** How one daemon stands to a change: IN_FORCE, NOT_YET or UNHEARD. */
+  /** Whether one daemon has applied a change: IN_FORCE, NOT_YET or UNHEARD (state unknown). */
   @Json
   public record DaemonReach(
       String address, String program, String state, String since, String note) {}
 
-  /** Which daemons had a change in force. */
+  /** Which daemons have applied a change. */
   @Json
   public record ReachResponse(
       boolean complete, String problem, HistoryEntry change, List<DaemonReach> daemons) {}
 
-  /** A beat of an upstream. */
+  /** A heartbeat of an upstream. */
   @Json
   public record UpstreamHeartbeat(
       String service,
@@ -164,51 +172,51 @@
       Double warmupLeftMs,
       Long callSeq) {}
 
-  /** A call about a lock. */
+  /** The body of the lock calls. */
   @Json
   public record LockRequest(String owner, Long fenceNumber, Double holdMs) {}
 
-  /** A put of a key. */
+  /** Replaces the value of a cell. */
   @Json
   public record CellPut(String value, Long enabled) {}
 
-  /** The answer to a beat. */
+  /** The response to a heartbeat: the address to which the next one should be sent. */
   @Json
   public record UpstreamHeartbeatResponse(String beatTarget) {}
 
-  /** A directory answer. */
+  /** The response of the directory: addresses of proxies, and how long they may be cached. */
   @Json
   public record Resolution(List<String> addresses, double ttlS) {}
 
-  /** A lock was taken. */
+  /** The fencing token of a lock that was granted. */
   @Json
   public record FencingToken(long fenceNumber) {}
 
-  /** A number. */
+  /** The next number of a sequence. */
   @Json
   public record NumberResponse(long value) {}
 
-  /** A revision of a key. */
+  /** The revision of a cell. */
   @Json
   public record Revision(long revision) {}
 
-  /** What a key holds. */
+  /** The value and revision of a cell. */
   @Json
   public record CellResponse(String value, long revision) {}
 
-  /** A put that a watch saw. */
+  /** A replaced cell, as a watch reports it. */
   @Json
   public record Event(String name, String value, long revision) {}
 
-  /** What a watch saw. */
+  /** The events that a watch collected, and the revision after which to continue. */
   @Json
   public record WatchResponse(List<Event> events, long revision) {}
 
-  /** Why a call was refused, with the remedy. */
+  /** Why a call was refused, and how to fix it. */
   @Json
   public record Problem(String error, String kind) {}
 
-  /** An order to begin a trial; the route is named by the call. */
+  /** A request to begin a trial; the route is named by the call. */
   @Json
   public record TrialRequest(
       String oldService,
@@ -219,7 +227,7 @@
       Double lateAllowance,
       String reason) {}
 
-  /** What was counted for one version, writes apart from other requests. */
+  /** The counts of one version, writes apart from other requests. */
   @Json
   public record VersionCounts(
       String service,
@@ -231,7 +239,7 @@
       long others,
       long othersFailed) {}
 
-  /** What one switchboard, or all of them, have counted. */
+  /** The trial counts of one proxy, or of all of them. */
   @Json
   public record ProxyTrialCounts(
       String switchboard,
@@ -240,7 +248,7 @@
       long rehearsed,
       long confirmedAtStage) {}
 
-  /** How a trial stands. */
+  /** The status of a trial. */
   @Json
   public record TrialStatus(
       String route,
@@ -256,11 +264,11 @@
       ProxyTrialCounts total,
       List<ProxyTrialCounts> switchboards) {}
 
-  /** A purge: an object by host and path, or a label. */
+  /** A purge of the cache: one object by host and path, or all objects with a tag. */
   @Json
   public record PurgeRequest(String host, String path, String tag) {}
 
-  /** How something stands, in words. */
+  /** The state of the recording, in words. */
   @Json
   public record State(String state) {}
 }
--- a/registry/src/main/java/weldpoint/registry/ControlCall.java
+++ b/registry/src/main/java/weldpoint/registry/ControlCall.java
@@ -5,7 +5,7 @@
 import weldpoint.audit.CanonicalJson;
 import weldpoint.audit.ConfigurationSummary;
 import weldpoint.common.WeldpointException;
-import weldpoint.registry.ControlCommand.CutOff;
+import weldpoint.registry.ControlCommand.CutOffPolicy;
 import weldpoint.routing.RoutingTable;
 import weldpoint.routing.SpecDocument;
 import weldpoint.statestore.StoreOperation;
@@ -14,31 +14,31 @@
 import weldpoint.transport.StoreMessages;
 import weldpoint.transport.TrialMessages;
 
-/** The calls of the control interface, by their names on the wire. */
+/** The calls of the control interface, by their wire names. Used by {@link ControlServer}. */
 enum ControlCall {
-  BEAT("instances.heartbeat", CutOff.RUN_UNANSWERED) {
+  HEARTBEAT("instances.heartbeat", CutOffPolicy.RUN_UNCONFIRMED) {
     @Override
     ControlCommand decode(
         final ControlServer server, final String id, final byte[] body, final Origin origin) {
-      return server.beat(id, ControlServer.read(ControlApi.BEAT, body));
+      return server.heartbeat(id, ControlServer.parseBody(ControlApi.HEARTBEAT, body));
     }
   },
   DEREGISTER("instances.deregister") {
     @Override
     ControlCommand decode(
         final ControlServer server, final String id, final byte[] body, final Origin origin) {
-      return (now, waits) ->
+      return (now, callerWaits) ->
           server
               .core()
-              .deregister(ControlServer.named(id), server.clock().dayMillis(), now)
+              .deregister(ControlServer.requireId(id), server.clock().wallMillis(), now)
               .thenApply(done -> ControlReply.EMPTY);
     }
   },
-  SPEC_REPLACE("configuration.replace") {
+  CONFIGURATION_REPLACE("configuration.replace") {
     @Override
     ControlCommand decode(
         final ControlServer server, final String id, final byte[] body, final Origin origin) {
-      return (now, waits) -> {
+      return (now, callerWaits) -> {
         final SpecDocument document = RoutingTable.read(body);
         final RoutingTable routingTable = RoutingTable.compile(document);
         final byte[] packed = Compression.deflate(body);
@@ -50,95 +50,106 @@
                     origin.caller(),
                     Compression.deflate(
                         Serializer.serialize(ConfigurationSummary.of(document, body))));
-        final boolean tied = routingTable.all().stream().anyMatch(route -> route.affinity != null);
+        final boolean affinityUsed =
+            routingTable.all().stream().anyMatch(route -> route.affinity != null);
         return server
             .core()
             .replace(
                 routingTable.version(),
-                tied,
+                affinityUsed,
                 packed,
                 CanonicalJson.digest(body),
                 cause,
-                ControlServer.CALL_MILLIS,
+                ControlServer.CALL_TIMEOUT_MILLIS,
                 now)
-            .thenApply(ControlServer::notTaken)
+            .thenApply(ControlServer::requireVersionFree)
             .thenCompose(
-                answer ->
-                    answer.status != 200
+                response ->
+                    response.status != 200
                         ? CompletableFuture.completedFuture(
-                            ControlServer.status(answer, ControlReply.EMPTY))
+                            ControlServer.replyFor(response, ControlReply.EMPTY))
                         : server
                             .core()
                             .spread(
                                 routingTable.version(),
-                                answer.first == routingTable.version() ? packed : null,
+                                response.first == routingTable.version() ? packed : null,
                                 now)
                             .thenApply(done -> ControlReply.EMPTY));
       };
     }
   },
-  SPEC_READ("configuration.read") {
+  CONFIGURATION_READ("configuration.read") {
     @Override
     ControlCommand decode(
         final ControlServer server, final String id, final byte[] body, final Origin origin) {
-      return (now, waits) ->
+      return (now, callerWaits) ->
           server
               .core()
-              .call(StoreOperation.SPEC_READ, "", null, 0, 0, null, ControlServer.CALL_MILLIS, now)
+              .call(
+                  StoreOperation.SPEC_READ,
+                  "",
+                  null,
+                  0,
+                  0,
+                  null,
+                  ControlServer.CALL_TIMEOUT_MILLIS,
+                  now)
               .thenApply(
-                  answer ->
-                      answer.status == 200
-                          ? new ControlReply(200, Compression.inflate(answer.body))
-                          : ControlServer.status(
-                              answer,
+                  response ->
+                      response.status == 200
+                          ? new ControlReply(200, Compression.inflate(response.body))
+                          : ControlServer.replyFor(
+                              response,
                               ControlReply.problem(
-                                  answer.status, "no configuration has been taken yet; send one")));
+                                  response.status,
+                                  "no configuration has been accepted yet; send one")));
     }
   },
   EVACUATION_BEGIN("evacuation.begin") {
     @Override
     ControlCommand decode(
         final ControlServer server, final String id, final byte[] body, final Origin origin) {
-      return server.evacuate(ControlServer.named(id), 1, origin);
+      return server.evacuate(ControlServer.requireId(id), 1, origin);
     }
   },
   EVACUATION_FINISH("evacuation.finish") {
     @Override
     ControlCommand decode(
         final ControlServer server, final String id, final byte[] body, final Origin origin) {
-      return server.evacuate(ControlServer.named(id), 0, origin);
+      return server.evacuate(ControlServer.requireId(id), 0, origin);
     }
   },
   TRIAL_BEGIN("trial.begin") {
     @Override
     ControlCommand decode(
         final ControlServer server, final String id, final byte[] body, final Origin origin) {
-      final ControlApi.TrialRequest order = ControlServer.read(ControlApi.TRIAL_ORDER, body);
-      return (now, waits) ->
+      final ControlApi.TrialRequest request =
+          ControlServer.parseBody(ControlApi.TRIAL_REQUEST, body);
+      return (now, callerWaits) ->
           server
               .core()
               .trials()
               .begin(
-                  ControlServer.named(id),
-                  order,
+                  ControlServer.requireId(id),
+                  request,
                   server.core().cause(origin.author(), origin.caller(), null),
                   now)
-              .thenApply(server::trial);
+              .thenApply(server::trialStatus);
     }
   },
   TRIAL_ADVANCE("trial.advance") {
     @Override
     ControlCommand decode(
         final ControlServer server, final String id, final byte[] body, final Origin origin) {
-      return (now, waits) ->
+      return (now, callerWaits) ->
           server
               .core()
               .trials()
               .advance(
-                  ControlServer.named(id),
+                  ControlServer.requireId(id),
                   server.core().cause(origin.author(), origin.caller(), null),
                   now)
-              .thenApply(server::trial);
+              .thenApply(server::trialStatus);
     }
   },
   TRIAL_HOLD("trial.hold") {
@@ -146,40 +157,42 @@
     ControlCommand decode(
         final ControlServer server, final String id, final byte[] body, final Origin origin) {
       final String reason =
-          body.length == 0 ? null : ControlServer.read(ControlApi.TRIAL_ORDER, body).reason();
-      return (now, waits) ->
+          body.length == 0
+              ? null
+              : ControlServer.parseBody(ControlApi.TRIAL_REQUEST, body).reason();
+      return (now, callerWaits) ->
           server
               .core()
               .trials()
               .hold(
-                  ControlServer.named(id),
+                  ControlServer.requireId(id),
                   reason == null ? "held by an operator" : reason,
                   server.core().cause(origin.author(), origin.caller(), null),
                   now)
-              .thenApply(server::trial);
+              .thenApply(server::trialStatus);
     }
   },
   TRIAL_FINISH("trial.finish") {
     @Override
     ControlCommand decode(
         final ControlServer server, final String id, final byte[] body, final Origin origin) {
-      return (now, waits) ->
+      return (now, callerWaits) ->
           server
               .core()
               .trials()
               .finish(
-                  ControlServer.named(id),
+                  ControlServer.requireId(id),
                   server.core().cause(origin.author(), origin.caller(), null),
                   now)
-              .thenApply(server::trial);
+              .thenApply(server::trialStatus);
     }
   },
   TRIAL_STATUS("trial.status") {
     @Override
     ControlCommand decode(
         final ControlServer server, final String id, final byte[] body, final Origin origin) {
-      return (now, waits) -> {
-        ControlServer.named(id);
+      return (now, callerWaits) -> {
+        ControlServer.requireId(id);
         return server
             .core()
             .refresh(now)
@@ -187,83 +200,83 @@
                 done -> {
                   for (final TrialMessages.Trial trial : server.core().panel().trials()) {
                     if (trial.route.equals(id)) {
-                      return server.trial(trial);
+                      return server.trialStatus(trial);
                     }
                   }
                   throw new WeldpointException(
                       WeldpointException.Kind.UNKNOWN_CALL,
-                      "no trial is known on route " + id + "; begin one");
+                      "there is no trial on route " + id + "; begin one");
                 });
       };
     }
   },
-  HISTORY_READ("history.read", CutOff.ANSWERED) {
+  HISTORY_READ("history.read", CutOffPolicy.RUN) {
     @Override
     ControlCommand decode(
         final ControlServer server, final String id, final byte[] body, final Origin origin) {
       final ControlApi.HistoryQuery query =
           body.length == 0
               ? new ControlApi.HistoryQuery(null, null, null, null, null, null, null)
-              : ControlServer.read(ControlApi.HISTORY_QUERY, body);
-      return (now, waits) ->
+              : ControlServer.parseBody(ControlApi.HISTORY_QUERY, body);
+      return (now, callerWaits) ->
           server
               .core()
               .audit()
-              .read(query, server.clock().dayMillis(), now)
-              .thenApply(answer -> ControlReply.of(200, ControlApi.HISTORY, answer));
+              .read(query, server.clock().wallMillis(), now)
+              .thenApply(response -> ControlReply.of(200, ControlApi.HISTORY_RESPONSE, response));
     }
   },
-  STATUS_READ("status.read", CutOff.ANSWERED) {
+  STATUS_READ("status.read", CutOffPolicy.RUN) {
     @Override
     ControlCommand decode(
         final ControlServer server, final String id, final byte[] body, final Origin origin) {
-      return (now, waits) ->
+      return (now, callerWaits) ->
           CompletableFuture.completedFuture(
-              ControlReply.of(200, ControlApi.STATUS, server.core().status(now)));
+              ControlReply.of(200, ControlApi.STATUS_RESPONSE, server.core().status(now)));
     }
   },
-  HISTORY_REACH("history.reach", CutOff.ANSWERED) {
+  HISTORY_REACH("history.reach", CutOffPolicy.RUN) {
     @Override
     ControlCommand decode(
         final ControlServer server, final String id, final byte[] body, final Origin origin) {
-      final long sequence = ControlServer.number("of", ControlServer.named(id));
-      return (now, waits) ->
+      final long sequence = ControlServer.parseLong("of", ControlServer.requireId(id));
+      return (now, callerWaits) ->
           server
               .core()
               .audit()
-              .reach(sequence, server.core().inForce(now), server.clock().dayMillis(), now)
-              .thenApply(answer -> ControlReply.of(200, ControlApi.REACH, answer));
+              .reach(sequence, server.core().inForce(now), server.clock().wallMillis(), now)
+              .thenApply(response -> ControlReply.of(200, ControlApi.REACH_RESPONSE, response));
     }
   },
-  RECORD_BEGIN("record.begin", CutOff.ANSWERED) {
+  RECORD_BEGIN("record.begin", CutOffPolicy.RUN) {
     @Override
     ControlCommand decode(
         final ControlServer server, final String id, final byte[] body, final Origin origin) {
-      return server.record(true);
+      return server.setRecording(true);
     }
   },
-  RECORD_END("record.end", CutOff.ANSWERED) {
+  RECORD_END("record.end", CutOffPolicy.RUN) {
     @Override
     ControlCommand decode(
         final ControlServer server, final String id, final byte[] body, final Origin origin) {
-      return server.record(false);
+      return server.setRecording(false);
     }
   },
-  RECORD_STATUS("record.status", CutOff.ANSWERED) {
+  RECORD_STATUS("record.status", CutOffPolicy.RUN) {
     @Override
     ControlCommand decode(
         final ControlServer server, final String id, final byte[] body, final Origin origin) {
-      return (now, waits) ->
+      return (now, callerWaits) ->
           CompletableFuture.completedFuture(
               ControlReply.of(
                   200, ControlApi.STATE, new ControlApi.State(server.core().recording())));
     }
   },
-  RECORD_DRAIN("record.drain", CutOff.ANSWERED) {
+  RECORD_DRAIN("record.drain", CutOffPolicy.RUN) {
     @Override
     ControlCommand decode(
         final ControlServer server, final String id, final byte[] body, final Origin origin) {
-      return (now, waits) ->
+      return (now, callerWaits) ->
           CompletableFuture.completedFuture(
               new ControlReply(200, Serializer.serialize(server.core().drain(now))));
     }
@@ -274,8 +287,8 @@
         final ControlServer server, final String id, final byte[] body, final Origin origin) {
       return server.lock(
           StoreOperation.LOCK_BEGIN,
-          ControlServer.named(id),
-          ControlServer.read(ControlApi.GRIP, body));
+          ControlServer.requireId(id),
+          ControlServer.parseBody(ControlApi.LOCK_REQUEST, body));
     }
   },
   LOCK_HEARTBEAT("locks.heartbeat") {
@@ -284,114 +297,117 @@
         final ControlServer server, final String id, final byte[] body, final Origin origin) {
       return server.lock(
           StoreOperation.LOCK_HEARTBEAT,
-          ControlServer.named(id),
-          ControlServer.read(ControlApi.GRIP, body));
+          ControlServer.requireId(id),
+          ControlServer.parseBody(ControlApi.LOCK_REQUEST, body));
     }
   },
   LOCK_FINISH("locks.finish") {
     @Override
     ControlCommand decode(
         final ControlServer server, final String id, final byte[] body, final Origin origin) {
-      return server.finish(ControlServer.named(id), ControlServer.read(ControlApi.GRIP, body));
+      return server.finishLock(
+          ControlServer.requireId(id), ControlServer.parseBody(ControlApi.LOCK_REQUEST, body));
     }
   },
   CELL_REPLACE("cells.replace") {
     @Override
     ControlCommand decode(
         final ControlServer server, final String id, final byte[] body, final Origin origin) {
-      final ControlApi.CellPut put = ControlServer.read(ControlApi.CELL_PUT, body);
+      final ControlApi.CellPut put = ControlServer.parseBody(ControlApi.CELL_PUT, body);
       if (put.value() == null) {
         throw new WeldpointException(
-            WeldpointException.Kind.UNREADABLE, "a put lacks its value; send value as a string");
+            WeldpointException.Kind.UNREADABLE, "the body lacks value; send value as a string");
       }
-      return (now, waits) ->
+      return (now, callerWaits) ->
           server
               .core()
               .call(
                   StoreOperation.CELL_REPLACE,
-                  ControlServer.group(ControlServer.named(id)),
+                  ControlServer.cellGroup(ControlServer.requireId(id)),
                   put.value(),
                   put.enabled() == null ? -1 : put.enabled(),
                   0,
                   id.getBytes(StandardCharsets.UTF_8),
-                  ControlServer.CALL_MILLIS,
+                  ControlServer.CALL_TIMEOUT_MILLIS,
                   now)
               .thenApply(
-                  answer ->
-                      ControlServer.status(
-                          answer,
+                  response ->
+                      ControlServer.replyFor(
+                          response,
                           ControlReply.of(
-                              answer.status,
+                              response.status,
                               ControlApi.REVISION,
-                              new ControlApi.Revision(answer.first))));
+                              new ControlApi.Revision(response.first))));
     }
   },
   CELL_READ("cells.read") {
     @Override
     ControlCommand decode(
         final ControlServer server, final String id, final byte[] body, final Origin origin) {
-      return (now, waits) ->
+      return (now, callerWaits) ->
           server
               .core()
               .call(
                   StoreOperation.CELL_READ,
-                  ControlServer.group(ControlServer.named(id)),
+                  ControlServer.cellGroup(ControlServer.requireId(id)),
                   null,
                   0,
                   0,
                   id.getBytes(StandardCharsets.UTF_8),
-                  ControlServer.CALL_MILLIS,
+                  ControlServer.CALL_TIMEOUT_MILLIS,
                   now)
               .thenApply(
-                  answer ->
-                      answer.status == 200
+                  response ->
+                      response.status == 200
                           ? ControlReply.of(
                               200,
-                              ControlApi.CELL,
+                              ControlApi.CELL_RESPONSE,
                               new ControlApi.CellResponse(
-                                  new String(answer.body, StandardCharsets.UTF_8), answer.first))
-                          : ControlServer.status(
-                              answer,
+                                  new String(response.body, StandardCharsets.UTF_8),
+                                  response.first))
+                          : ControlServer.replyFor(
+                              response,
                               ControlReply.problem(
-                                  answer.status, "the key holds nothing; put a value first")));
+                                  response.status, "the cell has no value; replace it first")));
     }
   };
 
-  private final String wire;
-  private final CutOff cutOff;
+  private final String wireName;
+  private final CutOffPolicy cutOffPolicy;
 
-  ControlCall(final String wire) {
-    this(wire, CutOff.NOT_RUN);
+  ControlCall(final String wireName) {
+    this(wireName, CutOffPolicy.REJECT);
   }
 
-  ControlCall(final String wire, final CutOff cutOff) {
-    this.wire = wire;
-    this.cutOff = cutOff;
+  ControlCall(final String wireName, final CutOffPolicy cutOffPolicy) {
+    this.wireName = wireName;
+    this.cutOffPolicy = cutOffPolicy;
   }
 
-  static ControlCall of(final String wire) {
+  static ControlCall of(final String wireName) {
     for (final ControlCall call : values()) {
-      if (call.wire.equals(wire)) {
+      if (call.wireName.equals(wireName)) {
         return call;
       }
     }
     throw new WeldpointException(
         WeldpointException.Kind.UNKNOWN_CALL,
-        "the call '" + wire + "' is unknown; see the protocol page for the calls there are");
+        "the call '" + wireName + "' is unknown; see the protocol page for the known calls");
   }
 
-  /** What becomes of the call where this daemon is cut off. */
-  CutOff cutOff() {
-    return cutOff;
+  /** How the call is handled while this daemon is cut off from the majority. */
+  CutOffPolicy cutOffPolicy() {
+    return cutOffPolicy;
   }
 
   /**
    * Decodes a call.
    *
-   * @throws weldpoint.common.WeldpointException where it cannot be read, with what to send instead
+   * @throws weldpoint.common.WeldpointException if the call is malformed; the message says what to
+   *     send instead
    */
   abstract ControlCommand decode(ControlServer server, String id, byte[] body, Origin origin);
 
-  /** Who is behind a call: the author it names, and the address it came from. */
+  /** The origin of a call: the author that its header names, and the address of the caller. */
   record Origin(String author, String caller) {}
 }
--- a/registry/src/main/java/weldpoint/registry/ControlCommand.java
+++ b/registry/src/main/java/weldpoint/registry/ControlCommand.java
@@ -3,36 +3,40 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.BooleanSupplier;
 
-/** One decoded call. */
+/** One decoded control call. */
 interface ControlCommand {
   /**
    * Runs on the control thread.
    *
-   * @param now the steady clock, in milliseconds
-   * @param waits whether the caller still waits for the answer
+   * @param now the monotonic clock, in milliseconds
+   * @param callerWaits whether the caller still waits for the response
    */
-  CompletableFuture<ControlReply> run(long now, BooleanSupplier waits);
+  CompletableFuture<ControlReply> run(long now, BooleanSupplier callerWaits);
 
-  /** What becomes of it where this daemon is cut off. */
-  default CutOff cutOff() {
-    return CutOff.NOT_RUN;
+  /** How the call is handled while this daemon is cut off from the majority. */
+  default CutOffPolicy cutOffPolicy() {
+    return CutOffPolicy.REJECT;
   }
 
-  /** What becomes of a call where this daemon knows itself to be cut off from a majority. */
-  enum CutOff {
-    /** It is not run, and gets no clear answer. */
-    NOT_RUN,
-    /** It is run for what it tells, which binds nobody, but gets no clear answer. */
-    RUN_UNANSWERED,
-    /** It is answered: the answer itself says how much is known. */
-    ANSWERED
+  /** How a call is handled while this daemon knows that it is cut off from the majority. */
+  enum CutOffPolicy {
+    /** The call is not run; the caller is redirected or gets 504. */
+    REJECT,
+    /**
+     * The call is run for the information that it carries, which commits to nothing, but the caller
+     * is redirected or gets 504.
+     */
+    RUN_UNCONFIRMED,
+    /** The call is run and answered: the response itself says how much is known. */
+    RUN
   }
 
-  /** A call with another fate where this daemon is cut off. */
-  record Fated(ControlCommand command, CutOff cutOff) implements ControlCommand {
+  /** A command with a policy other than the default. */
+  record WithCutOffPolicy(ControlCommand command, CutOffPolicy cutOffPolicy)
+      implements ControlCommand {
     @Override
-    public CompletableFuture<ControlReply> run(final long now, final BooleanSupplier waits) {
-      return command.run(now, waits);
+    public CompletableFuture<ControlReply> run(final long now, final BooleanSupplier callerWaits) {
+      return command.run(now, callerWaits);
     }
   }
 }
--- a/registry/src/main/java/weldpoint/registry/ControlReply.java
+++ b/registry/src/main/java/weldpoint/registry/ControlReply.java
@@ -4,7 +4,7 @@
 import java.nio.charset.StandardCharsets;
 import weldpoint.common.WeldpointException;
 
-/** An answer: a status, a JSON body, and for a redirect where to. */
+/** A response: status, JSON body, and for a redirect its location (null otherwise). */
 record ControlReply(int status, byte[] body, String location) {
   static final ControlReply EMPTY = new ControlReply(200, "{}".getBytes(StandardCharsets.UTF_8));
 
--- a/registry/src/main/java/weldpoint/registry/ControlServer.java
+++ b/registry/src/main/java/weldpoint/registry/ControlServer.java
@@ -47,71 +47,77 @@
 import weldpoint.trial.TrialVerdict;
 
 /**
- * The system's own interfaces over HTTP: each call is decoded into a command, which runs on the
- * control thread.
+ * HTTP server of the registry's control interface, directory and number service.
+ *
+ * <p>Used by the registry daemon, and by simulations that call it without a network. Requests are
+ * decoded into a {@link ControlCommand} on the thread that reads them; the command runs on the
+ * control thread of the {@link RegistryCore}.
  */
 public final class ControlServer {
-  private static final int MOST_BYTES = 16 << 20;
-  static final long CALL_MILLIS = 900;
-  private static final long STANDSTILL_MILLIS = 150;
-  private static final int MOST_ADDRESSES = 64;
-  private static final int MOST_PURGED = 4096;
-  private static final String SENT_ON = "sentOn";
-
-  /** The clocks of the process. */
+  private static final int MAX_BODY_BYTES = 16 << 20;
+  static final long CALL_TIMEOUT_MILLIS = 900;
+  private static final long PAUSE_THRESHOLD_MILLIS = 150;
+  private static final int MAX_ADDRESSES = 64;
+  private static final int MAX_PURGE_CHARS = 4096;
+  private static final String REDIRECTED_PARAMETER = "sentOn";
+
+  /** The monotonic and the wall clock of the process; simulations supply their own. */
   public interface Clock {
-    /** The clock of this machine. */
+    /** The clocks of this machine. */
     Clock SYSTEM =
         new Clock() {
           @Override
-          public long steadyMillis() {
+          public long monotonicMillis() {
             return System.nanoTime() / 1_000_000;
           }
 
           @Override
-          public long dayMillis() {
+          public long wallMillis() {
             return System.currentTimeMillis();
           }
         };
 
-    /** A clock that only rises, in milliseconds. */
-    long steadyMillis();
+    /** A monotonic clock, in milliseconds. */
+    long monotonicMillis();
 
-    /** The time of day, in milliseconds; it is recorded and never used for order. */
-    long dayMillis();
+    /** The wall clock, in milliseconds since the epoch; it is recorded, never used for ordering. */
+    long wallMillis();
   }
 
-  /** Takes the answer to a call: its status and its JSON body. */
+  /** Receives the response to a call: its status and its JSON body. */
   public interface ResponseCallback {
-    /** Whether the caller still waits for the answer. */
-    boolean waits();
+    /** Returns whether the caller still waits for the response. */
+    boolean isWaiting();
 
-    /** The answer; a redirect says where to, any other has null there. */
-    void answer(int status, byte[] body, String location);
+    /** Sends the response; {@code location} is the target of a redirect and null otherwise. */
+    void respond(int status, byte[] body, String location);
   }
 
   private final Settings settings;
   private final RegistryCore core;
-  private final Executor desk;
+  private final Executor controlThread;
   private final Map<String, String> regions;
   private final int controlPort;
   private final Clock clock;
-  private volatile long awakeAt;
-  private volatile long awakeBefore;
+  private volatile long lastTickAt;
+  private volatile long previousTickAt;
 
-  ControlServer(final Settings settings, final RegistryCore core, final Executor desk) {
-    this(settings, core, desk, Clock.SYSTEM);
+  ControlServer(final Settings settings, final RegistryCore core, final Executor controlThread) {
+    this(settings, core, controlThread, Clock.SYSTEM);
   }
 
-  /** The door of a core that runs on this thread, with these clocks. */
+  /** Creates the server of a core that runs on {@code controlThread}, with these clocks. */
   public ControlServer(
-      final Settings settings, final RegistryCore core, final Executor desk, final Clock clock) {
+      final Settings settings,
+      final RegistryCore core,
+      final Executor controlThread,
+      final Clock clock) {
     this.clock = clock;
-    awakeAt = clock.steadyMillis();
-    awakeBefore = awakeAt;
+    lastTickAt = clock.monotonicMillis();
+    previousTickAt = lastTickAt;
     this.settings = settings;
     this.core = core;
-    this.desk = desk;
+    this.controlThread = controlThread;
     this.regions = settings.sites();
     this.controlPort = settings.requiredAddress("listen.control").port();
   }
@@ -144,31 +150,34 @@
         .sync();
   }
 
-  /** A call that waits for the one before it on its connection. */
-  private record PendingRequest(FullHttpRequest request, long since) {}
+  /** A request that waits for the previous one on its connection to complete. */
+  private record PendingRequest(FullHttpRequest request, long receivedAt) {}
 
   /**
-   * Puts calls together; what it says of its own account does not overtake the answer to a call
-   * under way.
+   * Aggregates requests. Responses that the aggregator sends by itself (such as 100 and 413) must not
+   * overtake the response to a call in progress: then no 100 is sent, and a request that is too
+   * large closes the connection.
    */
   private static final class Aggregator extends HttpObjectAggregator {
     private final ConnectionHandler handler;
 
     private Aggregator(final ConnectionHandler handler) {
-      super(MOST_BYTES);
+      super(MAX_BODY_BYTES);
       this.handler = handler;
     }
 
     @Override
     protected Object newContinueResponse(
         final HttpMessage start, final int maxContentLength, final ChannelPipeline pipeline) {
-      return handler.busy ? null : super.newContinueResponse(start, maxContentLength, pipeline);
+      return handler.callInProgress
+          ? null
+          : super.newContinueResponse(start, maxContentLength, pipeline);
     }
 
     @Override
     protected void handleOversizedMessage(
         final ChannelHandlerContext context, final HttpMessage oversized) throws Exception {
-      if (handler.busy) {
+      if (handler.callInProgress) {
         context.close();
       } else {
         super.handleOversizedMessage(context, oversized);
@@ -177,30 +186,31 @@
   }
 
   /**
-   * One connection of a caller: its calls run one after the other, so that each answer stands in
-   * the place of its own call. All of it lives on the traffic thread.
+   * Handles one client connection. Pipelined calls run one after the other, so that responses keep
+   * the order of the requests. Confined to the event loop of the connection. Releases each request
+   * after it has been decoded, or when the connection closes.
    */
   private final class ConnectionHandler extends ChannelInboundHandlerAdapter {
-    private final ArrayDeque<PendingRequest> waiting = new ArrayDeque<>();
-    private boolean busy;
+    private final ArrayDeque<PendingRequest> pendingRequests = new ArrayDeque<>();
+    private boolean callInProgress;
     private boolean draining;
 
     @Override
     public void channelRead(final ChannelHandlerContext context, final Object message) {
-      waiting.add(new PendingRequest((FullHttpRequest) message, clock.steadyMillis()));
-      drain(context);
+      pendingRequests.add(new PendingRequest((FullHttpRequest) message, clock.monotonicMillis()));
+      processPending(context);
     }
 
-    private void drain(final ChannelHandlerContext context) {
+    private void processPending(final ChannelHandlerContext context) {
       if (draining) {
         return;
       }
       draining = true;
       try {
-        while (!busy && !waiting.isEmpty()) {
-          final PendingRequest next = waiting.poll();
+        while (!callInProgress && !pendingRequests.isEmpty()) {
+          final PendingRequest next = pendingRequests.poll();
           try {
-            begin(context, next.request, next.since);
+            startCall(context, next.request, next.receivedAt);
           } finally {
             next.request.release();
           }
@@ -208,27 +218,27 @@
       } finally {
         draining = false;
       }
-      context.channel().config().setAutoRead(waiting.isEmpty());
+      context.channel().config().setAutoRead(pendingRequests.isEmpty());
     }
 
-    private void begin(
-        final ChannelHandlerContext context, final FullHttpRequest request, final long since) {
-      final boolean keep = HttpUtil.isKeepAlive(request);
-      busy = true;
+    private void startCall(
+        final ChannelHandlerContext context, final FullHttpRequest request, final long receivedAt) {
+      final boolean keepAlive = HttpUtil.isKeepAlive(request);
+      callInProgress = true;
       if (request.decoderResult().isFailure()) {
-        settle(
+        completeCall(
             context,
-            ControlReply.problem(400, "the request cannot be read; send proper HTTP/1.1"),
+            ControlReply.problem(400, "the request cannot be read; send well-formed HTTP/1.1"),
             false);
         return;
       }
-      if (clock.steadyMillis() - since >= CALL_MILLIS) {
-        settle(
+      if (clock.monotonicMillis() - receivedAt >= CALL_TIMEOUT_MILLIS) {
+        completeCall(
             context,
             ControlReply.problem(
                 504,
-                "the call waited too long behind the one before it; send it again on a connection of its own"),
-            keep);
+                "the call timed out behind the previous call on its connection; send it again on a connection of its own"),
+            keepAlive);
         return;
       }
       call(
@@ -236,34 +246,34 @@
           address(context),
           new ResponseCallback() {
             @Override
-            public boolean waits() {
+            public boolean isWaiting() {
               return context.channel().isActive();
             }
 
             @Override
-            public void answer(final int status, final byte[] body, final String location) {
+            public void respond(final int status, final byte[] body, final String location) {
               final ControlReply reply = new ControlReply(status, body, location);
               if (context.executor().inEventLoop()) {
-                settle(context, reply, keep);
+                completeCall(context, reply, keepAlive);
               } else {
-                context.executor().execute(() -> settle(context, reply, keep));
+                context.executor().execute(() -> completeCall(context, reply, keepAlive));
               }
             }
           });
     }
 
-    private void settle(
-        final ChannelHandlerContext context, final ControlReply reply, final boolean keep) {
-      write(context, reply, keep);
-      busy = !keep;
-      drain(context);
+    private void completeCall(
+        final ChannelHandlerContext context, final ControlReply reply, final boolean keepAlive) {
+      write(context, reply, keepAlive);
+      callInProgress = !keepAlive;
+      processPending(context);
     }
 
     @Override
     public void channelInactive(final ChannelHandlerContext context) {
-      busy = true;
-      while (!waiting.isEmpty()) {
-        waiting.poll().request.release();
+      callInProgress = true;
+      while (!pendingRequests.isEmpty()) {
+        pendingRequests.poll().request.release();
       }
       context.fireChannelInactive();
     }
@@ -275,123 +285,132 @@
   }
 
   /**
-   * The process runs: to be called with each tick of the thread that reads calls, so that a
-   * standstill shows in what is read after it.
+   * Records that the process is running. Must be called on each tick of the thread that reads
+   * calls, so that a pause of the process is noticed for the calls that are read after it.
    */
-  public void awake() {
-    awakeBefore = awakeAt;
-    awakeAt = clock.steadyMillis();
+  public void recordTick() {
+    previousTickAt = lastTickAt;
+    lastTickAt = clock.monotonicMillis();
   }
 
-  /** Since when a call that is read now may have waited: its caller's second began no earlier. */
-  private long receivedAt(final long now) {
-    final long before = awakeBefore;
-    return now - before > STANDSTILL_MILLIS ? before : now;
+  /**
+   * Returns the earliest time at which a call that is read at {@code now} may have arrived: after a
+   * pause of the process, the tick before the last one; otherwise {@code now}. The caller's timeout
+   * of one second began no earlier.
+   */
+  private long earliestReceiptAt(final long now) {
+    final long previous = previousTickAt;
+    return now - previous > PAUSE_THRESHOLD_MILLIS ? previous : now;
   }
 
   /**
-   * Takes one call, whatever carried it here; the answer comes on the thread of the core, or at
-   * once where the call cannot be read.
+   * Handles one call, independent of the transport that carried it. The callback is invoked on the
+   * control thread, or at once on the calling thread if the call cannot be decoded.
    */
   public void call(
-      final FullHttpRequest request, final String address, final ResponseCallback caller) {
+      final FullHttpRequest request, final String address, final ResponseCallback callback) {
     final ControlCommand command;
     try {
       command = decode(request, address);
     } catch (final WeldpointException exception) {
-      answer(caller, ControlReply.problem(Math.max(400, exception.kind().status()), exception));
+      respond(callback, ControlReply.problem(Math.max(400, exception.kind().status()), exception));
       return;
     } catch (final RuntimeException | StackOverflowError problem) {
-      answer(
-          caller,
+      respond(
+          callback,
           ControlReply.problem(
               400,
               "the call cannot be read ("
                   + problem.getClass().getSimpleName()
-                  + "); send it as the protocol page has it"));
+                  + "); send it as the protocol page describes it"));
       return;
     }
-    final long receivedAt = receivedAt(clock.steadyMillis());
+    final long receivedAt = earliestReceiptAt(clock.monotonicMillis());
     final String uri = request.uri();
-    desk.execute(() -> run(command, uri, receivedAt, caller));
+    controlThread.execute(() -> run(command, uri, receivedAt, callback));
   }
 
-  private static void answer(final ResponseCallback caller, final ControlReply reply) {
-    caller.answer(reply.status(), reply.body(), reply.location());
+  private static void respond(final ResponseCallback callback, final ControlReply reply) {
+    callback.respond(reply.status(), reply.body(), reply.location());
   }
 
   /**
-   * Runs a command, unless its caller may have gone on to another daemon: a copy that waited must
-   * not take effect after what came later.
+   * Runs a command, unless its caller may already have retried it at another daemon: a delayed copy
+   * must not take effect after later calls of the same caller.
    */
   private void run(
       final ControlCommand command,
       final String uri,
       final long receivedAt,
-      final ResponseCallback caller) {
-    final long now = clock.steadyMillis();
-    final boolean cutOff = command.cutOff() != ControlCommand.CutOff.ANSWERED && core.cutOff(now);
-    if (cutOff && command.cutOff() == ControlCommand.CutOff.NOT_RUN) {
-      answer(caller, unclear(uri, now));
+      final ResponseCallback callback) {
+    final long now = clock.monotonicMillis();
+    final boolean cutOff =
+        command.cutOffPolicy() != ControlCommand.CutOffPolicy.RUN && core.cutOff(now);
+    if (cutOff && command.cutOffPolicy() == ControlCommand.CutOffPolicy.REJECT) {
+      respond(callback, cutOffReply(uri, now));
       return;
     }
     CompletableFuture<ControlReply> future;
     try {
-      if (now - receivedAt >= CALL_MILLIS) {
+      if (now - receivedAt >= CALL_TIMEOUT_MILLIS) {
         throw new WeldpointException(
             WeldpointException.Kind.OUT_OF_REACH,
-            "this daemon stood still while the call waited; send it again");
+            "this daemon was paused while the call waited; send it again");
       }
-      future = command.run(now - receivedAt > STANDSTILL_MILLIS ? receivedAt : now, caller::waits);
+      future =
+          command.run(
+              now - receivedAt > PAUSE_THRESHOLD_MILLIS ? receivedAt : now, callback::isWaiting);
     } catch (final RuntimeException | StackOverflowError problem) {
       future = CompletableFuture.failedFuture(problem);
     }
     if (cutOff) {
-      answer(caller, unclear(uri, now));
+      respond(callback, cutOffReply(uri, now));
       return;
     }
     future.whenComplete(
         (reply, problem) ->
-            answer(
-                caller,
+            respond(
+                callback,
                 problem == null
                     ? reply
-                    : failure(
+                    : failureReply(
                         problem instanceof CompletionException ? problem.getCause() : problem)));
   }
 
-  private static ControlReply failure(final Throwable cause) {
+  private static ControlReply failureReply(final Throwable cause) {
     if (cause instanceof WeldpointException) {
       return ControlReply.problem(
           ((WeldpointException) cause).kind().status(), (WeldpointException) cause);
     }
     return cause instanceof StackOverflowError
         ? ControlReply.problem(
-            400, "the body is nested too deeply; send it as the protocol page has it")
-        : ControlReply.problem(500, "internal failure: " + cause + "; send the call again");
+            400, "the body is nested too deeply; send it as the protocol page describes it")
+        : ControlReply.problem(500, "internal error: " + cause + "; send the call again");
   }
 
   /**
-   * The answer of a daemon that is cut off: at once, so that the caller goes on within its second
-   * of silence. A call is sent on once at most, and only to a daemon that told lately that it hears
-   * a majority.
+   * Builds the reply of a daemon that is cut off from the majority. It is sent at once, so that the
+   * caller can try another daemon within its timeout of one second. A call is redirected at most
+   * once, and only to a daemon that recently reported that it hears a majority.
    */
-  private ControlReply unclear(final String uri, final long now) {
+  private ControlReply cutOffReply(final String uri, final long now) {
     final QueryStringDecoder query = new QueryStringDecoder(uri);
     final String other =
         uri.startsWith("/")
                 && !query.path().equals("/api/resolution")
-                && !query.parameters().containsKey(SENT_ON)
+                && !query.parameters().containsKey(REDIRECTED_PARAMETER)
             ? core.majority(now)
             : null;
     if (other == null) {
       return ControlReply.problem(
           504,
-          "this daemon is cut off from the majority and does not know the answer; ask another daemon");
+          "this daemon is cut off from the majority and cannot answer the call; ask another daemon");
     }
     return new ControlReply(
         307,
-        ControlReply.problem(307, "this daemon is cut off from the majority; ask the one named")
+        ControlReply.problem(
+                307,
+                "this daemon is cut off from the majority; follow the redirect to the daemon in Location")
             .body(),
         "http://"
             + other
@@ -399,12 +418,12 @@
             + controlPort
             + uri
             + (uri.contains("?") ? "&" : "?")
-            + SENT_ON
+            + REDIRECTED_PARAMETER
             + "=1");
   }
 
   private static void write(
-      final ChannelHandlerContext context, final ControlReply reply, final boolean keep) {
+      final ChannelHandlerContext context, final ControlReply reply, final boolean keepAlive) {
     final FullHttpResponse response =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1,
@@ -417,7 +436,7 @@
     if (reply.location() != null) {
       response.headers().set(HttpHeaderNames.LOCATION, reply.location());
     }
-    if (!keep) {
+    if (!keepAlive) {
       response.headers().set(HttpHeaderNames.CONNECTION, "close");
       context.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
     } else {
@@ -430,10 +449,10 @@
     final String path = query.path();
     if (path.equals("/api/rpc")) {
       final ControlCall rpc = ControlCall.of(parameter(query, "call"));
-      wants(request, HttpMethod.POST);
+      requireMethod(request, HttpMethod.POST);
       final byte[] body = new byte[request.content().readableBytes()];
       request.content().readBytes(body);
-      return new ControlCommand.Fated(
+      return new ControlCommand.WithCutOffPolicy(
           rpc.decode(
               this,
               parameter(query, "of"),
@@ -443,38 +462,38 @@
                       orEmpty(request.headers().get(Authors.HEADER)),
                       request.headers().getAll(Authors.HEADER).size()),
                   caller)),
-          rpc.cutOff());
+          rpc.cutOffPolicy());
     }
     if (path.startsWith("/api/numbers/")) {
-      wants(request, HttpMethod.POST);
-      final String id = named(path.substring("/api/numbers/".length()));
-      return (now, waits) ->
-          core.call(StoreOperation.NUMBER, id, null, 0, 0, null, CALL_MILLIS, now)
+      requireMethod(request, HttpMethod.POST);
+      final String id = requireId(path.substring("/api/numbers/".length()));
+      return (now, callerWaits) ->
+          core.call(StoreOperation.NUMBER, id, null, 0, 0, null, CALL_TIMEOUT_MILLIS, now)
               .thenApply(
-                  answer ->
-                      status(
-                          answer,
+                  response ->
+                      replyFor(
+                          response,
                           ControlReply.of(
                               200,
-                              ControlApi.NUMBER,
-                              new ControlApi.NumberResponse(answer.first))));
+                              ControlApi.NUMBER_RESPONSE,
+                              new ControlApi.NumberResponse(response.first))));
     }
     if (path.startsWith("/api/watch/")) {
-      wants(request, HttpMethod.GET);
+      requireMethod(request, HttpMethod.GET);
       return watch(
-          named(path.substring("/api/watch/".length())),
-          whole(query, "after", 0),
-          whole(query, "waitMs", 0));
+          requireId(path.substring("/api/watch/".length())),
+          longParameter(query, "after", 0),
+          longParameter(query, "waitMs", 0));
     }
     if (path.equals("/api/resolution")) {
-      wants(request, HttpMethod.GET);
+      requireMethod(request, HttpMethod.GET);
       final String region = parameter(query, "region");
       final String site = parameter(query, "zone");
-      return (now, waits) -> {
-        final List<String> addresses = core.resolve(region, site, MOST_ADDRESSES, now);
+      return (now, callerWaits) -> {
+        final List<String> addresses = core.resolve(region, site, MAX_ADDRESSES, now);
         return CompletableFuture.completedFuture(
             addresses.isEmpty()
-                ? ControlReply.problem(503, "no switchboard is known yet; ask again shortly")
+                ? ControlReply.problem(503, "no switchboard has registered yet; ask again shortly")
                 : ControlReply.of(
                     200,
                     ControlApi.RESOLUTION,
@@ -482,21 +501,21 @@
       };
     }
     if (path.equals("/api/invalidation")) {
-      wants(request, HttpMethod.POST);
+      requireMethod(request, HttpMethod.POST);
       final byte[] body = new byte[request.content().readableBytes()];
       request.content().readBytes(body);
-      return purge(read(ControlApi.PURGE, body));
+      return purge(parseBody(ControlApi.PURGE_REQUEST, body));
     }
     throw new WeldpointException(
         WeldpointException.Kind.UNKNOWN_CALL,
-        "nothing is served at " + path + "; see the protocol page for the calls there are");
+        "no call is served at " + path + "; see the protocol page for the known calls");
   }
 
-  private static void wants(final FullHttpRequest request, final HttpMethod method) {
+  private static void requireMethod(final FullHttpRequest request, final HttpMethod method) {
     if (!request.method().equals(method)) {
       throw new WeldpointException(
           WeldpointException.Kind.WRONG_METHOD,
-          "the method " + request.method() + " does not fit this call; use " + method);
+          "the method " + request.method() + " is not allowed for this call; use " + method);
     }
   }
 
@@ -517,35 +536,36 @@
         : "";
   }
 
-  private static long whole(
+  private static long longParameter(
       final QueryStringDecoder query, final String name, final long fallback) {
     final String text = parameter(query, name);
-    return text.isEmpty() ? fallback : number(name, text);
+    return text.isEmpty() ? fallback : parseLong(name, text);
   }
 
-  static long number(final String name, final String text) {
+  static long parseLong(final String name, final String text) {
     try {
       return Long.parseLong(text);
     } catch (final NumberFormatException problem) {
       throw new WeldpointException(
-          WeldpointException.Kind.UNREADABLE, name + " is '" + text + "'; give a whole number");
+          WeldpointException.Kind.UNREADABLE, name + " is '" + text + "'; give an integer");
     }
   }
 
-  static String named(final String id) {
+  static String requireId(final String id) {
     if (id.isEmpty()) {
       throw new WeldpointException(
-          WeldpointException.Kind.UNREADABLE, "the call names nothing; give the id");
+          WeldpointException.Kind.UNREADABLE,
+          "the call lacks its id; give it in the path or as parameter 'of'");
     }
     return id;
   }
 
-  static String group(final String key) {
+  static String cellGroup(final String key) {
     final int dot = key.indexOf('.');
     return dot < 0 ? key : key.substring(0, dot + 1);
   }
 
-  static <T> T read(final JsonType<T> type, final byte[] body) {
+  static <T> T parseBody(final JsonType<T> type, final byte[] body) {
     try {
       final T value = type.fromJson(new String(body, StandardCharsets.UTF_8));
       if (value != null) {
@@ -554,146 +574,154 @@
     } catch (final RuntimeException problem) {
       throw new WeldpointException(
           WeldpointException.Kind.UNREADABLE,
-          "the body cannot be read (" + problem.getMessage() + "); send complete JSON");
+          "the body cannot be parsed (" + problem.getMessage() + "); send complete JSON");
     }
     throw new WeldpointException(
         WeldpointException.Kind.UNREADABLE, "the body is empty; send a JSON object");
   }
 
-  static StoreMessages.StoreResponse notTaken(final StoreMessages.StoreResponse answer) {
-    if (answer.status == 409 && answer.body != null) {
+  static StoreMessages.StoreResponse requireVersionFree(
+      final StoreMessages.StoreResponse response) {
+    if (response.status == 409 && response.body != null) {
       final StoredValues.TakenVersion taken =
-          Serializer.deserialize(answer.body, StoredValues.TakenVersion.class);
+          Serializer.deserialize(response.body, StoredValues.TakenVersion.class);
       throw new WeldpointException(
           WeldpointException.Kind.VERSION_TAKEN,
           String.format(
-              "version %08x stands for another configuration%s%s, which stays; send this one under a version above the newest",
+              "version %08x is taken by another configuration%s%s, which stays in force; send this one under a version above the newest",
               taken.version,
               taken.author == null || taken.author.isEmpty() ? "" : ", sent by " + taken.author,
-              taken.time == 0 ? "" : " and taken at " + Instant.ofEpochMilli(taken.time)));
+              taken.time == 0 ? "" : " and accepted at " + Instant.ofEpochMilli(taken.time)));
     }
-    return answer;
+    return response;
   }
 
-  static ControlReply status(final StoreMessages.StoreResponse answer, final ControlReply good) {
-    return switch (answer.status) {
+  static ControlReply replyFor(
+      final StoreMessages.StoreResponse response, final ControlReply success) {
+    return switch (response.status) {
       case 504 ->
           ControlReply.problem(
-              504, "the duty changed hands while the call was under way; send it again");
-      case 409 -> ControlReply.problem(409, "another holds it, or it was lost; try again later");
-      default -> good;
+              504, "the daemon responsible changed while the call was in progress; send it again");
+      case 409 ->
+          ControlReply.problem(
+              409, "it is held by another owner, or the lease expired; try again later");
+      default -> success;
     };
   }
 
-  ControlCommand beat(final String id, final ControlApi.UpstreamHeartbeat beat) {
-    named(id);
-    final boolean draining = "draining".equals(beat.state());
-    if (beat.service() == null
-        || beat.address() == null
-        || beat.zone() == null
-        || beat.callSeq() == null
-        || beat.capacity() == null
-        || beat.capacity() < 0
-        || !draining && !"ready".equals(beat.state())) {
+  ControlCommand heartbeat(final String id, final ControlApi.UpstreamHeartbeat heartbeat) {
+    requireId(id);
+    final boolean draining = "draining".equals(heartbeat.state());
+    if (heartbeat.service() == null
+        || heartbeat.address() == null
+        || heartbeat.zone() == null
+        || heartbeat.callSeq() == null
+        || heartbeat.capacity() == null
+        || heartbeat.capacity() < 0
+        || !draining && !"ready".equals(heartbeat.state())) {
       throw new WeldpointException(
           WeldpointException.Kind.UNREADABLE,
-          "the beat of "
+          "the heartbeat of "
               + id
               + " lacks service, address, zone, capacity, callSeq or a state of ready or draining; send them all");
     }
-    Settings.Address.parse("address", beat.address());
+    Settings.Address.parse("address", heartbeat.address());
     final long warmup =
-        beat.warmupLeftMs() == null ? 0 : Math.max(0, beat.warmupLeftMs().longValue());
+        heartbeat.warmupLeftMs() == null ? 0 : Math.max(0, heartbeat.warmupLeftMs().longValue());
     final RegistryMessages.Registration registration =
         new RegistryMessages.Registration(
             id,
-            beat.service(),
-            beat.address(),
-            beat.zone(),
-            beat.version() == null ? "" : beat.version(),
-            beat.capacity().intValue(),
+            heartbeat.service(),
+            heartbeat.address(),
+            heartbeat.zone(),
+            heartbeat.version() == null ? "" : heartbeat.version(),
+            heartbeat.capacity().intValue(),
             (draining ? LifecycleStage.DRAINING : LifecycleStage.JOINED).ordinal(),
-            beat.callSeq(),
-            clock.dayMillis(),
+            heartbeat.callSeq(),
+            clock.wallMillis(),
             warmup);
-    return (now, waits) ->
+    return (now, callerWaits) ->
         core.beat(registration, now)
             .thenApply(
                 done ->
                     ControlReply.of(
                         200,
-                        ControlApi.BEAT_ANSWER,
+                        ControlApi.HEARTBEAT_RESPONSE,
                         new ControlApi.UpstreamHeartbeatResponse(
-                            core.keeper(id, beat.zone(), regions) + ":" + controlPort)));
+                            core.keeper(id, heartbeat.zone(), regions) + ":" + controlPort)));
   }
 
-  ControlCommand record(final boolean on) {
-    return (now, waits) -> {
-      core.record(on, clock.dayMillis(), now);
+  ControlCommand setRecording(final boolean enabled) {
+    return (now, callerWaits) -> {
+      core.record(enabled, clock.wallMillis(), now);
       return CompletableFuture.completedFuture(
           ControlReply.of(200, ControlApi.STATE, new ControlApi.State(core.recording())));
     };
   }
 
-  private ControlCommand purge(final ControlApi.PurgeRequest order) {
-    final boolean object =
-        order.host() != null
-            && !order.host().isEmpty()
-            && order.path() != null
-            && order.path().startsWith("/");
-    final boolean label = order.tag() != null && !order.tag().isEmpty();
-    if (object == label || !object && (order.host() != null || order.path() != null)) {
+  private ControlCommand purge(final ControlApi.PurgeRequest request) {
+    final boolean byObject =
+        request.host() != null
+            && !request.host().isEmpty()
+            && request.path() != null
+            && request.path().startsWith("/");
+    final boolean byTag = request.tag() != null && !request.tag().isEmpty();
+    if (byObject == byTag || !byObject && (request.host() != null || request.path() != null)) {
       throw new WeldpointException(
           WeldpointException.Kind.UNREADABLE,
-          "a purge names either an object by host and path or a tag; send one of the two");
+          "a purge takes either host and path of an object or a tag; send one of the two");
     }
-    final String named = label ? order.tag() : order.path();
-    if (named.length() > MOST_PURGED || object && order.host().length() > MOST_PURGED) {
+    final String target = byTag ? request.tag() : request.path();
+    if (target.length() > MAX_PURGE_CHARS
+        || byObject && request.host().length() > MAX_PURGE_CHARS) {
       throw new WeldpointException(
           WeldpointException.Kind.INVALID,
-          "a purge names more than " + MOST_PURGED + " characters; name one object or tag");
+          "a purge key is longer than "
+              + MAX_PURGE_CHARS
+              + " characters; send one object or one tag");
     }
-    return (now, waits) ->
+    return (now, callerWaits) ->
         core.call(
                 StoreOperation.PURGE,
                 "",
-                object ? order.host().toLowerCase(java.util.Locale.ROOT) : null,
+                byObject ? request.host().toLowerCase(java.util.Locale.ROOT) : null,
                 0,
                 0,
-                named.getBytes(StandardCharsets.UTF_8),
-                CALL_MILLIS,
+                target.getBytes(StandardCharsets.UTF_8),
+                CALL_TIMEOUT_MILLIS,
                 now)
-            .thenApply(answer -> status(answer, ControlReply.EMPTY));
+            .thenApply(response -> replyFor(response, ControlReply.EMPTY));
   }
 
-  ControlCommand evacuate(final String site, final long on, final ControlCall.Origin origin) {
-    return (now, waits) ->
+  ControlCommand evacuate(
+      final String site, final long evacuated, final ControlCall.Origin origin) {
+    return (now, callerWaits) ->
         core.change(
                 StoreOperation.EVACUATE,
                 site,
-                on,
+                evacuated,
                 0,
                 null,
                 core.cause(origin.author(), origin.caller(), null),
-                CALL_MILLIS,
+                CALL_TIMEOUT_MILLIS,
                 now)
             .thenCompose(
-                answer ->
-                    answer.status != 200
-                        ? CompletableFuture.completedFuture(status(answer, ControlReply.EMPTY))
+                response ->
+                    response.status != 200
+                        ? CompletableFuture.completedFuture(replyFor(response, ControlReply.EMPTY))
                         : core.settle(now).thenApply(done -> ControlReply.EMPTY));
   }
 
-  ControlReply trial(final TrialMessages.Trial trial) {
-    final List<ControlApi.ProxyTrialCounts> boards = new java.util.ArrayList<>();
-    final long[] sum = TrialCounter.none();
+  ControlReply trialStatus(final TrialMessages.Trial trial) {
+    final List<ControlApi.ProxyTrialCounts> proxies = new java.util.ArrayList<>();
+    final long[] total = TrialCounter.none();
     core.panel()
         .byBoard(trial)
         .forEach(
-            (board, counts) -> {
-              boards.add(counted(board, trial, counts));
-              for (int index = 0; index < sum.length; index++) {
-                sum[index] += counts[index];
+            (proxy, counts) -> {
+              proxies.add(proxyTrialCounts(proxy, trial, counts));
+              for (int index = 0; index < total.length; index++) {
+                total[index] += counts[index];
               }
             });
     return ControlReply.of(
@@ -710,14 +738,14 @@
             trial.lateAllowance,
             trial.writes,
             Protocol.list(trial.attempts),
-            counted("all", trial, sum),
-            boards));
+            proxyTrialCounts("all", trial, total),
+            proxies));
   }
 
-  private static ControlApi.ProxyTrialCounts counted(
-      final String board, final TrialMessages.Trial trial, final long[] counts) {
+  private static ControlApi.ProxyTrialCounts proxyTrialCounts(
+      final String proxy, final TrialMessages.Trial trial, final long[] counts) {
     return new ControlApi.ProxyTrialCounts(
-        board,
+        proxy,
         new ControlApi.VersionCounts(
             trial.oldService,
             TrialCounter.OLD_SENT.in(counts),
@@ -740,107 +768,121 @@
         TrialCounter.STAGE_CONFIRMED.in(counts));
   }
 
-  ControlCommand finish(final String id, final ControlApi.LockRequest grip) {
-    if (grip.owner() == null || grip.owner().isEmpty() || grip.fenceNumber() == null) {
+  ControlCommand finishLock(final String id, final ControlApi.LockRequest request) {
+    if (request.owner() == null || request.owner().isEmpty() || request.fenceNumber() == null) {
       throw new WeldpointException(
           WeldpointException.Kind.UNREADABLE,
           "the call for lock " + id + " lacks owner or fenceNumber; send both");
     }
-    return (now, waits) -> finish(id, grip, now, waits);
+    return (now, callerWaits) -> finishLock(id, request, now, callerWaits);
   }
 
-  CompletableFuture<ControlReply> finish(
+  CompletableFuture<ControlReply> finishLock(
       final String id,
-      final ControlApi.LockRequest grip,
-      final long began,
-      final BooleanSupplier waits) {
-    return core.call(StoreOperation.LOCK_TICKET, id, grip.owner(), 0, 0, null, CALL_MILLIS, began)
+      final ControlApi.LockRequest request,
+      final long startedAt,
+      final BooleanSupplier callerWaits) {
+    return core.call(
+            StoreOperation.LOCK_TICKET,
+            id,
+            request.owner(),
+            0,
+            0,
+            null,
+            CALL_TIMEOUT_MILLIS,
+            startedAt)
         .thenCompose(
             ticket -> {
-              final long now = clock.steadyMillis();
-              final long left = began + CALL_MILLIS - now;
-              if (ticket.status != 200 || left <= 0 || !waits.getAsBoolean()) {
+              final long now = clock.monotonicMillis();
+              final long remaining = startedAt + CALL_TIMEOUT_MILLIS - now;
+              if (ticket.status != 200 || remaining <= 0 || !callerWaits.getAsBoolean()) {
                 return CompletableFuture.failedFuture(
                     new WeldpointException(
                         WeldpointException.Kind.OUT_OF_REACH,
-                        "the lock was not given back in time; send the call again"));
+                        "the lock was not released in time; send the call again"));
               }
               return core.call(
                       StoreOperation.LOCK_FINISH,
                       id,
-                      grip.owner(),
+                      request.owner(),
                       ticket.first,
-                      grip.fenceNumber(),
+                      request.fenceNumber(),
                       null,
-                      left,
+                      remaining,
                       now)
                   .thenApply(
-                      answer ->
-                          answer.status == 410
+                      response ->
+                          response.status == 410
                               ? ControlReply.problem(
-                                  504, "the lock was granted anew meanwhile; send the call again")
-                              : status(answer, ControlReply.EMPTY));
+                                  504,
+                                  "the lock was granted again in the meantime; send the call again")
+                              : replyFor(response, ControlReply.EMPTY));
             });
   }
 
   ControlCommand lock(
-      final StoreOperation operation, final String id, final ControlApi.LockRequest grip) {
-    if (grip.owner() == null
-        || grip.owner().isEmpty()
-        || operation != StoreOperation.LOCK_BEGIN && grip.fenceNumber() == null
+      final StoreOperation operation, final String id, final ControlApi.LockRequest request) {
+    if (request.owner() == null
+        || request.owner().isEmpty()
+        || operation != StoreOperation.LOCK_BEGIN && request.fenceNumber() == null
         || operation != StoreOperation.LOCK_FINISH
-            && (grip.holdMs() == null || grip.holdMs() <= 0)) {
+            && (request.holdMs() == null || request.holdMs() <= 0)) {
       throw new WeldpointException(
           WeldpointException.Kind.UNREADABLE,
           "the call for lock "
               + id
-              + " lacks owner, fenceNumber or holdMs; send what the call needs");
+              + " lacks owner, fenceNumber or holdMs; send the fields that the call requires");
     }
-    final long hold = grip.holdMs() == null ? 0 : grip.holdMs().longValue();
-    final long fence = grip.fenceNumber() == null ? 0 : grip.fenceNumber();
-    return (now, waits) ->
-        core.call(operation, id, grip.owner(), hold, fence, null, CALL_MILLIS, now)
+    final long holdMillis = request.holdMs() == null ? 0 : request.holdMs().longValue();
+    final long fence = request.fenceNumber() == null ? 0 : request.fenceNumber();
+    return (now, callerWaits) ->
+        core.call(operation, id, request.owner(), holdMillis, fence, null, CALL_TIMEOUT_MILLIS, now)
             .thenApply(
-                answer ->
-                    status(
-                        answer,
+                response ->
+                    replyFor(
+                        response,
                         operation == StoreOperation.LOCK_BEGIN
                             ? ControlReply.of(
-                                200, ControlApi.FENCE, new ControlApi.FencingToken(answer.first))
+                                200,
+                                ControlApi.FENCING_TOKEN,
+                                new ControlApi.FencingToken(response.first))
                             : ControlReply.EMPTY));
   }
 
-  private ControlCommand watch(final String group, final long after, final long wait) {
-    final long patience = Math.max(0, Math.min(wait, 60_000));
-    return (now, waits) ->
+  private ControlCommand watch(
+      final String group, final long after, final long requestedWaitMillis) {
+    final long waitMillis = Math.max(0, Math.min(requestedWaitMillis, 60_000));
+    return (now, callerWaits) ->
         core.call(
                 StoreOperation.WATCH,
                 group,
                 null,
                 after,
-                patience,
+                waitMillis,
                 null,
-                patience + CALL_MILLIS,
+                waitMillis + CALL_TIMEOUT_MILLIS,
                 now)
             .thenApply(
-                answer -> {
-                  if (answer.status != 200) {
-                    return status(
-                        answer,
+                response -> {
+                  if (response.status != 200) {
+                    return replyFor(
+                        response,
                         ControlReply.problem(
-                            answer.status,
+                            response.status,
                             "the history no longer reaches back to "
                                 + after
-                                + "; begin again with after=0"));
+                                + "; start again with after=0"));
                   }
                   final StoredValues.WatchEvents events =
-                      Serializer.deserialize(answer.body, StoredValues.WatchEvents.class);
+                      Serializer.deserialize(response.body, StoredValues.WatchEvents.class);
                   final List<ControlApi.Event> list = new java.util.ArrayList<>();
                   for (final StoredValues.Put put : Protocol.list(events.events)) {
                     list.add(new ControlApi.Event(put.name, put.value, put.revision));
                   }
                   return ControlReply.of(
-                      200, ControlApi.WATCH, new ControlApi.WatchResponse(list, events.revision));
+                      200,
+                      ControlApi.WATCH_RESPONSE,
+                      new ControlApi.WatchResponse(list, events.revision));
                 });
   }
 }
--- a/registry/src/main/java/weldpoint/registry/HistoryReader.java
+++ b/registry/src/main/java/weldpoint/registry/HistoryReader.java
@@ -20,61 +20,62 @@
  * of that.
  */
 final class HistoryReader {
-  private static final long HEAD_MILLIS = 900;
-  private static final long CATCH_UP_MILLIS = 1200;
-  private static final long AGAIN_MILLIS = 80;
-  private static final long LOCAL_MILLIS = 600;
-  private static final int MOST = 500;
+  private static final long HEAD_TIMEOUT_MILLIS = 900;
+  private static final long CATCH_UP_TIMEOUT_MILLIS = 1200;
+  private static final long RETRY_DELAY_MILLIS = 80;
+  private static final long LOCAL_READ_TIMEOUT_MILLIS = 600;
+  private static final int MAX_ENTRIES = 500;
   private static final long UNHEARD_MILLIS = 4000;
 
   private static final class PendingRead {
     final ControlApi.HistoryQuery query;
     final Range range;
-    final long cutoff;
+    final long deadline;
     final CompletableFuture<ControlApi.HistoryResponse> future = new CompletableFuture<>();
     boolean headKnown;
     long through;
     String digest = "";
-    long againAt;
-    boolean out;
+    long retryAt;
+    boolean inFlight;
 
-    PendingRead(final ControlApi.HistoryQuery query, final Range range, final long cutoff) {
+    PendingRead(final ControlApi.HistoryQuery query, final Range range, final long deadline) {
       this.query = query;
       this.range = range;
-      this.cutoff = cutoff;
+      this.deadline = deadline;
     }
   }
 
   /** The checked range of a question. */
-  record Range(long from, long to, long since, long until, int most) {
-    static Range of(final ControlApi.HistoryQuery query, final long wall) {
+  record Range(long from, long to, long since, long until, int limit) {
+    static Range of(final ControlApi.HistoryQuery query, final long wallMillis) {
       final long from = query.from() == null ? 0 : query.from();
       final long to = query.to() == null ? Long.MAX_VALUE : query.to();
       if (from < 0 || to < 1) {
-        throw bad("from and to count entries from 1");
+        throw invalid("from and to count entries from 1");
       }
       if (from > to) {
-        throw bad(
+        throw invalid(
             "the range is reversed: from " + from + " is after to " + to + "; exchange the two");
       }
       final long since = time("since", query.since(), Long.MIN_VALUE);
       final long until = time("until", query.until(), Long.MAX_VALUE);
       if (since > until) {
-        throw bad(
+        throw invalid(
             "the range is reversed: since "
                 + query.since()
                 + " is after until "
                 + query.until()
                 + "; exchange the two");
       }
-      if (since > wall) {
-        throw bad("since " + query.since() + " lies in the future; give a time that has passed");
+      if (since > wallMillis) {
+        throw invalid(
+            "since " + query.since() + " lies in the future; give a time that has passed");
       }
-      final long most = query.most() == null ? MOST : query.most();
-      if (most < 1) {
-        throw bad("most is " + most + "; ask for at least one entry");
+      final long limit = query.most() == null ? MAX_ENTRIES : query.most();
+      if (limit < 1) {
+        throw invalid("most is " + limit + "; ask for at least one entry");
       }
-      return new Range(from, to, since, until, (int) Math.min(MOST, most));
+      return new Range(from, to, since, until, (int) Math.min(MAX_ENTRIES, limit));
     }
 
     private static long time(final String name, final String text, final long fallback) {
@@ -84,18 +85,18 @@
       try {
         return Instant.parse(text).toEpochMilli();
       } catch (final DateTimeException problem) {
-        throw bad(name + " is '" + text + "'; write it as 2026-01-31T08:00:00Z");
+        throw invalid(name + " is '" + text + "'; write it as 2026-01-31T08:00:00Z");
       }
     }
 
-    private static WeldpointException bad(final String message) {
+    private static WeldpointException invalid(final String message) {
       return new WeldpointException(WeldpointException.Kind.INVALID, message);
     }
   }
 
   private final String self;
   private final StoreClient store;
-  private final List<PendingRead> readings = new ArrayList<>();
+  private final List<PendingRead> pendingReads = new ArrayList<>();
 
   HistoryReader(final String self, final StoreClient store) {
     this.self = self;
@@ -104,70 +105,73 @@
 
   /** Answers a question about the history. */
   CompletableFuture<ControlApi.HistoryResponse> read(
-      final ControlApi.HistoryQuery query, final long wall, final long now) {
-    final PendingRead reading =
-        new PendingRead(query, Range.of(query, wall), now + HEAD_MILLIS + CATCH_UP_MILLIS);
+      final ControlApi.HistoryQuery query, final long wallMillis, final long now) {
+    final PendingRead pending =
+        new PendingRead(
+            query,
+            Range.of(query, wallMillis),
+            now + HEAD_TIMEOUT_MILLIS + CATCH_UP_TIMEOUT_MILLIS);
     store
-        .call(StoreOperation.HISTORY_HEAD, "", null, 0, 0, null, null, now, HEAD_MILLIS)
+        .call(StoreOperation.HISTORY_HEAD, "", null, 0, 0, null, null, now, HEAD_TIMEOUT_MILLIS)
         .whenComplete(
-            (answer, problem) -> {
-              if (problem == null && answer.status == 200) {
-                reading.headKnown = true;
-                reading.through = answer.first;
-                reading.digest =
-                    answer.body == null ? "" : new String(answer.body, StandardCharsets.UTF_8);
+            (response, problem) -> {
+              if (problem == null && response.status == 200) {
+                pending.headKnown = true;
+                pending.through = response.first;
+                pending.digest =
+                    response.body == null ? "" : new String(response.body, StandardCharsets.UTF_8);
               }
-              reading.againAt = Long.MIN_VALUE;
-              readings.add(reading);
-              look(reading, now);
+              pending.retryAt = Long.MIN_VALUE;
+              pendingReads.add(pending);
+              readLocalReplica(pending, now);
             });
-    return reading.future;
+    return pending.future;
   }
 
   /** Time has passed. */
   void tick(final long now) {
-    for (final PendingRead reading : new ArrayList<>(readings)) {
-      if (!reading.out && now >= reading.againAt) {
-        look(reading, now);
+    for (final PendingRead pending : new ArrayList<>(pendingReads)) {
+      if (!pending.inFlight && now >= pending.retryAt) {
+        readLocalReplica(pending, now);
       }
     }
   }
 
-  private void look(final PendingRead reading, final long now) {
-    reading.out = true;
+  private void readLocalReplica(final PendingRead pending, final long now) {
+    pending.inFlight = true;
     store
         .here(
             StoreOperation.HISTORY_READ,
-            Math.max(1, reading.range.from()),
-            reading.range.most(),
+            Math.max(1, pending.range.from()),
+            pending.range.limit(),
             now,
-            LOCAL_MILLIS)
+            LOCAL_READ_TIMEOUT_MILLIS)
         .whenComplete(
-            (answer, problem) -> {
-              reading.out = false;
+            (response, problem) -> {
+              pending.inFlight = false;
               final StoredValues.HistoryPart part =
-                  problem == null && answer.status == 200
-                      ? Serializer.deserialize(answer.body, StoredValues.HistoryPart.class)
+                  problem == null && response.status == 200
+                      ? Serializer.deserialize(response.body, StoredValues.HistoryPart.class)
                       : null;
-              final boolean whole =
-                  part != null && reading.headKnown && !part.blank && part.last >= reading.through;
-              if (!whole && reading.headKnown && now < reading.cutoff) {
-                reading.againAt = now + AGAIN_MILLIS;
+              final boolean complete =
+                  part != null && pending.headKnown && !part.blank && part.last >= pending.through;
+              if (!complete && pending.headKnown && now < pending.deadline) {
+                pending.retryAt = now + RETRY_DELAY_MILLIS;
                 return;
               }
-              readings.remove(reading);
+              pendingReads.remove(pending);
               try {
-                reading.future.complete(
-                    answer(
+                pending.future.complete(
+                    toResponse(
                         self,
-                        reading.range,
-                        reading.query,
+                        pending.range,
+                        pending.query,
                         part,
-                        reading.headKnown,
-                        reading.through,
-                        reading.digest));
+                        pending.headKnown,
+                        pending.through,
+                        pending.digest));
               } catch (final WeldpointException exception) {
-                reading.future.completeExceptionally(exception);
+                pending.future.completeExceptionally(exception);
               }
             });
   }
@@ -175,7 +179,7 @@
   /**
    * What a replica's part of the history is worth, given how far a majority says that it reaches.
    */
-  static ControlApi.HistoryResponse answer(
+  static ControlApi.HistoryResponse toResponse(
       final String replica,
       final Range range,
       final ControlApi.HistoryQuery query,
@@ -246,18 +250,18 @@
       }
       final AuditEntry entry = AuditEntry.read(bytes);
       if (matches(entry, range, query)) {
-        entries.add(json(entry, bytes));
+        entries.add(toHistoryEntry(entry, bytes));
       }
       sequence++;
     }
-    final boolean more = sequence <= last;
+    final boolean truncated = sequence <= last;
     return new ControlApi.HistoryResponse(
         problem == null,
         problem,
         part.base + 1,
         through,
         digestThrough,
-        more ? sequence : 0,
+        truncated ? sequence : 0,
         entries);
   }
 
@@ -282,7 +286,7 @@
   }
 
   /** An entry as operators read it. */
-  static ControlApi.HistoryEntry json(final AuditEntry entry, final byte[] bytes) {
+  static ControlApi.HistoryEntry toHistoryEntry(final AuditEntry entry, final byte[] bytes) {
     return new ControlApi.HistoryEntry(
         entry.sequence,
         entry.kind().words(),
@@ -310,7 +314,7 @@
       final ControlApi.HistoryResponse found,
       final AuditEntry change,
       final List<AppliedState> daemons,
-      final long wall) {
+      final long wallMillis) {
     final List<ControlApi.DaemonReach> list = new ArrayList<>();
     final boolean configuration = change.kind() == ChangeKind.CONFIGURATION;
     final boolean routing =
@@ -318,42 +322,44 @@
             || change.kind() == ChangeKind.EVACUATION_BEGUN
             || change.kind() == ChangeKind.EVACUATION_FINISHED
             || change.kind() == ChangeKind.TRIAL;
-    for (final AppliedState one : daemons) {
-      final long held = configuration ? one.version() : one.mark();
-      final long wanted = configuration ? change.version : change.mark;
-      final String heard =
-          one.ageMillis() == Long.MAX_VALUE
+    for (final AppliedState daemon : daemons) {
+      final long applied = configuration ? daemon.version() : daemon.mark();
+      final long required = configuration ? change.version : change.mark;
+      final String lastHeard =
+          daemon.ageMillis() == Long.MAX_VALUE
               ? "never heard of here"
-              : "heard of " + one.ageMillis() + " ms ago";
+              : "heard of " + daemon.ageMillis() + " ms ago";
       if (!routing) {
         list.add(
             new ControlApi.DaemonReach(
-                one.address(), one.program(), "IN_FORCE", "", "changes no routing"));
-      } else if (one.ageMillis() > UNHEARD_MILLIS) {
+                daemon.address(), daemon.program(), "IN_FORCE", "", "changes no routing"));
+      } else if (daemon.ageMillis() > UNHEARD_MILLIS) {
         list.add(
             new ControlApi.DaemonReach(
-                one.address(),
-                one.program(),
+                daemon.address(),
+                daemon.program(),
                 "UNHEARD",
                 "",
-                heard
-                    + (held >= wanted && held > 0
+                lastHeard
+                    + (applied >= required && applied > 0
                         ? ", had it in force then"
                         : ", not known whether it has it in force")));
-      } else if (held < wanted) {
-        list.add(new ControlApi.DaemonReach(one.address(), one.program(), "NOT_YET", "", heard));
+      } else if (applied < required) {
+        list.add(
+            new ControlApi.DaemonReach(
+                daemon.address(), daemon.program(), "NOT_YET", "", lastHeard));
       } else {
         final String since =
-            Instant.ofEpochMilli(wall - one.ageMillis() - one.heldMillis()).toString();
+            Instant.ofEpochMilli(wallMillis - daemon.ageMillis() - daemon.heldMillis()).toString();
         list.add(
             new ControlApi.DaemonReach(
-                one.address(),
-                one.program(),
+                daemon.address(),
+                daemon.program(),
                 "IN_FORCE",
                 since,
-                held == wanted
-                    ? heard
-                    : heard + "; a later change is in force since then, this one was before"));
+                applied == required
+                    ? lastHeard
+                    : lastHeard + "; a later change is in force since then, this one was before"));
       }
     }
     list.sort(
@@ -368,13 +374,18 @@
 
   /** Answers which daemons had the change of this number in force. */
   CompletableFuture<ControlApi.ReachResponse> reach(
-      final long sequence, final List<AppliedState> daemons, final long wall, final long now) {
+      final long sequence,
+      final List<AppliedState> daemons,
+      final long wallMillis,
+      final long now) {
     if (sequence < 1) {
       throw new WeldpointException(
           WeldpointException.Kind.INVALID, "changes are counted from 1; name one of the history");
     }
     return read(
-            new ControlApi.HistoryQuery(sequence, sequence, null, null, null, null, 1L), wall, now)
+            new ControlApi.HistoryQuery(sequence, sequence, null, null, null, null, 1L),
+            wallMillis,
+            now)
         .thenCompose(
             found -> {
               if (found.entries().isEmpty()) {
@@ -383,19 +394,19 @@
                     "change " + sequence + " is not known here: " + found.problem());
               }
               return store
-                  .here(StoreOperation.HISTORY_READ, sequence, 1, now, LOCAL_MILLIS)
+                  .here(StoreOperation.HISTORY_READ, sequence, 1, now, LOCAL_READ_TIMEOUT_MILLIS)
                   .thenApply(
-                      answer ->
+                      response ->
                           reach(
                               found,
                               AuditEntry.read(
                                   Protocol.list(
                                           Serializer.deserialize(
-                                                  answer.body, StoredValues.HistoryPart.class)
+                                                  response.body, StoredValues.HistoryPart.class)
                                               .entries)
                                       .get(0)),
                               daemons,
-                              wall));
+                              wallMillis));
             });
   }
 }
--- a/registry/src/main/java/weldpoint/registry/KeyClaims.java
+++ b/registry/src/main/java/weldpoint/registry/KeyClaims.java
@@ -28,29 +28,29 @@
   }
 
   private final String self;
-  private final BiConsumer<String, Message> members;
+  private final BiConsumer<String, Message> registrySender;
   private final Disk disk;
   private final ClaimTable table = new ClaimTable();
   private final ClaimCoordinator coordinator;
   private Roster roster = new Roster(0, List.of());
-  private Roster before;
-  private boolean votes;
-  private long clock;
+  private Roster previousRoster;
+  private boolean votingAllowed;
+  private long lastNow;
 
-  KeyClaims(final String self, final BiConsumer<String, Message> members, final Disk disk) {
+  KeyClaims(final String self, final BiConsumer<String, Message> registrySender, final Disk disk) {
     this.self = self;
-    this.members = members;
+    this.registrySender = registrySender;
     this.disk = disk;
-    this.coordinator = new ClaimCoordinator(self, this::tellVoters);
+    this.coordinator = new ClaimCoordinator(self, this::sendToVoters);
   }
 
   /** Takes back what the disk remembered: spans begin anew, since nobody knows how long it was. */
-  void recall(final List<Claim> claims, final long now) {
+  void restore(final List<Claim> claims, final long now) {
     table.recall(claims, now);
   }
 
   /** Takes what another voter remembers. */
-  void learn(final List<Claim> claims, final long now) {
+  void merge(final List<Claim> claims, final long now) {
     if (!claims.isEmpty()) {
       table.recall(claims, now);
       disk.append(claims, () -> {});
@@ -58,8 +58,8 @@
   }
 
   /** The claims that are remembered. */
-  List<Claim> live() {
-    return table.live(clock);
+  List<Claim> liveClaims() {
+    return table.live(lastNow);
   }
 
   /**
@@ -68,23 +68,23 @@
    */
   void roster(final Roster present, final Roster previous, final boolean mayVote) {
     roster = present;
-    before = previous;
-    votes = mayVote;
+    previousRoster = previous;
+    votingAllowed = mayVote;
   }
 
-  private void tellVoters(final Message message) {
+  private void sendToVoters(final Message message) {
     for (final Voter voter : roster.voters) {
       if (voter.address.equals(self)) {
-        receive(self, message, answer -> receive(self, answer, unused -> {}, clock), clock);
+        receive(self, message, response -> receive(self, response, unused -> {}, lastNow), lastNow);
       } else {
-        members.accept(voter.address, message);
+        registrySender.accept(voter.address, message);
       }
     }
   }
 
   /** A proxy claims a key or gives one back. */
   void fromProxy(final Message message, final Consumer<Message> reply, final long now) {
-    clock = Math.max(clock, now);
+    lastNow = Math.max(lastNow, now);
     if (message instanceof ClaimRequest) {
       coordinator.ask(((ClaimRequest) message).claim, reply, now);
     } else if (message instanceof ClaimRelease) {
@@ -95,13 +95,13 @@
   /** Another registry, or this one, asks for votes or gives them. */
   void receive(
       final String from, final Message message, final Consumer<Message> reply, final long now) {
-    clock = Math.max(clock, now);
+    lastNow = Math.max(lastNow, now);
     if (message instanceof ClaimVoteRequest) {
       vote(((ClaimVoteRequest) message).claims, reply, now);
     } else if (message instanceof ClaimVoteResponse) {
-      final ClaimVoteResponse answer = (ClaimVoteResponse) message;
-      if (answer.rosterNumber <= roster.number) {
-        coordinator.voted(from, answer, roster, before, now);
+      final ClaimVoteResponse response = (ClaimVoteResponse) message;
+      if (response.rosterNumber <= roster.number) {
+        coordinator.voted(from, response, roster, previousRoster, now);
       }
     } else if (message instanceof ClaimRelease) {
       final List<Claim> claims = ((ClaimRelease) message).claims;
@@ -111,16 +111,16 @@
   }
 
   private void vote(final List<Claim> claims, final Consumer<Message> reply, final long now) {
-    if (!votes) {
+    if (!votingAllowed) {
       return;
     }
-    final List<Claim> mine = new ArrayList<>();
+    final List<Claim> accepted = new ArrayList<>();
     final List<ClaimVote> granted = new ArrayList<>();
     final List<ClaimVote> refused = new ArrayList<>();
     for (final Claim claim : claims) {
       final Claim holder = table.claim(claim, now);
       if (holder.sameClaimant(claim)) {
-        mine.add(claim);
+        accepted.add(claim);
         granted.add(new ClaimVote(claim.incarnation, claim.number, null));
       } else {
         refused.add(new ClaimVote(claim.incarnation, claim.number, holder));
@@ -129,14 +129,14 @@
     if (!refused.isEmpty()) {
       reply.accept(new ClaimVoteResponse(roster.number, refused));
     }
-    if (!mine.isEmpty()) {
-      disk.append(mine, () -> reply.accept(new ClaimVoteResponse(roster.number, granted)));
+    if (!accepted.isEmpty()) {
+      disk.append(accepted, () -> reply.accept(new ClaimVoteResponse(roster.number, granted)));
     }
   }
 
   /** Time has passed. */
   void tick(final long now) {
-    clock = now;
+    lastNow = now;
     coordinator.tick(now);
     table.expire(now);
   }
@@ -148,7 +148,7 @@
   }
 
   /** Figures of claims. */
-  List<Metric> figures() {
+  List<Metric> metrics() {
     final String help = "Claims of idempotency keys that this registry asked the voters about.";
     return List.of(
         Metric.counter("weldpoint_key_claims", help, coordinator.granted())
--- a/registry/src/main/java/weldpoint/registry/KeyGrantClient.java
+++ b/registry/src/main/java/weldpoint/registry/KeyGrantClient.java
@@ -42,49 +42,49 @@
  * that nothing of it arrives later; see GrantTimings for how long it may still be counted.
  */
 final class KeyGrantClient {
-  private static final String TARGET = "Weldpoint-Target-Instance";
-  private static final String TRANSFER = "Weldpoint-Duty-Transfer";
-  private static final int CONNECT_MILLIS = 400;
-  private static final int MOST_ANSWER = 8192;
+  private static final String TARGET_INSTANCE_HEADER = "Weldpoint-Target-Instance";
+  private static final String TRANSFER_HEADER = "Weldpoint-Duty-Transfer";
+  private static final int CONNECT_TIMEOUT_MILLIS = 400;
+  private static final int MAX_RESPONSE_BYTES = 8192;
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
   /** A call of an upstream, and what the log tells of it. Times are of the steady clock. */
   private static final class Call {
     final String kind;
     final KeyRange range;
-    final long madeAt = now();
+    final long createdAt = now();
     long sentAt;
     final FullHttpRequest request;
-    final long sendBy;
-    final long answerBy;
-    final Consumer<CallResult> done;
-    private boolean over;
+    final long sendDeadline;
+    final long responseDeadline;
+    final Consumer<CallResult> callback;
+    private boolean completed;
 
     Call(
         final String kind,
         final KeyRange range,
         final FullHttpRequest request,
-        final long sendBy,
-        final long answerBy,
-        final Consumer<CallResult> done) {
+        final long sendDeadline,
+        final long responseDeadline,
+        final Consumer<CallResult> callback) {
       this.kind = kind;
       this.range = range;
       this.request = request;
-      this.sendBy = sendBy;
-      this.answerBy = answerBy;
-      this.done = done;
+      this.sendDeadline = sendDeadline;
+      this.responseDeadline = responseDeadline;
+      this.callback = callback;
     }
 
-    void sent() {
+    void markSent() {
       sentAt = now();
       LOGGER.atFine().log("%s sent at %s: %s", kind, sentAt, this);
     }
 
-    void end(final CallResult result) {
-      if (!over) {
-        over = true;
+    void complete(final CallResult result) {
+      if (!completed) {
+        completed = true;
         LOGGER.atFine().log("%s ended at %s: %s, %s", kind, now(), this, result.end());
-        done.accept(result);
+        callback.accept(result);
       }
     }
 
@@ -101,149 +101,153 @@
           + " at "
           + range.address
           + " made "
-          + madeAt
+          + createdAt
           + " sent "
           + sentAt;
     }
   }
 
   /** One connection, and the calls that wait for it. */
-  private final class Link {
+  private final class UpstreamConnection {
     private final String address;
-    private final boolean kept;
-    private final ArrayDeque<Call> waiting = new ArrayDeque<>();
+    private final boolean persistent;
+    private final ArrayDeque<Call> pendingCalls = new ArrayDeque<>();
     private Channel channel;
-    private Call sent;
+    private Call inFlight;
     private ScheduledFuture<?> timer;
     private boolean connecting;
-    private boolean used;
+    private boolean carriedCall;
 
-    Link(final String address, final boolean kept) {
+    UpstreamConnection(final String address, final boolean persistent) {
       this.address = address;
-      this.kept = kept;
+      this.persistent = persistent;
     }
 
-    void add(final Call call) {
-      waiting.add(call);
-      next();
+    void enqueue(final Call call) {
+      pendingCalls.add(call);
+      sendNext();
     }
 
-    private void next() {
-      if (sent != null || connecting || waiting.isEmpty()) {
+    private void sendNext() {
+      if (inFlight != null || connecting || pendingCalls.isEmpty()) {
         return;
       }
       if (channel == null || !channel.isActive()) {
         connect();
         return;
       }
-      final Call call = waiting.poll();
-      if (now() >= call.sendBy) {
+      final Call call = pendingCalls.poll();
+      if (now() >= call.sendDeadline) {
         call.request.release();
-        call.end(CallResult.of(CallResult.End.NOT_SENT));
-        next();
+        call.complete(CallResult.of(CallResult.End.NOT_SENT));
+        sendNext();
         return;
       }
-      sent = call;
-      call.sent();
-      timer = loop.schedule(this::reset, Math.max(1, call.answerBy - now()), TimeUnit.MILLISECONDS);
+      inFlight = call;
+      call.markSent();
+      timer =
+          loop.schedule(
+              this::reset, Math.max(1, call.responseDeadline - now()), TimeUnit.MILLISECONDS);
       channel.writeAndFlush(call.request);
     }
 
     private void connect() {
       connecting = true;
-      final Settings.Address to = Settings.Address.parse("address", address);
+      final Settings.Address target = Settings.Address.parse("address", address);
       bootstrap
           .clone()
           .handler(
               new ChannelInitializer<SocketChannel>() {
                 @Override
-                protected void initChannel(final SocketChannel made) {
-                  made.pipeline()
+                protected void initChannel(final SocketChannel socket) {
+                  socket
+                      .pipeline()
                       .addLast(
                           new HttpClientCodec(),
-                          new HttpObjectAggregator(MOST_ANSWER),
-                          new ResponseHandler(Link.this));
+                          new HttpObjectAggregator(MAX_RESPONSE_BYTES),
+                          new ResponseHandler(UpstreamConnection.this));
                 }
               })
-          .connect(new InetSocketAddress(to.host(), to.port()))
+          .connect(new InetSocketAddress(target.host(), target.port()))
           .addListener(
               (ChannelFuture future) -> {
                 connecting = false;
                 if (future.isSuccess()) {
                   channel = future.channel();
-                  used = false;
-                  next();
+                  carriedCall = false;
+                  sendNext();
                 } else {
-                  unreachable();
+                  failPendingCalls();
                 }
               });
     }
 
-    private void unreachable() {
-      while (!waiting.isEmpty()) {
-        final Call call = waiting.poll();
+    private void failPendingCalls() {
+      while (!pendingCalls.isEmpty()) {
+        final Call call = pendingCalls.poll();
         call.request.release();
-        call.end(CallResult.of(CallResult.End.NOT_SENT));
+        call.complete(CallResult.of(CallResult.End.NOT_SENT));
       }
-      links.remove(address, this);
+      connections.remove(address, this);
     }
 
     private void reset() {
-      LOGGER.atInfo().log("%s unanswered at %s, connection reset: %s", sent.kind, now(), sent);
+      LOGGER.atInfo().log(
+          "%s unanswered at %s, connection reset: %s", inFlight.kind, now(), inFlight);
       channel.config().setOption(ChannelOption.SO_LINGER, 0);
       channel.close();
     }
 
-    private void answered(final Channel from, final FullHttpResponse response) {
-      if (from != channel || sent == null) {
-        from.close();
+    private void onResponse(final Channel source, final FullHttpResponse response) {
+      if (source != channel || inFlight == null) {
+        source.close();
         return;
       }
-      final CallResult result = result(response, !used);
-      used = true;
-      if (!kept || !HttpUtil.isKeepAlive(response) || result.end() != CallResult.End.DONE) {
+      final CallResult result = result(response, !carriedCall);
+      carriedCall = true;
+      if (!persistent || !HttpUtil.isKeepAlive(response) || result.end() != CallResult.End.DONE) {
         channel = null;
-        from.close();
+        source.close();
       }
-      finish(result);
+      completeInFlight(result);
     }
 
-    private void closed(final Channel which) {
-      if (which == channel) {
+    private void onClosed(final Channel closedChannel) {
+      if (closedChannel == channel) {
         channel = null;
-        finish(CallResult.of(CallResult.End.UNKNOWN));
+        completeInFlight(CallResult.of(CallResult.End.UNKNOWN));
       }
     }
 
-    private void finish(final CallResult result) {
-      if (sent == null) {
+    private void completeInFlight(final CallResult result) {
+      if (inFlight == null) {
         return;
       }
-      final Call ended = sent;
-      sent = null;
+      final Call call = inFlight;
+      inFlight = null;
       timer.cancel(false);
-      ended.end(result);
-      next();
+      call.complete(result);
+      sendNext();
     }
   }
 
   /** Hears the answers on one connection. */
   private static final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
-    private final Link link;
+    private final UpstreamConnection connection;
 
-    ResponseHandler(final Link link) {
-      this.link = link;
+    ResponseHandler(final UpstreamConnection connection) {
+      this.connection = connection;
     }
 
     @Override
     protected void channelRead0(
         final ChannelHandlerContext context, final FullHttpResponse response) {
-      link.answered(context.channel(), response);
+      connection.onResponse(context.channel(), response);
     }
 
     @Override
     public void channelInactive(final ChannelHandlerContext context) {
-      link.closed(context.channel());
+      connection.onClosed(context.channel());
     }
 
     @Override
@@ -253,11 +257,11 @@
   }
 
   private final EventLoopGroup loop;
-  private final Executor desk;
+  private final Executor callbackExecutor;
   private final long holdMillis;
-  private final long sendMillis;
+  private final long responseTimeoutMillis;
   private final Bootstrap bootstrap;
-  private final Map<String, Link> links = new HashMap<>();
+  private final Map<String, UpstreamConnection> connections = new HashMap<>();
 
   /**
    * Calls on this loop; results are told on the desk.
@@ -267,19 +271,19 @@
    */
   KeyGrantClient(
       final EventLoopGroup loop,
-      final Executor desk,
+      final Executor callbackExecutor,
       final long holdMillis,
-      final long sendMillis) {
+      final long responseTimeoutMillis) {
     this.loop = loop;
-    this.desk = desk;
+    this.callbackExecutor = callbackExecutor;
     this.holdMillis = holdMillis;
-    this.sendMillis = sendMillis;
+    this.responseTimeoutMillis = responseTimeoutMillis;
     this.bootstrap =
         new Bootstrap()
             .group(loop)
             .channel(NioSocketChannel.class)
             .option(ChannelOption.TCP_NODELAY, true)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS);
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS);
   }
 
   private static long now() {
@@ -287,30 +291,48 @@
   }
 
   /** Grants a range to its holder. */
-  void grant(final KeyRange range, final long sendBy, final Consumer<CallResult> done) {
+  void grant(final KeyRange range, final long sendDeadline, final Consumer<CallResult> callback) {
     final ControlApi.Grant body =
         new ControlApi.Grant(range.first, range.last, range.fence, holdMillis, range.transfer);
     final FullHttpRequest request = request(range.address, "/api/grant", ControlApi.GRANT, body);
-    request.headers().set(TARGET, range.holder);
-    final Call call = new Call("grant", range, request, sendBy, now() + sendMillis, onDesk(done));
-    loop.execute(() -> links.computeIfAbsent(range.address, to -> new Link(to, true)).add(call));
+    request.headers().set(TARGET_INSTANCE_HEADER, range.holder);
+    final Call call =
+        new Call(
+            "grant",
+            range,
+            request,
+            sendDeadline,
+            now() + responseTimeoutMillis,
+            onCallbackExecutor(callback));
+    loop.execute(
+        () ->
+            connections
+                .computeIfAbsent(range.address, target -> new UpstreamConnection(target, true))
+                .enqueue(call));
   }
 
   /** Asks the holder of a range to give it up. */
   void release(
       final KeyRange range,
-      final long sendBy,
-      final long answerBy,
-      final Consumer<CallResult> done) {
+      final long sendDeadline,
+      final long responseDeadline,
+      final Consumer<CallResult> callback) {
     final ControlApi.Release body = new ControlApi.Release(range.first, range.last, range.fence);
     final FullHttpRequest request =
         request(range.address, "/api/release", ControlApi.RELEASE, body);
-    final Call call = new Call("release", range, request, sendBy, answerBy, onDesk(done));
-    loop.execute(() -> new Link(range.address, false).add(call));
+    final Call call =
+        new Call(
+            "release",
+            range,
+            request,
+            sendDeadline,
+            responseDeadline,
+            onCallbackExecutor(callback));
+    loop.execute(() -> new UpstreamConnection(range.address, false).enqueue(call));
   }
 
-  private Consumer<CallResult> onDesk(final Consumer<CallResult> done) {
-    return result -> desk.execute(() -> done.accept(result));
+  private Consumer<CallResult> onCallbackExecutor(final Consumer<CallResult> callback) {
+    return result -> callbackExecutor.execute(() -> callback.accept(result));
   }
 
   private static <T> FullHttpRequest request(
@@ -332,7 +354,7 @@
    */
   private static CallResult result(final FullHttpResponse response, final boolean onlyCall) {
     return switch (response.status().code()) {
-      case 200 -> new CallResult(CallResult.End.DONE, response.headers().get(TRANSFER));
+      case 200 -> new CallResult(CallResult.End.DONE, response.headers().get(TRANSFER_HEADER));
       case 409, 421 -> CallResult.of(onlyCall ? CallResult.End.REFUSED : CallResult.End.UNKNOWN);
       default -> CallResult.of(CallResult.End.UNKNOWN);
     };
--- a/registry/src/main/java/weldpoint/registry/OwnershipEndpoint.java
+++ b/registry/src/main/java/weldpoint/registry/OwnershipEndpoint.java
@@ -29,12 +29,12 @@
  * members are, passes proxies' reports to the assigner and assignments to proxies.
  */
 final class OwnershipEndpoint {
-  private static final long REPORT_MILLIS = 500;
-  private static final long TICK_MILLIS = 60;
+  private static final long REPORT_INTERVAL_MILLIS = 500;
+  private static final long TICK_INTERVAL_MILLIS = 60;
 
   private final OwnershipCoordinator coordinator;
   private final String self;
-  private final BiConsumer<String, Message> registries;
+  private final BiConsumer<String, Message> registrySender;
   private final SlotReports reports = new SlotReports();
   private final Map<String, List<Member>> members = new HashMap<>();
   private List<String> services = List.of();
@@ -42,36 +42,36 @@
   private long tickedAt;
   private long knownVersion = -1;
   private long knownRevision = -1;
-  private int knownState;
+  private int knownStateHash;
 
   OwnershipEndpoint(
       final String self,
       final long incarnation,
       final GrantTimings timings,
       final Assigner.Environment environment,
-      final Consumer<Message> everyRegistry,
-      final BiConsumer<String, Message> registries) {
+      final Consumer<Message> broadcast,
+      final BiConsumer<String, Message> registrySender) {
     this.self = self;
-    this.registries = registries;
+    this.registrySender = registrySender;
     this.coordinator =
-        new OwnershipCoordinator(self, incarnation, timings, environment, everyRegistry::accept);
+        new OwnershipCoordinator(self, incarnation, timings, environment, broadcast::accept);
   }
 
   /** The sum of all serials known, by which the state stores tell whether anything is news. */
-  long mark() {
+  long serialSum() {
     return coordinator.mark();
   }
 
   /** Takes what the state stores hold; what proxies must be told, or null. */
-  Assignments take(final List<Assignment> given, final long now) {
-    final List<Assignment> news = coordinator.take(given, now);
-    return news.isEmpty() ? null : new Assignments(news);
+  Assignments apply(final List<Assignment> stored, final long now) {
+    final List<Assignment> changed = coordinator.take(stored, now);
+    return changed.isEmpty() ? null : new Assignments(changed);
   }
 
   /** All that a proxy must know at first, or null. */
-  Assignments all() {
-    final List<Assignment> all = coordinator.assignments();
-    return all.isEmpty() ? null : new Assignments(all);
+  Assignments currentAssignments() {
+    final List<Assignment> assignments = coordinator.assignments();
+    return assignments.isEmpty() ? null : new Assignments(assignments);
   }
 
   /** All ranges, for operators. */
@@ -94,8 +94,8 @@
   }
 
   /** Another registry's pulse. */
-  void pulse(final String from, final AssignerHeartbeat pulse, final long now) {
-    coordinator.pulse(from, pulse, now);
+  void assignerHeartbeat(final String from, final AssignerHeartbeat heartbeat, final long now) {
+    coordinator.pulse(from, heartbeat, now);
   }
 
   /** A proxy tells what it sent to holders. */
@@ -120,77 +120,81 @@
       final Collection<String> evacuated,
       final OwnershipCoordinator.Position position,
       final long now) {
-    if (routingTable == null || now - tickedAt < TICK_MILLIS) {
+    if (routingTable == null || now - tickedAt < TICK_INTERVAL_MILLIS) {
       return;
     }
     tickedAt = now;
-    learn(routingTable, registrations, evacuated);
-    if (now - reportedAt >= REPORT_MILLIS) {
+    updateMembers(routingTable, registrations, evacuated);
+    if (now - reportedAt >= REPORT_INTERVAL_MILLIS) {
       reportedAt = now;
-      reports.drain().forEach(report -> passOn(report, now));
+      reports.drain().forEach(report -> forward(report, now));
     }
     coordinator.tick(services, service -> members.getOrDefault(service, List.of()), position, now);
   }
 
-  private void passOn(final SlotReport report, final long now) {
+  private void forward(final SlotReport report, final long now) {
     final String assigner = coordinator.assignerOf(report.service);
     if (self.equals(assigner)) {
       coordinator.report(report, now);
     } else if (assigner != null) {
-      registries.accept(assigner, report);
+      registrySender.accept(assigner, report);
     }
   }
 
-  private void learn(
+  private void updateMembers(
       final RoutingTable routingTable,
       final Registrations registrations,
       final Collection<String> evacuated) {
     final Set<String> suspects = registrations.suspects();
-    final int state = 31 * evacuated.hashCode() + suspects.hashCode();
+    final int stateHash = 31 * evacuated.hashCode() + suspects.hashCode();
     if (routingTable.version() == knownVersion
         && registrations.revision() == knownRevision
-        && state == knownState) {
+        && stateHash == knownStateHash) {
       return;
     }
     knownVersion = routingTable.version();
     knownRevision = registrations.revision();
-    knownState = state;
+    knownStateHash = stateHash;
     services = routingTable.partitioned();
     members.clear();
     services.forEach(service -> members.put(service, new ArrayList<>()));
-    final Map<String, String> lives = new HashMap<>();
-    for (final Registration one : registrations.all().values()) {
-      if (LifecycleStage.of(one) == LifecycleStage.JOINED) {
-        lives.put(one.address, one.id);
+    final Map<String, String> joinedByAddress = new HashMap<>();
+    for (final Registration registration : registrations.all().values()) {
+      if (LifecycleStage.of(registration) == LifecycleStage.JOINED) {
+        joinedByAddress.put(registration.address, registration.id);
       }
     }
-    for (final Registration one : registrations.all().values()) {
-      final List<Member> list = members.get(one.service);
+    for (final Registration registration : registrations.all().values()) {
+      final List<Member> list = members.get(registration.service);
       if (list != null) {
         list.add(
             new Member(
-                one.id, one.address, one.capacity, standing(one, lives, evacuated, suspects)));
+                registration.id,
+                registration.address,
+                registration.capacity,
+                standing(registration, joinedByAddress, evacuated, suspects)));
       }
     }
   }
 
   private static Member.Standing standing(
-      final Registration one,
-      final Map<String, String> lives,
+      final Registration registration,
+      final Map<String, String> joinedByAddress,
       final Collection<String> evacuated,
       final Set<String> suspects) {
-    if (LifecycleStage.of(one) == LifecycleStage.REMOVED && lives.containsKey(one.address)) {
+    if (LifecycleStage.of(registration) == LifecycleStage.REMOVED
+        && joinedByAddress.containsKey(registration.address)) {
       return Member.Standing.ENDED;
     }
-    if (!LifecycleStage.of(one).open() || evacuated.contains(one.site)) {
+    if (!LifecycleStage.of(registration).open() || evacuated.contains(registration.site)) {
       return Member.Standing.LEAVES;
     }
-    return suspects.contains(one.id) || one.warmupMillis > 0
+    return suspects.contains(registration.id) || registration.warmupMillis > 0
         ? Member.Standing.KEEPS
         : Member.Standing.ELIGIBLE;
   }
 
-  List<Metric> figures(final long now) {
+  List<Metric> metrics(final long now) {
     return coordinator.figures(now);
   }
 
--- a/registry/src/main/java/weldpoint/registry/PlacementService.java
+++ b/registry/src/main/java/weldpoint/registry/PlacementService.java
@@ -25,17 +25,17 @@
  * between switchboards and the keeper.
  */
 final class PlacementService {
-  private final Affinity usual;
+  private final Affinity defaultAffinity;
   private final PlacementCoordinator coordinator;
-  private final Map<String, Object> askers = new HashMap<>();
-  private boolean tied;
-  private long keeperSerial;
-  private long wantedRevision = -1;
-  private long wantedVersion = -1;
-  private int wantedState;
+  private final Map<String, Object> requesters = new HashMap<>();
+  private boolean affinityConfigured;
+  private long ownerSerial;
+  private long knownRevision = -1;
+  private long knownVersion = -1;
+  private int knownStateHash;
 
-  PlacementService(final Affinity usual, final PlacementCoordinator coordinator) {
-    this.usual = usual;
+  PlacementService(final Affinity defaultAffinity, final PlacementCoordinator coordinator) {
+    this.defaultAffinity = defaultAffinity;
     this.coordinator = coordinator;
   }
 
@@ -45,18 +45,18 @@
 
   /** Whether a route ties callers, or settings do. */
   boolean active() {
-    return tied || usual != null;
+    return affinityConfigured || defaultAffinity != null;
   }
 
-  long marks() {
-    return coordinator.mark() + keeperSerial;
+  long serialSum() {
+    return coordinator.mark() + ownerSerial;
   }
 
   /** Takes what the frames hold; true where switchboards must be told. */
-  boolean take(final StoredValues.ControlSnapshot control, final long now) {
-    tied = control.tied;
+  boolean apply(final StoredValues.ControlSnapshot control, final long now) {
+    affinityConfigured = control.tied;
     if (control.keeper != null) {
-      keeperSerial = Math.max(keeperSerial, control.keeper.serial);
+      ownerSerial = Math.max(ownerSerial, control.keeper.serial);
     }
     return coordinator.take(
         Protocol.list(control.placements),
@@ -66,18 +66,18 @@
   }
 
   /** Remembers over which stream a switchboard asked. */
-  void asker(final String board, final Object stream) {
-    askers.put(board, stream);
+  void addRequester(final String proxy, final Object stream) {
+    requesters.put(proxy, stream);
   }
 
   /** Passes the keeper's answer on. */
-  void granted(
+  void forwardGrant(
       final PlacementMessages.LeaseGrant grant,
-      final Predicate<Object> open,
-      final BiConsumer<Object, Message> board) {
-    final Object stream = askers.remove(grant.board);
-    if (stream != null && open.test(stream)) {
-      board.accept(stream, grant);
+      final Predicate<Object> isOpen,
+      final BiConsumer<Object, Message> streamSender) {
+    final Object stream = requesters.remove(grant.board);
+    if (stream != null && isOpen.test(stream)) {
+      streamSender.accept(stream, grant);
     }
   }
 
@@ -88,51 +88,51 @@
       final Collection<String> evacuated,
       final Set<String> suspects,
       final long revision,
-      final boolean mayKeep,
+      final boolean mayOwn,
       final boolean reachable,
       final boolean confirmed,
       final long now) {
     if (routingTable == null) {
       return;
     }
-    final int state = 31 * evacuated.hashCode() + suspects.hashCode();
-    if (routingTable.version() != wantedVersion
-        || revision != wantedRevision
-        || state != wantedState) {
-      wantedVersion = routingTable.version();
-      wantedRevision = revision;
-      wantedState = state;
-      want(routingTable, history, evacuated, suspects);
+    final int stateHash = 31 * evacuated.hashCode() + suspects.hashCode();
+    if (routingTable.version() != knownVersion
+        || revision != knownRevision
+        || stateHash != knownStateHash) {
+      knownVersion = routingTable.version();
+      knownRevision = revision;
+      knownStateHash = stateHash;
+      updateMembers(routingTable, history, evacuated, suspects);
     }
-    coordinator.tick(mayKeep, reachable, confirmed, now);
+    coordinator.tick(mayOwn, reachable, confirmed, now);
   }
 
-  private void want(
+  private void updateMembers(
       final RoutingTable routingTable,
       final Collection<Registration> history,
       final Collection<String> evacuated,
       final Set<String> suspects) {
-    final Map<String, List<PlacementMember>> wanted = new TreeMap<>();
-    long longest = 0;
+    final Map<String, List<PlacementMember>> membersByService = new TreeMap<>();
+    long longestTimeoutMillis = 0;
     for (final Route route : routingTable.all()) {
-      if (Affinity.inForce(route, usual) != null) {
-        longest = Math.max(longest, route.timeoutMillis);
+      if (Affinity.inForce(route, defaultAffinity) != null) {
+        longestTimeoutMillis = Math.max(longestTimeoutMillis, route.timeoutMillis);
         for (final int service : route.services()) {
-          wanted.computeIfAbsent(
+          membersByService.computeIfAbsent(
               routingTable.services().get(service).name(), name -> new ArrayList<>());
         }
       }
     }
-    for (final Registration one : history) {
-      final List<PlacementMember> members = wanted.get(one.service);
+    for (final Registration registration : history) {
+      final List<PlacementMember> members = membersByService.get(registration.service);
       if (members != null
-          && LifecycleStage.of(one) == LifecycleStage.JOINED
-          && !evacuated.contains(one.site)
-          && !suspects.contains(one.id)) {
-        members.add(new PlacementMember(one.id, one.capacity, one.site));
+          && LifecycleStage.of(registration) == LifecycleStage.JOINED
+          && !evacuated.contains(registration.site)
+          && !suspects.contains(registration.id)) {
+        members.add(new PlacementMember(registration.id, registration.capacity, registration.site));
       }
     }
-    wanted.replaceAll((service, members) -> PlacementCoordinator.sorted(members));
-    coordinator.wanted(wanted, longest);
+    membersByService.replaceAll((service, members) -> PlacementCoordinator.sorted(members));
+    coordinator.wanted(membersByService, longestTimeoutMillis);
   }
 }
--- a/registry/src/main/java/weldpoint/registry/QuotaEndpoint.java
+++ b/registry/src/main/java/weldpoint/registry/QuotaEndpoint.java
@@ -21,63 +21,63 @@
  * exchange's.
  */
 final class QuotaEndpoint {
-  private static final long FRESH_MILLIS = 8000;
-  private static final long RELAY_MILLIS = 600;
+  private static final long MAX_MAJORITY_AGE_MILLIS = 8000;
+  private static final long RELAY_TIMEOUT_MILLIS = 600;
 
   /** For how long after a change of roster others may still count by the one before. */
-  private static final long STALE_MILLIS = FRESH_MILLIS + 1000;
+  private static final long ROSTER_PROPAGATION_MILLIS = MAX_MAJORITY_AGE_MILLIS + 1000;
 
   /** For how long a name that no voter had a permit for is refused without asking again. */
-  private static final long DENIED_MILLIS = 40;
+  private static final long DENIAL_CACHE_MILLIS = 40;
 
-  private static final int MOST_DENIED = 4096;
+  private static final int MAX_CACHED_DENIALS = 4096;
 
-  private static final int MOST_SERIES = 200;
+  private static final int MAX_TENANT_SERIES = 200;
 
-  private record Relayed(
+  private record RelayedRequest(
       PermitRequest request,
       Consumer<Message> reply,
       int granted,
       long version,
       long ageMillis,
-      long cutoff) {}
+      long deadline) {}
 
   private final String self;
   private final QuotaAllocator allocator;
-  private final BiPredicate<String, Message> members;
-  private final Map<Long, Relayed> relayed = new HashMap<>();
-  private long number;
+  private final BiPredicate<String, Message> registrySender;
+  private final Map<Long, RelayedRequest> relayed = new HashMap<>();
+  private long lastRelayNumber;
   private long rosterNumber;
-  private boolean among;
-  private long amongSince;
-  private int voters;
-  private int votersBefore;
-  private long rosterAt = Long.MIN_VALUE / 2;
+  private boolean isVoter;
+  private long voterSince;
+  private int voterCount;
+  private int previousVoterCount;
+  private long rosterChangedAt = Long.MIN_VALUE / 2;
   private final Map<String, Long> deniedAt = new HashMap<>();
 
   QuotaEndpoint(
       final String self,
       final QuotaAllocator allocator,
-      final BiPredicate<String, Message> members) {
+      final BiPredicate<String, Message> registrySender) {
     this.self = self;
     this.allocator = allocator;
-    this.members = members;
+    this.registrySender = registrySender;
   }
 
   /**
    * Takes the roster that the disk held: who was among the voters before has its part from the
    * start.
    */
-  void began(final Roster roster) {
+  void restore(final Roster roster) {
     rosterNumber = roster.number;
-    among = roster.index(self) >= 0;
-    amongSince = Long.MIN_VALUE / 2;
-    voters = roster.voters.size();
-    votersBefore = voters;
+    isVoter = roster.index(self) >= 0;
+    voterSince = Long.MIN_VALUE / 2;
+    voterCount = roster.voters.size();
+    previousVoterCount = voterCount;
   }
 
   /** Answers an ask for permits, or passes the rest of it on to the next voter. */
-  void ask(
+  void request(
       final PermitRequest request,
       final Consumer<Message> reply,
       final RoutingTable routingTable,
@@ -85,41 +85,44 @@
       final long version,
       final long ageMillis,
       final long now) {
-    take(roster, now);
-    final long age = Math.min(Integer.MAX_VALUE, ageMillis);
+    updateRoster(roster, now);
+    final long wireAgeMillis = Math.min(Integer.MAX_VALUE, ageMillis);
     final int granted =
-        among && ageMillis < FRESH_MILLIS
-            ? allocator.grant(request.name, request.count, routingTable, part(now), now)
+        isVoter && ageMillis < MAX_MAJORITY_AGE_MILLIS
+            ? allocator.grant(request.name, request.count, routingTable, ownShare(now), now)
             : 0;
-    final boolean more =
+    final boolean relayRest =
         granted < request.count
             && request.hops < roster.voters.size()
-            && !denied(request.name, now);
-    if (!more || !relay(request, reply, granted, roster, version, age, now)) {
-      reply.accept(new PermitResponse(request.number, granted, version, age));
+            && !recentlyDenied(request.name, now);
+    if (!relayRest || !relay(request, reply, granted, roster, version, wireAgeMillis, now)) {
+      reply.accept(new PermitResponse(request.number, granted, version, wireAgeMillis));
     }
   }
 
-  private void take(final Roster roster, final long now) {
+  private void updateRoster(final Roster roster, final long now) {
     if (roster.number == rosterNumber) {
       return;
     }
-    final boolean is = roster.index(self) >= 0;
-    if (is && !among) {
-      final boolean founder = rosterNumber == 0 && allocator.firstStart();
-      amongSince = founder ? Long.MIN_VALUE / 2 : now + STALE_MILLIS;
+    final boolean nowVoter = roster.index(self) >= 0;
+    if (nowVoter && !isVoter) {
+      final boolean foundingVoter = rosterNumber == 0 && allocator.firstStart();
+      voterSince = foundingVoter ? Long.MIN_VALUE / 2 : now + ROSTER_PROPAGATION_MILLIS;
     }
-    among = is;
+    isVoter = nowVoter;
     rosterNumber = roster.number;
-    rosterAt = now;
-    votersBefore = voters;
-    voters = roster.voters.size();
+    rosterChangedAt = now;
+    previousVoterCount = voterCount;
+    voterCount = roster.voters.size();
   }
 
   /** The own part; after a change of roster the smaller one of the two, until all have heard. */
-  private QuotaShare part(final long now) {
-    final int parts = now - rosterAt < STALE_MILLIS ? Math.max(voters, votersBefore) : voters;
-    return new QuotaShare(parts, amongSince);
+  private QuotaShare ownShare(final long now) {
+    final int divisor =
+        now - rosterChangedAt < ROSTER_PROPAGATION_MILLIS
+            ? Math.max(voterCount, previousVoterCount)
+            : voterCount;
+    return new QuotaShare(divisor, voterSince);
   }
 
   private boolean relay(
@@ -128,40 +131,43 @@
       final int granted,
       final Roster roster,
       final long version,
-      final long age,
+      final long wireAgeMillis,
       final long now) {
-    final long key = ++number;
-    final PermitRequest rest =
+    final long key = ++lastRelayNumber;
+    final PermitRequest remainder =
         new PermitRequest(key, request.name, request.count - granted, request.hops + 1);
-    for (final Voter next : following(roster)) {
-      if (members.test(next.address, rest)) {
-        relayed.put(key, new Relayed(request, reply, granted, version, age, now + RELAY_MILLIS));
+    for (final Voter next : relayCandidates(roster)) {
+      if (registrySender.test(next.address, remainder)) {
+        relayed.put(
+            key,
+            new RelayedRequest(
+                request, reply, granted, version, wireAgeMillis, now + RELAY_TIMEOUT_MILLIS));
         return true;
       }
     }
     return false;
   }
 
-  private boolean denied(final String name, final long now) {
+  private boolean recentlyDenied(final String name, final long now) {
     final Long at = deniedAt.get(name);
-    return at != null && now - at < DENIED_MILLIS;
+    return at != null && now - at < DENIAL_CACHE_MILLIS;
   }
 
-  private void noteDenied(final String name, final long now) {
-    if (deniedAt.size() >= MOST_DENIED) {
+  private void recordDenial(final String name, final long now) {
+    if (deniedAt.size() >= MAX_CACHED_DENIALS) {
       deniedAt.clear();
     }
     deniedAt.put(name, now);
   }
 
   /** The other voters, beginning after this one; those who are none spread over all of them. */
-  private List<Voter> following(final Roster roster) {
+  private List<Voter> relayCandidates(final Roster roster) {
     final List<Voter> list = new ArrayList<>();
     final int size = roster.voters.size();
-    final int own = roster.index(self);
-    final int from = own >= 0 ? own : Math.floorMod(self.hashCode(), Math.max(1, size));
+    final int ownIndex = roster.index(self);
+    final int start = ownIndex >= 0 ? ownIndex : Math.floorMod(self.hashCode(), Math.max(1, size));
     for (int step = 1; step <= size; step++) {
-      final Voter voter = roster.voters.get((from + step) % size);
+      final Voter voter = roster.voters.get((start + step) % size);
       if (!voter.address.equals(self)) {
         list.add(voter);
       }
@@ -170,15 +176,18 @@
   }
 
   /** A voter has answered what was passed on to it. */
-  void answered(final PermitResponse response, final long now) {
-    final Relayed one = relayed.remove(response.number);
-    if (one != null) {
-      if (response.granted == 0 && one.request.hops == 0) {
-        noteDenied(one.request.name, now);
+  void onResponse(final PermitResponse response, final long now) {
+    final RelayedRequest original = relayed.remove(response.number);
+    if (original != null) {
+      if (response.granted == 0 && original.request.hops == 0) {
+        recordDenial(original.request.name, now);
       }
-      one.reply.accept(
+      original.reply.accept(
           new PermitResponse(
-              one.request.number, one.granted + response.granted, one.version, one.ageMillis));
+              original.request.number,
+              original.granted + response.granted,
+              original.version,
+              original.ageMillis));
     }
   }
 
@@ -186,30 +195,31 @@
     if (relayed.isEmpty()) {
       return;
     }
-    for (final Map.Entry<Long, Relayed> entry : new ArrayList<>(relayed.entrySet())) {
-      final Relayed one = entry.getValue();
-      if (now > one.cutoff) {
+    for (final Map.Entry<Long, RelayedRequest> entry : new ArrayList<>(relayed.entrySet())) {
+      final RelayedRequest original = entry.getValue();
+      if (now > original.deadline) {
         relayed.remove(entry.getKey());
-        one.reply.accept(
-            new PermitResponse(one.request.number, one.granted, one.version, one.ageMillis));
+        original.reply.accept(
+            new PermitResponse(
+                original.request.number, original.granted, original.version, original.ageMillis));
       }
     }
   }
 
   /** Figures of limits and permits. */
-  List<Metric> figures() {
-    final List<Metric> figures = new ArrayList<>();
+  List<Metric> metrics() {
+    final List<Metric> metrics = new ArrayList<>();
     final String granted = "Permits granted by this registry out of its part of a tenant's limit.";
     final String refused = "Permits that this registry's part of a tenant's limit did not have.";
-    for (final QuotaAllocator.TenantCount count : allocator.tenantCounts(MOST_SERIES)) {
-      figures.add(
+    for (final QuotaAllocator.TenantCount count : allocator.tenantCounts(MAX_TENANT_SERIES)) {
+      metrics.add(
           Metric.counter("weldpoint_permits_granted", granted, count.granted())
               .with("tenant", count.tenant()));
-      figures.add(
+      metrics.add(
           Metric.counter("weldpoint_permits_refused", refused, count.refused())
               .with("tenant", count.tenant()));
     }
-    return figures;
+    return metrics;
   }
 
   String counters() {
--- a/registry/src/main/java/weldpoint/registry/RecordingBuffer.java
+++ b/registry/src/main/java/weldpoint/registry/RecordingBuffer.java
@@ -13,9 +13,9 @@
  * counted.
  */
 public final class RecordingBuffer {
-  private static final int MOST_NOTES = 30_000;
-  private static final int MOST_DRAINED = 4000;
-  private static final long TELL_MILLIS = 1000;
+  private static final int MAX_NOTES = 30_000;
+  private static final int MAX_DRAINED_NOTES = 4000;
+  private static final long ANNOUNCE_INTERVAL_MILLIS = 1000;
 
   /** One reel, with how long ago it came. */
   public static final class CollectedBatch {
@@ -32,31 +32,31 @@
    * What one collection brought; whoever collects subtracts ages from the moment of its question.
    */
   public static final class Collection {
-    public final boolean on;
-    public final long mark;
+    public final boolean recording;
+    public final long stateRevision;
     public final long dropped;
-    public final long left;
-    public final List<CollectedBatch> reels;
+    public final long remaining;
+    public final List<CollectedBatch> batches;
     public final long version;
     public final byte[] spec;
     public final List<RegistryMessages.Registration> registrations;
     public final List<String> evacuated;
 
     public Collection(
-        final boolean on,
-        final long mark,
+        final boolean recording,
+        final long stateRevision,
         final long dropped,
-        final long left,
-        final List<CollectedBatch> reels,
+        final long remaining,
+        final List<CollectedBatch> batches,
         final long version,
         final byte[] spec,
         final List<RegistryMessages.Registration> registrations,
         final List<String> evacuated) {
-      this.on = on;
-      this.mark = mark;
+      this.recording = recording;
+      this.stateRevision = stateRevision;
       this.dropped = dropped;
-      this.left = left;
-      this.reels = reels;
+      this.remaining = remaining;
+      this.batches = batches;
       this.version = version;
       this.spec = spec;
       this.registrations = registrations;
@@ -64,30 +64,30 @@
     }
   }
 
-  private record BufferedBatch(RecordingBatch batch, long at) {}
+  private record BufferedBatch(RecordingBatch batch, long receivedAt) {}
 
-  private final ArrayDeque<BufferedBatch> held = new ArrayDeque<>();
+  private final ArrayDeque<BufferedBatch> buffered = new ArrayDeque<>();
   private RecordingState state = new RecordingState(0, false);
   private long notes;
   private long dropped;
-  private long toldAt;
+  private long announcedAt;
 
   RecordingState state() {
     return state;
   }
 
   /** Orders recording to begin or end; the new state must be told to all. */
-  RecordingState order(final boolean on, final long wall) {
-    state = new RecordingState(Math.max(state.mark + 1, wall), on);
+  RecordingState setRecording(final boolean enabled, final long wallMillis) {
+    state = new RecordingState(Math.max(state.mark + 1, wallMillis), enabled);
     return state;
   }
 
   /** Takes another exchange's word; true where it was news. */
-  boolean take(final RecordingState given) {
-    if (given.mark <= state.mark) {
+  boolean accept(final RecordingState received) {
+    if (received.mark <= state.mark) {
       return false;
     }
-    state = given;
+    state = received;
     return true;
   }
 
@@ -95,37 +95,37 @@
    * Whether it is time to tell the others again; while nothing was ever recorded there is nothing
    * to tell.
    */
-  boolean tells(final long now) {
-    if (state.mark == 0 || now - toldAt < TELL_MILLIS) {
+  boolean shouldAnnounce(final long now) {
+    if (state.mark == 0 || now - announcedAt < ANNOUNCE_INTERVAL_MILLIS) {
       return false;
     }
-    toldAt = now;
+    announcedAt = now;
     return true;
   }
 
   void add(final RecordingBatch batch, final long now) {
     final int count = Protocol.list(batch.notes).size();
-    if (notes + count > MOST_NOTES) {
+    if (notes + count > MAX_NOTES) {
       dropped += count;
       return;
     }
     notes += count;
-    held.add(new BufferedBatch(batch, now));
+    buffered.add(new BufferedBatch(batch, now));
   }
 
   List<CollectedBatch> drain(final long now) {
     final List<CollectedBatch> list = new ArrayList<>();
     int count = 0;
-    while (!held.isEmpty() && count < MOST_DRAINED) {
-      final BufferedBatch one = held.poll();
-      count += Protocol.list(one.batch.notes).size();
-      list.add(new CollectedBatch(now - one.at, one.batch));
+    while (!buffered.isEmpty() && count < MAX_DRAINED_NOTES) {
+      final BufferedBatch next = buffered.poll();
+      count += Protocol.list(next.batch.notes).size();
+      list.add(new CollectedBatch(now - next.receivedAt, next.batch));
     }
     notes -= count;
     return list;
   }
 
-  long left() {
+  long remaining() {
     return notes;
   }
 
--- a/registry/src/main/java/weldpoint/registry/RegistryCore.java
+++ b/registry/src/main/java/weldpoint/registry/RegistryCore.java
@@ -168,7 +168,7 @@
     }
 
     @Override
-    public CompletableFuture<Void> settle() {
+    public CompletableFuture<Void> awaitReplication() {
       return RegistryCore.this.settle(clock);
     }
 
@@ -270,7 +270,7 @@
     if (placements.coordinator().keeps()) {
       environment.board(stream, placements.coordinator().ask(ask, majorityAt, now));
     } else {
-      placements.asker(ask.board, stream);
+      placements.addRequester(ask.board, stream);
       environment.member(placements.coordinator().keeper(), ask);
     }
   }
@@ -337,7 +337,7 @@
         roster = kept.roster;
       }
       control.recall(kept);
-      keyClaims.recall(Protocol.list(kept.claims), now);
+      keyClaims.restore(Protocol.list(kept.claims), now);
     }
     if (learning && records.isEmpty()) {
       keepLearning();
@@ -353,7 +353,7 @@
     clock = now;
     majority.started(now);
     if (quotas != null) {
-      quotas.began(roster);
+      quotas.restore(roster);
     }
     reconciled = firstStart || registrations.size() > 0;
     registrations.began(now);
@@ -381,7 +381,7 @@
                 control.coordinator().trials(),
                 control.trialMark(),
                 learning ? PersistedRecord.LEARNING : PersistedRecord.WHOLE,
-                keyClaims.live())));
+                keyClaims.liveClaims())));
   }
 
   private void keepLearning() {
@@ -675,13 +675,13 @@
     } else if (message instanceof TrialMessages.TrialReport) {
       trialService.report((TrialMessages.TrialReport) message, now);
     } else if (message instanceof RecordingMessages.RecordingState) {
-      if (recordingBuffer.take((RecordingMessages.RecordingState) message)) {
+      if (recordingBuffer.accept((RecordingMessages.RecordingState) message)) {
         proxyStreams.tell(message);
       }
     } else if (message instanceof PermitMessages.PermitRequest) {
       permit((PermitMessages.PermitRequest) message, reply, now);
     } else if (message instanceof PermitMessages.PermitResponse && quotas != null) {
-      quotas.answered((PermitMessages.PermitResponse) message, now);
+      quotas.onResponse((PermitMessages.PermitResponse) message, now);
     } else if (message instanceof KeyMessages.ClaimVoteRequest
         || message instanceof KeyMessages.ClaimVoteResponse
         || message instanceof KeyMessages.ClaimRelease) {
@@ -691,10 +691,10 @@
       reply.accept(
           placements.coordinator().ask((PlacementMessages.LeaseRequest) message, majorityAt, now));
     } else if (message instanceof PlacementMessages.LeaseGrant && placements != null) {
-      placements.granted(
+      placements.forwardGrant(
           (PlacementMessages.LeaseGrant) message, proxyStreams::contains, environment::board);
     } else if (message instanceof AssignerHeartbeat && ownership != null) {
-      ownership.pulse(from, (AssignerHeartbeat) message, now);
+      ownership.assignerHeartbeat(from, (AssignerHeartbeat) message, now);
     } else if (message instanceof SlotReport && ownership != null) {
       ownership.fromRegistry((SlotReport) message, now);
     } else if (message instanceof RegistryMessages.Gossip) {
@@ -765,7 +765,7 @@
         trials ? control.trialMark() : 0,
         lacking.isEmpty() ? null : RegistrationBuckets.pack(lacking),
         lease(now),
-        read.claimsToo ? keyClaims.live() : null);
+        read.claimsToo ? keyClaims.liveClaims() : null);
   }
 
   /**
@@ -822,7 +822,7 @@
     takeRoster(held.roster, now);
     take(held.version, held.spec, held.evacuated, held.evacuationMark, held.trials, held.trialMark);
     merge(RegistrationBuckets.unpack(held.packed), now);
-    keyClaims.learn(Protocol.list(held.claims), now);
+    keyClaims.merge(Protocol.list(held.claims), now);
     if (!held.learning) {
       reads.answered(from, held.number);
       if (held.leaseMillis > 0) {
@@ -1046,14 +1046,14 @@
   /** Orders switchboards to begin or end recording. */
   public RecordingMessages.RecordingState record(
       final boolean on, final long wall, final long now) {
-    final RecordingMessages.RecordingState state = recordingBuffer.order(on, wall);
+    final RecordingMessages.RecordingState state = recordingBuffer.setRecording(on, wall);
     proxyStreams.tell(state);
     tellRecording(now);
     return state;
   }
 
   private void tellRecording(final long now) {
-    if (recordingBuffer.tells(now)) {
+    if (recordingBuffer.shouldAnnounce(now)) {
       for (final String member : members.keySet()) {
         environment.member(member, recordingBuffer.state());
       }
@@ -1072,7 +1072,7 @@
         recordingBuffer.state().on,
         recordingBuffer.state().mark,
         recordingBuffer.dropped(),
-        recordingBuffer.left(),
+        recordingBuffer.remaining(),
         list,
         control.version(),
         control.spec(),
@@ -1084,7 +1084,7 @@
   public String recording() {
     return (recordingBuffer.state().on ? "recording" : "not recording")
         + ", "
-        + recordingBuffer.left()
+        + recordingBuffer.remaining()
         + " calls wait to be collected here, "
         + recordingBuffer.dropped()
         + " dropped here";
@@ -1118,7 +1118,7 @@
               request.number, 0, control.version(), Integer.MAX_VALUE));
       return;
     }
-    quotas.ask(
+    quotas.request(
         request, reply, control.routingTable(), roster, control.version(), now - majorityAt, now);
   }
 
@@ -1175,8 +1175,10 @@
     if (placements != null && placements.coordinator().mark() > 0) {
       environment.board(stream, placements.coordinator().placements());
     }
-    if (ownership != null && ownership.all() != null && !proxyStreams.announces(stream)) {
-      environment.board(stream, ownership.all());
+    if (ownership != null
+        && ownership.currentAssignments() != null
+        && !proxyStreams.announces(stream)) {
+      environment.board(stream, ownership.currentAssignments());
     }
     siteMembership.tell(stream, environment::board);
     environment.board(stream, reach(now, true));
@@ -1268,8 +1270,8 @@
                 : control.mark()
                     + (purges == null ? 0 : purges.mark)
                     + (electorates == null ? otherMarks : electorates.marks())
-                    + (placements == null ? placementMarks : placements.marks())
-                    + (ownership == null ? ownershipMark : ownership.mark()),
+                    + (placements == null ? placementMarks : placements.serialSum())
+                    + (ownership == null ? ownershipMark : ownership.serialSum()),
             null,
             null,
             now,
@@ -1307,7 +1309,7 @@
       otherMarks = Protocol.list(given.electorates).stream().mapToLong(one -> one.mark).sum();
     }
     placementMarks = given.placementMark + (given.keeper == null ? 0 : given.keeper.serial);
-    if (placements != null && placements.take(given, clock)) {
+    if (placements != null && placements.apply(given, clock)) {
       proxyStreams.tellSwitchboards(placements.coordinator().placements());
     }
     takeAssignments(given.assignments);
@@ -1324,7 +1326,7 @@
       return;
     }
     ownershipMark = given.stream().mapToLong(assignment -> assignment.serial).sum();
-    final Assignments news = ownership == null ? null : ownership.take(given, clock);
+    final Assignments news = ownership == null ? null : ownership.apply(given, clock);
     if (news != null) {
       proxyStreams.tellSwitchboards(news);
     }
@@ -1582,7 +1584,7 @@
       switchboards.count(now);
       siteMembership.keep(switchboards.sites(now), proxyStreams.all(), environment::board);
       missSwitchboards(now);
-      trialService.judge(now);
+      trialService.evaluate(now);
       tellRecording(now);
       if (electorates != null && now - majorityAt < MAJORITY_MILLIS && writesElectorates()) {
         electorates.keep(switchboards.live(now), now);
@@ -1697,11 +1699,11 @@
             "Time since a majority of state stores was last heard.",
             Math.min(1e6, (now - majorityAt) / 1000.0)));
     if (quotas != null) {
-      figures.addAll(quotas.figures());
+      figures.addAll(quotas.metrics());
     }
-    figures.addAll(keyClaims.figures());
+    figures.addAll(keyClaims.metrics());
     if (ownership != null) {
-      figures.addAll(ownership.figures(now));
+      figures.addAll(ownership.metrics(now));
     }
     return figures;
   }
--- a/registry/src/main/java/weldpoint/registry/RegistryDaemon.java
+++ b/registry/src/main/java/weldpoint/registry/RegistryDaemon.java
@@ -273,7 +273,8 @@
           settings.metricsPort() + 1,
           () -> CompletableFuture.supplyAsync(() -> core.figures(now()), executor));
     }
-    loop.scheduleWithFixedDelay(server::awake, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
+    loop.scheduleWithFixedDelay(
+        server::recordTick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
     loop.scheduleAtFixedRate(
         () -> executor.execute(this::tick), TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
   }
--- a/registry/src/main/java/weldpoint/registry/TrialService.java
+++ b/registry/src/main/java/weldpoint/registry/TrialService.java
@@ -16,10 +16,10 @@
  * follow from the counts, and takes operators' orders. Times are milliseconds of the steady clock.
  */
 public final class TrialService {
-  private static final long JUDGE_MILLIS = 100;
-  private static final long WRITE_MILLIS = 900;
-  private static final int USUAL_LEAST_WRITES = 30;
-  private static final double USUAL_LATE_ALLOWANCE = 0.01;
+  private static final long EVALUATION_INTERVAL_MILLIS = 100;
+  private static final long WRITE_TIMEOUT_MILLIS = 900;
+  private static final int DEFAULT_LEAST_WRITES = 30;
+  private static final double DEFAULT_LATE_ALLOWANCE = 0.01;
 
   /** What the registry around it knows and does. */
   interface Registry {
@@ -27,7 +27,7 @@
     CompletableFuture<Void> refresh(long now);
 
     /** Completes once a majority of registries has what is known. */
-    CompletableFuture<Void> settle();
+    CompletableFuture<Void> awaitReplication();
 
     /** The steady clock. */
     long now();
@@ -46,7 +46,7 @@
   private final ControlState control;
   private final StoreClient store;
   private final Registry registry;
-  private long judgedAt;
+  private long evaluatedAt;
 
   TrialService(
       final String self,
@@ -65,15 +65,15 @@
     if (!report.relayed) {
       registry.relay(new TrialMessages.TrialReport(true, report.tallies, report.digests));
     }
-    judge(now);
+    evaluate(now);
   }
 
   /** Writes the verdicts that follow from what was counted. */
-  void judge(final long now) {
-    if (control.trials().isEmpty() || now - judgedAt < JUDGE_MILLIS) {
+  void evaluate(final long now) {
+    if (control.trials().isEmpty() || now - evaluatedAt < EVALUATION_INTERVAL_MILLIS) {
       return;
     }
-    judgedAt = now;
+    evaluatedAt = now;
     for (final TrialMessages.Trial verdict :
         control.coordinator().verdicts(control.routingTable())) {
       write(verdict, new StoreMessages.ChangeOrigin(Authors.SYSTEM, "", self, null), now);
@@ -92,17 +92,17 @@
             Serializer.serialize(next),
             origin,
             now,
-            WRITE_MILLIS)
-        .thenApply(answer -> written(next, answer));
+            WRITE_TIMEOUT_MILLIS)
+        .thenApply(response -> requireWritten(next, response));
   }
 
-  private static TrialMessages.Trial written(
-      final TrialMessages.Trial next, final StoreMessages.StoreResponse answer) {
-    if (answer.status == 200) {
+  private static TrialMessages.Trial requireWritten(
+      final TrialMessages.Trial next, final StoreMessages.StoreResponse response) {
+    if (response.status == 200) {
       return next;
     }
     throw new WeldpointException(
-        answer.status == 412
+        response.status == 412
             ? WeldpointException.Kind.CONFLICT
             : WeldpointException.Kind.OUT_OF_REACH,
         "the trial has changed meanwhile; look at its status and order again");
@@ -112,39 +112,39 @@
    * Judges an order by what a majority confirms after it came, and acknowledges it once a majority
    * of registries has it.
    */
-  private CompletableFuture<TrialMessages.Trial> order(
+  private CompletableFuture<TrialMessages.Trial> execute(
       final Supplier<TrialMessages.Trial> next,
       final StoreMessages.ChangeOrigin origin,
       final long now) {
     return registry
         .refresh(now)
         .thenCompose(done -> write(next.get(), origin, registry.now()))
-        .thenCompose(written -> registry.settle().thenApply(done -> written));
+        .thenCompose(written -> registry.awaitReplication().thenApply(done -> written));
   }
 
   /** Begins a trial. */
   CompletableFuture<TrialMessages.Trial> begin(
       final String route,
-      final ControlApi.TrialRequest order,
+      final ControlApi.TrialRequest request,
       final StoreMessages.ChangeOrigin origin,
       final long now) {
     final List<Integer> stages = new ArrayList<>();
-    for (final Double stage : order.stages() == null ? List.<Double>of() : order.stages()) {
+    for (final Double stage : request.stages() == null ? List.<Double>of() : request.stages()) {
       stages.add(stage == null ? null : stage.intValue());
     }
     final int leastWrites =
-        order.leastWrites() == null ? USUAL_LEAST_WRITES : order.leastWrites().intValue();
+        request.leastWrites() == null ? DEFAULT_LEAST_WRITES : request.leastWrites().intValue();
     final double lateAllowance =
-        order.lateAllowance() == null ? USUAL_LATE_ALLOWANCE : order.lateAllowance();
-    return order(
+        request.lateAllowance() == null ? DEFAULT_LATE_ALLOWANCE : request.lateAllowance();
+    return execute(
         () ->
             control
                 .coordinator()
                 .begin(
                     route,
-                    String.valueOf(order.oldService()),
-                    String.valueOf(order.newService()),
-                    order.token(),
+                    String.valueOf(request.oldService()),
+                    String.valueOf(request.newService()),
+                    request.token(),
                     stages,
                     leastWrites,
                     lateAllowance,
@@ -157,7 +157,7 @@
   CompletableFuture<TrialMessages.Trial> advance(
       final String route, final StoreMessages.ChangeOrigin origin, final long now) {
     final List<String> live = registry.liveProxies(now);
-    return order(
+    return execute(
         () -> control.coordinator().advance(route, live, registry.hearsMajority(now), now),
         origin,
         now);
@@ -169,12 +169,12 @@
       final String reason,
       final StoreMessages.ChangeOrigin origin,
       final long now) {
-    return order(() -> control.coordinator().hold(route, reason), origin, now);
+    return execute(() -> control.coordinator().hold(route, reason), origin, now);
   }
 
   /** Ends a trial. */
   CompletableFuture<TrialMessages.Trial> finish(
       final String route, final StoreMessages.ChangeOrigin origin, final long now) {
-    return order(() -> control.coordinator().finish(route), origin, now);
+    return execute(() -> control.coordinator().finish(route), origin, now);
   }
 }
--- a/registry/src/test/java/weldpoint/registry/ControlServerFuzzTest.java
+++ b/registry/src/test/java/weldpoint/registry/ControlServerFuzzTest.java
@@ -152,19 +152,19 @@
             loop::execute,
             new ControlServer.Clock() {
               @Override
-              public long steadyMillis() {
+              public long monotonicMillis() {
                 return clock.get();
               }
 
               @Override
-              public long dayMillis() {
+              public long wallMillis() {
                 return System.currentTimeMillis();
               }
             });
     server.serve(loop, settings.requiredAddress("listen.control"));
     loop.scheduleAtFixedRate(
         () -> {
-          server.awake();
+          server.recordTick();
           core.tick(clock.addAndGet(20));
         },
         20,
--- a/registry/src/test/java/weldpoint/registry/CutOffControlServerTest.java
+++ b/registry/src/test/java/weldpoint/registry/CutOffControlServerTest.java
@@ -44,12 +44,12 @@
   private static final ControlServer.Clock CLOCK =
       new ControlServer.Clock() {
         @Override
-        public long steadyMillis() {
+        public long monotonicMillis() {
           return NOW;
         }
 
         @Override
-        public long dayMillis() {
+        public long wallMillis() {
           return 1_700_000_000_000L;
         }
       };
--- a/registry/src/test/java/weldpoint/registry/HistoryReaderTest.java
+++ b/registry/src/test/java/weldpoint/registry/HistoryReaderTest.java
@@ -69,7 +69,7 @@
       final boolean known,
       final long head,
       final List<byte[]> all) {
-    return HistoryReader.answer(
+    return HistoryReader.toResponse(
         "10.0.0.1",
         HistoryReader.Range.of(query, WALL),
         query,
@@ -84,9 +84,9 @@
     final List<byte[]> all = chain(9);
     final ControlApi.HistoryQuery query = query(null, null, null, null, null);
     final String ahead =
-        ControlApi.HISTORY.toJson(answer(query, part(all, 0, 9, 1, false), true, 7, all));
+        ControlApi.HISTORY_RESPONSE.toJson(answer(query, part(all, 0, 9, 1, false), true, 7, all));
     final String exact =
-        ControlApi.HISTORY.toJson(answer(query, part(all, 0, 7, 1, false), true, 7, all));
+        ControlApi.HISTORY_RESPONSE.toJson(answer(query, part(all, 0, 7, 1, false), true, 7, all));
     assertEquals(ahead, exact);
     assertTrue(answer(query, part(all, 0, 7, 1, false), true, 7, all).complete());
   }
@@ -107,7 +107,7 @@
     assertFalse(alone.complete());
     assertTrue(alone.problem().contains("up to entry 9"), alone.problem());
     assertFalse(
-        HistoryReader.answer(
+        HistoryReader.toResponse(
                 "10.0.0.1",
                 HistoryReader.Range.of(query, WALL),
                 query,
@@ -117,7 +117,7 @@
                 "another")
             .complete());
     assertFalse(
-        HistoryReader.answer(
+        HistoryReader.toResponse(
                 "10.0.0.1", HistoryReader.Range.of(query, WALL), query, null, true, 9, "x")
             .complete());
   }
@@ -243,7 +243,13 @@
             .bytes(1, "");
     final ControlApi.HistoryResponse found =
         new ControlApi.HistoryResponse(
-            true, null, 1, 1, "", 0, List.of(HistoryReader.json(AuditEntry.read(bytes), bytes)));
+            true,
+            null,
+            1,
+            1,
+            "",
+            0,
+            List.of(HistoryReader.toHistoryEntry(AuditEntry.read(bytes), bytes)));
     final ControlApi.ReachResponse reach =
         HistoryReader.reach(
             found,
--- a/registry/src/test/java/weldpoint/registry/QuotaEndpointTest.java
+++ b/registry/src/test/java/weldpoint/registry/QuotaEndpointTest.java
@@ -46,7 +46,7 @@
 
   private void ask(
       final QuotaEndpoint endpoint, final int count, final long ageMillis, final long now) {
-    endpoint.ask(
+    endpoint.request(
         new PermitRequest(1, "tenant/t", count, 0),
         answer -> granted.add(((PermitResponse) answer).granted),
         PLAN,
@@ -59,13 +59,13 @@
   @Test
   public void oneThatWasAVoterBeforeItsRestartGrantsWhatTimeHasEarnedAndANewOneAfterAWhile() {
     final QuotaEndpoint old = endpoint(false);
-    old.began(ROSTER);
+    old.restore(ROSTER);
     ask(old, 3, 100, 1000);
     ask(old, 3, 100, 1350);
     assertEquals(
         granted, List.of(0, 2), "what time has earned since the start, whatever was before");
     final QuotaEndpoint fresh = endpoint(false);
-    fresh.began(new Roster(0, List.of()));
+    fresh.restore(new Roster(0, List.of()));
     ask(fresh, 3, 100, 1200);
     ask(fresh, 3, 100, 1200 + 8900);
     assertEquals(granted, List.of(0, 0), "others may still count by the roster before");
@@ -76,11 +76,11 @@
   @Test
   public void afterAChangeOfRosterTheSmallerPartHoldsUntilAllHaveHeard() {
     final QuotaEndpoint endpoint = endpoint(false);
-    endpoint.began(ROSTER);
+    endpoint.restore(ROSTER);
     final Roster two = new Roster(4, ROSTER.voters.subList(0, 2));
     final List<Integer> given = new ArrayList<>();
     for (final long now : new long[] {900_000, 904_000, 1_900_000}) {
-      endpoint.ask(
+      endpoint.request(
           new PermitRequest(1, "tenant/saver", 1000, 99),
           answer -> given.add(((PermitResponse) answer).granted),
           PLAN,
@@ -98,10 +98,10 @@
   @Test
   public void withoutAMajorityNothingIsGrantedAndTheRestIsAskedOfTheNext() {
     final QuotaEndpoint endpoint = endpoint(true);
-    endpoint.began(ROSTER);
+    endpoint.restore(ROSTER);
     ask(endpoint, 1, 9000, 1200);
     assertEquals(((PermitRequest) relayed.get(0)).hops, 1);
-    endpoint.answered(new PermitResponse(((PermitRequest) relayed.get(0)).number, 1, 1, 0), 1200);
+    endpoint.onResponse(new PermitResponse(((PermitRequest) relayed.get(0)).number, 1, 1, 0), 1200);
     assertEquals(granted, List.of(1));
     ask(endpoint, 400, 100, 1400);
     final int left = ((PermitRequest) relayed.get(1)).count;
@@ -113,9 +113,9 @@
   @Test
   public void whatNobodyHadIsRefusedForAMomentWithoutAskingAgain() {
     final QuotaEndpoint endpoint = endpoint(true);
-    endpoint.began(ROSTER);
+    endpoint.restore(ROSTER);
     ask(endpoint, 1, 100, 1000);
-    endpoint.answered(new PermitResponse(((PermitRequest) relayed.get(0)).number, 0, 1, 0), 1010);
+    endpoint.onResponse(new PermitResponse(((PermitRequest) relayed.get(0)).number, 0, 1, 0), 1010);
     ask(endpoint, 1, 100, 1020);
     assertEquals(relayed.size(), 1, "not asked again so soon");
     ask(endpoint, 1, 100, 1060);
--- a/registry/src/test/java/weldpoint/registry/StandstillTest.java
+++ b/registry/src/test/java/weldpoint/registry/StandstillTest.java
@@ -70,12 +70,12 @@
             Runnable::run,
             new ControlServer.Clock() {
               @Override
-              public long steadyMillis() {
+              public long monotonicMillis() {
                 return now;
               }
 
               @Override
-              public long dayMillis() {
+              public long wallMillis() {
                 return now;
               }
             });
@@ -88,12 +88,12 @@
         "10.9.9.9",
         new ControlServer.ResponseCallback() {
           @Override
-          public boolean waits() {
+          public boolean isWaiting() {
             return true;
           }
 
           @Override
-          public void answer(final int status, final byte[] body, final String location) {
+          public void respond(final int status, final byte[] body, final String location) {
             statuses.add(status);
           }
         });
@@ -102,7 +102,7 @@
   private void runs(final int ticks) {
     for (int tick = 0; tick < ticks; tick++) {
       now += 40;
-      server.awake();
+      server.recordTick();
     }
   }
 
@@ -127,7 +127,7 @@
   public void norIsWhatIsReadAfterTheFirstTickFollowingIt() {
     runs(5);
     now += 2000;
-    server.awake();
+    server.recordTick();
     call();
     assertEquals(storeCalls, 0);
     assertEquals(statuses, List.of(504));
--- a/registry/src/test/java/weldpoint/registry/TakenVersionTest.java
+++ b/registry/src/test/java/weldpoint/registry/TakenVersionTest.java
@@ -128,8 +128,8 @@
 
   private String replace(final StoreMessages.StoreResponse answer) throws IOException {
     next = answer;
-    server.awake();
-    server.awake();
+    server.recordTick();
+    server.recordTick();
     try (Socket socket = new Socket()) {
       socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
       socket.setSoTimeout(5000);
--- a/simulation/src/main/java/weldpoint/simulation/ControlPlaneSimulation.java
+++ b/simulation/src/main/java/weldpoint/simulation/ControlPlaneSimulation.java
@@ -611,7 +611,7 @@
                     life.replica.disk(
                         life.frameWriter.busyMillis(), life.frameWriter.refusing(), now);
                     life.replica.tick(now);
-                    life.server.awake();
+                    life.server.recordTick();
                     life.exchange.tick(now);
                   } else {
                     life.registry.tick(now);
@@ -774,12 +774,12 @@
             Runnable::run,
             new ControlServer.Clock() {
               @Override
-              public long steadyMillis() {
+              public long monotonicMillis() {
                 return now;
               }
 
               @Override
-              public long dayMillis() {
+              public long wallMillis() {
                 return now + machine.clockStep;
               }
             });
@@ -1064,12 +1064,12 @@
                         private final long readAt = now;
 
                         @Override
-                        public boolean waits() {
+                        public boolean isWaiting() {
                           return now == readAt || now < calling.closedAt;
                         }
 
                         @Override
-                        public void answer(
+                        public void respond(
                             final int status, final byte[] answer, final String location) {
                           if (life.lives()) {
                             faultInjector.answered(
