--- a/registry/src/main/java/weldpoint/registry/AssignerEnvironment.java
+++ b/registry/src/main/java/weldpoint/registry/AssignerEnvironment.java
@@ -9,7 +9,10 @@
 import weldpoint.transport.OwnershipMessages.KeyRange;
 import weldpoint.transport.Serializer;
 
-/** What an assigner does, done: writes to the state store and calls of upstreams. */
+/**
+ * Carries out what an {@link Assigner} decides: writes assignments to the state store and calls
+ * upstreams. Created by {@link RegistryDaemon}.
+ */
 final class AssignerEnvironment implements Assigner.Environment {
   private static final long WRITE_TIMEOUT_MILLIS = 900;
 
--- a/registry/src/main/java/weldpoint/registry/ControlServer.java
+++ b/registry/src/main/java/weldpoint/registry/ControlServer.java
@@ -154,8 +154,8 @@
   private record PendingRequest(FullHttpRequest request, long receivedAt) {}
 
   /**
-   * Aggregates requests. Responses that the aggregator sends by itself (such as 100 and 413) must not
-   * overtake the response to a call in progress: then no 100 is sent, and a request that is too
+   * Aggregates requests. Responses that the aggregator sends by itself (such as 100 and 413) must
+   * not overtake the response to a call in progress: then no 100 is sent, and a request that is too
    * large closes the connection.
    */
   private static final class Aggregator extends HttpObjectAggregator {
--- a/registry/src/main/java/weldpoint/registry/HistoryReader.java
+++ b/registry/src/main/java/weldpoint/registry/HistoryReader.java
@@ -15,9 +15,9 @@
 import weldpoint.transport.Serializer;
 
 /**
- * Reads the history of routing changes from the replica on this machine. It is complete only if a
- * majority confirmed, after the question came, how far the history reaches, and the replica has all
- * of that.
+ * Reads the history of routing changes from the state store replica on this machine. A response is
+ * complete only if a majority confirmed, after the request arrived, how far the history reaches,
+ * and the replica has all entries up to there. Used by {@link RegistryCore} on the control thread.
  */
 final class HistoryReader {
   private static final long HEAD_TIMEOUT_MILLIS = 900;
@@ -45,17 +45,17 @@
     }
   }
 
-  /** The checked range of a question. */
+  /** The validated range of a query. */
   record Range(long from, long to, long since, long until, int limit) {
     static Range of(final ControlApi.HistoryQuery query, final long wallMillis) {
       final long from = query.from() == null ? 0 : query.from();
       final long to = query.to() == null ? Long.MAX_VALUE : query.to();
       if (from < 0 || to < 1) {
-        throw invalid("from and to count entries from 1");
+        throw invalid("entries are numbered from 1; give from and to accordingly");
       }
       if (from > to) {
         throw invalid(
-            "the range is reversed: from " + from + " is after to " + to + "; exchange the two");
+            "the range is reversed: from " + from + " is after to " + to + "; swap the two");
       }
       final long since = time("since", query.since(), Long.MIN_VALUE);
       final long until = time("until", query.until(), Long.MAX_VALUE);
@@ -65,11 +65,10 @@
                 + query.since()
                 + " is after until "
                 + query.until()
-                + "; exchange the two");
+                + "; swap the two");
       }
       if (since > wallMillis) {
-        throw invalid(
-            "since " + query.since() + " lies in the future; give a time that has passed");
+        throw invalid("since " + query.since() + " is in the future; give a time in the past");
       }
       final long limit = query.most() == null ? MAX_ENTRIES : query.most();
       if (limit < 1) {
@@ -103,7 +102,12 @@
     this.store = store;
   }
 
-  /** Answers a question about the history. */
+  /**
+   * Reads entries of the history.
+   *
+   * @param wallMillis the wall clock, in milliseconds
+   * @param now the monotonic clock, in milliseconds
+   */
   CompletableFuture<ControlApi.HistoryResponse> read(
       final ControlApi.HistoryQuery query, final long wallMillis, final long now) {
     final PendingRead pending =
@@ -128,7 +132,7 @@
     return pending.future;
   }
 
-  /** Time has passed. */
+  /** Retries reads for which the local replica was behind. */
   void tick(final long now) {
     for (final PendingRead pending : new ArrayList<>(pendingReads)) {
       if (!pending.inFlight && now >= pending.retryAt) {
@@ -177,7 +181,8 @@
   }
 
   /**
-   * What a replica's part of the history is worth, given how far a majority says that it reaches.
+   * Builds the response from a replica's part of the history, given how far the history reaches
+   * according to a majority (if {@code headKnown}).
    */
   static ControlApi.HistoryResponse toResponse(
       final String replica,
@@ -190,7 +195,7 @@
     if (part == null) {
       return new ControlApi.HistoryResponse(
           false,
-          "the replica " + replica + " does not answer; ask another one",
+          "the replica " + replica + " does not respond; ask another one",
           0,
           0,
           "",
@@ -201,16 +206,16 @@
     long through = headKnown ? Math.min(head, part.last) : part.last;
     if (!headKnown) {
       problem =
-          "no majority confirmed how far the history reaches; the replica "
+          "no majority confirmed the length of the history; the replica "
               + replica
-              + " knows it up to entry "
+              + " has it up to entry "
               + part.last
-              + ", ask again when the core has its majority";
+              + ", ask again once a majority of the registries is reachable";
     } else if (part.blank || part.last < head) {
       problem =
           "the replica "
               + replica
-              + " knows the history up to entry "
+              + " has the history up to entry "
               + part.last
               + " of "
               + head
@@ -219,26 +224,26 @@
       problem =
           "the replica "
               + replica
-              + " has met "
+              + " has received "
               + part.conflicts
-              + " entries that differ from its own; compare it with the others";
+              + " entries that conflict with its own; compare it with the other replicas";
     } else if (part.last == head && !headDigest.equals(part.digest)) {
       problem =
           "the replica "
               + replica
-              + " has another entry "
+              + " has an entry "
               + head
-              + " than the one decided; compare it with the others";
+              + " that differs from the decided one; compare it with the other replicas";
     }
     if (range.from() > 0 && range.from() <= part.base) {
       throw new WeldpointException(
           WeldpointException.Kind.INVALID,
-          "entries up to " + part.base + " were trimmed; ask from " + (part.base + 1));
+          "entries up to " + part.base + " were trimmed; read from entry " + (part.base + 1));
     }
     if (range.from() > through && range.from() > 1 && problem == null) {
       throw new WeldpointException(
           WeldpointException.Kind.INVALID,
-          "entry " + range.from() + " lies in the future; the last decided one is " + through);
+          "entry " + range.from() + " is in the future; the last decided one is " + through);
     }
     final List<ControlApi.HistoryEntry> entries = new ArrayList<>();
     final long last = Math.min(range.to(), through);
@@ -285,7 +290,7 @@
     return false;
   }
 
-  /** An entry as operators read it. */
+  /** Converts an entry to its JSON form. */
   static ControlApi.HistoryEntry toHistoryEntry(final AuditEntry entry, final byte[] bytes) {
     return new ControlApi.HistoryEntry(
         entry.sequence,
@@ -309,7 +314,7 @@
         entry.previous);
   }
 
-  /** Which daemons had a change in force. */
+  /** Returns which daemons have applied a change, from their last reports. */
   static ControlApi.ReachResponse reach(
       final ControlApi.HistoryResponse found,
       final AuditEntry change,
@@ -327,12 +332,12 @@
       final long required = configuration ? change.version : change.mark;
       final String lastHeard =
           daemon.ageMillis() == Long.MAX_VALUE
-              ? "never heard of here"
-              : "heard of " + daemon.ageMillis() + " ms ago";
+              ? "never heard from"
+              : "last heard " + daemon.ageMillis() + " ms ago";
       if (!routing) {
         list.add(
             new ControlApi.DaemonReach(
-                daemon.address(), daemon.program(), "IN_FORCE", "", "changes no routing"));
+                daemon.address(), daemon.program(), "IN_FORCE", "", "does not change routing"));
       } else if (daemon.ageMillis() > UNHEARD_MILLIS) {
         list.add(
             new ControlApi.DaemonReach(
@@ -342,8 +347,8 @@
                 "",
                 lastHeard
                     + (applied >= required && applied > 0
-                        ? ", had it in force then"
-                        : ", not known whether it has it in force")));
+                        ? ", it was in force then"
+                        : ", unknown whether it is in force")));
       } else if (applied < required) {
         list.add(
             new ControlApi.DaemonReach(
@@ -359,7 +364,8 @@
                 since,
                 applied == required
                     ? lastHeard
-                    : lastHeard + "; a later change is in force since then, this one was before"));
+                    : lastHeard
+                        + "; a later change has been in force since then, this one was before"));
       }
     }
     list.sort(
@@ -372,7 +378,7 @@
         list);
   }
 
-  /** Answers which daemons had the change of this number in force. */
+  /** Returns which daemons have applied the change with this number. */
   CompletableFuture<ControlApi.ReachResponse> reach(
       final long sequence,
       final List<AppliedState> daemons,
@@ -380,7 +386,8 @@
       final long now) {
     if (sequence < 1) {
       throw new WeldpointException(
-          WeldpointException.Kind.INVALID, "changes are counted from 1; name one of the history");
+          WeldpointException.Kind.INVALID,
+          "changes are numbered from 1; give the number of a history entry");
     }
     return read(
             new ControlApi.HistoryQuery(sequence, sequence, null, null, null, null, 1L),
@@ -391,7 +398,7 @@
               if (found.entries().isEmpty()) {
                 throw new WeldpointException(
                     WeldpointException.Kind.OUT_OF_REACH,
-                    "change " + sequence + " is not known here: " + found.problem());
+                    "change " + sequence + " is not available here: " + found.problem());
               }
               return store
                   .here(StoreOperation.HISTORY_READ, sequence, 1, now, LOCAL_READ_TIMEOUT_MILLIS)
--- a/registry/src/main/java/weldpoint/registry/KeyClaims.java
+++ b/registry/src/main/java/weldpoint/registry/KeyClaims.java
@@ -18,11 +18,12 @@
 import weldpoint.transport.StateStoreMessages.Voter;
 
 /**
- * A registry's part in claims of idempotency keys: as a voter it remembers claims on its disk, and
- * for the proxies on its streams it asks all voters.
+ * A registry's part in claims of idempotency keys. As a voter it persists the claims that it
+ * accepted; for the proxies connected to it, it collects the votes of all voters. Used by {@link
+ * RegistryCore} on the control thread.
  */
 final class KeyClaims {
-  /** Puts claims on disk; the callback runs once they are lasting. */
+  /** Appends claims to the disk; the callback runs once they are durable. */
   interface Disk {
     void append(List<Claim> claims, Runnable synced);
   }
@@ -44,12 +45,15 @@
     this.coordinator = new ClaimCoordinator(self, this::sendToVoters);
   }
 
-  /** Takes back what the disk remembered: spans begin anew, since nobody knows how long it was. */
+  /**
+   * Restores claims from disk. Their retention spans start again, since it is unknown how long the
+   * process was down.
+   */
   void restore(final List<Claim> claims, final long now) {
     table.recall(claims, now);
   }
 
-  /** Takes what another voter remembers. */
+  /** Merges the claims that another voter remembers, and persists them. */
   void merge(final List<Claim> claims, final long now) {
     if (!claims.isEmpty()) {
       table.recall(claims, now);
@@ -57,14 +61,14 @@
     }
   }
 
-  /** The claims that are remembered. */
+  /** Returns the claims that have not expired. */
   List<Claim> liveClaims() {
     return table.live(lastNow);
   }
 
   /**
-   * Takes the roster by which votes are counted, the one before it while that still counts, and
-   * whether this registry has all that was granted before and may vote.
+   * Sets the roster by which votes are counted, the previous one while it still counts (else null),
+   * and whether this registry has learned all claims granted before and may vote.
    */
   void roster(final Roster present, final Roster previous, final boolean mayVote) {
     roster = present;
@@ -82,7 +86,7 @@
     }
   }
 
-  /** A proxy claims a key or gives one back. */
+  /** Handles a proxy's claim of a key or its release of claims. */
   void fromProxy(final Message message, final Consumer<Message> reply, final long now) {
     lastNow = Math.max(lastNow, now);
     if (message instanceof ClaimRequest) {
@@ -92,7 +96,7 @@
     }
   }
 
-  /** Another registry, or this one, asks for votes or gives them. */
+  /** Handles a vote request, vote response or release of another registry or of this one. */
   void receive(
       final String from, final Message message, final Consumer<Message> reply, final long now) {
     lastNow = Math.max(lastNow, now);
@@ -134,22 +138,22 @@
     }
   }
 
-  /** Time has passed. */
+  /** Advances the clock: expires claims and ends vote rounds that timed out. */
   void tick(final long now) {
     lastNow = now;
     coordinator.tick(now);
     table.expire(now);
   }
 
-  /** What was decided here, as counters; empty where there was nothing. */
+  /** Returns the counters of the log line, or an empty string if there was no claim. */
   String counters() {
     final boolean idle = table.size() == 0 && coordinator.granted() + coordinator.unknown() == 0;
     return idle ? "" : " " + coordinator.counters() + " remembered " + table.size();
   }
 
-  /** Figures of claims. */
+  /** Returns the metrics of claims. */
   List<Metric> metrics() {
-    final String help = "Claims of idempotency keys that this registry asked the voters about.";
+    final String help = "Claims of idempotency keys for which this registry requested votes.";
     return List.of(
         Metric.counter("weldpoint_key_claims", help, coordinator.granted())
             .with("result", "granted"),
@@ -158,6 +162,8 @@
         Metric.counter("weldpoint_key_claims", help, coordinator.unknown())
             .with("result", "unknown"),
         Metric.gauge(
-            "weldpoint_keys_remembered", "Idempotency keys remembered here.", table.size()));
+            "weldpoint_keys_remembered",
+            "Idempotency keys that this registry remembers.",
+            table.size()));
   }
 }
--- a/registry/src/main/java/weldpoint/registry/KeyGrantClient.java
+++ b/registry/src/main/java/weldpoint/registry/KeyGrantClient.java
@@ -36,10 +36,14 @@
 import weldpoint.transport.OwnershipMessages.KeyRange;
 
 /**
- * Grants keys to upstreams and takes them back, over HTTP. Grants to one upstream go one after the
- * other over one connection; each release has a connection of its own, since its answer waits for
- * the work under way. A call without an answer in time has its connection reset. That is no proof
- * that nothing of it arrives later; see GrantTimings for how long it may still be counted.
+ * HTTP client that grants key ranges to upstreams and asks for their release. Grants to one
+ * upstream are sent one after the other over one connection; each release has its own connection,
+ * since the upstream responds only after the requests in progress have completed. If a response
+ * does not arrive in time, the connection is reset. This does not prove that the call has no effect
+ * later; see GrantTimings for how long a grant may still take effect.
+ *
+ * <p>Used by {@link AssignerEnvironment}. Connections live on the event loop; results are passed on
+ * the callback executor.
  */
 final class KeyGrantClient {
   private static final String TARGET_INSTANCE_HEADER = "Weldpoint-Target-Instance";
@@ -48,7 +52,7 @@
   private static final int MAX_RESPONSE_BYTES = 8192;
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
-  /** A call of an upstream, and what the log tells of it. Times are of the steady clock. */
+  /** One call to an upstream. Times are milliseconds of the monotonic clock. */
   private static final class Call {
     final String kind;
     final KeyRange range;
@@ -100,14 +104,14 @@
           + range.holder
           + " at "
           + range.address
-          + " made "
+          + " created "
           + createdAt
           + " sent "
           + sentAt;
     }
   }
 
-  /** One connection, and the calls that wait for it. */
+  /** One connection to an upstream, and the calls that wait for it. Confined to the event loop. */
   private final class UpstreamConnection {
     private final String address;
     private final boolean persistent;
@@ -193,7 +197,8 @@
 
     private void reset() {
       LOGGER.atInfo().log(
-          "%s unanswered at %s, connection reset: %s", inFlight.kind, now(), inFlight);
+          "%s call timed out at %s; resetting the connection, the outcome is unknown: %s",
+          inFlight.kind, now(), inFlight);
       channel.config().setOption(ChannelOption.SO_LINGER, 0);
       channel.close();
     }
@@ -231,7 +236,7 @@
     }
   }
 
-  /** Hears the answers on one connection. */
+  /** Passes responses and the close of one channel to its {@link UpstreamConnection}. */
   private static final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
     private final UpstreamConnection connection;
 
@@ -264,10 +269,11 @@
   private final Map<String, UpstreamConnection> connections = new HashMap<>();
 
   /**
-   * Calls on this loop; results are told on the desk.
+   * Creates a client whose connections live on {@code loop}.
    *
-   * @param holdMillis for how long each grant holds
-   * @param sendMillis for how long a grant may wait for its answer
+   * @param callbackExecutor runs the callbacks of calls
+   * @param holdMillis how long each grant is valid
+   * @param responseTimeoutMillis how long a grant waits for its response
    */
   KeyGrantClient(
       final EventLoopGroup loop,
@@ -290,7 +296,11 @@
     return System.nanoTime() / 1_000_000;
   }
 
-  /** Grants a range to its holder. */
+  /**
+   * Grants a range to its holder.
+   *
+   * @param sendDeadline a call not sent by then is not sent at all and ends as NOT_SENT
+   */
   void grant(final KeyRange range, final long sendDeadline, final Consumer<CallResult> callback) {
     final ControlApi.Grant body =
         new ControlApi.Grant(range.first, range.last, range.fence, holdMillis, range.transfer);
@@ -311,7 +321,7 @@
                 .enqueue(call));
   }
 
-  /** Asks the holder of a range to give it up. */
+  /** Asks the holder of a range to release it. */
   void release(
       final KeyRange range,
       final long sendDeadline,
@@ -348,9 +358,9 @@
   }
 
   /**
-   * How a call ended. Answers to these calls name no call, and an upstream may answer twice: a
-   * refusal proves that nothing was granted only on a connection that carried no other call, since
-   * elsewhere it may belong to an earlier one.
+   * Maps a response to the result of the call. Responses do not identify their call, and an
+   * upstream may respond twice. A refusal therefore proves that nothing was granted only on a
+   * connection that has carried no other call; otherwise it may be the response to an earlier one.
    */
   private static CallResult result(final FullHttpResponse response, final boolean onlyCall) {
     return switch (response.status().code()) {
--- a/registry/src/main/java/weldpoint/registry/OwnershipEndpoint.java
+++ b/registry/src/main/java/weldpoint/registry/OwnershipEndpoint.java
@@ -25,8 +25,10 @@
 import weldpoint.transport.RegistryMessages.Registration;
 
 /**
- * A registry's part in services whose keys are divided among their upstreams: it knows who the
- * members are, passes proxies' reports to the assigner and assignments to proxies.
+ * A registry's part in partitioned services, whose keys are divided among their upstreams. It
+ * derives the members from the registrations, forwards the reports of proxies to the assigner of
+ * the service, and supplies proxies with assignments. Used by {@link RegistryCore} on the control
+ * thread.
  */
 final class OwnershipEndpoint {
   private static final long REPORT_INTERVAL_MILLIS = 500;
@@ -57,24 +59,27 @@
         new OwnershipCoordinator(self, incarnation, timings, environment, broadcast::accept);
   }
 
-  /** The sum of all serials known, by which the state stores tell whether anything is news. */
+  /**
+   * Returns the sum of all known serials; state store replicas compare it with theirs to decide
+   * whether to send the assignments.
+   */
   long serialSum() {
     return coordinator.mark();
   }
 
-  /** Takes what the state stores hold; what proxies must be told, or null. */
+  /** Applies stored assignments; returns the changes to send to proxies, or null. */
   Assignments apply(final List<Assignment> stored, final long now) {
     final List<Assignment> changed = coordinator.take(stored, now);
     return changed.isEmpty() ? null : new Assignments(changed);
   }
 
-  /** All that a proxy must know at first, or null. */
+  /** Returns all assignments, for a proxy that has just connected, or null if there are none. */
   Assignments currentAssignments() {
     final List<Assignment> assignments = coordinator.assignments();
     return assignments.isEmpty() ? null : new Assignments(assignments);
   }
 
-  /** All ranges, for operators. */
+  /** Returns all ranges, for the status call. */
   List<ControlApi.KeyRangeStatus> status() {
     final List<ControlApi.KeyRangeStatus> list = new ArrayList<>();
     for (final Assignment assignment : coordinator.assignments()) {
@@ -93,27 +98,30 @@
     return list;
   }
 
-  /** Another registry's pulse. */
+  /** Handles the assigner heartbeat of another registry. */
   void assignerHeartbeat(final String from, final AssignerHeartbeat heartbeat, final long now) {
     coordinator.pulse(from, heartbeat, now);
   }
 
-  /** A proxy tells what it sent to holders. */
+  /** Collects a proxy's report of what it sent to holders. */
   void fromProxy(final SlotReport report) {
     reports.add(report);
   }
 
-  /** A registry passes on what its proxies told. */
+  /** Handles a report of proxies that another registry forwarded to this assigner. */
   void fromRegistry(final SlotReport report, final long now) {
     coordinator.report(report, now);
   }
 
-  /** The process ends. */
+  /** Gives up the role of assigner before the process ends. */
   void leave() {
     coordinator.leave();
   }
 
-  /** Time has passed. */
+  /**
+   * Advances the clock: updates the members of partitioned services, forwards reports and drives
+   * the assigner. Does nothing until there is a routing table.
+   */
   void tick(
       final RoutingTable routingTable,
       final Registrations registrations,
--- a/registry/src/main/java/weldpoint/registry/PlacementService.java
+++ b/registry/src/main/java/weldpoint/registry/PlacementService.java
@@ -21,8 +21,9 @@
 import weldpoint.transport.RegistryMessages.Registration;
 
 /**
- * An exchange's part in affinity: it works out who should be placed where, and passes leases
- * between switchboards and the keeper.
+ * A registry's part in affinity: it derives the members that placements should have, and passes
+ * leases between proxies and the owner of the leases. Used by {@link RegistryCore} on the control
+ * thread.
  */
 final class PlacementService {
   private final Affinity defaultAffinity;
@@ -43,7 +44,7 @@
     return coordinator;
   }
 
-  /** Whether a route ties callers, or settings do. */
+  /** Returns whether affinity is configured, for a route or as the default of the settings. */
   boolean active() {
     return affinityConfigured || defaultAffinity != null;
   }
@@ -52,7 +53,7 @@
     return coordinator.mark() + ownerSerial;
   }
 
-  /** Takes what the frames hold; true where switchboards must be told. */
+  /** Applies a snapshot of the state store; returns true if proxies must be notified. */
   boolean apply(final StoredValues.ControlSnapshot control, final long now) {
     affinityConfigured = control.tied;
     if (control.keeper != null) {
@@ -65,12 +66,12 @@
         now);
   }
 
-  /** Remembers over which stream a switchboard asked. */
+  /** Records the stream over which a proxy requested a lease. */
   void addRequester(final String proxy, final Object stream) {
     requesters.put(proxy, stream);
   }
 
-  /** Passes the keeper's answer on. */
+  /** Forwards the owner's response to the proxy that requested it, if its stream is still open. */
   void forwardGrant(
       final PlacementMessages.LeaseGrant grant,
       final Predicate<Object> isOpen,
@@ -81,7 +82,10 @@
     }
   }
 
-  /** Time has passed. */
+  /**
+   * Advances the clock: recomputes the members of placements if their inputs have changed, and
+   * drives the coordinator. Does nothing until there is a routing table.
+   */
   void tick(
       final RoutingTable routingTable,
       final Collection<Registration> history,
--- a/registry/src/main/java/weldpoint/registry/QuotaEndpoint.java
+++ b/registry/src/main/java/weldpoint/registry/QuotaEndpoint.java
@@ -17,17 +17,20 @@
 import weldpoint.transport.StateStoreMessages.Voter;
 
 /**
- * Answers those who ask for permits: from the own part, and where that is used up from another
- * exchange's.
+ * Answers requests for permits from this registry's share of a tenant's limit; once the share is
+ * used up, relays the rest of the request to another voter. Used by {@link RegistryCore} on the
+ * control thread.
  */
 final class QuotaEndpoint {
+  /** Nothing is granted if the last confirmation by a majority is older than this. */
   private static final long MAX_MAJORITY_AGE_MILLIS = 8000;
+
   private static final long RELAY_TIMEOUT_MILLIS = 600;
 
-  /** For how long after a change of roster others may still count by the one before. */
+  /** How long after a roster change other registries may still use the previous roster. */
   private static final long ROSTER_PROPAGATION_MILLIS = MAX_MAJORITY_AGE_MILLIS + 1000;
 
-  /** For how long a name that no voter had a permit for is refused without asking again. */
+  /** How long a name for which no voter had a permit is refused without relaying requests. */
   private static final long DENIAL_CACHE_MILLIS = 40;
 
   private static final int MAX_CACHED_DENIALS = 4096;
@@ -65,8 +68,8 @@
   }
 
   /**
-   * Takes the roster that the disk held: who was among the voters before has its part from the
-   * start.
+   * Restores the roster from disk: a registry that was a voter before its restart has its share
+   * from the start.
    */
   void restore(final Roster roster) {
     rosterNumber = roster.number;
@@ -76,7 +79,7 @@
     previousVoterCount = voterCount;
   }
 
-  /** Answers an ask for permits, or passes the rest of it on to the next voter. */
+  /** Answers a request for permits, or relays the rest of it to the next voter. */
   void request(
       final PermitRequest request,
       final Consumer<Message> reply,
@@ -116,7 +119,10 @@
     voterCount = roster.voters.size();
   }
 
-  /** The own part; after a change of roster the smaller one of the two, until all have heard. */
+  /**
+   * Returns this registry's share. After a roster change it is the smaller share of the two rosters
+   * until every registry has the new one.
+   */
   private QuotaShare ownShare(final long now) {
     final int divisor =
         now - rosterChangedAt < ROSTER_PROPAGATION_MILLIS
@@ -160,7 +166,10 @@
     deniedAt.put(name, now);
   }
 
-  /** The other voters, beginning after this one; those who are none spread over all of them. */
+  /**
+   * Returns the other voters, starting after this one. A registry that is not a voter starts at a
+   * position given by its address, so that such registries spread over the voters.
+   */
   private List<Voter> relayCandidates(final Roster roster) {
     final List<Voter> list = new ArrayList<>();
     final int size = roster.voters.size();
@@ -175,7 +184,7 @@
     return list;
   }
 
-  /** A voter has answered what was passed on to it. */
+  /** Handles a voter's response to a relayed request. */
   void onResponse(final PermitResponse response, final long now) {
     final RelayedRequest original = relayed.remove(response.number);
     if (original != null) {
@@ -206,11 +215,12 @@
     }
   }
 
-  /** Figures of limits and permits. */
+  /** Returns the metrics of permits. */
   List<Metric> metrics() {
     final List<Metric> metrics = new ArrayList<>();
-    final String granted = "Permits granted by this registry out of its part of a tenant's limit.";
-    final String refused = "Permits that this registry's part of a tenant's limit did not have.";
+    final String granted = "Permits granted by this registry from its share of a tenant's limit.";
+    final String refused =
+        "Permits that this registry's share of a tenant's limit could not cover.";
     for (final QuotaAllocator.TenantCount count : allocator.tenantCounts(MAX_TENANT_SERIES)) {
       metrics.add(
           Metric.counter("weldpoint_permits_granted", granted, count.granted())
--- a/registry/src/main/java/weldpoint/registry/RecordingBuffer.java
+++ b/registry/src/main/java/weldpoint/registry/RecordingBuffer.java
@@ -9,15 +9,16 @@
 import weldpoint.transport.RegistryMessages;
 
 /**
- * What switchboards recorded, until an operator collects it; bounded, and what had to be dropped is
- * counted.
+ * Buffers the batches that proxies recorded until an operator collects them. The number of notes is
+ * bounded; notes that do not fit are dropped and counted. Used by {@link RegistryCore} on the
+ * control thread.
  */
 public final class RecordingBuffer {
   private static final int MAX_NOTES = 30_000;
   private static final int MAX_DRAINED_NOTES = 4000;
   private static final long ANNOUNCE_INTERVAL_MILLIS = 1000;
 
-  /** One reel, with how long ago it came. */
+  /** One recording batch, and how long ago it arrived. */
   public static final class CollectedBatch {
     public final long ageMillis;
     public final RecordingBatch batch;
@@ -29,7 +30,7 @@
   }
 
   /**
-   * What one collection brought; whoever collects subtracts ages from the moment of its question.
+   * The response to one collection. The collector subtracts the ages from the time of its request.
    */
   public static final class Collection {
     public final boolean recording;
@@ -76,13 +77,13 @@
     return state;
   }
 
-  /** Orders recording to begin or end; the new state must be told to all. */
+  /** Starts or stops recording; the caller must announce the new state to all daemons. */
   RecordingState setRecording(final boolean enabled, final long wallMillis) {
     state = new RecordingState(Math.max(state.mark + 1, wallMillis), enabled);
     return state;
   }
 
-  /** Takes another exchange's word; true where it was news. */
+  /** Accepts the state of another registry; returns true if it is newer than the own one. */
   boolean accept(final RecordingState received) {
     if (received.mark <= state.mark) {
       return false;
@@ -92,8 +93,8 @@
   }
 
   /**
-   * Whether it is time to tell the others again; while nothing was ever recorded there is nothing
-   * to tell.
+   * Returns whether the state is due to be announced to the other registries again, and counts it
+   * as announced. Nothing is announced before the first recording.
    */
   boolean shouldAnnounce(final long now) {
     if (state.mark == 0 || now - announcedAt < ANNOUNCE_INTERVAL_MILLIS) {
--- a/registry/src/main/java/weldpoint/registry/TrialService.java
+++ b/registry/src/main/java/weldpoint/registry/TrialService.java
@@ -12,8 +12,9 @@
 import weldpoint.transport.TrialMessages;
 
 /**
- * A registry's part in trials of services: it counts what proxies report, writes the verdicts that
- * follow from the counts, and takes operators' orders. Times are milliseconds of the steady clock.
+ * A registry's part in trials of services: it adds up the counts that proxies report, writes the
+ * verdicts that follow from them, and carries out the trial calls of operators. Used by {@link
+ * RegistryCore} on the control thread. Times are milliseconds of the monotonic clock.
  */
 public final class TrialService {
   private static final long EVALUATION_INTERVAL_MILLIS = 100;
@@ -21,24 +22,24 @@
   private static final int DEFAULT_LEAST_WRITES = 30;
   private static final double DEFAULT_LATE_ALLOWANCE = 0.01;
 
-  /** What the registry around it knows and does. */
+  /** The registry that this service belongs to. */
   interface Registry {
-    /** Completes once a majority has confirmed what is known, after this moment. */
+    /** Completes once a majority has confirmed the known state after {@code now}. */
     CompletableFuture<Void> refresh(long now);
 
-    /** Completes once a majority of registries has what is known. */
+    /** Completes once a majority of registries has the known state. */
     CompletableFuture<Void> awaitReplication();
 
-    /** The steady clock. */
+    /** The monotonic clock, in milliseconds. */
     long now();
 
-    /** The addresses of the proxies that were heard of lately. */
+    /** The addresses of the proxies that reported recently. */
     List<String> liveProxies(long now);
 
-    /** Whether a majority was heard of lately. */
+    /** Whether a majority was heard from recently. */
     boolean hearsMajority(long now);
 
-    /** Passes a report on to all other registries. */
+    /** Relays a report to all other registries. */
     void relay(TrialMessages.TrialReport report);
   }
 
@@ -59,7 +60,7 @@
     this.registry = registry;
   }
 
-  /** A proxy, or another registry that passes it on, tells what was counted in trials. */
+  /** Handles the trial counts of a proxy, or those that another registry relayed. */
   public void report(final TrialMessages.TrialReport report, final long now) {
     control.coordinator().report(report, now);
     if (!report.relayed) {
@@ -68,7 +69,7 @@
     evaluate(now);
   }
 
-  /** Writes the verdicts that follow from what was counted. */
+  /** Writes the verdicts that follow from the counts. */
   void evaluate(final long now) {
     if (control.trials().isEmpty() || now - evaluatedAt < EVALUATION_INTERVAL_MILLIS) {
       return;
@@ -105,12 +106,12 @@
         response.status == 412
             ? WeldpointException.Kind.CONFLICT
             : WeldpointException.Kind.OUT_OF_REACH,
-        "the trial has changed meanwhile; look at its status and order again");
+        "the trial may have changed in the meantime; read its status and try again");
   }
 
   /**
-   * Judges an order by what a majority confirms after it came, and acknowledges it once a majority
-   * of registries has it.
+   * Carries out an operator's call on the state that a majority confirmed after the call arrived;
+   * completes once a majority of registries has the result.
    */
   private CompletableFuture<TrialMessages.Trial> execute(
       final Supplier<TrialMessages.Trial> next,
@@ -153,7 +154,7 @@
         now);
   }
 
-  /** Moves a trial to its next stage, if the evidence is there. */
+  /** Moves a trial to its next stage, if the counts suffice. */
   CompletableFuture<TrialMessages.Trial> advance(
       final String route, final StoreMessages.ChangeOrigin origin, final long now) {
     final List<String> live = registry.liveProxies(now);
@@ -163,7 +164,7 @@
         now);
   }
 
-  /** Holds a trial by an operator's order. */
+  /** Holds a trial on an operator's request. */
   CompletableFuture<TrialMessages.Trial> hold(
       final String route,
       final String reason,
--- a/registry/src/test/java/weldpoint/registry/HistoryReaderTest.java
+++ b/registry/src/test/java/weldpoint/registry/HistoryReaderTest.java
@@ -126,7 +126,7 @@
   public Object[][] badRanges() {
     return new Object[][] {
       {query(5L, 2L, null, null, null), "reversed"},
-      {query(-1L, 2L, null, null, null), "count entries from 1"},
+      {query(-1L, 2L, null, null, null), "numbered from 1"},
       {query(null, null, "2026-02-01T00:00:00Z", "2026-01-01T00:00:00Z", null), "reversed"},
       {query(null, null, "yesterday", null, null), "write it as"},
       {query(null, null, "2090-01-01T00:00:00Z", null, null), "future"},
