--- a/idempotency/src/main/java/weldpoint/idempotency/ClaimCoordinator.java
+++ b/idempotency/src/main/java/weldpoint/idempotency/ClaimCoordinator.java
@@ -21,27 +21,29 @@
 import weldpoint.transport.StateStoreMessages.Voter;
 
 /**
- * Carries the claims of a registry's proxies to the voters and counts their votes. A claim is
- * granted once a majority of the voters' disks remembers it and no earlier one: two majorities
- * share a voter, so two claims of one key are never both granted. Votes that come after a claim's
- * deadline count for nothing, so that a voter whose disk was lost has learned what was granted with
- * its lost vote before it votes again (see docs/idempotency.md).
+ * Sends the claims of a registry's proxies to the voters and counts their votes. A claim is granted
+ * once a majority of the voters has persisted it and no earlier claim of the key. Two majorities
+ * share a voter, so two claims of one key are never both granted. Votes that arrive after the
+ * deadline of a claim are ignored, so that a voter that lost its disk has learned the claims that
+ * were granted with its lost votes before it votes again (see docs/idempotency.md).
+ *
+ * <p>Used by a registry on its control thread. Times are milliseconds of the monotonic clock.
  */
 public final class ClaimCoordinator {
-  /** For how long votes on a claim count. */
-  public static final long DEADLINE_MILLIS = 900;
+  /** How long votes on a claim count. */
+  public static final long CLAIM_TIMEOUT_MILLIS = 900;
 
-  private static final long RESEND_MILLIS = 300;
-  private static final long BATCH_MILLIS = 10;
-  private static final long GRANTS_KEPT_MILLIS = 60_000;
-  private static final long FORGET_MILLIS = 1000;
+  private static final long RESEND_INTERVAL_MILLIS = 300;
+  private static final long BATCH_INTERVAL_MILLIS = 10;
+  private static final long GRANT_RETENTION_MILLIS = 60_000;
+  private static final long CLEANUP_INTERVAL_MILLIS = 1000;
   private static final Invariant ONE_GRANT = Invariant.named("a key is granted to one request");
 
   private record Claimant(long incarnation, long number) {}
 
-  private record Grant(Claim claim, long until) {}
+  private record Grant(Claim claim, long expiresAt) {}
 
-  private static final class Pending {
+  private static final class PendingClaim {
     final Claim claim;
     final Consumer<Message> reply;
     final long deadline;
@@ -49,39 +51,40 @@
     final Map<String, Claim> refused = new LinkedHashMap<>();
     long sentAt;
 
-    Pending(final Claim claim, final Consumer<Message> reply, final long now) {
+    PendingClaim(final Claim claim, final Consumer<Message> reply, final long now) {
       this.claim = claim;
       this.reply = reply;
-      this.deadline = now + DEADLINE_MILLIS;
+      this.deadline = now + CLAIM_TIMEOUT_MILLIS;
       this.sentAt = now;
     }
   }
 
   private final String self;
-  private final Consumer<Message> voters;
-  private final Map<Claimant, Pending> pending = new LinkedHashMap<>();
+  private final Consumer<Message> voterSender;
+  private final Map<Claimant, PendingClaim> pending = new LinkedHashMap<>();
   private final Map<Long, Grant> grants = new HashMap<>();
   private final List<Claim> unsent = new ArrayList<>();
   private long flushedAt = Long.MIN_VALUE / 2;
-  private long forgotAt = Long.MIN_VALUE / 2;
+  private long cleanedUpAt = Long.MIN_VALUE / 2;
   private long granted;
   private long conflicts;
   private long unknown;
 
   /**
-   * A coordinator of the registry at this address, which tells all voters, that registry among
-   * them, through this.
+   * Creates the coordinator of the registry at address {@code self}.
+   *
+   * @param voterSender sends a message to all voters, including this registry if it is one
    */
-  public ClaimCoordinator(final String self, final Consumer<Message> voters) {
+  public ClaimCoordinator(final String self, final Consumer<Message> voterSender) {
     this.self = self;
-    this.voters = voters;
+    this.voterSender = voterSender;
   }
 
-  /** A proxy claims a key; it hears exactly one answer. */
-  public void ask(final Claim claim, final Consumer<Message> reply, final long now) {
-    pending.put(new Claimant(claim.incarnation, claim.number), new Pending(claim, reply, now));
+  /** Submits a proxy's claim of a key; {@code reply} gets exactly one response. */
+  public void submit(final Claim claim, final Consumer<Message> reply, final long now) {
+    pending.put(new Claimant(claim.incarnation, claim.number), new PendingClaim(claim, reply, now));
     unsent.add(claim);
-    if (now - flushedAt >= BATCH_MILLIS) {
+    if (now - flushedAt >= BATCH_INTERVAL_MILLIS) {
       flush(now);
     }
   }
@@ -91,104 +94,108 @@
       return;
     }
     flushedAt = now;
-    final ClaimVoteRequest ask = new ClaimVoteRequest(new ArrayList<>(unsent));
+    final ClaimVoteRequest request = new ClaimVoteRequest(new ArrayList<>(unsent));
     unsent.clear();
-    voters.accept(ask);
+    voterSender.accept(request);
   }
 
   /**
-   * A voter has voted. Counted are distinct voters of the roster in force, and, for a while after a
-   * change of roster, of the one before besides.
+   * Handles the votes of one voter. A claim needs a majority of the distinct voters of the roster
+   * in force and, for a while after a roster change, also of the previous roster.
    *
-   * @param before the roster before, where it still counts; else null
+   * @param previousRoster the previous roster while it still counts, else null
    */
-  public void voted(
+  public void onVotes(
       final String from,
-      final ClaimVoteResponse answer,
+      final ClaimVoteResponse response,
       final Roster roster,
-      final Roster before,
+      final Roster previousRoster,
       final long now) {
-    for (final ClaimVote vote : answer.votes) {
+    for (final ClaimVote vote : response.votes) {
       final Claimant claimant = new Claimant(vote.incarnation, vote.number);
-      final Pending one = pending.get(claimant);
-      if (one == null || now >= one.deadline) {
+      final PendingClaim candidate = pending.get(claimant);
+      if (candidate == null || now >= candidate.deadline) {
         continue;
       }
       if (vote.holder == null) {
-        one.granted.add(from);
-        one.refused.remove(from);
+        candidate.granted.add(from);
+        candidate.refused.remove(from);
       } else {
-        one.refused.put(from, vote.holder);
+        candidate.refused.put(from, vote.holder);
       }
-      judge(claimant, one, roster, before, now);
+      decide(claimant, candidate, roster, previousRoster, now);
     }
   }
 
-  private void judge(
+  private void decide(
       final Claimant claimant,
-      final Pending one,
+      final PendingClaim candidate,
       final Roster roster,
-      final Roster before,
+      final Roster previousRoster,
       final long now) {
-    if (majority(one, roster) && (before == null || majority(one, before))) {
+    if (hasMajority(candidate, roster)
+        && (previousRoster == null || hasMajority(candidate, previousRoster))) {
       pending.remove(claimant);
       granted++;
-      if (one.granted.contains(self)) {
-        checkGrant(one.claim, now);
+      if (candidate.granted.contains(self)) {
+        checkGrant(candidate.claim, now);
       }
-      one.reply.accept(new ClaimResponse(one.claim.number, ClaimResult.GRANTED, null));
-    } else if (hopeless(one, roster)) {
+      candidate.reply.accept(new ClaimResponse(candidate.claim.number, ClaimResult.GRANTED, null));
+    } else if (majorityImpossible(candidate, roster)) {
       pending.remove(claimant);
       conflicts++;
-      voters.accept(new ClaimRelease(List.of(one.claim)));
-      final Claim holder = one.refused.values().iterator().next();
-      one.reply.accept(new ClaimResponse(one.claim.number, ClaimResult.HELD, holder));
+      voterSender.accept(new ClaimRelease(List.of(candidate.claim)));
+      final Claim holder = candidate.refused.values().iterator().next();
+      candidate.reply.accept(new ClaimResponse(candidate.claim.number, ClaimResult.HELD, holder));
     }
   }
 
-  private static boolean majority(final Pending one, final Roster roster) {
-    return count(one.granted, roster) >= roster.majority();
+  private static boolean hasMajority(final PendingClaim candidate, final Roster roster) {
+    return countVoters(candidate.granted, roster) >= roster.majority();
   }
 
-  private static boolean hopeless(final Pending one, final Roster roster) {
-    return roster.voters.size() - count(one.refused.keySet(), roster) < roster.majority();
+  private static boolean majorityImpossible(final PendingClaim candidate, final Roster roster) {
+    return roster.voters.size() - countVoters(candidate.refused.keySet(), roster)
+        < roster.majority();
   }
 
-  private static int count(final Set<String> those, final Roster roster) {
+  private static int countVoters(final Set<String> addresses, final Roster roster) {
     int count = 0;
     for (final Voter voter : roster.voters) {
-      count += those.contains(voter.address) ? 1 : 0;
+      count += addresses.contains(voter.address) ? 1 : 0;
     }
     return count;
   }
 
   /**
-   * Where this registry itself voted for a claim, its table must not have forgotten an earlier one
-   * that was granted here. Without its vote nothing can be said: it may have missed a release.
+   * Checks that no earlier claim of the key that was granted here is still valid. Applies only if
+   * this registry itself voted for the claim: without its own vote it may have missed the release
+   * of the earlier one.
    */
   private void checkGrant(final Claim claim, final long now) {
-    final Grant earlier = grants.put(claim.high, new Grant(claim, now + GRANTS_KEPT_MILLIS));
+    final Grant earlier = grants.put(claim.high, new Grant(claim, now + GRANT_RETENTION_MILLIS));
     ONE_GRANT.check(
         earlier == null
-            || earlier.until() <= now
+            || earlier.expiresAt() <= now
             || earlier.claim().low != claim.low
             || earlier.claim().sameClaimant(claim),
         () -> earlier.claim() + " and " + claim);
   }
 
-  /** A request that held a claim never ran: its key is free again. */
+  /** Releases the claims of requests that were never run: their keys are free again. */
   public void release(final List<Claim> claims) {
-    voters.accept(new ClaimRelease(claims));
+    voterSender.accept(new ClaimRelease(claims));
   }
 
   /**
-   * This registry, as a voter, has heard that claims were given back, perhaps through another
-   * registry while their votes were still under way here: those count for nothing any more.
+   * Handles a release that this registry received as a voter. It may have come through another
+   * registry while votes on the claims are still being collected here; these are ignored from now
+   * on.
    */
-  public void released(final List<Claim> claims) {
+  public void onRelease(final List<Claim> claims) {
     for (final Claim claim : claims) {
       if (pending.remove(new Claimant(claim.incarnation, claim.number)) != null) {
-        unsent.removeIf(waiting -> waiting.sameClaimant(claim));
+        unsent.removeIf(queued -> queued.sameClaimant(claim));
       }
       final Grant grant = grants.get(claim.high);
       if (grant != null && grant.claim().sameClaimant(claim)) {
@@ -197,55 +204,59 @@
     }
   }
 
-  /** Time has passed: waiting claims go out, and those past their deadline are given up. */
+  /**
+   * Advances the clock: sends queued claims, resends those without a majority, and gives up those
+   * past their deadline.
+   */
   public void tick(final long now) {
     flush(now);
-    final List<Claim> again = new ArrayList<>();
-    final List<Claim> over = new ArrayList<>();
+    final List<Claim> resend = new ArrayList<>();
+    final List<Claim> expired = new ArrayList<>();
     pending
         .values()
         .removeIf(
-            one -> {
-              if (now >= one.deadline) {
-                over.add(one.claim);
-                one.reply.accept(new ClaimResponse(one.claim.number, ClaimResult.UNKNOWN, null));
+            candidate -> {
+              if (now >= candidate.deadline) {
+                expired.add(candidate.claim);
+                candidate.reply.accept(
+                    new ClaimResponse(candidate.claim.number, ClaimResult.UNKNOWN, null));
                 return true;
               }
-              if (now - one.sentAt >= RESEND_MILLIS) {
-                one.sentAt = now;
-                again.add(one.claim);
+              if (now - candidate.sentAt >= RESEND_INTERVAL_MILLIS) {
+                candidate.sentAt = now;
+                resend.add(candidate.claim);
               }
               return false;
             });
-    if (!again.isEmpty()) {
-      voters.accept(new ClaimVoteRequest(again));
+    if (!resend.isEmpty()) {
+      voterSender.accept(new ClaimVoteRequest(resend));
     }
-    if (!over.isEmpty()) {
-      unknown += over.size();
-      voters.accept(new ClaimRelease(over));
+    if (!expired.isEmpty()) {
+      unknown += expired.size();
+      voterSender.accept(new ClaimRelease(expired));
     }
-    if (now - forgotAt >= FORGET_MILLIS) {
-      forgotAt = now;
-      grants.values().removeIf(grant -> grant.until() <= now);
+    if (now - cleanedUpAt >= CLEANUP_INTERVAL_MILLIS) {
+      cleanedUpAt = now;
+      grants.values().removeIf(grant -> grant.expiresAt() <= now);
     }
   }
 
-  /** What was decided, as counters. */
+  /** Returns the counters of decided claims, for the log. */
   public String counters() {
     return "claims granted " + granted + " conflicts " + conflicts + " unknown " + unknown;
   }
 
-  /** How many claims were granted. */
+  /** Returns how many claims were granted. */
   public long granted() {
     return granted;
   }
 
-  /** How many claims met another holder. */
+  /** Returns how many claims were refused because another claim holds the key. */
   public long conflicts() {
     return conflicts;
   }
 
-  /** How many claims no majority answered in time. */
+  /** Returns how many claims were not decided by a majority in time. */
   public long unknown() {
     return unknown;
   }
--- a/idempotency/src/main/java/weldpoint/idempotency/ClaimTable.java
+++ b/idempotency/src/main/java/weldpoint/idempotency/ClaimTable.java
@@ -8,17 +8,17 @@
 import weldpoint.transport.KeyMessages.Claim;
 
 /**
- * The claims that one voter remembers: a key belongs to the first claim that came until its span is
- * over or its claimant releases it. It knows neither threads nor clocks; times are milliseconds of
- * the voter's steady clock.
+ * The claims that one voter remembers: a key belongs to the first claim until the claim expires or
+ * its claimant releases it. Not thread-safe, and without a clock of its own; times are milliseconds
+ * of the voter's monotonic clock.
  *
- * <p>What is recalled from a disk or learned from other voters may name several claims of one key,
- * of which any may have been granted. Such a key is nobody's until its span is over or all but one
- * of the claims were released.
+ * <p>Claims that are restored from disk or learned from other voters may include several claims of
+ * one key, of which any may have been granted. Such a key is granted to none of them until it
+ * expires or all but one of the claims have been released.
  */
 public final class ClaimTable {
-  /** The longest that any claim is remembered, whatever its sender says. */
-  static final long MOST_KEPT_MILLIS = 600_000;
+  /** The maximum retention of a claim, whatever its sender requests. */
+  static final long MAX_RETENTION_MILLIS = 600_000;
 
   private record Key(long high, long low) {
     static Key of(final Claim claim) {
@@ -29,15 +29,15 @@
   private static final class Entry {
     final Key key;
     final List<Claim> claims = new ArrayList<>(1);
-    long until;
+    long expiresAt;
 
     Entry(final Key key) {
       this.key = key;
     }
 
-    Claim other(final Claim than) {
+    Claim claimOfOther(final Claim claimant) {
       for (final Claim claim : claims) {
-        if (!claim.sameClaimant(than)) {
+        if (!claim.sameClaimant(claimant)) {
           return claim;
         }
       }
@@ -46,97 +46,99 @@
   }
 
   private final Map<Key, Entry> entries = new HashMap<>();
-  private final ArrayDeque<Entry> oldest = new ArrayDeque<>();
+  private final ArrayDeque<Entry> insertionOrder = new ArrayDeque<>();
   private final Map<String, String> proxies = new HashMap<>();
 
   /**
    * Claims a key.
    *
-   * @return the claim that holds the key from now on: the given one, or another claimant's
+   * @return the claim that holds the key from now on: the given one, or that of another claimant
    */
-  public Claim claim(final Claim wanted, final long now) {
-    final Entry present = entries.get(Key.of(wanted));
-    if (present != null && now < present.until) {
-      final Claim other = present.other(wanted);
+  public Claim claim(final Claim requested, final long now) {
+    final Entry existing = entries.get(Key.of(requested));
+    if (existing != null && now < existing.expiresAt) {
+      final Claim other = existing.claimOfOther(requested);
       if (other != null) {
         return other;
       }
     }
-    forget(present);
-    remember(wanted, now);
-    return wanted;
+    remove(existing);
+    remember(requested, now);
+    return requested;
   }
 
-  /** Takes what a disk or another voter remembered beside what is remembered here. */
-  public void recall(final List<Claim> claims, final long now) {
+  /** Adds claims that were read from disk or received from another voter. */
+  public void restore(final List<Claim> claims, final long now) {
     claims.forEach(claim -> remember(claim, now));
   }
 
   private void remember(final Claim claim, final long now) {
     final Key key = Key.of(claim);
     Entry entry = entries.get(key);
-    if (entry != null && entry.until <= now) {
-      forget(entry);
+    if (entry != null && entry.expiresAt <= now) {
+      remove(entry);
       entry = null;
     }
     if (entry == null) {
       entry = new Entry(key);
       entries.put(key, entry);
-      oldest.add(entry);
+      insertionOrder.add(entry);
     }
-    final long millis = Math.max(0, Math.min(MOST_KEPT_MILLIS, claim.keepMillis));
-    entry.until = Math.max(entry.until, now + millis);
+    final long retentionMillis = Math.max(0, Math.min(MAX_RETENTION_MILLIS, claim.keepMillis));
+    entry.expiresAt = Math.max(entry.expiresAt, now + retentionMillis);
     if (entry.claims.stream().noneMatch(claim::sameClaimant)) {
       final String proxy = proxies.computeIfAbsent(claim.proxy, name -> name);
       entry.claims.add(
-          new Claim(claim.high, claim.low, proxy, claim.incarnation, claim.number, millis));
+          new Claim(
+              claim.high, claim.low, proxy, claim.incarnation, claim.number, retentionMillis));
     }
   }
 
-  private void forget(final Entry entry) {
+  private void remove(final Entry entry) {
     if (entry != null) {
       entries.remove(entry.key, entry);
     }
   }
 
-  /** Forgets a claim whose request never ran; tells whether it was held. */
+  /** Removes a claim whose request was never run; returns whether it was remembered. */
   public boolean release(final Claim claim) {
     final Entry entry = entries.get(Key.of(claim));
     if (entry == null || !entry.claims.removeIf(claim::sameClaimant)) {
       return false;
     }
     if (entry.claims.isEmpty()) {
-      forget(entry);
+      remove(entry);
     }
     return true;
   }
 
-  /** Forgets the claims whose span is over. */
+  /** Removes expired claims. */
   public void expire(final long now) {
-    while (!oldest.isEmpty() && (oldest.peek().until <= now || !current(oldest.peek()))) {
-      forget(oldest.poll());
+    while (!insertionOrder.isEmpty()
+        && (insertionOrder.peek().expiresAt <= now || !isCurrent(insertionOrder.peek()))) {
+      remove(insertionOrder.poll());
     }
     if (entries.isEmpty()) {
       proxies.clear();
     }
   }
 
-  private boolean current(final Entry entry) {
+  private boolean isCurrent(final Entry entry) {
     return entries.get(entry.key) == entry;
   }
 
-  /** All claims with what is left of their spans. */
-  public List<Claim> live(final long now) {
-    final List<Claim> live = new ArrayList<>(entries.size());
+  /** Returns all claims that have not expired, with their remaining retention. */
+  public List<Claim> liveClaims(final long now) {
+    final List<Claim> claims = new ArrayList<>(entries.size());
     for (final Entry entry : entries.values()) {
-      if (entry.until > now) {
-        entry.claims.forEach(claim -> live.add(claim.kept(entry.until - now)));
+      if (entry.expiresAt > now) {
+        entry.claims.forEach(claim -> claims.add(claim.kept(entry.expiresAt - now)));
       }
     }
-    return live;
+    return claims;
   }
 
-  /** How many keys are remembered. */
+  /** Returns how many keys are remembered. */
   public int size() {
     return entries.size();
   }
--- a/idempotency/src/test/java/weldpoint/idempotency/ClaimTableTest.java
+++ b/idempotency/src/test/java/weldpoint/idempotency/ClaimTableTest.java
@@ -9,6 +9,7 @@
 import org.testng.annotations.Test;
 import weldpoint.transport.KeyMessages.Claim;
 
+/** Holding, expiry, release and restoring of claims. */
 public final class ClaimTableTest {
   private final ClaimTable table = new ClaimTable();
 
@@ -17,7 +18,7 @@
   }
 
   @Test
-  public void theFirstHoldsItsKeyUntilItsSpanIsOver() {
+  public void firstClaimHoldsKeyUntilItExpires() {
     final Claim first = claim(1, 1);
     assertSame(table.claim(first, 0), first);
     assertTrue(table.claim(claim(1, 2), 999).sameClaimant(first));
@@ -25,7 +26,7 @@
   }
 
   @Test
-  public void oneThatAsksAgainIsRememberedFromThenOn() {
+  public void repeatedClaimExtendsRetention() {
     table.claim(claim(2, 1), 0);
     table.claim(claim(2, 1), 800);
     table.expire(1700);
@@ -33,19 +34,21 @@
   }
 
   @Test
-  public void rivalsOfUnknownFateLeaveTheKeyNobodysUntilOneIsLeft() {
-    table.recall(List.of(claim(3, 1), claim(3, 2)), 0);
+  public void restoredRivalsBlockKeyUntilOneIsLeft() {
+    table.restore(List.of(claim(3, 1), claim(3, 2)), 0);
     assertFalse(table.claim(claim(3, 1), 10).sameClaimant(claim(3, 1)));
     assertFalse(table.claim(claim(3, 2), 10).sameClaimant(claim(3, 2)));
     assertEquals(
-        table.live(10).stream().filter(claim -> claim.high == 3).count(), 2, "both are told on");
+        table.liveClaims(10).stream().filter(claim -> claim.high == 3).count(),
+        2,
+        "both are reported to other voters");
     assertTrue(table.release(claim(3, 1)));
     assertFalse(table.claim(claim(3, 3), 20).sameClaimant(claim(3, 3)));
     assertTrue(table.claim(claim(3, 2), 20).sameClaimant(claim(3, 2)));
   }
 
   @Test
-  public void aReleaseFreesItsOwnClaimOnly() {
+  public void releaseFreesOwnClaimOnly() {
     table.claim(claim(4, 1), 0);
     assertFalse(table.release(claim(4, 2)));
     assertTrue(table.release(claim(4, 1)));
@@ -53,7 +56,7 @@
   }
 
   @Test
-  public void nothingIsKeptForever() {
+  public void claimsExpire() {
     final ClaimTable fresh = new ClaimTable();
     for (int key = 0; key < 1000; key++) {
       fresh.claim(claim(key, key), key);
@@ -62,6 +65,6 @@
     assertEquals(fresh.size(), 499);
     fresh.expire(5000);
     assertEquals(fresh.size(), 0);
-    assertEquals(fresh.live(5000), List.of());
+    assertEquals(fresh.liveClaims(5000), List.of());
   }
 }
--- a/registry/src/main/java/weldpoint/registry/KeyClaims.java
+++ b/registry/src/main/java/weldpoint/registry/KeyClaims.java
@@ -50,20 +50,20 @@
    * process was down.
    */
   void restore(final List<Claim> claims, final long now) {
-    table.recall(claims, now);
+    table.restore(claims, now);
   }
 
   /** Merges the claims that another voter remembers, and persists them. */
   void merge(final List<Claim> claims, final long now) {
     if (!claims.isEmpty()) {
-      table.recall(claims, now);
+      table.restore(claims, now);
       disk.append(claims, () -> {});
     }
   }
 
   /** Returns the claims that have not expired. */
   List<Claim> liveClaims() {
-    return table.live(lastNow);
+    return table.liveClaims(lastNow);
   }
 
   /**
@@ -90,7 +90,7 @@
   void fromProxy(final Message message, final Consumer<Message> reply, final long now) {
     lastNow = Math.max(lastNow, now);
     if (message instanceof ClaimRequest) {
-      coordinator.ask(((ClaimRequest) message).claim, reply, now);
+      coordinator.submit(((ClaimRequest) message).claim, reply, now);
     } else if (message instanceof ClaimRelease) {
       coordinator.release(((ClaimRelease) message).claims);
     }
@@ -105,12 +105,12 @@
     } else if (message instanceof ClaimVoteResponse) {
       final ClaimVoteResponse response = (ClaimVoteResponse) message;
       if (response.rosterNumber <= roster.number) {
-        coordinator.voted(from, response, roster, previousRoster, now);
+        coordinator.onVotes(from, response, roster, previousRoster, now);
       }
     } else if (message instanceof ClaimRelease) {
       final List<Claim> claims = ((ClaimRelease) message).claims;
       claims.forEach(table::release);
-      coordinator.released(claims);
+      coordinator.onRelease(claims);
     }
   }
 
--- a/registry/src/test/java/weldpoint/registry/ControlServerFuzzTest.java
+++ b/registry/src/test/java/weldpoint/registry/ControlServerFuzzTest.java
@@ -36,19 +36,19 @@
 import weldpoint.transport.StoreMessages;
 
 /**
- * Generated calls to the control interface, cut anywhere: each gets one answer, its own, with a
- * reason where it failed, and nothing hangs.
+ * Generated calls to the control interface, split at any byte: each gets exactly one response, in
+ * order, with a reason if it failed, and none hangs.
  */
 public final class ControlServerFuzzTest {
-  private static final String BEAT =
+  private static final String HEARTBEAT =
       "{\"service\":\"s\",\"address\":\"10.0.0.1:80\",\"zone\":\"a\",\"version\":\"v\",\"capacity\":4,\"state\":\"ready\",\"warmupLeftMs\":0,\"callSeq\":1}";
-  private static final String SPEC =
+  private static final String CONFIGURATION =
       "{\"version\":\"00000007\",\"limits\":{\"maxHeaderBytes\":16384},\"listeners\":[{\"host\":\"h\",\"rules\":[{\"name\":\"r\",\"routeKind\":\"mutating\",\"targetLatencyMs\":300,\"priority\":2,\"match\":{\"pathPrefix\":\"/a/\"},\"action\":{\"split\":[{\"service\":\"s\",\"weight\":90}],\"timeoutMs\":2000,\"maxAttempts\":2,\"homeRegions\":[]}}]}],\"pools\":[{\"name\":\"s\",\"healthPath\":\"/health\",\"maxConns\":120}]}";
   private static final String[][] CALLS =
       new String[][] {
-        {"POST", "/api/rpc?call=instances.heartbeat&of=i-1", BEAT},
+        {"POST", "/api/rpc?call=instances.heartbeat&of=i-1", HEARTBEAT},
         {"POST", "/api/rpc?call=instances.deregister&of=i-1", ""},
-        {"POST", "/api/rpc?call=configuration.replace", SPEC},
+        {"POST", "/api/rpc?call=configuration.replace", CONFIGURATION},
         {"POST", "/api/rpc?call=configuration.read", ""},
         {"POST", "/api/rpc?call=evacuation.begin&of=a", ""},
         {"POST", "/api/rpc?call=locks.begin&of=l", "{\"owner\":\"o\",\"holdMs\":3000}"},
@@ -69,7 +69,7 @@
       };
   private static final List<Integer> STATUSES =
       List.of(200, 400, 404, 405, 409, 410, 412, 413, 422, 503, 504);
-  private static final String[] ODD =
+  private static final String[] UNUSUAL_VALUES =
       new String[] {
         "null",
         "-1",
@@ -91,7 +91,10 @@
 
   private final EventLoopGroup loop = new NioEventLoopGroup(1);
 
-  /** Stands still while the thread does, so that a busy machine does not look like a standstill. */
+  /**
+   * Advances only with the ticks of the event loop, so that a busy machine does not look like a
+   * pause of the process.
+   */
   private final AtomicLong clock = new AtomicLong(1000);
 
   private RegistryCore core;
@@ -117,12 +120,12 @@
 
               @Override
               public boolean frame(final String address, final StoreMessages.StoreRequest call) {
-                final StoreMessages.StoreResponse answer =
+                final StoreMessages.StoreResponse response =
                     call.deed == StoreOperation.CONTROL.ordinal()
-                        ? held(call)
+                        ? storedState(call)
                         : new StoreMessages.StoreResponse(call.number, 409, 0, null, null);
                 loop.schedule(
-                    () -> core.answered(address, answer.to(call.caller), clock.get()),
+                    () -> core.answered(address, response.to(call.caller), clock.get()),
                     2,
                     TimeUnit.MILLISECONDS);
                 return true;
@@ -173,10 +176,10 @@
   }
 
   /**
-   * What the frames hold: no configuration, and this machine as the only voter, so that it is not
-   * cut off.
+   * The control state of the state store: no configuration, and this registry as the only voter, so
+   * that it is not cut off.
    */
-  private static StoreMessages.StoreResponse held(final StoreMessages.StoreRequest call) {
+  private static StoreMessages.StoreResponse storedState(final StoreMessages.StoreRequest call) {
     final StateStoreMessages.Roster roster =
         new StateStoreMessages.Roster(
             1, List.of(new StateStoreMessages.Voter("127.0.0.1", "a", "r", List.of())));
@@ -214,7 +217,7 @@
         + body;
   }
 
-  private static String answer(final InputStream in) throws IOException {
+  private static String readResponse(final InputStream in) throws IOException {
     final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     while (!bytes.toString(StandardCharsets.UTF_8).endsWith("\r\n\r\n")) {
       final int next = in.read();
@@ -232,7 +235,7 @@
   }
 
   @Test
-  public void aCallerThatDoesNotWaitGetsEachAnswerInThePlaceOfItsCall() throws IOException {
+  public void pipelinedCallsGetResponsesInOrder() throws IOException {
     for (int round = 0; round < 20; round++) {
       try (Socket socket = connect()) {
         final StringBuilder all = new StringBuilder();
@@ -243,8 +246,10 @@
         socket.getOutputStream().write(all.toString().getBytes(StandardCharsets.UTF_8));
         final InputStream in = new BufferedInputStream(socket.getInputStream());
         for (int index = 0; index < 6; index++) {
-          assertTrue(answer(in).startsWith("HTTP/1.1 409"), "the number's own answer comes first");
-          final String unknown = answer(in);
+          assertTrue(
+              readResponse(in).startsWith("HTTP/1.1 409"),
+              "the response to the number call comes first");
+          final String unknown = readResponse(in);
           assertTrue(
               unknown.startsWith("HTTP/1.1 404") && unknown.contains("'fly" + index + "'"),
               unknown);
@@ -254,7 +259,7 @@
   }
 
   @Test
-  public void nestingWithoutEndIsRefusedWithAReason() throws IOException {
+  public void deeplyNestedBodyIsRefused() throws IOException {
     for (final String path :
         List.of(
             "/api/rpc?call=configuration.replace",
@@ -265,15 +270,15 @@
           socket
               .getOutputStream()
               .write(request("POST", path, open.repeat(200_000)).getBytes(StandardCharsets.UTF_8));
-          final String answer = answer(socket.getInputStream());
-          assertTrue(answer.startsWith("HTTP/1.1 400"), path + " " + open + ": " + answer);
+          final String response = readResponse(socket.getInputStream());
+          assertTrue(response.startsWith("HTTP/1.1 400"), path + " " + open + ": " + response);
         }
       }
     }
   }
 
   @Test
-  public void generatedCallsGetOneTypedAnswerEach()
+  public void generatedCallsGetOneValidResponseEach()
       throws IOException, InterruptedException, ExecutionException {
     final long seed = Long.getLong("weldpoint.fuzz.seed", 19);
     final int rounds = Integer.getInteger("weldpoint.fuzz.rounds", 12);
@@ -312,9 +317,12 @@
             request(
                 call[0],
                 random.nextInt(8) == 0
-                    ? spoil(call[1], random).replace(' ', '+').replace('\r', '+').replace('\n', '+')
+                    ? mutate(call[1], random)
+                        .replace(' ', '+')
+                        .replace('\r', '+')
+                        .replace('\n', '+')
                     : call[1],
-                random.nextInt(4) == 0 ? call[2] : spoil(call[2], random)));
+                random.nextInt(4) == 0 ? call[2] : mutate(call[2], random)));
         bytes.append(sent.get(sent.size() - 1));
       }
       final byte[] all = bytes.toString().getBytes(StandardCharsets.UTF_8);
@@ -323,19 +331,20 @@
       socket.getOutputStream().flush();
       socket.getOutputStream().write(all, cut, all.length - cut);
       for (final String one : sent) {
-        final String answer = answer(in);
-        final String name = round + ": " + one + " -> " + answer;
-        assertTrue(answer.startsWith("HTTP/1.1 "), name);
-        final int status = Integer.parseInt(answer.substring(9, 12));
+        final String response = readResponse(in);
+        final String name = round + ": " + one + " -> " + response;
+        assertTrue(response.startsWith("HTTP/1.1 "), name);
+        final int status = Integer.parseInt(response.substring(9, 12));
         assertTrue(STATUSES.contains(status), name);
-        assertTrue(status == 200 || answer.contains("\"error\":") && answer.contains(";"), name);
+        assertTrue(
+            status == 200 || response.contains("\"error\":") && response.contains(";"), name);
       }
     }
   }
 
-  private static String spoil(final String text, final Random random) {
+  private static String mutate(final String text, final Random random) {
     if (text.isEmpty()) {
-      return random.nextBoolean() ? text : ODD[random.nextInt(ODD.length)];
+      return random.nextBoolean() ? text : UNUSUAL_VALUES[random.nextInt(UNUSUAL_VALUES.length)];
     }
     final int at = random.nextInt(text.length());
     final int end = at + random.nextInt(text.length() - at + 1);
@@ -345,7 +354,9 @@
       case 1:
         return text.substring(0, at) + text.substring(end);
       case 2:
-        return text.substring(0, at) + ODD[random.nextInt(ODD.length)] + text.substring(end);
+        return text.substring(0, at)
+            + UNUSUAL_VALUES[random.nextInt(UNUSUAL_VALUES.length)]
+            + text.substring(end);
       case 3:
         return text.substring(0, end) + text.substring(at);
       case 4:
@@ -356,19 +367,19 @@
         return comma < 0
             ? text + text
             : text.substring(0, colon + 1)
-                + ODD[random.nextInt(ODD.length)]
+                + UNUSUAL_VALUES[random.nextInt(UNUSUAL_VALUES.length)]
                 + text.substring(comma);
     }
   }
 
   @Test
-  public void aCallThatIsCutOffAnywhereIsNotRun() throws IOException {
-    final String call = request("POST", "/api/rpc?call=instances.heartbeat&of=i-cut", BEAT);
+  public void truncatedCallIsNotRun() throws IOException {
+    final String call = request("POST", "/api/rpc?call=instances.heartbeat&of=i-cut", HEARTBEAT);
     for (int cut = 0; cut < call.length(); cut += 3) {
       try (Socket socket = connect()) {
         socket.getOutputStream().write(call.substring(0, cut).getBytes(StandardCharsets.UTF_8));
         socket.shutdownOutput();
-        assertEquals(answer(socket.getInputStream()), "", "cut at " + cut);
+        assertEquals(readResponse(socket.getInputStream()), "", "cut at " + cut);
       }
     }
   }
--- a/registry/src/test/java/weldpoint/registry/ControlServerTest.java
+++ b/registry/src/test/java/weldpoint/registry/ControlServerTest.java
@@ -22,11 +22,11 @@
 import weldpoint.transport.StoreMessages;
 
 /**
- * Bad calls of operators, upstreams and applications: refused with their reason, and nothing of
- * them reaches the store.
+ * Invalid calls of operators, upstreams and applications are refused with reason and remedy, and
+ * cause no call to the state store.
  */
 public final class ControlServerTest {
-  private static final String BEAT =
+  private static final String HEARTBEAT =
       "{\"service\":\"s\",\"address\":\"10.0.0.1:80\",\"zone\":\"a\",\"version\":\"v\",\"capacity\":4,\"state\":\"ready\",\"warmupLeftMs\":0,\"callSeq\":1}";
 
   private final EventLoopGroup loop = new NioEventLoopGroup(1);
@@ -82,7 +82,7 @@
   }
 
   @DataProvider
-  public Object[][] bad() {
+  public Object[][] invalidCalls() {
     return new Object[][] {
       {"POST", "/api/rpc?call=fly&of=x", "{}", 404},
       {"GET", "/api/rpc?call=instances.heartbeat&of=i", "", 405},
@@ -91,17 +91,17 @@
       {
         "POST",
         "/api/rpc?call=instances.heartbeat&of=i",
-        BEAT.replace("\"callSeq\":1", "\"x\":1"),
+        HEARTBEAT.replace("\"callSeq\":1", "\"x\":1"),
         400
       },
-      {"POST", "/api/rpc?call=instances.heartbeat&of=i", BEAT.replace("ready", "asleep"), 400},
+      {"POST", "/api/rpc?call=instances.heartbeat&of=i", HEARTBEAT.replace("ready", "asleep"), 400},
       {
         "POST",
         "/api/rpc?call=instances.heartbeat&of=i",
-        BEAT.replace("10.0.0.1:80", "nowhere"),
+        HEARTBEAT.replace("10.0.0.1:80", "nowhere"),
         400
       },
-      {"POST", "/api/rpc?call=instances.heartbeat&of=", BEAT, 400},
+      {"POST", "/api/rpc?call=instances.heartbeat&of=", HEARTBEAT, 400},
       {"POST", "/api/rpc?call=instances.heartbeat&of=i", "{\"service", 400},
       {"POST", "/api/rpc?call=locks.begin&of=l", "{\"owner\":\"o\"}", 400},
       {"POST", "/api/rpc?call=locks.finish&of=l", "{\"owner\":\"o\"}", 400},
@@ -118,12 +118,12 @@
     };
   }
 
-  @Test(dataProvider = "bad")
-  public void isRefusedWithItsReason(
+  @Test(dataProvider = "invalidCalls")
+  public void invalidCallIsRefusedWithReason(
       final String method, final String path, final String body, final int status)
       throws IOException {
     final int before = storeCalls;
-    final String answer =
+    final String response =
         call(
             method
                 + " "
@@ -132,27 +132,28 @@
                 + body.length()
                 + "\r\n\r\n"
                 + body);
-    assertTrue(answer.startsWith("HTTP/1.1 " + status), answer);
+    assertTrue(response.startsWith("HTTP/1.1 " + status), response);
     assertTrue(
-        answer.contains("\"error\":") && answer.contains(";"), "no reason or no remedy: " + answer);
+        response.contains("\"error\":") && response.contains(";"),
+        "no reason or no remedy: " + response);
     assertEquals(storeCalls, before);
   }
 
   @Test
-  public void aBodyOverTheBoundIsRefusedUnread() throws IOException {
-    final String answer =
+  public void oversizedBodyIsRefusedUnread() throws IOException {
+    final String response =
         call(
             "POST /api/rpc?call=configuration.replace HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999\r\nConnection: close\r\n\r\n");
-    assertTrue(answer.startsWith("HTTP/1.1 413"), answer);
+    assertTrue(response.startsWith("HTTP/1.1 413"), response);
   }
 
   @Test
-  public void aGoodBeatIsAcknowledged() throws IOException {
+  public void validHeartbeatIsAcknowledged() throws IOException {
     assertTrue(
         call("POST /api/rpc?call=instances.heartbeat&of=i HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: "
-                + BEAT.length()
+                + HEARTBEAT.length()
                 + "\r\n\r\n"
-                + BEAT)
+                + HEARTBEAT)
             .startsWith("HTTP/1.1 200"));
   }
 
--- a/registry/src/test/java/weldpoint/registry/CutOffControlServerTest.java
+++ b/registry/src/test/java/weldpoint/registry/CutOffControlServerTest.java
@@ -29,13 +29,13 @@
 import weldpoint.transport.StoreMessages;
 
 /**
- * What callers of the control interface get from a daemon that is cut off: no answer with
- * authority, and that at once.
+ * A registry that is cut off from the majority gives callers of the control interface no
+ * authoritative response: it redirects the call or responds 504, and does so at once.
  */
 public final class CutOffControlServerTest {
-  private static final String BEAT =
+  private static final String HEARTBEAT =
       "{\"service\":\"s\",\"address\":\"10.0.0.1:80\",\"zone\":\"a\",\"version\":\"v\",\"capacity\":4,\"state\":\"ready\",\"warmupLeftMs\":0,\"callSeq\":1}";
-  private static final String SPEC =
+  private static final String CONFIGURATION =
       "{\"version\":\"00000007\",\"limits\":{\"maxHeaderBytes\":16384,\"maxBodyBytes\":67108864,\"headerTimeoutMs\":3000,\"idleTimeoutMs\":15000},\"listeners\":[],\"pools\":[]}";
   private static final List<String> VOTERS =
       List.of("127.0.0.1", "10.0.0.2", "10.0.0.3", "10.0.0.4", "10.0.0.5");
@@ -58,13 +58,13 @@
   private RegistryCore core;
   private int port;
   private final List<StoreMessages.StoreRequest> calls = new ArrayList<>();
-  private Function<StoreMessages.StoreRequest, StoreMessages.StoreResponse> frames;
+  private Function<StoreMessages.StoreRequest, StoreMessages.StoreResponse> replicaResponder;
 
   @BeforeMethod
   public void open() throws IOException, InterruptedException {
     loop = new NioEventLoopGroup(1);
     calls.clear();
-    frames = call -> null;
+    replicaResponder = call -> null;
     try (ServerSocket socket = new ServerSocket(0)) {
       port = socket.getLocalPort();
     }
@@ -84,9 +84,9 @@
               @Override
               public boolean frame(final String address, final StoreMessages.StoreRequest call) {
                 calls.add(call);
-                final StoreMessages.StoreResponse answer = frames.apply(call);
-                if (answer != null) {
-                  core.answered(address, answer.to(call.caller), now());
+                final StoreMessages.StoreResponse response = replicaResponder.apply(call);
+                if (response != null) {
+                  core.answered(address, response.to(call.caller), now());
                 }
                 return true;
               }
@@ -125,20 +125,20 @@
     loop.shutdownGracefully();
   }
 
-  /** The fake time, which stands still: what is answered is answered at once. */
+  /** The fake time, which never advances: every response is sent without waiting. */
   private static long now() {
     return NOW;
   }
 
   @DataProvider
-  public Object[][] all() {
-    final String grip = "{\"owner\":\"o\",\"holdMs\":3000,\"fenceNumber\":4}";
+  public Object[][] affectedCalls() {
+    final String lockRequest = "{\"owner\":\"o\",\"holdMs\":3000,\"fenceNumber\":4}";
     return new Object[][] {
-      {"POST", "/api/rpc?call=configuration.replace", SPEC},
+      {"POST", "/api/rpc?call=configuration.replace", CONFIGURATION},
       {
         "POST",
         "/api/rpc?call=configuration.replace",
-        SPEC.replace("\"listeners\":[]", "\"listeners\":[{\"host\":\"\"}]")
+        CONFIGURATION.replace("\"listeners\":[]", "\"listeners\":[{\"host\":\"\"}]")
       },
       {"POST", "/api/rpc?call=configuration.read", ""},
       {"POST", "/api/rpc?call=evacuation.begin&of=a", ""},
@@ -149,12 +149,12 @@
       {"POST", "/api/rpc?call=trial.hold&of=r", ""},
       {"POST", "/api/rpc?call=trial.finish&of=r", ""},
       {"POST", "/api/rpc?call=trial.status&of=r", ""},
-      {"POST", "/api/rpc?call=instances.heartbeat&of=i", BEAT},
-      {"POST", "/api/rpc?call=instances.heartbeat&of=i", BEAT.replace("ready", "draining")},
+      {"POST", "/api/rpc?call=instances.heartbeat&of=i", HEARTBEAT},
+      {"POST", "/api/rpc?call=instances.heartbeat&of=i", HEARTBEAT.replace("ready", "draining")},
       {"POST", "/api/rpc?call=instances.deregister&of=i", ""},
-      {"POST", "/api/rpc?call=locks.begin&of=l", grip},
-      {"POST", "/api/rpc?call=locks.heartbeat&of=l", grip},
-      {"POST", "/api/rpc?call=locks.finish&of=l", grip},
+      {"POST", "/api/rpc?call=locks.begin&of=l", lockRequest},
+      {"POST", "/api/rpc?call=locks.heartbeat&of=l", lockRequest},
+      {"POST", "/api/rpc?call=locks.finish&of=l", lockRequest},
       {"POST", "/api/numbers/n", "{}"},
       {"POST", "/api/rpc?call=cells.replace&of=g.k", "{\"value\":\"v\"}"},
       {"POST", "/api/rpc?call=cells.read&of=g.k", ""},
@@ -163,43 +163,44 @@
     };
   }
 
-  @Test(dataProvider = "all")
-  public void isLeftWithoutAClearAnswerAtOnce(
+  @Test(dataProvider = "affectedCalls")
+  public void callGetsNoAuthoritativeResponse(
       final String method, final String path, final String body) throws Exception {
     final int before = storeCalls();
-    final String answer = call(method, path, body);
-    assertTrue(answer.startsWith("HTTP/1.1 504"), answer);
-    assertEquals(storeCalls(), before, "something was proposed by a daemon that is cut off");
+    final String response = call(method, path, body);
+    assertTrue(response.startsWith("HTTP/1.1 504"), response);
+    assertEquals(
+        storeCalls(), before, "a daemon that is cut off sent a request to the state store");
   }
 
-  @Test(dataProvider = "all")
-  public void isSentOnOnceToOneThatHearsAMajority(
+  @Test(dataProvider = "affectedCalls")
+  public void callIsRedirectedOnceToRegistryThatHearsMajority(
       final String method, final String path, final String body) throws Exception {
-    told(100);
-    final String answer = call(method, path, body);
+    reportMajorityAge(100);
+    final String response = call(method, path, body);
     if (path.startsWith("/api/resolution")) {
-      assertTrue(answer.startsWith("HTTP/1.1 504"), answer);
+      assertTrue(response.startsWith("HTTP/1.1 504"), response);
       return;
     }
-    assertTrue(answer.startsWith("HTTP/1.1 307"), answer);
+    assertTrue(response.startsWith("HTTP/1.1 307"), response);
     final String to = path + (path.contains("?") ? "&" : "?") + "sentOn=1";
     assertTrue(
-        answer
+        response
             .toLowerCase(java.util.Locale.ROOT)
             .contains(
                 ("location: http://10.0.0.9:" + port + to + "\r\n")
                     .toLowerCase(java.util.Locale.ROOT)),
-        answer);
-    told(100);
-    assertTrue(call(method, to, body).startsWith("HTTP/1.1 504"), "sent on a second time");
-    told(5000);
+        response);
+    reportMajorityAge(100);
+    assertTrue(call(method, to, body).startsWith("HTTP/1.1 504"), "redirected a second time");
+    reportMajorityAge(5000);
     assertTrue(
         call(method, path, body).startsWith("HTTP/1.1 504"),
-        "sent on to one that is cut off itself");
+        "redirected to a registry that is cut off itself");
   }
 
-  /** An exchange outside the roster tells how long ago it heard of a majority. */
-  private void told(final long ageMillis) throws Exception {
+  /** A registry outside the roster reports how long ago a majority was confirmed to it. */
+  private void reportMajorityAge(final long ageMillis) throws Exception {
     loop.submit(
             () -> {
               core.memberOpened("10.0.0.9", now());
@@ -214,14 +215,14 @@
   }
 
   @Test
-  public void theStatusAndTheHistorySayWhatIsNotKnown() throws Exception {
+  public void statusAndHistoryReportWhatIsNotKnown() throws Exception {
     final String status = call("POST", "/api/rpc?call=status.read", "");
     assertTrue(
         status.startsWith("HTTP/1.1 200")
             && status.contains("\"settled\":false")
             && status.contains("\"majorityAgeMs\":-1"),
         status);
-    frames =
+    replicaResponder =
         call ->
             call.deed == StoreOperation.HISTORY_HEAD.ordinal()
                 ? new StoreMessages.StoreResponse(call.number, 504, 0, null, null)
@@ -243,9 +244,9 @@
   }
 
   @Test
-  public void anOrderThatDependsOnWhatIsHeldIsRefusedOnlyOnAMajoritysWord() throws Exception {
+  public void trialCallIsRefusedOnlyOnStateConfirmedByMajority() throws Exception {
     loop.submit(() -> VOTERS.forEach(voter -> core.memberOpened(voter, now()))).get();
-    frames =
+    replicaResponder =
         call ->
             call.deed == StoreOperation.CONTROL.ordinal()
                 ? new StoreMessages.StoreResponse(
@@ -259,57 +260,59 @@
                     null)
                 : null;
     for (final String[] call : new String[][] {{"trial.advance", "400"}, {"trial.status", "404"}}) {
-      final String answer = call("POST", "/api/rpc?call=" + call[0] + "&of=r", "");
+      final String response = call("POST", "/api/rpc?call=" + call[0] + "&of=r", "");
       assertTrue(
-          answer.startsWith("HTTP/1.1 " + call[1])
-              && answer.contains("\"error\":")
-              && answer.contains(";"),
-          answer);
+          response.startsWith("HTTP/1.1 " + call[1])
+              && response.contains("\"error\":")
+              && response.contains(";"),
+          response);
     }
-    frames = call -> new StoreMessages.StoreResponse(call.number, 504, 0, null, null);
+    replicaResponder = call -> new StoreMessages.StoreResponse(call.number, 504, 0, null, null);
     for (final String call : List.of("trial.advance", "trial.status")) {
       assertTrue(call("POST", "/api/rpc?call=" + call + "&of=r", "").startsWith("HTTP/1.1 504"));
     }
     assertTrue(
         calls.stream().noneMatch(call -> call.deed == StoreOperation.TRIAL_WRITE.ordinal()),
-        "something reached the store");
+        "a trial was written to the state store");
   }
 
   @Test
-  public void aConfigurationThatOnlyTheFramesHaveIsNotAcknowledged() throws Exception {
+  public void configurationOnlyInStateStoreIsNotAcknowledged() throws Exception {
     loop.submit(() -> VOTERS.forEach(voter -> core.memberOpened(voter, now()))).get();
-    frames =
+    replicaResponder =
         call ->
             call.deed != StoreOperation.SPEC_REPLACE.ordinal()
                 ? null
                 : new StoreMessages.StoreResponse(call.number, 200, 7, null, null);
-    try (Socket socket = send("POST", "/api/rpc?call=configuration.replace", SPEC)) {
+    try (Socket socket = send("POST", "/api/rpc?call=configuration.replace", CONFIGURATION)) {
       final long until = System.nanoTime() + 30_000_000_000L;
       while (!loop.submit(() -> core.status(now()).version().equals("00000007")).get()) {
         assertTrue(
-            System.nanoTime() < until, "the exchange never took the version that the frames took");
+            System.nanoTime() < until,
+            "the registry never applied the version that the state store accepted");
         Thread.onSpinWait();
       }
       loop.submit(() -> core.tick(now() + 1000)).get();
-      final String answer = read(socket);
-      assertTrue(answer.startsWith("HTTP/1.1 504"), answer);
+      final String response = read(socket);
+      assertTrue(response.startsWith("HTTP/1.1 504"), response);
     }
   }
 
   @Test
-  public void whoHearsAMajorityAnswersAsEver() throws Exception {
+  public void registryThatHearsMajorityAnswersNormally() throws Exception {
     loop.submit(() -> VOTERS.forEach(voter -> core.memberOpened(voter, now()))).get();
-    frames =
+    replicaResponder =
         call ->
             call.deed == StoreOperation.NUMBER.ordinal()
                 ? new StoreMessages.StoreResponse(call.number, 200, 12, null, null)
                 : null;
     assertTrue(call("POST", "/api/numbers/n", "{}").contains("\"value\":12"));
     assertTrue(
-        call("POST", "/api/rpc?call=instances.heartbeat&of=i", BEAT).startsWith("HTTP/1.1 200"));
-    final String directory = call("GET", "/api/resolution?name=x&region=r&zone=a", "");
+        call("POST", "/api/rpc?call=instances.heartbeat&of=i", HEARTBEAT)
+            .startsWith("HTTP/1.1 200"));
+    final String resolution = call("GET", "/api/resolution?name=x&region=r&zone=a", "");
     assertTrue(
-        directory.startsWith("HTTP/1.1 200") && directory.contains("10.9.0.1:80"), directory);
+        resolution.startsWith("HTTP/1.1 200") && resolution.contains("10.9.0.1:80"), resolution);
     assertFalse(loop.submit(() -> core.cutOff(now())).get());
   }
 
--- a/registry/src/test/java/weldpoint/registry/HistoryReaderTest.java
+++ b/registry/src/test/java/weldpoint/registry/HistoryReaderTest.java
@@ -21,11 +21,11 @@
 import weldpoint.transport.StoreMessages;
 
 /**
- * Reading the history at one replica: complete only when a majority said how far it goes and all of
- * that is here.
+ * Reads of the history at one replica are complete only if a majority confirmed how far the history
+ * reaches and the replica has all entries up to there.
  */
 public final class HistoryReaderTest {
-  private static final long WALL = 1_800_000_000_000L;
+  private static final long WALL_MILLIS = 1_800_000_000_000L;
 
   private static List<byte[]> chain(final int count) {
     final List<byte[]> entries = new ArrayList<>();
@@ -34,7 +34,11 @@
       final byte[] bytes =
           new AuditEntry.Draft(ChangeKind.EVACUATION_BEGUN, "zone-" + sequence % 3)
               .number(0, sequence)
-              .origin(sequence % 2 == 0 ? "even" : "odd", "", "", WALL - 1000 * (count - sequence))
+              .origin(
+                  sequence % 2 == 0 ? "even" : "odd",
+                  "",
+                  "",
+                  WALL_MILLIS - 1000 * (count - sequence))
               .bytes(sequence, digest);
       digest = AuditEntry.digest(bytes);
       entries.add(bytes);
@@ -63,7 +67,7 @@
     return new ControlApi.HistoryQuery(from, to, since, until, null, author, null);
   }
 
-  private static ControlApi.HistoryResponse answer(
+  private static ControlApi.HistoryResponse toResponse(
       final ControlApi.HistoryQuery query,
       final StoredValues.HistoryPart part,
       final boolean known,
@@ -71,7 +75,7 @@
       final List<byte[]> all) {
     return HistoryReader.toResponse(
         "10.0.0.1",
-        HistoryReader.Range.of(query, WALL),
+        HistoryReader.Range.of(query, WALL_MILLIS),
         query,
         part,
         known,
@@ -80,36 +84,39 @@
   }
 
   @Test
-  public void theSameRangeGivesTheSameBytesFromAnyReplica() {
+  public void sameRangeGivesSameBytesFromAnyReplica() {
     final List<byte[]> all = chain(9);
     final ControlApi.HistoryQuery query = query(null, null, null, null, null);
     final String ahead =
-        ControlApi.HISTORY_RESPONSE.toJson(answer(query, part(all, 0, 9, 1, false), true, 7, all));
+        ControlApi.HISTORY_RESPONSE.toJson(
+            toResponse(query, part(all, 0, 9, 1, false), true, 7, all));
     final String exact =
-        ControlApi.HISTORY_RESPONSE.toJson(answer(query, part(all, 0, 7, 1, false), true, 7, all));
+        ControlApi.HISTORY_RESPONSE.toJson(
+            toResponse(query, part(all, 0, 7, 1, false), true, 7, all));
     assertEquals(ahead, exact);
-    assertTrue(answer(query, part(all, 0, 7, 1, false), true, 7, all).complete());
+    assertTrue(toResponse(query, part(all, 0, 7, 1, false), true, 7, all).complete());
   }
 
   @Test
-  public void aWipedReplicaAndOneWithoutAMajorityNeverLookWhole() {
+  public void wipedLaggingOrIsolatedReplicaIsNeverComplete() {
     final List<byte[]> all = chain(9);
     final ControlApi.HistoryQuery query = query(null, null, null, null, null);
-    final ControlApi.HistoryResponse wiped = answer(query, part(all, 0, 0, 1, true), true, 9, all);
+    final ControlApi.HistoryResponse wiped =
+        toResponse(query, part(all, 0, 0, 1, true), true, 9, all);
     assertFalse(wiped.complete());
     assertTrue(wiped.problem().contains("up to entry 0 of 9"), wiped.problem());
     final ControlApi.HistoryResponse behind =
-        answer(query, part(all, 0, 5, 1, false), true, 9, all);
+        toResponse(query, part(all, 0, 5, 1, false), true, 9, all);
     assertFalse(behind.complete());
     assertTrue(behind.problem().contains("up to entry 5 of 9"), behind.problem());
     final ControlApi.HistoryResponse alone =
-        answer(query, part(all, 0, 9, 1, false), false, 0, all);
+        toResponse(query, part(all, 0, 9, 1, false), false, 0, all);
     assertFalse(alone.complete());
     assertTrue(alone.problem().contains("up to entry 9"), alone.problem());
     assertFalse(
         HistoryReader.toResponse(
                 "10.0.0.1",
-                HistoryReader.Range.of(query, WALL),
+                HistoryReader.Range.of(query, WALL_MILLIS),
                 query,
                 part(all, 0, 9, 1, false),
                 true,
@@ -118,7 +125,7 @@
             .complete());
     assertFalse(
         HistoryReader.toResponse(
-                "10.0.0.1", HistoryReader.Range.of(query, WALL), query, null, true, 9, "x")
+                "10.0.0.1", HistoryReader.Range.of(query, WALL_MILLIS), query, null, true, 9, "x")
             .complete());
   }
 
@@ -136,28 +143,33 @@
   }
 
   @Test(dataProvider = "badRanges")
-  public void aRangeThatIsTrimmedReversedOrInTheFutureIsRefused(
+  public void trimmedReversedOrFutureRangeIsRefused(
       final ControlApi.HistoryQuery query, final String reason) {
     final List<byte[]> all = chain(9);
     final WeldpointException exception =
         expectThrows(
-            WeldpointException.class, () -> answer(query, part(all, 4, 9, 5, false), true, 9, all));
+            WeldpointException.class,
+            () -> toResponse(query, part(all, 4, 9, 5, false), true, 9, all));
     assertEquals(exception.kind().status(), 400);
     assertTrue(exception.getMessage().contains(reason), exception.getMessage());
   }
 
   @Test
-  public void authorsTimesAndPagesNarrowIt() {
+  public void authorTimeAndPageLimitEntries() {
     final List<byte[]> all = chain(9);
     assertEquals(
-        answer(query(null, null, null, null, "even"), part(all, 0, 9, 1, false), true, 9, all)
+        toResponse(query(null, null, null, null, "even"), part(all, 0, 9, 1, false), true, 9, all)
             .entries()
             .size(),
         4);
     assertEquals(
-        answer(
+        toResponse(
                 query(
-                    null, null, java.time.Instant.ofEpochMilli(WALL - 2000).toString(), null, null),
+                    null,
+                    null,
+                    java.time.Instant.ofEpochMilli(WALL_MILLIS - 2000).toString(),
+                    null,
+                    null),
                 part(all, 0, 9, 1, false),
                 true,
                 9,
@@ -166,7 +178,7 @@
             .size(),
         3);
     final ControlApi.HistoryResponse page =
-        answer(
+        toResponse(
             query(2L, 8L, null, null, null),
             new StoredValues.HistoryPart(0, 9, "", 0, false, 2, all.subList(1, 4)),
             true,
@@ -176,7 +188,7 @@
     assertEquals(page.next(), 5);
   }
 
-  private static final class Frames {
+  private static final class RecordingStore {
     private final List<StoreMessages.StoreRequest> heads = new ArrayList<>();
     private final List<StoreMessages.StoreRequest> reads = new ArrayList<>();
     private final StoreClient store =
@@ -191,55 +203,55 @@
   }
 
   @Test
-  public void aReplicaThatIsBehindIsAskedAgainUntilItHasCaughtUp() {
+  public void laggingReplicaIsReadAgainUntilItHasCaughtUp() {
     final List<byte[]> all = chain(6);
-    final Frames frames = new Frames();
-    final HistoryReader desk = new HistoryReader("10.0.0.1", frames.store);
+    final RecordingStore replica = new RecordingStore();
+    final HistoryReader reader = new HistoryReader("10.0.0.1", replica.store);
     final CompletableFuture<ControlApi.HistoryResponse> future =
-        desk.read(query(null, null, null, null, null), WALL, 1000);
-    assertEquals(frames.reads.size(), 0);
-    frames.store.answered(
+        reader.read(query(null, null, null, null, null), WALL_MILLIS, 1000);
+    assertEquals(replica.reads.size(), 0);
+    replica.store.answered(
         "10.0.0.1",
         new StoreMessages.StoreResponse(
-                frames.heads.get(0).number,
+                replica.heads.get(0).number,
                 200,
                 6,
                 AuditEntry.digest(all.get(5)).getBytes(StandardCharsets.UTF_8),
                 null)
-            .to(frames.heads.get(0).caller),
+            .to(replica.heads.get(0).caller),
         1010);
-    frames.store.answered(
+    replica.store.answered(
         "10.0.0.1",
         new StoreMessages.StoreResponse(
-                frames.reads.get(0).number,
+                replica.reads.get(0).number,
                 200,
                 4,
                 Serializer.serialize(part(all, 0, 4, 1, false)),
                 null)
-            .to(frames.reads.get(0).caller),
+            .to(replica.reads.get(0).caller),
         1020);
     assertFalse(future.isDone());
-    desk.tick(1200);
-    frames.store.answered(
+    reader.tick(1200);
+    replica.store.answered(
         "10.0.0.1",
         new StoreMessages.StoreResponse(
-                frames.reads.get(1).number,
+                replica.reads.get(1).number,
                 200,
                 6,
                 Serializer.serialize(part(all, 0, 6, 1, false)),
                 null)
-            .to(frames.reads.get(1).caller),
+            .to(replica.reads.get(1).caller),
         1210);
     assertTrue(future.join().complete());
     assertEquals(future.join().entries().size(), 6);
   }
 
   @Test
-  public void whoHasNotBeenHeardOfIsNeverGuessed() {
+  public void daemonWithoutRecentReportIsUnheard() {
     final byte[] bytes =
         new AuditEntry.Draft(ChangeKind.CONFIGURATION, "")
             .number(8, 0)
-            .origin("me", "", "", WALL)
+            .origin("me", "", "", WALL_MILLIS)
             .bytes(1, "");
     final ControlApi.HistoryResponse found =
         new ControlApi.HistoryResponse(
@@ -260,12 +272,13 @@
                 new AppliedState("10.0.0.4", "switchboard", 9, 0, 500, 20_000),
                 new AppliedState("10.0.0.5", "exchange", 0, 0, 0, Long.MAX_VALUE),
                 new AppliedState("10.0.0.6", "switchboard", 9, 0, 50, 10)),
-            WALL);
+            WALL_MILLIS);
     assertEquals(
         reach.daemons().stream().map(ControlApi.DaemonReach::state).toList(),
         List.of("UNHEARD", "IN_FORCE", "NOT_YET", "UNHEARD", "IN_FORCE"));
     assertEquals(
-        reach.daemons().get(1).since(), java.time.Instant.ofEpochMilli(WALL - 600).toString());
+        reach.daemons().get(1).since(),
+        java.time.Instant.ofEpochMilli(WALL_MILLIS - 600).toString());
     assertTrue(reach.daemons().get(4).note().contains("a later change"));
   }
 }
--- a/registry/src/test/java/weldpoint/registry/KeyClaimsTest.java
+++ b/registry/src/test/java/weldpoint/registry/KeyClaimsTest.java
@@ -17,22 +17,25 @@
 import weldpoint.transport.KeyMessages.ClaimResponse;
 import weldpoint.transport.KeyMessages.ClaimResult;
 
-/** Registries on a fake clock and network decide to which request an idempotency key belongs. */
+/**
+ * Registries on a simulated clock and network decide which request gets an idempotency key: at most
+ * one, also under restarts, lost disks, pauses and partitions.
+ */
 public final class KeyClaimsTest {
-  private static final long KEEP_MILLIS = 60_000;
+  private static final long RETENTION_MILLIS = 60_000;
   private static final long CAUGHT_UP_MILLIS = 6000;
 
-  private final Map<Long, ClaimResponse> answers = new HashMap<>();
+  private final Map<Long, ClaimResponse> responses = new HashMap<>();
   private long number;
-  private long grantedInAll;
+  private long totalGranted;
 
   @BeforeClass
-  public void quiet() {
+  public void silenceLogging() {
     java.util.logging.Logger.getLogger("").setLevel(java.util.logging.Level.OFF);
   }
 
-  private SimulatedCoreNetwork settled() {
-    answers.clear();
+  private SimulatedCoreNetwork settledNetwork() {
+    responses.clear();
     number = 0;
     final SimulatedCoreNetwork net = new SimulatedCoreNetwork(5, 5).startAll(true);
     net.pass(2000);
@@ -41,78 +44,78 @@
     return net;
   }
 
-  private Claim ask(final SimulatedCoreNetwork net, final int node, final long key) {
-    final Claim claim = new Claim(key, key, "10.9.0." + node, node, ++number, KEEP_MILLIS);
+  private Claim submitClaim(final SimulatedCoreNetwork net, final int node, final long key) {
+    final Claim claim = new Claim(key, key, "10.9.0." + node, node, ++number, RETENTION_MILLIS);
     net.node(node)
         .core
         .key(
             new ClaimRequest(claim),
-            answer -> {
-              assertFalse(answers.containsKey(claim.number), "answered twice");
-              answers.put(claim.number, (ClaimResponse) answer);
+            response -> {
+              assertFalse(responses.containsKey(claim.number), "answered twice");
+              responses.put(claim.number, (ClaimResponse) response);
             },
             net.now);
     return claim;
   }
 
   private ClaimResult result(final Claim claim) {
-    final ClaimResponse answer = answers.get(claim.number);
-    return answer == null ? null : answer.result();
+    final ClaimResponse response = responses.get(claim.number);
+    return response == null ? null : response.result();
   }
 
   @Test
-  public void theFirstGetsTheKeyAndTheSecondHearsWhoHasIt() {
-    final SimulatedCoreNetwork net = settled();
-    final Claim first = ask(net, 1, 7);
+  public void secondClaimIsToldTheHolderOfTheFirst() {
+    final SimulatedCoreNetwork net = settledNetwork();
+    final Claim first = submitClaim(net, 1, 7);
     net.pass(100);
-    final Claim second = ask(net, 4, 7);
+    final Claim second = submitClaim(net, 4, 7);
     net.pass(100);
     assertEquals(result(first), ClaimResult.GRANTED);
     assertEquals(result(second), ClaimResult.HELD);
-    assertEquals(answers.get(second.number).holder.number, first.number);
-    net.pass(KEEP_MILLIS);
-    final Claim later = ask(net, 4, 7);
+    assertEquals(responses.get(second.number).holder.number, first.number);
+    net.pass(RETENTION_MILLIS);
+    final Claim later = submitClaim(net, 4, 7);
     net.pass(100);
-    assertEquals(result(later), ClaimResult.GRANTED, "after its span the key is free");
+    assertEquals(result(later), ClaimResult.GRANTED, "the key is free after its retention");
   }
 
   @Test
-  public void ofTwoAtOnceAtMostOneGetsTheKeyAndTheOtherLeavesNothingBehind() {
-    final SimulatedCoreNetwork net = settled();
+  public void atMostOneOfTwoConcurrentClaimsIsGranted() {
+    final SimulatedCoreNetwork net = settledNetwork();
     for (int key = 1; key <= 50; key++) {
-      final Claim one = ask(net, 1 + key % 5, key);
+      final Claim one = submitClaim(net, 1 + key % 5, key);
       net.pass(key % 7);
-      final Claim other = ask(net, 1 + (key + 2) % 5, key);
+      final Claim other = submitClaim(net, 1 + (key + 2) % 5, key);
       net.pass(1200);
       assertFalse(
           result(one) == ClaimResult.GRANTED && result(other) == ClaimResult.GRANTED, "key " + key);
       if (result(one) != ClaimResult.GRANTED && result(other) != ClaimResult.GRANTED) {
-        final Claim again = ask(net, 3, key);
+        final Claim again = submitClaim(net, 3, key);
         net.pass(1200);
-        assertEquals(result(again), ClaimResult.GRANTED, "neither had it, key " + key);
+        assertEquals(result(again), ClaimResult.GRANTED, "neither claim was granted, key " + key);
       }
     }
   }
 
   @Test
-  public void aRegistryThatIsNoVoterAsksTheVoters() {
-    answers.clear();
+  public void nonVoterRequestsVotesOfTheVoters() {
+    responses.clear();
     number = 0;
     final SimulatedCoreNetwork net = new SimulatedCoreNetwork(6, 5).startAll(true);
     net.pass(2000);
     net.version = 6;
     net.pass(4000);
-    final Claim first = ask(net, 6, 7);
+    final Claim first = submitClaim(net, 6, 7);
     net.pass(100);
-    final Claim second = ask(net, 1, 7);
+    final Claim second = submitClaim(net, 1, 7);
     net.pass(100);
     assertEquals(result(first), ClaimResult.GRANTED);
     assertEquals(result(second), ClaimResult.HELD);
   }
 
   @Test
-  public void aVoterThatReplacesAnotherLearnsTheClaimsBeforeItVotes() {
-    answers.clear();
+  public void replacementVoterLearnsClaimsBeforeItVotes() {
+    responses.clear();
     number = 0;
     final SimulatedCoreNetwork net = new SimulatedCoreNetwork(7, 5).startAll(true);
     net.pass(2000);
@@ -120,7 +123,7 @@
     net.pass(4000);
     net.cut(5, true, true);
     net.cut(4, true, true);
-    final Claim first = ask(net, 1, 7);
+    final Claim first = submitClaim(net, 1, 7);
     net.pass(100);
     assertEquals(result(first), ClaimResult.GRANTED);
     net.cut.clear();
@@ -136,92 +139,100 @@
     net.freeze(3);
     net.freeze(1);
     net.freeze(2);
-    final Claim second = ask(net, 6, 7);
+    final Claim second = submitClaim(net, 6, 7);
     net.pass(1200);
     assertEquals(
         result(second),
         ClaimResult.UNKNOWN,
-        "two that missed it grant, two newcomers that learned it do not, and the fifth is away");
+        "two voters that missed the claim accept, two new voters that learned it refuse, the fifth is down");
   }
 
   @Test
-  public void aKeyThatIsGivenBackIsFree() {
-    final SimulatedCoreNetwork net = settled();
-    final Claim first = ask(net, 1, 7);
+  public void releasedKeyIsFree() {
+    final SimulatedCoreNetwork net = settledNetwork();
+    final Claim first = submitClaim(net, 1, 7);
     net.pass(100);
     net.node(1).core.key(new ClaimRelease(List.of(first)), unused -> {}, net.now);
     net.pass(100);
-    final Claim second = ask(net, 2, 7);
+    final Claim second = submitClaim(net, 2, 7);
     net.pass(100);
     assertEquals(result(second), ClaimResult.GRANTED);
     net.node(1).core.key(new ClaimRelease(List.of(first)), unused -> {}, net.now);
     net.pass(100);
-    final Claim third = ask(net, 3, 7);
+    final Claim third = submitClaim(net, 3, 7);
     net.pass(100);
-    assertEquals(result(third), ClaimResult.HELD, "a late release frees nobody else's claim");
+    assertEquals(
+        result(third),
+        ClaimResult.HELD,
+        "a late release does not free the claim of another request");
   }
 
   @Test
-  public void aGrantThatIsGivenBackThroughAnotherRegistryFreesItsKeyEverywhere() {
-    final SimulatedCoreNetwork net = settled();
-    final Claim first = ask(net, 1, 7);
+  public void releaseThroughAnotherRegistryFreesKeyEverywhere() {
+    final SimulatedCoreNetwork net = settledNetwork();
+    final Claim first = submitClaim(net, 1, 7);
     net.pass(100);
     net.cut("10.0.0.1", "10.0.0.2", true, true);
     net.node(2).core.key(new ClaimRelease(List.of(first)), unused -> {}, net.now);
     net.pass(100);
-    final Claim second = ask(net, 1, 7);
+    final Claim second = submitClaim(net, 1, 7);
     net.pass(1200);
-    assertEquals(result(second), ClaimResult.GRANTED, "by the voters that heard of it");
+    assertEquals(
+        result(second), ClaimResult.GRANTED, "granted by the voters that received the release");
     net.cut.clear();
-    final Claim third = ask(net, 1, 7);
+    final Claim third = submitClaim(net, 1, 7);
     net.pass(1200);
     assertEquals(result(third), ClaimResult.HELD);
   }
 
   @Test
-  public void withoutAMajorityNothingIsGrantedAndNothingStaysBehind() {
-    final SimulatedCoreNetwork net = settled();
+  public void claimWithoutMajorityIsNotGrantedAndLeavesNoVotes() {
+    final SimulatedCoreNetwork net = settledNetwork();
     net.cut(1, true, true);
-    final Claim lost = ask(net, 1, 7);
+    final Claim lost = submitClaim(net, 1, 7);
     net.pass(1500);
     assertEquals(result(lost), ClaimResult.UNKNOWN);
     net.cut.clear();
     net.pass(3000);
-    final Claim next = ask(net, 2, 7);
+    final Claim next = submitClaim(net, 2, 7);
     net.pass(1200);
     assertEquals(result(next), ClaimResult.GRANTED);
   }
 
   @Test
-  public void aGrantSurvivesALossOfPowerEverywhere() {
-    final SimulatedCoreNetwork net = settled();
-    final Claim first = ask(net, 1, 7);
+  public void grantSurvivesRestartOfAllRegistries() {
+    final SimulatedCoreNetwork net = settledNetwork();
+    final Claim first = submitClaim(net, 1, 7);
     net.pass(100);
     assertEquals(result(first), ClaimResult.GRANTED);
     for (int node = 1; node <= 5; node++) {
       net.restart(node, true);
     }
     net.pass(5000);
-    final Claim second = ask(net, 2, 7);
+    final Claim second = submitClaim(net, 2, 7);
     net.pass(1200);
     assertEquals(result(second), ClaimResult.HELD);
   }
 
-  /** One story under trouble: the keys that were granted twice. */
-  private List<String> play(final long seed, final boolean learns) {
+  /**
+   * Runs one random scenario with faults; returns the keys that were granted twice.
+   *
+   * @param learnsBeforeVoting whether a voter with an empty disk learns the claims before it votes
+   */
+  private List<String> runScenario(final long seed, final boolean learnsBeforeVoting) {
     final Random random = new Random(seed);
-    final SimulatedCoreNetwork net = settled();
+    final SimulatedCoreNetwork net = settledNetwork();
     final long[] wipedAt = new long[6];
-    final Map<Long, Claim> asked = new HashMap<>();
+    final Map<Long, Claim> submitted = new HashMap<>();
     final long end = net.now + 40_000;
     while (net.now < end) {
       final int node = 1 + random.nextInt(5);
       if (!net.node(node).frozen) {
-        final Claim claim = ask(net, node, 1 + random.nextInt(25));
-        asked.put(claim.number, claim);
+        final Claim claim = submitClaim(net, node, 1 + random.nextInt(25));
+        submitted.put(claim.number, claim);
       }
       if (random.nextInt(8) == 0) {
-        trouble(net, random, wipedAt, learns);
+        injectFault(net, random, wipedAt, learnsBeforeVoting);
       }
       net.pass(1 + random.nextInt(300));
     }
@@ -231,27 +242,27 @@
     }
     net.pass(3000);
     final Map<Long, Claim> granted = new HashMap<>();
-    final List<String> twice = new ArrayList<>();
-    asked
+    final List<String> duplicates = new ArrayList<>();
+    submitted
         .values()
         .forEach(
             claim -> {
               if (result(claim) == ClaimResult.GRANTED) {
                 final Claim other = granted.put(claim.high, claim);
                 if (other != null) {
-                  twice.add("seed " + seed + ": " + other + " and " + claim);
+                  duplicates.add("seed " + seed + ": " + other + " and " + claim);
                 }
               }
             });
-    grantedInAll += granted.size();
-    return twice;
+    totalGranted += granted.size();
+    return duplicates;
   }
 
-  private static void trouble(
+  private static void injectFault(
       final SimulatedCoreNetwork net,
       final Random random,
       final long[] wipedAt,
-      final boolean learns) {
+      final boolean learnsBeforeVoting) {
     final int node = 1 + random.nextInt(5);
     final int kind = random.nextInt(6);
     switch (kind) {
@@ -264,7 +275,7 @@
         if (wiped < 2) {
           wipedAt[node] = net.now;
           net.restart(node, false);
-          if (!learns) {
+          if (!learnsBeforeVoting) {
             net.node(node).start(true);
           }
         }
@@ -281,27 +292,27 @@
   }
 
   @Test
-  public void noKeyIsGrantedTwiceWhateverFails() {
-    final List<String> twice = new ArrayList<>();
+  public void noKeyIsGrantedTwiceUnderFaults() {
+    final List<String> duplicates = new ArrayList<>();
     for (long seed = Long.getLong("keys.first", 1);
         seed <= Long.getLong("keys.seeds", 60);
         seed++) {
-      twice.addAll(play(seed, true));
+      duplicates.addAll(runScenario(seed, true));
     }
-    assertEquals(twice, List.of());
+    assertEquals(duplicates, List.of());
   }
 
   @Test
-  public void theSameStoriesCatchAVoterThatVotesWithAnEmptyDiskAtOnce() {
+  public void scenariosDetectVoterThatVotesWithEmptyDisk() {
     int caught = 0;
     for (long seed = 1; seed <= 60; seed++) {
       try {
-        caught += play(seed, false).isEmpty() ? 0 : 1;
+        caught += runScenario(seed, false).isEmpty() ? 0 : 1;
       } catch (final IllegalStateException invariant) {
         assertTrue(invariant.getMessage().startsWith("invariant broken"), invariant.getMessage());
         caught++;
       }
     }
-    assertTrue(caught > 0, "the broken variant went unnoticed");
+    assertTrue(caught > 0, "no scenario detected the voter with an empty disk");
   }
 }
--- a/registry/src/test/java/weldpoint/registry/KeyGrantClientTest.java
+++ b/registry/src/test/java/weldpoint/registry/KeyGrantClientTest.java
@@ -21,22 +21,24 @@
 import weldpoint.transport.OwnershipMessages.KeyRange;
 import weldpoint.transport.OwnershipMessages.RangeState;
 
-/** Grants to an upstream that answers some calls twice: its answers name no call. */
+/**
+ * Grants to an upstream that responds to some calls twice; responses do not identify their call.
+ */
 public final class KeyGrantClientTest {
   private static final String GRANTED = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-  private static final String OVERTAKEN = "HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n";
+  private static final String REFUSED = "HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n";
 
   private final EventLoopGroup loop = new NioEventLoopGroup(1);
   private final AtomicInteger connections = new AtomicInteger();
   private ServerSocket server;
-  private KeyGrantClient calls;
-  private volatile String[] script;
+  private KeyGrantClient client;
+  private volatile String[] responses;
 
   @BeforeMethod
   public void open() throws IOException {
     connections.set(0);
     server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    calls = new KeyGrantClient(loop, Runnable::run, 4000, 2000);
+    client = new KeyGrantClient(loop, Runnable::run, 4000, 2000);
     final Thread thread = new Thread(this::serve);
     thread.setDaemon(true);
     thread.start();
@@ -47,7 +49,7 @@
     server.close();
   }
 
-  /** One connection after the other, each answered by the script from its beginning. */
+  /** Serves one connection after the other, each with the responses from the first one on. */
   private void serve() {
     while (!server.isClosed()) {
       try (Socket socket = server.accept()) {
@@ -59,7 +61,8 @@
           socket
               .getOutputStream()
               .write(
-                  script[Math.min(call, script.length - 1)].getBytes(StandardCharsets.ISO_8859_1));
+                  responses[Math.min(call, responses.length - 1)].getBytes(
+                      StandardCharsets.ISO_8859_1));
         }
       } catch (final IOException ended) {
         continue;
@@ -90,28 +93,28 @@
     final KeyRange range =
         new KeyRange(0, 63, "i-0", "127.0.0.1:" + server.getLocalPort(), 5, RangeState.HELD, null);
     final CompletableFuture<CallResult.End> end = new CompletableFuture<>();
-    calls.grant(range, System.nanoTime() / 1_000_000 + 2000, result -> end.complete(result.end()));
+    client.grant(range, System.nanoTime() / 1_000_000 + 2000, result -> end.complete(result.end()));
     return end.get(5, TimeUnit.SECONDS);
   }
 
   /**
-   * Guards against ONE: a grant that was taken counted as refused, since an earlier refusal came
-   * once more, and its keys were free to be granted to another upstream at once.
+   * Guards against an accepted grant that counted as refused because an earlier refusal was sent
+   * twice: its keys could then be granted to another upstream at once.
    */
   @Test
-  public void aRefusalProvesNothingWhereItMayBelongToAnEarlierCall() throws Exception {
-    script = new String[] {GRANTED, OVERTAKEN};
+  public void refusalIsInconclusiveIfItMayBelongToAnEarlierCall() throws Exception {
+    responses = new String[] {GRANTED, REFUSED};
     assertEquals(grant(), CallResult.End.DONE);
     assertEquals(grant(), CallResult.End.UNKNOWN);
-    assertEquals(grant(), CallResult.End.DONE, "the next call has a connection of its own");
+    assertEquals(grant(), CallResult.End.DONE, "the next call uses a new connection");
     assertEquals(connections.get(), 2);
   }
 
   @Test
-  public void aRefusalOfTheOnlyCallOnAConnectionIsClearAndEndsIt() throws Exception {
-    script = new String[] {OVERTAKEN, GRANTED};
+  public void refusalOfTheOnlyCallIsConclusiveAndClosesConnection() throws Exception {
+    responses = new String[] {REFUSED, GRANTED};
     assertEquals(grant(), CallResult.End.REFUSED);
     assertEquals(grant(), CallResult.End.REFUSED);
-    assertEquals(connections.get(), 2, "what was refused may come once more on its connection");
+    assertEquals(connections.get(), 2, "the refusal may be sent again on its connection");
   }
 }
--- a/registry/src/test/java/weldpoint/registry/TakenVersionTest.java
+++ b/registry/src/test/java/weldpoint/registry/TakenVersionTest.java
@@ -28,8 +28,8 @@
 import weldpoint.transport.StoreMessages;
 
 /**
- * A configuration whose version stands for another one: the operator is told so, with who sent that
- * one and when.
+ * A configuration whose version is taken by another configuration is refused; the message names the
+ * author and the time of the other one.
  */
 public final class TakenVersionTest {
   private static final String BODY = "{\"version\":\"0000000c\",\"listeners\":[],\"pools\":[]}";
@@ -38,7 +38,7 @@
   private final List<StoreMessages.StoreRequest> calls = new ArrayList<>();
   private RegistryCore core;
   private ControlServer server;
-  private StoreMessages.StoreResponse next;
+  private StoreMessages.StoreResponse nextResponse;
   private int port;
 
   @BeforeClass
@@ -65,9 +65,13 @@
                 core.answered(
                     address,
                     (call.deed == StoreOperation.CONTROL.ordinal()
-                            ? held(call)
+                            ? storedState(call)
                             : new StoreMessages.StoreResponse(
-                                call.number, next.status, next.first, next.body, null))
+                                call.number,
+                                nextResponse.status,
+                                nextResponse.first,
+                                nextResponse.body,
+                                null))
                         .to(call.caller),
                     0);
                 return true;
@@ -99,8 +103,8 @@
     loop.shutdownGracefully();
   }
 
-  /** What the frames hold: version 12, and this machine as the only voter. */
-  private static StoreMessages.StoreResponse held(final StoreMessages.StoreRequest call) {
+  /** The control state of the state store: version 12, and this registry as the only voter. */
+  private static StoreMessages.StoreResponse storedState(final StoreMessages.StoreRequest call) {
     final StateStoreMessages.Roster roster =
         new StateStoreMessages.Roster(
             1, List.of(new StateStoreMessages.Voter("127.0.0.1", "a", "r", List.of())));
@@ -126,8 +130,8 @@
         null);
   }
 
-  private String replace(final StoreMessages.StoreResponse answer) throws IOException {
-    next = answer;
+  private String replace(final StoreMessages.StoreResponse response) throws IOException {
+    nextResponse = response;
     server.recordTick();
     server.recordTick();
     try (Socket socket = new Socket()) {
@@ -146,8 +150,8 @@
   }
 
   @Test
-  public void theRefusalNamesVersionAuthorAndTime() throws IOException {
-    final String answer =
+  public void refusalNamesVersionAuthorAndTime() throws IOException {
+    final String response =
         replace(
             new StoreMessages.StoreResponse(
                 0,
@@ -156,40 +160,40 @@
                 Serializer.serialize(
                     new StoredValues.TakenVersion(12, "dispatch lead", 1_700_000_000_000L)),
                 null));
-    assertTrue(answer.startsWith("HTTP/1.1 409"), answer);
+    assertTrue(response.startsWith("HTTP/1.1 409"), response);
     assertTrue(
-        answer.contains("\"kind\":\"VERSION_TAKEN\"")
-            && answer.contains("0000000c")
-            && answer.contains("dispatch lead")
-            && answer.contains("2023-11-14T22:13:20Z"),
-        answer);
+        response.contains("\"kind\":\"VERSION_TAKEN\"")
+            && response.contains("0000000c")
+            && response.contains("dispatch lead")
+            && response.contains("2023-11-14T22:13:20Z"),
+        response);
     assertEquals(
         calls.get(calls.size() - 1).content,
         CanonicalJson.digest(BODY.getBytes(StandardCharsets.UTF_8)));
   }
 
   @Test
-  public void whatIsNotKnownOfTheOtherIsLeftOut() throws IOException {
-    final String answer =
+  public void unknownAuthorAndTimeAreOmitted() throws IOException {
+    final String response =
         replace(
             new StoreMessages.StoreResponse(
                 0, 409, 12, Serializer.serialize(new StoredValues.TakenVersion(12, "", 0)), null));
     assertTrue(
-        answer.startsWith("HTTP/1.1 409")
-            && answer.contains("0000000c")
-            && !answer.contains("1970")
-            && !answer.contains("sent by"),
-        answer);
+        response.startsWith("HTTP/1.1 409")
+            && response.contains("0000000c")
+            && !response.contains("1970")
+            && !response.contains("sent by"),
+        response);
   }
 
   @Test
-  public void theSameAgainIsAcknowledged() throws IOException {
+  public void identicalConfigurationIsAcknowledged() throws IOException {
     assertTrue(
         replace(new StoreMessages.StoreResponse(0, 200, 0, null, null)).startsWith("HTTP/1.1 200"));
   }
 
   @Test
-  public void whatIsNotDecidedIsLeftUnclear() throws IOException {
+  public void undecidedReplacementGetsTimeout() throws IOException {
     assertTrue(
         replace(new StoreMessages.StoreResponse(0, 504, 0, null, null)).startsWith("HTTP/1.1 504"));
   }
