--- a/idempotency/src/main/java/weldpoint/idempotency/ClaimCoordinator.java
+++ b/idempotency/src/main/java/weldpoint/idempotency/ClaimCoordinator.java
@@ -80,7 +80,10 @@
     this.voterSender = voterSender;
   }
 
-  /** Submits a proxy's claim of a key; {@code reply} gets exactly one response. */
+  /**
+   * Submits a claim of a key by a proxy. {@code reply} gets exactly one response, or none if the
+   * claim is released before it is decided.
+   */
   public void submit(final Claim claim, final Consumer<Message> reply, final long now) {
     pending.put(new Claimant(claim.incarnation, claim.number), new PendingClaim(claim, reply, now));
     unsent.add(claim);
--- a/registry/src/main/java/weldpoint/registry/AssignerEnvironment.java
+++ b/registry/src/main/java/weldpoint/registry/AssignerEnvironment.java
@@ -11,7 +11,7 @@
 
 /**
  * Carries out what an {@link Assigner} decides: writes assignments to the state store and calls
- * upstreams. Created by {@link RegistryDaemon}.
+ * upstreams. Created by {@link RegistryCore}.
  */
 final class AssignerEnvironment implements Assigner.Environment {
   private static final long WRITE_TIMEOUT_MILLIS = 900;
--- a/registry/src/main/java/weldpoint/registry/ControlServer.java
+++ b/registry/src/main/java/weldpoint/registry/ControlServer.java
@@ -588,7 +588,7 @@
       throw new WeldpointException(
           WeldpointException.Kind.VERSION_TAKEN,
           String.format(
-              "version %08x is taken by another configuration%s%s, which stays in force; send this one under a version above the newest",
+              "version %08x is taken by another configuration%s%s, which is kept; send this one under a version above the newest",
               taken.version,
               taken.author == null || taken.author.isEmpty() ? "" : ", sent by " + taken.author,
               taken.time == 0 ? "" : " and accepted at " + Instant.ofEpochMilli(taken.time)));
