--- a/proxy/src/main/java/weldpoint/proxy/ProxyDaemon.java
+++ b/proxy/src/main/java/weldpoint/proxy/ProxyDaemon.java
@@ -55,35 +55,35 @@
 import weldpoint.trial.TrialTracker;
 import weldpoint.upstream.UpstreamPool;
 
-/** The proxy as a process: traffic on one thread, control state on another. */
+/** The proxy daemon: client traffic runs on one thread, control state on another. */
 public final class ProxyDaemon implements Daemon {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
   private static final long TICK_MILLIS = 100;
   private static final long REPORT_MILLIS = 1000;
   private static final long SWEEP_MILLIS = 250;
-  private static final int MOST_HEADER = 65_536;
-  private static final long LINGER_MILLIS = 2300;
-  private static final int CALM_ROUNDS = 5;
-  private static final long ROUND_MILLIS = 50;
-  private static final long TIE_MILLIS = 50;
+  private static final int DEFAULT_MAX_HEADER_BYTES = 65_536;
+  private static final long SHUTDOWN_LINGER_MILLIS = 2300;
+  private static final int IDLE_ROUNDS = 5;
+  private static final long IDLE_CHECK_MILLIS = 50;
+  private static final long AFFINITY_TICK_MILLIS = 50;
 
   private final Settings settings;
   private final SerialExecutor executor = new SerialExecutor("switchboard");
   private final EventLoopGroup loop = new NioEventLoopGroup(1);
-  private final Transport trunk;
+  private final Transport transport;
   private final ProxyContext proxyContext;
   private final RegistryClient registry;
-  private final Set<ClientConnection> sessions = new HashSet<>();
+  private final Set<ClientConnection> clientConnections = new HashSet<>();
   private final RegistryStream stream;
-  private volatile Channel doors;
-  private RegionLeaderService chief;
+  private volatile Channel trafficChannel;
+  private RegionLeaderService regionLeader;
   private final long incarnation;
 
-  /** A proxy for these settings; nothing runs yet. */
+  /** A proxy with these settings; nothing runs until {@link #start}. */
   public ProxyDaemon(final Settings settings) {
     this.settings = settings;
     this.incarnation = RandomIds.next();
-    this.trunk =
+    this.transport =
         new Transport(
             loop,
             new Protocol.Hello(
@@ -94,15 +94,15 @@
             settings,
             new Random(incarnation),
             new TrialTracker(settings.address(), incarnation));
-    this.proxyContext.trials.alarm(() -> report(false));
+    this.proxyContext.trials.alarm(() -> reportTrials(false));
     this.stream =
         new RegistryStream(
-            trunk,
+            transport,
             executor,
             settings,
             () -> {
-              if (proxyContext().permits != null) {
-                loop.execute(() -> sweepAsks(true));
+              if (proxyContext().permitPool != null) {
+                loop.execute(() -> expireRegistryRequests(true));
               }
             });
     final RegistryMessages.DaemonEntry self =
@@ -126,14 +126,14 @@
               }
 
               @Override
-              public boolean approach(final String address) {
-                stream.approach(address);
+              public boolean dialParallel(final String address) {
+                stream.dialParallel(address);
                 return true;
               }
 
               @Override
-              public void abandonApproach() {
-                stream.abandonApproach();
+              public void closeParallel() {
+                stream.closeParallel();
               }
 
               @Override
@@ -142,36 +142,37 @@
               }
 
               @Override
-              public void outlook(
+              public void controlUpdate(
                   final RoutingTable routingTable,
                   final Map<RegistryMessages.Registration, Boolean> changes,
                   final Set<String> evacuated,
                   final Set<String> suspects,
-                  final int switchboards) {
+                  final int proxyCount) {
                 final List<UpstreamPool.Change> list = new ArrayList<>();
                 changes.forEach(
                     (registration, open) -> list.add(new UpstreamPool.Change(registration, open)));
                 loop.execute(
                     () ->
-                        proxyContext.take(
+                        proxyContext.apply(
                             new ControlUpdate(
-                                routingTable, list, evacuated, suspects, switchboards, null, -1)));
+                                routingTable, list, evacuated, suspects, proxyCount, null, -1)));
                 if (routingTable != null || evacuated != null) {
-                  inForce();
+                  reportInForce();
                 }
               }
 
               @Override
-              public void trials(final List<TrialMessages.Trial> trials, final long mark) {
+              public void trialsChanged(
+                  final List<TrialMessages.Trial> trials, final long version) {
                 loop.execute(
                     () ->
-                        proxyContext.take(
-                            new ControlUpdate(null, List.of(), null, null, 0, trials, mark)));
-                inForce();
+                        proxyContext.apply(
+                            new ControlUpdate(null, List.of(), null, null, 0, trials, version)));
+                reportInForce();
               }
 
               @Override
-              public void neighbours(final List<String> addresses) {
+              public void siteProxies(final List<String> addresses) {
                 loop.execute(
                     () -> proxyContext.upstreamPool.neighbours(addresses, ProxyContext.now()));
               }
@@ -180,18 +181,18 @@
               public void placements(final PlacementMessages.Placements placements) {
                 loop.execute(
                     () -> {
-                      ties();
+                      startAffinity();
                       proxyContext.affinity.take(placements, ProxyContext.now());
                     });
               }
 
               @Override
               public void assignments(final List<Assignment> assignments) {
-                loop.execute(() -> proxyContext.owners.take(assignments));
+                loop.execute(() -> proxyContext.keyOwners.take(assignments));
               }
 
               @Override
-              public void leased(final PlacementMessages.LeaseGrant grant) {
+              public void leaseAnswered(final PlacementMessages.LeaseGrant grant) {
                 loop.execute(
                     () -> {
                       if (proxyContext.affinity != null) {
@@ -202,63 +203,70 @@
 
               @Override
               public void recording(final RecordingMessages.RecordingState state) {
-                loop.execute(() -> record(state));
+                loop.execute(() -> updateRecording(state));
               }
 
               @Override
               public void electorate(final RegionMessages.Electorate electorate) {
-                if (chief != null) {
-                  chief.electorate(electorate);
+                if (regionLeader != null) {
+                  regionLeader.electorate(electorate);
                 }
               }
 
               @Override
-              public void reached(
-                  final long ageMillis, final int boards, final List<String> announcers) {
-                if (chief != null) {
-                  chief.election(ageMillis, ProxyContext.now());
+              public void registryStatus(
+                  final long ageMillis, final int proxyCount, final List<String> cacheDaemons) {
+                if (regionLeader != null) {
+                  regionLeader.election(ageMillis, ProxyContext.now());
                 }
-                if (proxyContext.recordings != null) {
+                if (proxyContext.cacheClient != null) {
                   loop.execute(
-                      () -> proxyContext.recordings.announcers(announcers, ProxyContext.now()));
+                      () ->
+                          proxyContext.cacheClient.updateDaemons(cacheDaemons, ProxyContext.now()));
                 }
               }
 
               @Override
-              public void claimed(final KeyMessages.ClaimResponse answer) {
-                loop.execute(() -> proxyContext.keys.answered(answer, ProxyContext.now()));
+              public void claimAnswered(final KeyMessages.ClaimResponse answer) {
+                loop.execute(
+                    () ->
+                        proxyContext.idempotentRequests.claimAnswered(answer, ProxyContext.now()));
               }
 
               @Override
-              public void permitted(final PermitMessages.PermitResponse answer) {
-                loop.execute(() -> proxyContext.permits.answered(answer));
+              public void permitAnswered(final PermitMessages.PermitResponse answer) {
+                loop.execute(() -> proxyContext.permitPool.answered(answer));
               }
 
               @Override
               public void coreUnsettled(final long ageMillis) {
-                loop.execute(() -> proxyContext.proof.coreUnsettled(ageMillis, ProxyContext.now()));
+                loop.execute(
+                    () -> proxyContext.controlProof.coreUnsettled(ageMillis, ProxyContext.now()));
               }
 
               @Override
-              public void proved(final long provedAt) {
-                loop.execute(() -> proxyContext.proof.renew(provedAt, ProxyContext.now()));
+              public void proofRenewed(final long provedAt) {
+                loop.execute(() -> proxyContext.controlProof.renew(provedAt, ProxyContext.now()));
               }
 
               @Override
-              public void admitted() {
-                loop.execute(() -> report(true));
+              public void firstViewReceived() {
+                loop.execute(() -> reportTrials(true));
               }
             });
-    stream.registry(registry);
-    proxyContext.uponTies = this::ties;
-    proxyContext.uponPlan = this::openFront;
+    stream.registryClient(registry);
+    proxyContext.onAffinityNeeded = this::startAffinity;
+    proxyContext.onFirstConfiguration = this::openTrafficListener;
   }
 
-  /** Notes what is in force, once the traffic thread has taken what was handed to it. */
-  private void inForce() {
+  /** Reports the control state in force, once the traffic thread has applied it. */
+  private void reportInForce() {
     final long version = registry.version();
-    final long mark = registry.mark();
-    loop.execute(() -> executor.execute(() -> registry.inForce(version, mark, ProxyContext.now())));
+    final long stateVersion = registry.stateVersion();
+    loop.execute(
+        () ->
+            executor.execute(
+                () -> registry.reportInForce(version, stateVersion, ProxyContext.now())));
   }
 
   ProxyContext proxyContext() {
@@ -269,22 +277,23 @@
   public void start() throws InterruptedException {
     final Settings.Address readiness = settings.requiredAddress("listen.readiness");
     if (settings.regionLeaderEnabled()) {
-      chief = new RegionLeaderService(settings, trunk, executor, loop, proxyContext, incarnation);
+      regionLeader =
+          new RegionLeaderService(settings, transport, executor, loop, proxyContext, incarnation);
     }
     if (!settings.firstStart()) {
       proxyContext.upstreamPool.restarted(ProxyContext.now());
     }
-    permits();
-    keys();
+    startPermitPool();
+    startIdempotency();
     if (settings.content()) {
-      content();
+      startCacheClient();
     }
     if (settings.metricsPort() > 0) {
       MetricsServer.serve(
           loop,
           settings.address(),
           settings.metricsPort(),
-          () -> CompletableFuture.completedFuture(figures()));
+          () -> CompletableFuture.completedFuture(metrics()));
     }
     executor.execute(() -> registry.start(ProxyContext.now()));
     new ServerBootstrap()
@@ -295,60 +304,61 @@
             new ChannelInitializer<SocketChannel>() {
               @Override
               protected void initChannel(final SocketChannel channel) {
-                channel.pipeline().addLast(new HttpServerCodec(), new Readiness());
+                channel.pipeline().addLast(new HttpServerCodec(), new ReadinessHandler());
               }
             })
         .bind(readiness.host(), readiness.port())
         .sync();
     loop.scheduleAtFixedRate(this::tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
     loop.scheduleAtFixedRate(
-        () -> report(false), REPORT_MILLIS, REPORT_MILLIS, TimeUnit.MILLISECONDS);
+        () -> reportTrials(false), REPORT_MILLIS, REPORT_MILLIS, TimeUnit.MILLISECONDS);
     loop.scheduleAtFixedRate(
-        () -> proxyContext.owners.reports().forEach(stream::send),
+        () -> proxyContext.keyOwners.reports().forEach(stream::send),
         REPORT_MILLIS,
         REPORT_MILLIS,
         TimeUnit.MILLISECONDS);
-    loop.scheduleAtFixedRate(this::sweep, SWEEP_MILLIS, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
+    loop.scheduleAtFixedRate(
+        this::checkTimeouts, SWEEP_MILLIS, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
     loop.scheduleAtFixedRate(
         () ->
             LOGGER.atInfo().log(
-                "counters: served %s refused %s failed %s repeated %s active %s upstreams %s spec %s proof %s ms ago %s",
+                "counters: served %s refused %s failed %s retries %s active %s upstreams %s configuration %s freshness proof %s ms ago %s",
                 proxyContext.served,
                 proxyContext.refused,
                 proxyContext.failed,
-                proxyContext.repeated,
-                proxyContext.open.count(),
+                proxyContext.retries,
+                proxyContext.openRequests.count(),
                 proxyContext.upstreamPool.count()
                     + (proxyContext.affinity == null
                         ? ""
                         : " " + proxyContext.affinity.counters(ProxyContext.now()))
-                    + (chief == null ? "" : " " + chief.counters())
-                    + proxyContext.keys.counters(),
+                    + (regionLeader == null ? "" : " " + regionLeader.counters())
+                    + proxyContext.idempotentRequests.counters(),
                 proxyContext.routingTable == null
                     ? "none"
                     : Long.toHexString(proxyContext.routingTable.version()),
-                proxyContext.proof.ageMillis(ProxyContext.now()),
-                trunk.trafficCounters()),
+                proxyContext.controlProof.ageMillis(ProxyContext.now()),
+                transport.trafficCounters()),
         settings.countersMillis(),
         settings.countersMillis(),
         TimeUnit.MILLISECONDS);
   }
 
-  /** Takes to tying callers to nodes. */
-  private void ties() {
+  /** Starts caller affinity if it has not been started. */
+  private void startAffinity() {
     if (proxyContext.affinity == null) {
       proxyContext.affinity =
           new AffinityTable(
               settings.address(), incarnation, settings.affinityLeaseMillis(), stream::send);
       loop.scheduleAtFixedRate(
           () -> proxyContext.affinity.tick(ProxyContext.now()),
-          TIE_MILLIS,
-          TIE_MILLIS,
+          AFFINITY_TICK_MILLIS,
+          AFFINITY_TICK_MILLIS,
           TimeUnit.MILLISECONDS);
     }
   }
 
-  private void record(final RecordingMessages.RecordingState state) {
+  private void updateRecording(final RecordingMessages.RecordingState state) {
     if (state.on && proxyContext.recorder == null) {
       proxyContext.recorder =
           new Recorder(settings.address(), settings.site(), settings.region(), incarnation);
@@ -361,109 +371,110 @@
           TimeUnit.MILLISECONDS);
     }
     if (proxyContext.recorder != null) {
-      proxyContext.recorder.state(state);
+      proxyContext.recorder.applyState(state);
     }
   }
 
-  private List<Metric> figures() {
+  private List<Metric> metrics() {
     final String help = "Requests by how they ended.";
-    final List<Metric> figures = new ArrayList<>();
-    figures.add(
+    final List<Metric> metrics = new ArrayList<>();
+    metrics.add(
         Metric.counter("weldpoint_requests", help, proxyContext.served).with("result", "served"));
-    figures.add(
+    metrics.add(
         Metric.counter("weldpoint_requests", help, proxyContext.refused).with("result", "refused"));
-    figures.add(
+    metrics.add(
         Metric.counter("weldpoint_requests", help, proxyContext.failed).with("result", "failed"));
-    figures.add(
+    metrics.add(
         Metric.counter(
-            "weldpoint_further_sends", "Sends beyond a request's first.", proxyContext.repeated));
-    figures.add(Metric.gauge("weldpoint_active", "Requests under way.", proxyContext.open.count()));
-    figures.add(
+            "weldpoint_further_sends", "Sends beyond a request's first.", proxyContext.retries));
+    metrics.add(
+        Metric.gauge("weldpoint_active", "Requests under way.", proxyContext.openRequests.count()));
+    metrics.add(
         Metric.gauge(
             "weldpoint_unwritten_answer_bytes",
             "Bytes of answers that clients have not taken yet.",
-            proxyContext.open.unwrittenBytes()));
-    figures.add(
+            proxyContext.openRequests.unwrittenBytes()));
+    metrics.add(
         Metric.counter(
             "weldpoint_registry_moves",
             "Times that another registry was dialled.",
             registry.moves()));
-    figures.add(
+    metrics.add(
         Metric.counter(
             "weldpoint_key_waits",
             "Requests that waited for their key's holder.",
-            proxyContext.owners.waitedCount()));
-    figures.add(
+            proxyContext.keyOwners.waitedCount()));
+    metrics.add(
         Metric.counter(
             "weldpoint_key_turned_away",
             "Requests that an upstream turned away, since it did not hold the key.",
-            proxyContext.owners.turnedAwayCount()));
-    figures.addAll(proxyContext.proof.figures(ProxyContext.now()));
-    figures.addAll(proxyContext.refusals.figures());
-    figures.addAll(proxyContext.tenantCounts.figures());
-    figures.addAll(proxyContext.permits.figures());
-    figures.addAll(proxyContext.keys.figures());
-    return figures;
+            proxyContext.keyOwners.turnedAwayCount()));
+    metrics.addAll(proxyContext.controlProof.metrics(ProxyContext.now()));
+    metrics.addAll(proxyContext.refusalCounts.metrics());
+    metrics.addAll(proxyContext.tenantCounts.metrics());
+    metrics.addAll(proxyContext.permitPool.metrics());
+    metrics.addAll(proxyContext.idempotentRequests.metrics());
+    return metrics;
   }
 
-  /** Takes to asking for permits: limits hold wherever a configuration has them. */
-  private void permits() {
-    proxyContext.permits = new PermitPool(stream::send);
+  /** Sets up requests for permits: rate limits apply wherever a configuration has them. */
+  private void startPermitPool() {
+    proxyContext.permitPool = new PermitPool(stream::send);
   }
 
-  /** Takes to claiming idempotency keys. */
-  private void keys() throws InterruptedException {
-    final OutcomeClient lines = new OutcomeClient(trunk, settings, loop, proxyContext);
+  /** Sets up idempotency keys. */
+  private void startIdempotency() throws InterruptedException {
+    final OutcomeClient outcomeClient = new OutcomeClient(transport, settings, loop, proxyContext);
     proxyContext.keyHeaders = settings.keyHeaders();
-    proxyContext.keys =
+    proxyContext.idempotentRequests =
         new IdempotentRequests(
             settings.address(),
             incarnation,
             settings.keyWindowMillis(),
             new IdempotentRequests.Environment() {
               @Override
-              public boolean registry(final Message message) {
+              public boolean sendToRegistry(final Message message) {
                 return stream.send(message);
               }
 
               @Override
-              public void outcome(
+              public void queryOutcome(
                   final KeyMessages.Claim holder,
                   final long fingerprint,
                   final long waitMillis,
-                  final java.util.function.Consumer<KeyMessages.OutcomeResponse> hears) {
-                lines.ask(holder, fingerprint, waitMillis, hears);
+                  final java.util.function.Consumer<KeyMessages.OutcomeResponse> callback) {
+                outcomeClient.query(holder, fingerprint, waitMillis, callback);
               }
 
               @Override
-              public void later(final Runnable task, final long millis) {
+              public void schedule(final Runnable task, final long millis) {
                 loop.schedule(task, millis, TimeUnit.MILLISECONDS);
               }
             });
-    lines.serve();
+    outcomeClient.listen();
   }
 
-  private void content() {
+  private void startCacheClient() {
     final weldpoint.transport.PeerConnections connections =
         new weldpoint.transport.PeerConnections(
-            trunk,
+            transport,
             settings.transportPort(2),
             to ->
                 new Transport.Listener() {
                   @Override
                   public void messageReceived(final Connection connection, final Message message) {
                     if (message instanceof CacheMessages.CacheReadResponse) {
-                      proxyContext.recordings.heard(
+                      proxyContext.cacheClient.responseReceived(
                           to, (CacheMessages.CacheReadResponse) message, ProxyContext.now());
                     }
                   }
 
                   @Override
                   public void closed(final Connection connection) {
-                    proxyContext.recordings.closed(to, ProxyContext.now());
+                    proxyContext.cacheClient.closed(to, ProxyContext.now());
                   }
                 });
-    proxyContext.recordings =
+    proxyContext.cacheClient =
         new CacheClient(
             new CacheClient.Connections() {
               @Override
@@ -482,18 +493,21 @@
               }
             });
     loop.scheduleAtFixedRate(
-        () -> proxyContext.recordings.sweep(ProxyContext.now()), 100, 100, TimeUnit.MILLISECONDS);
+        () -> proxyContext.cacheClient.checkTimeouts(ProxyContext.now()),
+        100,
+        100,
+        TimeUnit.MILLISECONDS);
   }
 
-  private void report(final boolean all) {
+  private void reportTrials(final boolean all) {
     final TrialMessages.TrialReport report = proxyContext.trials.report(all);
     if (report != null) {
       executor.execute(() -> stream.send(report));
     }
   }
 
-  private void openFront() {
-    final Settings.Address front = settings.requiredAddress("listen.traffic");
+  private void openTrafficListener() {
+    final Settings.Address trafficAddress = settings.requiredAddress("listen.traffic");
     final ServerBootstrap server = new ServerBootstrap();
     if (settings.transferBytes() > 0) {
       server.childOption(ChannelOption.SO_SNDBUF, settings.transferBytes());
@@ -508,56 +522,63 @@
             new ChannelInitializer<SocketChannel>() {
               @Override
               protected void initChannel(final SocketChannel channel) {
-                final ClientConnection session = new ClientConnection(proxyContext);
-                sessions.add(session);
-                channel.closeFuture().addListener(closed -> sessions.remove(session));
-                final int most =
+                final ClientConnection clientConnection = new ClientConnection(proxyContext);
+                clientConnections.add(clientConnection);
+                channel
+                    .closeFuture()
+                    .addListener(closed -> clientConnections.remove(clientConnection));
+                final int maxHeaderBytes =
                     proxyContext.routingTable == null
-                        ? MOST_HEADER
+                        ? DEFAULT_MAX_HEADER_BYTES
                         : proxyContext.routingTable.maxHeaderBytes();
                 channel
                     .pipeline()
                     .addLast(
-                        new ClientConnection.Decoder(most), new HttpResponseEncoder(), session);
+                        new ClientConnection.Decoder(maxHeaderBytes),
+                        new HttpResponseEncoder(),
+                        clientConnection);
               }
             })
-        .bind(front.host(), front.port())
+        .bind(trafficAddress.host(), trafficAddress.port())
         .addListener(
             (ChannelFuture bound) -> {
               if (bound.isSuccess()) {
-                doors = bound.channel();
+                trafficChannel = bound.channel();
               } else {
                 LOGGER.atSevere().withCause(bound.cause()).log(
-                    "the address %s cannot be listened at; free it or set listen.traffic to another",
-                    front);
+                    "Cannot listen on address %s; free it or change the setting listen.traffic",
+                    trafficAddress);
               }
             });
   }
 
   private void tick() {
     executor.execute(() -> registry.tick(ProxyContext.now()));
-    sweepAsks(false);
+    expireRegistryRequests(false);
   }
 
-  /** Gives up what was asked of a registry, all of it or what has waited for too long. */
-  private void sweepAsks(final boolean all) {
-    proxyContext.permits.sweep(all, ProxyContext.now());
-    proxyContext.keys.sweep(all, ProxyContext.now());
+  /** Gives up requests to a registry: all of them, or those that have waited for too long. */
+  private void expireRegistryRequests(final boolean all) {
+    proxyContext.permitPool.expire(all, ProxyContext.now());
+    proxyContext.idempotentRequests.expire(all, ProxyContext.now());
   }
 
-  /** Closes connections that have rested for too long, and drops answers nobody takes. */
-  void sweep() {
+  /**
+   * Closes connections that have been idle for too long, and drops responses that clients do not
+   * read.
+   */
+  void checkTimeouts() {
     final long now = ProxyContext.now();
     proxyContext.upstreamPool.sweep(now);
-    for (final ClientConnection session : new ArrayList<>(sessions)) {
-      session.sweep(now);
+    for (final ClientConnection clientConnection : new ArrayList<>(clientConnections)) {
+      clientConnection.checkTimeouts(now);
     }
   }
 
-  private final class Readiness extends SimpleChannelInboundHandler<HttpRequest> {
+  private final class ReadinessHandler extends SimpleChannelInboundHandler<HttpRequest> {
     @Override
     protected void channelRead0(final ChannelHandlerContext context, final HttpRequest request) {
-      final boolean ready = proxyContext.routingTable != null && !proxyContext.leaving;
+      final boolean ready = proxyContext.routingTable != null && !proxyContext.shuttingDown;
       final DefaultFullHttpResponse response =
           new DefaultFullHttpResponse(
               HttpVersion.HTTP_1_1,
@@ -580,42 +601,44 @@
   }
 
   @Override
-  public void reload(final Settings news) {
-    executor.execute(() -> registry.seeds(news.seeds()));
+  public void reload(final Settings newSettings) {
+    executor.execute(() -> registry.addSeeds(newSettings.seeds()));
   }
 
   @Override
   public void stop() {
-    final long began = ProxyContext.now();
+    final long startedAt = ProxyContext.now();
     executor.execute(() -> registry.leave(ProxyContext.now()));
-    loop.execute(() -> proxyContext.leaving = true);
-    final long longest = Math.max(500, settings.graceMillis() - 700);
+    loop.execute(() -> proxyContext.shuttingDown = true);
+    final long maxMillis = Math.max(500, settings.graceMillis() - 700);
     try {
-      Thread.sleep(Math.min(LINGER_MILLIS, longest));
-      final Channel open = doors;
-      if (open != null) {
-        open.close();
+      Thread.sleep(Math.min(SHUTDOWN_LINGER_MILLIS, maxMillis));
+      final Channel listener = trafficChannel;
+      if (listener != null) {
+        listener.close();
       }
-      int calm = 0;
-      while (calm < CALM_ROUNDS && ProxyContext.now() - began < longest) {
-        Thread.sleep(ROUND_MILLIS);
-        calm = proxyContext.open.count() == 0 ? calm + 1 : 0;
+      int idleRounds = 0;
+      while (idleRounds < IDLE_ROUNDS && ProxyContext.now() - startedAt < maxMillis) {
+        Thread.sleep(IDLE_CHECK_MILLIS);
+        idleRounds = proxyContext.openRequests.count() == 0 ? idleRounds + 1 : 0;
       }
-      while (!loop.submit(this::endIfIdle).get() && ProxyContext.now() - began < longest) {
-        Thread.sleep(ROUND_MILLIS);
+      while (!loop.submit(this::closeIdleConnections).get()
+          && ProxyContext.now() - startedAt < maxMillis) {
+        Thread.sleep(IDLE_CHECK_MILLIS);
       }
     } catch (final InterruptedException ended) {
       Thread.currentThread().interrupt();
     } catch (final ExecutionException problem) {
-      LOGGER.atWarning().withCause(problem).log("connections could not be closed in order");
+      LOGGER.atWarning().withCause(problem).log(
+          "Client connections could not be closed in an orderly way; the shutdown continues");
     }
   }
 
-  /** Closes all connections on which no request is open; false where one is. */
-  private boolean endIfIdle() {
+  /** Closes all connections without an open request; false if one has an open request. */
+  private boolean closeIdleConnections() {
     boolean idle = true;
-    for (final ClientConnection session : new ArrayList<>(sessions)) {
-      idle &= session.endIfIdle();
+    for (final ClientConnection clientConnection : new ArrayList<>(clientConnections)) {
+      idle &= clientConnection.closeIfIdle();
     }
     return idle;
   }
--- a/proxy/src/main/java/weldpoint/proxy/Recorder.java
+++ b/proxy/src/main/java/weldpoint/proxy/Recorder.java
@@ -15,63 +15,63 @@
 import weldpoint.upstream.UpstreamConnection;
 
 /**
- * Notes what a switchboard carries while an operator records a day; bounded, and what had to be
- * dropped is counted.
+ * Records the requests of a proxy while an operator records a day of traffic. The buffer is
+ * bounded; records that had to be dropped are counted. Used on the traffic thread.
  */
 final class Recorder {
-  private static final int MOST_NOTES = 20_000;
-  private static final int MOST_SENT = 1500;
+  private static final int MAX_PENDING_RECORDS = 20_000;
+  private static final int MAX_BATCH_RECORDS = 1500;
 
-  /** A request under way. */
-  static final class Draft {
-    private final long at;
-    private final String id;
+  /** The record of a request in progress. */
+  static final class PendingRecord {
+    private final long arrivedAt;
+    private final String attemptId;
     private final String host;
     private final String target;
     private final Route route;
     private final String service;
-    private final long waits;
-    private final long bytes;
+    private final long timeoutMillis;
+    private final long bodyBytes;
     private final List<String> upstreams = new ArrayList<>(2);
-    private final List<Long> begun = new ArrayList<>(2);
-    private final List<Long> took = new ArrayList<>(2);
-    private final List<Integer> ends = new ArrayList<>(2);
+    private final List<Long> startOffsets = new ArrayList<>(2);
+    private final List<Long> durations = new ArrayList<>(2);
+    private final List<Integer> outcomes = new ArrayList<>(2);
     private int status;
 
-    private Draft(
-        final long at,
-        final String id,
+    private PendingRecord(
+        final long arrivedAt,
+        final String attemptId,
         final String host,
         final String target,
         final Route route,
         final String service,
-        final long waits,
-        final long bytes) {
-      this.at = at;
-      this.id = id;
+        final long timeoutMillis,
+        final long bodyBytes) {
+      this.arrivedAt = arrivedAt;
+      this.attemptId = attemptId;
       this.host = host;
       this.target = target;
       this.route = route;
       this.service = service;
-      this.waits = waits;
-      this.bytes = bytes;
+      this.timeoutMillis = timeoutMillis;
+      this.bodyBytes = bodyBytes;
     }
 
-    int sent(final String upstream, final long now) {
+    int attemptSent(final String upstream, final long now) {
       upstreams.add(upstream);
-      begun.add(now - at);
-      took.add(-1L);
-      ends.add(AttemptOutcome.OPEN.ordinal());
+      startOffsets.add(now - arrivedAt);
+      durations.add(-1L);
+      outcomes.add(AttemptOutcome.OPEN.ordinal());
       return upstreams.size() - 1;
     }
 
-    void ended(
-        final int place,
+    void attemptEnded(
+        final int index,
         final UpstreamConnection.End end,
         final HttpResponse head,
         final long now) {
-      took.set(place, now - at - begun.get(place));
-      ends.set(place, AttemptOutcome.named(end, head).ordinal());
+      durations.set(index, now - arrivedAt - startOffsets.get(index));
+      outcomes.set(index, AttemptOutcome.named(end, head).ordinal());
     }
 
     void status(final int given) {
@@ -79,96 +79,97 @@
     }
   }
 
-  private final String board;
+  private final String proxyAddress;
   private final String site;
   private final String region;
   private final long incarnation;
-  private final ArrayDeque<RecordingMessages.RequestRecord> notes = new ArrayDeque<>();
-  private long serial;
-  private long dropped;
-  private long mark;
-  private boolean on;
+  private final ArrayDeque<RecordingMessages.RequestRecord> records = new ArrayDeque<>();
+  private long lastSerial;
+  private long droppedCount;
+  private long stateVersion;
+  private boolean recording;
   private boolean closing;
 
-  Recorder(final String board, final String site, final String region, final long incarnation) {
-    this.board = board;
+  Recorder(
+      final String proxyAddress, final String site, final String region, final long incarnation) {
+    this.proxyAddress = proxyAddress;
     this.site = site;
     this.region = region;
     this.incarnation = incarnation;
   }
 
-  void state(final RecordingMessages.RecordingState state) {
-    if (state.mark > mark) {
-      mark = state.mark;
-      closing = on && !state.on;
-      on = state.on;
+  void applyState(final RecordingMessages.RecordingState state) {
+    if (state.mark > stateVersion) {
+      stateVersion = state.mark;
+      closing = recording && !state.on;
+      recording = state.on;
     }
   }
 
-  boolean on() {
-    return on;
+  boolean recording() {
+    return recording;
   }
 
-  Draft draft(
-      final long at,
+  PendingRecord begin(
+      final long arrivedAt,
       final HttpRequest request,
       final Route route,
       final String service,
-      final long waits,
-      final long bytes) {
-    return new Draft(
-        at,
+      final long timeoutMillis,
+      final long bodyBytes) {
+    return new PendingRecord(
+        arrivedAt,
         request.headers().get(Headers.ATTEMPT_ID),
         request.headers().get(HttpHeaderNames.HOST),
         request.uri(),
         route,
         service,
-        waits,
-        bytes);
+        timeoutMillis,
+        bodyBytes);
   }
 
-  void done(final Draft draft, final long now) {
-    serial++;
-    if (notes.size() >= MOST_NOTES) {
-      dropped++;
+  void finish(final PendingRecord pendingRecord, final long now) {
+    lastSerial++;
+    if (records.size() >= MAX_PENDING_RECORDS) {
+      droppedCount++;
       return;
     }
-    notes.add(
+    records.add(
         new RecordingMessages.RequestRecord(
-            serial,
-            draft.at,
-            draft.id == null ? "" : draft.id,
-            draft.host,
-            draft.target,
-            draft.route.name,
-            draft.route.kind.ordinal(),
-            draft.service,
-            draft.waits,
-            draft.bytes,
-            draft.upstreams,
-            draft.begun,
-            draft.took,
-            draft.ends,
-            now - draft.at,
-            draft.status));
+            lastSerial,
+            pendingRecord.arrivedAt,
+            pendingRecord.attemptId == null ? "" : pendingRecord.attemptId,
+            pendingRecord.host,
+            pendingRecord.target,
+            pendingRecord.route.name,
+            pendingRecord.route.kind.ordinal(),
+            pendingRecord.service,
+            pendingRecord.timeoutMillis,
+            pendingRecord.bodyBytes,
+            pendingRecord.upstreams,
+            pendingRecord.startOffsets,
+            pendingRecord.durations,
+            pendingRecord.outcomes,
+            now - pendingRecord.arrivedAt,
+            pendingRecord.status));
   }
 
-  void flush(final long now, final Predicate<Message> line) {
-    if (notes.isEmpty() && !closing) {
+  void flush(final long now, final Predicate<Message> sender) {
+    if (records.isEmpty() && !closing) {
       return;
     }
     final List<RecordingMessages.RequestRecord> batch = new ArrayList<>();
-    while (batch.size() < MOST_SENT && !notes.isEmpty()) {
-      batch.add(notes.poll());
+    while (batch.size() < MAX_BATCH_RECORDS && !records.isEmpty()) {
+      batch.add(records.poll());
     }
-    final boolean last = closing && notes.isEmpty();
-    if (line.test(
+    final boolean last = closing && records.isEmpty();
+    if (sender.test(
         new RecordingMessages.RecordingBatch(
-            board, site, region, incarnation, now, dropped, last, batch))) {
+            proxyAddress, site, region, incarnation, now, droppedCount, last, batch))) {
       closing = closing && !last;
     } else {
       for (int index = batch.size() - 1; index >= 0; index--) {
-        notes.addFirst(batch.get(index));
+        records.addFirst(batch.get(index));
       }
     }
   }
--- a/proxy/src/main/java/weldpoint/proxy/RefusalCounts.java
+++ b/proxy/src/main/java/weldpoint/proxy/RefusalCounts.java
@@ -5,17 +5,17 @@
 import java.util.Locale;
 import weldpoint.metrics.Metric;
 
-/** How many requests were refused because of what the configuration in force says of them. */
+/** Counts requests that were refused because of the configuration in force. */
 final class RefusalCounts {
   /** Why a request was refused. */
   enum Reason {
-    /** Upstreams are available, all of them outside of the homes of the route and the tenant. */
+    /** Upstreams are available, but all outside the home regions of the route and the tenant. */
     OUTSIDE_HOMES,
-    /** The holder of the request's key stands outside of the homes. */
+    /** The owner of the request's key is outside the home regions. */
     HOLDER_OUTSIDE_HOMES,
-    /** The configuration has changed while the request waited. */
+    /** The configuration changed while the request waited. */
     CONFIGURATION_CHANGED,
-    /** What is in force here may be older than what was acknowledged elsewhere. */
+    /** The control state here may be older than what was acknowledged elsewhere. */
     UNPROVED
   }
 
@@ -25,17 +25,17 @@
     counts[reason.ordinal()]++;
   }
 
-  /** One counter for each reason. */
-  List<Metric> figures() {
-    final List<Metric> figures = new ArrayList<>();
+  /** Metrics: one counter for each reason. */
+  List<Metric> metrics() {
+    final List<Metric> metrics = new ArrayList<>();
     for (final Reason reason : Reason.values()) {
-      figures.add(
+      metrics.add(
           Metric.counter(
                   "weldpoint_refused_by_configuration",
                   "Requests refused since the configuration in force forbids the send.",
                   counts[reason.ordinal()])
               .with("reason", reason.name().toLowerCase(Locale.ROOT)));
     }
-    return figures;
+    return metrics;
   }
 }
--- a/proxy/src/main/java/weldpoint/proxy/RegionLeaderService.java
+++ b/proxy/src/main/java/weldpoint/proxy/RegionLeaderService.java
@@ -19,23 +19,23 @@
 import weldpoint.transport.Transport;
 
 /**
- * Gives a switchboard's part in choosing a chief its lines, its ticks and its effect. Its core runs
- * on the control thread.
+ * Connects a proxy's {@link LeaderElection} with its peers, a timer, and the {@link ProxyContext}
+ * that applies directives. The election runs on the control thread.
  */
 final class RegionLeaderService {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
-  private static final int PORT = 3;
+  private static final int PORT_INDEX = 3;
   private static final long TICK_MILLIS = 200;
 
   private final Settings settings;
   private final Transport transport;
-  private final Executor desk;
+  private final Executor executor;
   private final EventLoopGroup loop;
   private final ProxyContext proxyContext;
   private final PeerConnections connections;
-  private final Map<String, Connection> incoming = new HashMap<>();
+  private final Map<String, Connection> incomingConnections = new HashMap<>();
   private final LeaderElection election;
-  private boolean serves;
+  private boolean listening;
   private volatile RegionMessages.ProxyObservations observations =
       new RegionMessages.ProxyObservations(0, 0, 0, 0, null, null);
   private volatile String counters = "chief CORE";
@@ -43,23 +43,23 @@
   RegionLeaderService(
       final Settings settings,
       final Transport transport,
-      final Executor desk,
+      final Executor executor,
       final EventLoopGroup loop,
       final ProxyContext proxyContext,
       final long incarnation) {
     this.settings = settings;
     this.transport = transport;
-    this.desk = desk;
+    this.executor = executor;
     this.loop = loop;
     this.proxyContext = proxyContext;
     proxyContext.uncertainWrites = new UncertainWrites();
     this.connections =
         new PeerConnections(
             transport,
-            settings.transportPort(PORT),
+            settings.transportPort(PORT_INDEX),
             to ->
                 Transport.on(
-                    desk,
+                    executor,
                     new Transport.Listener() {
                       @Override
                       public void opened(final Connection connection) {
@@ -97,7 +97,7 @@
                 if (connections.send(address, message)) {
                   return true;
                 }
-                final Connection connection = incoming.get(address);
+                final Connection connection = incomingConnections.get(address);
                 if (connection != null) {
                   connection.send(message);
                 }
@@ -107,17 +107,18 @@
               @Override
               public RegionMessages.ProxyObservations sight() {
                 final RegionMessages.ProxyObservations seen = observations;
-                loop.execute(() -> observations = proxyContext.sight(ProxyContext.now()));
+                loop.execute(
+                    () -> observations = proxyContext.takeObservations(ProxyContext.now()));
                 return seen;
               }
 
               @Override
               public void ordered(final RegionMessages.LeaderDirective directive) {
-                loop.execute(() -> proxyContext.ordered(directive, settings.address()));
+                loop.execute(() -> proxyContext.applyDirective(directive, settings.address()));
               }
             });
     loop.scheduleAtFixedRate(
-        () -> desk.execute(this::tick), TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
+        () -> executor.execute(this::tick), TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   private LeaderElection election() {
@@ -128,31 +129,31 @@
     final long now = ProxyContext.now();
     election.tick(now);
     counters = election.counters(now);
-    if (!serves && election.phase() != weldpoint.regionleader.LeaderPhase.CORE) {
-      serves = true;
-      serve()
+    if (!listening && election.phase() != weldpoint.regionleader.LeaderPhase.CORE) {
+      listening = true;
+      listen()
           .addListener(
               bound -> {
                 if (!bound.isSuccess()) {
                   LOGGER.atWarning().withCause(bound.cause()).log(
-                      "the port %s cannot be listened at; free it, or no chief can reach this switchboard",
-                      settings.transportPort(PORT));
-                  desk.execute(() -> serves = false);
+                      "Cannot listen on port %s; free it, or no region leader can reach this proxy",
+                      settings.transportPort(PORT_INDEX));
+                  executor.execute(() -> listening = false);
                 }
               });
     }
   }
 
-  private ChannelFuture serve() {
+  private ChannelFuture listen() {
     return transport.listen(
         settings.address(),
-        settings.transportPort(PORT),
+        settings.transportPort(PORT_INDEX),
         Transport.on(
-            desk,
+            executor,
             new Transport.Listener() {
               @Override
               public void opened(final Connection connection) {
-                incoming.put(connection.peer().address, connection);
+                incomingConnections.put(connection.peer().address, connection);
               }
 
               @Override
@@ -166,7 +167,7 @@
 
               @Override
               public void closed(final Connection connection) {
-                incoming.remove(connection.peer().address, connection);
+                incomingConnections.remove(connection.peer().address, connection);
               }
             }));
   }
--- a/proxy/src/main/java/weldpoint/proxy/RegistryAddresses.java
+++ b/proxy/src/main/java/weldpoint/proxy/RegistryAddresses.java
@@ -11,30 +11,31 @@
 import weldpoint.transport.RegistryMessages.DaemonEntry;
 
 /**
- * The registries that a proxy knows of, and which one it should dial next: each in turn, those that
- * a registry has no line to, or that lately gave no view, only after the others.
+ * The registries that a proxy knows, and which of them to dial next: round-robin, with those last
+ * that no registry has a connection to or that recently delivered no view. Used by {@link
+ * RegistryClient} on the control thread.
  */
 final class RegistryAddresses {
-  private static final long FAILED_MILLIS = 15_000;
-  private static final int OWN_ZONE = 0;
-  private static final int OWN_REGION = 1;
-  private static final int ELSEWHERE = 2;
+  private static final long FAILURE_MEMORY_MILLIS = 15_000;
+  private static final int SAME_ZONE = 0;
+  private static final int SAME_REGION = 1;
+  private static final int OTHER_REGION = 2;
 
   private final DaemonEntry self;
   private final List<String> addresses = new ArrayList<>();
-  private final Map<String, String> places = new HashMap<>();
+  private final Map<String, String> locations = new HashMap<>();
   private final Map<String, Long> failedAt = new HashMap<>();
   private Set<String> reachable = Set.of();
-  private int last;
+  private int lastIndex;
 
-  /** The seeds, in an order of this proxy's own. */
+  /** Starts with the seeds, shuffled differently by each proxy. */
   RegistryAddresses(final DaemonEntry self, final List<String> seeds, final Random random) {
     this.self = self;
     addresses.addAll(seeds);
     Collections.shuffle(addresses, random);
   }
 
-  /** Takes more of them; what is known besides stays known. */
+  /** Adds addresses; known ones are kept. */
   void add(final List<String> more) {
     for (final String address : more) {
       if (!addresses.contains(address)) {
@@ -43,7 +44,9 @@
     }
   }
 
-  /** A registry names those that it has a line to, and itself. */
+  /**
+   * Sets the registries that the current one can reach, itself included; an empty list is ignored.
+   */
   void reachable(final List<String> named) {
     if (!named.isEmpty()) {
       add(named);
@@ -51,81 +54,81 @@
     }
   }
 
-  /** Takes where one of them stands, as region/zone. */
-  void place(final String address, final String place) {
-    places.put(address, place);
+  /** Sets the location of a registry, as region/zone. */
+  void setLocation(final String address, final String location) {
+    locations.put(address, location);
   }
 
-  /** It was dialled and gave no view. */
-  void failed(final String address, final long now) {
+  /** Notes that a registry was dialled and delivered no view. */
+  void dialFailed(final String address, final long now) {
     failedAt.put(address, now);
   }
 
-  /** It has given a view; the next one after it is dialled next. */
-  void served(final String address) {
+  /** Notes that a registry has delivered a view; the search continues after it. */
+  void viewReceived(final String address) {
     failedAt.remove(address);
-    last = Math.max(0, addresses.indexOf(address));
+    lastIndex = Math.max(0, addresses.indexOf(address));
   }
 
   /**
-   * The next one that is none of these: one that was named as reachable and did not fail lately,
-   * else another that did not fail, else the one that failed first.
+   * The next registry other than these two: one that is reachable and has not failed recently, else
+   * another that has not failed, else the one that failed first.
    */
-  String next(final String present, final String other, final long now) {
+  String next(final String current, final String alsoExcluded, final long now) {
     int best = -1;
     for (int step = 1; step <= addresses.size(); step++) {
-      final int index = (last + step) % addresses.size();
+      final int index = (lastIndex + step) % addresses.size();
       final String address = addresses.get(index);
-      if (!address.equals(present)
-          && !address.equals(other)
-          && (best < 0 || order(address, now) < order(addresses.get(best), now))) {
+      if (!address.equals(current)
+          && !address.equals(alsoExcluded)
+          && (best < 0 || dialRank(address, now) < dialRank(addresses.get(best), now))) {
         best = index;
       }
     }
-    last = best < 0 ? (last + 1) % addresses.size() : best;
-    return addresses.get(last);
+    lastIndex = best < 0 ? (lastIndex + 1) % addresses.size() : best;
+    return addresses.get(lastIndex);
   }
 
-  /** Lower for those that should be dialled sooner. */
-  private long order(final String address, final long now) {
-    final long failed = failedAt.getOrDefault(address, now - FAILED_MILLIS);
-    if (now - failed < FAILED_MILLIS) {
-      return FAILED_MILLIS - (now - failed) + 1;
+  /** Lower values are dialled earlier. */
+  private long dialRank(final String address, final long now) {
+    final long lastFailure = failedAt.getOrDefault(address, now - FAILURE_MEMORY_MILLIS);
+    if (now - lastFailure < FAILURE_MEMORY_MILLIS) {
+      return FAILURE_MEMORY_MILLIS - (now - lastFailure) + 1;
     }
     return reachable.contains(address) ? -1 : 0;
   }
 
   /**
-   * One that is nearer than this: of the own zone, or of the own region; which one, each proxy
-   * draws for itself. Null where there is none.
+   * A registry nearer than this one, in the proxy's own zone or else its own region; rendezvous
+   * hashing spreads the proxies over equally near ones. Null if there is none.
    */
-  String nearer(final String present) {
-    final int here = distance(present);
-    String best = present;
-    int nearest = here;
+  String nearer(final String current) {
+    final int currentDistance = distance(current);
+    String best = current;
+    int nearest = currentDistance;
     for (final String address : addresses) {
       final int distance = distance(address);
       if (distance < nearest
           || distance == nearest
-              && distance < here
+              && distance < currentDistance
               && RendezvousHash.of(address, self.address) < RendezvousHash.of(best, self.address)) {
         nearest = distance;
         best = address;
       }
     }
-    return nearest < here ? best : null;
+    return nearest < currentDistance ? best : null;
   }
 
-  /** Makes this one the next to be dialled. */
+  /** Makes this registry the next to be dialled. */
   void prefer(final String address) {
-    last = Math.floorMod(addresses.indexOf(address) - 1, addresses.size());
+    lastIndex = Math.floorMod(addresses.indexOf(address) - 1, addresses.size());
   }
 
   private int distance(final String address) {
-    final String place = places.get(address);
-    if (place == null || !place.startsWith(self.region + "/")) {
-      return ELSEWHERE;
+    final String location = locations.get(address);
+    if (location == null || !location.startsWith(self.region + "/")) {
+      return OTHER_REGION;
     }
-    return place.equals(self.region + "/" + self.site) ? OWN_ZONE : OWN_REGION;
+    return location.equals(self.region + "/" + self.site) ? SAME_ZONE : SAME_REGION;
   }
 }
--- a/proxy/src/main/java/weldpoint/proxy/RegistryClient.java
+++ b/proxy/src/main/java/weldpoint/proxy/RegistryClient.java
@@ -30,127 +30,135 @@
 import weldpoint.transport.TrialMessages;
 
 /**
- * The switchboard's side of the stream: it keeps to one exchange, leaves one that is silent or has
- * lost touch with the majority, and never goes back to anything older. It runs on the control
- * thread and knows neither sockets nor clocks.
+ * The proxy's side of the control stream: it stays with one registry, leaves one that is silent or
+ * has lost contact with the majority, and never accepts older state than it has. The daemons that
+ * follow a registry create one and call it on their control thread only. It uses neither sockets
+ * nor clocks: the environment connects, and callers pass the steady clock's time in milliseconds.
  */
 public final class RegistryClient {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
-  private static final long SILENT_MILLIS = 1100;
-  private static final long STALE_MILLIS = 2200;
-  private static final long TELL_MILLIS = 500;
-  private static final long VIEW_MILLIS = 900;
-  private static final long BESIDE_SILENT_MILLIS = 600;
-  private static final long BESIDE_ENDED_MILLIS = 300;
-  private static final long REFUSED_PAUSE_MILLIS = 150;
-  private static final long PATIENT_MILLIS = 3500;
-  private static final long NEAR_MILLIS = 4000;
-  private static final long STAY_MILLIS = 3000;
-  private static final long APPROACH_MILLIS = 4000;
-  private static final long GLANCE_MILLIS = 150;
-  private static final int LOG_PAUSE_SECONDS = 1;
-  private static final long OLD_PROOF_MILLIS = 1500;
-
-  /** What the link does to the world. */
+  private static final long SILENCE_TIMEOUT_MILLIS = 1100;
+  private static final long MAJORITY_STALE_MILLIS = 2200;
+  private static final long REPORT_MILLIS = 500;
+  private static final long FIRST_VIEW_TIMEOUT_MILLIS = 900;
+  private static final long PARALLEL_DIAL_SILENT_MILLIS = 600;
+  private static final long PARALLEL_DIAL_CLOSED_MILLIS = 300;
+  private static final long REFUSED_RETRY_MILLIS = 150;
+  private static final long CONNECTED_VIEW_TIMEOUT_MILLIS = 3500;
+  private static final long NEARER_CHECK_MILLIS = 4000;
+  private static final long MAX_STALE_STAY_MILLIS = 3000;
+  private static final long PARALLEL_DIAL_TIMEOUT_MILLIS = 4000;
+  private static final long MIN_STALE_STAY_MILLIS = 150;
+  private static final int LOG_INTERVAL_SECONDS = 1;
+  private static final long PROOF_GAP_LOG_MILLIS = 1500;
+
+  /** The effects of the client: connections to registries, and updates for the traffic thread. */
   public interface Environment {
-    /** Makes this exchange the one there is a line to. */
+    /** Connects to this registry in place of the current one. */
     void dial(String address);
 
     /**
-     * Opens one more line, to this exchange, beside the one there is, for {@link
-     * RegistryClient#arrived}; false where only one line at a time can be had.
+     * Opens one more connection, to this registry, in addition to the current one, for {@link
+     * RegistryClient#switchTo}; false if only one connection at a time is supported.
      */
-    default boolean approach(final String address) {
+    default boolean dialParallel(final String address) {
       return false;
     }
 
-    /** A registry is down, or said itself that it hears no majority, since so long ago. */
+    /**
+     * Reports that a registry is down, or has stated that it had no contact with a majority for
+     * this long.
+     */
     default void coreUnsettled(final long ageMillis) {}
 
-    /** Closes all lines that were opened beside. */
-    default void abandonApproach() {}
+    /** Closes all connections opened by {@link #dialParallel}. */
+    default void closeParallel() {}
 
-    /** Sends over the line, where there is one. */
+    /** Sends over the current connection, if there is one. */
     void send(Message message);
 
-    /** Tells the traffic thread. */
-    void outlook(
+    /** Passes an update of the control state to the traffic thread; null means unchanged. */
+    void controlUpdate(
         RoutingTable routingTable,
         Map<Registration, Boolean> changes,
         Set<String> evacuated,
         Set<String> suspects,
-        int switchboards);
+        int proxyCount);
 
-    /** Tells the traffic thread of trials. */
-    void trials(List<TrialMessages.Trial> trials, long mark);
+    /** Passes trials to the traffic thread. */
+    void trialsChanged(List<TrialMessages.Trial> trials, long version);
 
-    /** Tells what was ended for caches. */
+    /** Passes cache purges on. */
     default void purges(final CacheMessages.Purges purges) {}
 
-    /** Tells how long ago the exchange heard of a majority, and which announcers there are. */
-    default void reached(final long ageMillis, final int boards, final List<String> announcers) {}
+    /**
+     * Reports how long ago the registry had contact with a majority, and which cache daemons there
+     * are.
+     */
+    default void registryStatus(
+        final long ageMillis, final int proxyCount, final List<String> cacheDaemons) {}
 
-    /** Tells who may choose the region's chief. */
+    /** Reports which proxies elect the region leader. */
     default void electorate(final RegionMessages.Electorate electorate) {}
 
-    /** Tells which switchboards share the site. */
-    default void neighbours(final List<String> addresses) {}
+    /** Reports the proxies of the same site. */
+    default void siteProxies(final List<String> addresses) {}
 
-    /** Tells among which upstreams callers are placed. */
+    /** Reports the upstreams among which callers with affinity are placed. */
     default void placements(final PlacementMessages.Placements placements) {}
 
-    /** Tells who holds the keys of divided services. */
+    /** Reports the key owners of partitioned services. */
     default void assignments(final List<Assignment> assignments) {}
 
-    /** A lease on placements was granted or refused. */
-    default void leased(final PlacementMessages.LeaseGrant grant) {}
+    /** Reports that a lease on placements was granted or refused. */
+    default void leaseAnswered(final PlacementMessages.LeaseGrant grant) {}
 
-    /** Tells whether to record. */
+    /** Reports whether requests should be recorded. */
     default void recording(final RecordingMessages.RecordingState state) {}
 
-    /** An answer to the claim of an idempotency key. */
-    default void claimed(final KeyMessages.ClaimResponse answer) {}
+    /** Reports the answer to a claim of an idempotency key. */
+    default void claimAnswered(final KeyMessages.ClaimResponse answer) {}
 
-    /** An answer to an ask for permits. */
-    default void permitted(final PermitMessages.PermitResponse response) {}
+    /** Reports the answer to a request for rate limit permits. */
+    default void permitAnswered(final PermitMessages.PermitResponse response) {}
 
     /**
-     * All that was acknowledged anywhere before this time of the own steady clock, in milliseconds,
-     * has been handed over.
+     * Reports that all control state acknowledged anywhere before this time of the local steady
+     * clock, in milliseconds, has been handed over.
      */
-    default void proved(final long provedAt) {}
+    default void proofRenewed(final long provedAt) {}
 
-    /** A new stream has given its first view. */
-    void admitted();
+    /** Reports that a new stream has delivered its first view. */
+    void firstViewReceived();
   }
 
   private final Environment environment;
   private final Random random;
   private final DaemonEntry self;
   private final RegistryAddresses addresses;
-  private final Map<String, Registration> history = new HashMap<>();
-  private String current;
+  private final Map<String, Registration> registrations = new HashMap<>();
+  private String currentAddress;
   private long dialledAt;
-  private long heardAt;
-  private long toldAt;
-  private boolean viewed;
-  private boolean open;
-  private long nearAt;
-  private int disappointments;
+  private long lastHeardAt;
+  private long reportedAt;
+  private boolean viewReceived;
+  private boolean connected;
+  private long nearerCheckAt;
+  private int staleRegistries;
   private long version;
-  private long evacuationMark = -1;
-  private long trialMark;
+  private long evacuationVersion = -1;
+  private long trialVersion;
   private long inForceVersion;
-  private long inForceMark;
+  private long inForceStateVersion;
   private long inForceSince;
-  private boolean leaving;
+  private boolean shuttingDown;
   private volatile long moves;
-  private long lastProvedAt;
-  private String approached;
-  private boolean seeking;
-  private long approachedAt;
+  private long provedAt;
+  private String parallelAddress;
+  private boolean searching;
+  private long parallelDialledAt;
 
-  /** A link for the switchboard that describes itself so. */
+  /** A client for the daemon described by {@code self}; it connects on {@link #start}. */
   public RegistryClient(
       final DaemonEntry self,
       final List<String> seeds,
@@ -162,287 +170,297 @@
     this.addresses = new RegistryAddresses(self, seeds, random);
   }
 
-  /** Takes another seed list: what is known of exchanges besides stays known. */
-  public void seeds(final List<String> given) {
-    addresses.add(given);
+  /** Adds the addresses of a new seed list; known registries are kept. */
+  public void addSeeds(final List<String> moreSeeds) {
+    addresses.add(moreSeeds);
   }
 
-  /** Begins. */
+  /** Connects to a first registry. */
   public void start(final long now) {
-    move(now);
+    dialNext(now);
   }
 
-  /** Goes to another exchange, and says why, so that a late configuration can be traced. */
+  /** Switches to another registry and logs why, so that a late configuration can be traced. */
   private void leave(final String reason, final long now) {
     moves = moves + 1;
-    LOGGER.atInfo().atMostEvery(LOG_PAUSE_SECONDS, TimeUnit.SECONDS).log(
-        "leaves registry %s: %s; heard %s ms ago, dialled %s ms ago, open %s, viewed %s",
-        current, reason, now - heardAt, now - dialledAt, open, viewed);
-    move(now);
+    LOGGER.atInfo().atMostEvery(LOG_INTERVAL_SECONDS, TimeUnit.SECONDS).log(
+        "Leaving registry %s: %s; last message %s ms ago, dialled %s ms ago, connected %s, view received %s",
+        currentAddress, reason, now - lastHeardAt, now - dialledAt, connected, viewReceived);
+    dialNext(now);
   }
 
-  /** How often this process went to another exchange. */
+  /** How often this process switched to another registry. */
   public long moves() {
     return moves;
   }
 
-  private void move(final long now) {
-    endApproach();
-    if (current != null && !viewed) {
-      addresses.failed(current, now);
+  private void dialNext(final long now) {
+    abandonParallelDial();
+    if (currentAddress != null && !viewReceived) {
+      addresses.dialFailed(currentAddress, now);
     }
-    current = addresses.next(current, null, now);
+    currentAddress = addresses.next(currentAddress, null, now);
     dialledAt = now;
-    heardAt = now;
-    viewed = false;
-    open = false;
-    nearAt = now + NEAR_MILLIS + random.nextInt((int) NEAR_MILLIS);
-    environment.dial(current);
+    lastHeardAt = now;
+    viewReceived = false;
+    connected = false;
+    nearerCheckAt = now + NEARER_CHECK_MILLIS + random.nextInt((int) NEARER_CHECK_MILLIS);
+    environment.dial(currentAddress);
   }
 
-  private void endApproach() {
-    seeking = false;
-    if (approached != null) {
-      approached = null;
-      environment.abandonApproach();
+  private void abandonParallelDial() {
+    searching = false;
+    if (parallelAddress != null) {
+      parallelAddress = null;
+      environment.closeParallel();
     }
   }
 
   /**
-   * Looks for another registry beside the line there is: one more is dialled each time that none
-   * has given a view for a while, and the first view wins. A stream that speaks again ends the
-   * search: on a full link it is the most likely one to bring the next configuration. False where
-   * only one line at a time can be had.
+   * Searches for another registry while the current connection is kept: one more is dialled each
+   * time that none has delivered a view within the interval, and the first view wins. A message on
+   * the current stream ends the search: on a full link it is the most likely one to bring the next
+   * configuration. False if only one connection at a time is supported.
    */
-  private boolean seek(final long pauseMillis, final long now) {
-    if (seeking && now - approachedAt < pauseMillis) {
+  private boolean dialParallel(final long intervalMillis, final long now) {
+    if (searching && now - parallelDialledAt < intervalMillis) {
       return true;
     }
-    final String another = addresses.next(current, approached, now);
-    if (!environment.approach(another)) {
+    final String address = addresses.next(currentAddress, parallelAddress, now);
+    if (!environment.dialParallel(address)) {
       return false;
     }
-    if (seeking) {
-      addresses.failed(approached, now);
+    if (searching) {
+      addresses.dialFailed(parallelAddress, now);
     }
-    LOGGER.atInfo().atMostEvery(LOG_PAUSE_SECONDS, TimeUnit.SECONDS).log(
-        "dials registry %s beside %s, which is silent for %s ms", another, current, now - heardAt);
-    seeking = true;
-    approached = another;
-    approachedAt = now;
+    LOGGER.atInfo().atMostEvery(LOG_INTERVAL_SECONDS, TimeUnit.SECONDS).log(
+        "Dialling registry %s in parallel: no message from registry %s for %s ms",
+        address, currentAddress, now - lastHeardAt);
+    searching = true;
+    parallelAddress = address;
+    parallelDialledAt = now;
     return true;
   }
 
-  /** What the exchange at a line that was opened beside is told first. */
-  public Message greeting(final long now) {
+  /** The first message to a registry on a new connection. */
+  public Message firstReport(final long now) {
     return new RegistryMessages.DaemonReport(
-        state(now), RegistrationBuckets.digests(history.values(), false));
+        daemonEntry(now), RegistrationBuckets.digests(registrations.values(), false));
   }
 
   /**
-   * An exchange that was approached has given its first view: its line is the one from now on. The
-   * line before was heard until this moment, so that nothing was missed between the two.
+   * Switches to a registry dialled in parallel, which has delivered its first view. Messages of the
+   * previous stream were accepted until this moment, so that nothing was missed between the two.
    */
-  public void arrived(final String address, final RegistryMessages.View view, final long now) {
+  public void switchTo(final String address, final RegistryMessages.View view, final long now) {
     LOGGER.atInfo().log(
-        "goes from registry %s to %s, %s ms after it dialled one beside",
-        current, address, now - approachedAt);
+        "Switching from registry %s to %s, %s ms after the parallel dial",
+        currentAddress, address, now - parallelDialledAt);
     moves = moves + 1;
-    current = address;
-    approached = null;
-    seeking = false;
+    currentAddress = address;
+    parallelAddress = null;
+    searching = false;
     dialledAt = now;
-    toldAt = now;
-    viewed = false;
-    open = true;
-    heard(view, now);
+    reportedAt = now;
+    viewReceived = false;
+    connected = true;
+    messageReceived(view, now);
   }
 
-  private void tell(final long now) {
-    toldAt = now;
-    environment.send(new RegistryMessages.DaemonReport(state(now)));
+  private void report(final long now) {
+    reportedAt = now;
+    environment.send(new RegistryMessages.DaemonReport(daemonEntry(now)));
   }
 
-  private DaemonEntry state(final long now) {
+  private DaemonEntry daemonEntry(final long now) {
     return new DaemonEntry(
         self.address,
         self.front,
         self.site,
         self.region,
         self.incarnation,
-        leaving,
+        shuttingDown,
         0,
         self.announcer,
         inForceVersion,
-        inForceMark,
+        inForceStateVersion,
         now - inForceSince);
   }
 
-  /** The line is there. */
-  public void opened(final long now) {
-    heardAt = now;
-    open = true;
-    toldAt = now;
-    environment.send(greeting(now));
+  /** Called when the connection to the current registry is established. */
+  public void streamOpened(final long now) {
+    lastHeardAt = now;
+    connected = true;
+    reportedAt = now;
+    environment.send(firstReport(now));
   }
 
-  /** The line has ended. */
-  public void closed(final long now) {
-    if (seeking) {
-      open = false;
+  /** Called when the connection to the current registry has ended. */
+  public void streamClosed(final long now) {
+    if (searching) {
+      connected = false;
       return;
     }
-    leave("the line has ended", now);
+    leave("the connection was closed", now);
   }
 
-  /** The exchange has said something. */
-  public void heard(final Message message, final long now) {
-    heardAt = now;
-    if (seeking && (viewed || message instanceof RegistryMessages.View)) {
-      endApproach();
+  /** Handles a message of the current registry. */
+  public void messageReceived(final Message message, final long now) {
+    lastHeardAt = now;
+    if (searching && (viewReceived || message instanceof RegistryMessages.View)) {
+      abandonParallelDial();
     }
     if (message instanceof RegistryMessages.View) {
-      final boolean first = !viewed;
-      viewed = true;
-      addresses.served(current);
-      trialMark = Math.max(trialMark, ((RegistryMessages.View) message).trialMark);
-      take((RegistryMessages.View) message);
+      final boolean firstView = !viewReceived;
+      viewReceived = true;
+      addresses.viewReceived(currentAddress);
+      trialVersion = Math.max(trialVersion, ((RegistryMessages.View) message).trialMark);
+      applyView((RegistryMessages.View) message);
       if (((RegistryMessages.View) message).trialMark >= 0) {
-        environment.trials(
+        environment.trialsChanged(
             Protocol.list(((RegistryMessages.View) message).trials),
             ((RegistryMessages.View) message).trialMark);
       }
-      if (first) {
-        environment.admitted();
+      if (firstView) {
+        environment.firstViewReceived();
       }
     } else if (message instanceof CacheMessages.Purges) {
       environment.purges((CacheMessages.Purges) message);
     } else if (message instanceof RegistryMessages.SiteProxies) {
-      environment.neighbours(Protocol.list(((RegistryMessages.SiteProxies) message).addresses));
+      environment.siteProxies(Protocol.list(((RegistryMessages.SiteProxies) message).addresses));
     } else if (message instanceof PlacementMessages.Placements) {
       environment.placements((PlacementMessages.Placements) message);
     } else if (message instanceof Assignments) {
       environment.assignments(Protocol.list(((Assignments) message).assignments));
     } else if (message instanceof PlacementMessages.LeaseGrant) {
-      environment.leased((PlacementMessages.LeaseGrant) message);
+      environment.leaseAnswered((PlacementMessages.LeaseGrant) message);
     } else if (message instanceof RegionMessages.Electorate) {
       environment.electorate((RegionMessages.Electorate) message);
     } else if (message instanceof RecordingMessages.RecordingState) {
       environment.recording((RecordingMessages.RecordingState) message);
     } else if (message instanceof KeyMessages.ClaimResponse) {
-      environment.claimed((KeyMessages.ClaimResponse) message);
+      environment.claimAnswered((KeyMessages.ClaimResponse) message);
     } else if (message instanceof PermitMessages.PermitResponse) {
-      environment.permitted((PermitMessages.PermitResponse) message);
+      environment.permitAnswered((PermitMessages.PermitResponse) message);
     } else if (message instanceof RegistryMessages.RegistryStatus) {
-      final RegistryMessages.RegistryStatus reach = (RegistryMessages.RegistryStatus) message;
-      environment.reached(reach.ageMillis, reach.boards, Protocol.list(reach.announcers));
-      final List<String> members = Protocol.list(reach.members);
+      final RegistryMessages.RegistryStatus status = (RegistryMessages.RegistryStatus) message;
+      environment.registryStatus(status.ageMillis, status.boards, Protocol.list(status.announcers));
+      final List<String> members = Protocol.list(status.members);
       addresses.reachable(members);
-      for (int index = 0; index < Protocol.list(reach.places).size(); index++) {
-        addresses.place(members.get(index), reach.places.get(index));
+      for (int index = 0; index < Protocol.list(status.places).size(); index++) {
+        addresses.setLocation(members.get(index), status.places.get(index));
       }
-      if (!viewed) {
-        open = false;
+      if (!viewReceived) {
+        connected = false;
         return;
       }
-      environment.outlook(null, Map.of(), null, null, reach.boards);
-      if (reach.contactMillis <= STALE_MILLIS) {
-        disappointments = 0;
-        approach(now);
-      } else if (now - Math.max(dialledAt, approachedAt)
-          > Math.min(STAY_MILLIS, GLANCE_MILLIS << Math.min(10, disappointments))) {
-        disappointments++;
+      environment.controlUpdate(null, Map.of(), null, null, status.boards);
+      if (status.contactMillis <= MAJORITY_STALE_MILLIS) {
+        staleRegistries = 0;
+        dialNearer(now);
+      } else if (now - Math.max(dialledAt, parallelDialledAt)
+          > Math.min(
+              MAX_STALE_STAY_MILLIS, MIN_STALE_STAY_MILLIS << Math.min(10, staleRegistries))) {
+        staleRegistries++;
         LOGGER.atInfo().log(
-            "registry %s has not heard of a majority for %s ms; trying another",
-            current, reach.contactMillis);
+            "Registry %s has had no contact with a majority for %s ms; trying another registry",
+            currentAddress, status.contactMillis);
         replaceStale(now);
       }
     }
   }
 
   /**
-   * The registry told, on the stream that is heard, that it had given all that was acknowledged
-   * before this time of the own clock. One that has not given its first view proves nothing.
+   * Handles a proof of the current registry that it has delivered all control state acknowledged
+   * before this time of the local steady clock. A registry that has not delivered its first view
+   * proves nothing.
    */
-  public void proved(final long provedAt, final long now) {
-    if (viewed && provedAt > lastProvedAt) {
-      if (now - lastProvedAt > OLD_PROOF_MILLIS && lastProvedAt > 0) {
+  public void proofReceived(final long newProvedAt, final long now) {
+    if (viewReceived && newProvedAt > provedAt) {
+      if (now - provedAt > PROOF_GAP_LOG_MILLIS && provedAt > 0) {
         LOGGER.atInfo().log(
-            "proof from registry %s after %s ms without one; it reaches to %s ms ago",
-            current, now - lastProvedAt, now - provedAt);
+            "Freshness proof from registry %s after %s ms without one; it covers control state up to %s ms ago",
+            currentAddress, now - provedAt, now - newProvedAt);
       }
-      lastProvedAt = provedAt;
-      environment.proved(provedAt);
+      provedAt = newProvedAt;
+      environment.proofRenewed(newProvedAt);
     }
   }
 
-  /** Dials another registry beside one that is behind; that one is left with the other's view. */
+  /**
+   * Dials another registry in parallel to one that is behind, which is left when the other has
+   * delivered its view.
+   */
   private void replaceStale(final long now) {
-    if (approached != null) {
-      addresses.failed(approached, now);
+    if (parallelAddress != null) {
+      addresses.dialFailed(parallelAddress, now);
     }
-    final String another = addresses.next(current, approached, now);
-    if (environment.approach(another)) {
-      approached = another;
-      approachedAt = now;
+    final String address = addresses.next(currentAddress, parallelAddress, now);
+    if (environment.dialParallel(address)) {
+      parallelAddress = address;
+      parallelDialledAt = now;
     } else {
-      move(now);
+      dialNext(now);
     }
   }
 
-  /** Moves to a nearer registry once all is calm. */
-  private void approach(final long now) {
-    if (now < nearAt || approached != null) {
+  /** Switches to a nearer registry after a period without problems. */
+  private void dialNearer(final long now) {
+    if (now < nearerCheckAt || parallelAddress != null) {
       return;
     }
-    nearAt = now + 4 * NEAR_MILLIS;
-    final String nearer = addresses.nearer(current);
-    if (nearer == null) {
+    nearerCheckAt = now + 4 * NEARER_CHECK_MILLIS;
+    final String address = addresses.nearer(currentAddress);
+    if (address == null) {
       return;
     }
-    if (environment.approach(nearer)) {
-      approached = nearer;
-      approachedAt = now;
+    if (environment.dialParallel(address)) {
+      parallelAddress = address;
+      parallelDialledAt = now;
       return;
     }
-    addresses.prefer(nearer);
-    leave("a nearer one is known", now);
+    addresses.prefer(address);
+    leave("a nearer registry is available", now);
   }
 
-  private void take(final RegistryMessages.View view) {
+  private void applyView(final RegistryMessages.View view) {
     RoutingTable routingTable = null;
     if (view.spec != null && view.version > version) {
       try {
         routingTable = RoutingTable.compile(Compression.inflate(view.spec));
         version = view.version;
         LOGGER.atInfo().log(
-            "spec %s is in force with %s routes, from %s, dialled %s ms ago",
-            Long.toHexString(version), routingTable.routes(), current, heardAt - dialledAt);
+            "Configuration %s is in force with %s routes; received from registry %s, dialled %s ms ago",
+            Long.toHexString(version),
+            routingTable.routes(),
+            currentAddress,
+            lastHeardAt - dialledAt);
       } catch (final WeldpointException exception) {
         LOGGER.atSevere().log(
-            "spec %s was not taken: %s", Long.toHexString(view.version), exception.getMessage());
+            "Configuration %s was rejected, the previous one stays in force: %s",
+            Long.toHexString(view.version), exception.getMessage());
       }
     }
     final Map<Registration, Boolean> changes = new java.util.LinkedHashMap<>();
-    final List<Registration> given = new ArrayList<>(Protocol.list(view.registrations));
-    given.addAll(RegistrationBuckets.unpack(view.packed));
-    for (final Registration registration : given) {
-      final Registration before = history.get(registration.id);
-      if (before == null || LifecycleStage.later(before, registration) != before) {
-        history.put(registration.id, registration);
-        final boolean open = LifecycleStage.of(registration).open();
-        if (before == null && !open) {
+    final List<Registration> viewRegistrations = new ArrayList<>(Protocol.list(view.registrations));
+    viewRegistrations.addAll(RegistrationBuckets.unpack(view.packed));
+    for (final Registration registration : viewRegistrations) {
+      final Registration previous = registrations.get(registration.id);
+      if (previous == null || LifecycleStage.later(previous, registration) != previous) {
+        registrations.put(registration.id, registration);
+        final boolean accepting = LifecycleStage.of(registration).open();
+        if (previous == null && !accepting) {
           continue;
         }
-        changes.put(registration, open);
+        changes.put(registration, accepting);
       }
     }
     Set<String> evacuated = null;
-    if (view.evacuationsGiven && view.evacuationMark > evacuationMark) {
-      evacuationMark = view.evacuationMark;
+    if (view.evacuationsGiven && view.evacuationMark > evacuationVersion) {
+      evacuationVersion = view.evacuationMark;
       evacuated = new HashSet<>(Protocol.list(view.evacuated));
     }
-    environment.outlook(
+    environment.controlUpdate(
         routingTable,
         changes,
         evacuated,
@@ -450,85 +468,93 @@
         view.boards);
   }
 
-  /** Time has passed. */
+  /** Checks the time limits; called periodically. */
   public void tick(final long now) {
-    if (approached != null && !seeking && now - approachedAt > APPROACH_MILLIS) {
-      endApproach();
+    if (parallelAddress != null
+        && !searching
+        && now - parallelDialledAt > PARALLEL_DIAL_TIMEOUT_MILLIS) {
+      abandonParallelDial();
     }
-    if (viewed && now - heardAt > SILENT_MILLIS) {
-      if (!seek(BESIDE_SILENT_MILLIS, now)) {
-        leave("it is silent", now);
+    if (viewReceived && now - lastHeardAt > SILENCE_TIMEOUT_MILLIS) {
+      if (!dialParallel(PARALLEL_DIAL_SILENT_MILLIS, now)) {
+        leave("no message within the silence timeout", now);
       }
-    } else if (!viewed
-        && (seeking || resumes(now))
-        && seek(open ? BESIDE_SILENT_MILLIS : BESIDE_ENDED_MILLIS, now)) {
-      tellInTime(now);
-    } else if (now - heardAt > (open && !viewed ? PATIENT_MILLIS : SILENT_MILLIS)
-        || !viewed && now - dialledAt > (open ? PATIENT_MILLIS : VIEW_MILLIS)) {
-      leave("it gives no view", now);
+    } else if (!viewReceived
+        && (searching || mayResume(now))
+        && dialParallel(
+            connected ? PARALLEL_DIAL_SILENT_MILLIS : PARALLEL_DIAL_CLOSED_MILLIS, now)) {
+      reportIfDue(now);
+    } else if (now - lastHeardAt
+            > (connected && !viewReceived ? CONNECTED_VIEW_TIMEOUT_MILLIS : SILENCE_TIMEOUT_MILLIS)
+        || !viewReceived
+            && now - dialledAt
+                > (connected ? CONNECTED_VIEW_TIMEOUT_MILLIS : FIRST_VIEW_TIMEOUT_MILLIS)) {
+      leave("no view within the time limit", now);
     } else {
-      tellInTime(now);
+      reportIfDue(now);
     }
   }
 
-  private void tellInTime(final long now) {
-    if (now - toldAt >= TELL_MILLIS) {
-      tell(now);
+  private void reportIfDue(final long now) {
+    if (now - reportedAt >= REPORT_MILLIS) {
+      report(now);
     }
   }
 
   /**
-   * Whether a proxy that had a stream before should dial more registries beside the one it waits
-   * for: what they would give is only what differs.
+   * Whether a proxy that had a stream before should dial more registries in parallel to the one it
+   * waits for: these would only send what differs.
    */
-  private boolean resumes(final long now) {
-    return !viewed
+  private boolean mayResume(final long now) {
+    return !viewReceived
         && version > 0
-        && now - dialledAt >= (open ? BESIDE_SILENT_MILLIS : BESIDE_ENDED_MILLIS);
+        && now - dialledAt
+            >= (connected ? PARALLEL_DIAL_SILENT_MILLIS : PARALLEL_DIAL_CLOSED_MILLIS);
   }
 
-  /** The registry said itself that it had heard no majority for so long. */
+  /** Called when the registry has stated that it had no contact with a majority for this long. */
   public void majorityLost(final long ageMillis) {
     environment.coreUnsettled(ageMillis);
   }
 
-  /** No registry listens at this address, though its machine answers. */
-  public void refused(final String address, final long now) {
+  /** Called when a connection was refused: the machine answers, but no registry listens there. */
+  public void connectionRefused(final String address, final long now) {
     environment.coreUnsettled(0);
-    addresses.failed(address, now);
-    if (address.equals(current) && !viewed && !open) {
-      dialledAt = Math.min(dialledAt, now - VIEW_MILLIS + REFUSED_PAUSE_MILLIS);
+    addresses.dialFailed(address, now);
+    if (address.equals(currentAddress) && !viewReceived && !connected) {
+      dialledAt = Math.min(dialledAt, now - FIRST_VIEW_TIMEOUT_MILLIS + REFUSED_RETRY_MILLIS);
     }
-    if (seeking && address.equals(approached)) {
-      approachedAt = Math.min(approachedAt, now - BESIDE_ENDED_MILLIS + REFUSED_PAUSE_MILLIS);
+    if (searching && address.equals(parallelAddress)) {
+      parallelDialledAt =
+          Math.min(parallelDialledAt, now - PARALLEL_DIAL_CLOSED_MILLIS + REFUSED_RETRY_MILLIS);
     }
   }
 
-  /** The process will end: clients should go elsewhere. */
+  /** Reports that the process is shutting down, so that clients use other proxies. */
   public void leave(final long now) {
-    leaving = true;
-    tell(now);
+    shuttingDown = true;
+    report(now);
   }
 
   /**
-   * The configuration of this version, and evacuations and trials under this mark, have come in
-   * force with the traffic thread.
+   * Reports that the traffic thread has applied this configuration version, and the evacuations and
+   * trials of this state version.
    */
-  public void inForce(final long given, final long mark, final long now) {
-    if (given != inForceVersion || mark != inForceMark) {
-      inForceVersion = given;
-      inForceMark = mark;
+  public void reportInForce(final long newVersion, final long stateVersion, final long now) {
+    if (newVersion != inForceVersion || stateVersion != inForceStateVersion) {
+      inForceVersion = newVersion;
+      inForceStateVersion = stateVersion;
       inForceSince = now;
-      tell(now);
+      report(now);
     }
   }
 
-  /** The mark of evacuations and trials that the traffic thread was told of. */
-  public long mark() {
-    return Math.max(0, evacuationMark) + trialMark;
+  /** The version of the evacuations and trials that were passed to the traffic thread. */
+  public long stateVersion() {
+    return Math.max(0, evacuationVersion) + trialVersion;
   }
 
-  /** The version of the spec in force. */
+  /** The version of the configuration in force. */
   public long version() {
     return version;
   }
--- a/proxy/src/main/java/weldpoint/proxy/RegistryStream.java
+++ b/proxy/src/main/java/weldpoint/proxy/RegistryStream.java
@@ -11,163 +11,170 @@
 import weldpoint.transport.Transport;
 
 /**
- * The one line to an exchange that a link wants at the moment; what comes from lines left behind is
- * not heard.
+ * The connection to the registry that a {@link RegistryClient} currently uses, and its parallel
+ * connections; messages of abandoned connections are ignored. Callbacks run on the control thread;
+ * {@link #send} may be called from any thread.
  */
 public final class RegistryStream {
-  private static final int MOST_BESIDE = 3;
+  private static final int MAX_PARALLEL = 3;
 
-  /** A registry that reads from a majority each half second has lost it after two reads. */
+  /** A registry reads from a majority every 500 ms; after two missed reads it has lost contact. */
   private static final long MAJORITY_LOST_MILLIS = 1000;
 
   private final Transport transport;
-  private final Executor desk;
+  private final Executor executor;
   private final int port;
-  private final Runnable ended;
-  private RegistryClient registry;
+  private final Runnable onClosed;
+  private RegistryClient registryClient;
   private volatile Transport.Connector connector;
-  private final List<Transport.Connector> beside = new ArrayList<>();
+  private final List<Transport.Connector> parallelConnectors = new ArrayList<>();
 
   /**
-   * A stream without a line; whoever is given is told on the control thread when a line has ended.
+   * A stream without a connection.
+   *
+   * @param executor runs the callbacks, on the control thread
+   * @param onClosed called there when a connection has ended or was replaced
    */
   public RegistryStream(
       final Transport transport,
-      final Executor desk,
+      final Executor executor,
       final Settings settings,
-      final Runnable ended) {
+      final Runnable onClosed) {
     this.transport = transport;
-    this.desk = desk;
+    this.executor = executor;
     this.port = settings.transportPort(0);
-    this.ended = ended;
+    this.onClosed = onClosed;
   }
 
-  /** Takes the link that hears what comes. */
-  public void registry(final RegistryClient given) {
-    registry = given;
+  /** Sets the client that receives the messages. */
+  public void registryClient(final RegistryClient client) {
+    registryClient = client;
   }
 
   /**
-   * Opens one more line, to this exchange, beside the one there is; the oldest of more than three
-   * is closed. The first that gives a view takes the place of the one there is, which is heard
-   * until then.
+   * Opens one more connection, to this registry, in addition to the current one; the oldest of more
+   * than three is closed. The first to deliver a view replaces the current one, whose messages are
+   * accepted until then.
    */
-  public void approach(final String address) {
-    if (beside.size() >= MOST_BESIDE) {
-      beside.remove(0).close();
+  public void dialParallel(final String address) {
+    if (parallelConnectors.size() >= MAX_PARALLEL) {
+      parallelConnectors.remove(0).close();
     }
-    beside.add(line(address));
+    parallelConnectors.add(connect(address));
   }
 
-  private void arrive(
+  private void promote(
       final String address, final Transport.Connector winner, final RegistryMessages.View view) {
-    final Transport.Connector before = connector;
+    final Transport.Connector previous = connector;
     connector = winner;
-    beside.remove(winner);
-    abandonApproach();
-    if (before != null) {
-      before.close();
+    parallelConnectors.remove(winner);
+    closeParallel();
+    if (previous != null) {
+      previous.close();
     }
-    registry.arrived(address, view, ProxyContext.now());
-    ended.run();
+    registryClient.switchTo(address, view, ProxyContext.now());
+    onClosed.run();
   }
 
-  /** Closes all lines beside. */
-  public void abandonApproach() {
-    beside.forEach(Transport.Connector::close);
-    beside.clear();
+  /** Closes all parallel connections. */
+  public void closeParallel() {
+    parallelConnectors.forEach(Transport.Connector::close);
+    parallelConnectors.clear();
   }
 
-  /** Makes this exchange the one there is a line to. */
+  /** Connects to this registry in place of the current one. */
   public void dial(final String address) {
-    abandonApproach();
+    closeParallel();
     if (connector != null) {
       connector.close();
     }
-    connector = line(address);
+    connector = connect(address);
   }
 
-  /** A line to this exchange, heard while it is the one there is or one beside it. */
-  private Transport.Connector line(final String address) {
-    final Transport.Connector[] mine = new Transport.Connector[1];
-    mine[0] =
+  /**
+   * Opens a connection to this registry; its messages count while it is the current connection or a
+   * parallel one.
+   */
+  private Transport.Connector connect(final String address) {
+    final Transport.Connector[] self = new Transport.Connector[1];
+    self[0] =
         transport.dial(
             address,
             port,
             Transport.on(
-                desk,
+                executor,
                 new Transport.Listener() {
                   @Override
                   public void opened(final Connection connection) {
-                    if (beside.contains(mine[0])) {
-                      connection.send(registry.greeting(ProxyContext.now()));
-                    } else if (connector == mine[0]) {
-                      registry.opened(ProxyContext.now());
+                    if (parallelConnectors.contains(self[0])) {
+                      connection.send(registryClient.firstReport(ProxyContext.now()));
+                    } else if (connector == self[0]) {
+                      registryClient.streamOpened(ProxyContext.now());
                     }
                   }
 
                   @Override
                   public void messageReceived(final Connection connection, final Message message) {
-                    if (connector == mine[0]) {
-                      take(connection.clock(), message, ProxyContext.now());
-                    } else if (beside.contains(mine[0])
+                    if (connector == self[0]) {
+                      deliver(connection.clock(), message, ProxyContext.now());
+                    } else if (parallelConnectors.contains(self[0])
                         && message instanceof RegistryMessages.View) {
-                      arrive(address, mine[0], (RegistryMessages.View) message);
+                      promote(address, self[0], (RegistryMessages.View) message);
                     }
                   }
 
                   @Override
                   public void refused() {
-                    registry.refused(address, ProxyContext.now());
+                    registryClient.connectionRefused(address, ProxyContext.now());
                   }
 
                   @Override
                   public void closed(final Connection connection) {
-                    if (connector == mine[0]) {
-                      registry.closed(ProxyContext.now());
-                      ended.run();
+                    if (connector == self[0]) {
+                      registryClient.streamClosed(ProxyContext.now());
+                      onClosed.run();
                     }
                   }
                 }));
-    return mine[0];
+    return self[0];
   }
 
   /**
-   * Hands a message to the link. Ages in the word of a registry are counted from when it was said,
-   * not from when it is read, and its proof becomes a time of the own clock.
+   * Passes a message to the client. Ages in a registry's status are counted from when it was sent,
+   * not from when it is read, and its proof is converted to the local clock.
    */
-  void take(final PeerClock clock, final Message message, final long now) {
+  void deliver(final PeerClock clock, final Message message, final long now) {
     if (!(message instanceof RegistryMessages.RegistryStatus)) {
-      registry.heard(message, now);
+      registryClient.messageReceived(message, now);
       return;
     }
-    final RegistryMessages.RegistryStatus reach = (RegistryMessages.RegistryStatus) message;
+    final RegistryMessages.RegistryStatus status = (RegistryMessages.RegistryStatus) message;
     final Long provedAt =
-        reach.confirmedClock == null ? null : clock.notAfter(reach.confirmedClock, now);
+        status.confirmedClock == null ? null : clock.notAfter(status.confirmedClock, now);
     if (provedAt != null) {
-      registry.proved(provedAt, now);
+      registryClient.proofReceived(provedAt, now);
     }
-    final Long saidAt = reach.sentClock == null ? null : clock.notAfter(reach.sentClock, now);
-    final long delayMillis = saidAt == null ? 0 : Math.max(0, now - saidAt);
-    if (saidAt != null && reach.contactMillis >= MAJORITY_LOST_MILLIS) {
-      registry.majorityLost(reach.contactMillis + delayMillis);
+    final Long sentAt = status.sentClock == null ? null : clock.notAfter(status.sentClock, now);
+    final long delayMillis = sentAt == null ? 0 : Math.max(0, now - sentAt);
+    if (sentAt != null && status.contactMillis >= MAJORITY_LOST_MILLIS) {
+      registryClient.majorityLost(status.contactMillis + delayMillis);
     }
-    registry.heard(reach.delayed(delayMillis), now);
+    registryClient.messageReceived(status.delayed(delayMillis), now);
   }
 
-  /** Ends the line for good. */
+  /** Closes all connections for good. */
   public void close() {
-    abandonApproach();
-    final Transport.Connector present = connector;
+    closeParallel();
+    final Transport.Connector current = connector;
     connector = null;
-    if (present != null) {
-      present.close();
+    if (current != null) {
+      current.close();
     }
   }
 
-  /** Sends where there is a line; tells whether there was one. */
+  /** Sends over the current connection; false if there is none or it did not accept the message. */
   public boolean send(final Message message) {
-    final Transport.Connector present = connector;
-    return present != null && present.send(message);
+    final Transport.Connector current = connector;
+    return current != null && current.send(message);
   }
 }
--- a/proxy/src/main/java/weldpoint/proxy/TenantCounts.java
+++ b/proxy/src/main/java/weldpoint/proxy/TenantCounts.java
@@ -6,51 +6,54 @@
 import java.util.Map;
 import weldpoint.metrics.Metric;
 
-/** What a proxy did with the requests of tenants that have a limit; a bounded number of tenants. */
+/**
+ * Counts sends and refusals of the tenants that have a rate limit. At most 200 tenants are counted
+ * by name, and the rest together.
+ */
 final class TenantCounts {
-  private static final int MOST_TENANTS = 200;
+  private static final int MAX_TENANTS = 200;
   private static final String OTHERS = "(others)";
 
-  private static final class Count {
+  private static final class TenantCount {
     long sent;
     long refused;
   }
 
-  private final Map<String, Count> counts = new HashMap<>();
+  private final Map<String, TenantCount> counts = new HashMap<>();
 
-  private Count of(final String tenant) {
-    final Count known = counts.get(tenant);
+  private TenantCount of(final String tenant) {
+    final TenantCount known = counts.get(tenant);
     if (known != null) {
       return known;
     }
-    final String name = counts.size() < MOST_TENANTS ? tenant : OTHERS;
-    return counts.computeIfAbsent(name, unused -> new Count());
+    final String name = counts.size() < MAX_TENANTS ? tenant : OTHERS;
+    return counts.computeIfAbsent(name, unused -> new TenantCount());
   }
 
-  /** A request of a tenant was sent to an upstream. */
-  void sent(final String tenant) {
+  /** Counts a request that was sent to an upstream. */
+  void countSend(final String tenant) {
     of(tenant).sent++;
   }
 
-  /** A request of a tenant was refused for its limit. */
-  void refused(final String tenant) {
+  /** Counts a request that was refused because of the tenant's rate limit. */
+  void countRefusal(final String tenant) {
     of(tenant).refused++;
   }
 
-  /** The counts as figures. */
-  List<Metric> figures() {
-    final List<Metric> figures = new ArrayList<>();
+  /** The counts as metrics. */
+  List<Metric> metrics() {
+    final List<Metric> metrics = new ArrayList<>();
     counts.forEach(
         (tenant, count) -> {
-          figures.add(
+          metrics.add(
               Metric.counter(
                       "weldpoint_tenant_sends", "Sends to upstreams on a permit.", count.sent)
                   .with("tenant", tenant));
-          figures.add(
+          metrics.add(
               Metric.counter(
                       "weldpoint_tenant_refusals", "Requests refused with 429.", count.refused)
                   .with("tenant", tenant));
         });
-    return figures;
+    return metrics;
   }
 }
--- a/proxy/src/test/java/weldpoint/proxy/AtMostOnceTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/AtMostOnceTest.java
@@ -153,7 +153,7 @@
                 .getBytes(StandardCharsets.UTF_8));
     loop.submit(
             () ->
-                proxyContext.take(
+                proxyContext.apply(
                     new ControlUpdate(routingTable, changes, null, null, 1, null, -1)))
         .sync();
   }
@@ -402,7 +402,7 @@
     }
     await(() -> upstreams.stream().anyMatch(upstream -> upstream.leftAlone.getCount() == 0));
     assertEquals(arrivals.get(), 1);
-    loop.submit(() -> assertEquals(proxyContext.open.count(), 0)).sync();
+    loop.submit(() -> assertEquals(proxyContext.openRequests.count(), 0)).sync();
   }
 
   private interface Condition {
--- a/proxy/src/test/java/weldpoint/proxy/CachedCopiesTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/CachedCopiesTest.java
@@ -63,15 +63,15 @@
   @Test
   public void onlyOneClearKeyCounts() {
     final DefaultHttpHeaders headers = new DefaultHttpHeaders();
-    assertNull(CachedCopies.key(headers));
+    assertNull(CachedCopies.bearerKey(headers));
     headers.add("Authorization", "Bearer k1");
-    assertEquals(CachedCopies.key(headers), "k1");
+    assertEquals(CachedCopies.bearerKey(headers), "k1");
     headers.add("Authorization", "Bearer k2");
-    assertNull(CachedCopies.key(headers));
+    assertNull(CachedCopies.bearerKey(headers));
     headers.set("Authorization", "Basic k1");
-    assertNull(CachedCopies.key(headers));
+    assertNull(CachedCopies.bearerKey(headers));
     headers.set("Authorization", "Bearer k1, Bearer k2");
-    assertNull(CachedCopies.key(headers));
+    assertNull(CachedCopies.bearerKey(headers));
   }
 
   @Test
@@ -79,7 +79,7 @@
     final List<Message> sent = new ArrayList<>();
     final List<String> heard = new ArrayList<>();
     final PermitPool permits = new PermitPool(sent::add);
-    permits.ask(
+    permits.acquire(
         "tenant/t",
         1,
         (granted, version, confirmedAt) -> heard.add(granted + " " + confirmedAt),
@@ -88,18 +88,19 @@
         new PermitMessages.PermitResponse(
             ((PermitMessages.PermitRequest) sent.get(0)).number, 1, 4, 300));
     assertEquals(heard, List.of("1 700"), "the spec's age counts from the own question");
-    permits.ask(
+    permits.acquire(
         "tenant/t", 1, (granted, version, confirmedAt) -> heard.add("late " + granted), 2000);
-    permits.sweep(false, 2500);
+    permits.expire(false, 2500);
     assertEquals(heard.size(), 1);
-    permits.sweep(false, 2800);
+    permits.expire(false, 2800);
     assertEquals(heard.get(1), "late 0");
     permits.answered(
         new PermitMessages.PermitResponse(
             ((PermitMessages.PermitRequest) sent.get(1)).number, 1, 4, 0));
     assertEquals(heard.size(), 2, "each hears once");
     new PermitPool(message -> false)
-        .ask("tenant/t", 1, (granted, version, confirmedAt) -> heard.add("no line " + granted), 1);
+        .acquire(
+            "tenant/t", 1, (granted, version, confirmedAt) -> heard.add("no line " + granted), 1);
     assertEquals(heard.get(2), "no line 0");
   }
 
@@ -125,31 +126,31 @@
                 return dark.contains(address) ? 1200 : 10;
               }
             });
-    recordings.announcers(List.of("a", "b", "c"), 0);
-    recordings.ask("media", "h", "/x", 5000, answers::add, 10);
+    recordings.updateDaemons(List.of("a", "b", "c"), 0);
+    recordings.read("media", "h", "/x", 5000, answers::add, 10);
     final String first = asked.get(asked.size() - 1);
-    recordings.sweep(1000);
+    recordings.checkTimeouts(1000);
     assertEquals(
         asked.get(asked.size() - 1),
         first,
         "one that holds a request and is not silent is not left");
     dark.add(first);
-    recordings.sweep(1420);
+    recordings.checkTimeouts(1420);
     final String second = asked.get(asked.size() - 1);
     assertEquals(answers.size(), 0);
     assertEquals(
         new java.util.TreeSet<>(List.of(first, second)),
         new java.util.TreeSet<>(List.of("a", "b")));
-    recordings.heard(second, new CacheReadResponse(1, 200, null, null), 1450);
+    recordings.responseReceived(second, new CacheReadResponse(1, 200, null, null), 1450);
     assertEquals(answers.get(0).status, 200);
     asked.clear();
-    recordings.ask("media", "h", "/x", 5000, answers::add, 1500);
+    recordings.read("media", "h", "/x", 5000, answers::add, 1500);
     assertEquals(asked.get(asked.size() - 1), second, "the silent one is doubted for a while");
     recordings.closed(second, 1600);
     recordings.closed(first, 1700);
     assertEquals(answers.get(1).status, 0, "nobody is left");
-    recordings.announcers(List.of("a"), 1900);
-    recordings.ask("media", "h", "/x", 5000, answers::add, 2000);
+    recordings.updateDaemons(List.of("a"), 1900);
+    recordings.read("media", "h", "/x", 5000, answers::add, 2000);
     assertEquals(answers.size(), 2, "those that a fresh exchange does not name yet are kept");
   }
 }
--- a/proxy/src/test/java/weldpoint/proxy/ConfigurationAtSendTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/ConfigurationAtSendTest.java
@@ -120,7 +120,8 @@
       void end(final ConfigurationAtSendTest test) throws InterruptedException {
         final long number = ((PermitRequest) test.asked.get()).number;
         test.onLoop(
-            () -> test.proxy.proxyContext().permits.answered(new PermitResponse(number, 1, 2, 0)));
+            () ->
+                test.proxy.proxyContext().permitPool.answered(new PermitResponse(number, 1, 2, 0)));
       }
     },
     /** The request's idempotency key is claimed. */
@@ -137,8 +138,8 @@
             () ->
                 test.proxy
                     .proxyContext()
-                    .keys
-                    .answered(
+                    .idempotentRequests
+                    .claimAnswered(
                         new KeyMessages.ClaimResponse(
                             claim.number, KeyMessages.ClaimResult.GRANTED, claim),
                         ProxyContext.now()));
@@ -169,7 +170,11 @@
         final CacheReadResponse copy =
             new CacheReadResponse(number, 200, List.of("Weldpoint-Server-Seal", "s"), new byte[4]);
         test.onLoop(
-            () -> test.proxy.proxyContext().recordings.heard(CACHE_NODE, copy, ProxyContext.now()));
+            () ->
+                test.proxy
+                    .proxyContext()
+                    .cacheClient
+                    .responseReceived(CACHE_NODE, copy, ProxyContext.now()));
       }
     };
 
@@ -275,7 +280,7 @@
   }
 
   private void awaitRequest() throws InterruptedException {
-    TestProxy.await(() -> proxy.proxyContext().open.count() == 1, "no request has come");
+    TestProxy.await(() -> proxy.proxyContext().openRequests.count() == 1, "no request has come");
   }
 
   private void assignHolder() throws InterruptedException {
@@ -289,7 +294,7 @@
             RangeState.HELD,
             null);
     final Assignment assignment = new Assignment("s", 1, "registry", 1, List.of(all));
-    onLoop(() -> proxy.proxyContext().owners.take(List.of(assignment)));
+    onLoop(() -> proxy.proxyContext().keyOwners.take(List.of(assignment)));
   }
 
   private void place() throws InterruptedException {
@@ -343,16 +348,16 @@
 
   private void attach(final Wait wait) {
     final ProxyContext context = proxy.proxyContext();
-    context.tieWaitMillis = 2000;
+    context.affinityWaitMillis = 2000;
     context.affinity = new AffinityTable("127.0.0.1", 1, 4000, ask -> {});
-    context.permits = new PermitPool(this::take);
+    context.permitPool = new PermitPool(this::take);
     if (wait == Wait.CLAIM) {
       context.keyHeaders = List.of("Idempotency-Key");
-      context.keys = new IdempotentRequests("127.0.0.1", 1, 75_000, new Claims());
+      context.idempotentRequests = new IdempotentRequests("127.0.0.1", 1, 75_000, new Claims());
     }
     if (wait == Wait.COPY) {
-      context.recordings = new CacheClient(new CacheLines());
-      context.recordings.announcers(List.of(CACHE_NODE), ProxyContext.now());
+      context.cacheClient = new CacheClient(new CacheLines());
+      context.cacheClient.updateDaemons(List.of(CACHE_NODE), ProxyContext.now());
     }
   }
 
@@ -363,13 +368,13 @@
   /** A registry that takes each claim and answers it when the test says so. */
   private final class Claims implements IdempotentRequests.Environment {
     @Override
-    public boolean registry(final Message message) {
+    public boolean sendToRegistry(final Message message) {
       take(message);
       return true;
     }
 
     @Override
-    public void outcome(
+    public void queryOutcome(
         final KeyMessages.Claim holder,
         final long fingerprint,
         final long waitMillis,
@@ -378,7 +383,7 @@
     }
 
     @Override
-    public void later(final Runnable task, final long millis) {
+    public void schedule(final Runnable task, final long millis) {
       proxy.proxyContext().loop.schedule(task, millis, TimeUnit.MILLISECONDS);
     }
   }
--- a/proxy/src/test/java/weldpoint/proxy/IdempotentRequestsTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/IdempotentRequestsTest.java
@@ -34,7 +34,7 @@
   private final List<Message> sent = new ArrayList<>();
   private final List<Claim> askedOf = new ArrayList<>();
   private final List<Consumer<OutcomeResponse>> asked = new ArrayList<>();
-  private final List<Runnable> later = new ArrayList<>();
+  private final List<Runnable> schedule = new ArrayList<>();
   private boolean stream;
   private IdempotentRequests runs;
   private long now;
@@ -44,14 +44,14 @@
     sent.clear();
     askedOf.clear();
     asked.clear();
-    later.clear();
+    schedule.clear();
     stream = true;
     now = ProxyContext.now();
     runs = new IdempotentRequests("10.0.0.1", 77, WINDOW, this);
   }
 
   @Override
-  public boolean registry(final Message message) {
+  public boolean sendToRegistry(final Message message) {
     if (stream) {
       sent.add(message);
     }
@@ -59,7 +59,7 @@
   }
 
   @Override
-  public void outcome(
+  public void queryOutcome(
       final Claim holder,
       final long fingerprint,
       final long waitMillis,
@@ -69,8 +69,8 @@
   }
 
   @Override
-  public void later(final Runnable task, final long millis) {
-    later.add(task);
+  public void schedule(final Runnable task, final long millis) {
+    schedule.add(task);
   }
 
   private static final class Heard implements IdempotentRequests.Listener {
@@ -84,7 +84,7 @@
     }
 
     @Override
-    public void repeated(final OutcomeResponse given) {
+    public void duplicate(final OutcomeResponse given) {
       first = given;
     }
 
@@ -105,7 +105,7 @@
   }
 
   private void answer(final Claim claim, final ClaimResult result, final Claim holder) {
-    runs.answered(new ClaimResponse(claim.number, result, holder), now);
+    runs.claimAnswered(new ClaimResponse(claim.number, result, holder), now);
   }
 
   private Heard granted() {
@@ -128,7 +128,7 @@
   public void aRepeatHereGetsTheAnswerWithoutAskingAnybody() {
     final Heard first = granted();
     final Heard waiting = begin(KEY);
-    runs.ran(first.run, 200, List.of("a", "b"), new byte[] {7});
+    runs.storeResponse(first.run, 200, List.of("a", "b"), new byte[] {7});
     final Heard later = begin(KEY);
     assertEquals(sent.size(), 1, "one claim");
     for (final Heard repeat : List.of(waiting, later)) {
@@ -146,17 +146,17 @@
     runs.neverRan(first.run, now);
     assertTrue(sent.get(1) instanceof ClaimRelease);
     assertNull(waiting.first);
-    later.get(0).run();
+    schedule.get(0).run();
     assertNotEquals(lastClaim().number, first.run.claim().number);
     answer(lastClaim(), ClaimResult.GRANTED, null);
-    assertTrue(waiting.run != null && waiting.run.atWork());
+    assertTrue(waiting.run != null && waiting.run.inProgress());
   }
 
   @Test
   public void aGrantThatComesTooLateIsNotUsedAndIsGivenBack() {
     final Heard slow = begin(KEY);
     final Claim claim = lastClaim();
-    runs.sweep(false, now + IdempotentRequests.PATIENCE_MILLIS + 1);
+    runs.expire(false, now + IdempotentRequests.CLAIM_TIMEOUT_MILLIS + 1);
     assertEquals(slow.unavailable, 1);
     assertEquals(((ClaimRelease) sent.get(1)).claims.get(0).number, claim.number);
     answer(claim, ClaimResult.GRANTED, null);
@@ -177,7 +177,7 @@
     runs.neverRan(first.run, now);
     assertEquals(sent.size(), 1);
     stream = true;
-    runs.sweep(false, now);
+    runs.expire(false, now);
     assertTrue(sent.get(1) instanceof ClaimRelease);
   }
 
@@ -197,16 +197,16 @@
       answer(lastClaim(), ClaimResult.HELD, foreign());
       asked.get(tries).accept(new OutcomeResponse(Outcome.NEVER_RAN));
       if (tries < 3) {
-        later.get(tries).run();
+        schedule.get(tries).run();
       }
     }
     assertEquals(repeat.unavailable, 1);
-    assertEquals(later.size(), 3);
+    assertEquals(schedule.size(), 3);
   }
 
   private Outcome told(final Claim claim, final long fingerprint) {
     final List<OutcomeResponse> heard = new ArrayList<>();
-    runs.outcome(claim, fingerprint, heard::add);
+    runs.queryOutcome(claim, fingerprint, heard::add);
     return heard.isEmpty() ? null : heard.get(0).outcome();
   }
 
@@ -231,11 +231,11 @@
     final Heard first = begin(KEY);
     final Claim claim = lastClaim();
     final List<OutcomeResponse> heard = new ArrayList<>();
-    runs.outcome(claim, 3, heard::add);
+    runs.queryOutcome(claim, 3, heard::add);
     answer(claim, ClaimResult.GRANTED, null);
-    later.get(0).run();
+    schedule.get(0).run();
     assertEquals(heard, List.of(), "now it is at work");
-    runs.ran(first.run, 200, List.of(), new byte[0]);
+    runs.storeResponse(first.run, 200, List.of(), new byte[0]);
     assertEquals(heard.get(0).outcome(), Outcome.ANSWERED);
   }
 
@@ -245,16 +245,16 @@
     for (int key = 0; key < 200; key++) {
       final Heard heard = begin(new IdempotencyKey(key, key, key));
       answer(lastClaim(), ClaimResult.GRANTED, null);
-      runs.ran(heard.run, 200, List.of(), new byte[60 << 10]);
+      runs.storeResponse(heard.run, 200, List.of(), new byte[60 << 10]);
       all.add(heard.run);
     }
     assertEquals(all.get(0).outcome().outcome(), Outcome.UNCERTAIN);
     assertEquals(all.get(199).outcome().outcome(), Outcome.ANSWERED);
     final Heard repeat = begin(new IdempotencyKey(0, 0, 0));
     assertEquals(repeat.first.outcome(), Outcome.UNCERTAIN);
-    runs.sweep(false, now + 10 * WINDOW);
+    runs.expire(false, now + 10 * WINDOW);
     assertTrue(
-        runs.figures().stream()
+        runs.metrics().stream()
             .filter(metric -> metric.name().equals("weldpoint_keyed_bytes"))
             .allMatch(metric -> metric.value() == 0));
   }
--- a/proxy/src/test/java/weldpoint/proxy/ProxiedRequestTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/ProxiedRequestTest.java
@@ -120,7 +120,7 @@
             new UpstreamPool.Change(registrations[2], true));
     loop.submit(
             () ->
-                proxyContext.take(
+                proxyContext.apply(
                     new ControlUpdate(routingTable, changes, null, null, 1, null, -1)))
         .sync();
   }
--- a/proxy/src/test/java/weldpoint/proxy/ProxyThreadsTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/ProxyThreadsTest.java
@@ -42,7 +42,7 @@
             () ->
                 daemon
                     .proxyContext()
-                    .take(new ControlUpdate(routingTable, List.of(), null, null, 1, null, -1)))
+                    .apply(new ControlUpdate(routingTable, List.of(), null, null, 1, null, -1)))
         .sync();
     final long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(8);
     boolean open = false;
--- a/proxy/src/test/java/weldpoint/proxy/RegistryClientTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/RegistryClientTest.java
@@ -57,13 +57,13 @@
               }
 
               @Override
-              public boolean approach(final String address) {
+              public boolean dialParallel(final String address) {
                 approached.add(address);
                 return twoLines;
               }
 
               @Override
-              public void abandonApproach() {
+              public void closeParallel() {
                 abandoned++;
               }
 
@@ -71,7 +71,7 @@
               public void send(final Message message) {}
 
               @Override
-              public void outlook(
+              public void controlUpdate(
                   final RoutingTable routingTable,
                   final Map<Registration, Boolean> changes,
                   final Set<String> sites,
@@ -87,10 +87,10 @@
               }
 
               @Override
-              public void trials(final List<TrialMessages.Trial> trials, final long mark) {}
+              public void trialsChanged(final List<TrialMessages.Trial> trials, final long mark) {}
 
               @Override
-              public void admitted() {}
+              public void firstViewReceived() {}
             });
     registry.start(0);
     return registry;
@@ -126,13 +126,13 @@
   @Test
   public void nothingOlderIsTakenFromAnotherExchange() {
     final RegistryClient registry = link();
-    registry.heard(view(5, 2, List.of("a"), upstream(LifecycleStage.DRAINING, 3)), 10);
-    registry.closed(20);
-    registry.heard(view(4, 1, List.of(), upstream(LifecycleStage.JOINED, 9)), 30);
+    registry.messageReceived(view(5, 2, List.of("a"), upstream(LifecycleStage.DRAINING, 3)), 10);
+    registry.streamClosed(20);
+    registry.messageReceived(view(4, 1, List.of(), upstream(LifecycleStage.JOINED, 9)), 30);
     assertEquals(specs, List.of(5L));
     assertEquals(evacuated, Set.of("a"));
     assertNotEquals(open.get("i"), Boolean.TRUE);
-    registry.heard(view(6, 3, List.of()), 40);
+    registry.messageReceived(view(6, 3, List.of()), 40);
     assertEquals(specs, List.of(5L, 6L));
     assertEquals(evacuated, Set.of());
   }
@@ -140,19 +140,20 @@
   @Test
   public void aSilentOrStaleExchangeIsLeft() {
     final RegistryClient registry = link();
-    registry.heard(view(5, 0, List.of()), 10);
-    registry.heard(new RegistryMessages.RegistryStatus(100, 3, List.of("e1", "e2", "e3")), 500);
+    registry.messageReceived(view(5, 0, List.of()), 10);
+    registry.messageReceived(
+        new RegistryMessages.RegistryStatus(100, 3, List.of("e1", "e2", "e3")), 500);
     registry.tick(1000);
     assertEquals(dialled.size(), 1);
     registry.tick(2100);
     assertEquals(dialled.size(), 2);
     assertNotEquals(dialled.get(0), dialled.get(1));
-    registry.heard(view(5, 0, List.of()), 2200);
-    registry.heard(new RegistryMessages.RegistryStatus(9000, 3, List.of()), 2400);
+    registry.messageReceived(view(5, 0, List.of()), 2200);
+    registry.messageReceived(new RegistryMessages.RegistryStatus(9000, 3, List.of()), 2400);
     assertEquals(dialled.size(), 3);
     for (long now = 2600; now < 5000; now += 200) {
-      registry.heard(view(5, 0, List.of()), now);
-      registry.heard(new RegistryMessages.RegistryStatus(9000, 3, List.of()), now);
+      registry.messageReceived(view(5, 0, List.of()), now);
+      registry.messageReceived(new RegistryMessages.RegistryStatus(9000, 3, List.of()), now);
     }
     assertTrue(dialled.size() <= 6, "glances slow down while all are stale: " + dialled.size());
   }
@@ -160,15 +161,16 @@
   @Test
   public void aViewThatIsLongOnItsWayIsWaitedForUnlessTheExchangeSaysThatItKnowsNothing() {
     final RegistryClient slow = link();
-    slow.opened(10);
+    slow.streamOpened(10);
     slow.tick(1500);
     slow.tick(3000);
     assertEquals(dialled.size(), 1, "the line is open and a view may be under way");
-    slow.heard(view(5, 0, List.of()), 3100);
+    slow.messageReceived(view(5, 0, List.of()), 3100);
     assertEquals(specs, List.of(5L));
     final RegistryClient uninformed = link();
-    uninformed.opened(10);
-    uninformed.heard(new RegistryMessages.RegistryStatus(Integer.MAX_VALUE, 3, List.of()), 500);
+    uninformed.streamOpened(10);
+    uninformed.messageReceived(
+        new RegistryMessages.RegistryStatus(Integer.MAX_VALUE, 3, List.of()), 500);
     uninformed.tick(950);
     assertEquals(dialled.size(), 2);
     final RegistryClient dead = link();
@@ -181,7 +183,8 @@
 
   private static void reach(final RegistryClient registry, final long from, final long until) {
     for (long now = from; now < until; now += 500) {
-      registry.heard(new RegistryMessages.RegistryStatus(100, 3, MEMBERS, null, PLACES), now);
+      registry.messageReceived(
+          new RegistryMessages.RegistryStatus(100, 3, MEMBERS, null, PLACES), now);
       registry.tick(now);
     }
   }
@@ -190,18 +193,18 @@
   public void itKeepsItsStreamUntilTheNearerOneHasGivenAView() {
     final RegistryClient registry = linkOfTwoLines();
     try {
-      registry.opened(10);
-      registry.heard(view(5, 0, List.of()), 20);
+      registry.streamOpened(10);
+      registry.messageReceived(view(5, 0, List.of()), 20);
       reach(registry, 500, 9000);
       assertEquals(approached, List.of("here"));
       assertEquals(dialled.size(), 1, "the stream there is was not left");
-      registry.heard(view(6, 1, List.of()), 9100);
+      registry.messageReceived(view(6, 1, List.of()), 9100);
       assertEquals(specs, List.of(5L, 6L), "what comes meanwhile is taken");
-      registry.arrived("here", view(6, 1, List.of()), 9200);
+      registry.switchTo("here", view(6, 1, List.of()), 9200);
       reach(registry, 9500, 40_000);
       assertEquals(dialled.size(), 1, "the nearer one is the stream now");
       assertEquals(approached, List.of("here"));
-      registry.closed(40_000);
+      registry.streamClosed(40_000);
       assertEquals(dialled.size(), 2);
       assertNotEquals(dialled.get(1), "here");
     } finally {
@@ -217,15 +220,15 @@
   public void aSilentStreamIsKeptUntilAnotherOneHasGivenAView() {
     final RegistryClient registry = linkOfTwoLines();
     try {
-      registry.opened(10);
-      registry.heard(view(5, 0, List.of()), 20);
+      registry.streamOpened(10);
+      registry.messageReceived(view(5, 0, List.of()), 20);
       for (long now = 100; now <= 4000; now += 100) {
         registry.tick(now);
       }
       assertTrue(!approached.isEmpty(), "another one is sought");
       assertEquals(dialled.size(), 1, "the stream there is was not left: " + dialled);
       assertTrue(approached.size() >= 3, "one more is tried each time: " + approached);
-      registry.heard(view(6, 1, List.of()), 4100);
+      registry.messageReceived(view(6, 1, List.of()), 4100);
       assertEquals(abandoned, 1, "it speaks again");
       registry.tick(4200);
       assertEquals(dialled.size(), 1);
@@ -238,8 +241,8 @@
   public void aNearerOneThatGivesNoViewCostsNothing() {
     final RegistryClient registry = linkOfTwoLines();
     try {
-      registry.opened(10);
-      registry.heard(view(5, 0, List.of()), 20);
+      registry.streamOpened(10);
+      registry.messageReceived(view(5, 0, List.of()), 20);
       reach(registry, 500, 16_000);
       assertEquals(approached.size(), 1);
       assertEquals(abandoned, 1);
@@ -254,13 +257,14 @@
     final RegistryClient registry = link();
     final List<String> members = List.of("e1", "e2", "e3", "near", "here");
     final List<String> places = List.of("q/x", "q/y", "q/z", "r/b", "r/a");
-    registry.opened(10);
-    registry.heard(view(5, 0, List.of()), 20);
+    registry.streamOpened(10);
+    registry.messageReceived(view(5, 0, List.of()), 20);
     for (long now = 500; now < 60_000; now += 500) {
-      registry.heard(new RegistryMessages.RegistryStatus(100, 3, members, null, places), now);
+      registry.messageReceived(
+          new RegistryMessages.RegistryStatus(100, 3, members, null, places), now);
       registry.tick(now);
       if (dialled.size() == 2) {
-        registry.heard(view(5, 0, List.of()), now + 10);
+        registry.messageReceived(view(5, 0, List.of()), now + 10);
       }
     }
     assertEquals(dialled.size(), 2, dialled.toString());
@@ -277,17 +281,17 @@
   public void aStreamThatEndedIsSoughtAtSeveralRegistriesAtOnce() {
     final RegistryClient registry = linkOfTwoLines();
     try {
-      registry.opened(10);
-      registry.heard(view(5, 0, List.of()), 20);
-      registry.heard(new RegistryMessages.RegistryStatus(100, 3, MEMBERS), 500);
-      registry.closed(600);
+      registry.streamOpened(10);
+      registry.messageReceived(view(5, 0, List.of()), 20);
+      registry.messageReceived(new RegistryMessages.RegistryStatus(100, 3, MEMBERS), 500);
+      registry.streamClosed(600);
       for (long now = 700; now <= 600 + WITHIN_MILLIS; now += 100) {
         registry.tick(now);
       }
       final java.util.Set<String> sought = new java.util.HashSet<>(approached);
       sought.add(dialled.get(dialled.size() - 1));
       assertTrue(sought.size() >= 3, "sought at " + sought);
-      registry.arrived(approached.get(0), view(6, 1, List.of()), 1700);
+      registry.switchTo(approached.get(0), view(6, 1, List.of()), 1700);
       assertEquals(specs, List.of(5L, 6L));
     } finally {
       twoLines = false;
@@ -302,15 +306,15 @@
   public void aRegistryThatLostTheMajorityIsKeptUntilAnotherOneHasGivenAView() {
     final RegistryClient registry = linkOfTwoLines();
     try {
-      registry.opened(10);
-      registry.heard(view(5, 0, List.of()), 20);
+      registry.streamOpened(10);
+      registry.messageReceived(view(5, 0, List.of()), 20);
       for (long now = 500; now <= 3000; now += 500) {
-        registry.heard(new RegistryMessages.RegistryStatus(9000, 3, MEMBERS), now);
+        registry.messageReceived(new RegistryMessages.RegistryStatus(9000, 3, MEMBERS), now);
         registry.tick(now);
       }
       assertEquals(dialled.size(), 1, "the stream there is was left: " + dialled);
       assertTrue(!approached.isEmpty(), "another one is sought");
-      registry.heard(view(6, 1, List.of()), 3100);
+      registry.messageReceived(view(6, 1, List.of()), 3100);
       assertEquals(specs, List.of(5L, 6L), "what comes meanwhile is taken");
     } finally {
       twoLines = false;
@@ -322,10 +326,11 @@
   public void aRegistryThatGaveNoViewIsDialledAfterTheOthers() {
     final RegistryClient registry = linkOfTwoLines();
     try {
-      registry.opened(10);
-      registry.heard(view(5, 0, List.of()), 20);
-      registry.heard(new RegistryMessages.RegistryStatus(100, 3, List.of("e4", "e5", "e6")), 500);
-      registry.closed(600);
+      registry.streamOpened(10);
+      registry.messageReceived(view(5, 0, List.of()), 20);
+      registry.messageReceived(
+          new RegistryMessages.RegistryStatus(100, 3, List.of("e4", "e5", "e6")), 500);
+      registry.streamClosed(600);
       long now = 700;
       for (; approached.size() < 3; now += 100) {
         registry.tick(now);
@@ -333,9 +338,9 @@
       }
       final String silent = approached.get(0);
       final String found = approached.get(2);
-      registry.arrived(found, view(6, 1, List.of()), now);
+      registry.switchTo(found, view(6, 1, List.of()), now);
       approached.clear();
-      registry.closed(now + 1000);
+      registry.streamClosed(now + 1000);
       final long again = now + 1000;
       for (now = again; now < again + 600; now += 100) {
         registry.tick(now);
@@ -356,11 +361,12 @@
   public void registriesThatAreGoneAreDialledAfterThoseThatAreThere() {
     final RegistryClient registry = linkOfTwoLines();
     try {
-      registry.opened(10);
-      registry.heard(view(5, 0, List.of()), 20);
-      registry.heard(new RegistryMessages.RegistryStatus(100, 3, MEMBERS), 500);
-      registry.heard(new RegistryMessages.RegistryStatus(100, 3, List.of("n1", "n2")), 1000);
-      registry.closed(1100);
+      registry.streamOpened(10);
+      registry.messageReceived(view(5, 0, List.of()), 20);
+      registry.messageReceived(new RegistryMessages.RegistryStatus(100, 3, MEMBERS), 500);
+      registry.messageReceived(
+          new RegistryMessages.RegistryStatus(100, 3, List.of("n1", "n2")), 1000);
+      registry.streamClosed(1100);
       for (long now = 1200; now <= 1500; now += 100) {
         registry.tick(now);
       }
--- a/proxy/src/test/java/weldpoint/proxy/RegistryStreamTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/RegistryStreamTest.java
@@ -32,7 +32,7 @@
     public void send(final Message message) {}
 
     @Override
-    public void outlook(
+    public void controlUpdate(
         final RoutingTable routingTable,
         final Map<Registration, Boolean> changes,
         final Set<String> evacuated,
@@ -40,10 +40,10 @@
         final int proxies) {}
 
     @Override
-    public void trials(final List<TrialMessages.Trial> trials, final long mark) {}
+    public void trialsChanged(final List<TrialMessages.Trial> trials, final long mark) {}
 
     @Override
-    public void reached(final long ageMillis, final int proxies, final List<String> caches) {
+    public void registryStatus(final long ageMillis, final int proxies, final List<String> caches) {
       ages.add(ageMillis);
     }
 
@@ -53,12 +53,12 @@
     }
 
     @Override
-    public void proved(final long provedAt) {
+    public void proofRenewed(final long provedAt) {
       proofs.add(provedAt);
     }
 
     @Override
-    public void admitted() {}
+    public void firstViewReceived() {}
   }
 
   /**
@@ -75,24 +75,24 @@
             new RecordingEnvironment());
     final RegistryStream stream =
         new RegistryStream(null, null, weldpoint.common.Settings.parse(SETTINGS), () -> {});
-    stream.registry(registry);
+    stream.registryClient(registry);
     registry.start(0);
     final PeerClock clock = new PeerClock();
     clock.asked(100);
     clock.answered(100 + PEER_AHEAD_MILLIS, 110);
-    stream.take(
+    stream.deliver(
         clock,
         new RegistryMessages.View(1, null, false, null, 0, null, false, null, 1, null, -1),
         200);
     final RegistryStatus reach =
         new RegistryStatus(
             40, 1, List.of(), null, null, 40, 960 + PEER_AHEAD_MILLIS, 1000 + PEER_AHEAD_MILLIS);
-    stream.take(clock, reach, 3500);
+    stream.deliver(clock, reach, 3500);
     final long drift = (3500 - 110) / 50;
     assertEquals(ages, List.of(40 + 2500 + drift), "40 ms old when it was said, 2.5 s under way");
     assertEquals(proofs, List.of(960 - drift));
     assertEquals(unsettled, List.of(), "the line was slow, the registry had its majority");
-    stream.take(
+    stream.deliver(
         clock,
         new RegistryStatus(1200, 1, List.of(), null, null, 1200, null, 3490 + PEER_AHEAD_MILLIS),
         3500);
--- a/proxy/src/test/java/weldpoint/proxy/SecondCopyTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/SecondCopyTest.java
@@ -62,7 +62,7 @@
     proxy
         .proxyContext()
         .loop
-        .submit(() -> proxy.proxyContext().owners.take(List.of(assignment)))
+        .submit(() -> proxy.proxyContext().keyOwners.take(List.of(assignment)))
         .sync();
   }
 
--- a/proxy/src/test/java/weldpoint/proxy/SlowReaderTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/SlowReaderTest.java
@@ -95,11 +95,11 @@
     try (Socket client = proxy.connect()) {
       send(client, "a1", 6000);
       awaitAnswer();
-      proxy.proxyContext().leaving = true;
+      proxy.proxyContext().shuttingDown = true;
       TimeUnit.MILLISECONDS.sleep(500);
       assertEquals(bodyBytes(client, 1), BODY_BYTES);
     }
-    TestProxy.await(() -> proxy.proxyContext().open.count() == 0, "the request stays open");
+    TestProxy.await(() -> proxy.proxyContext().openRequests.count() == 0, "the request stays open");
   }
 
   /** Guards against LOST: the process ended while answers still waited in their connections. */
@@ -139,7 +139,7 @@
       send(client, "a1", 6000);
       send(client, "a2", 6000);
       awaitAnswer();
-      proxy.proxyContext().leaving = true;
+      proxy.proxyContext().shuttingDown = true;
       TimeUnit.MILLISECONDS.sleep(300);
       assertEquals(bodyBytes(client, 2), 2 * BODY_BYTES);
       assertEquals(client.getInputStream().read(), -1, "the connection ends after the last answer");
@@ -153,22 +153,23 @@
     try (Socket client = proxy.connect()) {
       send(client, "a1", 500);
       awaitAnswer();
-      assertEquals(proxy.proxyContext().open.count(), 1);
+      assertEquals(proxy.proxyContext().openRequests.count(), 1);
       TestProxy.await(
-          () -> proxy.proxyContext().open.count() == 0, "the request stays open for good");
+          () -> proxy.proxyContext().openRequests.count() == 0, "the request stays open for good");
       assertTrue(bodyBytes(client, 1) < BODY_BYTES);
     } catch (final IOException reset) {
-      assertEquals(proxy.proxyContext().open.count(), 0);
+      assertEquals(proxy.proxyContext().openRequests.count(), 0);
     }
     TestProxy.await(
-        () -> proxy.proxyContext().open.unwrittenBytes() == 0, "bytes are counted for good");
+        () -> proxy.proxyContext().openRequests.unwrittenBytes() == 0,
+        "bytes are counted for good");
   }
 
   @Test
   public void whileTooMuchWaitsForClientsNothingMoreIsBegun()
       throws IOException, InterruptedException {
     serve(15_000);
-    proxy.proxyContext().mostUnwrittenBytes = 1;
+    proxy.proxyContext().maxUnwrittenBytes = 1;
     try (Socket slow = proxy.connect();
         Socket other = proxy.connect()) {
       send(slow, "a1", 6000);
--- a/proxy/src/test/java/weldpoint/proxy/StaleControlStateTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/StaleControlStateTest.java
@@ -81,7 +81,7 @@
   /** The newest proof is so old. */
   private void proved(final long ageMillis) {
     final long now = ProxyContext.now();
-    proxy.proxyContext().proof.renew(now - ageMillis, now);
+    proxy.proxyContext().controlProof.renew(now - ageMillis, now);
   }
 
   private void onLoop(final Runnable task) throws InterruptedException {
@@ -137,7 +137,7 @@
       throws IOException, InterruptedException {
     onLoop(() -> proved(STALE_MILLIS));
     try (Socket client = request("/w/x")) {
-      TestProxy.await(() -> proxy.proxyContext().open.count() == 1, "no request has come");
+      TestProxy.await(() -> proxy.proxyContext().openRequests.count() == 1, "no request has come");
       TimeUnit.MILLISECONDS.sleep(WAITS_MILLIS);
       proxy.configure(configuration(2, "t"));
       onLoop(() -> proved(0));
@@ -193,8 +193,9 @@
   public void aProxyWhoseCoreIsUnsettledServesOn() throws IOException, InterruptedException {
     onLoop(() -> proved(STALE_MILLIS));
     try (Socket client = request("/w/x")) {
-      TestProxy.await(() -> proxy.proxyContext().open.count() == 1, "no request has come");
-      onLoop(() -> proxy.proxyContext().proof.coreUnsettled(STALE_MILLIS, ProxyContext.now()));
+      TestProxy.await(() -> proxy.proxyContext().openRequests.count() == 1, "no request has come");
+      onLoop(
+          () -> proxy.proxyContext().controlProof.coreUnsettled(STALE_MILLIS, ProxyContext.now()));
       assertEquals(status(client), "200");
     }
   }
@@ -205,7 +206,7 @@
     onLoop(
         () -> {
           proved(STALE_MILLIS);
-          proxy.proxyContext().proof.coreUnsettled(CUT_OFF_MILLIS, ProxyContext.now());
+          proxy.proxyContext().controlProof.coreUnsettled(CUT_OFF_MILLIS, ProxyContext.now());
         });
     try (Socket client = request("/w/x")) {
       assertEquals(status(client), "503");
--- a/proxy/src/test/java/weldpoint/proxy/TestProxy.java
+++ b/proxy/src/test/java/weldpoint/proxy/TestProxy.java
@@ -84,11 +84,12 @@
         .submit(
             () ->
                 proxyContext()
-                    .take(new ControlUpdate(routingTable, changes, null, null, 1, null, -1)))
+                    .apply(new ControlUpdate(routingTable, changes, null, null, 1, null, -1)))
         .sync();
     proxyContext()
         .loop
-        .scheduleAtFixedRate(daemon::sweep, SWEEP_MILLIS, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
+        .scheduleAtFixedRate(
+            daemon::checkTimeouts, SWEEP_MILLIS, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   /** Puts a whole configuration, as JSON, and changes of upstreams in force. */
@@ -101,7 +102,7 @@
         .submit(
             () ->
                 proxyContext()
-                    .take(
+                    .apply(
                         new ControlUpdate(routingTable, List.of(changes), null, null, 1, null, -1)))
         .sync();
   }
--- a/scale/src/main/java/weldpoint/scale/SimulatedProxies.java
+++ b/scale/src/main/java/weldpoint/scale/SimulatedProxies.java
@@ -70,7 +70,7 @@
                 }
 
                 @Override
-                public void outlook(
+                public void controlUpdate(
                     final RoutingTable routingTable,
                     final Map<RegistryMessages.Registration, Boolean> changes,
                     final Set<String> evacuated,
@@ -78,7 +78,10 @@
                     final int switchboards) {
                   if (routingTable != null || evacuated != null) {
                     desk.execute(
-                        () -> registry().inForce(registry().version(), registry().mark(), now()));
+                        () ->
+                            registry()
+                                .reportInForce(
+                                    registry().version(), registry().stateVersion(), now()));
                   }
                   if (routingTable != null) {
                     versions.merge(routingTable.version(), 1, Integer::sum);
@@ -86,7 +89,8 @@
                 }
 
                 @Override
-                public void trials(final List<TrialMessages.Trial> trials, final long mark) {}
+                public void trialsChanged(
+                    final List<TrialMessages.Trial> trials, final long mark) {}
 
                 @Override
                 public void placements(final PlacementMessages.Placements placements) {
@@ -103,18 +107,18 @@
                 }
 
                 @Override
-                public void leased(final PlacementMessages.LeaseGrant grant) {
+                public void leaseAnswered(final PlacementMessages.LeaseGrant grant) {
                   if (affinity != null) {
                     affinity.granted(grant, now());
                   }
                 }
 
                 @Override
-                public void admitted() {
+                public void firstViewReceived() {
                   admitted.incrementAndGet();
                 }
               });
-      stream.registry(registry);
+      stream.registryClient(registry);
       registry.start(now());
     }
 
--- a/simulation/src/main/java/weldpoint/simulation/ControlPlaneSimulation.java
+++ b/simulation/src/main/java/weldpoint/simulation/ControlPlaneSimulation.java
@@ -815,7 +815,7 @@
                         new SimulatedConnection.Receiver() {
                           @Override
                           public void opened(final SimulatedConnection connection) {
-                            life.registry.opened(now);
+                            life.registry.streamOpened(now);
                           }
 
                           @Override
@@ -825,12 +825,12 @@
                                 && ((RegistryMessages.View) message).spec != null) {
                               life.lastSpec = ((RegistryMessages.View) message).spec;
                             }
-                            life.registry.heard(message, now);
+                            life.registry.messageReceived(message, now);
                           }
 
                           @Override
                           public void closed(final SimulatedConnection connection) {
-                            life.registry.closed(now);
+                            life.registry.streamClosed(now);
                           }
                         });
               }
@@ -841,7 +841,7 @@
               }
 
               @Override
-              public void outlook(
+              public void controlUpdate(
                   final RoutingTable routingTable,
                   final Map<RegistryMessages.Registration, Boolean> changes,
                   final Set<String> evacuated,
@@ -860,8 +860,8 @@
                       () ->
                           life.run(
                               () ->
-                                  life.registry.inForce(
-                                      life.registry.version(), life.registry.mark(), now)));
+                                  life.registry.reportInForce(
+                                      life.registry.version(), life.registry.stateVersion(), now)));
                 }
                 changes.forEach(
                     (registration, open) -> {
@@ -879,10 +879,10 @@
               }
 
               @Override
-              public void trials(final List<TrialMessages.Trial> trials, final long mark) {}
+              public void trialsChanged(final List<TrialMessages.Trial> trials, final long mark) {}
 
               @Override
-              public void admitted() {}
+              public void firstViewReceived() {}
             });
     life.registry.start(now);
   }
@@ -1005,7 +1005,7 @@
               life.replica.seeds(given);
               life.exchange.seeds(given, now);
             } else {
-              life.registry.seeds(given);
+              life.registry.addSeeds(given);
             }
           });
     }
