--- a/proxy/src/test/java/weldpoint/proxy/AtMostOnceTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/AtMostOnceTest.java
@@ -41,13 +41,13 @@
 import weldpoint.upstream.UpstreamPool;
 
 /**
- * Trouble at every byte between clients, the door and upstreams: what may not be repeated runs at
- * most once, and each answer reaches its own caller.
+ * Guards against faults at every byte between clients, the proxy and upstreams: a request that may
+ * not be repeated runs at most once, and each response reaches its own client.
  */
 public final class AtMostOnceTest {
   private static final String GOOD =
       "HTTP/1.1 200 OK\r\nWeldpoint-Attempt-Id: abc\r\nWeldpoint-Server-Seal: s\r\nContent-Length: 4\r\n\r\nbody";
-  private static final String DECLINED =
+  private static final String NOT_EXECUTED =
       "HTTP/1.1 503 Busy\r\nWeldpoint-Attempt-Id: abc\r\nWeldpoint-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
   private static final String WRITE =
       "POST /w/x HTTP/1.1\r\nHost: h\r\nWeldpoint-Attempt-Id: abc\r\nWeldpoint-Deadline-Ms: 3000\r\nContent-Length: 5\r\n\r\nbytes";
@@ -56,7 +56,7 @@
   private final List<ScriptedUpstream> upstreams = new ArrayList<>();
   private final AtomicInteger arrivals = new AtomicInteger();
   private ProxyContext proxyContext;
-  private Channel front;
+  private Channel listener;
 
   @AfterClass
   public void end() {
@@ -70,7 +70,7 @@
             "station.name = one\nstation.address = 127.0.0.1\nstation.site = a\nstation.region = r\ntrunk.ports = 7000,7015\ntrunk.seeds = 127.0.0.1:80\nsites = a:r\nbound.retry-slack = 100000\n");
     proxyContext = new ProxyContext(loop, settings, new Random(1), new TrialTracker("one", 1));
     arrivals.set(0);
-    front =
+    listener =
         new ServerBootstrap()
             .group(loop)
             .channel(NioServerSocketChannel.class)
@@ -93,7 +93,7 @@
 
   @AfterMethod
   public void close() throws IOException {
-    front.close();
+    listener.close();
     for (final ScriptedUpstream upstream : upstreams) {
       upstream.close();
     }
@@ -179,7 +179,7 @@
     socket.connect(
         new InetSocketAddress(
             InetAddress.getLoopbackAddress(),
-            ((InetSocketAddress) front.localAddress()).getPort()));
+            ((InetSocketAddress) listener.localAddress()).getPort()));
     socket.setSoTimeout(8000);
     socket.setTcpNoDelay(true);
     return socket;
@@ -190,7 +190,7 @@
     socket.getOutputStream().flush();
   }
 
-  /** The next answer on a connection, or what came before its end. */
+  /** The next response on a connection, or what was received before its end. */
   private static String answer(final InputStream in) throws IOException {
     final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     while (!bytes.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\n")) {
@@ -207,7 +207,7 @@
     return head + new String(in.readNBytes(length), StandardCharsets.ISO_8859_1);
   }
 
-  private String ask(final String request) throws IOException {
+  private String exchange(final String request) throws IOException {
     try (Socket socket = connect()) {
       send(socket, request);
       return answer(socket.getInputStream());
@@ -218,7 +218,7 @@
     return answer.isEmpty() ? 0 : Integer.parseInt(answer.substring(9, 12));
   }
 
-  private static String to(final String path) {
+  private static String writeTo(final String path) {
     return WRITE.replace("/w/x", path);
   }
 
@@ -228,14 +228,14 @@
   }
 
   @Test(dataProvider = "endings")
-  public void aWriteOfWhichAByteWasReadIsNeverSentAgain(final Ending ending)
+  public void writeIsNotRetriedOnceAByteWasRead(final Ending ending)
       throws IOException, InterruptedException {
     final int length = WRITE.length() + 20;
     final int[] reads = new int[1];
     serve(number -> number == 0 ? new Step(reads[0], "", ending) : Step.answer(GOOD));
     for (reads[0] = 1; reads[0] < length; reads[0]++) {
       arrivals.set(0);
-      final String answer = ask(WRITE);
+      final String answer = exchange(WRITE);
       assertEquals(status(answer), 502, reads[0] + " bytes read, " + ending + ": " + answer);
       assertFalse(answer.contains("Weldpoint-Server-Seal"), answer);
       assertEquals(arrivals.get(), 1, reads[0] + " bytes read, " + ending);
@@ -243,7 +243,7 @@
   }
 
   @Test(dataProvider = "endings")
-  public void anAnswerCutAtAnyByteIsNoAnswerToAWriteAndIsRepairedForARead(final Ending ending)
+  public void truncatedResponseFailsWritesAndRetriesReads(final Ending ending)
       throws IOException, InterruptedException {
     final int[] cut = new int[1];
     serve(
@@ -251,17 +251,17 @@
             number == 0 ? new Step(-1, GOOD.substring(0, cut[0]), ending) : Step.answer(GOOD));
     for (cut[0] = 0; cut[0] < GOOD.length(); cut[0]++) {
       arrivals.set(0);
-      final String answer = ask(WRITE);
+      final String answer = exchange(WRITE);
       assertEquals(status(answer), 502, cut[0] + " bytes answered, " + ending + ": " + answer);
       assertEquals(arrivals.get(), 1, cut[0] + " bytes answered, " + ending);
       arrivals.set(0);
-      assertTrue(ask(to("/r/x")).endsWith("body"), cut[0] + " bytes answered, " + ending);
+      assertTrue(exchange(writeTo("/r/x")).endsWith("body"), cut[0] + " bytes answered, " + ending);
       assertEquals(arrivals.get(), 2);
     }
   }
 
   @Test
-  public void silenceAtAnyByteEndsAtTheRoutesTimeAndALateAnswerReachesNobody()
+  public void silentUpstreamTimesOutAndLateResponseIsDropped()
       throws IOException, InterruptedException {
     final int[] cut = new int[1];
     long least = Long.MAX_VALUE;
@@ -275,14 +275,14 @@
       try (Socket socket = connect()) {
         final InputStream in = new BufferedInputStream(socket.getInputStream());
         final long began = System.nanoTime();
-        send(socket, to("/q/x").replace("Deadline-Ms: 3000", "Deadline-Ms: 600000"));
+        send(socket, writeTo("/q/x").replace("Deadline-Ms: 3000", "Deadline-Ms: 600000"));
         final String answer = answer(in);
         final long took = (System.nanoTime() - began) / 1_000_000;
         assertEquals(status(answer), 504, answer);
         assertFalse(answer.contains("Seal"), answer);
         assertTrue(
             took >= 150 && took < 60_000,
-            "held for " + took + " ms, where the route gives 200 and the client 600,000");
+            "took " + took + " ms; the route allows 200 ms and the client 600,000 ms");
         least = Math.min(least, took);
         assertEquals(arrivals.get(), 1);
         send(socket, WRITE.replace("abc", "abc"));
@@ -290,73 +290,71 @@
       }
     }
     assertTrue(
-        least < 450,
-        "the shortest was held for " + least + " ms, a quarter of a second past the route's 200");
+        least < 450, "the fastest took " + least + " ms, more than 250 ms past the route's 200 ms");
   }
 
   @DataProvider
-  public Object[][] promises() {
+  public Object[][] notExecutedStatuses() {
     return new Object[][] {{503}, {429}, {408}};
   }
 
   @Test(dataProvider = "promises")
-  public void aPromiseThatTheUpstreamDidNotGiveIsNotPassedOnForAWrite(final int status)
+  public void notExecutedStatusWithoutMarkerIsNotForwardedForWrites(final int status)
       throws IOException, InterruptedException {
     final String claim =
         "HTTP/1.1 "
             + status
             + " X\r\nWeldpoint-Attempt-Id: abc\r\nWeldpoint-Server-Seal: s\r\nContent-Length: 0\r\n\r\n";
     serve(number -> Step.answer(claim));
-    final String answer = ask(WRITE);
+    final String answer = exchange(WRITE);
     assertEquals(status(answer), 502, answer);
-    assertFalse(answer.contains("Seal"), "a seal beside a status of one's own: " + answer);
+    assertFalse(
+        answer.contains("Seal"), "a server seal with a status of the proxy itself: " + answer);
     assertEquals(arrivals.get(), 1);
-    final String read = ask(to("/r/x"));
-    assertEquals(status(read), status, "a read gets the upstream's own answer");
+    final String read = exchange(writeTo("/r/x"));
+    assertEquals(status(read), status, "a read gets the upstream's own response");
     assertTrue(read.contains("Weldpoint-Server-Seal: s"), read);
   }
 
   @DataProvider
-  public Object[][] unnamed() {
+  public Object[][] responsesWithoutAttemptId() {
     return new Object[][] {
       {GOOD},
-      {DECLINED},
-      {DECLINED.replace("503", "421")},
+      {NOT_EXECUTED},
+      {NOT_EXECUTED.replace("503", "421")},
       {GOOD.replace("200", "404")},
       {GOOD.replace("200", "500")}
     };
   }
 
   @Test(dataProvider = "unnamed")
-  public void anAnswerWithoutTheRequestsIdProvesNothingAndReachesNobody(final String answer)
+  public void responseWithoutAttemptIdIsDropped(final String answer)
       throws IOException, InterruptedException {
     serve(
         number ->
             Step.answer(number == 0 ? answer.replace("Weldpoint-Attempt-Id: abc\r\n", "") : GOOD));
-    assertEquals(status(ask(WRITE)), 502);
+    assertEquals(status(exchange(WRITE)), 502);
     assertEquals(arrivals.get(), 1);
     arrivals.set(0);
-    assertTrue(ask(to("/r/x")).endsWith("body"), "a read is asked anew");
+    assertTrue(exchange(writeTo("/r/x")).endsWith("body"), "a read is retried");
     assertEquals(arrivals.get(), 2);
   }
 
   @Test
-  public void anAnswerThatSaysBothThatItRanAndThatItDidNotProvesNothing()
-      throws IOException, InterruptedException {
+  public void contradictoryResponseFailsTheWrite() throws IOException, InterruptedException {
     serve(
         number ->
             Step.answer(
                 number == 0
                     ? GOOD.replace("Content-Length", "Weldpoint-Not-Executed: 1\r\nContent-Length")
                     : GOOD));
-    final String answer = ask(WRITE);
+    final String answer = exchange(WRITE);
     assertEquals(status(answer), 502, answer);
     assertEquals(arrivals.get(), 1);
   }
 
   @Test
-  public void anotherUpstreamAtAReusedAddressDeclinesAndTheWriteGoesOnOnce()
-      throws IOException, InterruptedException {
+  public void misdirectedWriteIsRetriedOnce() throws IOException, InterruptedException {
     serve(
         number ->
             number == 0
@@ -365,42 +363,43 @@
                     ? Step.answer(
                         "HTTP/1.1 421 No\r\nWeldpoint-Attempt-Id: abc\r\nContent-Length: 0\r\n\r\n")
                     : Step.answer(GOOD));
-    assertTrue(ask(WRITE).endsWith("body"));
+    assertTrue(exchange(WRITE).endsWith("body"));
     final int before = upstreams.stream().mapToInt(upstream -> upstream.connections.get()).sum();
-    assertTrue(ask(WRITE).endsWith("body"));
+    assertTrue(exchange(WRITE).endsWith("body"));
     assertEquals(arrivals.get(), 3);
     assertEquals(proxyContext.served, 2);
-    assertTrue(ask(WRITE).endsWith("body"));
+    assertTrue(exchange(WRITE).endsWith("body"));
     assertTrue(
         upstreams.stream().mapToInt(upstream -> upstream.connections.get()).sum() >= before,
-        "what led to another instance is not used again");
+        "a connection that led to another instance is not reused");
   }
 
   @Test
-  public void anAnswerBeforeTheRequestIsWholeLeavesNoConnectionToUseAgain()
-      throws IOException, InterruptedException {
-    serve(number -> number == 0 ? new Step(200, DECLINED, Ending.SILENCE) : Step.answer(GOOD));
+  public void connectionWithEarlyResponseIsNotReused() throws IOException, InterruptedException {
+    serve(number -> number == 0 ? new Step(200, NOT_EXECUTED, Ending.SILENCE) : Step.answer(GOOD));
     final String head = WRITE.substring(0, WRITE.indexOf("bytes"));
     final String large = head.replace("Content-Length: 5", "Content-Length: 8000000");
     final String body = "x".repeat(8_000_000);
-    assertTrue(ask(large + body).endsWith("body"));
+    assertTrue(exchange(large + body).endsWith("body"));
     assertEquals(arrivals.get(), 2);
     for (int index = 0; index < 6; index++) {
-      assertTrue(ask(WRITE).endsWith("body"));
+      assertTrue(exchange(WRITE).endsWith("body"));
     }
     assertEquals(
-        arrivals.get(), 8, "each request arrived once, none behind the rest of the large one");
+        arrivals.get(),
+        8,
+        "each request arrived once, none on the connection with the rest of the large one");
   }
 
   @Test
-  public void aWriteWhoseClientHasGoneIsLetGoAtItsTimeAndLeavesNothingBehind()
+  public void writeOfDisconnectedClientEndsAtItsDeadline()
       throws IOException, InterruptedException {
     serve(number -> new Step(-1, "", Ending.SILENCE));
     try (Socket socket = connect()) {
-      send(socket, to("/q/x"));
+      send(socket, writeTo("/q/x"));
       await(() -> arrivals.get() == 1);
     }
-    await(() -> upstreams.stream().anyMatch(upstream -> upstream.leftAlone.getCount() == 0));
+    await(() -> upstreams.stream().anyMatch(upstream -> upstream.silenceEnded.getCount() == 0));
     assertEquals(arrivals.get(), 1);
     loop.submit(() -> assertEquals(proxyContext.openRequests.count(), 0)).sync();
   }
@@ -412,17 +411,16 @@
   private static void await(final Condition condition) throws InterruptedException {
     final long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(8);
     while (!condition.holds()) {
-      assertTrue(System.nanoTime() < until, "did not come to pass");
+      assertTrue(System.nanoTime() < until, "the condition did not hold within 8 s");
       TimeUnit.MILLISECONDS.sleep(5);
     }
   }
 
   @Test
-  public void allTriesOfOneRequestTogetherKeepToTheRoutesAttempts()
-      throws IOException, InterruptedException {
+  public void retriesAndHedgesShareTheAttemptLimit() throws IOException, InterruptedException {
     final Step silence = new Step(-1, "", Ending.SILENCE);
     final Step reset = new Step(-1, "", Ending.RESET);
-    final Step declined = Step.answer(DECLINED);
+    final Step declined = Step.answer(NOT_EXECUTED);
     final Step failed =
         Step.answer(
             "HTTP/1.1 500 X\r\nWeldpoint-Attempt-Id: abc\r\nWeldpoint-Server-Seal: s\r\nContent-Length: 0\r\n\r\n");
@@ -436,19 +434,17 @@
             List.of(silence, declined),
             List.of(silence, failed))) {
       serve(number -> steps.get(Math.min(number, steps.size() - 1)));
-      final String answer = ask(to("/k/x"));
-      assertEquals(
-          arrivals.get(), 2, "two attempts, the one beside a slow one among them: " + steps);
+      final String answer = exchange(writeTo("/k/x"));
+      assertEquals(arrivals.get(), 2, "two attempts, including the hedged one: " + steps);
       assertTrue(status(answer) >= 500, answer);
       assertEquals(answer.contains("Seal"), status(answer) == 500, answer);
     }
   }
 
   @Test
-  public void aClientThatDoesNotWaitGetsAllAnswersInOrderHoweverManyItAsks()
-      throws IOException, InterruptedException {
+  public void pipelinedRequestsAreAnsweredInOrder() throws IOException, InterruptedException {
     serve(number -> Step.answer(GOOD));
-    final StringBuilder all = new StringBuilder(to("/r/x"));
+    final StringBuilder all = new StringBuilder(writeTo("/r/x"));
     for (int index = 0; index < 3000; index++) {
       all.append("GET /none HTTP/1.1\r\nHost: h\r\n\r\n");
     }
@@ -475,7 +471,7 @@
   }
 
   @Test
-  public void aClientThatDoesNotReadItsAnswersIsNotServedOn()
+  public void clientThatDoesNotReadGetsNoFurtherRequestsForwarded()
       throws IOException, InterruptedException {
     final int size = 1 << 20;
     final String large =
@@ -485,14 +481,14 @@
     try (Socket socket = connect()) {
       final StringBuilder all = new StringBuilder();
       for (int index = 0; index < 100; index++) {
-        all.append(to("/r/x"));
+        all.append(writeTo("/r/x"));
       }
       send(socket, all.toString());
       final InputStream in = new BufferedInputStream(socket.getInputStream());
       for (int index = 0; index < 100; index++) {
         assertTrue(
             arrivals.get() <= index + 40,
-            arrivals.get() + " answers wait for a client that has read " + index);
+            arrivals.get() + " requests were forwarded for a client that has read " + index);
         assertTrue(answer(in).length() > size);
       }
     }
@@ -500,7 +496,7 @@
   }
 
   @Test
-  public void aRequestCutAtAnyByteIsNotForwarded() throws IOException, InterruptedException {
+  public void truncatedRequestIsNotForwarded() throws IOException, InterruptedException {
     serve(number -> Step.answer(GOOD));
     for (int cut = 0; cut < WRITE.length(); cut++) {
       try (Socket socket = connect()) {
@@ -510,7 +506,7 @@
       }
     }
     assertEquals(arrivals.get(), 0);
-    assertTrue(ask(WRITE).endsWith("body"));
+    assertTrue(exchange(WRITE).endsWith("body"));
     try (Socket socket = connect()) {
       for (final char one : WRITE.toCharArray()) {
         send(socket, String.valueOf(one));
@@ -521,14 +517,14 @@
   }
 
   @Test
-  public void whatCannotBePassedOnUnchangedIsRefusedAndARefusalToHeadHasNoBody()
+  public void unforwardableRequestIsRefusedAndHeadErrorHasNoBody()
       throws IOException, InterruptedException {
     serve(number -> Step.answer(GOOD));
-    assertEquals(status(ask(to("/w/\u00e9"))), 400);
-    assertEquals(status(ask(WRITE.replace("Weldpoint-Attempt-Id: abc\r\n", ""))), 400);
+    assertEquals(status(exchange(writeTo("/w/\u00e9"))), 400);
+    assertEquals(status(exchange(WRITE.replace("Weldpoint-Attempt-Id: abc\r\n", ""))), 400);
     assertEquals(
         status(
-            ask(
+            exchange(
                 WRITE.replace(
                     "Weldpoint-Deadline", "Weldpoint-Attempt-Id: other\r\nWeldpoint-Deadline"))),
         400);
@@ -543,9 +539,10 @@
     }
     assertEquals(arrivals.get(), 0);
     assertTrue(
-        ask(WRITE.replace(
-                "Host: h\r\n",
-                "Host: h\r\nX-Name: \u00e9\r\nConnection: X-One\r\nConnection: x-two\r\nX-One: 1\r\nX-Two: 2\r\n"))
+        exchange(
+                WRITE.replace(
+                    "Host: h\r\n",
+                    "Host: h\r\nX-Name: \u00e9\r\nConnection: X-One\r\nConnection: x-two\r\nX-One: 1\r\nX-Two: 2\r\n"))
             .endsWith("body"));
     final String passed =
         upstreams.stream()
@@ -557,12 +554,12 @@
   }
 
   private static final String ECHO = GOOD.replace("abc", "$ID");
-  private static final String[] UPSTREAM_ANSWERS =
+  private static final String[] UPSTREAM_RESPONSES =
       new String[] {
         ECHO,
         ECHO,
         ECHO,
-        DECLINED.replace("abc", "$ID"),
+        NOT_EXECUTED.replace("abc", "$ID"),
         "",
         "nonsense\r\n\r\n",
         ECHO + ECHO.replace("$ID", "surplus"),
@@ -574,11 +571,11 @@
       };
 
   /**
-   * Generated requests, some spoiled, with other requests hidden in their bodies, cut anywhere,
-   * before upstreams with every fault.
+   * Sends generated requests, some corrupted, with other requests hidden in their bodies and split
+   * at any byte, to upstreams with every kind of fault.
    */
   @Test
-  public void generatedRequestsAreForwardedOnlyAsAskedAndAnsweredInOrder()
+  public void generatedRequestsAreForwardedUnchangedAndAnsweredInOrder()
       throws IOException, InterruptedException {
     final long seed = Long.getLong("weldpoint.fuzz.seed", 19);
     final int rounds = Integer.getInteger("weldpoint.fuzz.rounds", 600);
@@ -587,8 +584,8 @@
     serve(
         number -> {
           final String answer =
-              UPSTREAM_ANSWERS[
-                  Math.floorMod(new Random(seed + number).nextInt(), UPSTREAM_ANSWERS.length)];
+              UPSTREAM_RESPONSES[
+                  Math.floorMod(new Random(seed + number).nextInt(), UPSTREAM_RESPONSES.length)];
           return new Step(
               -1,
               answer,
@@ -631,12 +628,12 @@
         ids.add(id);
         if (random.nextInt(4) == 0) {
           spoiled = true;
-          request = spoil(request, random);
+          request = corrupt(request, random);
           asked.removeIf(one -> one.contains(" " + id + " "));
         }
         bytes.append(request);
       }
-      talk(bytes.toString(), ids, random, name);
+      sendAndCheck(bytes.toString(), ids, random, name);
     }
     final List<String> seen = new ArrayList<>();
     for (final ScriptedUpstream upstream : upstreams) {
@@ -652,7 +649,7 @@
         if (!asked.contains(arrived)) {
           assertTrue(
               asked.stream().noneMatch(one -> one.contains(" " + id + " ")),
-              "changed on its way: " + request);
+              "changed by the proxy: " + request);
         }
         if (request.startsWith("POST") && asked.contains(arrived)) {
           seen.add(id);
@@ -663,10 +660,10 @@
   }
 
   /**
-   * Sends the bytes in parts, reads what comes, and checks that answers of upstreams come in the
+   * Sends the bytes in parts, reads the responses, and checks that those of upstreams are in the
    * order of the requests.
    */
-  private void talk(
+  private void sendAndCheck(
       final String bytes, final List<String> ids, final Random random, final String name)
       throws IOException {
     try (Socket socket = connect()) {
@@ -702,11 +699,11 @@
       }
       assertTrue(
           all.split("HTTP/1.1 [0-9]", -1).length - 1 <= ids.size() + 1,
-          name + ": more answers than requests: " + all);
+          name + ": more responses than requests: " + all);
     }
   }
 
-  private static String spoil(final String text, final Random random) {
+  private static String corrupt(final String text, final Random random) {
     final int at = random.nextInt(text.length());
     switch (random.nextInt(7)) {
       case 0:
--- a/proxy/src/test/java/weldpoint/proxy/CachedCopiesTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/CachedCopiesTest.java
@@ -45,7 +45,7 @@
   }
 
   @Test
-  public void rangesAreCutFromTheWhole() {
+  public void rangesAreServedFromTheCachedObject() {
     expect(null, 200, "0123456789", null);
     expect("bytes=3-", 206, "3456789", "bytes 3-9/10");
     expect("bytes=3-5", 206, "345", "bytes 3-5/10");
@@ -53,7 +53,7 @@
     expect("bytes=0-", 200, "0123456789", null);
     assertNull(
         ranged("bytes=10-"),
-        "past the end only the origin answers: a 416 of one's own may not bear its seal");
+        "past the end only the origin responds: a 416 of the proxy may not have its server seal");
     expect("bytes=1-2,4-5", 200, "0123456789", null);
     expect("lines=1-2", 200, "0123456789", null);
     expect("bytes=-4", 200, "0123456789", null);
@@ -61,7 +61,7 @@
   }
 
   @Test
-  public void onlyOneClearKeyCounts() {
+  public void onlyOneUnambiguousApiKeyIsAccepted() {
     final DefaultHttpHeaders headers = new DefaultHttpHeaders();
     assertNull(CachedCopies.bearerKey(headers));
     headers.add("Authorization", "Bearer k1");
@@ -75,7 +75,7 @@
   }
 
   @Test
-  public void permitsThatAreNotAnsweredAreDenied() {
+  public void unansweredPermitRequestsAreDenied() {
     final List<Message> sent = new ArrayList<>();
     final List<String> heard = new ArrayList<>();
     final PermitPool permits = new PermitPool(sent::add);
@@ -87,7 +87,7 @@
     permits.answered(
         new PermitMessages.PermitResponse(
             ((PermitMessages.PermitRequest) sent.get(0)).number, 1, 4, 300));
-    assertEquals(heard, List.of("1 700"), "the spec's age counts from the own question");
+    assertEquals(heard, List.of("1 700"), "the age of the configuration counts from the request");
     permits.acquire(
         "tenant/t", 1, (granted, version, confirmedAt) -> heard.add("late " + granted), 2000);
     permits.expire(false, 2500);
@@ -97,19 +97,19 @@
     permits.answered(
         new PermitMessages.PermitResponse(
             ((PermitMessages.PermitRequest) sent.get(1)).number, 1, 4, 0));
-    assertEquals(heard.size(), 2, "each hears once");
+    assertEquals(heard.size(), 2, "each callback is called once");
     new PermitPool(message -> false)
         .acquire(
-            "tenant/t", 1, (granted, version, confirmedAt) -> heard.add("no line " + granted), 1);
-    assertEquals(heard.get(2), "no line 0");
+            "tenant/t", 1, (granted, version, confirmedAt) -> heard.add("no stream " + granted), 1);
+    assertEquals(heard.get(2), "no stream 0");
   }
 
   @Test
-  public void anAnnouncerThatIsSilentIsPassedOver() {
+  public void silentCacheDaemonIsSkipped() {
     final List<String> asked = new ArrayList<>();
     final List<CacheReadResponse> answers = new ArrayList<>();
-    final java.util.Set<String> dark = new java.util.HashSet<>();
-    final CacheClient recordings =
+    final java.util.Set<String> silent = new java.util.HashSet<>();
+    final CacheClient cacheClient =
         new CacheClient(
             new CacheClient.Connections() {
               @Override
@@ -123,34 +123,35 @@
 
               @Override
               public long silentMillis(final String address) {
-                return dark.contains(address) ? 1200 : 10;
+                return silent.contains(address) ? 1200 : 10;
               }
             });
-    recordings.updateDaemons(List.of("a", "b", "c"), 0);
-    recordings.read("media", "h", "/x", 5000, answers::add, 10);
+    cacheClient.updateDaemons(List.of("a", "b", "c"), 0);
+    cacheClient.read("media", "h", "/x", 5000, answers::add, 10);
     final String first = asked.get(asked.size() - 1);
-    recordings.checkTimeouts(1000);
+    cacheClient.checkTimeouts(1000);
     assertEquals(
         asked.get(asked.size() - 1),
         first,
-        "one that holds a request and is not silent is not left");
-    dark.add(first);
-    recordings.checkTimeouts(1420);
+        "a daemon with a pending request that is not silent is kept");
+    silent.add(first);
+    cacheClient.checkTimeouts(1420);
     final String second = asked.get(asked.size() - 1);
     assertEquals(answers.size(), 0);
     assertEquals(
         new java.util.TreeSet<>(List.of(first, second)),
         new java.util.TreeSet<>(List.of("a", "b")));
-    recordings.responseReceived(second, new CacheReadResponse(1, 200, null, null), 1450);
+    cacheClient.responseReceived(second, new CacheReadResponse(1, 200, null, null), 1450);
     assertEquals(answers.get(0).status, 200);
     asked.clear();
-    recordings.read("media", "h", "/x", 5000, answers::add, 1500);
-    assertEquals(asked.get(asked.size() - 1), second, "the silent one is doubted for a while");
-    recordings.closed(second, 1600);
-    recordings.closed(first, 1700);
-    assertEquals(answers.get(1).status, 0, "nobody is left");
-    recordings.updateDaemons(List.of("a"), 1900);
-    recordings.read("media", "h", "/x", 5000, answers::add, 2000);
-    assertEquals(answers.size(), 2, "those that a fresh exchange does not name yet are kept");
+    cacheClient.read("media", "h", "/x", 5000, answers::add, 1500);
+    assertEquals(asked.get(asked.size() - 1), second, "the silent daemon is suspect for a while");
+    cacheClient.closed(second, 1600);
+    cacheClient.closed(first, 1700);
+    assertEquals(answers.get(1).status, 0, "no daemon is left");
+    cacheClient.updateDaemons(List.of("a"), 1900);
+    cacheClient.read("media", "h", "/x", 5000, answers::add, 2000);
+    assertEquals(
+        answers.size(), 2, "daemons that a newly started registry does not list yet are kept");
   }
 }
--- a/proxy/src/test/java/weldpoint/proxy/ClientConnectionTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/ClientConnectionTest.java
@@ -17,7 +17,10 @@
 import org.testng.annotations.Test;
 import weldpoint.common.Settings;
 
-/** What is ambiguous is refused at the door, and nothing of it is passed on. */
+/**
+ * Guards against request smuggling: ambiguous requests are refused and nothing of them is
+ * forwarded.
+ */
 public final class ClientConnectionTest {
   private final EventLoopGroup loop = new NioEventLoopGroup(1);
 
@@ -47,7 +50,7 @@
   }
 
   @DataProvider
-  public Object[][] ambiguous() {
+  public Object[][] invalidRequests() {
     return new Object[][] {
       {
         "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
@@ -65,19 +68,19 @@
   }
 
   @Test(dataProvider = "ambiguous")
-  public void isRefusedAndTheConnectionEnds(final String request, final int status) {
+  public void invalidRequestIsRefusedAndConnectionClosed(final String request, final int status) {
     final EmbeddedChannel channel = channel();
     channel.writeInbound(
         Unpooled.copiedBuffer(
             request + "GET /smuggled HTTP/1.1\r\nHost: x\r\n\r\n", StandardCharsets.UTF_8));
     final String text = answer(channel);
     assertTrue(text.startsWith("HTTP/1.1 " + status), text);
-    assertEquals(text.split("HTTP/1.1 [0-9]", -1).length, 2, "one answer only");
+    assertEquals(text.split("HTTP/1.1 [0-9]", -1).length, 2, "exactly one response");
     assertFalse(channel.isOpen());
   }
 
   @Test
-  public void withoutAConfigurationARequestIsRefusedWithTheTimeToReturn() {
+  public void requestWithoutConfigurationGetsRetryAfter() {
     final EmbeddedChannel channel = channel();
     channel.writeInbound(
         Unpooled.copiedBuffer("GET /a HTTP/1.1\r\nHost: x\r\n\r\n", StandardCharsets.UTF_8));
--- a/proxy/src/test/java/weldpoint/proxy/ConfigurationAtSendTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/ConfigurationAtSendTest.java
@@ -35,7 +35,7 @@
 import weldpoint.upstream.UpstreamPool;
 
 /**
- * Requests that wait while the configuration changes: both upstreams stand in a region that the new
+ * Requests that wait while the configuration changes. Both upstreams are in a region that the new
  * configuration excludes, so nothing may arrive after it is in force.
  */
 public final class ConfigurationAtSendTest {
@@ -48,8 +48,8 @@
 
   /** What the request waits for while the configuration changes. */
   private enum Wait {
-    /** A repeatable request was turned away by its first upstream. */
-    TURNED_AWAY("GET", "idempotent", "", "") {
+    /** A repeatable request was rejected by its first upstream. */
+    REJECTED("GET", "idempotent", "", "") {
       @Override
       void begin(final ConfigurationAtSendTest test) throws InterruptedException {
         test.arrived.await(WAIT_SECONDS, TimeUnit.SECONDS);
@@ -60,32 +60,32 @@
         test.answer.countDown();
       }
     },
-    /** A write was turned away by its first upstream. */
-    WRITE_TURNED_AWAY("POST", "mutating", "", "") {
+    /** A write was rejected by its first upstream. */
+    WRITE_REJECTED("POST", "mutating", "", "") {
       @Override
       void begin(final ConfigurationAtSendTest test) throws InterruptedException {
-        TURNED_AWAY.begin(test);
+        REJECTED.begin(test);
       }
 
       @Override
       void end(final ConfigurationAtSendTest test) throws InterruptedException {
-        TURNED_AWAY.end(test);
+        REJECTED.end(test);
       }
     },
-    /** The holder of the request's key turned it away. */
-    HOLDER_TURNED_AWAY("POST", "mutating", ",\"partitioned\":true,\"warmS\":1.0", "") {
+    /** The owner of the request's key rejected it. */
+    OWNER_REJECTED("POST", "mutating", ",\"partitioned\":true,\"warmS\":1.0", "") {
       @Override
       void begin(final ConfigurationAtSendTest test) throws InterruptedException {
-        TURNED_AWAY.begin(test);
+        REJECTED.begin(test);
       }
 
       @Override
       void end(final ConfigurationAtSendTest test) throws InterruptedException {
-        TURNED_AWAY.end(test);
+        REJECTED.end(test);
       }
     },
-    /** Nobody holds the request's key yet. */
-    HOLDER_AWAITED("POST", "mutating", ",\"partitioned\":true,\"warmS\":1.0", "") {
+    /** No upstream owns the request's key yet. */
+    OWNER_AWAITED("POST", "mutating", ",\"partitioned\":true,\"warmS\":1.0", "") {
       @Override
       void begin(final ConfigurationAtSendTest test) throws InterruptedException {
         test.awaitRequest();
@@ -93,14 +93,14 @@
 
       @Override
       void end(final ConfigurationAtSendTest test) throws InterruptedException {
-        test.assignHolder();
+        test.assignOwner();
       }
     },
-    /** The first upstream is slow, so that a second one would be asked beside it. */
+    /** The first upstream is slow, so that a hedged request would be sent. */
     HEDGE("GET", "idempotent", "", "") {
       @Override
       void begin(final ConfigurationAtSendTest test) throws InterruptedException {
-        TURNED_AWAY.begin(test);
+        REJECTED.begin(test);
       }
 
       @Override
@@ -109,31 +109,31 @@
         test.answer.countDown();
       }
     },
-    /** The permit of the tenant's limit is asked for. */
+    /** The request waits for a permit of the tenant's rate limit. */
     PERMIT("GET", "idempotent", "", "") {
       @Override
       void begin(final ConfigurationAtSendTest test) throws InterruptedException {
-        TestProxy.await(() -> test.asked.get() != null, "no permit is asked for");
+        TestProxy.await(() -> test.sentMessage.get() != null, "no permit was requested");
       }
 
       @Override
       void end(final ConfigurationAtSendTest test) throws InterruptedException {
-        final long number = ((PermitRequest) test.asked.get()).number;
+        final long number = ((PermitRequest) test.sentMessage.get()).number;
         test.onLoop(
             () ->
                 test.proxy.proxyContext().permitPool.answered(new PermitResponse(number, 1, 2, 0)));
       }
     },
-    /** The request's idempotency key is claimed. */
+    /** The request waits for the claim of its idempotency key. */
     CLAIM("POST", "mutating", "", "Idempotency-Key: k1\r\n") {
       @Override
       void begin(final ConfigurationAtSendTest test) throws InterruptedException {
-        TestProxy.await(() -> test.asked.get() != null, "no key is claimed");
+        TestProxy.await(() -> test.sentMessage.get() != null, "no key was claimed");
       }
 
       @Override
       void end(final ConfigurationAtSendTest test) throws InterruptedException {
-        final KeyMessages.Claim claim = ((KeyMessages.ClaimRequest) test.asked.get()).claim;
+        final KeyMessages.Claim claim = ((KeyMessages.ClaimRequest) test.sentMessage.get()).claim;
         test.onLoop(
             () ->
                 test.proxy
@@ -145,7 +145,7 @@
                         ProxyContext.now()));
       }
     },
-    /** The callers of the service have not been placed yet. */
+    /** The request waits until the callers of the service are placed. */
     PLACEMENT("POST", "mutating", "", "") {
       @Override
       void begin(final ConfigurationAtSendTest test) throws InterruptedException {
@@ -157,16 +157,16 @@
         test.place();
       }
     },
-    /** A cache node is asked for a copy. */
-    COPY("GET", "cacheable", "", "") {
+    /** The request waits for a cache daemon. */
+    CACHE("GET", "cacheable", "", "") {
       @Override
       void begin(final ConfigurationAtSendTest test) throws InterruptedException {
-        TestProxy.await(() -> test.asked.get() != null, "no copy is asked for");
+        TestProxy.await(() -> test.sentMessage.get() != null, "no cached object was requested");
       }
 
       @Override
       void end(final ConfigurationAtSendTest test) throws InterruptedException {
-        final long number = ((CacheReadRequest) test.asked.get()).number;
+        final long number = ((CacheReadRequest) test.sentMessage.get()).number;
         final CacheReadResponse copy =
             new CacheReadResponse(number, 200, List.of("Weldpoint-Server-Seal", "s"), new byte[4]);
         test.onLoop(
@@ -190,10 +190,10 @@
       this.header = header;
     }
 
-    /** Returns once the request waits. */
+    /** Returns once the request is waiting. */
     abstract void begin(ConfigurationAtSendTest test) throws InterruptedException;
 
-    /** Gives the request what it waits for. */
+    /** Provides what the request is waiting for. */
     abstract void end(ConfigurationAtSendTest test) throws InterruptedException;
   }
 
@@ -201,7 +201,7 @@
   private static final long HEDGE_MILLIS = 700;
 
   private final List<String> arrivals = Collections.synchronizedList(new ArrayList<>());
-  private final AtomicReference<Message> asked = new AtomicReference<>();
+  private final AtomicReference<Message> sentMessage = new AtomicReference<>();
   private CountDownLatch arrived;
   private CountDownLatch answer;
   private ServerSocket server;
@@ -210,7 +210,7 @@
   @BeforeMethod
   public void open() throws IOException {
     arrivals.clear();
-    asked.set(null);
+    sentMessage.set(null);
     arrived = new CountDownLatch(1);
     answer = new CountDownLatch(1);
     server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -249,7 +249,7 @@
     thread.start();
   }
 
-  /** Turns every request away, the first one when the test says so. */
+  /** Rejects every request, the first one when the test allows it. */
   private void serve(final Socket socket) throws IOException, InterruptedException {
     final BufferedReader reader =
         new BufferedReader(
@@ -280,10 +280,10 @@
   }
 
   private void awaitRequest() throws InterruptedException {
-    TestProxy.await(() -> proxy.proxyContext().openRequests.count() == 1, "no request has come");
+    TestProxy.await(() -> proxy.proxyContext().openRequests.count() == 1, "no request has arrived");
   }
 
-  private void assignHolder() throws InterruptedException {
+  private void assignOwner() throws InterruptedException {
     final KeyRange all =
         new KeyRange(
             0,
@@ -302,12 +302,12 @@
         List.of(new PlacementMessages.PlacementMember(TestProxy.UPSTREAM, 4, "b"));
     onLoop(
         () -> {
-          final AffinityTable ties = proxy.proxyContext().affinity;
-          ties.take(
+          final AffinityTable affinity = proxy.proxyContext().affinity;
+          affinity.take(
               new PlacementMessages.Placements(
                   1, List.of(new PlacementMessages.Placement("s", 1, 1, members, false, null))),
               ProxyContext.now());
-          ties.granted(
+          affinity.granted(
               new PlacementMessages.LeaseGrant(1, "127.0.0.1", 1, 4000), ProxyContext.now());
         });
   }
@@ -336,40 +336,40 @@
         + "},{\"name\":\"other\"}]}";
   }
 
-  /** Begins with a configuration without homes and two upstreams in the region q. */
+  /** Starts with a configuration without home regions and two upstreams in the region q. */
   private void begin(final Wait wait) throws InterruptedException {
     proxy.configure(
         configuration(1, wait, PLAIN, PLAIN), upstream(TestProxy.UPSTREAM), upstream("i-1"));
-    onLoop(() -> attach(wait));
-    if (wait == Wait.HOLDER_TURNED_AWAY) {
-      assignHolder();
+    onLoop(() -> attachStubs(wait));
+    if (wait == Wait.OWNER_REJECTED) {
+      assignOwner();
     }
   }
 
-  private void attach(final Wait wait) {
+  private void attachStubs(final Wait wait) {
     final ProxyContext context = proxy.proxyContext();
     context.affinityWaitMillis = 2000;
     context.affinity = new AffinityTable("127.0.0.1", 1, 4000, ask -> {});
-    context.permitPool = new PermitPool(this::take);
+    context.permitPool = new PermitPool(this::recordMessage);
     if (wait == Wait.CLAIM) {
       context.keyHeaders = List.of("Idempotency-Key");
       context.idempotentRequests = new IdempotentRequests("127.0.0.1", 1, 75_000, new Claims());
     }
-    if (wait == Wait.COPY) {
-      context.cacheClient = new CacheClient(new CacheLines());
+    if (wait == Wait.CACHE) {
+      context.cacheClient = new CacheClient(new CacheConnections());
       context.cacheClient.updateDaemons(List.of(CACHE_NODE), ProxyContext.now());
     }
   }
 
-  private boolean take(final Message message) {
-    return asked.compareAndSet(null, message);
+  private boolean recordMessage(final Message message) {
+    return sentMessage.compareAndSet(null, message);
   }
 
-  /** A registry that takes each claim and answers it when the test says so. */
+  /** A registry that accepts each claim and answers it when the test does. */
   private final class Claims implements IdempotentRequests.Environment {
     @Override
     public boolean sendToRegistry(final Message message) {
-      take(message);
+      recordMessage(message);
       return true;
     }
 
@@ -388,8 +388,8 @@
     }
   }
 
-  /** A cache node that answers when the test says so. */
-  private final class CacheLines implements CacheClient.Connections {
+  /** A cache daemon that responds when the test does. */
+  private final class CacheConnections implements CacheClient.Connections {
     @Override
     public void keep(final List<String> addresses) {
       assertEquals(addresses, List.of(CACHE_NODE));
@@ -397,7 +397,7 @@
 
     @Override
     public boolean send(final String address, final Message message) {
-      return take(message);
+      return recordMessage(message);
     }
 
     @Override
@@ -412,8 +412,8 @@
         true);
   }
 
-  /** Plays one request over a change; its answer. */
-  private String play(final Wait wait, final String changed)
+  /** Sends one request across a configuration change; returns the response. */
+  private String sendAcrossChange(final Wait wait, final String changed)
       throws IOException, InterruptedException {
     begin(wait);
     try (Socket client = proxy.connect()) {
@@ -433,18 +433,21 @@
       final String response =
           new String(client.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
       TimeUnit.MILLISECONDS.sleep(SETTLE_MILLIS);
-      assertEquals(arrivals, before, "arrivals after the change are outside of the homes");
+      assertEquals(
+          arrivals,
+          before,
+          "a request reached an upstream outside the home regions after the change");
       return response;
     }
   }
 
-  private static void assertPromises(final String response) {
+  private static void assertNotExecuted(final String response) {
     assertEquals(response.split(" ")[1], "503", response);
     assertEquals(response.contains("retry-after: "), true, response);
   }
 
   @DataProvider
-  public Object[][] waits() {
+  public Object[][] allWaits() {
     final List<Object[]> rows = new ArrayList<>();
     for (final Wait wait : Wait.values()) {
       rows.add(new Object[] {wait});
@@ -452,33 +455,42 @@
     return rows.toArray(new Object[0][]);
   }
 
-  /** Guards against HOME: a request that waited obeyed the homes its route had when it came. */
+  /**
+   * Guards against HOME: a request that waited obeyed the home regions its route had on its
+   * arrival.
+   */
   @Test(dataProvider = "waits")
-  public void homesOfTheRouteBindAsTheyStandAtTheSend(final Wait wait)
+  public void routeHomeRegionsAreCheckedAtSend(final Wait wait)
       throws IOException, InterruptedException {
-    assertPromises(play(wait, configuration(2, wait, HOME, PLAIN)));
+    assertNotExecuted(sendAcrossChange(wait, configuration(2, wait, HOME, PLAIN)));
   }
 
-  /** Guards against HOME: a request that waited obeyed the homes its tenant had when it came. */
+  /**
+   * Guards against HOME: a request that waited obeyed the home regions its tenant had on its
+   * arrival.
+   */
   @Test(dataProvider = "waits")
-  public void homesOfTheTenantBindAsTheyStandAtTheSend(final Wait wait)
+  public void tenantHomeRegionsAreCheckedAtSend(final Wait wait)
       throws IOException, InterruptedException {
-    assertPromises(play(wait, configuration(2, wait, PLAIN, HOME)));
+    assertNotExecuted(sendAcrossChange(wait, configuration(2, wait, PLAIN, HOME)));
   }
 
-  /** Guards against CONFIG: a request that waited went on by a route that was gone or moved. */
+  /**
+   * Guards against CONFIG: a request that waited was sent by a route that had been removed or
+   * moved.
+   */
   @Test(dataProvider = "waits")
-  public void aRouteThatIsGoneOrMovedIsNotUsedAnyMore(final Wait wait)
+  public void removedOrMovedRouteIsNotUsed(final Wait wait)
       throws IOException, InterruptedException {
-    assertPromises(
-        play(
+    assertNotExecuted(
+        sendAcrossChange(
             wait,
             configuration(2, wait, PLAIN, PLAIN)
                 .replace("\"service\":\"s\"", "\"service\":\"other\"")));
     close();
     open();
-    assertPromises(
-        play(
+    assertNotExecuted(
+        sendAcrossChange(
             wait,
             configuration(2, wait, PLAIN, PLAIN)
                 .replace("\"pathPrefix\":\"/w/\"", "\"pathPrefix\":\"/v/\"")));
--- a/proxy/src/test/java/weldpoint/proxy/SecondCopyTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/DuplicateResponseTest.java
@@ -20,10 +20,10 @@
 import weldpoint.transport.OwnershipMessages.RangeState;
 
 /**
- * An upstream that turns the first request on its first connection away, and sends that answer once
- * more in the place of the next one due there.
+ * Guards against duplicate responses: an upstream rejects the first request on its first connection
+ * and sends that response again in place of the next one due there.
  */
-public final class SecondCopyTest {
+public final class DuplicateResponseTest {
   private static final String RULE =
       "{\"name\":\"w\",\"routeKind\":\"mutating\",\"targetLatencyMs\":2000,\"match\":{\"pathPrefix\":\"/w/\"},\"action\":{\"service\":\"s\",\"timeoutMs\":3000,\"maxAttempts\":3}}";
   private static final int LAST_KEY = 65_535;
@@ -90,7 +90,7 @@
     thread.start();
   }
 
-  private static String turnedAway(final String id) {
+  private static String rejection(final String id) {
     return "HTTP/1.1 503 Busy\r\nWeldpoint-Attempt-Id: "
         + id
         + "\r\nWeldpoint-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
@@ -106,7 +106,7 @@
     for (String id = attemptId(reader); id != null; id = attemptId(reader)) {
       if (turnsAway) {
         turnsAway = false;
-        again = turnedAway(id);
+        again = rejection(id);
         out.write(again.getBytes(StandardCharsets.ISO_8859_1));
         continue;
       }
@@ -123,7 +123,9 @@
     }
   }
 
-  /** Reads the head of a request without a body; its id, null where the connection has ended. */
+  /**
+   * Reads the head of a request without a body; returns its id, null if the connection has ended.
+   */
   private static String attemptId(final BufferedReader reader) throws IOException {
     String id = null;
     for (String line = reader.readLine();
@@ -151,21 +153,23 @@
     }
   }
 
-  /** Guards against REFUSED: an earlier send's answer, come twice, ended the send that ran. */
+  /**
+   * Guards against REFUSED: the duplicated response of an earlier attempt ended the attempt that
+   * ran.
+   */
   @Test
-  public void anEarlierSendsSecondAnswerEndsNoLaterSend() throws IOException, InterruptedException {
+  public void duplicateResponseDoesNotEndALaterAttempt() throws IOException, InterruptedException {
     assertEquals(status("a1"), 200);
     assertEquals(runs.get(), 1);
-    assertEquals(connections.get(), 2, "the second send has a connection of its own");
+    assertEquals(connections.get(), 2, "the second attempt uses another connection");
   }
 
   @Test
-  public void anotherRequestMayUseTheConnectionAndTellsTheSecondCopyByItsId()
-      throws IOException, InterruptedException {
+  public void duplicateResponseIsDetectedByAttemptId() throws IOException, InterruptedException {
     assertEquals(status("a1"), 200);
     assertEquals(status("a2"), 200);
     assertEquals(status("a3"), 200);
     assertEquals(runs.get(), 3);
-    assertEquals(connections.get(), 2, "nothing else opens a connection");
+    assertEquals(connections.get(), 2, "no further connection is opened");
   }
 }
--- a/proxy/src/test/java/weldpoint/proxy/IdempotentRequestsTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/IdempotentRequestsTest.java
@@ -26,28 +26,31 @@
 import weldpoint.transport.KeyMessages.OutcomeResponse;
 import weldpoint.transport.Message;
 
-/** What a proxy does with keyed requests, whatever the registry and other proxies say or don't. */
+/**
+ * Requests with idempotency keys at a proxy, for all answers and failures of the registry and of
+ * other proxies.
+ */
 public final class IdempotentRequestsTest implements IdempotentRequests.Environment {
   private static final long WINDOW = 60_000;
   private static final IdempotencyKey KEY = new IdempotencyKey(1, 2, 3);
 
   private final List<Message> sent = new ArrayList<>();
-  private final List<Claim> askedOf = new ArrayList<>();
-  private final List<Consumer<OutcomeResponse>> asked = new ArrayList<>();
-  private final List<Runnable> schedule = new ArrayList<>();
+  private final List<Claim> queriedOwners = new ArrayList<>();
+  private final List<Consumer<OutcomeResponse>> queryCallbacks = new ArrayList<>();
+  private final List<Runnable> scheduledTasks = new ArrayList<>();
   private boolean stream;
-  private IdempotentRequests runs;
+  private IdempotentRequests idempotentRequests;
   private long now;
 
   @BeforeMethod
-  public void open() {
+  public void createRequests() {
     sent.clear();
-    askedOf.clear();
-    asked.clear();
-    schedule.clear();
+    queriedOwners.clear();
+    queryCallbacks.clear();
+    scheduledTasks.clear();
     stream = true;
     now = ProxyContext.now();
-    runs = new IdempotentRequests("10.0.0.1", 77, WINDOW, this);
+    idempotentRequests = new IdempotentRequests("10.0.0.1", 77, WINDOW, this);
   }
 
   @Override
@@ -63,19 +66,19 @@
       final Claim holder,
       final long fingerprint,
       final long waitMillis,
-      final Consumer<OutcomeResponse> hears) {
-    askedOf.add(holder);
-    asked.add(hears);
+      final Consumer<OutcomeResponse> callback) {
+    queriedOwners.add(holder);
+    queryCallbacks.add(callback);
   }
 
   @Override
   public void schedule(final Runnable task, final long millis) {
-    schedule.add(task);
+    scheduledTasks.add(task);
   }
 
-  private static final class Heard implements IdempotentRequests.Listener {
+  private static final class RecordingListener implements IdempotentRequests.Listener {
     IdempotentRequest run;
-    OutcomeResponse first;
+    OutcomeResponse original;
     int unavailable;
 
     @Override
@@ -85,7 +88,7 @@
 
     @Override
     public void duplicate(final OutcomeResponse given) {
-      first = given;
+      original = given;
     }
 
     @Override
@@ -94,9 +97,9 @@
     }
   }
 
-  private Heard begin(final IdempotencyKey key) {
-    final Heard heard = new Heard();
-    runs.begin(key, now + 2000, heard, now);
+  private RecordingListener begin(final IdempotencyKey key) {
+    final RecordingListener heard = new RecordingListener();
+    idempotentRequests.begin(key, now + 2000, heard, now);
     return heard;
   }
 
@@ -105,11 +108,11 @@
   }
 
   private void answer(final Claim claim, final ClaimResult result, final Claim holder) {
-    runs.claimAnswered(new ClaimResponse(claim.number, result, holder), now);
+    idempotentRequests.claimAnswered(new ClaimResponse(claim.number, result, holder), now);
   }
 
-  private Heard granted() {
-    final Heard heard = begin(KEY);
+  private RecordingListener granted() {
+    final RecordingListener heard = begin(KEY);
     answer(lastClaim(), ClaimResult.GRANTED, null);
     return heard;
   }
@@ -119,142 +122,147 @@
   }
 
   @Test
-  public void aClaimIsRememberedForTheWindowPastTheDeadline() {
+  public void claimIsKeptForTheWindowPastTheDeadline() {
     begin(KEY);
     assertTrue(lastClaim().keepMillis > WINDOW + 2000, "" + lastClaim().keepMillis);
   }
 
   @Test
-  public void aRepeatHereGetsTheAnswerWithoutAskingAnybody() {
-    final Heard first = granted();
-    final Heard waiting = begin(KEY);
-    runs.storeResponse(first.run, 200, List.of("a", "b"), new byte[] {7});
-    final Heard later = begin(KEY);
+  public void duplicateOnTheSameProxyGetsTheStoredResponse() {
+    final RecordingListener first = granted();
+    final RecordingListener waiting = begin(KEY);
+    idempotentRequests.storeResponse(first.run, 200, List.of("a", "b"), new byte[] {7});
+    final RecordingListener later = begin(KEY);
     assertEquals(sent.size(), 1, "one claim");
-    for (final Heard repeat : List.of(waiting, later)) {
-      assertEquals(repeat.first.outcome(), Outcome.ANSWERED);
-      assertEquals(repeat.first.body, new byte[] {7});
+    for (final RecordingListener repeat : List.of(waiting, later)) {
+      assertEquals(repeat.original.outcome(), Outcome.ANSWERED);
+      assertEquals(repeat.original.body, new byte[] {7});
     }
-    final Heard other = begin(new IdempotencyKey(1, 2, 4));
-    assertEquals(other.first.outcome(), Outcome.OTHER_REQUEST);
+    final RecordingListener other = begin(new IdempotencyKey(1, 2, 4));
+    assertEquals(other.original.outcome(), Outcome.OTHER_REQUEST);
   }
 
   @Test
-  public void whatNeverRanGivesItsKeyBackAndTheNextClaimsItAnew() {
-    final Heard first = granted();
-    final Heard waiting = begin(KEY);
-    runs.neverRan(first.run, now);
+  public void keyOfRequestThatNeverRanIsReleasedAndClaimedAgain() {
+    final RecordingListener first = granted();
+    final RecordingListener waiting = begin(KEY);
+    idempotentRequests.neverRan(first.run, now);
     assertTrue(sent.get(1) instanceof ClaimRelease);
-    assertNull(waiting.first);
-    schedule.get(0).run();
+    assertNull(waiting.original);
+    scheduledTasks.get(0).run();
     assertNotEquals(lastClaim().number, first.run.claim().number);
     answer(lastClaim(), ClaimResult.GRANTED, null);
     assertTrue(waiting.run != null && waiting.run.inProgress());
   }
 
   @Test
-  public void aGrantThatComesTooLateIsNotUsedAndIsGivenBack() {
-    final Heard slow = begin(KEY);
+  public void lateGrantIsReleased() {
+    final RecordingListener slow = begin(KEY);
     final Claim claim = lastClaim();
-    runs.expire(false, now + IdempotentRequests.CLAIM_TIMEOUT_MILLIS + 1);
+    idempotentRequests.expire(false, now + IdempotentRequests.CLAIM_TIMEOUT_MILLIS + 1);
     assertEquals(slow.unavailable, 1);
     assertEquals(((ClaimRelease) sent.get(1)).claims.get(0).number, claim.number);
     answer(claim, ClaimResult.GRANTED, null);
-    assertNull(slow.run, "the request was refused with a promise");
+    assertNull(slow.run, "the refusal promised that the request never runs");
     now += 5000;
-    final Heard past = new Heard();
-    runs.begin(new IdempotencyKey(8, 8, 8), now - 1, past, now);
+    final RecordingListener past = new RecordingListener();
+    idempotentRequests.begin(new IdempotencyKey(8, 8, 8), now - 1, past, now);
     answer(lastClaim(), ClaimResult.GRANTED, null);
     assertNull(past.run);
     assertEquals(past.unavailable, 1);
   }
 
   @Test
-  public void withoutAStreamNothingIsSentAndOwedReleasesFollow() {
-    final Heard first = granted();
+  public void releasesAreSentOnceAStreamExists() {
+    final RecordingListener first = granted();
     stream = false;
     assertEquals(begin(new IdempotencyKey(9, 9, 9)).unavailable, 1);
-    runs.neverRan(first.run, now);
+    idempotentRequests.neverRan(first.run, now);
     assertEquals(sent.size(), 1);
     stream = true;
-    runs.expire(false, now);
+    idempotentRequests.expire(false, now);
     assertTrue(sent.get(1) instanceof ClaimRelease);
   }
 
   @Test
-  public void theHolderIsAskedAndItsWordIsPassedOn() {
-    final Heard repeat = begin(KEY);
+  public void outcomeOfTheOwnerIsForwarded() {
+    final RecordingListener repeat = begin(KEY);
     answer(lastClaim(), ClaimResult.HELD, foreign());
-    assertEquals(askedOf.get(0).proxy, "10.0.0.9");
-    asked.get(0).accept(new OutcomeResponse(Outcome.ANSWERED, 200, List.of(), new byte[0]));
-    assertEquals(repeat.first.outcome(), Outcome.ANSWERED);
+    assertEquals(queriedOwners.get(0).proxy, "10.0.0.9");
+    queryCallbacks
+        .get(0)
+        .accept(new OutcomeResponse(Outcome.ANSWERED, 200, List.of(), new byte[0]));
+    assertEquals(repeat.original.outcome(), Outcome.ANSWERED);
   }
 
   @Test
-  public void aHolderThatNeverRanIsNotWaitedForForever() {
-    final Heard repeat = begin(KEY);
+  public void claimsOfAnOwnerThatNeverRanAreLimited() {
+    final RecordingListener repeat = begin(KEY);
     for (int tries = 0; tries < 4; tries++) {
       answer(lastClaim(), ClaimResult.HELD, foreign());
-      asked.get(tries).accept(new OutcomeResponse(Outcome.NEVER_RAN));
+      queryCallbacks.get(tries).accept(new OutcomeResponse(Outcome.NEVER_RAN));
       if (tries < 3) {
-        schedule.get(tries).run();
+        scheduledTasks.get(tries).run();
       }
     }
     assertEquals(repeat.unavailable, 1);
-    assertEquals(schedule.size(), 3);
+    assertEquals(scheduledTasks.size(), 3);
   }
 
-  private Outcome told(final Claim claim, final long fingerprint) {
+  private Outcome queriedOutcome(final Claim claim, final long fingerprint) {
     final List<OutcomeResponse> heard = new ArrayList<>();
-    runs.queryOutcome(claim, fingerprint, heard::add);
+    idempotentRequests.queryOutcome(claim, fingerprint, heard::add);
     return heard.isEmpty() ? null : heard.get(0).outcome();
   }
 
   @Test
-  public void othersAreToldOnlyWhatIsKnown() {
-    final Heard first = granted();
+  public void otherProxiesGetOnlyKnownOutcomes() {
+    final RecordingListener first = granted();
     final Claim claim = first.run.claim();
-    assertNull(told(claim, 3), "still at work: told later");
-    assertEquals(told(claim, 4), Outcome.OTHER_REQUEST);
-    runs.uncertain(first.run);
-    assertEquals(told(claim, 3), Outcome.UNCERTAIN);
-    final Claim earlierLife = new Claim(1, 2, "10.0.0.1", 76, claim.number, WINDOW);
-    assertEquals(told(earlierLife, 3), Outcome.UNCERTAIN, "a life before this one may have run it");
-    final Heard refused = begin(new IdempotencyKey(4, 4, 4));
+    assertNull(queriedOutcome(claim, 3), "still in progress: answered later");
+    assertEquals(queriedOutcome(claim, 4), Outcome.OTHER_REQUEST);
+    idempotentRequests.uncertain(first.run);
+    assertEquals(queriedOutcome(claim, 3), Outcome.UNCERTAIN);
+    final Claim earlierIncarnation = new Claim(1, 2, "10.0.0.1", 76, claim.number, WINDOW);
+    assertEquals(
+        queriedOutcome(earlierIncarnation, 3),
+        Outcome.UNCERTAIN,
+        "an earlier incarnation may have run it");
+    final RecordingListener refused = begin(new IdempotencyKey(4, 4, 4));
     answer(lastClaim(), ClaimResult.UNKNOWN, null);
     assertEquals(refused.unavailable, 1);
-    assertEquals(told(lastClaim(), 4), Outcome.NEVER_RAN);
+    assertEquals(queriedOutcome(lastClaim(), 4), Outcome.NEVER_RAN);
   }
 
   @Test
-  public void aClaimThatIsStillBeingDecidedIsToldOnceItIs() {
-    final Heard first = begin(KEY);
+  public void queryForPendingClaimWaitsForTheOutcome() {
+    final RecordingListener first = begin(KEY);
     final Claim claim = lastClaim();
     final List<OutcomeResponse> heard = new ArrayList<>();
-    runs.queryOutcome(claim, 3, heard::add);
+    idempotentRequests.queryOutcome(claim, 3, heard::add);
     answer(claim, ClaimResult.GRANTED, null);
-    schedule.get(0).run();
-    assertEquals(heard, List.of(), "now it is at work");
-    runs.storeResponse(first.run, 200, List.of(), new byte[0]);
+    scheduledTasks.get(0).run();
+    assertEquals(heard, List.of(), "the request is in progress");
+    idempotentRequests.storeResponse(first.run, 200, List.of(), new byte[0]);
     assertEquals(heard.get(0).outcome(), Outcome.ANSWERED);
   }
 
   @Test
-  public void answersThatTakeTooMuchAreForgottenButNotTheRun() {
+  public void storedResponsesAreEvictedButRequestsAreRemembered() {
     final List<IdempotentRequest> all = new ArrayList<>();
     for (int key = 0; key < 200; key++) {
-      final Heard heard = begin(new IdempotencyKey(key, key, key));
+      final RecordingListener heard = begin(new IdempotencyKey(key, key, key));
       answer(lastClaim(), ClaimResult.GRANTED, null);
-      runs.storeResponse(heard.run, 200, List.of(), new byte[60 << 10]);
+      idempotentRequests.storeResponse(heard.run, 200, List.of(), new byte[60 << 10]);
       all.add(heard.run);
     }
     assertEquals(all.get(0).outcome().outcome(), Outcome.UNCERTAIN);
     assertEquals(all.get(199).outcome().outcome(), Outcome.ANSWERED);
-    final Heard repeat = begin(new IdempotencyKey(0, 0, 0));
-    assertEquals(repeat.first.outcome(), Outcome.UNCERTAIN);
-    runs.expire(false, now + 10 * WINDOW);
+    final RecordingListener repeat = begin(new IdempotencyKey(0, 0, 0));
+    assertEquals(repeat.original.outcome(), Outcome.UNCERTAIN);
+    idempotentRequests.expire(false, now + 10 * WINDOW);
     assertTrue(
-        runs.metrics().stream()
+        idempotentRequests.metrics().stream()
             .filter(metric -> metric.name().equals("weldpoint_keyed_bytes"))
             .allMatch(metric -> metric.value() == 0));
   }
@@ -268,7 +276,7 @@
   }
 
   @Test
-  public void aKeyIsATenantsAndAnyOfTheHeadersBearsIt() {
+  public void keyBelongsToTheTenantAndMayBeInAnyConfiguredHeader() {
     assertNull(key("Other", "k", "t"));
     assertNull(key("Idempotency-Key", "", "t"));
     final IdempotencyKey one = key("Idempotency-Key", "k", "t");
--- a/proxy/src/test/java/weldpoint/proxy/ProxiedRequestTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/ProxiedRequestTest.java
@@ -36,8 +36,8 @@
 import weldpoint.upstream.UpstreamPool;
 
 /**
- * Requests through the whole door to scripted upstreams: what may be repeated is, what may not
- * never runs twice.
+ * Requests through the complete proxy pipeline to scripted upstreams: a repeatable request is
+ * retried, any other never runs twice.
  */
 public final class ProxiedRequestTest {
   private static final String ID = "abc";
@@ -55,7 +55,7 @@
 
   private final EventLoopGroup loop = new NioEventLoopGroup(1);
   private ProxyContext proxyContext;
-  private Channel front;
+  private Channel listener;
   private AtomicInteger arrivals;
 
   @AfterClass
@@ -70,7 +70,7 @@
             "station.name = one\nstation.address = 127.0.0.1\nstation.site = a\nstation.region = r\ntrunk.ports = 7000,7015\ntrunk.seeds = 127.0.0.1:80\nsites = a:r\nbound.retry-slack = 100\n");
     proxyContext = new ProxyContext(loop, settings, new Random(1), new TrialTracker("one", 1));
     arrivals = new AtomicInteger();
-    front =
+    listener =
         new ServerBootstrap()
             .group(loop)
             .channel(NioServerSocketChannel.class)
@@ -92,8 +92,8 @@
   }
 
   /**
-   * Upstreams that answer every connection's first request from one script, in the order in which
-   * requests arrive.
+   * Starts upstreams that answer the first request of each connection from one script, in the order
+   * in which requests arrive.
    */
   private void upstreams(final String... script) throws IOException, InterruptedException {
     final Registration[] registrations = new Registration[3];
@@ -152,7 +152,7 @@
       socket.connect(
           new InetSocketAddress(
               InetAddress.getLoopbackAddress(),
-              ((InetSocketAddress) front.localAddress()).getPort()));
+              ((InetSocketAddress) listener.localAddress()).getPort()));
       socket.setSoTimeout(5000);
       socket
           .getOutputStream()
@@ -191,24 +191,25 @@
   }
 
   @Test(dataProvider = "scripts")
-  public void theAnswerAndTheNumberOfTriesFitWhatTheUpstreamsDid(
+  public void responseAndAttemptCountFollowTheUpstreams(
       final String method,
       final String path,
       final String[] script,
       final int status,
-      final int tries)
+      final int attempts)
       throws IOException, InterruptedException {
     upstreams(script);
     final String answer = request(method, path);
     assertTrue(answer.startsWith("HTTP/1.1 " + status), answer);
-    assertEquals(arrivals.get(), tries);
+    assertEquals(arrivals.get(), attempts);
     assertFalse(answer.contains("wrong"), answer);
     assertEquals(answer.contains("Weldpoint-Server-Seal"), status == 200, answer);
     assertEquals(answer.toLowerCase().contains("retry-after"), status == 503, answer);
-    front.close();
+    listener.close();
   }
 
-  private void placed(final boolean leased, final boolean moving) throws InterruptedException {
+  private void takePlacement(final boolean leased, final boolean moving)
+      throws InterruptedException {
     loop.submit(
             () -> {
               final long[] number = new long[1];
@@ -238,7 +239,7 @@
   }
 
   @DataProvider
-  public Object[][] tiedScripts() {
+  public Object[][] affinityScripts() {
     return new Object[][] {
       {true, false, new String[] {GOOD}, 200, 1},
       {true, false, new String[] {NOT_RUN, GOOD}, 503, 1},
@@ -250,29 +251,29 @@
   }
 
   @Test(dataProvider = "tiedScripts")
-  public void aTiedWriteGoesToItsNodeOrIsRefusedAndNeverElsewhere(
+  public void writeWithAffinityGoesToItsNodeOrIsRefused(
       final boolean leased,
       final boolean moving,
       final String[] script,
       final int status,
-      final int tries)
+      final int attempts)
       throws IOException, InterruptedException {
     upstreams(script);
-    placed(leased, moving);
+    takePlacement(leased, moving);
     final String answer = request("POST", "/t/x");
     assertTrue(answer.startsWith("HTTP/1.1 " + status), answer);
-    assertEquals(arrivals.get(), tries);
+    assertEquals(arrivals.get(), attempts);
     assertEquals(answer.toLowerCase().contains("retry-after"), status == 503, answer);
-    front.close();
+    listener.close();
   }
 
   @Test
-  public void withoutAPlacementATiedWriteIsRefusedAndLookupsGoOn()
+  public void withoutPlacementWriteWithAffinityIsRefusedAndReadsContinue()
       throws IOException, InterruptedException {
     upstreams(GOOD);
     assertTrue(request("POST", "/t/x").startsWith("HTTP/1.1 503"));
     assertTrue(request("GET", "/r/x").startsWith("HTTP/1.1 200"));
     assertEquals(arrivals.get(), 1);
-    front.close();
+    listener.close();
   }
 }
--- a/proxy/src/test/java/weldpoint/proxy/ProxyThreadsTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/ProxyThreadsTest.java
@@ -23,14 +23,14 @@
   }
 
   @Test
-  public void aConfigurationThatComesBeforeTheStartHasEndedOpensTheDoor()
+  public void configurationBeforeEndOfStartOpensTheListener()
       throws IOException, InterruptedException {
-    final int front = port();
+    final int trafficPort = port();
     final ProxyDaemon daemon =
         new ProxyDaemon(
             Settings.parse(
                 "station.name = one\nstation.address = 127.0.0.1\nstation.site = a\nstation.region = r\ntrunk.ports = 7000,7015\ntrunk.seeds = 127.0.0.1:80\nlisten.traffic = 127.0.0.1:"
-                    + front
+                    + trafficPort
                     + "\n"));
     final RoutingTable routingTable =
         RoutingTable.compile(
@@ -48,13 +48,13 @@
     boolean open = false;
     while (!open && System.nanoTime() < until) {
       try (Socket socket = new Socket()) {
-        socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), front));
+        socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), trafficPort));
         open = true;
       } catch (final IOException notYet) {
         TimeUnit.MILLISECONDS.sleep(5);
       }
     }
-    assertTrue(open, "the door stays shut for good");
+    assertTrue(open, "the traffic listener was not opened within 8 s");
     daemon.proxyContext().loop.shutdownGracefully();
   }
 }
--- a/proxy/src/test/java/weldpoint/proxy/RegistryClientTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/RegistryClientTest.java
@@ -20,29 +20,29 @@
 import weldpoint.transport.RegistryMessages.Registration;
 import weldpoint.transport.TrialMessages;
 
-/** A switchboard's view never goes back, and a stale or silent exchange is left. */
+/** A proxy never accepts older control state, and leaves a stale or silent registry. */
 public final class RegistryClientTest {
-  private final List<Long> specs = new ArrayList<>();
+  private final List<Long> versions = new ArrayList<>();
   private final Map<String, Boolean> open = new HashMap<>();
   private final List<String> dialled = new ArrayList<>();
-  private final List<String> approached = new ArrayList<>();
-  private int abandoned;
-  private boolean twoLines;
+  private final List<String> dialledParallel = new ArrayList<>();
+  private int parallelClosed;
+  private boolean parallelSupported;
   private Set<String> evacuated = Set.of();
 
-  /** A link that can have a line beside the one it has. */
-  private RegistryClient linkOfTwoLines() {
-    twoLines = true;
+  /** A client whose environment supports parallel connections. */
+  private RegistryClient clientWithParallelConnections() {
+    parallelSupported = true;
     try {
-      return link();
+      return client();
     } finally {
-      abandoned = 0;
-      approached.clear();
+      parallelClosed = 0;
+      dialledParallel.clear();
     }
   }
 
-  private RegistryClient link() {
-    specs.clear();
+  private RegistryClient client() {
+    versions.clear();
     open.clear();
     dialled.clear();
     final RegistryClient registry =
@@ -58,13 +58,13 @@
 
               @Override
               public boolean dialParallel(final String address) {
-                approached.add(address);
-                return twoLines;
+                dialledParallel.add(address);
+                return parallelSupported;
               }
 
               @Override
               public void closeParallel() {
-                abandoned++;
+                parallelClosed++;
               }
 
               @Override
@@ -78,7 +78,7 @@
                   final Set<String> suspects,
                   final int switchboards) {
                 if (routingTable != null) {
-                  specs.add(routingTable.version());
+                  versions.add(routingTable.version());
                 }
                 changes.forEach((registration, opened) -> open.put(registration.id, opened));
                 if (sites != null) {
@@ -124,22 +124,22 @@
   }
 
   @Test
-  public void nothingOlderIsTakenFromAnotherExchange() {
-    final RegistryClient registry = link();
+  public void olderStateOfAnotherRegistryIsIgnored() {
+    final RegistryClient registry = client();
     registry.messageReceived(view(5, 2, List.of("a"), upstream(LifecycleStage.DRAINING, 3)), 10);
     registry.streamClosed(20);
     registry.messageReceived(view(4, 1, List.of(), upstream(LifecycleStage.JOINED, 9)), 30);
-    assertEquals(specs, List.of(5L));
+    assertEquals(versions, List.of(5L));
     assertEquals(evacuated, Set.of("a"));
     assertNotEquals(open.get("i"), Boolean.TRUE);
     registry.messageReceived(view(6, 3, List.of()), 40);
-    assertEquals(specs, List.of(5L, 6L));
+    assertEquals(versions, List.of(5L, 6L));
     assertEquals(evacuated, Set.of());
   }
 
   @Test
-  public void aSilentOrStaleExchangeIsLeft() {
-    final RegistryClient registry = link();
+  public void silentOrStaleRegistryIsLeft() {
+    final RegistryClient registry = client();
     registry.messageReceived(view(5, 0, List.of()), 10);
     registry.messageReceived(
         new RegistryMessages.RegistryStatus(100, 3, List.of("e1", "e2", "e3")), 500);
@@ -155,106 +155,110 @@
       registry.messageReceived(view(5, 0, List.of()), now);
       registry.messageReceived(new RegistryMessages.RegistryStatus(9000, 3, List.of()), now);
     }
-    assertTrue(dialled.size() <= 6, "glances slow down while all are stale: " + dialled.size());
+    assertTrue(
+        dialled.size() <= 6,
+        "registries are changed less often while all are stale: " + dialled.size());
   }
 
   @Test
-  public void aViewThatIsLongOnItsWayIsWaitedForUnlessTheExchangeSaysThatItKnowsNothing() {
-    final RegistryClient slow = link();
+  public void slowViewIsAwaitedUnlessTheRegistryHasNone() {
+    final RegistryClient slow = client();
     slow.streamOpened(10);
     slow.tick(1500);
     slow.tick(3000);
-    assertEquals(dialled.size(), 1, "the line is open and a view may be under way");
+    assertEquals(dialled.size(), 1, "the connection is open and a view may be on its way");
     slow.messageReceived(view(5, 0, List.of()), 3100);
-    assertEquals(specs, List.of(5L));
-    final RegistryClient uninformed = link();
+    assertEquals(versions, List.of(5L));
+    final RegistryClient uninformed = client();
     uninformed.streamOpened(10);
     uninformed.messageReceived(
         new RegistryMessages.RegistryStatus(Integer.MAX_VALUE, 3, List.of()), 500);
     uninformed.tick(950);
     assertEquals(dialled.size(), 2);
-    final RegistryClient dead = link();
+    final RegistryClient dead = client();
     dead.tick(950);
-    assertEquals(dialled.size(), 2, "no line came about");
+    assertEquals(dialled.size(), 2, "no connection was established");
   }
 
   private static final List<String> MEMBERS = List.of("e1", "e2", "e3", "here");
-  private static final List<String> PLACES = List.of("q/x", "q/y", "q/z", "r/a");
+  private static final List<String> LOCATIONS = List.of("q/x", "q/y", "q/z", "r/a");
 
-  private static void reach(final RegistryClient registry, final long from, final long until) {
+  private static void sendStatus(final RegistryClient registry, final long from, final long until) {
     for (long now = from; now < until; now += 500) {
       registry.messageReceived(
-          new RegistryMessages.RegistryStatus(100, 3, MEMBERS, null, PLACES), now);
+          new RegistryMessages.RegistryStatus(100, 3, MEMBERS, null, LOCATIONS), now);
       registry.tick(now);
     }
   }
 
   @Test
-  public void itKeepsItsStreamUntilTheNearerOneHasGivenAView() {
-    final RegistryClient registry = linkOfTwoLines();
+  public void streamIsKeptUntilNearerRegistryDeliversView() {
+    final RegistryClient registry = clientWithParallelConnections();
     try {
       registry.streamOpened(10);
       registry.messageReceived(view(5, 0, List.of()), 20);
-      reach(registry, 500, 9000);
-      assertEquals(approached, List.of("here"));
-      assertEquals(dialled.size(), 1, "the stream there is was not left");
+      sendStatus(registry, 500, 9000);
+      assertEquals(dialledParallel, List.of("here"));
+      assertEquals(dialled.size(), 1, "the current stream was kept");
       registry.messageReceived(view(6, 1, List.of()), 9100);
-      assertEquals(specs, List.of(5L, 6L), "what comes meanwhile is taken");
+      assertEquals(versions, List.of(5L, 6L), "views received meanwhile are applied");
       registry.switchTo("here", view(6, 1, List.of()), 9200);
-      reach(registry, 9500, 40_000);
-      assertEquals(dialled.size(), 1, "the nearer one is the stream now");
-      assertEquals(approached, List.of("here"));
+      sendStatus(registry, 9500, 40_000);
+      assertEquals(dialled.size(), 1, "the nearer registry is the current one");
+      assertEquals(dialledParallel, List.of("here"));
       registry.streamClosed(40_000);
       assertEquals(dialled.size(), 2);
       assertNotEquals(dialled.get(1), "here");
     } finally {
-      twoLines = false;
+      parallelSupported = false;
     }
   }
 
   /**
-   * Incident 15: on a full link nothing is heard for a while and lines come about late. A stream
-   * that is silent is still the most likely one to bring the next configuration.
+   * Incident 15: on a full link nothing is received for a while and connections are established
+   * late. A silent stream is still the most likely one to bring the next configuration.
    */
   @Test
-  public void aSilentStreamIsKeptUntilAnotherOneHasGivenAView() {
-    final RegistryClient registry = linkOfTwoLines();
+  public void silentStreamIsKeptUntilAnotherRegistryDeliversView() {
+    final RegistryClient registry = clientWithParallelConnections();
     try {
       registry.streamOpened(10);
       registry.messageReceived(view(5, 0, List.of()), 20);
       for (long now = 100; now <= 4000; now += 100) {
         registry.tick(now);
       }
-      assertTrue(!approached.isEmpty(), "another one is sought");
+      assertTrue(!dialledParallel.isEmpty(), "another registry is dialled");
       assertEquals(dialled.size(), 1, "the stream there is was not left: " + dialled);
-      assertTrue(approached.size() >= 3, "one more is tried each time: " + approached);
+      assertTrue(
+          dialledParallel.size() >= 3,
+          "one more registry is dialled each time: " + dialledParallel);
       registry.messageReceived(view(6, 1, List.of()), 4100);
-      assertEquals(abandoned, 1, "it speaks again");
+      assertEquals(parallelClosed, 1, "a message on the current stream ends the search");
       registry.tick(4200);
       assertEquals(dialled.size(), 1);
     } finally {
-      twoLines = false;
+      parallelSupported = false;
     }
   }
 
   @Test
-  public void aNearerOneThatGivesNoViewCostsNothing() {
-    final RegistryClient registry = linkOfTwoLines();
+  public void nearerRegistryWithoutViewIsAbandoned() {
+    final RegistryClient registry = clientWithParallelConnections();
     try {
       registry.streamOpened(10);
       registry.messageReceived(view(5, 0, List.of()), 20);
-      reach(registry, 500, 16_000);
-      assertEquals(approached.size(), 1);
-      assertEquals(abandoned, 1);
-      assertEquals(dialled.size(), 1, "the stream there is was not left");
+      sendStatus(registry, 500, 16_000);
+      assertEquals(dialledParallel.size(), 1);
+      assertEquals(parallelClosed, 1);
+      assertEquals(dialled.size(), 1, "the current stream was kept");
     } finally {
-      twoLines = false;
+      parallelSupported = false;
     }
   }
 
   @Test
-  public void itMovesOnceToAnExchangeOfItsOwnZoneAndStays() {
-    final RegistryClient registry = link();
+  public void clientMovesOnceToARegistryOfItsZone() {
+    final RegistryClient registry = client();
     final List<String> members = List.of("e1", "e2", "e3", "near", "here");
     final List<String> places = List.of("q/x", "q/y", "q/z", "r/b", "r/a");
     registry.streamOpened(10);
@@ -274,12 +278,12 @@
   private static final long WITHIN_MILLIS = 1000;
 
   /**
-   * Guards against DRAIN: a stream ends while two of the registries are gone without a word, and
-   * the proxy waits for one after the other.
+   * Guards against DRAIN: a stream ends while two of the registries are unreachable and do not
+   * refuse connections, and the proxy waits for one after the other.
    */
   @Test
-  public void aStreamThatEndedIsSoughtAtSeveralRegistriesAtOnce() {
-    final RegistryClient registry = linkOfTwoLines();
+  public void closedStreamIsReplacedByParallelDials() {
+    final RegistryClient registry = clientWithParallelConnections();
     try {
       registry.streamOpened(10);
       registry.messageReceived(view(5, 0, List.of()), 20);
@@ -288,23 +292,23 @@
       for (long now = 700; now <= 600 + WITHIN_MILLIS; now += 100) {
         registry.tick(now);
       }
-      final java.util.Set<String> sought = new java.util.HashSet<>(approached);
+      final java.util.Set<String> sought = new java.util.HashSet<>(dialledParallel);
       sought.add(dialled.get(dialled.size() - 1));
-      assertTrue(sought.size() >= 3, "sought at " + sought);
-      registry.switchTo(approached.get(0), view(6, 1, List.of()), 1700);
-      assertEquals(specs, List.of(5L, 6L));
+      assertTrue(sought.size() >= 3, "registries dialled: " + sought);
+      registry.switchTo(dialledParallel.get(0), view(6, 1, List.of()), 1700);
+      assertEquals(versions, List.of(5L, 6L));
     } finally {
-      twoLines = false;
+      parallelSupported = false;
     }
   }
 
   /**
-   * Guards against CONFIG: a registry that lost the majority is left before another one has given a
-   * view.
+   * Guards against CONFIG: a registry that lost the majority is left before another one has
+   * delivered a view.
    */
   @Test
-  public void aRegistryThatLostTheMajorityIsKeptUntilAnotherOneHasGivenAView() {
-    final RegistryClient registry = linkOfTwoLines();
+  public void staleRegistryIsKeptUntilAnotherDeliversView() {
+    final RegistryClient registry = clientWithParallelConnections();
     try {
       registry.streamOpened(10);
       registry.messageReceived(view(5, 0, List.of()), 20);
@@ -312,19 +316,19 @@
         registry.messageReceived(new RegistryMessages.RegistryStatus(9000, 3, MEMBERS), now);
         registry.tick(now);
       }
-      assertEquals(dialled.size(), 1, "the stream there is was left: " + dialled);
-      assertTrue(!approached.isEmpty(), "another one is sought");
+      assertEquals(dialled.size(), 1, "the current stream was kept: " + dialled);
+      assertTrue(!dialledParallel.isEmpty(), "another registry is dialled");
       registry.messageReceived(view(6, 1, List.of()), 3100);
-      assertEquals(specs, List.of(5L, 6L), "what comes meanwhile is taken");
+      assertEquals(versions, List.of(5L, 6L), "views received meanwhile are applied");
     } finally {
-      twoLines = false;
+      parallelSupported = false;
     }
   }
 
   /** Guards against DRAIN: registries that are gone for good are dialled again each time. */
   @Test
-  public void aRegistryThatGaveNoViewIsDialledAfterTheOthers() {
-    final RegistryClient registry = linkOfTwoLines();
+  public void failedRegistryIsDialledLast() {
+    final RegistryClient registry = clientWithParallelConnections();
     try {
       registry.streamOpened(10);
       registry.messageReceived(view(5, 0, List.of()), 20);
@@ -332,34 +336,34 @@
           new RegistryMessages.RegistryStatus(100, 3, List.of("e4", "e5", "e6")), 500);
       registry.streamClosed(600);
       long now = 700;
-      for (; approached.size() < 3; now += 100) {
+      for (; dialledParallel.size() < 3; now += 100) {
         registry.tick(now);
-        assertTrue(now < 5000, "sought only at " + approached);
+        assertTrue(now < 5000, "registries dialled within 5 s: " + dialledParallel);
       }
-      final String silent = approached.get(0);
-      final String found = approached.get(2);
+      final String silent = dialledParallel.get(0);
+      final String found = dialledParallel.get(2);
       registry.switchTo(found, view(6, 1, List.of()), now);
-      approached.clear();
+      dialledParallel.clear();
       registry.streamClosed(now + 1000);
       final long again = now + 1000;
       for (now = again; now < again + 600; now += 100) {
         registry.tick(now);
       }
       assertTrue(
-          !approached.contains(silent) && !silent.equals(dialled.get(dialled.size() - 1)),
-          silent + " is dialled again before others: " + approached);
+          !dialledParallel.contains(silent) && !silent.equals(dialled.get(dialled.size() - 1)),
+          silent + " is dialled again before the others: " + dialledParallel);
     } finally {
-      twoLines = false;
+      parallelSupported = false;
     }
   }
 
   /**
-   * Guards against DRAIN: machines of the core were replaced one after the other, and a proxy whose
-   * registry ends dials those that are gone before those that are there.
+   * Guards against DRAIN: registry machines were replaced one after the other, and a proxy whose
+   * stream ended dials the removed registries before those that are running.
    */
   @Test
-  public void registriesThatAreGoneAreDialledAfterThoseThatAreThere() {
-    final RegistryClient registry = linkOfTwoLines();
+  public void unreachableRegistriesAreDialledLast() {
+    final RegistryClient registry = clientWithParallelConnections();
     try {
       registry.streamOpened(10);
       registry.messageReceived(view(5, 0, List.of()), 20);
@@ -370,13 +374,14 @@
       for (long now = 1200; now <= 1500; now += 100) {
         registry.tick(now);
       }
-      final List<String> sought = new ArrayList<>(approached);
+      final List<String> sought = new ArrayList<>(dialledParallel);
       sought.add(dialled.get(dialled.size() - 1));
-      assertTrue(sought.size() >= 2, "sought at " + sought);
+      assertTrue(sought.size() >= 2, "registries dialled: " + sought);
       assertTrue(
-          Set.of("n1", "n2").containsAll(sought), "dialled before those that are there: " + sought);
+          Set.of("n1", "n2").containsAll(sought),
+          "removed registries were dialled first: " + sought);
     } finally {
-      twoLines = false;
+      parallelSupported = false;
     }
   }
 }
--- a/proxy/src/test/java/weldpoint/proxy/RegistryStreamTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/RegistryStreamTest.java
@@ -16,7 +16,7 @@
 import weldpoint.transport.RegistryMessages.RegistryStatus;
 import weldpoint.transport.TrialMessages;
 
-/** What a registry says, as a stream hands it to its link. */
+/** How a stream passes a registry's messages to its client. */
 public final class RegistryStreamTest {
   private static final long PEER_AHEAD_MILLIS = 50_000;
 
@@ -62,11 +62,11 @@
   }
 
   /**
-   * Guards against PURGE: the word that a majority was heard of, held up on its way, makes a cache
-   * believe that it knows of purges acknowledged meanwhile.
+   * Guards against PURGE: a delayed message about contact with a majority makes a cache believe
+   * that it knows all purges acknowledged meanwhile.
    */
   @Test
-  public void agesAreCountedFromWhenTheyWereSaid() {
+  public void agesAreCountedFromSending() {
     final RegistryClient registry =
         new RegistryClient(
             new RegistryMessages.DaemonEntry("10.0.0.9", "10.0.0.9:80", "a", "r", 1, false, 0),
@@ -84,19 +84,19 @@
         clock,
         new RegistryMessages.View(1, null, false, null, 0, null, false, null, 1, null, -1),
         200);
-    final RegistryStatus reach =
+    final RegistryStatus status =
         new RegistryStatus(
             40, 1, List.of(), null, null, 40, 960 + PEER_AHEAD_MILLIS, 1000 + PEER_AHEAD_MILLIS);
-    stream.deliver(clock, reach, 3500);
+    stream.deliver(clock, status, 3500);
     final long drift = (3500 - 110) / 50;
-    assertEquals(ages, List.of(40 + 2500 + drift), "40 ms old when it was said, 2.5 s under way");
+    assertEquals(ages, List.of(40 + 2500 + drift), "40 ms old when it was sent, 2.5 s in transit");
     assertEquals(proofs, List.of(960 - drift));
-    assertEquals(unsettled, List.of(), "the line was slow, the registry had its majority");
+    assertEquals(unsettled, List.of(), "the connection was slow, but the registry had a majority");
     stream.deliver(
         clock,
         new RegistryStatus(1200, 1, List.of(), null, null, 1200, null, 3490 + PEER_AHEAD_MILLIS),
         3500);
-    assertEquals(unsettled.size(), 1, "it said itself that it had lost the majority");
+    assertEquals(unsettled.size(), 1, "the registry itself stated that it had lost the majority");
   }
 
   private static final String SETTINGS =
--- a/proxy/src/test/java/weldpoint/proxy/ScriptedUpstream.java
+++ b/proxy/src/test/java/weldpoint/proxy/ScriptedUpstream.java
@@ -19,11 +19,11 @@
 import java.util.regex.Pattern;
 
 /**
- * An upstream on a real socket that reads so many bytes of each request, answers so many bytes, and
- * then ends the connection in its own way.
+ * An upstream on a real socket that reads part of each request, writes part of a response, and then
+ * ends the connection in a given way.
  */
 final class ScriptedUpstream implements AutoCloseable {
-  /** What it does after it has answered. */
+  /** What the upstream does after its response. */
   enum Ending {
     KEEP,
     CLOSE,
@@ -33,8 +33,8 @@
   }
 
   /**
-   * What it does with one request: how much of it is read (all where negative), what is answered,
-   * how it ends.
+   * The handling of one request: how many bytes are read (all if negative), the response, and how
+   * the connection ends.
    */
   record Step(int reads, String answer, Ending ending) {
     static Step answer(final String answer) {
@@ -49,18 +49,18 @@
   private final IntFunction<Step> script;
   private final AtomicInteger arrivals;
 
-  /** The requests that were read whole, as their bytes came. */
+  /** The requests that were read completely, as received. */
   final List<String> requests = Collections.synchronizedList(new ArrayList<>());
 
-  /** How many connections were taken. */
+  /** How many connections were accepted. */
   final AtomicInteger connections = new AtomicInteger();
 
-  /** Falls to 0 once a caller has closed a connection on which it was left in silence. */
-  final CountDownLatch leftAlone = new CountDownLatch(1);
+  /** Reaches 0 once a client has closed a connection on which the upstream was silent. */
+  final CountDownLatch silenceEnded = new CountDownLatch(1);
 
   /**
-   * An upstream whose steps are asked for by the number of the arrival, counted over all that share
-   * the counter.
+   * An upstream whose steps are selected by the number of the arrival, counted over all upstreams
+   * that share the counter.
    */
   ScriptedUpstream(final AtomicInteger arrivals, final IntFunction<Step> script)
       throws IOException {
@@ -110,7 +110,8 @@
       final Step step = script.apply(arrivals.getAndIncrement());
       final ByteArrayOutputStream request = new ByteArrayOutputStream();
       request.write(first);
-      final boolean whole = step.reads < 0 ? rest(in, request) : part(in, request, step.reads);
+      final boolean whole =
+          step.reads < 0 ? readRest(in, request) : readPart(in, request, step.reads);
       if (whole) {
         requests.add(request.toString(StandardCharsets.ISO_8859_1));
       }
@@ -148,7 +149,7 @@
           } finally {
             socket.close();
           }
-          leftAlone.countDown();
+          silenceEnded.countDown();
           return;
         }
       }
@@ -161,15 +162,15 @@
     return matcher.find() ? matcher.group(1) : "";
   }
 
-  private static boolean part(
+  private static boolean readPart(
       final InputStream in, final ByteArrayOutputStream request, final int bytes)
       throws IOException {
     request.write(in.readNBytes(bytes - request.size()));
     return false;
   }
 
-  /** Reads the rest of a request; false where it ends early. */
-  private static boolean rest(final InputStream in, final ByteArrayOutputStream request)
+  /** Reads the rest of a request; false if it ends early. */
+  private static boolean readRest(final InputStream in, final ByteArrayOutputStream request)
       throws IOException {
     int matched = 0;
     while (matched < 4) {
--- a/proxy/src/test/java/weldpoint/proxy/SlowReaderTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/SlowReaderTest.java
@@ -16,8 +16,9 @@
 import org.testng.annotations.Test;
 
 /**
- * Clients that take large answers slowly, at a proxy that leaves or whose connections may rest only
- * briefly: an answer that its upstream gave whole is not cut while its client still takes it.
+ * Clients that read large responses slowly, at a proxy that shuts down or has a short idle timeout:
+ * a response that was received completely from its upstream is not cut while its client still reads
+ * it.
  */
 public final class SlowReaderTest {
   private static final int BODY_BYTES = 6 << 20;
@@ -65,12 +66,15 @@
                 .getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Waits until the upstream has answered, and the proxy has what the client does not take yet. */
-  private void awaitAnswer() throws InterruptedException {
-    TestProxy.await(() -> proxy.proxyContext().served > 0, "the upstream's answer has not come");
+  /**
+   * Waits until the upstream has responded and the proxy buffers what the client does not read yet.
+   */
+  private void awaitResponse() throws InterruptedException {
+    TestProxy.await(
+        () -> proxy.proxyContext().served > 0, "the upstream's response has not arrived");
   }
 
-  /** Reads heads and bodies until the end; the bytes of all bodies together. */
+  /** Reads heads and bodies; returns the number of body bytes. */
   private static int bodyBytes(final Socket socket, final int answers) throws IOException {
     final InputStream in = socket.getInputStream();
     int whole = 0;
@@ -88,13 +92,13 @@
     return whole;
   }
 
-  /** Guards against LOST: a proxy that leaves cut answers which their clients were still taking. */
+  /** Guards against LOST: a proxy that shut down cut responses which clients were still reading. */
   @Test
-  public void aLeavingProxyLetsAnAnswerBeTakenWhole() throws IOException, InterruptedException {
+  public void shutdownWaitsForResponseInProgress() throws IOException, InterruptedException {
     serve(15_000);
     try (Socket client = proxy.connect()) {
       send(client, "a1", 6000);
-      awaitAnswer();
+      awaitResponse();
       proxy.proxyContext().shuttingDown = true;
       TimeUnit.MILLISECONDS.sleep(500);
       assertEquals(bodyBytes(client, 1), BODY_BYTES);
@@ -102,78 +106,79 @@
     TestProxy.await(() -> proxy.proxyContext().openRequests.count() == 0, "the request stays open");
   }
 
-  /** Guards against LOST: the process ended while answers still waited in their connections. */
+  /** Guards against LOST: the process ended while responses still waited in their connections. */
   @Test
-  public void theProcessDoesNotEndBeforeAnAnswerIsTaken() throws Exception {
+  public void processStaysUntilResponseIsRead() throws Exception {
     serve(15_000);
     try (Socket client = proxy.connect()) {
       send(client, "a1", 6000);
-      awaitAnswer();
+      awaitResponse();
       final Thread stopping = new Thread(proxy.daemon()::stop);
       stopping.start();
       TimeUnit.MILLISECONDS.sleep(3200);
-      assertTrue(stopping.isAlive(), "the process has ended before its answer was taken");
+      assertTrue(stopping.isAlive(), "the process ended before its response was read");
       assertEquals(bodyBytes(client, 1), BODY_BYTES);
       stopping.join(WAIT_MILLIS);
       assertFalse(stopping.isAlive());
     }
   }
 
-  /** Guards against LOST: an answer that takes longer than connections may rest was cut. */
+  /** Guards against LOST: a response that takes longer than the idle timeout was cut. */
   @Test
-  public void anAnswerUnderWayIsNotIdle() throws IOException, InterruptedException {
+  public void connectionWithResponseInProgressIsNotIdle() throws IOException, InterruptedException {
     serve(200);
     try (Socket client = proxy.connect()) {
       send(client, "a1", 6000);
-      awaitAnswer();
+      awaitResponse();
       TimeUnit.MILLISECONDS.sleep(700);
       assertEquals(bodyBytes(client, 1), BODY_BYTES);
     }
   }
 
-  /** Guards against LOST: a leaving proxy dropped the requests that waited behind an answer. */
+  /**
+   * Guards against LOST: a proxy that shut down dropped the requests that waited behind a response.
+   */
   @Test
-  public void aLeavingProxyAnswersWhatItHasRead() throws IOException, InterruptedException {
+  public void shutdownAnswersPipelinedRequests() throws IOException, InterruptedException {
     serve(15_000);
     try (Socket client = proxy.connect()) {
       send(client, "a1", 6000);
       send(client, "a2", 6000);
-      awaitAnswer();
+      awaitResponse();
       proxy.proxyContext().shuttingDown = true;
       TimeUnit.MILLISECONDS.sleep(300);
       assertEquals(bodyBytes(client, 2), 2 * BODY_BYTES);
-      assertEquals(client.getInputStream().read(), -1, "the connection ends after the last answer");
+      assertEquals(
+          client.getInputStream().read(), -1, "the connection ends after the last response");
     }
   }
 
   @Test
-  public void aClientThatNeverReadsIsGivenUpAfterItsDeadline()
-      throws IOException, InterruptedException {
+  public void connectionOfClientThatNeverReadsIsClosed() throws IOException, InterruptedException {
     serve(200);
     try (Socket client = proxy.connect()) {
       send(client, "a1", 500);
-      awaitAnswer();
+      awaitResponse();
       assertEquals(proxy.proxyContext().openRequests.count(), 1);
       TestProxy.await(
-          () -> proxy.proxyContext().openRequests.count() == 0, "the request stays open for good");
+          () -> proxy.proxyContext().openRequests.count() == 0, "the request was never closed");
       assertTrue(bodyBytes(client, 1) < BODY_BYTES);
     } catch (final IOException reset) {
       assertEquals(proxy.proxyContext().openRequests.count(), 0);
     }
     TestProxy.await(
         () -> proxy.proxyContext().openRequests.unwrittenBytes() == 0,
-        "bytes are counted for good");
+        "unwritten bytes are still counted");
   }
 
   @Test
-  public void whileTooMuchWaitsForClientsNothingMoreIsBegun()
-      throws IOException, InterruptedException {
+  public void unwrittenBytesLimitRefusesNewRequests() throws IOException, InterruptedException {
     serve(15_000);
     proxy.proxyContext().maxUnwrittenBytes = 1;
     try (Socket slow = proxy.connect();
         Socket other = proxy.connect()) {
       send(slow, "a1", 6000);
-      awaitAnswer();
+      awaitResponse();
       send(other, "a2", 6000);
       final byte[] status = other.getInputStream().readNBytes(12);
       assertEquals(new String(status, StandardCharsets.UTF_8), "HTTP/1.1 503");
--- a/proxy/src/test/java/weldpoint/proxy/StaleControlStateTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/StaleControlStateTest.java
@@ -15,23 +15,23 @@
 import weldpoint.upstream.UpstreamPool;
 
 /**
- * A proxy that has heard nothing of its registry for longer than a change may take to be in force,
- * with bounds of 2 s, and a span of 4 s after which it is out of touch.
+ * A proxy that has had no message of its registry for longer than a change may take to be in force,
+ * with bounds of 2 s, and a time of 4 s after which it counts as disconnected.
  */
 public final class StaleControlStateTest {
-  /** Older than any change may take, younger than a proxy that is out of touch. */
+  /** Older than any change may take, younger than for a disconnected proxy. */
   private static final long STALE_MILLIS = 2600;
 
-  private static final long CUT_OFF_MILLIS = 9000;
+  private static final long DISCONNECTED_MILLIS = 9000;
   private static final long WAITS_MILLIS = 150;
   private static final String OK =
       "HTTP/1.1 200 OK\r\nWeldpoint-Attempt-Id: $ID\r\nWeldpoint-Server-Seal: s\r\nContent-Length: 2\r\n\r\nok";
-  private static final String TURNED_AWAY =
+  private static final String REJECTED =
       "HTTP/1.1 503 Busy\r\nWeldpoint-Attempt-Id: $ID\r\nWeldpoint-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
 
   private final AtomicInteger arrivals = new AtomicInteger();
   private String answer;
-  private Runnable uponArrival;
+  private Runnable onArrival;
   private ScriptedUpstream old;
   private ScriptedUpstream other;
   private TestProxy proxy;
@@ -40,12 +40,12 @@
   public void open() throws IOException, InterruptedException {
     arrivals.set(0);
     answer = OK;
-    uponArrival = () -> {};
+    onArrival = () -> {};
     old =
         new ScriptedUpstream(
             arrivals,
             number -> {
-              uponArrival.run();
+              onArrival.run();
               return ScriptedUpstream.Step.answer(answer);
             });
     other = new ScriptedUpstream(new AtomicInteger(), number -> ScriptedUpstream.Step.answer(OK));
@@ -78,8 +78,8 @@
         new Registration(id, service, "127.0.0.1:" + port, "a", "v", 4, 0, 1, 0, 0), true);
   }
 
-  /** The newest proof is so old. */
-  private void proved(final long ageMillis) {
+  /** Sets the age of the newest proof. */
+  private void renewProof(final long ageMillis) {
     final long now = ProxyContext.now();
     proxy.proxyContext().controlProof.renew(now - ageMillis, now);
   }
@@ -110,22 +110,27 @@
     return status;
   }
 
-  /** Guards against CONFIG and DRAIN: a proxy that hears nothing sends by what it has. */
+  /**
+   * Guards against CONFIG and DRAIN: a proxy without messages keeps sending by its old control
+   * state.
+   */
   @Test
-  public void nothingIsSentByControlStateThatMayBeOlderThanItsBound()
-      throws IOException, InterruptedException {
-    onLoop(() -> proved(STALE_MILLIS));
+  public void staleControlStateSendsNothing() throws IOException, InterruptedException {
+    onLoop(() -> renewProof(STALE_MILLIS));
     try (Socket client = request("/w/x")) {
       assertEquals(status(client), "503");
     }
-    assertEquals(arrivals.get(), 0, "it was sent by control state that may have been replaced");
+    assertEquals(
+        arrivals.get(), 0, "a request was sent by control state that may have been replaced");
   }
 
-  /** Guards against CONFIG: a route that was added is denied by a proxy that hears nothing. */
+  /**
+   * Guards against CONFIG: a proxy without messages answers 404 for a route that was added
+   * elsewhere.
+   */
   @Test
-  public void aRouteThatIsNotKnownYetIsNotDeniedByOldControlState()
-      throws IOException, InterruptedException {
-    onLoop(() -> proved(STALE_MILLIS));
+  public void staleControlStateDeniesNoUnknownRoute() throws IOException, InterruptedException {
+    onLoop(() -> renewProof(STALE_MILLIS));
     try (Socket client = request("/new/x")) {
       assertEquals(status(client), "503");
     }
@@ -133,35 +138,33 @@
 
   /** Guards against CONFIG: a request is handled by the version that is about to be replaced. */
   @Test
-  public void aRequestWaitsForTheNextProofAndObeysWhatCameBeforeIt()
-      throws IOException, InterruptedException {
-    onLoop(() -> proved(STALE_MILLIS));
+  public void requestWaitsForTheNextProof() throws IOException, InterruptedException {
+    onLoop(() -> renewProof(STALE_MILLIS));
     try (Socket client = request("/w/x")) {
-      TestProxy.await(() -> proxy.proxyContext().openRequests.count() == 1, "no request has come");
+      TestProxy.await(
+          () -> proxy.proxyContext().openRequests.count() == 1, "no request has arrived");
       TimeUnit.MILLISECONDS.sleep(WAITS_MILLIS);
       proxy.configure(configuration(2, "t"));
-      onLoop(() -> proved(0));
+      onLoop(() -> renewProof(0));
       assertEquals(status(client), "200");
     }
-    assertEquals(arrivals.get(), 0, "it went to the service of the version before");
+    assertEquals(arrivals.get(), 0, "the request went to the service of the previous version");
     assertEquals(other.requests.size(), 1);
   }
 
   /**
-   * Guards against DRAIN: a further try goes out by control state that has become too old. (A
-   * write, since a lookup would be asked of a second upstream earlier, while the proof still
-   * holds.)
+   * Guards against DRAIN: a retry is sent by control state that has become too old. The request is
+   * a write, since a read would be hedged earlier, while the proof still holds.
    */
   @Test
-  public void nothingIsSentAgainOnceControlStateMayBeTooOld()
-      throws IOException, InterruptedException {
-    answer = TURNED_AWAY;
+  public void staleControlStateAllowsNoRetry() throws IOException, InterruptedException {
+    answer = REJECTED;
     proxy.configure(
         configuration(2, "s").replace("\"idempotent\"", "\"mutating\""),
         upstream("i-2", "s", old.port()));
     final long began = ProxyContext.now();
-    onLoop(() -> proved(0));
-    uponArrival =
+    onLoop(() -> renewProof(0));
+    onArrival =
         () -> {
           try {
             TimeUnit.MILLISECONDS.sleep(STALE_MILLIS);
@@ -173,49 +176,57 @@
       assertEquals(status(client), "503");
     }
     assertTrue(ProxyContext.now() - began >= STALE_MILLIS);
-    assertEquals(arrivals.get(), 1, "it was sent again by old control state");
+    assertEquals(arrivals.get(), 1, "the request was retried by old control state");
   }
 
-  /** A proxy that was cut off for longer than it can be in touch serves on with what it has. */
+  /**
+   * A proxy that was disconnected for longer than a connected one can be keeps serving with what it
+   * has.
+   */
   @Test
-  public void aProxyThatIsOutOfTouchServesOn() throws IOException, InterruptedException {
-    onLoop(() -> proved(CUT_OFF_MILLIS));
+  public void disconnectedProxyKeepsServing() throws IOException, InterruptedException {
+    onLoop(() -> renewProof(DISCONNECTED_MILLIS));
     try (Socket client = request("/w/x")) {
       assertEquals(status(client), "200");
     }
   }
 
   /**
-   * Guards against lost worth: the core has no majority, so that nothing can be acknowledged, and
-   * proxies refuse all the same.
+   * Guards against needless refusals: the registry cluster has no majority, so nothing can be
+   * acknowledged, and proxies refuse all the same.
    */
   @Test
-  public void aProxyWhoseCoreIsUnsettledServesOn() throws IOException, InterruptedException {
-    onLoop(() -> proved(STALE_MILLIS));
+  public void unsettledRegistryClusterKeepsProxyServing() throws IOException, InterruptedException {
+    onLoop(() -> renewProof(STALE_MILLIS));
     try (Socket client = request("/w/x")) {
-      TestProxy.await(() -> proxy.proxyContext().openRequests.count() == 1, "no request has come");
+      TestProxy.await(
+          () -> proxy.proxyContext().openRequests.count() == 1, "no request has arrived");
       onLoop(
           () -> proxy.proxyContext().controlProof.coreUnsettled(STALE_MILLIS, ProxyContext.now()));
       assertEquals(status(client), "200");
     }
   }
 
-  /** Guards against CONFIG: a core that has been settled for long is taken for unsettled. */
+  /**
+   * Guards against CONFIG: a registry cluster that has been settled for long is taken for
+   * unsettled.
+   */
   @Test
-  public void aCoreThatWasUnsettledLongAgoBindsAgain() throws IOException, InterruptedException {
+  public void settledRegistryClusterEnforcesTheBoundAgain()
+      throws IOException, InterruptedException {
     onLoop(
         () -> {
-          proved(STALE_MILLIS);
-          proxy.proxyContext().controlProof.coreUnsettled(CUT_OFF_MILLIS, ProxyContext.now());
+          renewProof(STALE_MILLIS);
+          proxy.proxyContext().controlProof.coreUnsettled(DISCONNECTED_MILLIS, ProxyContext.now());
         });
     try (Socket client = request("/w/x")) {
       assertEquals(status(client), "503");
     }
   }
 
-  /** A proxy that was never given a proof, by registries of an older release, serves. */
+  /** A proxy that never got a proof, from registries of an older release, serves. */
   @Test
-  public void aProxyWithoutAnyProofServes() throws IOException, InterruptedException {
+  public void proxyWithoutAnyProofServes() throws IOException, InterruptedException {
     try (Socket client = request("/w/x")) {
       assertEquals(status(client), "200");
     }
--- a/proxy/src/test/java/weldpoint/proxy/TestProxy.java
+++ b/proxy/src/test/java/weldpoint/proxy/TestProxy.java
@@ -16,12 +16,14 @@
 import weldpoint.transport.RegistryMessages.Registration;
 import weldpoint.upstream.UpstreamPool;
 
-/** A proxy of one process on loopback, with one upstream, whose control state the test gives it. */
+/**
+ * A proxy in this process on loopback, with one upstream, whose control state the test provides.
+ */
 final class TestProxy implements AutoCloseable {
-  /** The host of its routes. */
+  /** The host of the routes. */
   static final String HOST = "h";
 
-  /** The id of its upstream. */
+  /** The id of the upstream. */
   static final String UPSTREAM = "i-0";
 
   private static final int RECEIVE_BUFFER_BYTES = 16 << 10;
@@ -56,11 +58,11 @@
   }
 
   /**
-   * Puts a configuration in force and begins to close what rests for too long.
+   * Puts a configuration in force and starts to close idle connections.
    *
    * @param rule the one rule of its host, as JSON
    * @param pool the one service, as JSON
-   * @param idleMillis how long a connection may rest
+   * @param idleMillis the idle timeout of connections, in milliseconds
    */
   void serve(final String rule, final String pool, final int idleMillis, final int upstreamPort)
       throws InterruptedException {
@@ -92,7 +94,7 @@
             daemon::checkTimeouts, SWEEP_MILLIS, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** Puts a whole configuration, as JSON, and changes of upstreams in force. */
+  /** Puts a complete configuration, as JSON, and changes of upstreams in force. */
   void configure(final String configuration, final UpstreamPool.Change... changes)
       throws InterruptedException {
     final RoutingTable routingTable =
@@ -107,7 +109,7 @@
         .sync();
   }
 
-  /** A connection of a client whose own buffer is small. */
+  /** Opens a client connection with a small receive buffer. */
   Socket connect() throws IOException, InterruptedException {
     final long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WAIT_MILLIS);
     while (true) {
@@ -118,13 +120,13 @@
         socket.setSoTimeout((int) WAIT_MILLIS);
         return socket;
       } catch (final IOException notYetOpen) {
-        assertTrue(System.nanoTime() < until, "the proxy opens no door");
+        assertTrue(System.nanoTime() < until, "the proxy does not accept connections");
         TimeUnit.MILLISECONDS.sleep(10);
       }
     }
   }
 
-  /** Waits until something holds. */
+  /** Waits until the condition holds; fails with {@code what} after the time limit. */
   static void await(final BooleanSupplier reached, final String what) throws InterruptedException {
     final long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WAIT_MILLIS);
     while (!reached.getAsBoolean()) {
