--- a/proxy/src/test/java/weldpoint/proxy/AtMostOnceTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/AtMostOnceTest.java
@@ -207,7 +207,7 @@
     return head + new String(in.readNBytes(length), StandardCharsets.ISO_8859_1);
   }
 
-  private String exchange(final String request) throws IOException {
+  private String sendRequest(final String request) throws IOException {
     try (Socket socket = connect()) {
       send(socket, request);
       return answer(socket.getInputStream());
@@ -235,7 +235,7 @@
     serve(number -> number == 0 ? new Step(reads[0], "", ending) : Step.answer(GOOD));
     for (reads[0] = 1; reads[0] < length; reads[0]++) {
       arrivals.set(0);
-      final String answer = exchange(WRITE);
+      final String answer = sendRequest(WRITE);
       assertEquals(status(answer), 502, reads[0] + " bytes read, " + ending + ": " + answer);
       assertFalse(answer.contains("Weldpoint-Server-Seal"), answer);
       assertEquals(arrivals.get(), 1, reads[0] + " bytes read, " + ending);
@@ -251,11 +251,12 @@
             number == 0 ? new Step(-1, GOOD.substring(0, cut[0]), ending) : Step.answer(GOOD));
     for (cut[0] = 0; cut[0] < GOOD.length(); cut[0]++) {
       arrivals.set(0);
-      final String answer = exchange(WRITE);
+      final String answer = sendRequest(WRITE);
       assertEquals(status(answer), 502, cut[0] + " bytes answered, " + ending + ": " + answer);
       assertEquals(arrivals.get(), 1, cut[0] + " bytes answered, " + ending);
       arrivals.set(0);
-      assertTrue(exchange(writeTo("/r/x")).endsWith("body"), cut[0] + " bytes answered, " + ending);
+      assertTrue(
+          sendRequest(writeTo("/r/x")).endsWith("body"), cut[0] + " bytes answered, " + ending);
       assertEquals(arrivals.get(), 2);
     }
   }
@@ -306,12 +307,12 @@
             + status
             + " X\r\nWeldpoint-Attempt-Id: abc\r\nWeldpoint-Server-Seal: s\r\nContent-Length: 0\r\n\r\n";
     serve(number -> Step.answer(claim));
-    final String answer = exchange(WRITE);
+    final String answer = sendRequest(WRITE);
     assertEquals(status(answer), 502, answer);
     assertFalse(
         answer.contains("Seal"), "a server seal with a status of the proxy itself: " + answer);
     assertEquals(arrivals.get(), 1);
-    final String read = exchange(writeTo("/r/x"));
+    final String read = sendRequest(writeTo("/r/x"));
     assertEquals(status(read), status, "a read gets the upstream's own response");
     assertTrue(read.contains("Weldpoint-Server-Seal: s"), read);
   }
@@ -333,10 +334,10 @@
     serve(
         number ->
             Step.answer(number == 0 ? answer.replace("Weldpoint-Attempt-Id: abc\r\n", "") : GOOD));
-    assertEquals(status(exchange(WRITE)), 502);
+    assertEquals(status(sendRequest(WRITE)), 502);
     assertEquals(arrivals.get(), 1);
     arrivals.set(0);
-    assertTrue(exchange(writeTo("/r/x")).endsWith("body"), "a read is retried");
+    assertTrue(sendRequest(writeTo("/r/x")).endsWith("body"), "a read is retried");
     assertEquals(arrivals.get(), 2);
   }
 
@@ -348,7 +349,7 @@
                 number == 0
                     ? GOOD.replace("Content-Length", "Weldpoint-Not-Executed: 1\r\nContent-Length")
                     : GOOD));
-    final String answer = exchange(WRITE);
+    final String answer = sendRequest(WRITE);
     assertEquals(status(answer), 502, answer);
     assertEquals(arrivals.get(), 1);
   }
@@ -363,12 +364,12 @@
                     ? Step.answer(
                         "HTTP/1.1 421 No\r\nWeldpoint-Attempt-Id: abc\r\nContent-Length: 0\r\n\r\n")
                     : Step.answer(GOOD));
-    assertTrue(exchange(WRITE).endsWith("body"));
+    assertTrue(sendRequest(WRITE).endsWith("body"));
     final int before = upstreams.stream().mapToInt(upstream -> upstream.connections.get()).sum();
-    assertTrue(exchange(WRITE).endsWith("body"));
+    assertTrue(sendRequest(WRITE).endsWith("body"));
     assertEquals(arrivals.get(), 3);
     assertEquals(proxyContext.served, 2);
-    assertTrue(exchange(WRITE).endsWith("body"));
+    assertTrue(sendRequest(WRITE).endsWith("body"));
     assertTrue(
         upstreams.stream().mapToInt(upstream -> upstream.connections.get()).sum() >= before,
         "a connection that led to another instance is not reused");
@@ -380,10 +381,10 @@
     final String head = WRITE.substring(0, WRITE.indexOf("bytes"));
     final String large = head.replace("Content-Length: 5", "Content-Length: 8000000");
     final String body = "x".repeat(8_000_000);
-    assertTrue(exchange(large + body).endsWith("body"));
+    assertTrue(sendRequest(large + body).endsWith("body"));
     assertEquals(arrivals.get(), 2);
     for (int index = 0; index < 6; index++) {
-      assertTrue(exchange(WRITE).endsWith("body"));
+      assertTrue(sendRequest(WRITE).endsWith("body"));
     }
     assertEquals(
         arrivals.get(),
@@ -434,7 +435,7 @@
             List.of(silence, declined),
             List.of(silence, failed))) {
       serve(number -> steps.get(Math.min(number, steps.size() - 1)));
-      final String answer = exchange(writeTo("/k/x"));
+      final String answer = sendRequest(writeTo("/k/x"));
       assertEquals(arrivals.get(), 2, "two attempts, including the hedged one: " + steps);
       assertTrue(status(answer) >= 500, answer);
       assertEquals(answer.contains("Seal"), status(answer) == 500, answer);
@@ -506,7 +507,7 @@
       }
     }
     assertEquals(arrivals.get(), 0);
-    assertTrue(exchange(WRITE).endsWith("body"));
+    assertTrue(sendRequest(WRITE).endsWith("body"));
     try (Socket socket = connect()) {
       for (final char one : WRITE.toCharArray()) {
         send(socket, String.valueOf(one));
@@ -520,11 +521,11 @@
   public void unforwardableRequestIsRefusedAndHeadErrorHasNoBody()
       throws IOException, InterruptedException {
     serve(number -> Step.answer(GOOD));
-    assertEquals(status(exchange(writeTo("/w/\u00e9"))), 400);
-    assertEquals(status(exchange(WRITE.replace("Weldpoint-Attempt-Id: abc\r\n", ""))), 400);
+    assertEquals(status(sendRequest(writeTo("/w/\u00e9"))), 400);
+    assertEquals(status(sendRequest(WRITE.replace("Weldpoint-Attempt-Id: abc\r\n", ""))), 400);
     assertEquals(
         status(
-            exchange(
+            sendRequest(
                 WRITE.replace(
                     "Weldpoint-Deadline", "Weldpoint-Attempt-Id: other\r\nWeldpoint-Deadline"))),
         400);
@@ -539,7 +540,7 @@
     }
     assertEquals(arrivals.get(), 0);
     assertTrue(
-        exchange(
+        sendRequest(
                 WRITE.replace(
                     "Host: h\r\n",
                     "Host: h\r\nX-Name: \u00e9\r\nConnection: X-One\r\nConnection: x-two\r\nX-One: 1\r\nX-Two: 2\r\n"))
--- a/proxy/src/test/java/weldpoint/proxy/ConfigurationAtSendTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/ConfigurationAtSendTest.java
@@ -378,8 +378,8 @@
         final KeyMessages.Claim holder,
         final long fingerprint,
         final long waitMillis,
-        final java.util.function.Consumer<KeyMessages.OutcomeResponse> hears) {
-      hears.accept(new KeyMessages.OutcomeResponse(KeyMessages.Outcome.UNCERTAIN));
+        final java.util.function.Consumer<KeyMessages.OutcomeResponse> callback) {
+      callback.accept(new KeyMessages.OutcomeResponse(KeyMessages.Outcome.UNCERTAIN));
     }
 
     @Override
--- a/proxy/src/test/java/weldpoint/proxy/ProxyThreadsTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/ProxyThreadsTest.java
@@ -14,7 +14,7 @@
 import weldpoint.common.Settings;
 import weldpoint.routing.RoutingTable;
 
-/** Threads of a switchboard that take turns at the worst points. */
+/** Unfavourable interleavings of the threads of a proxy. */
 public final class ProxyThreadsTest {
   private static int port() throws IOException {
     try (ServerSocket socket = new ServerSocket(0)) {
--- a/proxy/src/test/java/weldpoint/proxy/RegistryClientTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/RegistryClientTest.java
@@ -76,7 +76,7 @@
                   final Map<Registration, Boolean> changes,
                   final Set<String> sites,
                   final Set<String> suspects,
-                  final int switchboards) {
+                  final int proxyCount) {
                 if (routingTable != null) {
                   versions.add(routingTable.version());
                 }
@@ -87,7 +87,8 @@
               }
 
               @Override
-              public void trialsChanged(final List<TrialMessages.Trial> trials, final long mark) {}
+              public void trialsChanged(
+                  final List<TrialMessages.Trial> trials, final long version) {}
 
               @Override
               public void firstViewReceived() {}
--- a/proxy/src/test/java/weldpoint/proxy/RegistryStreamTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/RegistryStreamTest.java
@@ -40,7 +40,7 @@
         final int proxies) {}
 
     @Override
-    public void trialsChanged(final List<TrialMessages.Trial> trials, final long mark) {}
+    public void trialsChanged(final List<TrialMessages.Trial> trials, final long version) {}
 
     @Override
     public void registryStatus(final long ageMillis, final int proxies, final List<String> caches) {
