--- a/proxy/src/test/java/weldpoint/proxy/AtMostOnceTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/AtMostOnceTest.java
@@ -299,7 +299,7 @@
     return new Object[][] {{503}, {429}, {408}};
   }
 
-  @Test(dataProvider = "promises")
+  @Test(dataProvider = "notExecutedStatuses")
   public void notExecutedStatusWithoutMarkerIsNotForwardedForWrites(final int status)
       throws IOException, InterruptedException {
     final String claim =
@@ -328,7 +328,7 @@
     };
   }
 
-  @Test(dataProvider = "unnamed")
+  @Test(dataProvider = "responsesWithoutAttemptId")
   public void responseWithoutAttemptIdIsDropped(final String answer)
       throws IOException, InterruptedException {
     serve(
--- a/proxy/src/test/java/weldpoint/proxy/ClientConnectionTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/ClientConnectionTest.java
@@ -67,7 +67,7 @@
     };
   }
 
-  @Test(dataProvider = "ambiguous")
+  @Test(dataProvider = "invalidRequests")
   public void invalidRequestIsRefusedAndConnectionClosed(final String request, final int status) {
     final EmbeddedChannel channel = channel();
     channel.writeInbound(
--- a/proxy/src/test/java/weldpoint/proxy/ConfigurationAtSendTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/ConfigurationAtSendTest.java
@@ -459,7 +459,7 @@
    * Guards against HOME: a request that waited obeyed the home regions its route had on its
    * arrival.
    */
-  @Test(dataProvider = "waits")
+  @Test(dataProvider = "allWaits")
   public void routeHomeRegionsAreCheckedAtSend(final Wait wait)
       throws IOException, InterruptedException {
     assertNotExecuted(sendAcrossChange(wait, configuration(2, wait, HOME, PLAIN)));
@@ -469,7 +469,7 @@
    * Guards against HOME: a request that waited obeyed the home regions its tenant had on its
    * arrival.
    */
-  @Test(dataProvider = "waits")
+  @Test(dataProvider = "allWaits")
   public void tenantHomeRegionsAreCheckedAtSend(final Wait wait)
       throws IOException, InterruptedException {
     assertNotExecuted(sendAcrossChange(wait, configuration(2, wait, PLAIN, HOME)));
@@ -479,7 +479,7 @@
    * Guards against CONFIG: a request that waited was sent by a route that had been removed or
    * moved.
    */
-  @Test(dataProvider = "waits")
+  @Test(dataProvider = "allWaits")
   public void removedOrMovedRouteIsNotUsed(final Wait wait)
       throws IOException, InterruptedException {
     assertNotExecuted(
--- a/proxy/src/test/java/weldpoint/proxy/ProxiedRequestTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/ProxiedRequestTest.java
@@ -250,7 +250,7 @@
     };
   }
 
-  @Test(dataProvider = "tiedScripts")
+  @Test(dataProvider = "affinityScripts")
   public void writeWithAffinityGoesToItsNodeOrIsRefused(
       final boolean leased,
       final boolean moving,
