--- a/cache/src/main/java/weldpoint/cache/CacheDaemon.java
+++ b/cache/src/main/java/weldpoint/cache/CacheDaemon.java
@@ -119,14 +119,14 @@
           () -> {
             if (routingTable != null) {
               cache.take(routingTable);
-              upstreamPool.configuration(routingTable);
+              upstreamPool.setRoutingTable(routingTable);
             }
-            upstreamPool.apply(list, now());
+            upstreamPool.applyChanges(list, now());
             if (evacuated != null) {
-              upstreamPool.evacuated(evacuated, now());
+              upstreamPool.setEvacuatedSites(evacuated, now());
             }
             if (suspects != null) {
-              upstreamPool.suspects(suspects);
+              upstreamPool.setSuspects(suspects);
             }
           });
     }
@@ -186,7 +186,7 @@
     loop.scheduleAtFixedRate(
         () -> {
           permits.sweep(false, now());
-          upstreamPool.sweep(now());
+          upstreamPool.closeExpiredConnections(now());
           executor.execute(() -> registry.tick(now()));
         },
         TICK_MILLIS,
--- a/cache/src/main/java/weldpoint/cache/OriginFetcher.java
+++ b/cache/src/main/java/weldpoint/cache/OriginFetcher.java
@@ -275,8 +275,8 @@
           .headers()
           .set(HttpHeaderNames.HOST, host)
           .set(Headers.ATTEMPT_ID, id)
-          .set(Headers.DEADLINE, Math.max(1, cutoff - now))
-          .set(Headers.TARGET, upstream.id());
+          .set(Headers.DEADLINE_MS, Math.max(1, cutoff - now))
+          .set(Headers.TARGET_INSTANCE, upstream.id());
       if (etag != null) {
         request.headers().set(HttpHeaderNames.IF_NONE_MATCH, etag);
       }
@@ -313,7 +313,7 @@
     private int running() {
       int count = 0;
       for (final UpstreamPool.Attempt attempt : attempts) {
-        count += attempt.running() ? 1 : 0;
+        count += attempt.isRunning() ? 1 : 0;
       }
       return count;
     }
@@ -335,16 +335,16 @@
       final boolean sound =
           AttemptOutcome.of(end, head) == AttemptOutcome.ANSWERED
               && !head.headers().contains(HttpHeaderNames.CONTENT_ENCODING)
-              && (status == 200 && head.headers().contains(Headers.SEAL)
+              && (status == 200 && head.headers().contains(Headers.SERVER_SEAL)
                   || status == 304 && etag != null
                   || status >= 400 && status < 500 && status != 421 && status != 429);
       if (sound) {
         final List<String> headers = new ArrayList<>();
         final io.netty.handler.codec.http.HttpHeaders kept =
             new io.netty.handler.codec.http.DefaultHttpHeaders(false);
-        Headers.copy(head.headers(), kept);
+        Headers.copyEndToEnd(head.headers(), kept);
         kept.remove(Headers.ATTEMPT_ID);
-        kept.remove(Headers.LOAD);
+        kept.remove(Headers.INSTANCE_LOAD);
         kept.forEach(
             entry -> {
               headers.add(entry.getKey());
@@ -362,7 +362,7 @@
       }
       over = true;
       for (final UpstreamPool.Attempt attempt : attempts) {
-        attempt.abandon();
+        attempt.cancel();
       }
       done.accept(fetched);
     }
--- a/cache/src/test/java/weldpoint/cache/OriginFetcherTest.java
+++ b/cache/src/test/java/weldpoint/cache/OriginFetcherTest.java
@@ -94,7 +94,7 @@
     final CompletableFuture<Integer> status = new CompletableFuture<>();
     loop.execute(
         () -> {
-          upstreamPool.apply(changes, System.nanoTime() / 1_000_000);
+          upstreamPool.applyChanges(changes, System.nanoTime() / 1_000_000);
           final RouteBinding binding = new RouteBinding("h", "/x", 0);
           routingTable.interpret(binding);
           fetcher.fetch(
--- a/cli/src/main/java/weldpoint/cli/Demo.java
+++ b/cli/src/main/java/weldpoint/cli/Demo.java
@@ -469,8 +469,8 @@
                                 .set(
                                     HttpHeaderNames.CONTENT_LENGTH,
                                     response.content().readableBytes())
-                                .set(Headers.SEAL, "demo")
-                                .set(Headers.LOAD, "0,0,8");
+                                .set(Headers.SERVER_SEAL, "demo")
+                                .set(Headers.INSTANCE_LOAD, "0,0,8");
                             final String id = request.headers().get(Headers.ATTEMPT_ID);
                             if (id != null) {
                               response.headers().set(Headers.ATTEMPT_ID, id);
--- a/proxy/src/main/java/weldpoint/proxy/ForwardedMessages.java
+++ b/proxy/src/main/java/weldpoint/proxy/ForwardedMessages.java
@@ -38,9 +38,9 @@
     final FullHttpRequest forward =
         new DefaultFullHttpRequest(
             HttpVersion.HTTP_1_1, request.method(), request.uri(), body.retainedDuplicate());
-    Headers.copy(request.headers(), forward.headers());
-    forward.headers().set(Headers.DEADLINE, Math.max(1, millisLeft));
-    forward.headers().set(Headers.TARGET, upstream);
+    Headers.copyEndToEnd(request.headers(), forward.headers());
+    forward.headers().set(Headers.DEADLINE_MS, Math.max(1, millisLeft));
+    forward.headers().set(Headers.TARGET_INSTANCE, upstream);
     if (body.isReadable() || !mostlyWithoutBody(request.method())) {
       forward.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
     }
@@ -70,7 +70,7 @@
       return false;
     }
     if (status < FIRST_REDIRECT) {
-      return head.headers().contains(Headers.SEAL);
+      return head.headers().contains(Headers.SERVER_SEAL);
     }
     return route.kind.repeatable()
         || status != REQUEST_TIMEOUT && status != TOO_MANY_REQUESTS && status != UNAVAILABLE;
@@ -82,7 +82,7 @@
     final FullHttpResponse response =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1, head.status(), body == null ? Unpooled.EMPTY_BUFFER : body);
-    Headers.copy(head.headers(), response.headers());
+    Headers.copyEndToEnd(head.headers(), response.headers());
     final int status = head.status().code();
     if (request.method().equals(HttpMethod.HEAD)) {
       final String length = head.headers().get(HttpHeaderNames.CONTENT_LENGTH);
--- a/proxy/src/main/java/weldpoint/proxy/ProxiedRequest.java
+++ b/proxy/src/main/java/weldpoint/proxy/ProxiedRequest.java
@@ -175,7 +175,8 @@
         return;
       }
     }
-    final long waits = Headers.millis(request.headers(), Headers.DEADLINE, route.timeoutMillis);
+    final long waits =
+        Headers.parseMillis(request.headers(), Headers.DEADLINE_MS, route.timeoutMillis);
     cutoff = arrivedAt + Math.max(1, Math.min(waits, route.timeoutMillis) - MARGIN_MILLIS);
     if (proxyContext.uncertainWrites != null) {
       if (route.kind.repeatable()) {
@@ -198,7 +199,7 @@
               cutoff - arrivedAt,
               body.readableBytes());
     }
-    proxyContext.upstreamPool.budget(service().name()).request(arrivedAt);
+    proxyContext.upstreamPool.retryBudget(service().name()).recordRequest(arrivedAt);
     timer =
         proxyContext.loop.schedule(
             this::giveUp, cutoff - ProxyContext.now(), TimeUnit.MILLISECONDS);
@@ -499,7 +500,7 @@
     }
     final UpstreamPool.Choice choice = chooseHolder(now);
     if (choice == UpstreamPool.Choice.CHOSEN) {
-      if (sent > 0 && !proxyContext.upstreamPool.repeat(service().name(), now)) {
+      if (sent > 0 && !proxyContext.upstreamPool.tryRetry(service().name(), now)) {
         conclude();
         return;
       }
@@ -520,7 +521,7 @@
         proxyContext.owners.range(service().name(), heldKey.key());
     return range == null || !range.held()
         ? UpstreamPool.Choice.NONE
-        : proxyContext.upstreamPool.holder(binding, range.holder, now);
+        : proxyContext.upstreamPool.chooseKeyOwner(binding, range.holder, now);
   }
 
   /** Goes on after a try at a key's holder that brought no answer for the client. */
@@ -530,10 +531,10 @@
     }
     final long now = ProxyContext.now();
     final boolean again =
-        RetryPolicy.mayGoOn(route, uncertain)
+        RetryPolicy.mayRetry(route, uncertain)
             && !single
             && sent < PartitionedRequestKey.MOST_SENDS
-            && RetryPolicy.fits(route, sent, now, cutoff)
+            && RetryPolicy.allowsAttempt(route, sent, now, cutoff)
             && heldKey.triesAgain();
     if (!again) {
       conclude();
@@ -594,7 +595,7 @@
     }
     final long now = ProxyContext.now();
     final Predicate<PlacementMessages.PlacementMember> may =
-        member -> binding.home(proxyContext.upstreamPool.region(member.site));
+        member -> binding.home(proxyContext.upstreamPool.regionOf(member.site));
     final WriteDecision verdict = proxyContext.affinity.decide(service().name(), caller, may, now);
     if (verdict != WriteDecision.GO) {
       return verdict == WriteDecision.NO_NODE && binding.homed()
@@ -603,7 +604,7 @@
     }
     final String node = proxyContext.affinity.node().id;
     final UpstreamPool.Choice choice =
-        proxyContext.upstreamPool.pinned(binding, node, affinity.pauseMillis(), now);
+        proxyContext.upstreamPool.choosePinned(binding, node, affinity.pauseMillis(), now);
     if (choice != UpstreamPool.Choice.CHOSEN) {
       return choice == UpstreamPool.Choice.FULL ? WriteDecision.FULL : WriteDecision.LEAVING;
     }
@@ -664,7 +665,8 @@
 
   private boolean attempt(final boolean further, final boolean beside) {
     final long now = ProxyContext.now();
-    if (now >= cutoff || further && (single || !RetryPolicy.fits(route, sent, now, cutoff))) {
+    if (now >= cutoff
+        || further && (single || !RetryPolicy.allowsAttempt(route, sent, now, cutoff))) {
       return false;
     }
     if (!bound()) {
@@ -675,8 +677,8 @@
     if (choice != UpstreamPool.Choice.CHOSEN) {
       return false;
     }
-    if (beside && !proxyContext.upstreamPool.roomy(now)
-        || sent > 0 && !proxyContext.upstreamPool.repeat(service().name(), now)) {
+    if (beside && !proxyContext.upstreamPool.chosenHasFreeSlot(now)
+        || sent > 0 && !proxyContext.upstreamPool.tryRetry(service().name(), now)) {
       return false;
     }
     return transmit(proxyContext.upstreamPool.chosen(), now);
@@ -728,7 +730,7 @@
             Math.min(cutoff, proxyContext.proof.until(now)),
             (end, head, bytes) -> {
               ended[0] = true;
-              final AttemptOutcome fate = AttemptOutcome.named(end, head);
+              final AttemptOutcome fate = AttemptOutcome.ofIdentifiedResponse(end, head);
               if (fate == AttemptOutcome.NOT_RUN) {
                 permits++;
               }
@@ -764,10 +766,10 @@
     if (!ended[0]) {
       attempts.add(self[0]);
     }
-    if (!over && !single && heldKey == null && hedge == null && RetryPolicy.hedges(route, sent)) {
+    if (!over && !single && heldKey == null && hedge == null && RetryPolicy.mayHedge(route, sent)) {
       hedge =
           proxyContext.loop.schedule(
-              this::hedge, RetryPolicy.hedgeMillis(route), TimeUnit.MILLISECONDS);
+              this::hedge, RetryPolicy.hedgeDelayMillis(route), TimeUnit.MILLISECONDS);
     }
     return true;
   }
@@ -805,7 +807,7 @@
   private int running() {
     int count = 0;
     for (final UpstreamPool.Attempt attempt : attempts) {
-      count += attempt.running() ? 1 : 0;
+      count += attempt.isRunning() ? 1 : 0;
     }
     return count;
   }
@@ -883,7 +885,7 @@
           "the upstream gave no proper answer; the request may have run");
       return;
     }
-    if (!RetryPolicy.mayGoOn(route, uncertain)) {
+    if (!RetryPolicy.mayRetry(route, uncertain)) {
       conclude();
     } else if (limited() && permits < 1 && furtherFits()) {
       furtherPermit(this::tryFurther, this::conclude);
@@ -893,7 +895,7 @@
   }
 
   private boolean furtherFits() {
-    return !single && !over && RetryPolicy.fits(route, sent, ProxyContext.now(), cutoff);
+    return !single && !over && RetryPolicy.allowsAttempt(route, sent, ProxyContext.now(), cutoff);
   }
 
   private void tryFurther() {
@@ -1035,8 +1037,8 @@
   /** Gives up the tries of which not a byte was written: they never run. */
   private void withdraw() {
     for (final UpstreamPool.Attempt attempt : attempts) {
-      if (attempt.unwritten()) {
-        attempt.abandon();
+      if (attempt.isUnwritten()) {
+        attempt.cancel();
         unproved--;
         if (pendingWrite != null) {
           pendingWrite.ended();
@@ -1075,7 +1077,7 @@
           request.headers().get(Headers.ATTEMPT_ID), false, ProxyContext.now());
     }
     for (final UpstreamPool.Attempt attempt : attempts) {
-      attempt.abandon();
+      attempt.cancel();
     }
     endKey();
   }
@@ -1105,7 +1107,7 @@
     }
     over = true;
     for (final UpstreamPool.Attempt attempt : attempts) {
-      attempt.abandon();
+      attempt.cancel();
     }
     end();
   }
--- a/proxy/src/main/java/weldpoint/proxy/ProxyContext.java
+++ b/proxy/src/main/java/weldpoint/proxy/ProxyContext.java
@@ -66,7 +66,7 @@
     this.loop = loop;
     this.random = random;
     this.upstreamPool = new UpstreamPool(loop, settings, random);
-    this.upstreamPool.surplus(trials::surplus);
+    this.upstreamPool.onUnsolicitedResponse(trials::surplus);
     this.usual = Affinity.setting("affinity.default", settings.affinityUsual());
     this.tieWaitMillis = settings.affinityWaitMillis();
     this.strict = settings.strictRevocation();
@@ -78,7 +78,7 @@
   void ordered(final RegionMessages.LeaderDirective given, final String self) {
     directive = given;
     uncertainWrites.elsewhere(given == null ? java.util.List.of() : Protocol.list(given.uncertain));
-    upstreamPool.ordered(
+    upstreamPool.setAssignedShare(
         given == null ? 0 : RegionAssessment.part(given, self),
         given == null
             ? java.util.Set.of()
@@ -93,7 +93,7 @@
             seenWrites,
             refusedWrites,
             served - servedBefore,
-            upstreamPool.silent(now),
+            upstreamPool.unhealthyUpstreams(now),
             uncertainWrites.unsure(now, UNSURE_MILLIS));
     seenRepeatables = 0;
     seenWrites = 0;
@@ -123,7 +123,7 @@
         && (routingTable == null || outlook.routingTable().version() > routingTable.version())) {
       final boolean first = routingTable == null;
       routingTable = outlook.routingTable();
-      upstreamPool.configuration(routingTable);
+      upstreamPool.setRoutingTable(routingTable);
       if (affinity == null
           && uponTies != null
           && routingTable.all().stream()
@@ -135,17 +135,17 @@
       }
     }
     if (outlook.switchboards() > 0) {
-      upstreamPool.switchboards(outlook.switchboards(), now);
+      upstreamPool.setFleetSize(outlook.switchboards(), now);
     }
     if (outlook.trials() != null) {
       trials.take(outlook.trials(), outlook.trialMark());
     }
-    upstreamPool.apply(outlook.changes(), now);
+    upstreamPool.applyChanges(outlook.changes(), now);
     if (outlook.evacuated() != null) {
-      upstreamPool.evacuated(outlook.evacuated(), now);
+      upstreamPool.setEvacuatedSites(outlook.evacuated(), now);
     }
     if (outlook.suspects() != null) {
-      upstreamPool.suspects(outlook.suspects());
+      upstreamPool.setSuspects(outlook.suspects());
     }
   }
 }
--- a/proxy/src/main/java/weldpoint/proxy/ProxyDaemon.java
+++ b/proxy/src/main/java/weldpoint/proxy/ProxyDaemon.java
@@ -173,7 +173,7 @@
               @Override
               public void neighbours(final List<String> addresses) {
                 loop.execute(
-                    () -> proxyContext.upstreamPool.neighbours(addresses, ProxyContext.now()));
+                    () -> proxyContext.upstreamPool.setSiteProxies(addresses, ProxyContext.now()));
               }
 
               @Override
@@ -272,7 +272,7 @@
       chief = new RegionLeaderService(settings, trunk, executor, loop, proxyContext, incarnation);
     }
     if (!settings.firstStart()) {
-      proxyContext.upstreamPool.restarted(ProxyContext.now());
+      proxyContext.upstreamPool.setRestartedAt(ProxyContext.now());
     }
     permits();
     keys();
@@ -318,7 +318,7 @@
                 proxyContext.failed,
                 proxyContext.repeated,
                 proxyContext.open.count(),
-                proxyContext.upstreamPool.count()
+                proxyContext.upstreamPool.size()
                     + (proxyContext.affinity == null
                         ? ""
                         : " " + proxyContext.affinity.counters(ProxyContext.now()))
@@ -548,7 +548,7 @@
   /** Closes connections that have rested for too long, and drops answers nobody takes. */
   void sweep() {
     final long now = ProxyContext.now();
-    proxyContext.upstreamPool.sweep(now);
+    proxyContext.upstreamPool.closeExpiredConnections(now);
     for (final ClientConnection session : new ArrayList<>(sessions)) {
       session.sweep(now);
     }
--- a/proxy/src/main/java/weldpoint/proxy/Recorder.java
+++ b/proxy/src/main/java/weldpoint/proxy/Recorder.java
@@ -71,7 +71,7 @@
         final HttpResponse head,
         final long now) {
       took.set(place, now - at - begun.get(place));
-      ends.set(place, AttemptOutcome.named(end, head).ordinal());
+      ends.set(place, AttemptOutcome.ofIdentifiedResponse(end, head).ordinal());
     }
 
     void status(final int given) {
--- a/replay/src/main/java/weldpoint/replay/ReplaySimulator.java
+++ b/replay/src/main/java/weldpoint/replay/ReplaySimulator.java
@@ -87,10 +87,12 @@
       }
       list.add(new UpstreamPool.Change(registration, open));
     }
-    boards.values().forEach(upstreamPool -> upstreamPool.apply(list, now));
+    boards.values().forEach(upstreamPool -> upstreamPool.applyChanges(list, now));
     if (sites != null) {
       evacuated = sites;
-      boards.values().forEach(upstreamPool -> upstreamPool.evacuated(new HashSet<>(sites), now));
+      boards
+          .values()
+          .forEach(upstreamPool -> upstreamPool.setEvacuatedSites(new HashSet<>(sites), now));
     }
   }
 
@@ -135,9 +137,9 @@
                 list.add(new UpstreamPool.Change(registration, true));
               }
             });
-    upstreamPool.apply(list, now);
-    upstreamPool.evacuated(new HashSet<>(evacuated), now);
-    boards.values().forEach(one -> one.switchboards(boards.size()));
+    upstreamPool.applyChanges(list, now);
+    upstreamPool.setEvacuatedSites(new HashSet<>(evacuated), now);
+    boards.values().forEach(one -> one.setFleetSize(boards.size()));
   }
 
   /** Lets the day go on until then. */
@@ -203,7 +205,7 @@
               + Math.max(
                   1,
                   Math.min(call.note.waits + MARGIN_MILLIS, route.timeoutMillis) - MARGIN_MILLIS);
-      upstreamPool.budget(service.name()).request(now);
+      upstreamPool.retryBudget(service.name()).recordRequest(now);
       after(cutoff - now, this::giveUp);
       if (!attempt(false)) {
         end(CallOutcome.End.REFUSED);
@@ -213,7 +215,7 @@
     private int running() {
       int count = 0;
       for (final UpstreamPool.Attempt attempt : attempts) {
-        count += attempt.running() ? 1 : 0;
+        count += attempt.isRunning() ? 1 : 0;
       }
       return count;
     }
@@ -223,25 +225,25 @@
     }
 
     private boolean attempt(final boolean further, final boolean beside) {
-      if (further && !RetryPolicy.fits(route, outcome.sent, now, cutoff)) {
+      if (further && !RetryPolicy.allowsAttempt(route, outcome.sent, now, cutoff)) {
         return false;
       }
       chances.get(call.board).setSeed(call.note.id.hashCode() * 31L + outcome.sent + seed);
       if (upstreamPool.choose(binding, tried, now) != UpstreamPool.Choice.CHOSEN
-          || beside && !upstreamPool.roomy(now)
-          || outcome.sent > 0 && !upstreamPool.repeat(service.name(), now)) {
+          || beside && !upstreamPool.chosenHasFreeSlot(now)
+          || outcome.sent > 0 && !upstreamPool.tryRetry(service.name(), now)) {
         return false;
       }
       final Upstream upstream = upstreamPool.chosen();
       tried.add(upstream);
       final boolean first = outcome.sent++ == 0;
-      final UpstreamPool.Attempt attempt = upstreamPool.begin(upstream, now);
+      final UpstreamPool.Attempt attempt = upstreamPool.startAttempt(upstream, now);
       attempts.add(attempt);
       reach(upstream, attempt, first);
-      if (!hedged && RetryPolicy.hedges(route, outcome.sent)) {
+      if (!hedged && RetryPolicy.mayHedge(route, outcome.sent)) {
         hedged = true;
         after(
-            RetryPolicy.hedgeMillis(route),
+            RetryPolicy.hedgeDelayMillis(route),
             () -> {
               if (!over && running() == 1) {
                 attempt(true, true);
@@ -284,7 +286,7 @@
         final Model model,
         final UpstreamConnection.End end,
         final boolean ran) {
-      if (!attempt.running()) {
+      if (!attempt.isRunning()) {
         return;
       }
       final HttpResponse head =
@@ -294,7 +296,7 @@
               false);
       head.headers()
           .set(
-              Headers.LOAD,
+              Headers.INSTANCE_LOAD,
               Math.min(model.present, model.slots)
                   + ","
                   + Math.max(0, model.present - model.slots)
@@ -303,7 +305,7 @@
       if (!ran) {
         head.headers().set(Headers.NOT_EXECUTED, "1");
       }
-      upstreamPool.conclude(attempt, end, head, now);
+      upstreamPool.finishAttempt(attempt, end, head, now);
       if (over) {
         return;
       }
@@ -313,7 +315,7 @@
         return;
       }
       uncertain |= ran;
-      if (RetryPolicy.mayGoOn(route, uncertain) && attempt(true) || running() > 0) {
+      if (RetryPolicy.mayRetry(route, uncertain) && attempt(true) || running() > 0) {
         return;
       }
       end(uncertain ? CallOutcome.End.LOST : CallOutcome.End.REFUSED);
@@ -330,7 +332,7 @@
       outcome.end = end;
       outcome.total = now - call.at;
       for (final UpstreamPool.Attempt attempt : attempts) {
-        attempt.abandon(now);
+        attempt.cancel(now);
       }
       done.accept(outcome);
     }
--- a/upstream/src/main/java/weldpoint/upstream/AttemptOutcome.java
+++ b/upstream/src/main/java/weldpoint/upstream/AttemptOutcome.java
@@ -2,44 +2,46 @@
 
 import io.netty.handler.codec.http.HttpResponse;
 
-/** How a recorded try ended. */
+/** The outcome of one attempt to have an upstream run a request. Recorded by ordinal. */
 public enum AttemptOutcome {
-  /** Nothing came while the request was waited for. */
+  /** No result had arrived when the request itself ended. */
   OPEN,
-  /** A proper answer came. */
+  /** The upstream ran the request and a complete response was received. */
   ANSWERED,
-  /** The upstream did not run it, or nothing was sent. */
+  /** The upstream stated that it did not run the request, or nothing was sent. */
   NOT_RUN,
-  /** It may have run. */
+  /** The request may have run. */
   UNCERTAIN;
 
   /**
-   * The fate of a try that ended so. An answer that says both that it did and that it did not run
-   * is no proof of either.
+   * Returns the outcome of an attempt from its completion status and, where a response came, its
+   * head. A response with a status below 400 that also carries {@code Weldpoint-Not-Executed}
+   * contradicts itself and counts as {@link #UNCERTAIN}.
    */
   public static AttemptOutcome of(final UpstreamConnection.End end, final HttpResponse head) {
     return switch (end) {
       case UNSENT -> NOT_RUN;
       case UNCERTAIN -> UNCERTAIN;
       case ANSWERED ->
-          answered(head.status().code(), head.headers().contains(Headers.NOT_EXECUTED));
+          ofResponse(head.status().code(), head.headers().contains(Headers.NOT_EXECUTED));
     };
   }
 
   /**
-   * The fate of a client's request: only an answer that names the request by its id counts as its
-   * own.
+   * Returns the outcome of an attempt for a client's request. A response counts only if it echoes
+   * an attempt id; without one the outcome is {@link #UNCERTAIN}.
    */
-  public static AttemptOutcome named(final UpstreamConnection.End end, final HttpResponse head) {
+  public static AttemptOutcome ofIdentifiedResponse(
+      final UpstreamConnection.End end, final HttpResponse head) {
     return end == UpstreamConnection.End.ANSWERED && !head.headers().contains(Headers.ATTEMPT_ID)
         ? UNCERTAIN
         : of(end, head);
   }
 
-  private static AttemptOutcome answered(final int status, final boolean declined) {
-    if (status == 421 || declined && status >= 400) {
+  private static AttemptOutcome ofResponse(final int status, final boolean notExecuted) {
+    if (status == 421 || notExecuted && status >= 400) {
       return NOT_RUN;
     }
-    return declined ? UNCERTAIN : ANSWERED;
+    return notExecuted ? UNCERTAIN : ANSWERED;
   }
 }
--- a/upstream/src/main/java/weldpoint/upstream/RetryBudget.java
+++ b/upstream/src/main/java/weldpoint/upstream/RetryBudget.java
@@ -1,82 +1,92 @@
 package weldpoint.upstream;
 
 /**
- * This proxy's share of the further tries that all of them together may make at one service. In the
- * first window of a life the share of the slack grows from nothing to what caution leaves beside
- * that of earlier lives, so that no number of restarts within a window exceeds the budget.
+ * This proxy's share of the retries (hedges included) that all proxies together may send to one
+ * service in a sliding window. In the first window after a process start the share of the slack
+ * grows from zero to the part that the safety factor leaves unused, because earlier runs of the
+ * process may have spent the rest. So no number of restarts within a window exceeds the budget. Not
+ * thread-safe.
  */
 public final class RetryBudget {
-  private static final int SLICES = 20;
-  private static final double CAUTION = 0.7;
+  private static final int BUCKETS = 20;
+  private static final double SAFETY_FACTOR = 0.7;
 
   private final double ratio;
   private final double slack;
   private final long windowMillis;
-  private final long bornAt;
-  private final long sliceMillis;
-  private final int[] requests = new int[SLICES];
-  private final int[] repeats = new int[SLICES];
-  private long slice;
-  private int requestSum;
-  private int repeatSum;
+  private final long startedAt;
+  private final long bucketMillis;
+  private final int[] requests = new int[BUCKETS];
+  private final int[] retries = new int[BUCKETS];
+  private long currentBucket;
+  private int requestTotal;
+  private int retryTotal;
 
   /**
-   * A budget of ratio x requests + slack in every window.
+   * Creates a budget of {@code ratio x requests + slack} retries in every window.
    *
-   * @param bornAt when this process started, in milliseconds of its steady clock; long ago where no
-   *     earlier life of it can have sent anything
+   * @param ratio retries allowed per request
+   * @param slack retries that all proxies together may send in a window besides
+   * @param windowMillis length of the sliding window in milliseconds
+   * @param startedAt when this process started, in milliseconds of its steady clock; a time long
+   *     ago if no earlier run of it can have sent anything
    */
   public RetryBudget(
-      final double ratio, final double slack, final long windowMillis, final long bornAt) {
+      final double ratio, final double slack, final long windowMillis, final long startedAt) {
     this.windowMillis = windowMillis;
-    this.bornAt = bornAt;
+    this.startedAt = startedAt;
     this.ratio = ratio;
     this.slack = slack;
-    this.sliceMillis = Math.max(1, windowMillis / (SLICES - 1));
+    this.bucketMillis = Math.max(1, windowMillis / (BUCKETS - 1));
   }
 
-  private int place(final long now) {
-    final long present = now / sliceMillis;
-    if (present - slice >= SLICES) {
+  /**
+   * Moves the window up to now, clearing expired buckets, and returns the current bucket's index.
+   */
+  private int advance(final long now) {
+    final long bucket = now / bucketMillis;
+    if (bucket - currentBucket >= BUCKETS) {
       java.util.Arrays.fill(requests, 0);
-      java.util.Arrays.fill(repeats, 0);
-      requestSum = 0;
-      repeatSum = 0;
-      slice = present;
+      java.util.Arrays.fill(retries, 0);
+      requestTotal = 0;
+      retryTotal = 0;
+      currentBucket = bucket;
     }
-    while (slice < present) {
-      slice++;
-      final int place = (int) (slice % SLICES);
-      requestSum -= requests[place];
-      repeatSum -= repeats[place];
-      requests[place] = 0;
-      repeats[place] = 0;
+    while (currentBucket < bucket) {
+      currentBucket++;
+      final int index = (int) (currentBucket % BUCKETS);
+      requestTotal -= requests[index];
+      retryTotal -= retries[index];
+      requests[index] = 0;
+      retries[index] = 0;
     }
-    return (int) (present % SLICES);
+    return (int) (bucket % BUCKETS);
   }
 
-  /** A request for the service has come. */
-  public void request(final long now) {
-    requests[place(now)]++;
-    requestSum++;
+  /** Records that a request for the service has arrived. */
+  public void recordRequest(final long now) {
+    requests[advance(now)]++;
+    requestTotal++;
   }
 
-  /** Takes one further try, if the share of one among so many switchboards allows it. */
-  public boolean take(final double switchboards, final long now) {
-    final int place = place(now);
-    final double ownSlack = slack * slackPart(now) / Math.max(1, switchboards);
-    if (repeatSum + 1 > CAUTION * (ratio * requestSum + ownSlack)) {
+  /**
+   * Takes one retry from the budget if this proxy's share, as one of {@code proxies}, allows it.
+   */
+  public boolean tryAcquire(final double proxies, final long now) {
+    final int index = advance(now);
+    final double slackShare = slack * slackFraction(now) / Math.max(1, proxies);
+    if (retryTotal + 1 > SAFETY_FACTOR * (ratio * requestTotal + slackShare)) {
       return false;
     }
-    repeats[place]++;
-    repeatSum++;
+    retries[index]++;
+    retryTotal++;
     return true;
   }
 
-  private double slackPart(final long now) {
-    final long age = now - bornAt;
-    return age >= windowMillis
+  private double slackFraction(final long now) {
+    final long ageMillis = now - startedAt;
+    return ageMillis >= windowMillis
         ? 1
-        : (1 - CAUTION) / CAUTION * Math.max(0, age) / (double) windowMillis;
+        : (1 - SAFETY_FACTOR) / SAFETY_FACTOR * Math.max(0, ageMillis) / (double) windowMillis;
   }
 }
--- a/upstream/src/main/java/weldpoint/upstream/RetryPolicy.java
+++ b/upstream/src/main/java/weldpoint/upstream/RetryPolicy.java
@@ -3,57 +3,63 @@
 import weldpoint.routing.Route;
 
 /**
- * When a request may be tried at a further upstream: the one place that decides it, for traffic and
- * for replays.
+ * Decides when a request may be retried or hedged at another upstream, and how full an upstream may
+ * be for it. Proxies and the replay simulator use this same policy. Stateless.
  */
 public final class RetryPolicy {
-  private static final double HEDGE = 0.55;
-  private static final long LEAST_LEFT_MILLIS = 20;
-  private static final double ROOM_REPEATABLE = 1.6;
-  private static final double ROOM_WRITE = 2.0;
-  private static final double ROUTE_STEP = 0.05;
-  private static final double TENANT_STEP = 0.1;
-  private static final int MOST_RANK = 4;
+  private static final double HEDGE_DELAY_FACTOR = 0.55;
+  private static final long MIN_REMAINING_MILLIS = 20;
+  private static final double REPEATABLE_LOAD_LIMIT = 1.6;
+  private static final double WRITE_LOAD_LIMIT = 2.0;
+  private static final double ROUTE_PRIORITY_STEP = 0.05;
+  private static final double TENANT_PRIORITY_STEP = 0.1;
+  private static final int MAX_PRIORITY = 4;
 
   private RetryPolicy() {}
 
-  /** Whether one more try fits the route's attempts and the time left. */
-  public static boolean fits(final Route route, final int sent, final long now, final long cutoff) {
-    return sent < route.maxAttempts && now < cutoff - LEAST_LEFT_MILLIS;
+  /** Whether one more attempt fits the route's maximum of attempts and the time left. */
+  public static boolean allowsAttempt(
+      final Route route, final int attempts, final long now, final long deadline) {
+    return attempts < route.maxAttempts && now < deadline - MIN_REMAINING_MILLIS;
   }
 
   /**
-   * Whether a request may go on after a try: what may be repeated always, anything else only if no
-   * try may have run.
+   * Whether a request may be retried after a failed attempt: repeatable requests always, others
+   * only if no earlier attempt may have run.
    */
-  public static boolean mayGoOn(final Route route, final boolean uncertain) {
+  public static boolean mayRetry(final Route route, final boolean uncertain) {
     return route.kind.repeatable() || !uncertain;
   }
 
-  /** Whether a second try is made beside one that takes long. */
-  public static boolean hedges(final Route route, final int sent) {
-    return route.kind.repeatable() && sent < route.maxAttempts;
+  /** Whether a second attempt (a hedge) is sent alongside one that takes long. */
+  public static boolean mayHedge(final Route route, final int attempts) {
+    return route.kind.repeatable() && attempts < route.maxAttempts;
   }
 
-  /** After how long. */
-  public static long hedgeMillis(final Route route) {
-    return (long) (HEDGE * route.targetMillis);
+  /**
+   * Returns the delay in milliseconds after which a hedge is sent, a fraction of the target
+   * latency.
+   */
+  public static long hedgeDelayMillis(final Route route) {
+    return (long) (HEDGE_DELAY_FACTOR * route.targetMillis);
   }
 
   /**
-   * Up to which multiple of its slots an upstream is given requests of this route and tenant: what
-   * ranks lowest is refused first, the tenant's rank before the route's, and writes last of all.
+   * Returns the load limit, as a multiple of an upstream's slots, up to which it is sent requests
+   * of this route and tenant. Load is shed by priority: the tenant's priority weighs more than the
+   * route's, higher numbers are rejected first, and writes are rejected last.
    */
-  public static double room(final Route route, final int tenantRank) {
-    final double least = route.kind.repeatable() ? ROOM_REPEATABLE - 0.6 : ROOM_REPEATABLE + 0.01;
-    final double room =
-        (route.kind.repeatable() ? ROOM_REPEATABLE : ROOM_WRITE)
-            - ROUTE_STEP * rank(route.priority)
-            - TENANT_STEP * rank(tenantRank);
-    return Math.max(least, room);
+  public static double loadLimit(final Route route, final int tenantPriority) {
+    final double floor =
+        route.kind.repeatable() ? REPEATABLE_LOAD_LIMIT - 0.6 : REPEATABLE_LOAD_LIMIT + 0.01;
+    final double limit =
+        (route.kind.repeatable() ? REPEATABLE_LOAD_LIMIT : WRITE_LOAD_LIMIT)
+            - ROUTE_PRIORITY_STEP * clampPriority(route.priority)
+            - TENANT_PRIORITY_STEP * clampPriority(tenantPriority);
+    return Math.max(floor, limit);
   }
 
-  private static int rank(final int given) {
-    return Math.max(0, Math.min(MOST_RANK, given));
+  private static int clampPriority(final int priority) {
+    return Math.max(0, Math.min(MAX_PRIORITY, priority));
   }
 }
--- a/upstream/src/main/java/weldpoint/upstream/SlowStartLimiter.java
+++ b/upstream/src/main/java/weldpoint/upstream/SlowStartLimiter.java
@@ -7,185 +7,218 @@
 import weldpoint.common.RendezvousHash;
 
 /**
- * This switchboard's part of what all of them together may send to one cold upstream. The bound of
- * one second is a whole number of tokens. A fleet no larger than that shares them evenly; in a
- * larger one the sites have fixed parts, and within a site the switchboards that rank first for an
- * upstream have one token each. A token is used once a second at most, counted from the moment at
- * which the request was really sent, so no second sees more requests than there are tokens.
+ * Limits this proxy to its share of the request rate that all proxies together may send to an
+ * upstream in slow start. The limit for one second is a whole number of tokens. A fleet with no
+ * more proxies than tokens shares them evenly. In a larger fleet each site has a fixed number of
+ * tokens, and within a site the proxies with the lowest rendezvous hash for an upstream get one
+ * token each. A token is used at most once a second, counted from the moment at which the request
+ * was actually sent, so no second sees more requests than there are tokens. Used by {@link
+ * UpstreamPool} on its event loop; not thread-safe.
  */
 final class SlowStartLimiter {
-  private static final long SECOND_MILLIS = 1020;
-  private static final double CAUTION = 0.9;
-  private static final long FRESH_MILLIS = 3000;
-  private static final long COUNT_STAYS_MILLIS = 20_000;
-  private static final long NEIGHBOUR_STAYS_MILLIS = 20_000;
-  private static final double OWN_SITE = 0.5;
-
-  private final String self;
+  /** Pause between two uses of a token: one second plus a margin. */
+  private static final long TOKEN_INTERVAL_MILLIS = 1020;
+
+  private static final double RATE_SAFETY_FACTOR = 0.9;
+
+  /** How long after the first report of the fleet size that size may still be too small. */
+  private static final long FLEET_LEARNING_MILLIS = 3000;
+
+  private static final long FLEET_SIZE_TTL_MILLIS = 20_000;
+  private static final long SITE_PROXY_TTL_MILLIS = 20_000;
+
+  /** Share of all tokens that belongs to the upstream's own site, before rounding. */
+  private static final double LOCAL_SITE_SHARE = 0.5;
+
+  private final String ownAddress;
   private final String site;
-  private final int sites;
+  private final int siteCount;
   private final double overshoot;
   private final double tolerance;
   private final Random random;
-  private final Map<String, Long> neighbours = new HashMap<>();
-  private int most;
-  private long mostAt;
-  private long toldFrom = Long.MAX_VALUE;
-  private long nextLeaves = Long.MAX_VALUE;
-  private int lists = 1;
+  private final Map<String, Long> siteProxies = new HashMap<>();
+  private int fleetSize;
+  private long fleetSizeAt;
+  private long fleetKnownSince = Long.MAX_VALUE;
+  private long nextExpiryAt = Long.MAX_VALUE;
+  private int siteProxiesVersion = 1;
 
   SlowStartLimiter(
-      final String self,
+      final String ownAddress,
       final String site,
-      final int sites,
+      final int siteCount,
       final double overshoot,
       final double tolerance,
       final Random random) {
-    this.self = self;
+    this.ownAddress = ownAddress;
     this.site = site;
-    this.sites = Math.max(1, sites);
+    this.siteCount = Math.max(1, siteCount);
     this.overshoot = overshoot;
     this.tolerance = tolerance;
     this.random = random;
   }
 
-  /** Takes how many switchboards there are, from somebody who knows it for certain. */
-  void settled(final int count) {
-    most = Math.max(1, count);
-    toldFrom = Long.MIN_VALUE / 2;
+  /** Sets the exact number of proxies, known from an authoritative source. */
+  void setFleetSize(final int count) {
+    fleetSize = Math.max(1, count);
+    fleetKnownSince = Long.MIN_VALUE / 2;
   }
 
-  /** Takes how many switchboards an exchange counts; the largest number lately told holds. */
-  void told(final int count, final long now) {
-    if (toldFrom == Long.MAX_VALUE) {
-      toldFrom = now;
+  /** Takes the number of proxies that a registry counts; the largest recent number applies. */
+  void reportFleetSize(final int count, final long now) {
+    if (fleetKnownSince == Long.MAX_VALUE) {
+      fleetKnownSince = now;
     }
-    if (count >= most || now - mostAt > COUNT_STAYS_MILLIS) {
-      most = Math.max(1, count);
-      mostAt = now;
+    if (count >= fleetSize || now - fleetSizeAt > FLEET_SIZE_TTL_MILLIS) {
+      fleetSize = Math.max(1, count);
+      fleetSizeAt = now;
     }
   }
 
-  /** The largest number of switchboards lately told. */
-  int switchboards() {
-    return Math.max(1, most);
+  /** Returns the largest recently reported number of proxies, at least 1. */
+  int fleetSize() {
+    return Math.max(1, fleetSize);
   }
 
-  /** Takes who shares the site; who is no longer named still counts for a while. */
-  void neighbours(final Collection<String> addresses, final long now) {
-    neighbours.replaceAll(
-        (address, until) -> until == Long.MAX_VALUE ? now + NEIGHBOUR_STAYS_MILLIS : until);
+  /**
+   * Sets the proxies of this site by address; one that is no longer listed still counts for {@link
+   * #SITE_PROXY_TTL_MILLIS}.
+   */
+  void siteProxies(final Collection<String> addresses, final long now) {
+    siteProxies.replaceAll(
+        (address, expiresAt) ->
+            expiresAt == Long.MAX_VALUE ? now + SITE_PROXY_TTL_MILLIS : expiresAt);
     for (final String address : addresses) {
-      neighbours.put(address, Long.MAX_VALUE);
+      siteProxies.put(address, Long.MAX_VALUE);
     }
-    leave(now);
+    expireSiteProxies(now);
   }
 
-  private void leave(final long now) {
-    neighbours.values().removeIf(until -> until <= now);
-    nextLeaves = neighbours.values().stream().min(Long::compare).orElse(Long.MAX_VALUE);
-    lists++;
+  private void expireSiteProxies(final long now) {
+    siteProxies.values().removeIf(expiresAt -> expiresAt <= now);
+    nextExpiryAt = siteProxies.values().stream().min(Long::compare).orElse(Long.MAX_VALUE);
+    siteProxiesVersion++;
   }
 
-  /** Whether a request may be sent to this cold upstream now. */
+  /**
+   * Returns whether a request may be sent to this upstream in slow start now. The first call in a
+   * slow start delays the first send at random if this proxy may not know its exact share yet.
+   */
   boolean admits(
-      final Upstream upstream, final double perSecond, final double ordered, final long now) {
-    if (upstream.connecting > 0 || !member(upstream, perSecond, now)) {
+      final Upstream upstream,
+      final double ratePerSecond,
+      final double assignedShare,
+      final long now) {
+    if (upstream.connecting > 0 || !mayHoldToken(upstream, ratePerSecond, now)) {
       return false;
     }
-    if (!upstream.coldPaced) {
-      upstream.coldPaced = true;
-      if (fresh(now) || alone(perSecond)) {
-        upstream.nextColdAt =
+    if (!upstream.slowStartJittered) {
+      upstream.slowStartJittered = true;
+      if (learningFleet(now) || lacksSiteProxies(ratePerSecond)) {
+        upstream.nextSlowStartSendAt =
             Math.max(
-                upstream.nextColdAt,
-                now + (long) (random.nextDouble() * pace(perSecond, ordered, now)));
+                upstream.nextSlowStartSendAt,
+                now
+                    + (long)
+                        (random.nextDouble()
+                            * sendIntervalMillis(ratePerSecond, assignedShare, now)));
       }
     }
-    return now >= upstream.nextColdAt;
+    return now >= upstream.nextSlowStartSendAt;
   }
 
-  /** A request was sent to a cold upstream, or is about to be. */
-  void sent(final Upstream upstream, final double perSecond, final double ordered, final long now) {
-    upstream.coldPace = pace(perSecond, ordered, now);
-    upstream.nextColdAt = Math.max(upstream.nextColdAt, now + upstream.coldPace);
+  /** Records that a request was or is about to be sent to an upstream in slow start. */
+  void recordSent(
+      final Upstream upstream,
+      final double ratePerSecond,
+      final double assignedShare,
+      final long now) {
+    upstream.slowStartIntervalMillis = sendIntervalMillis(ratePerSecond, assignedShare, now);
+    upstream.nextSlowStartSendAt =
+        Math.max(upstream.nextSlowStartSendAt, now + upstream.slowStartIntervalMillis);
   }
 
   /**
-   * Whether this switchboard knows the fleet from so short a time that it may have been told of a
-   * part only.
+   * Whether this proxy learned of the fleet so recently that the reported size may cover only part
+   * of it.
    */
-  private boolean fresh(final long now) {
-    return toldFrom != Long.MAX_VALUE && now - toldFrom < FRESH_MILLIS;
+  private boolean learningFleet(final long now) {
+    return fleetKnownSince != Long.MAX_VALUE && now - fleetKnownSince < FLEET_LEARNING_MILLIS;
   }
 
-  private int tokens(final double perSecond) {
-    return (int) Math.max(1, Math.floor(perSecond * overshoot + tolerance));
+  private int tokensPerSecond(final double ratePerSecond) {
+    return (int) Math.max(1, Math.floor(ratePerSecond * overshoot + tolerance));
   }
 
-  private boolean shared(final double perSecond, final long now) {
-    return !fresh(now) && switchboards() <= tokens(perSecond);
+  private boolean sharedEvenly(final double ratePerSecond, final long now) {
+    return !learningFleet(now) && fleetSize() <= tokensPerSecond(ratePerSecond);
   }
 
   /**
-   * Whether the fleet is too large to share evenly, and nobody has said yet who shares the site.
+   * Whether the fleet is too large to share evenly while the proxies of this site are still
+   * unknown.
    */
-  private boolean alone(final double perSecond) {
-    return neighbours.isEmpty() && switchboards() > tokens(perSecond);
+  private boolean lacksSiteProxies(final double ratePerSecond) {
+    return siteProxies.isEmpty() && fleetSize() > tokensPerSecond(ratePerSecond);
   }
 
-  private boolean member(final Upstream upstream, final double perSecond, final long now) {
-    if (now >= nextLeaves) {
-      leave(now);
+  private boolean mayHoldToken(
+      final Upstream upstream, final double ratePerSecond, final long now) {
+    if (now >= nextExpiryAt) {
+      expireSiteProxies(now);
     }
-    if (neighbours.isEmpty() || shared(perSecond, now)) {
+    if (siteProxies.isEmpty() || sharedEvenly(ratePerSecond, now)) {
       return true;
     }
-    if (upstream.coldRankOf != lists) {
-      upstream.coldRankOf = lists;
-      upstream.coldRank = rank(upstream.id);
+    if (upstream.slowStartRankVersion != siteProxiesVersion) {
+      upstream.slowStartRankVersion = siteProxiesVersion;
+      upstream.slowStartRank = rank(upstream.id);
     }
-    return upstream.coldRank < part(upstream.site.equals(site), tokens(perSecond));
+    return upstream.slowStartRank
+        < siteTokens(upstream.site.equals(site), tokensPerSecond(ratePerSecond));
   }
 
   /**
-   * How many tokens a site's switchboards have together: half of all at the upstream's own site,
-   * the rest evenly at the others.
+   * Returns how many tokens the proxies of one site have together: about half of all at the
+   * upstream's own site, the rest split evenly among the other sites.
    */
-  int part(final boolean own, final int tokens) {
-    final int others =
-        sites == 1
+  int siteTokens(final boolean local, final int tokens) {
+    final int tokensPerOtherSite =
+        siteCount == 1
             ? 0
             : (int)
                 Math.max(
-                    tokens >= sites ? 1 : 0, Math.floor(tokens * (1 - OWN_SITE) / (sites - 1)));
-    return own ? tokens - others * (sites - 1) : others;
-  }
-
-  private int rank(final String upstream) {
-    final long mine = RendezvousHash.of(upstream, self);
-    int before = 0;
-    for (final String address : neighbours.keySet()) {
-      final long one = RendezvousHash.of(upstream, address);
-      if (!address.equals(self) && (one < mine || one == mine && address.compareTo(self) < 0)) {
-        before++;
+                    tokens >= siteCount ? 1 : 0,
+                    Math.floor(tokens * (1 - LOCAL_SITE_SHARE) / (siteCount - 1)));
+    return local ? tokens - tokensPerOtherSite * (siteCount - 1) : tokensPerOtherSite;
+  }
+
+  private int rank(final String upstreamId) {
+    final long ownHash = RendezvousHash.of(upstreamId, ownAddress);
+    int lower = 0;
+    for (final String address : siteProxies.keySet()) {
+      final long hash = RendezvousHash.of(upstreamId, address);
+      if (!address.equals(ownAddress)
+          && (hash < ownHash || hash == ownHash && address.compareTo(ownAddress) < 0)) {
+        lower++;
       }
     }
-    return before;
+    return lower;
   }
 
-  private long pace(final double perSecond, final double ordered, final long now) {
-    final int tokens = tokens(perSecond);
-    final boolean shared = shared(perSecond, now);
-    final double sharers =
+  private long sendIntervalMillis(
+      final double ratePerSecond, final double assignedShare, final long now) {
+    final int tokens = tokensPerSecond(ratePerSecond);
+    final boolean even = sharedEvenly(ratePerSecond, now);
+    final double sharingProxies =
         Math.max(
-            ordered > 0 ? 1 / ordered : 0,
-            alone(perSecond) ? switchboards() : shared ? switchboards() : tokens);
-    final int each = shared ? Math.max(1, tokens / switchboards()) : 1;
+            assignedShare > 0 ? 1 / assignedShare : 0,
+            lacksSiteProxies(ratePerSecond) ? fleetSize() : even ? fleetSize() : tokens);
+    final int tokensEach = even ? Math.max(1, tokens / fleetSize()) : 1;
     return (long)
         Math.ceil(
             Math.max(
-                SECOND_MILLIS / (double) each,
-                1000 * sharers / Math.max(0.5, CAUTION * perSecond)));
+                TOKEN_INTERVAL_MILLIS / (double) tokensEach,
+                1000 * sharingProxies / Math.max(0.5, RATE_SAFETY_FACTOR * ratePerSecond)));
   }
 }
--- a/upstream/src/main/java/weldpoint/upstream/Upstream.java
+++ b/upstream/src/main/java/weldpoint/upstream/Upstream.java
@@ -3,11 +3,15 @@
 import java.util.ArrayDeque;
 import weldpoint.transport.RegistryMessages.Registration;
 
-/** One upstream as this switchboard knows it: what it was told, and what it has seen itself. */
+/**
+ * One upstream instance as this process sees it: its registration, the load it reports in response
+ * headers, and the latency and failures observed here. Used on the event loop of its {@link
+ * UpstreamPool} only; not thread-safe. Times are milliseconds of the steady clock.
+ */
 public final class Upstream {
-  private static final long TOLD_MILLIS = 1500;
-  private static final int MOST_HOLD_MILLIS = 4000;
-  private static final long LEAST_WINDOW_MILLIS = 1000;
+  private static final long LOAD_REPORT_TTL_MILLIS = 1500;
+  private static final int MAX_EJECTION_MILLIS = 4000;
+  private static final long MIN_AFFINITY_WINDOW_MILLIS = 1000;
 
   final String id;
   final String service;
@@ -16,30 +20,30 @@
   final String site;
   final String region;
   int capacity;
-  boolean open = true;
-  boolean suspect;
-  boolean own = true;
-  long coldUntil;
-  long nextColdAt;
-  long coldPace;
-  boolean coldPaced;
+  boolean registered = true;
+  boolean registrySuspect;
+  boolean inSubset = true;
+  long slowStartUntil;
+  long nextSlowStartSendAt;
+  long slowStartIntervalMillis;
+  boolean slowStartJittered;
   int connecting;
-  int coldRank;
-  int coldRankOf;
+  int slowStartRank;
+  int slowStartRankVersion;
   int inFlight;
-  Fill fill = new Fill();
-  final ArrayDeque<UpstreamConnection> idle = new ArrayDeque<>();
-  private int toldBusy;
-  private int toldOwn;
-  private long toldAt = Long.MIN_VALUE / 2;
-  double expectedMillis;
-  private long tiedFrom = Long.MIN_VALUE / 2;
-  private long tiedWindow = 1000;
-  private int tiedNow;
-  private int tiedBefore;
-  private int failures;
-  private long holdUntil;
-  private long answeredAt;
+  SiteLoad siteLoad = new SiteLoad();
+  final ArrayDeque<UpstreamConnection> idleConnections = new ArrayDeque<>();
+  private int reportedLoad;
+  private int ownInFlightAtReport;
+  private long loadReportedAt = Long.MIN_VALUE / 2;
+  double latencyEwmaMillis;
+  private long affinityWindowStart = Long.MIN_VALUE / 2;
+  private long affinityWindowMillis = 1000;
+  private int affinityWrites;
+  private int previousAffinityWrites;
+  private int consecutiveFailures;
+  private long ejectedUntil;
+  private long lastResponseAt;
   final ArrayDeque<long[]> outstanding = new ArrayDeque<>();
 
   Upstream(final Registration registration, final String region, final long now) {
@@ -51,192 +55,233 @@
     this.site = registration.site;
     this.region = region;
     this.capacity = Math.max(1, registration.capacity);
-    this.answeredAt = now;
+    this.lastResponseAt = now;
   }
 
-  /** The id of this life of the upstream. */
+  /** Returns the instance id, which changes with every restart of the upstream process. */
   public String id() {
     return id;
   }
 
-  /** The service it belongs to. */
+  /** Returns the name of the service it belongs to. */
   public String service() {
     return service;
   }
 
-  /** The site it stands in. */
+  /** Returns the site (zone) it runs in. */
   public String site() {
     return site;
   }
 
-  /** How many requests it works on at once. */
+  /** Returns how many requests it processes concurrently (its slots). */
   public int capacity() {
     return capacity;
   }
 
-  void told(final String load, final long now) {
+  /**
+   * Takes the header {@code Weldpoint-Instance-Load}: two counts of requests, then the capacity.
+   */
+  void updateLoad(final String load, final long now) {
     final String[] parts = load.split(",");
     if (parts.length != 3) {
       return;
     }
     try {
-      toldBusy = Integer.parseInt(parts[0].strip()) + Integer.parseInt(parts[1].strip());
+      reportedLoad = Integer.parseInt(parts[0].strip()) + Integer.parseInt(parts[1].strip());
       capacity = Math.max(1, Integer.parseInt(parts[2].strip()));
-      toldOwn = inFlight;
-      toldAt = now;
-      fill.told(Math.max(0, toldBusy - toldOwn) / (double) capacity, now);
+      ownInFlightAtReport = inFlight;
+      loadReportedAt = now;
+      siteLoad.update(Math.max(0, reportedLoad - ownInFlightAtReport) / (double) capacity, now);
     } catch (final NumberFormatException ignored) {
-      toldAt = Long.MIN_VALUE / 2;
+      loadReportedAt = Long.MIN_VALUE / 2;
     }
   }
 
-  /** A write of a caller that is tied to it goes there; sessions end after the pause. */
-  void tied(final long now, final long pauseMillis) {
-    turn(now);
-    tiedWindow = Math.max(1000, Math.min(10_000, pauseMillis));
-    tiedNow++;
+  /**
+   * Records a write sent here because of client affinity; an affinity session ends after {@code
+   * pauseMillis} without a write.
+   */
+  void recordAffinityWrite(final long now, final long pauseMillis) {
+    rollAffinityWindow(now);
+    affinityWindowMillis = Math.max(1000, Math.min(10_000, pauseMillis));
+    affinityWrites++;
   }
 
-  private void turn(final long now) {
-    if (now - tiedFrom >= tiedWindow) {
-      tiedBefore = now - tiedFrom >= 2 * tiedWindow ? 0 : tiedNow;
-      tiedNow = 0;
-      tiedFrom = now;
+  private void rollAffinityWindow(final long now) {
+    if (now - affinityWindowStart >= affinityWindowMillis) {
+      previousAffinityWrites =
+          now - affinityWindowStart >= 2 * affinityWindowMillis ? 0 : affinityWrites;
+      affinityWrites = 0;
+      affinityWindowStart = now;
     }
   }
 
   /**
-   * How many slots the writes lately tied to it take over all switchboards, within this part of
-   * all; 0 once they have ceased.
+   * Returns how many slots to reserve for affinity writes of all proxies, estimated from this
+   * proxy's recent rate and at most {@code maxFraction} of the capacity; 0 once such writes have
+   * ceased.
    */
-  int reserved(final long now, final double sharers, final double most, final double usual) {
-    turn(now);
-    final int seen = tiedNow + tiedBefore;
-    if (seen == 0) {
+  int reservedSlots(
+      final long now,
+      final double sharingProxies,
+      final double maxFraction,
+      final double typicalMillis) {
+    rollAffinityWindow(now);
+    final int writes = affinityWrites + previousAffinityWrites;
+    if (writes == 0) {
       return 0;
     }
-    final double perMilli =
-        seen
+    final double writesPerMilli =
+        writes
             / (double)
-                ((tiedBefore == 0 ? 0 : tiedWindow)
-                    + Math.max(LEAST_WINDOW_MILLIS, now - tiedFrom));
+                ((previousAffinityWrites == 0 ? 0 : affinityWindowMillis)
+                    + Math.max(MIN_AFFINITY_WINDOW_MILLIS, now - affinityWindowStart));
     return (int)
         Math.min(
-            Math.floor(capacity * most),
-            Math.ceil(perMilli * sharers * (expectedMillis == 0 ? usual : expectedMillis)));
+            Math.floor(capacity * maxFraction),
+            Math.ceil(
+                writesPerMilli
+                    * sharingProxies
+                    * (latencyEwmaMillis == 0 ? typicalMillis : latencyEwmaMillis)));
   }
 
-  /** How many requests it has for certain, over all switchboards. */
-  double known(final long now) {
-    return inFlight + Math.max(0, toldBusy - toldOwn) * fresh(now);
+  /**
+   * Returns the requests known to be in progress: ours, plus what the upstream recently reported of
+   * others, discounted as the report ages.
+   */
+  double knownLoad(final long now) {
+    return inFlight + Math.max(0, reportedLoad - ownInFlightAtReport) * loadReportFreshness(now);
   }
 
-  private double fresh(final long now) {
-    return Math.max(0, 1 - (now - toldAt) / (double) TOLD_MILLIS);
+  private double loadReportFreshness(final long now) {
+    return Math.max(0, 1 - (now - loadReportedAt) / (double) LOAD_REPORT_TTL_MILLIS);
   }
 
   /**
-   * How many requests it probably has: what it told lately, and as that grows old, what its like in
-   * the same site have.
+   * Returns the estimated number of requests in progress: ours, plus others' as recently reported
+   * by the upstream; as that report ages, the average of its service in the same site replaces it.
    */
-  double busy(final long now) {
-    final double fresh = fresh(now);
+  double estimatedLoad(final long now) {
+    final double freshness = loadReportFreshness(now);
     return inFlight
-        + Math.max(0, toldBusy - toldOwn) * fresh
-        + (1 - fresh) * fill.perSlot(now) * capacity;
+        + Math.max(0, reportedLoad - ownInFlightAtReport) * freshness
+        + (1 - freshness) * siteLoad.loadPerSlot(now) * capacity;
   }
 
   /**
-   * What the upstreams of one service in one site tell of others' requests, for each of their
-   * slots.
+   * Moving average of the load from other proxies, per slot, that the upstreams of one service in
+   * one site report.
    */
-  static final class Fill {
-    private static final double WEIGHT = 0.05;
-    private static final long FORGOTTEN_MILLIS = 3000;
-    private double perSlot;
-    private long at = Long.MIN_VALUE / 2;
-
-    void told(final double seen, final long now) {
-      perSlot = now - at > FORGOTTEN_MILLIS ? seen : perSlot * (1 - WEIGHT) + seen * WEIGHT;
-      at = now;
+  static final class SiteLoad {
+    private static final double EWMA_WEIGHT = 0.05;
+    private static final long EXPIRY_MILLIS = 3000;
+    private double loadPerSlot;
+    private long updatedAt = Long.MIN_VALUE / 2;
+
+    void update(final double observed, final long now) {
+      loadPerSlot =
+          now - updatedAt > EXPIRY_MILLIS
+              ? observed
+              : loadPerSlot * (1 - EWMA_WEIGHT) + observed * EWMA_WEIGHT;
+      updatedAt = now;
     }
 
-    double perSlot(final long now) {
-      return perSlot * Math.max(0, 1 - (now - at) / (double) FORGOTTEN_MILLIS);
+    double loadPerSlot(final long now) {
+      return loadPerSlot * Math.max(0, 1 - (now - updatedAt) / (double) EXPIRY_MILLIS);
     }
   }
 
-  /** How long a further request would probably take. */
-  double cost(final long now, final double usual) {
-    final double expected = expectedMillis == 0 ? usual : expectedMillis;
-    final double fill = (busy(now) + 1) / capacity;
-    return expected
-        * (fill <= 0.8
-            ? 1 + 0.2 * fill
-            : fill <= 1 ? 1 + 1.5 * (fill - 0.7) : 1.45 + 2 * (fill - 1));
+  /**
+   * Returns the estimated latency in milliseconds of one more request, which rises with
+   * utilization.
+   */
+  double estimatedLatencyMillis(final long now, final double typicalMillis) {
+    final double baseMillis = latencyEwmaMillis == 0 ? typicalMillis : latencyEwmaMillis;
+    final double utilization = (estimatedLoad(now) + 1) / capacity;
+    return baseMillis
+        * (utilization <= 0.8
+            ? 1 + 0.2 * utilization
+            : utilization <= 1 ? 1 + 1.5 * (utilization - 0.7) : 1.45 + 2 * (utilization - 1));
   }
 
-  boolean cold(final long now) {
-    return now < coldUntil;
+  boolean inSlowStart(final long now) {
+    return now < slowStartUntil;
   }
 
-  /** A request that waited for its connection is sent only now: the pace counts from here. */
-  void sentLate(final long now) {
-    if (cold(now)) {
-      nextColdAt = Math.max(nextColdAt, now + coldPace);
+  /**
+   * Restarts the slow-start send interval, since a request that waited for its connection is sent
+   * only now.
+   */
+  void sentAfterConnect(final long now) {
+    if (inSlowStart(now)) {
+      nextSlowStartSendAt = Math.max(nextSlowStartSendAt, now + slowStartIntervalMillis);
     }
   }
 
-  /** Whether it has been silent for so long, with requests waiting there, that it may be gone. */
-  boolean dim(final long now, final double usual) {
-    if (now < holdUntil) {
+  /**
+   * Whether it is ejected after failures, or has returned nothing for so long while a request is
+   * outstanding (at least 300 ms and twice its latency) that it may be down.
+   */
+  boolean isUnhealthy(final long now, final double typicalMillis) {
+    if (now < ejectedUntil) {
       return true;
     }
     final long[] oldest = outstanding.peekFirst();
     return oldest != null
-        && answeredAt < oldest[0]
-        && now - oldest[0] > Math.max(300, 2 * (expectedMillis == 0 ? usual : expectedMillis));
+        && lastResponseAt < oldest[0]
+        && now - oldest[0]
+            > Math.max(300, 2 * (latencyEwmaMillis == 0 ? typicalMillis : latencyEwmaMillis));
   }
 
   /**
-   * Whether nothing has come back for longer than usual since the oldest request that waits there
-   * was sent.
+   * Whether nothing has come back for longer than its usual latency (at least 100 ms) since the
+   * oldest outstanding request was sent.
    */
-  boolean doubtful(final long now, final double usual) {
+  boolean isOverdue(final long now, final double typicalMillis) {
     final long[] oldest = outstanding.peekFirst();
     return oldest != null
-        && answeredAt < oldest[0]
-        && now - oldest[0] > Math.max(100, 1.2 * (expectedMillis == 0 ? usual : expectedMillis));
+        && lastResponseAt < oldest[0]
+        && now - oldest[0]
+            > Math.max(100, 1.2 * (latencyEwmaMillis == 0 ? typicalMillis : latencyEwmaMillis));
   }
 
-  void sent(final long[] token) {
+  void requestSent(final long[] token) {
     inFlight++;
     outstanding.addLast(token);
   }
 
-  void ended(final long[] token) {
+  void requestEnded(final long[] token) {
     inFlight--;
     outstanding.remove(token);
   }
 
-  void answered(final long now, final long tookMillis) {
-    failures = 0;
-    holdUntil = 0;
-    answeredAt = now;
-    if (tookMillis >= 0) {
-      expectedMillis = expectedMillis == 0 ? tookMillis : expectedMillis * 0.9 + tookMillis * 0.1;
+  /** Records a response, which ends an ejection; a negative latency is not averaged in. */
+  void responseReceived(final long now, final long latencyMillis) {
+    consecutiveFailures = 0;
+    ejectedUntil = 0;
+    lastResponseAt = now;
+    if (latencyMillis >= 0) {
+      latencyEwmaMillis =
+          latencyEwmaMillis == 0 ? latencyMillis : latencyEwmaMillis * 0.9 + latencyMillis * 0.1;
     }
   }
 
-  /** A request that was sent then is given up: a failure, if nothing at all has come back since. */
-  void left(final long startedAt, final long now) {
-    if (answeredAt < startedAt && now - startedAt > Math.max(300, 2 * expectedMillis)) {
-      failed(now);
+  /**
+   * Records that a request sent at {@code startedAt} is cancelled; it counts as a failure if
+   * nothing at all has come back since then for longer than usual.
+   */
+  void requestAbandoned(final long startedAt, final long now) {
+    if (lastResponseAt < startedAt && now - startedAt > Math.max(300, 2 * latencyEwmaMillis)) {
+      requestFailed(now);
     }
   }
 
-  void failed(final long now) {
-    failures++;
-    holdUntil = now + Math.min(MOST_HOLD_MILLIS, 250L << Math.min(4, failures));
+  /**
+   * Counts a failure and ejects the upstream, for 500 ms at first, doubled by each further failure
+   * up to the maximum.
+   */
+  void requestFailed(final long now) {
+    consecutiveFailures++;
+    ejectedUntil = now + Math.min(MAX_EJECTION_MILLIS, 250L << Math.min(4, consecutiveFailures));
   }
 }
--- a/upstream/src/main/java/weldpoint/upstream/UpstreamConnection.java
+++ b/upstream/src/main/java/weldpoint/upstream/UpstreamConnection.java
@@ -20,33 +20,40 @@
 import java.util.Iterator;
 import java.util.function.Consumer;
 
-/** One connection to an upstream, which carries one request at a time. */
+/**
+ * Channel handler of one HTTP/1.1 connection to an upstream, which carries one request at a time
+ * and is reused only when it is certain that no bytes of an earlier response are left. All calls
+ * run on the channel's event loop. Inbound messages are released here.
+ */
 public final class UpstreamConnection extends ChannelInboundHandlerAdapter {
-  private static final int MOST_ANSWER = 64 << 20;
-  private static final int MOST_RESERVED = 1 << 20;
+  private static final int MAX_RESPONSE_BYTES = 64 << 20;
+  private static final int MAX_INITIAL_BUFFER_BYTES = 1 << 20;
 
-  /** How a request on a connection ended. */
+  /** How a request on a connection completed. */
   public enum End {
-    /** A whole answer came, with the id of the request or with none. */
+    /** A complete response came, with the request's attempt id or with none. */
     ANSWERED,
-    /** Nothing was written. */
+    /** Nothing of the request was written. */
     UNSENT,
-    /** The connection ended or carried what is no answer; the request may have run. */
+    /** The connection closed or carried an invalid response; the request may have run. */
     UNCERTAIN,
   }
 
-  /** Hears how a request ended. The body belongs to whoever is told. */
-  public interface Done {
-    /** Hears the end, with the head and the body where an answer came. */
-    void done(End end, HttpResponse head, ByteBuf body);
+  /** Notified when a request completes. The listener owns the body and must release it. */
+  public interface CompletionListener {
+    /**
+     * Called with the completion status; head and body are null where no response came, and the
+     * body is null if it is empty.
+     */
+    void completed(End end, HttpResponse head, ByteBuf body);
   }
 
   /**
-   * A decoder that refuses a body with both a length and chunks, and knows whether bytes wait that
-   * nobody has read.
+   * A response decoder that rejects a message with both {@code Content-Length} and chunked
+   * encoding, and knows whether undecoded bytes remain.
    */
   static final class Decoder extends HttpResponseDecoder {
-    boolean head;
+    boolean headRequest;
     private UpstreamConnection connection;
 
     Decoder() {
@@ -57,7 +64,7 @@
     public void channelRead(final ChannelHandlerContext context, final Object message)
         throws Exception {
       if (((ByteBuf) message).isReadable()) {
-        connection.bytes();
+        connection.bytesReceived();
       }
       super.channelRead(context, message);
     }
@@ -65,89 +72,95 @@
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(
         final io.netty.handler.codec.http.HttpMessage message) {
-      throw new IllegalArgumentException("both a length and chunks");
+      throw new IllegalArgumentException(
+          "response has both Content-Length and Transfer-Encoding: chunked");
     }
 
-    private boolean unread() {
+    private boolean hasUnreadBytes() {
       return actualReadableBytes() > 0;
     }
 
     @Override
     protected boolean isContentAlwaysEmpty(final io.netty.handler.codec.http.HttpMessage message) {
-      return head || super.isContentAlwaysEmpty(message);
+      return headRequest || super.isContentAlwaysEmpty(message);
     }
   }
 
   private final Upstream upstream;
   private final Decoder decoder;
-  private final Consumer<String> surplus;
+  private final Consumer<String> unsolicitedResponses;
   private Channel channel;
-  private Done done;
-  private String id;
-  private HttpResponse answer;
+  private CompletionListener pendingListener;
+  private String pendingAttemptId;
+  private HttpResponse response;
   private ByteBuf body;
-  private boolean foreign;
-  private boolean spoiled;
+  private boolean mismatched;
+  private boolean closing;
   long idleUntil;
-  private long keepMillis = 8000;
+  private long keepAliveMillis = 8000;
 
   UpstreamConnection(
-      final Upstream upstream, final Decoder decoder, final Consumer<String> surplus) {
-    this.surplus = surplus;
+      final Upstream upstream, final Decoder decoder, final Consumer<String> unsolicitedResponses) {
+    this.unsolicitedResponses = unsolicitedResponses;
     this.upstream = upstream;
     this.decoder = decoder;
     decoder.connection = this;
   }
 
-  void connected(final Channel given) {
-    channel = given;
-    if (spoiled) {
+  void connected(final Channel newChannel) {
+    channel = newChannel;
+    if (closing) {
       channel.close();
     }
   }
 
   /**
-   * Whether a request may be sent on it: it rests, and nothing has come that belongs to no request.
+   * Whether a request may be sent on it: it is idle, open and not expired, and has received no
+   * unsolicited bytes.
    */
-  boolean usable(final long now) {
-    return !spoiled && done == null && channel.isActive() && now < idleUntil;
+  boolean isUsable(final long now) {
+    return !closing && pendingListener == null && channel.isActive() && now < idleUntil;
   }
 
-  /** Bytes have come: while no request waits, they end the connection, whatever they are. */
-  private void bytes() {
-    if (done == null) {
+  /** Closes the connection if bytes arrive while no request is pending, whatever they are. */
+  private void bytesReceived() {
+    if (pendingListener == null) {
       close();
     }
   }
 
   void close() {
-    spoiled = true;
+    closing = true;
     if (channel != null) {
       channel.close();
     }
   }
 
-  /** Sends a request; whoever is given hears of its end exactly once. */
-  void send(final FullHttpRequest request, final String attemptId, final Done listener) {
-    if (!channel.isActive() || spoiled) {
+  /**
+   * Sends a request and takes over its reference count. The listener is notified exactly once,
+   * unless the request is cancelled.
+   */
+  void send(
+      final FullHttpRequest request, final String attemptId, final CompletionListener listener) {
+    if (!channel.isActive() || closing) {
       request.release();
       close();
-      listener.done(End.UNSENT, null, null);
+      listener.completed(End.UNSENT, null, null);
       return;
     }
-    done = listener;
-    id = attemptId;
-    decoder.head = request.method().equals(HttpMethod.HEAD);
+    pendingListener = listener;
+    pendingAttemptId = attemptId;
+    decoder.headRequest = request.method().equals(HttpMethod.HEAD);
     channel.writeAndFlush(request, channel.voidPromise());
   }
 
   @Override
   public void channelRead(final ChannelHandlerContext context, final Object message) {
     try {
-      if (done == null) {
+      if (pendingListener == null) {
         if (message instanceof HttpResponse
             && ((HttpResponse) message).headers().contains(Headers.ATTEMPT_ID)) {
-          surplus.accept(((HttpResponse) message).headers().get(Headers.ATTEMPT_ID));
+          unsolicitedResponses.accept(((HttpResponse) message).headers().get(Headers.ATTEMPT_ID));
         }
         close();
         return;
@@ -157,14 +170,14 @@
         return;
       }
       if (message instanceof HttpResponse) {
-        begin((HttpResponse) message);
-        if (done == null) {
+        handleHead((HttpResponse) message);
+        if (pendingListener == null) {
           return;
         }
       }
-      if (message instanceof HttpContent && answer != null) {
+      if (message instanceof HttpContent && response != null) {
         final ByteBuf content = ((HttpContent) message).content();
-        if (!foreign && content.isReadable()) {
+        if (!mismatched && content.isReadable()) {
           if (body == null) {
             body =
                 context
@@ -173,16 +186,18 @@
                         Math.max(
                             content.readableBytes(),
                             (int)
-                                Math.min(MOST_RESERVED, HttpUtil.getContentLength(answer, 256L))));
+                                Math.min(
+                                    MAX_INITIAL_BUFFER_BYTES,
+                                    HttpUtil.getContentLength(response, 256L))));
           }
-          if (body.readableBytes() + content.readableBytes() > MOST_ANSWER) {
+          if (body.readableBytes() + content.readableBytes() > MAX_RESPONSE_BYTES) {
             fail();
             return;
           }
           body.writeBytes(content);
         }
         if (message instanceof LastHttpContent) {
-          finish();
+          completeResponse();
         }
       }
     } finally {
@@ -190,111 +205,112 @@
     }
   }
 
-  private void begin(final HttpResponse head) {
-    if (answer != null) {
+  private void handleHead(final HttpResponse head) {
+    if (response != null) {
       fail();
       return;
     }
-    final boolean framed =
+    final boolean selfDelimiting =
         HttpUtil.isTransferEncodingChunked(head)
             || head.headers().contains(HttpHeaderNames.CONTENT_LENGTH)
-            || decoder.head
+            || decoder.headRequest
             || head.status().code() == 204
             || head.status().code() == 304;
-    if (!framed || head.status().code() < 200) {
+    if (!selfDelimiting || head.status().code() < 200) {
       fail();
       return;
     }
-    final Iterator<String> echoes = head.headers().valueStringIterator(Headers.ATTEMPT_ID);
-    final String echoed = echoes.hasNext() ? echoes.next() : null;
-    if (echoes.hasNext()) {
+    final Iterator<String> echoedIds = head.headers().valueStringIterator(Headers.ATTEMPT_ID);
+    final String echoedId = echoedIds.hasNext() ? echoedIds.next() : null;
+    if (echoedIds.hasNext()) {
       fail();
       return;
     }
-    answer = head;
-    foreign = echoed != null && !echoed.equals(id);
-    if (foreign) {
-      surplus.accept(echoed);
-      spoiled = true;
+    response = head;
+    mismatched = echoedId != null && !echoedId.equals(pendingAttemptId);
+    if (mismatched) {
+      unsolicitedResponses.accept(echoedId);
+      closing = true;
     }
   }
 
-  private void finish() {
-    final HttpResponse head = answer;
-    answer = null;
-    if (foreign) {
-      foreign = false;
+  private void completeResponse() {
+    final HttpResponse head = response;
+    response = null;
+    if (mismatched) {
+      mismatched = false;
       return;
     }
-    final Done listener = done;
-    done = null;
-    final ByteBuf whole = body;
+    final CompletionListener listener = pendingListener;
+    pendingListener = null;
+    final ByteBuf completeBody = body;
     body = null;
-    final boolean keep =
+    final boolean persistent =
         HttpUtil.isKeepAlive(head) && head.protocolVersion().equals(HttpVersion.HTTP_1_1);
-    final String keepAlive = head.headers().get(HttpHeaderNames.KEEP_ALIVE);
-    if (keepAlive != null) {
-      final int at = keepAlive.indexOf("timeout=");
-      if (at >= 0) {
-        int end = at + 8;
-        while (end < keepAlive.length() && Character.isDigit(keepAlive.charAt(end))) {
+    final String keepAliveHeader = head.headers().get(HttpHeaderNames.KEEP_ALIVE);
+    if (keepAliveHeader != null) {
+      final int start = keepAliveHeader.indexOf("timeout=");
+      if (start >= 0) {
+        int end = start + 8;
+        while (end < keepAliveHeader.length() && Character.isDigit(keepAliveHeader.charAt(end))) {
           end++;
         }
-        if (end > at + 8 && end < at + 14) {
-          keepMillis = 1000L * Integer.parseInt(keepAlive.substring(at + 8, end)) - 1500;
+        if (end > start + 8 && end < start + 14) {
+          keepAliveMillis =
+              1000L * Integer.parseInt(keepAliveHeader.substring(start + 8, end)) - 1500;
         }
       }
     }
-    if (!keep
-        || spoiled
-        || decoder.unread()
-        || writing()
+    if (!persistent
+        || closing
+        || decoder.hasUnreadBytes()
+        || hasUnwrittenBytes()
         || head.headers().contains(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE, true)) {
       close();
     } else {
-      idleUntil = System.nanoTime() / 1_000_000 + keepMillis;
+      idleUntil = System.nanoTime() / 1_000_000 + keepAliveMillis;
     }
-    listener.done(End.ANSWERED, head, whole);
+    listener.completed(End.ANSWERED, head, completeBody);
   }
 
   /**
-   * Whether part of the request has not gone out yet: an answer that comes so early leaves a
-   * connection that cannot be used again.
+   * Whether part of the request is still unwritten: a response that arrives that early leaves a
+   * connection that cannot be reused.
    */
-  private boolean writing() {
-    final ChannelOutboundBuffer waiting = channel.unsafe().outboundBuffer();
-    return waiting != null && !waiting.isEmpty();
+  private boolean hasUnwrittenBytes() {
+    final ChannelOutboundBuffer outbound = channel.unsafe().outboundBuffer();
+    return outbound != null && !outbound.isEmpty();
   }
 
   private void fail() {
     close();
-    final Done listener = done;
-    done = null;
+    final CompletionListener listener = pendingListener;
+    pendingListener = null;
     if (body != null) {
       body.release();
       body = null;
     }
-    answer = null;
+    response = null;
     if (listener != null) {
-      listener.done(End.UNCERTAIN, null, null);
+      listener.completed(End.UNCERTAIN, null, null);
     }
   }
 
-  /** Stops waiting: the connection is closed and nobody hears of it. */
-  void abandon() {
-    done = null;
+  /** Cancels the pending request: closes the connection without notifying the listener. */
+  void cancel() {
+    pendingListener = null;
     close();
     if (body != null) {
       body.release();
       body = null;
     }
-    answer = null;
+    response = null;
   }
 
   @Override
   public void channelInactive(final ChannelHandlerContext context) {
-    spoiled = true;
-    upstream.idle.remove(this);
+    closing = true;
+    upstream.idleConnections.remove(this);
     fail();
   }
 
--- a/upstream/src/main/java/weldpoint/upstream/UpstreamPool.java
+++ b/upstream/src/main/java/weldpoint/upstream/UpstreamPool.java
@@ -28,45 +28,47 @@
 import weldpoint.routing.RoutingTable;
 
 /**
- * The upstreams of all services, their connections, and the choice among them. All of it lives on
- * the traffic thread.
+ * The upstreams of all services, their connections, and the load balancing among them: subsetting,
+ * random sampling by estimated latency, slow start, ejection of unhealthy upstreams and retry
+ * budgets. Used by proxies, the cache daemon and the replay simulator; all calls are made on one
+ * thread, the event loop that carries the traffic. Times are milliseconds of the steady clock.
  */
 public final class UpstreamPool {
-  private static final double USUAL_MILLIS = 150;
-  private static final int SAMPLE = 4;
-  private static final double ROOM = 0.8;
-  private static final double CROWDED = 0.5;
-  private static final double DOUBT = 3;
-  private static final long COLD_MARGIN_MILLIS = 300;
-  private static final double HOLDER_ROOM = 1.6;
+  private static final double DEFAULT_LATENCY_MILLIS = 150;
+  private static final int SAMPLE_SIZE = 4;
+  private static final double COMFORTABLE_UTILIZATION = 0.8;
+  private static final double OVERFLOW_UTILIZATION = 0.5;
+  private static final double OVERDUE_PENALTY = 3;
+  private static final long SLOW_START_MARGIN_MILLIS = 300;
+  private static final double KEY_OWNER_LOAD_FACTOR = 1.6;
 
   private final Bootstrap bootstrap;
   private final String site;
-  private final String region;
+  private final String regionOf;
   private final Map<String, String> regions;
   private final Settings settings;
   private final Random random;
   private final Map<String, Upstream> upstreams = new HashMap<>();
   private final Map<String, List<Upstream>> services = new HashMap<>();
-  private final Map<String, Upstream.Fill> fills = new HashMap<>();
-  private final Map<String, RetryBudget> budgets = new HashMap<>();
-  private final Map<String, Double> usual = new HashMap<>();
-  private final Map<String, Quiet> quiets = new HashMap<>();
-  private Set<String> evacuated = Set.of();
-  private RoutingTable inForce;
+  private final Map<String, Upstream.SiteLoad> siteLoads = new HashMap<>();
+  private final Map<String, RetryBudget> retryBudgets = new HashMap<>();
+  private final Map<String, Double> typicalMillis = new HashMap<>();
+  private final Map<String, SiteResponses> siteResponses = new HashMap<>();
+  private Set<String> evacuatedSites = Set.of();
+  private RoutingTable activeRoutingTable;
   private final SlowStartLimiter slowStart;
   private final UpstreamSubsets subsets;
-  private double ordered;
-  private Set<String> orderedSuspects = Set.of();
-  private Consumer<String> surplus = id -> {};
+  private double assignedShare;
+  private Set<String> leaderSuspects = Set.of();
+  private Consumer<String> unsolicitedResponses = id -> {};
 
-  private long bornAt = Long.MIN_VALUE / 2;
+  private long restartedAt = Long.MIN_VALUE / 2;
 
-  /** No upstreams yet. */
+  /** Creates an empty pool that opens its connections on this event loop. */
   public UpstreamPool(final EventLoopGroup loop, final Settings settings, final Random random) {
     this.settings = settings;
     this.site = settings.site();
-    this.region = settings.region();
+    this.regionOf = settings.region();
     this.regions = settings.sites();
     this.random = random;
     this.subsets = new UpstreamSubsets(settings);
@@ -89,22 +91,25 @@
     }
   }
 
-  /** Takes what changed in the registry. */
-  public void apply(final List<Change> changes, final long now) {
+  /**
+   * Applies changes of the registry. A changed upstream is added or, when deregistered, removed and
+   * its idle connections closed.
+   */
+  public void applyChanges(final List<Change> changes, final long now) {
     if (!changes.isEmpty()) {
-      subsets.outdated();
+      subsets.markOutdated();
     }
     for (final Change change : changes) {
       final Upstream known = upstreams.get(change.registration.id);
-      if (!change.open) {
+      if (!change.registered) {
         if (known != null) {
-          known.open = false;
+          known.registered = false;
           upstreams.remove(known.id);
           services.get(known.service).remove(known);
-          for (final UpstreamConnection connection : new ArrayList<>(known.idle)) {
+          for (final UpstreamConnection connection : new ArrayList<>(known.idleConnections)) {
             connection.close();
           }
-          known.idle.clear();
+          known.idleConnections.clear();
         }
         continue;
       }
@@ -114,157 +119,169 @@
             new Upstream(
                 change.registration, regions.getOrDefault(change.registration.site, ""), now);
         upstreams.put(upstream.id, upstream);
-        upstream.fill =
-            fills.computeIfAbsent(
-                upstream.service + "@" + upstream.site, key -> new Upstream.Fill());
+        upstream.siteLoad =
+            siteLoads.computeIfAbsent(
+                upstream.service + "@" + upstream.site, key -> new Upstream.SiteLoad());
         services.computeIfAbsent(upstream.service, name -> new ArrayList<>()).add(upstream);
       } else {
         upstream = known;
       }
       if (change.registration.warmupMillis > 0) {
-        upstream.coldPaced &= upstream.cold(now);
-        upstream.coldUntil = now + change.registration.warmupMillis + COLD_MARGIN_MILLIS;
+        upstream.slowStartJittered &= upstream.inSlowStart(now);
+        upstream.slowStartUntil = now + change.registration.warmupMillis + SLOW_START_MARGIN_MILLIS;
       } else if (known != null) {
-        upstream.coldUntil = 0;
+        upstream.slowStartUntil = 0;
       }
     }
   }
 
-  /** Takes the configuration in force, of which every choice and every late send is judged. */
-  public void configuration(final RoutingTable routingTable) {
-    inForce = routingTable;
+  /**
+   * Sets the configuration in force, against which every choice is checked, and every send that
+   * waited for its connection.
+   */
+  public void setRoutingTable(final RoutingTable routingTable) {
+    activeRoutingTable = routingTable;
   }
 
-  /** A change in the registry. */
+  /** A change in the registry: an upstream that is registered, or no longer. */
   public record Change(
-      weldpoint.transport.RegistryMessages.Registration registration, boolean open) {}
+      weldpoint.transport.RegistryMessages.Registration registration, boolean registered) {}
 
-  /** Takes which sites are evacuated; those taken back count as cold until told otherwise. */
-  public void evacuated(final Set<String> sites, final long now) {
-    for (final String back : evacuated) {
-      if (!sites.contains(back)) {
+  /**
+   * Sets the evacuated sites. Upstreams of a site that returns are in slow start until the registry
+   * says otherwise, or for one heartbeat interval and a second.
+   */
+  public void setEvacuatedSites(final Set<String> sites, final long now) {
+    for (final String returned : evacuatedSites) {
+      if (!sites.contains(returned)) {
         for (final Upstream upstream : upstreams.values()) {
-          if (upstream.site.equals(back)) {
-            upstream.coldPaced &= upstream.cold(now);
-            upstream.coldUntil =
-                Math.max(upstream.coldUntil, now + settings.heartbeatMillis() + 1000);
+          if (upstream.site.equals(returned)) {
+            upstream.slowStartJittered &= upstream.inSlowStart(now);
+            upstream.slowStartUntil =
+                Math.max(upstream.slowStartUntil, now + settings.heartbeatMillis() + 1000);
           }
         }
       }
     }
-    evacuated = new HashSet<>(sites);
+    evacuatedSites = new HashSet<>(sites);
   }
 
-  /** Takes which upstreams have not been heard of. */
-  public void suspects(final Set<String> ids) {
+  /** Sets the upstreams, by id, whose heartbeats the registry is missing. */
+  public void setSuspects(final Set<String> ids) {
     for (final Upstream upstream : upstreams.values()) {
-      upstream.suspect = ids.contains(upstream.id);
+      upstream.registrySuspect = ids.contains(upstream.id);
     }
   }
 
   /**
-   * Takes how many switchboards share budgets and cold bounds, from somebody who knows it for
-   * certain.
+   * Sets the exact number of proxies that share retry budgets and slow-start rates, known from an
+   * authoritative source.
    */
-  public void switchboards(final int count) {
-    slowStart.settled(count);
+  public void setFleetSize(final int count) {
+    slowStart.setFleetSize(count);
   }
 
-  /** Takes how many switchboards an exchange counts; the largest number lately told holds. */
-  public void switchboards(final int count, final long now) {
-    slowStart.told(count, now);
+  /** Takes the number of proxies that a registry counts; the largest recent number applies. */
+  public void setFleetSize(final int count, final long now) {
+    slowStart.reportFleetSize(count, now);
   }
 
   /**
-   * Takes a chief's orders: the part of all budgets that this switchboard has, 0 for its usual one,
-   * and who is silent.
+   * Takes what the region leader assigns: this proxy's share of all budgets, 0 for an even share,
+   * and the upstreams that it suspects to be down.
    */
-  public void ordered(final double part, final Set<String> silent) {
-    ordered = part;
-    orderedSuspects = silent;
+  public void setAssignedShare(final double share, final Set<String> suspects) {
+    assignedShare = share;
+    leaderSuspects = suspects;
   }
 
-  private double sharers() {
-    return ordered > 0 ? 1 / ordered : slowStart.switchboards();
+  private double sharingProxies() {
+    return assignedShare > 0 ? 1 / assignedShare : slowStart.fleetSize();
   }
 
-  /** The upstreams from which nothing comes back. */
-  public List<String> silent(final long now) {
+  /** Returns the ids of upstreams that are ejected or have stopped responding. */
+  public List<String> unhealthyUpstreams(final long now) {
     final List<String> list = new ArrayList<>();
     for (final Upstream upstream : upstreams.values()) {
-      if (upstream.dim(now, usual(upstream.service))) {
+      if (upstream.isUnhealthy(now, typicalMillis(upstream.service))) {
         list.add(upstream.id);
       }
     }
     return list;
   }
 
-  /** The budget of a service. */
-  public RetryBudget budget(final String service) {
-    return budgets.computeIfAbsent(
+  /** Returns the retry budget of a service. */
+  public RetryBudget retryBudget(final String service) {
+    return retryBudgets.computeIfAbsent(
         service,
         name ->
             new RetryBudget(
                 settings.retryRatio(),
                 settings.retrySlack(),
                 settings.retryWindowMillis(),
-                bornAt));
+                restartedAt));
   }
 
-  /** This process may have had an earlier life, which spent of the same budgets. */
-  public void restarted(final long now) {
-    bornAt = now;
+  /**
+   * States that this process may have run before and spent part of the same retry budgets; applies
+   * to the budgets of services that are first used afterwards.
+   */
+  public void setRestartedAt(final long now) {
+    restartedAt = now;
   }
 
-  /** Takes a further try from a service's budget. */
-  public boolean repeat(final String service, final long now) {
-    return budget(service).take(sharers(), now);
+  /** Takes one retry from a service's budget, if it allows one. */
+  public boolean tryRetry(final String service, final long now) {
+    return retryBudget(service).tryAcquire(sharingProxies(), now);
   }
 
-  /** Hears the id of every answer that came besides the one due. */
-  public void surplus(final Consumer<String> given) {
-    surplus = given;
+  /**
+   * Sets the listener for the attempt id of every response that arrives unasked, besides the one
+   * expected.
+   */
+  public void onUnsolicitedResponse(final Consumer<String> listener) {
+    unsolicitedResponses = listener;
   }
 
-  /** What came of a choice. */
+  /** The result of choosing an upstream. */
   public enum Choice {
-    /** One was chosen. */
+    /** An upstream was chosen. */
     CHOSEN,
-    /** All that may be used are full. */
+    /** All upstreams that may be used are at their load limit. */
     FULL,
-    /** There is none that may be used. */
+    /** No upstream may be used. */
     NONE,
-    /** There is none that may be used; there would be, were it not for homes. */
+    /** No upstream may be used, and some could be if home regions did not exclude them. */
     OUTSIDE_HOMES,
   }
 
   /**
-   * Among which upstreams is chosen: the own part first, all where that is full or in trouble, at
-   * last even doubtful ones.
+   * Which upstreams are considered: first the own subset; then all, if the subset is full or
+   * overdue; last even unhealthy ones.
    */
-  private enum Width {
-    OWN,
+  private enum SearchScope {
+    SUBSET,
     ALL,
-    DESPERATE
+    INCLUDING_UNHEALTHY
   }
 
-  /** The region of a site. */
-  public String region(final String place) {
-    return regions.getOrDefault(place, "");
+  /** Returns the region of a site; empty if the site is unknown. */
+  public String regionOf(final String ofSite) {
+    return regions.getOrDefault(ofSite, "");
   }
 
-  /** Takes which proxies share this site, in an order that all of them are told alike. */
-  public void neighbours(final List<String> addresses, final long now) {
-    slowStart.neighbours(addresses, now);
-    subsets.neighbours(addresses);
+  /** Sets the addresses of this site's proxies, in an order that is the same for all of them. */
+  public void setSiteProxies(final List<String> addresses, final long now) {
+    slowStart.siteProxies(addresses, now);
+    subsets.setSiteProxies(addresses);
   }
 
-  /** The ids of the upstreams in this proxy's own subset of a service. */
-  List<String> part(final String service) {
+  /** Returns the ids of the upstreams in this proxy's subset of a service. */
+  List<String> subset(final String service) {
     subsets.update(services.values());
     final List<String> ids = new ArrayList<>();
     for (final Upstream upstream : services.getOrDefault(service, List.of())) {
-      if (upstream.own) {
+      if (upstream.inSubset) {
         ids.add(upstream.id);
       }
     }
@@ -273,15 +290,15 @@
 
   private Upstream chosen;
 
-  /** The upstream that the last successful choice found. */
+  /** Returns the upstream of the last choice; null if it failed. */
   public Upstream chosen() {
     return chosen;
   }
 
-  /** Chooses an upstream for a request, not among those tried before. */
+  /** Chooses an upstream for a request, other than those tried before. */
   public Choice choose(final RouteBinding binding, final List<Upstream> tried, final long now) {
     chosen = null;
-    if (!binding.follow(inForce)) {
+    if (!binding.follow(activeRoutingTable)) {
       return Choice.NONE;
     }
     final RoutingTable.Service service = binding.service();
@@ -290,215 +307,226 @@
     final UpstreamSubsets.Tiers tiers = subsets.tiers(service.name());
     Upstream best = null;
     double bestCost = Double.MAX_VALUE;
-    boolean any = false;
-    final Upstream.Fill near = fills.get(service.name() + "@" + site);
-    final boolean crowded =
-        near != null && route.kind != RouteKind.EGRESS && near.perSlot(now) > CROWDED;
-    for (final Width width : Width.values()) {
-      if (width == Width.ALL && !tiers.divided) {
+    boolean anyCandidate = false;
+    final Upstream.SiteLoad localLoad = siteLoads.get(service.name() + "@" + site);
+    final boolean localCrowded =
+        localLoad != null
+            && route.kind != RouteKind.EGRESS
+            && localLoad.loadPerSlot(now) > OVERFLOW_UTILIZATION;
+    for (final SearchScope scope : SearchScope.values()) {
+      if (scope == SearchScope.ALL && !tiers.subsetted) {
         continue;
       }
       if (best != null
-          && (width == Width.DESPERATE
-              || best.busy(now) + 1 <= best.capacity && !doubt(best, service, now))) {
+          && (scope == SearchScope.INCLUDING_UNHEALTHY
+              || best.estimatedLoad(now) + 1 <= best.capacity && !isOverdue(best, service, now))) {
         break;
       }
       for (int tier = 0; tier < 3; tier++) {
         final Upstream candidate =
             sample(
-                width == Width.OWN ? tiers.own.get(tier) : tiers.all.get(tier),
+                scope == SearchScope.SUBSET ? tiers.subset.get(tier) : tiers.all.get(tier),
                 binding,
                 tried,
-                width,
+                scope,
                 now);
         if (candidate == null) {
           continue;
         }
-        any = true;
+        anyCandidate = true;
         final double cost =
-            candidate.cost(now, usual(service.name()))
-                    * (doubt(candidate, service, now) ? DOUBT : 1)
+            candidate.estimatedLatencyMillis(now, typicalMillis(service.name()))
+                    * (isOverdue(candidate, service, now) ? OVERDUE_PENALTY : 1)
                 + (tier == 0
                     ? 0
                     : tier == 1
                         ? 3
-                        : route.kind == RouteKind.EGRESS ? 2 * usual(service.name()) : 30);
+                        : route.kind == RouteKind.EGRESS ? 2 * typicalMillis(service.name()) : 30);
         if (cost < bestCost) {
           best = candidate;
           bestCost = cost;
         }
-        if (!crowded && best.busy(now) + 1 <= best.capacity * ROOM && !doubt(best, service, now)) {
+        if (!localCrowded
+            && best.estimatedLoad(now) + 1 <= best.capacity * COMFORTABLE_UTILIZATION
+            && !isOverdue(best, service, now)) {
           break;
         }
       }
     }
     if (best == null) {
-      return any ? Choice.FULL : noneMayRun(binding);
+      return anyCandidate ? Choice.FULL : noneEligible(binding);
     }
-    if (best.known(now) >= best.capacity * RetryPolicy.room(route, rank(binding))) {
+    if (best.knownLoad(now)
+        >= best.capacity * RetryPolicy.loadLimit(route, tenantPriority(binding))) {
       return Choice.FULL;
     }
-    paced(best, service, now);
+    recordSlowStartSend(best, service, now);
     chosen = best;
     return Choice.CHOSEN;
   }
 
-  /**
-   * Whether the upstream of the last choice has a free slot, so that a second try beside one that
-   * takes long does no harm.
-   */
-  public boolean roomy(final long now) {
-    return chosen != null && chosen.busy(now) + 1 <= chosen.capacity * ROOM;
+  /** Whether the upstream of the last choice has a free slot, so that a hedge does no harm. */
+  public boolean chosenHasFreeSlot(final long now) {
+    return chosen != null
+        && chosen.estimatedLoad(now) + 1 <= chosen.capacity * COMFORTABLE_UTILIZATION;
   }
 
-  /** Chooses this very upstream for a write that is tied to it, or none. */
-  public Choice pinned(
+  /** Chooses this upstream or none, for a write bound to it by client affinity. */
+  public Choice choosePinned(
       final RouteBinding binding, final String id, final long pauseMillis, final long now) {
     chosen = null;
     final Upstream upstream = upstreams.get(id);
-    final Choice allowed = allowed(upstream, binding);
+    final Choice allowed = eligibility(upstream, binding);
     if (allowed != Choice.CHOSEN) {
       return allowed;
     }
     final RoutingTable.Service service = binding.service();
-    reserves = true;
-    upstream.tied(now, pauseMillis);
-    if (!coldAdmits(upstream, service, now)
-        || upstream.known(now)
-            >= upstream.capacity * RetryPolicy.room(binding.route(), rank(binding))) {
+    affinityUsed = true;
+    upstream.recordAffinityWrite(now, pauseMillis);
+    if (!slowStartAdmits(upstream, service, now)
+        || upstream.knownLoad(now)
+            >= upstream.capacity
+                * RetryPolicy.loadLimit(binding.route(), tenantPriority(binding))) {
       return Choice.FULL;
     }
-    paced(upstream, service, now);
+    recordSlowStartSend(upstream, service, now);
     chosen = upstream;
     return Choice.CHOSEN;
   }
 
   /**
-   * Chooses this very upstream for a request whose key it holds, or none: nobody else may run it,
-   * so it is given more than an upstream that has others beside it.
+   * Chooses this upstream or none, for a request whose shard key it owns. No other upstream may run
+   * the request, so the load limit is higher than where there are alternatives.
    */
-  public Choice holder(final RouteBinding binding, final String id, final long now) {
+  public Choice chooseKeyOwner(final RouteBinding binding, final String id, final long now) {
     chosen = null;
     final Upstream upstream = upstreams.get(id);
-    final Choice allowed = allowed(upstream, binding);
+    final Choice allowed = eligibility(upstream, binding);
     if (allowed != Choice.CHOSEN) {
       return allowed;
     }
     final RoutingTable.Service service = binding.service();
-    final double most =
-        upstream.capacity * RetryPolicy.room(binding.route(), rank(binding)) * HOLDER_ROOM;
-    if (!coldAdmits(upstream, service, now) || upstream.known(now) >= most) {
+    final double limit =
+        upstream.capacity
+            * RetryPolicy.loadLimit(binding.route(), tenantPriority(binding))
+            * KEY_OWNER_LOAD_FACTOR;
+    if (!slowStartAdmits(upstream, service, now) || upstream.knownLoad(now) >= limit) {
       return Choice.FULL;
     }
-    paced(upstream, service, now);
+    recordSlowStartSend(upstream, service, now);
     chosen = upstream;
     return Choice.CHOSEN;
   }
 
-  /** Whether this very upstream may run a request, and if not, whether only homes forbid it. */
-  private Choice allowed(final Upstream upstream, final RouteBinding binding) {
+  /** Whether this upstream may run a request and, if not, whether only home regions exclude it. */
+  private Choice eligibility(final Upstream upstream, final RouteBinding binding) {
     if (upstream == null
-        || !binding.follow(inForce)
+        || !binding.follow(activeRoutingTable)
         || !upstream.service.equals(binding.service().name())
-        || !available(upstream)) {
+        || !isAvailable(upstream)) {
       return Choice.NONE;
     }
     return binding.home(upstream.region) ? Choice.CHOSEN : Choice.OUTSIDE_HOMES;
   }
 
-  /** Whether an upstream may run a request at all, however full it is. */
-  private boolean mayRun(final Upstream upstream, final RouteBinding binding) {
-    return available(upstream) && binding.home(upstream.region);
+  /** Whether an upstream may run a request, regardless of its load. */
+  private boolean isEligible(final Upstream upstream, final RouteBinding binding) {
+    return isAvailable(upstream) && binding.home(upstream.region);
   }
 
-  private boolean available(final Upstream upstream) {
-    return upstream.open && !evacuated.contains(upstream.site);
+  private boolean isAvailable(final Upstream upstream) {
+    return upstream.registered && !evacuatedSites.contains(upstream.site);
   }
 
-  /** Why there is no upstream for a request: homes, where one outside of them is available. */
-  private Choice noneMayRun(final RouteBinding binding) {
-    boolean outside = false;
+  /**
+   * Returns why no upstream may run a request: home regions, if one outside of them is available.
+   */
+  private Choice noneEligible(final RouteBinding binding) {
+    boolean outsideHomes = false;
     for (final Upstream upstream : services.getOrDefault(binding.service().name(), List.of())) {
-      if (!available(upstream)) {
+      if (!isAvailable(upstream)) {
         continue;
       }
       if (binding.home(upstream.region)) {
         return Choice.NONE;
       }
-      outside = true;
+      outsideHomes = true;
     }
-    return outside ? Choice.OUTSIDE_HOMES : Choice.NONE;
+    return outsideHomes ? Choice.OUTSIDE_HOMES : Choice.NONE;
   }
 
-  private static int rank(final RouteBinding binding) {
+  private static int tenantPriority(final RouteBinding binding) {
     return binding.tenant() == null ? 0 : binding.tenant().priority();
   }
 
-  private boolean kept(final Upstream upstream, final Route route, final long now) {
-    if (!reserves || !route.kind.repeatable()) {
+  private boolean reservedForAffinity(final Upstream upstream, final Route route, final long now) {
+    if (!affinityUsed || !route.kind.repeatable()) {
       return false;
     }
-    final int reserved =
-        upstream.reserved(now, sharers(), settings.affinityReserve(), usual(upstream.service));
-    return reserved > 0 && upstream.known(now) + 1 > upstream.capacity - reserved;
+    final int reservedSlots =
+        upstream.reservedSlots(
+            now, sharingProxies(), settings.affinityReserve(), typicalMillis(upstream.service));
+    return reservedSlots > 0 && upstream.knownLoad(now) + 1 > upstream.capacity - reservedSlots;
   }
 
-  private boolean reserves;
+  private boolean affinityUsed;
 
-  private boolean coldAdmits(
+  private boolean slowStartAdmits(
       final Upstream upstream, final RoutingTable.Service service, final long now) {
-    return !upstream.cold(now)
+    return !upstream.inSlowStart(now)
         || service.warmupPerSecond() <= 0
-        || slowStart.admits(upstream, service.warmupPerSecond(), ordered, now);
+        || slowStart.admits(upstream, service.warmupPerSecond(), assignedShare, now);
   }
 
-  private void paced(final Upstream upstream, final RoutingTable.Service service, final long now) {
-    if (upstream.cold(now) && service.warmupPerSecond() > 0) {
-      slowStart.sent(upstream, service.warmupPerSecond(), ordered, now);
+  private void recordSlowStartSend(
+      final Upstream upstream, final RoutingTable.Service service, final long now) {
+    if (upstream.inSlowStart(now) && service.warmupPerSecond() > 0) {
+      slowStart.recordSent(upstream, service.warmupPerSecond(), assignedShare, now);
     }
   }
 
-  private double usual(final String service) {
-    return usual.getOrDefault(service, USUAL_MILLIS);
+  private double typicalMillis(final String service) {
+    return typicalMillis.getOrDefault(service, DEFAULT_LATENCY_MILLIS);
   }
 
   private Upstream sample(
-      final List<Upstream> all,
+      final List<Upstream> candidates,
       final RouteBinding binding,
       final List<Upstream> tried,
-      final Width width,
+      final SearchScope scope,
       final long now) {
     final RoutingTable.Service service = binding.service();
     final Route route = binding.route();
-    final List<Upstream> fit = new ArrayList<>();
-    for (final Upstream upstream : all) {
-      if (!mayRun(upstream, binding) || tried.contains(upstream)) {
+    final List<Upstream> eligible = new ArrayList<>();
+    for (final Upstream upstream : candidates) {
+      if (!isEligible(upstream, binding) || tried.contains(upstream)) {
         continue;
       }
-      if (!coldAdmits(upstream, service, now) || kept(upstream, route, now)) {
+      if (!slowStartAdmits(upstream, service, now) || reservedForAffinity(upstream, route, now)) {
         continue;
       }
-      if (width != Width.DESPERATE
-          && (upstream.suspect
-              || orderedSuspects.contains(upstream.id)
-              || upstream.dim(now, usual(service.name())))) {
+      if (scope != SearchScope.INCLUDING_UNHEALTHY
+          && (upstream.registrySuspect
+              || leaderSuspects.contains(upstream.id)
+              || upstream.isUnhealthy(now, typicalMillis(service.name())))) {
         continue;
       }
-      fit.add(upstream);
+      eligible.add(upstream);
     }
-    if (fit.isEmpty()) {
+    if (eligible.isEmpty()) {
       return null;
     }
     Upstream best = null;
     double bestCost = 0;
-    for (int draw = 0; draw < Math.min(SAMPLE, fit.size()); draw++) {
-      final int index = draw + random.nextInt(fit.size() - draw);
-      final Upstream one = fit.get(index);
-      fit.set(index, fit.get(draw));
+    for (int draw = 0; draw < Math.min(SAMPLE_SIZE, eligible.size()); draw++) {
+      final int index = draw + random.nextInt(eligible.size() - draw);
+      final Upstream candidate = eligible.get(index);
+      eligible.set(index, eligible.get(draw));
       final double cost =
-          one.cost(now, usual(service.name())) * (doubt(one, service, now) ? DOUBT : 1);
+          candidate.estimatedLatencyMillis(now, typicalMillis(service.name()))
+              * (isOverdue(candidate, service, now) ? OVERDUE_PENALTY : 1);
       if (best == null || cost < bestCost) {
-        best = one;
+        best = candidate;
         bestCost = cost;
       }
     }
@@ -506,39 +534,39 @@
   }
 
   /**
-   * What comes back from the upstreams of one site, taken together: when a site goes dark, all of
-   * it does.
+   * Outstanding requests and responses of all upstreams of one site together: when a site fails,
+   * all of its upstreams stop responding at once.
    */
-  private static final class Quiet {
+  private static final class SiteResponses {
     private final ArrayDeque<long[]> outstanding = new ArrayDeque<>();
-    private long answeredAt = Long.MIN_VALUE / 2;
+    private long lastResponseAt = Long.MIN_VALUE / 2;
 
-    private boolean doubtful(final long now, final double usual) {
+    private boolean isOverdue(final long now, final double typicalMillis) {
       final long[] oldest = outstanding.peekFirst();
       return outstanding.size() > 1
-          && answeredAt < oldest[0]
-          && now - oldest[0] > Math.max(100, 0.9 * usual);
+          && lastResponseAt < oldest[0]
+          && now - oldest[0] > Math.max(100, 0.9 * typicalMillis);
     }
   }
 
-  private boolean doubt(
+  private boolean isOverdue(
       final Upstream upstream, final RoutingTable.Service service, final long now) {
-    return upstream.doubtful(now, usual(service.name()))
-        || quiet(upstream.site).doubtful(now, usual(service.name()));
+    return upstream.isOverdue(now, typicalMillis(service.name()))
+        || siteResponses(upstream.site).isOverdue(now, typicalMillis(service.name()));
   }
 
-  private Quiet quiet(final String place) {
-    return quiets.computeIfAbsent(place, name -> new Quiet());
+  private SiteResponses siteResponses(final String ofSite) {
+    return siteResponses.computeIfAbsent(ofSite, name -> new SiteResponses());
   }
 
-  /** One request at one upstream. */
+  /** One attempt: a request sent to one upstream. */
   public final class Attempt {
     private final Upstream upstream;
     private final long startedAt;
     private final long[] token;
     private UpstreamConnection connection;
-    private boolean over;
-    private boolean withdrawn;
+    private boolean ended;
+    private boolean withdrawnBeforeSend;
 
     private Attempt(final Upstream upstream, final long startedAt) {
       this.upstream = upstream;
@@ -546,134 +574,138 @@
       this.token = new long[] {startedAt};
     }
 
-    private void end() {
-      if (!over) {
-        over = true;
-        upstream.ended(token);
-        quiet(upstream.site).outstanding.remove(token);
+    private void markEnded() {
+      if (!ended) {
+        ended = true;
+        upstream.requestEnded(token);
+        siteResponses(upstream.site).outstanding.remove(token);
       }
     }
 
-    /** Whether it is still under way. */
-    public boolean running() {
-      return !over;
+    /** Whether it is still in progress. */
+    public boolean isRunning() {
+      return !ended;
     }
 
     /**
-     * Whether it is under way and not a byte of it was written: once abandoned, it provably never
-     * runs.
+     * Whether it is in progress and none of its bytes were written: once cancelled, it certainly
+     * never runs.
      */
-    public boolean unwritten() {
-      return !over && connection == null;
+    public boolean isUnwritten() {
+      return !ended && connection == null;
     }
 
-    /** The upstream it was sent to. */
+    /** Returns the upstream it was sent to. */
     public Upstream upstream() {
       return upstream;
     }
 
-    /** Stops it; nobody hears of its end. */
-    public void abandon() {
-      abandon(System.nanoTime() / 1_000_000);
+    /** Cancels it without notifying the listener. */
+    public void cancel() {
+      cancel(System.nanoTime() / 1_000_000);
     }
 
-    /** Stops it at this time. */
-    public void abandon(final long now) {
-      if (!over) {
-        upstream.left(startedAt, now);
-        end();
+    /** Cancels it at this time, without notifying the listener. */
+    public void cancel(final long now) {
+      if (!ended) {
+        upstream.requestAbandoned(startedAt, now);
+        markEnded();
         if (connection != null) {
-          connection.abandon();
+          connection.cancel();
         }
       }
     }
   }
 
-  /** Counts a request as sent to an upstream. */
-  public Attempt begin(final Upstream upstream, final long now) {
+  /** Counts a request as sent to an upstream, without sending anything. */
+  public Attempt startAttempt(final Upstream upstream, final long now) {
     final Attempt attempt = new Attempt(upstream, now);
-    upstream.sent(attempt.token);
-    quiet(upstream.site).outstanding.addLast(attempt.token);
+    upstream.requestSent(attempt.token);
+    siteResponses(upstream.site).outstanding.addLast(attempt.token);
     return attempt;
   }
 
-  /** Counts a request as ended so. */
-  public void conclude(
+  /** Counts an attempt as completed with this status and records the result. */
+  public void finishAttempt(
       final Attempt attempt,
       final UpstreamConnection.End end,
       final HttpResponse head,
       final long now) {
-    attempt.end();
-    settle(attempt, end, head, now);
+    attempt.markEnded();
+    recordResult(attempt, end, head, now);
   }
 
-  /** Sends a request that was never sent before. */
+  /** Sends a request that was never sent before; see the overload with earlier attempts. */
   public Attempt send(
       final Upstream upstream,
       final RouteBinding binding,
       final FullHttpRequest request,
       final String id,
       final long now,
-      final long until,
-      final UpstreamConnection.Done listener) {
-    return send(upstream, binding, request, id, List.of(), now, until, listener);
+      final long sendBy,
+      final UpstreamConnection.CompletionListener listener) {
+    return send(upstream, binding, request, id, List.of(), now, sendBy, listener);
   }
 
   /**
-   * Sends a request to the chosen upstream; where there is no connection by this time, nothing is
-   * sent. An upstream may answer twice, the second time in the place of the next answer due on that
-   * connection, and the id in an answer names the request and not the send: so no connection is
-   * used on which one of the earlier attempts of this request went. Where the upstream must not
-   * have it any more once a connection is there, nothing is sent either.
+   * Sends a request to the chosen upstream and takes over its reference count. Nothing is sent if
+   * there is no connection before {@code sendBy}, or if the upstream is no longer eligible once it
+   * is connected. No connection is reused that carried one of the earlier attempts of this request:
+   * a faulty upstream may respond twice, the second time in place of the next response on that
+   * connection, and the echoed id names the request, not the attempt.
    */
   public Attempt send(
       final Upstream upstream,
       final RouteBinding binding,
       final FullHttpRequest request,
       final String id,
-      final List<Attempt> earlier,
+      final List<Attempt> earlierAttempts,
       final long now,
-      final long until,
-      final UpstreamConnection.Done listener) {
-    final Attempt attempt = begin(upstream, now);
-    final UpstreamConnection.Done done =
+      final long sendBy,
+      final UpstreamConnection.CompletionListener listener) {
+    final Attempt attempt = startAttempt(upstream, now);
+    final UpstreamConnection.CompletionListener completion =
         (end, head, body) -> {
-          if (attempt.over) {
+          if (attempt.ended) {
             if (body != null) {
               body.release();
             }
             return;
           }
-          conclude(attempt, end, head, System.nanoTime() / 1_000_000);
-          listener.done(end, head, body);
+          finishAttempt(attempt, end, head, System.nanoTime() / 1_000_000);
+          listener.completed(end, head, body);
         };
-    final UpstreamConnection idle = takeIdle(upstream, earlier, now);
+    final UpstreamConnection idle = takeIdle(upstream, earlierAttempts, now);
     if (idle != null) {
       attempt.connection = idle;
-      idle.send(request, id, done);
+      idle.send(request, id, completion);
       return attempt;
     }
-    connect(upstream, binding, attempt, request, id, until, done);
+    connect(upstream, binding, attempt, request, id, sendBy, completion);
     return attempt;
   }
 
-  /** Takes the resting connection used last that carried none of these attempts; null if none. */
+  /**
+   * Takes the most recently used idle connection that carried none of these attempts; null if there
+   * is none.
+   */
   private static UpstreamConnection takeIdle(
-      final Upstream upstream, final List<Attempt> earlier, final long now) {
-    for (final Iterator<UpstreamConnection> all = upstream.idle.iterator(); all.hasNext(); ) {
-      final UpstreamConnection connection = all.next();
-      if (!connection.usable(now)) {
-        all.remove();
+      final Upstream upstream, final List<Attempt> earlierAttempts, final long now) {
+    for (final Iterator<UpstreamConnection> connections = upstream.idleConnections.iterator();
+        connections.hasNext(); ) {
+      final UpstreamConnection connection = connections.next();
+      if (!connection.isUsable(now)) {
+        connections.remove();
         connection.close();
-      } else if (!carried(connection, earlier)) {
-        all.remove();
+      } else if (!wasUsedBy(connection, earlierAttempts)) {
+        connections.remove();
         return connection;
       }
     }
     return null;
   }
 
-  private static boolean carried(
+  private static boolean wasUsedBy(
       final UpstreamConnection connection, final List<Attempt> attempts) {
     for (final Attempt attempt : attempts) {
       if (attempt.connection == connection) {
@@ -689,12 +721,13 @@
       final Attempt attempt,
       final FullHttpRequest request,
       final String id,
-      final long until,
-      final UpstreamConnection.Done done) {
+      final long sendBy,
+      final UpstreamConnection.CompletionListener completion) {
     upstream.connecting++;
     final UpstreamConnection.Decoder decoder = new UpstreamConnection.Decoder();
     final UpstreamConnection connection =
-        new UpstreamConnection(upstream, decoder, echoed -> surplus.accept(echoed));
+        new UpstreamConnection(
+            upstream, decoder, echoedId -> unsolicitedResponses.accept(echoedId));
     final ChannelFuture future =
         bootstrap
             .clone()
@@ -711,73 +744,76 @@
           upstream.connecting--;
           if (!result.isSuccess()) {
             request.release();
-            done.done(UpstreamConnection.End.UNSENT, null, null);
+            completion.completed(UpstreamConnection.End.UNSENT, null, null);
             return;
           }
           connection.connected(future.channel());
-          if (attempt.over
-              || allowed(upstream, binding) != Choice.CHOSEN
-              || System.nanoTime() / 1_000_000 >= until) {
-            attempt.withdrawn = true;
+          if (attempt.ended
+              || eligibility(upstream, binding) != Choice.CHOSEN
+              || System.nanoTime() / 1_000_000 >= sendBy) {
+            attempt.withdrawnBeforeSend = true;
             request.release();
             connection.close();
-            done.done(UpstreamConnection.End.UNSENT, null, null);
+            completion.completed(UpstreamConnection.End.UNSENT, null, null);
             return;
           }
           attempt.connection = connection;
-          upstream.sentLate(System.nanoTime() / 1_000_000);
-          connection.send(request, id, done);
+          upstream.sentAfterConnect(System.nanoTime() / 1_000_000);
+          connection.send(request, id, completion);
         });
   }
 
-  private void settle(
+  private void recordResult(
       final Attempt attempt,
       final UpstreamConnection.End end,
       final HttpResponse head,
       final long now) {
     final Upstream upstream = attempt.upstream;
     if (end != UpstreamConnection.End.ANSWERED) {
-      if (!attempt.withdrawn) {
-        upstream.failed(now);
+      if (!attempt.withdrawnBeforeSend) {
+        upstream.requestFailed(now);
       }
       return;
     }
-    quiet(upstream.site).answeredAt = now;
+    siteResponses(upstream.site).lastResponseAt = now;
     final int status = head.status().code();
-    final String load = head.headers().get(Headers.LOAD);
+    final String load = head.headers().get(Headers.INSTANCE_LOAD);
     if (load != null) {
-      upstream.told(load, now);
+      upstream.updateLoad(load, now);
     }
-    final long took = now - attempt.startedAt;
+    final long latencyMillis = now - attempt.startedAt;
     if (AttemptOutcome.of(end, head) == AttemptOutcome.NOT_RUN) {
-      upstream.failed(now);
+      upstream.requestFailed(now);
     } else {
-      upstream.answered(now, status < 300 ? took : -1);
+      upstream.responseReceived(now, status < 300 ? latencyMillis : -1);
       if (status < 300) {
-        usual.merge(
-            upstream.service, (double) took, (before, after) -> before * 0.98 + after * 0.02);
+        typicalMillis.merge(
+            upstream.service,
+            (double) latencyMillis,
+            (before, after) -> before * 0.98 + after * 0.02);
       }
     }
     if (attempt.connection != null) {
-      if (upstream.open && status != 421 && attempt.connection.usable(now)) {
-        upstream.idle.addFirst(attempt.connection);
+      if (upstream.registered && status != 421 && attempt.connection.isUsable(now)) {
+        upstream.idleConnections.addFirst(attempt.connection);
       } else {
         attempt.connection.close();
       }
     }
   }
 
-  /** Closes connections that have been idle for too long. */
-  public void sweep(final long now) {
+  /** Closes connections that have been idle longer than their keep-alive. */
+  public void closeExpiredConnections(final long now) {
     for (final Upstream upstream : upstreams.values()) {
-      while (!upstream.idle.isEmpty() && !upstream.idle.peekLast().usable(now)) {
-        upstream.idle.pollLast().close();
+      while (!upstream.idleConnections.isEmpty()
+          && !upstream.idleConnections.peekLast().isUsable(now)) {
+        upstream.idleConnections.pollLast().close();
       }
     }
   }
 
-  /** How many upstreams are known. */
-  public int count() {
+  /** Returns the number of registered upstreams. */
+  public int size() {
     return upstreams.size();
   }
 }
--- a/upstream/src/main/java/weldpoint/upstream/UpstreamSubsets.java
+++ b/upstream/src/main/java/weldpoint/upstream/UpstreamSubsets.java
@@ -10,31 +10,32 @@
 import weldpoint.common.Settings;
 
 /**
- * This proxy's own subset of every large service: few upstreams, so that their connections are used
- * again and their load is known. The subsets of all proxies together give each upstream about as
- * many proxies as the next.
+ * Selects this proxy's subset of every large service: few upstreams, so that connections are reused
+ * and their load is known from recent responses. The subsets of all proxies together spread the
+ * proxies about evenly over the upstreams. Used by {@link UpstreamPool} on its event loop; not
+ * thread-safe.
  */
 final class UpstreamSubsets {
-  private static final int LEAST_WIDTH = 4;
-  private static final int TIERS = 3;
+  private static final int MIN_SUBSET_SIZE = 4;
+  private static final int TIER_COUNT = 3;
 
-  /** A service's upstreams by distance: own site, own region, elsewhere. */
+  /** A service's upstreams by distance: this site, this region, elsewhere. */
   static final class Tiers {
     private static final Tiers NONE = new Tiers(false);
 
-    final List<List<Upstream>> own = lists();
+    final List<List<Upstream>> subset = lists();
     final List<List<Upstream>> all = lists();
 
-    /** Whether the own subset is less than all. */
-    final boolean divided;
+    /** Whether the service is large enough that the subset is smaller than the whole. */
+    final boolean subsetted;
 
-    private Tiers(final boolean divided) {
-      this.divided = divided;
+    private Tiers(final boolean subsetted) {
+      this.subsetted = subsetted;
     }
 
     private static List<List<Upstream>> lists() {
       final List<List<Upstream>> lists = new ArrayList<>();
-      for (int tier = 0; tier < TIERS; tier++) {
+      for (int tier = 0; tier < TIER_COUNT; tier++) {
         lists.add(new ArrayList<>());
       }
       return lists;
@@ -42,38 +43,40 @@
 
     private void add(final Upstream upstream, final int tier) {
       all.get(tier).add(upstream);
-      if (upstream.own) {
-        own.get(tier).add(upstream);
+      if (upstream.inSubset) {
+        subset.get(tier).add(upstream);
       }
     }
   }
 
   private final Settings settings;
   private final Map<String, Tiers> tiers = new HashMap<>();
-  private List<String> neighbours = List.of();
+  private List<String> siteProxies = List.of();
   private boolean outdated = true;
 
   UpstreamSubsets(final Settings settings) {
     this.settings = settings;
   }
 
-  /** The upstreams have changed. */
-  void outdated() {
+  /** Marks the subsets as outdated since the upstreams have changed. */
+  void markOutdated() {
     outdated = true;
   }
 
-  /** Takes which proxies share this site, in an order that all of them are told alike. */
-  void neighbours(final List<String> addresses) {
-    outdated |= !addresses.equals(neighbours);
-    neighbours = addresses;
+  /** Sets the addresses of this site's proxies, in an order that is the same for all of them. */
+  void setSiteProxies(final List<String> addresses) {
+    outdated |= !addresses.equals(siteProxies);
+    siteProxies = addresses;
   }
 
-  /** The upstreams of a service as of the last update. */
+  /**
+   * Returns the upstreams of a service as of the last update; empty tiers for an unknown service.
+   */
   Tiers tiers(final String service) {
     return tiers.getOrDefault(service, Tiers.NONE);
   }
 
-  /** Divides the services anew, each a list of its upstreams, where something has changed. */
+  /** Recomputes the subsets if something has changed; each service is a list of its upstreams. */
   void update(final Collection<List<Upstream>> services) {
     if (!outdated) {
       return;
@@ -82,28 +85,28 @@
     tiers.clear();
     for (final List<Upstream> upstreams : services) {
       if (!upstreams.isEmpty()) {
-        tiers.put(upstreams.get(0).service, divide(upstreams));
+        tiers.put(upstreams.get(0).service, buildTiers(upstreams));
       }
     }
   }
 
-  private Tiers divide(final List<Upstream> upstreams) {
+  private Tiers buildTiers(final List<Upstream> upstreams) {
     final boolean large = upstreams.size() > 2 * settings.choiceWidth();
     final Map<String, List<Upstream>> sites = new HashMap<>();
     for (final Upstream upstream : upstreams) {
-      upstream.own = !large;
+      upstream.inSubset = !large;
       sites.computeIfAbsent(upstream.site, name -> new ArrayList<>()).add(upstream);
     }
-    if (large && place(sites.getOrDefault(settings.site(), List.of()).size()) >= 0) {
-      takeStretches(upstreams, sites.getOrDefault(settings.site(), List.of()));
+    if (large && siteIndex(sites.getOrDefault(settings.site(), List.of()).size()) >= 0) {
+      selectSlices(upstreams, sites.getOrDefault(settings.site(), List.of()));
     } else if (large) {
-      sites.forEach(this::takeNearestByRank);
+      sites.forEach(this::selectByRendezvousRank);
     }
-    final Tiers divided = new Tiers(large);
+    final Tiers result = new Tiers(large);
     for (final Upstream upstream : upstreams) {
-      divided.add(upstream, tier(upstream));
+      result.add(upstream, tier(upstream));
     }
-    return divided;
+    return result;
   }
 
   private int tier(final Upstream upstream) {
@@ -112,11 +115,11 @@
         : upstream.region.equals(settings.region()) ? 1 : 2;
   }
 
-  private void takeStretches(final List<Upstream> upstreams, final List<Upstream> near) {
-    takeStretch(
-        near,
-        (double) place(near.size()) / neighbours.size(),
-        Math.ceil(settings.choiceSharers() * near.size() / neighbours.size()));
+  private void selectSlices(final List<Upstream> upstreams, final List<Upstream> localUpstreams) {
+    selectSlice(
+        localUpstreams,
+        (double) siteIndex(localUpstreams.size()) / siteProxies.size(),
+        Math.ceil(settings.choiceSharers() * localUpstreams.size() / siteProxies.size()));
     final Map<String, List<Upstream>> regions = new HashMap<>();
     for (final Upstream upstream : upstreams) {
       if (!upstream.site.equals(settings.site())) {
@@ -125,49 +128,54 @@
     }
     regions
         .values()
-        .forEach(list -> takeStretch(list, position(), (settings.choiceWidth() + 1) / 2));
+        .forEach(list -> selectSlice(list, fleetPosition(), (settings.choiceWidth() + 1) / 2));
   }
 
-  private void takeNearestByRank(final String site, final List<Upstream> upstreams) {
+  private void selectByRendezvousRank(final String site, final List<Upstream> upstreams) {
     upstreams.sort(
         Comparator.comparingLong(upstream -> RendezvousHash.of(upstream.id, settings.address())));
-    final int most =
+    final int limit =
         site.equals(settings.site()) ? settings.choiceWidth() : (settings.choiceWidth() + 1) / 2;
-    upstreams.subList(0, Math.min(most, upstreams.size())).forEach(upstream -> upstream.own = true);
+    upstreams
+        .subList(0, Math.min(limit, upstreams.size()))
+        .forEach(upstream -> upstream.inSubset = true);
   }
 
   /**
-   * The place of this proxy among those of its site; -1 where that is not known, or too few share
-   * too many upstreams.
+   * Returns the index of this proxy among those of its site; -1 if unknown, or if the site has too
+   * few proxies for so many upstreams.
    */
-  private int place(final int upstreams) {
-    return neighbours.size() * (long) settings.choiceWidth() < settings.choiceSharers() * upstreams
+  private int siteIndex(final int upstreams) {
+    return siteProxies.size() * (long) settings.choiceWidth() < settings.choiceSharers() * upstreams
         ? -1
-        : neighbours.indexOf(settings.address());
+        : siteProxies.indexOf(settings.address());
   }
 
-  /** Where this proxy stands among all, from 0 to 1, if every site has as many as its own. */
-  private double position() {
+  /**
+   * Returns this proxy's position among all proxies, from 0 to 1, assuming that every site has as
+   * many as this one.
+   */
+  private double fleetPosition() {
     final List<String> sites = new ArrayList<>(settings.sites().keySet());
     sites.sort(null);
     return (Math.max(0, sites.indexOf(settings.site()))
-            + (neighbours.indexOf(settings.address()) + 0.5) / neighbours.size())
+            + (siteProxies.indexOf(settings.address()) + 0.5) / siteProxies.size())
         / Math.max(1, sites.size());
   }
 
   /**
-   * Upstreams stand in one order for all; each proxy has a stretch of it, so that each upstream has
-   * as many proxies as the next.
+   * Selects a contiguous slice, starting at {@code position}, of an ordering of the upstreams that
+   * is the same for all proxies, so that the slices cover the upstreams evenly.
    */
-  private static void takeStretch(
-      final List<Upstream> list, final double position, final double wanted) {
+  private static void selectSlice(
+      final List<Upstream> list, final double position, final double desiredSize) {
     list.sort(
         Comparator.comparingLong(upstream -> RendezvousHash.of(upstream.id, upstream.service)));
     final int size = list.size();
-    final int width = (int) Math.min(size, Math.max(LEAST_WIDTH, wanted));
-    final int from = (int) (position * size);
-    for (int step = 0; step < width; step++) {
-      list.get((from + step) % size).own = true;
+    final int sliceSize = (int) Math.min(size, Math.max(MIN_SUBSET_SIZE, desiredSize));
+    final int start = (int) (position * size);
+    for (int offset = 0; offset < sliceSize; offset++) {
+      list.get((start + offset) % size).inSubset = true;
     }
   }
 }
--- a/upstream/src/test/java/weldpoint/upstream/RetryBudgetTest.java
+++ b/upstream/src/test/java/weldpoint/upstream/RetryBudgetTest.java
@@ -7,15 +7,15 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-/** The shares of all switchboards together stay within the budget in every sliding window. */
+/** Tests that the shares of all proxies together stay within the budget in every sliding window. */
 public final class RetryBudgetTest {
   @Test
-  public void allSharesTogetherKeepTheBudgetInEveryWindow() {
-    final int boards = 10;
+  public void sharesOfAllProxiesStayWithinTheBudgetInEveryWindow() {
+    final int proxies = 10;
     final double ratio = 0.2;
     final double slack = 60;
     final List<RetryBudget> budgets = new ArrayList<>();
-    for (int index = 0; index < boards; index++) {
+    for (int index = 0; index < proxies; index++) {
       budgets.add(new RetryBudget(ratio, slack, 10_000, Long.MIN_VALUE / 2));
     }
     final List<long[]> events = new ArrayList<>();
@@ -25,10 +25,10 @@
       final boolean busy = now / 7000 % 2 == 0;
       for (final RetryBudget budget : budgets) {
         if (random.nextDouble() < (busy ? 0.6 : 0.05)) {
-          budget.request(now);
+          budget.recordRequest(now);
           events.add(new long[] {now, 0});
         }
-        if (random.nextDouble() < 0.5 && budget.take(boards, now)) {
+        if (random.nextDouble() < 0.5 && budget.tryAcquire(proxies, now)) {
           taken++;
           events.add(new long[] {now, 1});
         }
@@ -37,63 +37,66 @@
     assertTrue(taken > 100, "only " + taken);
     for (long from = 100_000; from < 150_000; from += 130) {
       int requests = 0;
-      int repeats = 0;
+      int retries = 0;
       for (final long[] event : events) {
         if (event[0] >= from && event[0] < from + 10_000) {
           requests += event[1] == 0 ? 1 : 0;
-          repeats += event[1] == 1 ? 1 : 0;
+          retries += event[1] == 1 ? 1 : 0;
         }
       }
-      assertTrue(repeats <= ratio * requests + slack, repeats + " of " + requests);
+      assertTrue(retries <= ratio * requests + slack, retries + " of " + requests);
     }
   }
 
-  /** Proxies that restart again and again, each life taking all it may get. */
-  private static int mostBeyond(final long seed, final int lifeMillis) {
-    final int boards = 10;
+  /**
+   * Simulates proxies that restart repeatedly and take all retries they can get; returns the most
+   * retries beyond the budget in any window.
+   */
+  private static int maxExcess(final long seed, final int uptimeMillis) {
+    final int proxies = 10;
     final double ratio = 0.2;
     final double slack = 60;
     final Random random = new Random(seed);
     final List<RetryBudget> budgets = new ArrayList<>();
-    for (int index = 0; index < boards; index++) {
+    for (int index = 0; index < proxies; index++) {
       budgets.add(new RetryBudget(ratio, slack, 10_000, Long.MIN_VALUE / 2));
     }
     final List<long[]> events = new ArrayList<>();
     for (long now = 100_000; now < 140_000; now += 5) {
-      for (int index = 0; index < boards; index++) {
-        if (random.nextInt(lifeMillis / 5) == 0) {
+      for (int index = 0; index < proxies; index++) {
+        if (random.nextInt(uptimeMillis / 5) == 0) {
           budgets.set(index, new RetryBudget(ratio, slack, 10_000, now));
         }
         if (random.nextInt(50) == 0) {
-          budgets.get(index).request(now);
+          budgets.get(index).recordRequest(now);
           events.add(new long[] {now, 0});
         }
-        if (budgets.get(index).take(boards, now)) {
+        if (budgets.get(index).tryAcquire(proxies, now)) {
           events.add(new long[] {now, 1});
         }
       }
     }
-    int most = Integer.MIN_VALUE;
+    int max = Integer.MIN_VALUE;
     for (long from = 100_000; from < 130_000; from += 250) {
       int requests = 0;
-      int repeats = 0;
+      int retries = 0;
       for (final long[] event : events) {
         if (event[0] >= from && event[0] < from + 10_000) {
           requests += event[1] == 0 ? 1 : 0;
-          repeats += event[1] == 1 ? 1 : 0;
+          retries += event[1] == 1 ? 1 : 0;
         }
       }
-      most = Math.max(most, (int) Math.ceil(repeats - ratio * requests - slack));
+      max = Math.max(max, (int) Math.ceil(retries - ratio * requests - slack));
     }
-    return most;
+    return max;
   }
 
   @Test
-  public void noNumberOfRestartsWithinAWindowExceedsTheBudget() {
-    for (final int life : new int[] {20_000, 5000, 1500, 500}) {
+  public void restartsWithinAWindowDoNotExceedTheBudget() {
+    for (final int uptime : new int[] {20_000, 5000, 1500, 500}) {
       for (long seed = 1; seed <= 8; seed++) {
-        final int beyond = mostBeyond(seed, life);
-        assertTrue(beyond <= 0, beyond + " beyond the budget, lives of " + life + " ms");
+        final int excess = maxExcess(seed, uptime);
+        assertTrue(excess <= 0, excess + " beyond the budget, uptimes of " + uptime + " ms");
       }
     }
   }
--- a/upstream/src/test/java/weldpoint/upstream/SlowStartLimiterTest.java
+++ b/upstream/src/test/java/weldpoint/upstream/SlowStartLimiterTest.java
@@ -18,14 +18,14 @@
 import weldpoint.transport.RegistryMessages.Registration;
 
 /**
- * What a large fleet sends together to an upstream that turns cold: in no second more than its
- * bound, and still enough.
+ * Tests what a large fleet of proxies together sends to an upstream that enters slow start: in no
+ * second more than its limit, and still enough.
  */
 public final class SlowStartLimiterTest {
   private static final int FLEET = 55;
   private static final int SITES = 4;
   private static final double RATE = 5.3;
-  private static final double BOUND = RATE * 1.5 + 8;
+  private static final double MAX_PER_SECOND = RATE * 1.5 + 8;
   private final EventLoopGroup loop = new NioEventLoopGroup(1);
   private final RoutingTable routingTable =
       RoutingTable.compile(
@@ -40,7 +40,7 @@
     loop.shutdownGracefully();
   }
 
-  private UpstreamPool board(final int index) {
+  private UpstreamPool proxyPool(final int index) {
     return new UpstreamPool(
         loop,
         Settings.parse(
@@ -58,7 +58,7 @@
     return "10.1." + index % SITES + "." + index;
   }
 
-  private static List<String> site(final int site, final int fleet) {
+  private static List<String> siteAddresses(final int site, final int fleet) {
     final List<String> list = new ArrayList<>();
     for (int index = site; index < fleet; index += SITES) {
       list.add(address(index));
@@ -66,7 +66,7 @@
     return list;
   }
 
-  private static List<UpstreamPool.Change> cold(final int millis) {
+  private static List<UpstreamPool.Change> slowStartingUpstreams(final int millis) {
     final List<UpstreamPool.Change> list = new ArrayList<>();
     for (int index = 0; index < 20; index++) {
       list.add(
@@ -96,18 +96,19 @@
     }
   }
 
-  private static int most(final List<List<Long>> sent) {
-    int most = 0;
-    for (final List<Long> one : sent) {
-      for (final long from : one) {
-        most =
-            Math.max(most, (int) one.stream().filter(at -> at >= from && at < from + 1000).count());
+  private static int maxPerSecond(final List<List<Long>> sent) {
+    int max = 0;
+    for (final List<Long> times : sent) {
+      for (final long from : times) {
+        max =
+            Math.max(
+                max, (int) times.stream().filter(at -> at >= from && at < from + 1000).count());
       }
     }
-    return most;
+    return max;
   }
 
-  private static List<List<Long>> none() {
+  private static List<List<Long>> emptyLists() {
     final List<List<Long>> sent = new ArrayList<>();
     for (int index = 0; index < 20; index++) {
       sent.add(new ArrayList<>());
@@ -116,53 +117,53 @@
   }
 
   /**
-   * Every switchboard had a full token for an upstream that turned cold: 55 of them could come in
-   * its first second.
+   * Guards against a fault in which every proxy held a full token for an upstream that entered slow
+   * start, so that 55 requests could arrive in its first second.
    */
   @Test
-  public void noSecondSeesMoreThanTheBoundWhenAZoneReturnsToALargeFleet() {
+  public void rateLimitHoldsWhenAZoneReturnsToALargeFleet() {
     final List<UpstreamPool> fleet = new ArrayList<>();
     for (int index = 0; index < FLEET; index++) {
-      final UpstreamPool upstreamPool = board(index);
-      upstreamPool.switchboards(FLEET, 0);
-      upstreamPool.neighbours(site(index % SITES, FLEET), 0);
-      upstreamPool.apply(cold(6000), 10_000);
+      final UpstreamPool upstreamPool = proxyPool(index);
+      upstreamPool.setFleetSize(FLEET, 0);
+      upstreamPool.setSiteProxies(siteAddresses(index % SITES, FLEET), 0);
+      upstreamPool.applyChanges(slowStartingUpstreams(6000), 10_000);
       fleet.add(upstreamPool);
     }
-    final List<List<Long>> sent = none();
+    final List<List<Long>> sent = emptyLists();
     for (long now = 10_000; now < 16_000; now += 5) {
       for (final UpstreamPool upstreamPool : fleet) {
         choose(upstreamPool, sent, now);
       }
     }
-    assertTrue(most(sent) <= BOUND, most(sent) + " in a second");
-    for (final List<Long> one : sent) {
+    assertTrue(maxPerSecond(sent) <= MAX_PER_SECOND, maxPerSecond(sent) + " in a second");
+    for (final List<Long> times : sent) {
       assertTrue(
-          one.size() > 6 * RATE * 0.8,
-          "a cold upstream had only " + one.size() + " in six seconds");
+          times.size() > 6 * RATE * 0.8,
+          "an upstream in slow start got only " + times.size() + " in six seconds");
     }
   }
 
   /**
-   * The switchboards of a zone come back within a second and a half, each told of those that were
-   * there before it.
+   * The proxies of a zone restart within a second and a half; each is told of those that started
+   * before it.
    */
   @Test
-  public void switchboardsThatReturnBeginWithoutTokens() {
+  public void restartedProxiesBeginWithoutTokens() {
     for (int seed = 0; seed < 20; seed++) {
       final Random random = new Random(seed);
       final List<UpstreamPool> fleet = new ArrayList<>();
       final long[] starts = new long[FLEET];
       for (int index = 0; index < FLEET; index++) {
-        fleet.add(board(index));
+        fleet.add(proxyPool(index));
         starts[index] = index % SITES == 0 ? 10_000 + random.nextInt(1500) : 0;
         if (starts[index] == 0) {
-          fleet.get(index).switchboards(FLEET, 0);
-          fleet.get(index).neighbours(site(index % SITES, FLEET), 0);
-          fleet.get(index).apply(cold(3000), 10_000);
+          fleet.get(index).setFleetSize(FLEET, 0);
+          fleet.get(index).setSiteProxies(siteAddresses(index % SITES, FLEET), 0);
+          fleet.get(index).applyChanges(slowStartingUpstreams(3000), 10_000);
         }
       }
-      final List<List<Long>> sent = none();
+      final List<List<Long>> sent = emptyLists();
       for (long now = 10_000; now < 13_000; now += 5) {
         final List<String> present = new ArrayList<>();
         for (int index = 0; index < FLEET; index += SITES) {
@@ -174,58 +175,63 @@
           final UpstreamPool upstreamPool = fleet.get(index);
           if (starts[index] != 0 && starts[index] <= now) {
             if (starts[index] > now - 5) {
-              upstreamPool.apply(cold((int) (13_000 - now)), now);
+              upstreamPool.applyChanges(slowStartingUpstreams((int) (13_000 - now)), now);
             }
-            upstreamPool.switchboards(FLEET - site(0, FLEET).size() + present.size(), now);
-            upstreamPool.neighbours(present, now);
+            upstreamPool.setFleetSize(FLEET - siteAddresses(0, FLEET).size() + present.size(), now);
+            upstreamPool.setSiteProxies(present, now);
           }
           if (starts[index] <= now && random.nextInt(10) == 0) {
             choose(upstreamPool, sent, now);
           }
         }
       }
-      assertTrue(most(sent) <= BOUND, most(sent) + " in a second with seed " + seed);
+      assertTrue(
+          maxPerSecond(sent) <= MAX_PER_SECOND,
+          maxPerSecond(sent) + " in a second with seed " + seed);
     }
   }
 
   @Test
-  public void theSitesPartsAddUpToTheTokens() {
+  public void siteTokensAddUpToAllTokens() {
     for (int sites = 1; sites <= 12; sites++) {
       final SlowStartLimiter slowStart =
           new SlowStartLimiter("a", "s", sites, 1.5, 8, new Random(1));
       for (int tokens = 1; tokens < 60; tokens++) {
-        final int sum = slowStart.part(true, tokens) + (sites - 1) * slowStart.part(false, tokens);
+        final int sum =
+            slowStart.siteTokens(true, tokens) + (sites - 1) * slowStart.siteTokens(false, tokens);
         assertEquals(sum, tokens, sites + " sites");
-        assertTrue(slowStart.part(true, tokens) >= 1, "the own site has some");
+        assertTrue(slowStart.siteTokens(true, tokens) >= 1, "the upstream's own site has some");
       }
     }
   }
 
   @Test
-  public void aSmallerCountThanLatelyToldIsNotBelieved() {
+  public void aSmallerFleetSizeIsIgnoredUntilTheLargerOneExpires() {
     final SlowStartLimiter slowStart = new SlowStartLimiter("a", "s", 4, 1.5, 8, new Random(1));
-    slowStart.told(55, 0);
-    slowStart.told(3, 1000);
-    assertEquals(slowStart.switchboards(), 55);
-    slowStart.told(40, 20_001);
-    assertEquals(slowStart.switchboards(), 40);
+    slowStart.reportFleetSize(55, 0);
+    slowStart.reportFleetSize(3, 1000);
+    assertEquals(slowStart.fleetSize(), 55);
+    slowStart.reportFleetSize(40, 20_001);
+    assertEquals(slowStart.fleetSize(), 40);
   }
 
   @Test
-  public void aRequestThatWaitsForItsConnectionKeepsItsTokenUntilItIsSent() {
+  public void aRequestWaitingForItsConnectionKeepsItsTokenUntilItIsSent() {
     final SlowStartLimiter slowStart = new SlowStartLimiter("a", "s", 1, 1.5, 8, new Random(1));
-    slowStart.settled(10);
+    slowStart.setFleetSize(10);
     final Upstream upstream =
         new Upstream(new Registration("i", "s", "10.9.0.1:80", "s", "v", 6, 0, 1, 0, 0), "r", 0);
-    upstream.coldUntil = 60_000;
+    upstream.slowStartUntil = 60_000;
     assertTrue(slowStart.admits(upstream, RATE, 0, 0));
-    slowStart.sent(upstream, RATE, 0, 0);
+    slowStart.recordSent(upstream, RATE, 0, 0);
     upstream.connecting = 1;
-    assertFalse(slowStart.admits(upstream, RATE, 0, 30_000), "one is still on its way");
+    assertFalse(
+        slowStart.admits(upstream, RATE, 0, 30_000),
+        "a request is still waiting for its connection");
     upstream.connecting = 0;
-    upstream.sentLate(30_000);
+    upstream.sentAfterConnect(30_000);
     assertFalse(
-        slowStart.admits(upstream, RATE, 0, 31_000), "the pace counts from when it was sent");
+        slowStart.admits(upstream, RATE, 0, 31_000), "the interval counts from when it was sent");
     assertTrue(slowStart.admits(upstream, RATE, 0, 33_000));
   }
 }
--- a/upstream/src/test/java/weldpoint/upstream/UpstreamConnectionTest.java
+++ b/upstream/src/test/java/weldpoint/upstream/UpstreamConnectionTest.java
@@ -22,61 +22,61 @@
 import weldpoint.transport.RegistryMessages.Registration;
 
 /**
- * One connection to an upstream, cut, split and spoiled at every byte: each request hears of its
- * own end once, and of no other's.
+ * Tests one connection to an upstream whose responses are truncated, split and corrupted at every
+ * byte: each request is notified once, and only of its own result.
  */
 public final class UpstreamConnectionTest {
-  private static final String LENGTH =
+  private static final String WITH_LENGTH =
       "HTTP/1.1 200 OK\r\nWeldpoint-Attempt-Id: abc\r\nWeldpoint-Server-Seal: s\r\nContent-Length: 4\r\n\r\nbody";
-  private static final String CHUNKS =
+  private static final String CHUNKED =
       "HTTP/1.1 200 OK\r\nWeldpoint-Attempt-Id: abc\r\nWeldpoint-Server-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nbo\r\n2\r\ndy\r\n0\r\n\r\n";
   private static final String EMPTY =
       "HTTP/1.1 503 Busy\r\nWeldpoint-Attempt-Id: abc\r\nWeldpoint-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
-  private static final String OTHER =
+  private static final String OTHER_REQUEST =
       "HTTP/1.1 200 OK\r\nWeldpoint-Attempt-Id: other\r\nWeldpoint-Server-Seal: s\r\nContent-Length: 5\r\n\r\nwrong";
 
-  /** One connection with what its requests have heard. */
+  /** One connection with the results that its requests were notified of. */
   private static final class Wire {
     private final UpstreamConnection.Decoder decoder = new UpstreamConnection.Decoder();
-    private final List<String> surplus = new ArrayList<>();
+    private final List<String> unsolicited = new ArrayList<>();
     private final UpstreamConnection connection =
         new UpstreamConnection(
             new Upstream(
                 new Registration("i", "s", "10.0.0.1:80", "a", "v", 4, 0, 1, 0, 0), "r", 0),
             decoder,
-            surplus::add);
+            unsolicited::add);
     private final EmbeddedChannel channel =
         new EmbeddedChannel(decoder, new HttpRequestEncoder(), connection);
-    private final List<String> heard = new ArrayList<>();
-    private int bytes;
+    private final List<String> results = new ArrayList<>();
+    private int writtenBytes;
 
     private Wire() {
       connection.connected(channel);
     }
 
-    private Wire ask(final String id) {
+    private Wire sendRequest(final String id) {
       final DefaultFullHttpRequest request =
           new DefaultFullHttpRequest(
               HttpVersion.HTTP_1_1, HttpMethod.POST, "/x", Unpooled.EMPTY_BUFFER);
       request.headers().set(Headers.ATTEMPT_ID, id);
-      connection.send(request, id, (end, head, body) -> heard.add(told(id, end, head, body)));
-      bytes = written();
+      connection.send(request, id, (end, head, body) -> results.add(describe(id, end, head, body)));
+      writtenBytes = drainOutbound();
       return this;
     }
 
-    private Wire hear(final String text) {
+    private Wire receive(final String text) {
       if (channel.isOpen()) {
         channel.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1));
       }
       return this;
     }
 
-    private Wire cut() {
+    private Wire disconnect() {
       channel.close();
       return this;
     }
 
-    private int written() {
+    private int drainOutbound() {
       int bytes = 0;
       for (ByteBuf part = channel.readOutbound(); part != null; part = channel.readOutbound()) {
         bytes += part.readableBytes();
@@ -86,7 +86,7 @@
     }
   }
 
-  private static String told(
+  private static String describe(
       final String id,
       final UpstreamConnection.End end,
       final HttpResponse head,
@@ -104,101 +104,102 @@
   }
 
   @DataProvider
-  public Object[][] whole() {
+  public Object[][] completeResponses() {
     return new Object[][] {
-      {LENGTH, "abc ANSWERED 200 body"},
-      {CHUNKS, "abc ANSWERED 200 body"},
+      {WITH_LENGTH, "abc ANSWERED 200 body"},
+      {CHUNKED, "abc ANSWERED 200 body"},
       {EMPTY, "abc ANSWERED 503"},
-      {OTHER + LENGTH, "abc ANSWERED 200 body"}
+      {OTHER_REQUEST + WITH_LENGTH, "abc ANSWERED 200 body"}
     };
   }
 
   @Test(dataProvider = "whole")
-  public void anAnswerSplitAtAnyByteIsHeardOnceAndWhole(
+  public void aResponseSplitAtAnyByteIsDeliveredOnceAndComplete(
       final String answer, final String expected) {
     for (int cut = 0; cut <= answer.length(); cut++) {
-      final Wire wire = new Wire().ask("abc").hear(answer.substring(0, cut));
-      assertEquals(wire.heard.size(), cut < answer.length() ? 0 : 1, "at byte " + cut);
-      wire.hear(answer.substring(cut));
-      assertEquals(wire.heard, List.of(expected), "at byte " + cut);
+      final Wire wire = new Wire().sendRequest("abc").receive(answer.substring(0, cut));
+      assertEquals(wire.results.size(), cut < answer.length() ? 0 : 1, "at byte " + cut);
+      wire.receive(answer.substring(cut));
+      assertEquals(wire.results, List.of(expected), "at byte " + cut);
       assertEquals(
-          wire.connection.usable(System.nanoTime() / 1_000_000),
-          !answer.startsWith(OTHER),
+          wire.connection.isUsable(System.nanoTime() / 1_000_000),
+          !answer.startsWith(OTHER_REQUEST),
           "at byte " + cut);
     }
-    final Wire single = new Wire().ask("abc");
+    final Wire single = new Wire().sendRequest("abc");
     for (final char one : answer.toCharArray()) {
-      single.hear(String.valueOf(one));
+      single.receive(String.valueOf(one));
     }
-    assertEquals(single.heard, List.of(expected));
+    assertEquals(single.results, List.of(expected));
   }
 
   @Test(dataProvider = "whole")
-  public void anAnswerCutAtAnyByteIsNoAnswer(final String answer, final String expected) {
+  public void aResponseTruncatedAtAnyByteIsUncertain(final String answer, final String expected) {
     for (int cut = 0; cut < answer.length(); cut++) {
-      final Wire wire = new Wire().ask("abc").hear(answer.substring(0, cut)).cut();
-      assertEquals(wire.heard, List.of("abc UNCERTAIN"), "at byte " + cut);
-      assertFalse(wire.connection.usable(0));
+      final Wire wire =
+          new Wire().sendRequest("abc").receive(answer.substring(0, cut)).disconnect();
+      assertEquals(wire.results, List.of("abc UNCERTAIN"), "at byte " + cut);
+      assertFalse(wire.connection.isUsable(0));
     }
   }
 
   @DataProvider
-  public Object[][] noAnswer() {
+  public Object[][] invalidResponses() {
     return new Object[][] {
       {"nonsense\r\n\r\n"},
       {
-        LENGTH.replace(
+        WITH_LENGTH.replace(
             "Weldpoint-Attempt-Id: abc\r\n",
             "Weldpoint-Attempt-Id: abc\r\nWeldpoint-Attempt-Id: other\r\n")
       },
       {
-        LENGTH.replace(
+        WITH_LENGTH.replace(
             "Weldpoint-Attempt-Id: abc\r\n",
             "Weldpoint-Attempt-Id: other\r\nWeldpoint-Attempt-Id: abc\r\n")
       },
-      {LENGTH.replace("Content-Length: 4", "Content-Length: 4\r\nTransfer-Encoding: chunked")},
-      {LENGTH.replace("Content-Length: 4", "Content-Length: 4\r\nContent-Length: 5")},
-      {LENGTH.replace("Content-Length: 4\r\n", "")},
-      {CHUNKS.replace("2\r\nbo", "zz\r\nbo")},
-      {LENGTH.replace("200 OK", "100 Continue")},
-      {LENGTH.replace("HTTP/1.1 200", "HTTP/1.1 2x0")},
+      {WITH_LENGTH.replace("Content-Length: 4", "Content-Length: 4\r\nTransfer-Encoding: chunked")},
+      {WITH_LENGTH.replace("Content-Length: 4", "Content-Length: 4\r\nContent-Length: 5")},
+      {WITH_LENGTH.replace("Content-Length: 4\r\n", "")},
+      {CHUNKED.replace("2\r\nbo", "zz\r\nbo")},
+      {WITH_LENGTH.replace("200 OK", "100 Continue")},
+      {WITH_LENGTH.replace("HTTP/1.1 200", "HTTP/1.1 2x0")},
     };
   }
 
   @Test(dataProvider = "noAnswer")
-  public void whatIsNoAnswerEndsTheConnectionAndProvesNothing(final String answer) {
-    final Wire wire = new Wire().ask("abc").hear(answer);
-    assertEquals(wire.heard, List.of("abc UNCERTAIN"));
+  public void anInvalidResponseClosesTheConnectionAndIsUncertain(final String answer) {
+    final Wire wire = new Wire().sendRequest("abc").receive(answer);
+    assertEquals(wire.results, List.of("abc UNCERTAIN"));
     assertFalse(wire.channel.isOpen());
-    wire.hear(LENGTH);
-    assertEquals(wire.heard.size(), 1);
+    wire.receive(WITH_LENGTH);
+    assertEquals(wire.results.size(), 1);
   }
 
   @Test
-  public void bytesBesideAnAnswerEndTheConnectionBeforeItIsHandedOutAgain() {
-    final String surplus = "\r\n" + OTHER;
+  public void bytesAfterAResponseCloseTheConnectionBeforeItIsReused() {
+    final String surplus = "\r\n" + OTHER_REQUEST;
     for (int bytes = 1; bytes <= surplus.length(); bytes++) {
       for (final boolean together : new boolean[] {true, false}) {
-        final Wire wire = new Wire().ask("abc");
+        final Wire wire = new Wire().sendRequest("abc");
         if (together) {
-          wire.hear(LENGTH + surplus.substring(0, bytes));
+          wire.receive(WITH_LENGTH + surplus.substring(0, bytes));
         } else {
-          wire.hear(LENGTH).hear(surplus.substring(0, bytes));
+          wire.receive(WITH_LENGTH).receive(surplus.substring(0, bytes));
         }
-        assertEquals(wire.heard, List.of("abc ANSWERED 200 body"));
+        assertEquals(wire.results, List.of("abc ANSWERED 200 body"));
         assertFalse(
-            wire.connection.usable(System.nanoTime() / 1_000_000),
-            bytes + " surplus bytes, together " + together);
-        wire.ask("next");
-        assertEquals(wire.heard.get(1), "next UNSENT");
-        assertEquals(wire.bytes, 0, "nothing may be written after surplus bytes");
+            wire.connection.isUsable(System.nanoTime() / 1_000_000),
+            bytes + " extra bytes, together " + together);
+        wire.sendRequest("next");
+        assertEquals(wire.results.get(1), "next UNSENT");
+        assertEquals(wire.writtenBytes, 0, "nothing may be written after unsolicited bytes");
         assertFalse(wire.channel.isOpen());
       }
     }
   }
 
   @Test
-  public void whatWaitsBehindAnAnswerIsNotTakenForTheNextRequestsEvenInsideItsOwnCallback() {
+  public void bytesBehindAResponseAreNotTakenAsTheNextResponseEvenInTheCallback() {
     final Wire wire = new Wire();
     final DefaultFullHttpRequest first =
         new DefaultFullHttpRequest(
@@ -207,46 +208,50 @@
         first,
         "abc",
         (end, head, body) -> {
-          wire.heard.add(told("abc", end, head, body));
-          wire.ask("next");
+          wire.results.add(describe("abc", end, head, body));
+          wire.sendRequest("next");
         });
-    wire.hear(LENGTH + EMPTY.replace("abc", "next"));
-    wire.written();
-    assertEquals(wire.heard, List.of("abc ANSWERED 200 body", "next UNSENT"));
+    wire.receive(WITH_LENGTH + EMPTY.replace("abc", "next"));
+    wire.drainOutbound();
+    assertEquals(wire.results, List.of("abc ANSWERED 200 body", "next UNSENT"));
   }
 
   @Test
-  public void theBeginningOfASurplusAnswerDoesNotTurnTheNextFailureIntoASuccess() {
+  public void theStartOfAnUnsolicitedResponseDoesNotTurnTheNextFailureIntoASuccess() {
     final Wire wire =
-        new Wire().ask("abc").hear(LENGTH + "HTTP/1.1 200 OK\r\nWeldpoint-Server-Seal: s\r\nX: ");
-    wire.ask("next")
-        .hear("HTTP/1.1 500 Wrong\r\nWeldpoint-Attempt-Id: next\r\nContent-Length: 0\r\n\r\n");
-    assertEquals(wire.heard, List.of("abc ANSWERED 200 body", "next UNSENT"));
+        new Wire()
+            .sendRequest("abc")
+            .receive(WITH_LENGTH + "HTTP/1.1 200 OK\r\nWeldpoint-Server-Seal: s\r\nX: ");
+    wire.sendRequest("next")
+        .receive("HTTP/1.1 500 Wrong\r\nWeldpoint-Attempt-Id: next\r\nContent-Length: 0\r\n\r\n");
+    assertEquals(wire.results, List.of("abc ANSWERED 200 body", "next UNSENT"));
   }
 
   @Test
-  public void bytesBeforeAnyRequestEndTheConnection() {
-    final Wire wire = new Wire().hear(EMPTY).ask("abc");
-    assertEquals(wire.heard, List.of("abc UNSENT"));
-    assertEquals(wire.surplus, List.of("abc"));
-    assertEquals(wire.bytes, 0);
+  public void bytesBeforeAnyRequestCloseTheConnection() {
+    final Wire wire = new Wire().receive(EMPTY).sendRequest("abc");
+    assertEquals(wire.results, List.of("abc UNSENT"));
+    assertEquals(wire.unsolicited, List.of("abc"));
+    assertEquals(wire.writtenBytes, 0);
     assertFalse(wire.channel.isOpen());
   }
 
   @Test
-  public void anAnswerAfterItsRequestWasGivenUpReachesNobody() {
-    for (int cut = 0; cut <= LENGTH.length(); cut++) {
+  public void aResponseAfterItsRequestWasCancelledIsDropped() {
+    for (int cut = 0; cut <= WITH_LENGTH.length(); cut++) {
       final Wire wire =
-          new Wire().ask("abc").hear(LENGTH.substring(0, Math.min(cut, LENGTH.length() - 1)));
-      wire.connection.abandon();
-      wire.hear(LENGTH.substring(Math.min(cut, LENGTH.length() - 1)));
-      assertEquals(wire.heard, List.of());
+          new Wire()
+              .sendRequest("abc")
+              .receive(WITH_LENGTH.substring(0, Math.min(cut, WITH_LENGTH.length() - 1)));
+      wire.connection.cancel();
+      wire.receive(WITH_LENGTH.substring(Math.min(cut, WITH_LENGTH.length() - 1)));
+      assertEquals(wire.results, List.of());
       assertFalse(wire.channel.isOpen());
     }
   }
 
   @Test
-  public void onlyADeclineOfTheRequestItselfProvesThatItDidNotRun() {
+  public void onlyARejectionOfTheRequestItselfProvesThatItDidNotRun() {
     final int[][] cases =
         new int[][] {
           {200, 1, 2},
@@ -261,45 +266,49 @@
           {200, 0, 0},
           {500, 0, 0}
         };
-    final AttemptOutcome[] fates =
+    final AttemptOutcome[] outcomes =
         new AttemptOutcome[] {
           AttemptOutcome.ANSWERED, AttemptOutcome.NOT_RUN, AttemptOutcome.UNCERTAIN
         };
-    for (final int[] one : cases) {
+    for (final int[] testCase : cases) {
       final HttpResponse head =
           new io.netty.handler.codec.http.DefaultHttpResponse(
-              HttpVersion.HTTP_1_1, io.netty.handler.codec.http.HttpResponseStatus.valueOf(one[0]));
-      if (one[1] == 1) {
+              HttpVersion.HTTP_1_1,
+              io.netty.handler.codec.http.HttpResponseStatus.valueOf(testCase[0]));
+      if (testCase[1] == 1) {
         head.headers().set(Headers.NOT_EXECUTED, "1");
       }
       assertEquals(
           AttemptOutcome.of(UpstreamConnection.End.ANSWERED, head),
-          fates[one[2]],
-          one[0] + " declined " + one[1]);
+          outcomes[testCase[2]],
+          testCase[0] + " declined " + testCase[1]);
       assertEquals(
-          AttemptOutcome.named(UpstreamConnection.End.ANSWERED, head),
+          AttemptOutcome.ofIdentifiedResponse(UpstreamConnection.End.ANSWERED, head),
           AttemptOutcome.UNCERTAIN,
-          "without an id nothing counts for a client's request");
+          "without an attempt id no response counts for a client's request");
       head.headers().set(Headers.ATTEMPT_ID, "abc");
       assertEquals(
-          AttemptOutcome.named(UpstreamConnection.End.ANSWERED, head),
-          fates[one[2]],
-          one[0] + " declined " + one[1]);
+          AttemptOutcome.ofIdentifiedResponse(UpstreamConnection.End.ANSWERED, head),
+          outcomes[testCase[2]],
+          testCase[0] + " declined " + testCase[1]);
     }
     assertEquals(AttemptOutcome.of(UpstreamConnection.End.UNSENT, null), AttemptOutcome.NOT_RUN);
     assertEquals(
         AttemptOutcome.of(UpstreamConnection.End.UNCERTAIN, null), AttemptOutcome.UNCERTAIN);
-    assertEquals(AttemptOutcome.named(UpstreamConnection.End.UNSENT, null), AttemptOutcome.NOT_RUN);
     assertEquals(
-        AttemptOutcome.named(UpstreamConnection.End.UNCERTAIN, null), AttemptOutcome.UNCERTAIN);
+        AttemptOutcome.ofIdentifiedResponse(UpstreamConnection.End.UNSENT, null),
+        AttemptOutcome.NOT_RUN);
+    assertEquals(
+        AttemptOutcome.ofIdentifiedResponse(UpstreamConnection.End.UNCERTAIN, null),
+        AttemptOutcome.UNCERTAIN);
   }
 
   /**
-   * Generated answers, spoiled and cut: whatever comes, a request hears once, and what it hears as
-   * its answer was sent under its id and whole.
+   * Generates responses that are corrupted or truncated at random: a request is notified at most
+   * once, and a response that it gets was sent complete and under its id.
    */
   @Test
-  public void generatedBytesNeverBecomeAnotherAnswer() {
+  public void generatedBytesNeverBecomeAnotherRequestsResponse() {
     final long seed = Long.getLong("weldpoint.fuzz.seed", 19);
     final int rounds = Integer.getInteger("weldpoint.fuzz.rounds", 20_000);
     Reporter.log("seed " + seed, true);
@@ -311,73 +320,76 @@
 
   private static void round(final Random random, final String name) {
     final Wire wire = new Wire();
-    final List<String> right = new ArrayList<>();
+    final List<String> validResponses = new ArrayList<>();
     for (int request = 0; request < 3 && wire.channel.isOpen(); request++) {
       final String id = "r" + request;
-      wire.ask(id);
+      wire.sendRequest(id);
       final StringBuilder bytes = new StringBuilder();
-      int pieces = 1 + random.nextInt(3);
+      int responses = 1 + random.nextInt(3);
       boolean cutShort = false;
-      for (int piece = 0; piece < pieces; piece++) {
+      for (int response = 0; response < responses; response++) {
         final int status = new int[] {200, 200, 204, 302, 404, 421, 500, 503}[random.nextInt(8)];
-        final String to = random.nextInt(3) == 0 ? "r" + random.nextInt(4) : id;
+        final String echoedId = random.nextInt(3) == 0 ? "r" + random.nextInt(4) : id;
         final String body =
             "b" + random.nextInt(1000) + (status == 204 ? "" : "x".repeat(random.nextInt(40)));
-        final boolean chunks = random.nextBoolean();
-        final String framed =
+        final boolean chunked = random.nextBoolean();
+        final String framing =
             status == 204
                 ? "\r\n"
-                : chunks
+                : chunked
                     ? "Transfer-Encoding: chunked\r\n\r\n"
                         + Integer.toHexString(body.length())
                         + "\r\n"
                         + body
                         + "\r\n0\r\n\r\n"
                     : "Content-Length: " + body.length() + "\r\n\r\n" + body;
-        if (to.equals(id)) {
-          right.add(id + " ANSWERED " + status + (status == 204 ? "" : " " + body));
+        if (echoedId.equals(id)) {
+          validResponses.add(id + " ANSWERED " + status + (status == 204 ? "" : " " + body));
         }
         String text =
             "HTTP/1.1 "
                 + status
                 + " X\r\nWeldpoint-Attempt-Id: "
-                + to
+                + echoedId
                 + "\r\nWeldpoint-Server-Seal: s\r\n"
-                + framed;
+                + framing;
         if (random.nextInt(6) == 0) {
           text = "\u0000garbage " + random.nextInt();
         }
         cutShort = random.nextInt(4) == 0;
         if (cutShort) {
           text = text.substring(0, random.nextInt(text.length()));
-          pieces = 0;
+          responses = 0;
         }
         bytes.append(text);
       }
-      int at = 0;
-      while (at < bytes.length()) {
+      int position = 0;
+      while (position < bytes.length()) {
         final int next =
-            Math.min(bytes.length(), at + 1 + random.nextInt(random.nextBoolean() ? 3 : 120));
-        wire.hear(bytes.substring(at, next));
-        at = next;
+            Math.min(bytes.length(), position + 1 + random.nextInt(random.nextBoolean() ? 3 : 120));
+        wire.receive(bytes.substring(position, next));
+        position = next;
       }
       if (cutShort || random.nextInt(3) == 0) {
-        wire.cut();
+        wire.disconnect();
       }
-      if (wire.heard.size() <= request) {
+      if (wire.results.size() <= request) {
         break;
       }
     }
-    wire.cut();
+    wire.disconnect();
     final List<String> ids = new ArrayList<>();
-    for (final String heard : wire.heard) {
-      ids.add(heard.substring(0, heard.indexOf(' ')));
-      if (heard.contains(" ANSWERED")) {
-        final String answered = heard;
-        assertTrue(right.stream().anyMatch(answered::equals), name + ": " + heard + " of " + right);
+    for (final String result : wire.results) {
+      ids.add(result.substring(0, result.indexOf(' ')));
+      if (result.contains(" ANSWERED")) {
+        final String delivered = result;
+        assertTrue(
+            validResponses.stream().anyMatch(delivered::equals),
+            name + ": " + result + " of " + validResponses);
       }
     }
-    assertEquals(ids.stream().distinct().count(), ids.size(), name + ": heard twice " + wire.heard);
-    assertFalse(wire.connection.usable(0), name);
+    assertEquals(
+        ids.stream().distinct().count(), ids.size(), name + ": notified twice " + wire.results);
+    assertFalse(wire.connection.isUsable(0), name);
   }
 }
--- a/upstream/src/test/java/weldpoint/upstream/UpstreamPoolTest.java
+++ b/upstream/src/test/java/weldpoint/upstream/UpstreamPoolTest.java
@@ -34,8 +34,8 @@
 import weldpoint.transport.RegistryMessages.Registration;
 
 /**
- * The choice of upstreams: homes, evacuations, drains, and the bound of cold ones over many
- * switchboards.
+ * Tests the choice of upstreams: home regions, evacuations, drains, subsets, overload, and the
+ * slow-start rate limit across many proxies.
  */
 public final class UpstreamPoolTest {
   private final EventLoopGroup loop = new NioEventLoopGroup(1);
@@ -91,25 +91,25 @@
   }
 
   @Test
-  public void homesEvacuationsAndDrainsBind() {
+  public void homesEvacuationsAndDrainsAreEnforced() {
     final UpstreamPool upstreamPool = upstreamPool(1);
-    upstreamPool.apply(List.of(change("n", "a", 0, true), change("s", "b", 0, true)), 1000);
+    upstreamPool.applyChanges(List.of(change("n", "a", 0, true), change("s", "b", 0, true)), 1000);
     for (int index = 0; index < 50; index++) {
       assertEquals(choose(upstreamPool, "/x", 1000), UpstreamPool.Choice.CHOSEN);
       assertEquals(upstreamPool.chosen().id(), "n");
     }
-    upstreamPool.evacuated(Set.of("a"), 1000);
+    upstreamPool.setEvacuatedSites(Set.of("a"), 1000);
     assertEquals(choose(upstreamPool, "/x", 1000), UpstreamPool.Choice.OUTSIDE_HOMES);
     assertEquals(choose(upstreamPool, "/any/x", 1000), UpstreamPool.Choice.CHOSEN);
     assertEquals(upstreamPool.chosen().id(), "s");
-    upstreamPool.apply(List.of(change("s", "b", 0, false)), 1000);
+    upstreamPool.applyChanges(List.of(change("s", "b", 0, false)), 1000);
     assertEquals(choose(upstreamPool, "/any/x", 1000), UpstreamPool.Choice.NONE);
-    upstreamPool.evacuated(Set.of(), 1000);
+    upstreamPool.setEvacuatedSites(Set.of(), 1000);
     assertNotEquals(choose(upstreamPool, "/any/x", 1000), UpstreamPool.Choice.NONE);
   }
 
   @DataProvider
-  public Object[][] homes() {
+  public Object[][] homeRegionCases() {
     return new Object[][] {
       {"/any/x", List.of(), Set.of("n", "s")},
       {"/any/x", List.of("south"), Set.of("s")},
@@ -121,12 +121,14 @@
     };
   }
 
-  /** Guards against HOME: homes of a tenant bound no ordinary request. */
+  /**
+   * Guards against a fault in which a tenant's home regions were not applied to ordinary requests.
+   */
   @Test(dataProvider = "homes")
-  public void homesOfRouteAndTenantBothBindHoweverAnUpstreamIsChosen(
+  public void homeRegionsOfRouteAndTenantApplyToEveryKindOfChoice(
       final String path, final List<String> tenantHomes, final Set<String> allowed) {
     final UpstreamPool upstreamPool = upstreamPool(1);
-    upstreamPool.apply(List.of(change("n", "a", 0, true), change("s", "b", 0, true)), 1000);
+    upstreamPool.applyChanges(List.of(change("n", "a", 0, true), change("s", "b", 0, true)), 1000);
     final RouteBinding binding = request(routingTable(tenant(tenantHomes), ""), path);
     final Set<String> chosen = new HashSet<>();
     final List<Upstream> tried = new ArrayList<>();
@@ -134,13 +136,14 @@
       tried.add(upstreamPool.chosen());
       chosen.add(upstreamPool.chosen().id());
     }
-    assertEquals(chosen, allowed, "free choice, and further tries");
+    assertEquals(chosen, allowed, "free choice, and retries");
     for (final String id : List.of("n", "s")) {
-      final UpstreamPool.Choice wanted =
+      final UpstreamPool.Choice expected =
           allowed.contains(id) ? UpstreamPool.Choice.CHOSEN : UpstreamPool.Choice.OUTSIDE_HOMES;
-      assertEquals(upstreamPool.holder(binding, id, 1000), wanted, "holder of a key " + id);
       assertEquals(
-          upstreamPool.pinned(binding, id, 60_000, 1000), wanted, "node of a caller " + id);
+          upstreamPool.chooseKeyOwner(binding, id, 1000), expected, "owner of a key " + id);
+      assertEquals(
+          upstreamPool.choosePinned(binding, id, 60_000, 1000), expected, "affinity to " + id);
     }
   }
 
@@ -149,36 +152,40 @@
     return "\"tenants\":[{\"name\":\"t\",\"apiKeys\":[\"k\"],\"homeRegions\":[" + regions + "]}],";
   }
 
-  /** Guards against HOME: what waited for its connection obeyed the homes known before. */
+  /**
+   * Guards against a fault in which a request that waited for its connection was checked only
+   * against the home regions known before it began to wait.
+   */
   @Test
-  public void homesThatComeWhileAConnectionIsOpenedBind()
+  public void homeRegionsSetWhileConnectingAreEnforced()
       throws IOException, InterruptedException, ExecutionException, TimeoutException {
     final RoutingTable routeHomed = routingTable("", "\"homeRegions\":[\"south\"],");
     assertEquals(
-        sent("/any/x", Long.MAX_VALUE, pool -> pool.configuration(routingTable)),
+        sendAndDescribeResult("/any/x", Long.MAX_VALUE, pool -> pool.setRoutingTable(routingTable)),
         "UNCERTAIN bytes");
     assertEquals(
-        sent("/any/x", Long.MAX_VALUE, pool -> pool.configuration(routeHomed)), "UNSENT nothing");
+        sendAndDescribeResult("/any/x", Long.MAX_VALUE, pool -> pool.setRoutingTable(routeHomed)),
+        "UNSENT nothing");
     assertEquals(
-        sent(
+        sendAndDescribeResult(
             "/any/x",
             Long.MAX_VALUE,
-            pool -> pool.configuration(routingTable(tenant(List.of("south")), ""))),
+            pool -> pool.setRoutingTable(routingTable(tenant(List.of("south")), ""))),
         "UNSENT nothing");
   }
 
   @Test
-  public void coldUpstreamsGetTheirBoundOverAllSwitchboardsTogether() {
-    for (final int boards : new int[] {1, 4, 10, 14}) {
+  public void slowStartRateLimitHoldsAcrossAllProxies() {
+    for (final int proxies : new int[] {1, 4, 10, 14}) {
       final List<UpstreamPool> all = new ArrayList<>();
-      for (int index = 0; index < boards; index++) {
+      for (int index = 0; index < proxies; index++) {
         final UpstreamPool upstreamPool = upstreamPool(index);
-        upstreamPool.switchboards(boards);
-        upstreamPool.apply(List.of(change("c", "a", 60_000, true)), 0);
+        upstreamPool.setFleetSize(proxies);
+        upstreamPool.applyChanges(List.of(change("c", "a", 60_000, true)), 0);
         all.add(upstreamPool);
       }
       final List<Long> sent = new ArrayList<>();
-      final Random random = new Random(boards);
+      final Random random = new Random(proxies);
       for (long now = 1000; now < 20_000; now += 5) {
         for (final UpstreamPool upstreamPool : all) {
           if (random.nextInt(10) == 0
@@ -187,18 +194,20 @@
           }
         }
       }
-      int most = 0;
+      int maxPerSecond = 0;
       for (final long from : new HashSet<>(sent)) {
-        most =
+        maxPerSecond =
             Math.max(
-                most, (int) sent.stream().filter(at -> at >= from && at < from + 1000).count());
+                maxPerSecond,
+                (int) sent.stream().filter(at -> at >= from && at < from + 1000).count());
       }
-      assertTrue(most <= 12 * 1.5 + 5, most + " in a second with " + boards);
-      assertTrue(sent.size() > 19 * 6, "only " + sent.size() + " with " + boards);
+      assertTrue(
+          maxPerSecond <= 12 * 1.5 + 5, maxPerSecond + " in a second with proxies: " + proxies);
+      assertTrue(sent.size() > 19 * 6, "only " + sent.size() + " with proxies: " + proxies);
     }
   }
 
-  private UpstreamPool board(final int index, final List<UpstreamPool.Change> changes) {
+  private UpstreamPool proxyPool(final int index, final List<UpstreamPool.Change> changes) {
     final UpstreamPool upstreamPool =
         new UpstreamPool(
             loop,
@@ -213,7 +222,7 @@
                     + index % 2
                     + "\ntrunk.ports = 7000,7015\ntrunk.seeds = 10.0.0.1:80\nsites = s0:r0,s1:r1,s2:r0,s3:r1\n"),
             new Random(index));
-    upstreamPool.apply(changes, 1000);
+    upstreamPool.applyChanges(changes, 1000);
     return upstreamPool;
   }
 
@@ -230,67 +239,68 @@
   }
 
   @Test
-  public void partsOfALargeServiceUseAllOfItEvenlyAndMoveLittle() {
+  public void subsetsOfALargeServiceCoverItEvenlyAndChangeLittle() {
     final java.util.Map<String, Integer> callers = new java.util.HashMap<>();
     int moved = 0;
     for (int index = 0; index < 77; index++) {
-      final UpstreamPool upstreamPool = board(index, upstreams(281));
-      final Set<String> before = new HashSet<>(upstreamPool.part("s"));
+      final UpstreamPool upstreamPool = proxyPool(index, upstreams(281));
+      final Set<String> before = new HashSet<>(upstreamPool.subset("s"));
       assertEquals(before.size(), 24 + 3 * 12);
       before.forEach(id -> callers.merge(id, 1, Integer::sum));
-      upstreamPool.apply(
+      upstreamPool.applyChanges(
           List.of(
               new UpstreamPool.Change(
                   new Registration("i-0", "s", "10.9.0.1:80", "s0", "v", 4, 2, 2, 0, 0), false)),
           2000);
-      final Set<String> after = new HashSet<>(upstreamPool.part("s"));
+      final Set<String> after = new HashSet<>(upstreamPool.subset("s"));
       after.removeAll(before);
       moved += after.size();
     }
-    assertEquals(callers.size(), 281, "no upstream is left without callers");
+    assertEquals(callers.size(), 281, "no upstream is left without proxies");
     final double mean = 77 * 60 / 281.0;
     callers.forEach(
         (id, count) -> assertTrue(count > 0.3 * mean && count < 1.8 * mean, id + " has " + count));
-    assertTrue(moved <= callers.get("i-0"), "only its own callers replace it: " + moved);
-    assertEquals(board(1, upstreams(30)).part("s").size(), 30, "a small service is used whole");
-    assertEquals(board(1, upstreams(1)).part("s").size(), 1);
+    assertTrue(moved <= callers.get("i-0"), "only the proxies that used it replace it: " + moved);
+    assertEquals(
+        proxyPool(1, upstreams(30)).subset("s").size(), 30, "a small service is not subsetted");
+    assertEquals(proxyPool(1, upstreams(1)).subset("s").size(), 1);
   }
 
   @Test
-  public void aPartThatIsFullOrSilentIsWidenedAtOnce() {
-    final UpstreamPool upstreamPool = board(0, upstreams(281));
-    final Set<String> part = new HashSet<>(upstreamPool.part("s"));
+  public void otherUpstreamsHelpWhenTheSubsetIsFull() {
+    final UpstreamPool upstreamPool = proxyPool(0, upstreams(281));
+    final Set<String> subset = new HashSet<>(upstreamPool.subset("s"));
     final Set<String> used = new HashSet<>();
     for (int index = 0; index < 600; index++) {
       assertEquals(choose(upstreamPool, "/any/x", 3000), UpstreamPool.Choice.CHOSEN);
-      upstreamPool.begin(upstreamPool.chosen(), 3000);
+      upstreamPool.startAttempt(upstreamPool.chosen(), 3000);
       used.add(upstreamPool.chosen().id());
       if (index < 40) {
-        assertTrue(part.contains(upstreamPool.chosen().id()));
+        assertTrue(subset.contains(upstreamPool.chosen().id()));
       }
     }
-    assertTrue(used.size() > part.size(), "others help when the part is full");
+    assertTrue(used.size() > subset.size(), "others help when the subset is full");
   }
 
   @Test
-  public void theLowestRankIsRefusedFirstAndWritesLast() {
-    final double[] room =
+  public void lowestPriorityIsRejectedFirstAndWritesLast() {
+    final double[] limits =
         new double[] {
-          RetryPolicy.room(ranked("idempotent", 4), 4),
-          RetryPolicy.room(ranked("idempotent", 0), 4),
-          RetryPolicy.room(ranked("idempotent", 2), 1),
-          RetryPolicy.room(ranked("egress", 2), 0),
-          RetryPolicy.room(ranked("idempotent", 1), 0),
-          RetryPolicy.room(ranked("mutating", 4), 4),
-          RetryPolicy.room(ranked("mutating", 1), 0),
+          RetryPolicy.loadLimit(routeWithPriority("idempotent", 4), 4),
+          RetryPolicy.loadLimit(routeWithPriority("idempotent", 0), 4),
+          RetryPolicy.loadLimit(routeWithPriority("idempotent", 2), 1),
+          RetryPolicy.loadLimit(routeWithPriority("egress", 2), 0),
+          RetryPolicy.loadLimit(routeWithPriority("idempotent", 1), 0),
+          RetryPolicy.loadLimit(routeWithPriority("mutating", 4), 4),
+          RetryPolicy.loadLimit(routeWithPriority("mutating", 1), 0),
         };
-    for (int index = 1; index < room.length; index++) {
-      assertTrue(room[index] > room[index - 1], java.util.Arrays.toString(room));
+    for (int index = 1; index < limits.length; index++) {
+      assertTrue(limits[index] > limits[index - 1], java.util.Arrays.toString(limits));
     }
   }
 
-  private static weldpoint.routing.Route ranked(final String kind, final int priority) {
-    final RoutingTable one =
+  private static weldpoint.routing.Route routeWithPriority(final String kind, final int priority) {
+    final RoutingTable table =
         RoutingTable.compile(
             ("{\"version\":\"1\",\"listeners\":[{\"host\":\"h\",\"rules\":[{\"name\":\"r\",\"routeKind\":\""
                     + kind
@@ -298,46 +308,45 @@
                     + priority
                     + ",\"match\":{\"pathPrefix\":\"/\"},\"action\":{\"service\":\"s\",\"timeoutMs\":2000,\"maxAttempts\":2}}]}],\"pools\":[{\"name\":\"s\"}]}")
                 .getBytes(StandardCharsets.UTF_8));
-    return one.route("r");
+    return table.route("r");
   }
 
   @Test
-  public void lookupsLeaveSlotsFreeForTiedWritesAndGetThemBackWhenThoseCease() {
+  public void readsLeaveReservedSlotsToAffinityWritesUntilThoseCease() {
     final UpstreamPool upstreamPool = upstreamPool(5);
-    upstreamPool.apply(List.of(change("n", "a", 0, true)), 0);
-    upstreamPool.switchboards(1);
+    upstreamPool.applyChanges(List.of(change("n", "a", 0, true)), 0);
+    upstreamPool.setFleetSize(1);
     final RouteBinding write = request("/x");
-    final RouteBinding look = request("/any/x");
-    final List<UpstreamPool.Attempt> under = new ArrayList<>();
+    final RouteBinding read = request("/any/x");
+    final List<UpstreamPool.Attempt> attempts = new ArrayList<>();
     long now = 10_000;
     for (int index = 0; index < 30; index++) {
       now += 50;
-      assertEquals(upstreamPool.pinned(write, "n", 60_000, now), UpstreamPool.Choice.CHOSEN);
+      assertEquals(upstreamPool.choosePinned(write, "n", 60_000, now), UpstreamPool.Choice.CHOSEN);
     }
-    int lookups = 0;
-    while (upstreamPool.choose(look, List.of(), now) == UpstreamPool.Choice.CHOSEN
-        && lookups < 10) {
-      under.add(upstreamPool.begin(upstreamPool.chosen(), now));
-      lookups++;
+    int reads = 0;
+    while (upstreamPool.choose(read, List.of(), now) == UpstreamPool.Choice.CHOSEN && reads < 10) {
+      attempts.add(upstreamPool.startAttempt(upstreamPool.chosen(), now));
+      reads++;
     }
-    assertEquals(lookups, 2, "half of four slots is kept for the writes");
+    assertEquals(reads, 2, "half of four slots is reserved for the writes");
     assertEquals(
-        upstreamPool.pinned(write, "n", 60_000, now),
+        upstreamPool.choosePinned(write, "n", 60_000, now),
         UpstreamPool.Choice.CHOSEN,
-        "a tied write still has room");
+        "an affinity write still gets a slot");
     now += 25_000;
     assertEquals(
-        upstreamPool.choose(look, List.of(), now),
+        upstreamPool.choose(read, List.of(), now),
         UpstreamPool.Choice.CHOSEN,
-        "an idle reserve is given back");
-    assertEquals(upstreamPool.pinned(write, "gone", 60_000, now), UpstreamPool.Choice.NONE);
-    upstreamPool.evacuated(Set.of("a"), now);
-    assertEquals(upstreamPool.pinned(write, "n", 60_000, now), UpstreamPool.Choice.NONE);
-    under.forEach(attempt -> attempt.abandon(0));
+        "an unused reservation is released");
+    assertEquals(upstreamPool.choosePinned(write, "gone", 60_000, now), UpstreamPool.Choice.NONE);
+    upstreamPool.setEvacuatedSites(Set.of("a"), now);
+    assertEquals(upstreamPool.choosePinned(write, "n", 60_000, now), UpstreamPool.Choice.NONE);
+    attempts.forEach(attempt -> attempt.cancel(0));
   }
 
   @Test
-  public void neighboursShareTheUpstreamsOfTheirSiteEvenly() {
+  public void proxiesOfASiteShareItsUpstreamsEvenly() {
     final int upstreams = 31;
     final List<String> addresses = new ArrayList<>();
     for (int index = 0; index < 9; index++) {
@@ -363,12 +372,12 @@
                       + address
                       + "\nstation.site = a\nstation.region = north\ntrunk.ports = 7000,7015\ntrunk.seeds = 10.0.0.1:80\nsites = a:north,b:south\n"),
               new Random(1));
-      upstreamPool.apply(changes, 1000);
-      upstreamPool.neighbours(addresses, 0);
-      final List<String> near =
-          upstreamPool.part("s").stream().filter(id -> id.startsWith("near")).toList();
-      assertEquals(near.size(), 7);
-      near.forEach(id -> callers.merge(id, 1, Integer::sum));
+      upstreamPool.applyChanges(changes, 1000);
+      upstreamPool.setSiteProxies(addresses, 0);
+      final List<String> local =
+          upstreamPool.subset("s").stream().filter(id -> id.startsWith("near")).toList();
+      assertEquals(local.size(), 7);
+      local.forEach(id -> callers.merge(id, 1, Integer::sum));
     }
     assertEquals(callers.size(), upstreams);
     for (final int count : callers.values()) {
@@ -377,38 +386,39 @@
   }
 
   @Test
-  public void lookupsGoToAnotherRegionWhileTheOwnOneIsCrowded() {
+  public void readsOverflowToAnotherRegionWhileTheLocalOneIsCrowded() {
     final UpstreamPool upstreamPool = upstreamPool(9);
     final List<UpstreamPool.Change> changes = new ArrayList<>();
     for (int index = 0; index < 6; index++) {
       changes.add(change("near-" + index, "a", 0, true));
       changes.add(change("far-" + index, "b", 0, true));
     }
-    upstreamPool.apply(changes, 0);
-    int far = 0;
+    upstreamPool.applyChanges(changes, 0);
+    int remote = 0;
     for (int round = 0; round < 400; round++) {
       final long now = 10_000 + round * 20;
       assertEquals(choose(upstreamPool, "/any/x", now), UpstreamPool.Choice.CHOSEN);
       final Upstream chosen = upstreamPool.chosen();
-      final boolean near = chosen.site().equals("a");
+      final boolean local = chosen.site().equals("a");
       if (round >= 200) {
-        far += near ? 0 : 1;
+        remote += local ? 0 : 1;
       }
-      final UpstreamPool.Attempt attempt = upstreamPool.begin(chosen, now);
-      chosen.told(near ? "4,1,4" : "1,0,4", now);
-      attempt.abandon(now);
-      chosen.answered(now, near ? 900 : 400);
+      final UpstreamPool.Attempt attempt = upstreamPool.startAttempt(chosen, now);
+      chosen.updateLoad(local ? "4,1,4" : "1,0,4", now);
+      attempt.cancel(now);
+      chosen.responseReceived(now, local ? 900 : 400);
     }
-    assertTrue(far > 120, "only " + far + " of 200 went to the region with room");
+    assertTrue(remote > 120, "only " + remote + " of 200 went to the region with spare capacity");
     assertEquals(choose(upstreamPool, "/x", 20_000), UpstreamPool.Choice.CHOSEN);
-    assertEquals(upstreamPool.chosen().site(), "a", "homes bind all the same");
+    assertEquals(upstreamPool.chosen().site(), "a", "home regions still apply");
   }
 
   /**
-   * Sends to an upstream that listens, does something at once, and tells how it ended and how many
-   * bytes arrived.
+   * Sends a request to a listening upstream, runs {@code meanwhile} before the connection is up,
+   * and returns how the request completed and whether any bytes arrived.
    */
-  private String sent(final String path, final long until, final Consumer<UpstreamPool> meanwhile)
+  private String sendAndDescribeResult(
+      final String path, final long sendBy, final Consumer<UpstreamPool> meanwhile)
       throws IOException, InterruptedException, ExecutionException, TimeoutException {
     try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
       server.setSoTimeout(8000);
@@ -419,7 +429,7 @@
               HttpVersion.HTTP_1_1, HttpMethod.POST, "/x", Unpooled.EMPTY_BUFFER);
       loop.execute(
           () -> {
-            upstreamPool.apply(
+            upstreamPool.applyChanges(
                 List.of(
                     new UpstreamPool.Change(
                         new Registration(
@@ -443,37 +453,41 @@
                 request,
                 "abc",
                 1000,
-                until,
+                sendBy,
                 (end, head, body) -> ended.complete(end));
             meanwhile.accept(upstreamPool);
           });
       try (Socket socket = server.accept()) {
         socket.setSoTimeout(8000);
-        final int first = socket.getInputStream().read();
+        final int firstByte = socket.getInputStream().read();
         socket.close();
-        return ended.get(8, TimeUnit.SECONDS) + (first < 0 ? " nothing" : " bytes");
+        return ended.get(8, TimeUnit.SECONDS) + (firstByte < 0 ? " nothing" : " bytes");
       }
     }
   }
 
   @Test
-  public void aTryThatIsConnectedTooLateIsNeverWritten()
+  public void anAttemptConnectedTooLateIsNeverWritten()
       throws IOException, InterruptedException, ExecutionException, TimeoutException {
-    assertEquals(sent("/x", Long.MAX_VALUE, upstreamPool -> {}), "UNCERTAIN bytes");
     assertEquals(
-        sent("/x", System.nanoTime() / 1_000_000 - 1, upstreamPool -> {}),
+        sendAndDescribeResult("/x", Long.MAX_VALUE, upstreamPool -> {}), "UNCERTAIN bytes");
+    assertEquals(
+        sendAndDescribeResult("/x", System.nanoTime() / 1_000_000 - 1, upstreamPool -> {}),
         "UNSENT nothing",
-        "past its deadline, as after a standstill");
+        "past its deadline, as after a long pause of the process");
     assertEquals(
-        sent("/x", Long.MAX_VALUE, upstreamPool -> upstreamPool.evacuated(Set.of("a"), 1000)),
+        sendAndDescribeResult(
+            "/x",
+            Long.MAX_VALUE,
+            upstreamPool -> upstreamPool.setEvacuatedSites(Set.of("a"), 1000)),
         "UNSENT nothing",
-        "its zone is evacuated meanwhile");
+        "its zone was evacuated meanwhile");
     assertEquals(
-        sent(
+        sendAndDescribeResult(
             "/x",
             Long.MAX_VALUE,
-            upstreamPool -> upstreamPool.apply(List.of(change("n", "a", 0, false)), 1000)),
+            upstreamPool -> upstreamPool.applyChanges(List.of(change("n", "a", 0, false)), 1000)),
         "UNSENT nothing",
-        "it has signed off meanwhile");
+        "it deregistered meanwhile");
   }
 }
