--- a/cache/src/main/java/weldpoint/cache/OriginFetcher.java
+++ b/cache/src/main/java/weldpoint/cache/OriginFetcher.java
@@ -95,7 +95,7 @@
       return false;
     }
     final double limit =
-        RateLimit.CACHE_SHARE
+        RateLimit.CACHE_FRACTION
             * service.ratePerSecond()
             * settings.originWindowMillis()
             / 1000.0
@@ -103,7 +103,7 @@
             / announcers;
     return counters
             .computeIfAbsent(service.name(), name -> new SlidingWindowCounter(window))
-            .take(1, limit, now)
+            .acquireUpTo(1, limit, now)
         > 0;
   }
 
@@ -156,7 +156,7 @@
       if (!asking && now >= askAt) {
         asking = true;
         permits.ask(
-            RateLimit.ORIGIN.permit(service.name()),
+            RateLimit.ORIGIN.permitName(service.name()),
             Math.min(MOST_ASKED, reads.size()),
             (granted, version, confirmedAt) -> {
               asking = false;
--- a/ownership/src/main/java/weldpoint/ownership/Assigner.java
+++ b/ownership/src/main/java/weldpoint/ownership/Assigner.java
@@ -14,113 +14,126 @@
 import weldpoint.transport.OwnershipMessages.SlotReport;
 
 /**
- * Assigns the keys of one divided service. The assignment is a register of the state store; every
- * registry knows it, and the one that it names acts on it: it renews the holders' grants, asks for
- * releases and writes the next assignment. Nothing is granted that is not in the register, and a
- * range gets another holder in the register only once the one before has released it, has ended, or
- * has been without a grant for longer than any grant holds. It knows neither threads, clocks nor
- * sockets.
+ * Assigns the keys of one partitioned service. The assignment is a register of the state store.
+ * Every registry knows it, and the registry that it names is active: it renews the holders' grants,
+ * requests releases and writes the next assignment. Only what is in the register is granted, and a
+ * range gets another holder in the register only once the previous one has released it, a later
+ * incarnation at its address has done so in its place, or it has been without a grant for longer
+ * than any grant is valid. Free of threads, clocks and sockets, which the {@link Environment}
+ * provides; not thread-safe.
  */
 public class Assigner {
-  /** What an assigner does to the world. */
+  /**
+   * The clock, state store and upstream calls that an assigner uses; calls return at once, and
+   * callbacks run on the assigner's thread.
+   */
   public interface Environment {
-    /** The steady clock, in milliseconds, at this very moment. */
+    /** Returns the current time of the steady clock, in milliseconds. */
     long now();
 
-    /** Writes the register, if it still has the serial before; {@code done} runs in either case. */
+    /**
+     * Writes the register if it still has the previous serial; {@code done} runs in either case.
+     */
     void write(Assignment next, Runnable done);
 
-    /** Sends a grant, unless it cannot be written before {@code sendBy}. */
+    /** Sends a grant, unless it cannot be written to the connection before {@code sendBy}. */
     void grant(KeyRange range, long sendBy, Consumer<CallResult> done);
 
-    /** Asks for a release, whose answer may take until {@code answerBy}. */
+    /** Requests a release, whose response may take until {@code answerBy}. */
     void release(KeyRange range, long sendBy, long answerBy, Consumer<CallResult> done);
   }
 
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
   private static final long RETRY_MILLIS = 250;
 
-  /** The pause before a holder is asked for a release, in which proxies hear of it. */
-  private static final long PROXIES_TOLD_MILLIS = 50;
-
-  private static final long CALM_MILLIS = 3000;
-  private static final long MOVE_PAUSE_MILLIS = 500;
-  private static final long SETTLE_MILLIS = 6000;
-  private static final long DISTRUST_MILLIS = 5000;
-  private static final int MOST_DOUBLINGS = 4;
-  private static final int MOST_MOVES = 2;
-  private static final int RANGES_A_MEMBER = 3;
-  private static final int FAILURES_TO_SILENCE = 2;
-
-  /** What is known of one upstream's answers. */
-  private static final class Contact {
-    int failures;
+  /** The delay before a release is requested from a holder, so that proxies learn of it first. */
+  private static final long PROXY_NOTICE_MILLIS = 50;
+
+  /** Delay after becoming the assigner before ranges are moved for balance. */
+  private static final long BALANCE_DELAY_MILLIS = 3000;
+
+  private static final long BALANCE_INTERVAL_MILLIS = 500;
+
+  /** How long a slot stays with a new holder before it may be moved for balance. */
+  private static final long MIN_STAY_MILLIS = 6000;
+
+  private static final long EJECTION_MILLIS = 5000;
+  private static final int MAX_EJECTION_DOUBLINGS = 4;
+  private static final int MAX_CONCURRENT_MOVES = 2;
+  private static final int MERGE_RANGES_PER_MEMBER = 3;
+  private static final int UNRESPONSIVE_FAILURES = 2;
+
+  /** What is known of one upstream's responses to grants. */
+  private static final class MemberHealth {
+    int consecutiveFailures;
     long failingSince;
     long failedAt;
-    int silences;
-    boolean proven;
+    int ejections;
+    boolean responsive;
   }
 
   private final String service;
-  private final String self;
+  private final String ownAddress;
   private final long incarnation;
   private final GrantTimings timings;
   private final Environment environment;
   private final AssignerCounts counts = new AssignerCounts();
   private final SlotLoads loads = new SlotLoads();
-  private final Map<String, Contact> contacts = new HashMap<>();
-  private final long[] dueAt = new long[KeySpace.SLOTS];
+  private final Map<String, MemberHealth> healthByMember = new HashMap<>();
+  private final long[] nextCallAt = new long[KeySpace.SLOTS];
   private final long[] movedAt = new long[KeySpace.SLOTS];
-  private final boolean[] releaseOut = new boolean[KeySpace.SLOTS];
+  private final boolean[] releaseInFlight = new boolean[KeySpace.SLOTS];
   private final Map<Integer, String> transfers = new HashMap<>();
-  private final Map<Integer, String> targets = new HashMap<>();
+  private final Map<Integer, String> moveTargets = new HashMap<>();
   private Map<String, Member> knownMembers = Map.of();
-  private OutstandingGrants grants;
+  private OutstandingGrants outstandingGrants;
   private Assignment assignment;
-  private long termSince;
+  private long termStartedAt;
   private long term;
-  private long movePauseUntil;
-  private boolean writing;
+  private long balanceNotBefore;
+  private boolean writeInFlight;
 
-  /** An assigner of a service in one life of a registry. */
+  /** Creates the assigner of a service for one incarnation of a registry. */
   public Assigner(
       final String service,
-      final String self,
+      final String ownAddress,
       final long incarnation,
       final GrantTimings timings,
       final Environment environment) {
     this.service = service;
-    this.self = self;
+    this.ownAddress = ownAddress;
     this.incarnation = incarnation;
     this.timings = timings;
     this.environment = environment;
-    this.grants = new OutstandingGrants(timings);
+    this.outstandingGrants = new OutstandingGrants(timings);
     java.util.Arrays.fill(movedAt, Long.MIN_VALUE / 2);
   }
 
-  /** The assignment known; null before the first. */
+  /** Returns the known assignment; null before the first. */
   public Assignment assignment() {
     return assignment;
   }
 
-  /** Whether this life of this registry assigns. */
-  public boolean acts() {
-    return assignment != null && assignment.assignedBy(self, incarnation);
+  /** Returns whether this incarnation of this registry is the assigner. */
+  public boolean isActive() {
+    return assignment != null && assignment.assignedBy(ownAddress, incarnation);
   }
 
-  /** Takes what the register holds; true where it is news. */
-  public boolean take(final Assignment given, final long now) {
-    if (assignment != null && given.serial <= assignment.serial) {
+  /**
+   * Applies the assignment read from the register; returns whether it is newer than the known one.
+   */
+  public boolean applyAssignment(final Assignment update, final long now) {
+    if (assignment != null && update.serial <= assignment.serial) {
       return false;
     }
     final Assignment before = assignment;
-    final boolean acted = acts();
-    assignment = given;
-    if (acts() && !acted) {
+    final boolean wasActive = isActive();
+    assignment = update;
+    if (isActive() && !wasActive) {
       beginTerm(before, now);
-    } else if (acts()) {
-      for (final KeyRange range : given.ranges()) {
-        note(range, now);
+    } else if (isActive()) {
+      for (final KeyRange range : update.ranges()) {
+        rangeChanged(range, now);
       }
     }
     return true;
@@ -128,291 +141,313 @@
 
   private void beginTerm(final Assignment before, final long now) {
     term++;
-    termSince = now;
-    movePauseUntil = now + CALM_MILLIS;
-    grants = new OutstandingGrants(timings);
+    termStartedAt = now;
+    balanceNotBefore = now + BALANCE_DELAY_MILLIS;
+    outstandingGrants = new OutstandingGrants(timings);
     transfers.clear();
-    targets.clear();
-    contacts.clear();
-    java.util.Arrays.fill(releaseOut, false);
-    java.util.Arrays.fill(dueAt, now);
-    final boolean first = assignment.serial == 1 || before != null && before.ranges().isEmpty();
-    if (!first) {
-      assignment.ranges().forEach(range -> inherit(range, now));
+    moveTargets.clear();
+    healthByMember.clear();
+    java.util.Arrays.fill(releaseInFlight, false);
+    java.util.Arrays.fill(nextCallAt, now);
+    final boolean initial = assignment.serial == 1 || before != null && before.ranges().isEmpty();
+    if (!initial) {
+      assignment.ranges().forEach(range -> inheritGrant(range, now));
     }
     LOGGER.atInfo().log(
-        "registry %s assigns the keys of %s now: %s ranges, serial %s",
-        self, service, assignment.ranges().size(), assignment.serial);
+        "registry %s assigns the keys of %s now: %s ranges, assignment serial %s",
+        ownAddress, service, assignment.ranges().size(), assignment.serial);
   }
 
-  /** Counts what another assigner, or an earlier life of this one, may have granted. */
-  protected void inherit(final KeyRange range, final long now) {
-    grants.inherited(range, now);
+  /** Records what another assigner, or an earlier incarnation of this one, may have granted. */
+  protected void inheritGrant(final KeyRange range, final long now) {
+    outstandingGrants.addInherited(range, now);
   }
 
-  /** A range stands so in the register since now, or did before. */
-  private void note(final KeyRange range, final long now) {
+  /**
+   * Schedules calls for a range that changed with the current assignment; ignores unchanged ranges.
+   */
+  private void rangeChanged(final KeyRange range, final long now) {
     if (range.fence != assignment.serial) {
       return;
     }
     for (int slot = KeySpace.slot(range.first); slot <= KeySpace.slot(range.last); slot++) {
-      dueAt[slot] = range.held() ? now : now + PROXIES_TOLD_MILLIS;
-      releaseOut[slot] = false;
+      nextCallAt[slot] = range.held() ? now : now + PROXY_NOTICE_MILLIS;
+      releaseInFlight[slot] = false;
       transfers.remove(slot);
       if (range.held()) {
-        targets.remove(slot);
+        moveTargets.remove(slot);
         movedAt[slot] = now;
       }
     }
   }
 
-  /** Takes what proxies sent to holders. */
+  /** Adds the load that proxies sent to holders. */
   public void report(final SlotReport report, final long now) {
     loads.add(report, now);
   }
 
   /**
-   * Makes this registry the assigner, if the register is still as it is known here: all holders
-   * stay, under a higher fence. Where nobody holds anything yet, the keys are divided.
+   * Makes this registry the assigner if the register is unchanged from what is known here. All
+   * holders stay, with a higher fencing token; if there are none yet, the keys are divided among
+   * the eligible members.
    */
   public void takeOver(final List<Member> members, final long now) {
     final long serial = assignment == null ? 1 : assignment.serial + 1;
     final List<KeyRange> ranges = new ArrayList<>();
     for (final KeyRange range : assignment == null ? List.<KeyRange>of() : assignment.ranges()) {
-      ranges.add(fenced(range, range.state(), serial));
+      ranges.add(withState(range, range.state(), serial));
     }
     if (ranges.isEmpty()) {
-      ranges.addAll(Balancer.firstDivision(members, serial));
+      ranges.addAll(Balancer.initialAssignment(members, serial));
     }
-    write(ranges);
+    writeAssignment(ranges);
   }
 
-  private static KeyRange fenced(final KeyRange range, final RangeState state, final long fence) {
+  private static KeyRange withState(
+      final KeyRange range, final RangeState state, final long fence) {
     return new KeyRange(
         range.first, range.last, range.holder, range.address, fence, state, range.transfer);
   }
 
-  private static KeyRange given(
-      final KeyRange range, final Member to, final long fence, final String transfer) {
+  private static KeyRange withHolder(
+      final KeyRange range, final Member receiver, final long fence, final String transfer) {
     return new KeyRange(
-        range.first, range.last, to.id(), to.address(), fence, RangeState.HELD, transfer);
+        range.first,
+        range.last,
+        receiver.id(),
+        receiver.address(),
+        fence,
+        RangeState.HELD,
+        transfer);
   }
 
-  private void write(final List<KeyRange> ranges) {
-    if (writing) {
+  private void writeAssignment(final List<KeyRange> ranges) {
+    if (writeInFlight) {
       return;
     }
-    writing = true;
+    writeInFlight = true;
     final long serial = assignment == null ? 1 : assignment.serial + 1;
     environment.write(
-        new Assignment(service, serial, self, incarnation, ranges), () -> writing = false);
+        new Assignment(service, serial, ownAddress, incarnation, ranges),
+        () -> writeInFlight = false);
   }
 
   /**
-   * Time has passed.
+   * Renews grants, requests releases and writes the next assignment where needed; called
+   * periodically.
    *
-   * @param confirmedAt when this registry asked last whether it still assigns, and heard from a
-   *     majority that it does
+   * @param confirmedAt when this registry sent the last read by which a majority confirmed it as
+   *     the assigner
    */
   public void tick(final List<Member> members, final long confirmedAt, final long now) {
     loads.decay(now);
-    final long actsUntil = confirmedAt + timings.leaseMillis();
-    if (!acts() || now >= actsUntil) {
+    final long leaseUntil = confirmedAt + timings.leaseMillis();
+    if (!isActive() || now >= leaseUntil) {
       return;
     }
-    final Map<String, Member> known = new HashMap<>();
-    members.forEach(member -> known.put(member.id(), member));
-    knownMembers = known;
+    final Map<String, Member> membersById = new HashMap<>();
+    members.forEach(member -> membersById.put(member.id(), member));
+    knownMembers = membersById;
     for (final KeyRange range : assignment.ranges()) {
-      final Member holder = known.get(range.holder);
-      final boolean ended = holder != null && holder.standing() == Member.Standing.ENDED;
+      final Member holder = membersById.get(range.holder);
+      final boolean terminated = holder != null && holder.standing() == Member.Standing.TERMINATED;
       if (!range.held()) {
-        askRelease(range, actsUntil, now);
-      } else if (!ended) {
-        renew(range, actsUntil, now);
+        requestRelease(range, leaseUntil, now);
+      } else if (!terminated) {
+        renew(range, leaseUntil, now);
       }
     }
-    if (!writing) {
-      plan(answering(members, now), known, now);
+    if (!writeInFlight) {
+      planChanges(excludeUnresponsive(members, now), membersById, now);
     }
   }
 
   // ---- calls to upstreams
 
-  private void renew(final KeyRange range, final long actsUntil, final long now) {
+  private void renew(final KeyRange range, final long leaseUntil, final long now) {
     final int slot = KeySpace.slot(range.first);
-    if (now < dueAt[slot] || grants.underWay(range)) {
+    if (now < nextCallAt[slot] || outstandingGrants.inFlight(range)) {
       return;
     }
     final long sentTerm = term;
-    final OutstandingGrants sentLedger = grants;
-    grants.sending(range, now);
+    final OutstandingGrants sentGrants = outstandingGrants;
+    outstandingGrants.grantSent(range, now);
     environment.grant(
         range,
-        Math.min(actsUntil, now + RETRY_MILLIS),
+        Math.min(leaseUntil, now + RETRY_MILLIS),
         result -> {
-          sentLedger.ended(range, result.end(), environment.now());
-          counts.grant(result.end());
+          sentGrants.grantCompleted(range, result.end(), environment.now());
+          counts.recordGrant(result.end());
           if (term == sentTerm) {
-            granted(range, result);
+            grantCompleted(range, result);
           }
         });
   }
 
-  private void granted(final KeyRange range, final CallResult result) {
+  private void grantCompleted(final KeyRange range, final CallResult result) {
     final boolean done = result.end() == CallResult.End.DONE;
-    heard(range.holder, done);
-    final long next = environment.now() + (done ? timings.renewMillis() : RETRY_MILLIS);
+    recordCall(range.holder, done);
+    final long next = environment.now() + (done ? timings.renewalIntervalMillis() : RETRY_MILLIS);
     for (int slot = KeySpace.slot(range.first); slot <= KeySpace.slot(range.last); slot++) {
-      dueAt[slot] = Math.max(dueAt[slot], next);
+      nextCallAt[slot] = Math.max(nextCallAt[slot], next);
     }
   }
 
-  private void heard(final String upstream, final boolean done) {
-    final Contact contact = contacts.computeIfAbsent(upstream, id -> new Contact());
+  private void recordCall(final String upstream, final boolean done) {
+    final MemberHealth health = healthByMember.computeIfAbsent(upstream, id -> new MemberHealth());
     if (done) {
-      contact.failures = 0;
-      contact.proven = true;
+      health.consecutiveFailures = 0;
+      health.responsive = true;
       return;
     }
-    if (contact.failures++ == 0) {
-      contact.failingSince = environment.now();
+    if (health.consecutiveFailures++ == 0) {
+      health.failingSince = environment.now();
     }
-    contact.failedAt = environment.now();
-    if (contact.failures == FAILURES_TO_SILENCE) {
-      contact.silences++;
-      contact.proven = false;
+    health.failedAt = environment.now();
+    if (health.consecutiveFailures == UNRESPONSIVE_FAILURES) {
+      health.ejections++;
+      health.responsive = false;
     }
   }
 
-  /** The upstreams that have answered their last grants. */
-  private Set<String> proven() {
-    final Set<String> proven = new HashSet<>();
-    contacts.forEach(
-        (id, contact) -> {
-          if (contact.proven) {
-            proven.add(id);
+  /** Returns the upstreams that responded to their latest grants. */
+  private Set<String> responsiveMembers() {
+    final Set<String> responsive = new HashSet<>();
+    healthByMember.forEach(
+        (id, health) -> {
+          if (health.responsive) {
+            responsive.add(id);
           }
         });
-    return proven;
+    return responsive;
   }
 
-  /** For how long an upstream that fell silent is given nothing: longer each time. */
-  private static long distrustMillis(final Contact contact) {
-    return DISTRUST_MILLIS << Math.min(MOST_DOUBLINGS, Math.max(0, contact.silences - 1));
+  /**
+   * Returns for how long an upstream that stopped responding gets no more keys: doubled each time.
+   */
+  private static long ejectionMillis(final MemberHealth health) {
+    return EJECTION_MILLIS << Math.min(MAX_EJECTION_DOUBLINGS, Math.max(0, health.ejections - 1));
   }
 
-  /** The members, with those that lately left grants unanswered as such that are given nothing. */
-  private List<Member> answering(final List<Member> members, final long now) {
-    final List<Member> answering = new ArrayList<>();
+  /**
+   * Returns the members; those that recently left grants unanswered are marked to get no new keys.
+   */
+  private List<Member> excludeUnresponsive(final List<Member> members, final long now) {
+    final List<Member> result = new ArrayList<>();
     for (final Member member : members) {
-      final Contact contact = contacts.get(member.id());
-      final boolean silent =
-          contact != null
-              && contact.failures >= FAILURES_TO_SILENCE
-              && now - contact.failedAt < distrustMillis(contact);
-      answering.add(
-          silent && member.eligible()
-              ? new Member(member.id(), member.address(), member.capacity(), Member.Standing.KEEPS)
+      final MemberHealth health = healthByMember.get(member.id());
+      final boolean unresponsive =
+          health != null
+              && health.consecutiveFailures >= UNRESPONSIVE_FAILURES
+              && now - health.failedAt < ejectionMillis(health);
+      result.add(
+          unresponsive && member.eligible()
+              ? new Member(
+                  member.id(), member.address(), member.capacity(), Member.Standing.NO_NEW_KEYS)
               : member);
     }
-    return answering;
+    return result;
   }
 
-  private void askRelease(final KeyRange range, final long actsUntil, final long now) {
+  private void requestRelease(final KeyRange range, final long leaseUntil, final long now) {
     final int slot = KeySpace.slot(range.first);
-    if (now < dueAt[slot]
-        || releaseOut[slot]
-        || grants.free(range, now)
-        || grants.underWay(range)
+    if (now < nextCallAt[slot]
+        || releaseInFlight[slot]
+        || outstandingGrants.isFree(range, now)
+        || outstandingGrants.inFlight(range)
         || !mayRelease(range, now)) {
       return;
     }
     final long sentTerm = term;
-    releaseOut[slot] = true;
+    releaseInFlight[slot] = true;
     environment.release(
         range,
-        Math.min(actsUntil, now + RETRY_MILLIS),
-        now + timings.holdMillis(),
+        Math.min(leaseUntil, now + RETRY_MILLIS),
+        now + timings.grantMillis(),
         result -> {
-          counts.release(result.end());
+          counts.recordRelease(result.end());
           if (term == sentTerm) {
-            releaseEnded(range, result);
+            releaseCompleted(range, result);
           }
         });
   }
 
   /**
-   * Whether an earlier assigner's grants can no longer undo a release: the holder has acknowledged
-   * a higher fence, or all of them have arrived or been lost.
+   * Whether an earlier assigner's grants can no longer undo a release: either the holder has
+   * acknowledged a higher fencing token, or all of them have arrived or been lost.
    */
   private boolean mayRelease(final KeyRange range, final long now) {
-    return grants.acknowledgedAt(range) >= termSince || now > timings.predecessorSilent(termSince);
+    return outstandingGrants.acknowledgedAt(range) >= termStartedAt
+        || now > timings.latestPredecessorStart(termStartedAt);
   }
 
-  private void releaseEnded(final KeyRange range, final CallResult result) {
+  private void releaseCompleted(final KeyRange range, final CallResult result) {
     if (!stillReleasing(range)) {
       return;
     }
     final int slot = KeySpace.slot(range.first);
-    releaseOut[slot] = false;
+    releaseInFlight[slot] = false;
     if (result.end() == CallResult.End.DONE) {
-      grants.released(range);
-      if (result.transfer() != null && !ended(range.holder)) {
+      outstandingGrants.markReleased(range);
+      if (result.transfer() != null && !isTerminated(range.holder)) {
         transfers.put(slot, result.transfer());
       }
     } else {
-      dueAt[slot] = environment.now() + RETRY_MILLIS;
+      nextCallAt[slot] = environment.now() + RETRY_MILLIS;
     }
   }
 
-  /** Whether the register still says of this range what it said when its release was asked for. */
-  private boolean stillReleasing(final KeyRange asked) {
+  /** Whether the register still has this range in the state in which its release was requested. */
+  private boolean stillReleasing(final KeyRange requested) {
     for (final KeyRange range : assignment.ranges()) {
-      if (range.first == asked.first && range.last == asked.last) {
-        return !range.held() && range.fence == asked.fence;
+      if (range.first == requested.first && range.last == requested.last) {
+        return !range.held() && range.fence == requested.fence;
       }
     }
     return false;
   }
 
   /**
-   * Whether another life has the address of this one: it may have been granted the range in its
-   * place, so it is asked for the release, but what it hands over is not the holder's.
+   * Whether a later incarnation has the address of this upstream. It may have received the range's
+   * grant in its place, so it is asked for the release, but the state that it hands over is not the
+   * holder's.
    */
-  private boolean ended(final String upstream) {
+  private boolean isTerminated(final String upstream) {
     final Member member = knownMembers.get(upstream);
-    return member != null && member.standing() == Member.Standing.ENDED;
+    return member != null && member.standing() == Member.Standing.TERMINATED;
   }
 
   // ---- the next assignment
 
-  private void plan(final List<Member> members, final Map<String, Member> known, final long now) {
+  private void planChanges(
+      final List<Member> members, final Map<String, Member> membersById, final long now) {
     if (assignment.ranges().isEmpty()) {
-      final List<KeyRange> ranges = Balancer.firstDivision(members, assignment.serial + 1);
+      final List<KeyRange> ranges = Balancer.initialAssignment(members, assignment.serial + 1);
       if (!ranges.isEmpty()) {
-        write(ranges);
+        writeAssignment(ranges);
       }
       return;
     }
     final long serial = assignment.serial + 1;
-    final Balancer balancer = new Balancer(loads, members, assignment.ranges(), proven());
+    final Balancer balancer =
+        new Balancer(loads, members, assignment.ranges(), responsiveMembers());
     final boolean anyEligible = members.stream().anyMatch(Member::eligible);
     final List<KeyRange> next = new ArrayList<>();
     boolean changed = false;
     for (final KeyRange range : assignment.ranges()) {
-      final Member holder = known.get(range.holder);
-      final MoveReason reason = range.held() ? reason(range, holder, now) : null;
-      if (!range.held() && mayPass(range, now)) {
-        final Member target = balancer.eligible(targets.get(KeySpace.slot(range.first)), range);
-        final Member receiver = target == null ? balancer.receiver(range) : target;
+      final Member holder = membersById.get(range.holder);
+      final MoveReason reason = range.held() ? moveReason(range, holder, now) : null;
+      if (!range.held() && mayReassign(range, now)) {
+        final Member target =
+            balancer.assignIfEligible(moveTargets.get(KeySpace.slot(range.first)), range);
+        final Member receiver = target == null ? balancer.chooseReceiver(range) : target;
         changed |= receiver != null;
-        next.add(receiver == null ? range : passed(range, receiver, serial, now));
+        next.add(receiver == null ? range : reassigned(range, receiver, serial, now));
       } else if (reason != null && anyEligible) {
         changed = true;
-        counts.move(reason);
-        for (final KeyRange piece : balancer.pieces(range)) {
-          next.add(fenced(piece, RangeState.RELEASING, serial));
+        counts.recordMove(reason);
+        for (final KeyRange piece : balancer.split(range)) {
+          next.add(withState(piece, RangeState.RELEASING, serial));
         }
       } else {
         next.add(range);
@@ -422,62 +457,62 @@
       changed = balance(balancer, next, serial, now);
     }
     if (changed) {
-      write(merged(next, members.size(), serial));
+      writeAssignment(mergeRanges(next, members.size(), serial));
     }
   }
 
-  /** Whether a range that is being given up may get another holder. */
-  protected boolean mayPass(final KeyRange range, final long now) {
-    return grants.free(range, now);
+  /** Whether a range that is being released may get another holder. */
+  protected boolean mayReassign(final KeyRange range, final long now) {
+    return outstandingGrants.isFree(range, now);
   }
 
-  private KeyRange passed(
+  private KeyRange reassigned(
       final KeyRange range, final Member receiver, final long serial, final long now) {
     final String transfer = transfers.get(KeySpace.slot(range.first));
     if (transfer == null) {
-      counts.waitedOut();
+      counts.reassignedWithoutRelease();
     }
     LOGGER.atInfo().log(
-        "passed keys %s-%s of %s from %s to %s, fence %s%s",
+        "reassigned keys %s-%s of service %s from upstream %s to %s, fencing token %s%s",
         range.first,
         range.last,
         service,
         range.holder,
         receiver.id(),
         serial,
-        transfer == null ? ", without a handover" : "");
-    return given(range, receiver, serial, transfer);
+        transfer == null ? ", without handed-over state" : "");
+    return withHolder(range, receiver, serial, transfer);
   }
 
-  private MoveReason reason(final KeyRange range, final Member holder, final long now) {
-    if (holder == null || holder.standing() == Member.Standing.LEAVES) {
+  private MoveReason moveReason(final KeyRange range, final Member holder, final long now) {
+    if (holder == null || holder.standing() == Member.Standing.LEAVING) {
       return MoveReason.LEAVES;
     }
-    if (holder.standing() == Member.Standing.ENDED) {
+    if (holder.standing() == Member.Standing.TERMINATED) {
       return MoveReason.ENDED;
     }
-    final Contact contact = contacts.get(range.holder);
-    final boolean silent =
-        contact != null
-            && contact.failures >= FAILURES_TO_SILENCE
-            && now - contact.failingSince >= timings.patienceMillis()
-            && now - grants.acknowledgedAt(range) >= timings.patienceMillis();
-    return silent ? MoveReason.SILENT : null;
+    final MemberHealth health = healthByMember.get(range.holder);
+    final boolean unresponsive =
+        health != null
+            && health.consecutiveFailures >= UNRESPONSIVE_FAILURES
+            && now - health.failingSince >= timings.responseTimeoutMillis()
+            && now - outstandingGrants.acknowledgedAt(range) >= timings.responseTimeoutMillis();
+    return unresponsive ? MoveReason.SILENT : null;
   }
 
   private boolean balance(
       final Balancer balancer, final List<KeyRange> next, final long serial, final long now) {
     final long moving = next.stream().filter(range -> !range.held()).count();
-    if (now < movePauseUntil || moving >= MOST_MOVES) {
+    if (now < balanceNotBefore || moving >= MAX_CONCURRENT_MOVES) {
       return false;
     }
-    movePauseUntil = now + MOVE_PAUSE_MILLIS;
-    final Balancer.Move move = balancer.move(slot -> now - movedAt[slot] >= SETTLE_MILLIS);
+    balanceNotBefore = now + BALANCE_INTERVAL_MILLIS;
+    final Balancer.Move move = balancer.planMove(slot -> now - movedAt[slot] >= MIN_STAY_MILLIS);
     if (move == null) {
       return false;
     }
-    counts.move(MoveReason.BALANCE);
-    targets.put(move.firstSlot(), move.receiver());
+    counts.recordMove(MoveReason.BALANCE);
+    moveTargets.put(move.firstSlot(), move.receiver());
     final int first = KeySpace.firstKey(move.firstSlot());
     final int last = KeySpace.lastKey(move.lastSlot());
     for (int index = 0; index < next.size(); index++) {
@@ -487,7 +522,7 @@
         if (last < range.last) {
           next.add(index, range.part(last + 1, range.last));
         }
-        next.add(index, fenced(range.part(first, last), RangeState.RELEASING, serial));
+        next.add(index, withState(range.part(first, last), RangeState.RELEASING, serial));
         if (range.first < first) {
           next.add(index, range.part(range.first, first - 1));
         }
@@ -497,22 +532,23 @@
     return false;
   }
 
-  /** Joins neighbouring ranges of one holder, once there are many, under a fence of their own. */
-  private List<KeyRange> merged(final List<KeyRange> ranges, final int members, final long serial) {
-    if (ranges.size() <= RANGES_A_MEMBER * members) {
+  /** Merges adjacent ranges of one holder, once there are many, under a new fencing token. */
+  private List<KeyRange> mergeRanges(
+      final List<KeyRange> ranges, final int members, final long serial) {
+    if (ranges.size() <= MERGE_RANGES_PER_MEMBER * members) {
       return ranges;
     }
     final List<KeyRange> merged = new ArrayList<>();
     for (final KeyRange range : ranges) {
       final KeyRange last = merged.isEmpty() ? null : merged.get(merged.size() - 1);
-      final boolean joins =
+      final boolean mergeable =
           last != null
               && last.held()
               && range.held()
               && last.holder.equals(range.holder)
-              && acknowledged(last)
-              && acknowledged(range);
-      if (joins) {
+              && acknowledgedThisTerm(last)
+              && acknowledgedThisTerm(range);
+      if (mergeable) {
         merged.set(
             merged.size() - 1,
             new KeyRange(
@@ -530,18 +566,21 @@
     return merged;
   }
 
-  private boolean acknowledged(final KeyRange range) {
-    return grants.acknowledgedAt(range) >= termSince;
+  private boolean acknowledgedThisTerm(final KeyRange range) {
+    return outstandingGrants.acknowledgedAt(range) >= termStartedAt;
   }
 
-  // ---- what operators and tests look at
+  // ---- status for operators and tests
 
-  /** How many keys no upstream has acknowledged to hold, as far as this assigner knows. */
+  /**
+   * Returns how many keys no upstream has acknowledged to hold within the validity of a grant, as
+   * far as this assigner knows.
+   */
   public int keysWithoutHolder(final long now) {
     int keys = 0;
     for (final KeyRange range : assignment == null ? List.<KeyRange>of() : assignment.ranges()) {
       final boolean held =
-          range.held() && now - grants.acknowledgedAt(range) <= timings.holdMillis();
+          range.held() && now - outstandingGrants.acknowledgedAt(range) <= timings.grantMillis();
       keys += held ? 0 : range.last - range.first + 1;
     }
     return keys;
--- a/ownership/src/main/java/weldpoint/ownership/AssignerCounts.java
+++ b/ownership/src/main/java/weldpoint/ownership/AssignerCounts.java
@@ -5,64 +5,66 @@
 import java.util.Locale;
 import weldpoint.metrics.Metric;
 
-/** What an assigner has counted since its process started. */
+/** Counters of an assigner since its process started. */
 final class AssignerCounts {
   private final long[] grants = new long[CallResult.End.values().length];
   private final long[] releases = new long[CallResult.End.values().length];
   private final long[] moves = new long[MoveReason.values().length];
-  private long waitedOut;
+  private long reassignedWithoutRelease;
 
-  void grant(final CallResult.End end) {
+  void recordGrant(final CallResult.End end) {
     grants[end.ordinal()]++;
   }
 
-  void release(final CallResult.End end) {
+  void recordRelease(final CallResult.End end) {
     releases[end.ordinal()]++;
   }
 
-  void move(final MoveReason reason) {
+  void recordMove(final MoveReason reason) {
     moves[reason.ordinal()]++;
   }
 
-  void waitedOut() {
-    waitedOut++;
+  void reassignedWithoutRelease() {
+    reassignedWithoutRelease++;
   }
 
-  List<Metric> figures() {
-    final List<Metric> figures = new ArrayList<>();
+  List<Metric> metrics() {
+    final List<Metric> metrics = new ArrayList<>();
     for (final CallResult.End end : CallResult.End.values()) {
-      figures.add(
+      metrics.add(
           Metric.counter("weldpoint_key_grants", "Grants of keys.", grants[end.ordinal()])
               .with("result", name(end)));
-      figures.add(
+      metrics.add(
           Metric.counter("weldpoint_key_releases", "Releases of keys.", releases[end.ordinal()])
               .with("result", name(end)));
     }
     for (final MoveReason reason : MoveReason.values()) {
-      figures.add(
+      metrics.add(
           Metric.counter(
                   "weldpoint_key_moves", "Ranges of keys taken away.", moves[reason.ordinal()])
               .with("reason", name(reason)));
     }
-    figures.add(
+    metrics.add(
         Metric.counter(
-            "weldpoint_key_holds_waited_out", "Ranges taken without a release.", waitedOut));
-    return figures;
+            "weldpoint_key_holds_waited_out",
+            "Ranges taken without a release.",
+            reassignedWithoutRelease));
+    return metrics;
   }
 
   private static String name(final Enum<?> constant) {
     return constant.name().toLowerCase(Locale.ROOT);
   }
 
-  /** The counters as one line. */
-  String line() {
+  /** Returns the counters as one log line. */
+  String summary() {
     return "grants "
         + java.util.Arrays.toString(grants)
         + " releases "
         + java.util.Arrays.toString(releases)
         + " moves "
         + java.util.Arrays.toString(moves)
-        + " waited out "
-        + waitedOut;
+        + " without handover "
+        + reassignedWithoutRelease;
   }
 }
--- a/ownership/src/main/java/weldpoint/ownership/CallResult.java
+++ b/ownership/src/main/java/weldpoint/ownership/CallResult.java
@@ -1,25 +1,25 @@
 package weldpoint.ownership;
 
 /**
- * How a call to an upstream ended.
+ * The result of a grant or release call to an upstream.
  *
- * @param end how
- * @param transfer what a release handed over; null where there was nothing
+ * @param end how the call ended
+ * @param transfer the state that a release handed over; null if there was none
  */
 public record CallResult(End end, String transfer) {
-  /** The ways in which a call ends. */
+  /** The ways in which a call ends; label values of metrics. */
   public enum End {
-    /** The upstream has done it. */
+    /** The upstream carried it out. */
     DONE,
-    /** The upstream has seen a higher fence. */
+    /** The upstream rejected it, having seen a higher fencing token. */
     REFUSED,
-    /** Not a byte was sent. */
+    /** Nothing was sent. */
     NOT_SENT,
-    /** It may have been done. */
+    /** The upstream may have carried it out. */
     UNKNOWN
   }
 
-  /** An end without a handover. */
+  /** Creates a result without handed-over state. */
   public static CallResult of(final End end) {
     return new CallResult(end, null);
   }
--- a/ownership/src/main/java/weldpoint/ownership/GrantTimings.java
+++ b/ownership/src/main/java/weldpoint/ownership/GrantTimings.java
@@ -1,52 +1,64 @@
 package weldpoint.ownership;
 
 /**
- * The spans that decide when a grant has surely run out, in milliseconds of the assigner's steady
- * clock.
+ * The durations that determine when a grant has certainly expired, in milliseconds of the
+ * assigner's steady clock.
  *
- * @param holdMillis for how long a grant holds, counted by the upstream from its arrival
- * @param leaseMillis for how long a registry acts as assigner after it asked whether it still is
- * @param sendMillis the longest that a grant may be under way: then its connection is reset
- * @param lateMillis the longest that a grant may still be counted after its connection was reset:
- *     whoever stands between may pass on what it holds, and an upstream that was stalled reads what
- *     lies in its buffers
+ * @param grantMillis validity of a grant, counted by the upstream from its arrival
+ * @param leaseMillis how long a registry acts as assigner after it sent a read that confirmed it as
+ *     such
+ * @param maxSendMillis how long a grant call may be in progress before its connection is reset
+ * @param maxLateMillis how long after its connection was reset a grant may still take effect:
+ *     intermediaries may forward what they have buffered, and an upstream that was stalled reads
+ *     what is left in its socket buffers
  */
-public record GrantTimings(long holdMillis, long leaseMillis, long sendMillis, long lateMillis) {
-  /** How much slower than ours an upstream's clock may run, with as much again for our own. */
-  private static final double SLOWEST_CLOCK = 1.04;
+public record GrantTimings(
+    long grantMillis, long leaseMillis, long maxSendMillis, long maxLateMillis) {
+  /**
+   * Allowance for an upstream's clock running slow relative to ours, and as much again for our own
+   * clock.
+   */
+  private static final double CLOCK_DRIFT_FACTOR = 1.04;
 
   private static final long MARGIN_MILLIS = 80;
-  private static final long RENEWALS_A_HOLD = 4;
-  private static final long USUAL_LEASE_MILLIS = 1500;
-  private static final long USUAL_SEND_MILLIS = 800;
+  private static final long RENEWALS_PER_GRANT = 4;
+  private static final long DEFAULT_LEASE_MILLIS = 1500;
+  private static final long DEFAULT_MAX_SEND_MILLIS = 800;
 
-  /** The usual spans for holds of this length, with grants that may be late by so much. */
-  public static GrantTimings of(final long holdMillis, final long lateMillis) {
-    return new GrantTimings(holdMillis, USUAL_LEASE_MILLIS, USUAL_SEND_MILLIS, lateMillis);
+  /** Returns the default durations for grants of this validity that may take effect this late. */
+  public static GrantTimings of(final long grantMillis, final long maxLateMillis) {
+    return new GrantTimings(
+        grantMillis, DEFAULT_LEASE_MILLIS, DEFAULT_MAX_SEND_MILLIS, maxLateMillis);
   }
 
-  /** When a grant has surely run out that was counted at this time at the latest. */
-  public long surelyOver(final long countedBy) {
-    return countedBy + (long) Math.ceil(holdMillis * SLOWEST_CLOCK) + MARGIN_MILLIS;
+  /** Returns when a grant that took effect at this time at the latest has certainly expired. */
+  public long latestExpiry(final long startedBy) {
+    return startedBy + (long) Math.ceil(grantMillis * CLOCK_DRIFT_FACTOR) + MARGIN_MILLIS;
   }
 
-  /** When a grant whose connection was reset at this time has surely been counted or been lost. */
-  public long surelyCounted(final long resetAt) {
-    return resetAt + lateMillis;
+  /**
+   * Returns by when a grant whose connection was reset at this time has certainly taken effect or
+   * been lost.
+   */
+  public long latestStart(final long resetAt) {
+    return resetAt + maxLateMillis;
   }
 
-  /** When the last grant of an assigner before has surely been counted or been lost. */
-  public long predecessorSilent(final long takenOverAt) {
-    return surelyCounted(takenOverAt + leaseMillis + sendMillis + MARGIN_MILLIS);
+  /**
+   * Returns by when the last grant of the previous assigner has certainly taken effect or been
+   * lost.
+   */
+  public long latestPredecessorStart(final long takenOverAt) {
+    return latestStart(takenOverAt + leaseMillis + maxSendMillis + MARGIN_MILLIS);
   }
 
-  /** The pause between two grants of one range. */
-  public long renewMillis() {
-    return holdMillis / RENEWALS_A_HOLD;
+  /** Returns the interval between two grants of one range. */
+  public long renewalIntervalMillis() {
+    return grantMillis / RENEWALS_PER_GRANT;
   }
 
-  /** For how long a holder may leave grants unanswered before its keys are taken away. */
-  public long patienceMillis() {
-    return holdMillis / 2;
+  /** Returns for how long a holder may leave grants unanswered before its keys are reassigned. */
+  public long responseTimeoutMillis() {
+    return grantMillis / 2;
   }
 }
--- a/ownership/src/main/java/weldpoint/ownership/KeyOwners.java
+++ b/ownership/src/main/java/weldpoint/ownership/KeyOwners.java
@@ -10,83 +10,84 @@
 import weldpoint.transport.OwnershipMessages.SlotReport;
 
 /**
- * A proxy's part: who holds which key of the divided services, as registries told it last, and what
- * was sent to the holders since the last report. All of it lives on one thread.
+ * A proxy's view of which upstream holds which key of the partitioned services, as last received
+ * from registries, and the load sent to the holders since the last report. Confined to one thread.
  */
 public final class KeyOwners {
-  private static final class Tally {
+  private static final class SlotUsage {
     int requests;
     int busyMillis;
   }
 
   private final Map<String, RangeTable> tables = new HashMap<>();
-  private final Map<String, Map<Integer, Tally>> tallies = new HashMap<>();
-  private long waited;
-  private long turnedAway;
+  private final Map<String, Map<Integer, SlotUsage>> usageByService = new HashMap<>();
+  private long waits;
+  private long rejections;
 
-  /** Takes news; an assignment never goes back to an older one. */
-  public void take(final List<Assignment> news) {
-    for (final Assignment assignment : news) {
-      final RangeTable before = tables.get(assignment.service);
-      if (before == null || assignment.serial > before.serial()) {
+  /** Applies assignments; one that is older than the known one of its service is ignored. */
+  public void applyAssignments(final List<Assignment> assignments) {
+    for (final Assignment assignment : assignments) {
+      final RangeTable known = tables.get(assignment.service);
+      if (known == null || assignment.serial > known.serial()) {
         tables.put(assignment.service, new RangeTable(assignment));
       }
     }
   }
 
-  /** The range of a key; null where nobody is known to hold it. */
+  /** Returns the range that contains a key; null if no holder is known. */
   public KeyRange range(final String service, final int key) {
     final RangeTable table = tables.get(service);
     return table == null ? null : table.range(key);
   }
 
-  /** A holder answered a request. */
-  public void answered(final String service, final int key, final long tookMillis) {
-    final Tally tally =
-        tallies
+  /** Records a holder's response to a request, with its latency in milliseconds. */
+  public void recordResponse(final String service, final int key, final long latencyMillis) {
+    final SlotUsage usage =
+        usageByService
             .computeIfAbsent(service, name -> new TreeMap<>())
-            .computeIfAbsent(KeySpace.slot(key), slot -> new Tally());
-    tally.requests++;
-    tally.busyMillis += (int) Math.max(1, Math.min(Integer.MAX_VALUE / 2, tookMillis));
+            .computeIfAbsent(KeySpace.slot(key), slot -> new SlotUsage());
+    usage.requests++;
+    usage.busyMillis += (int) Math.max(1, Math.min(Integer.MAX_VALUE / 2, latencyMillis));
   }
 
-  /** A request waited for its key's holder. */
-  public void waited() {
-    waited++;
+  /** Records that a request waited for a holder of its key. */
+  public void recordWait() {
+    waits++;
   }
 
-  /** An upstream turned a request away, since it did not hold the key. */
-  public void turnedAway() {
-    turnedAway++;
+  /** Records that an upstream rejected a request because it did not hold the key. */
+  public void recordRejection() {
+    rejections++;
   }
 
-  /** How many requests waited for their key's holder. */
-  public long waitedCount() {
-    return waited;
+  /** Returns how many requests waited for a holder of their key. */
+  public long waitCount() {
+    return waits;
   }
 
-  /** How many requests upstreams turned away. */
-  public long turnedAwayCount() {
-    return turnedAway;
+  /** Returns how many requests upstreams rejected because they did not hold the key. */
+  public long rejectionCount() {
+    return rejections;
   }
 
-  /** What was counted since the last time. */
-  public List<SlotReport> reports() {
+  /** Returns the load counted since the last call and resets it. */
+  public List<SlotReport> drainReports() {
     final List<SlotReport> reports = new ArrayList<>();
-    tallies.forEach((service, slots) -> reports.add(report(service, slots)));
-    tallies.clear();
+    usageByService.forEach((service, slots) -> reports.add(report(service, slots)));
+    usageByService.clear();
     return reports;
   }
 
-  private static SlotReport report(final String service, final Map<Integer, Tally> tallies) {
+  private static SlotReport report(
+      final String service, final Map<Integer, SlotUsage> usageBySlot) {
     final List<Integer> slots = new ArrayList<>();
     final List<Integer> requests = new ArrayList<>();
     final List<Integer> busyMillis = new ArrayList<>();
-    tallies.forEach(
-        (slot, tally) -> {
+    usageBySlot.forEach(
+        (slot, usage) -> {
           slots.add(slot);
-          requests.add(tally.requests);
-          busyMillis.add(tally.busyMillis);
+          requests.add(usage.requests);
+          busyMillis.add(usage.busyMillis);
         });
     return new SlotReport(service, slots, requests, busyMillis);
   }
--- a/ownership/src/main/java/weldpoint/ownership/Member.java
+++ b/ownership/src/main/java/weldpoint/ownership/Member.java
@@ -1,27 +1,30 @@
 package weldpoint.ownership;
 
 /**
- * An upstream of a divided service, as the registry knows it.
+ * An upstream of a partitioned service, as the registry knows it.
  *
- * @param id the upstream's life
- * @param address host:port at which it takes requests and grants
- * @param capacity requests that it works on at once
- * @param standing whether it may be given keys, keep them, or must give them up
+ * @param id the instance id, which changes when the upstream restarts
+ * @param address host:port that serves requests and grants
+ * @param capacity requests that it processes concurrently
+ * @param standing whether it may get keys, keep them, or must release them
  */
 public record Member(String id, String address, int capacity, Standing standing) {
-  /** What an upstream may do with keys. */
+  /** Whether an upstream may get or keep keys. */
   public enum Standing {
-    /** It may be given keys. */
+    /** It may get keys. */
     ELIGIBLE,
-    /** It keeps what it has and is given nothing more: it is cold, or has not been heard of. */
-    KEEPS,
-    /** It should give up what it has: it leaves, or its zone is evacuated. */
-    LEAVES,
-    /** Its process has ended: another life has its address, and may have been granted its keys. */
-    ENDED
+    /** It keeps its keys but gets no more: it is in slow start, or its heartbeats are missing. */
+    NO_NEW_KEYS,
+    /** It must release its keys: it is shutting down, or its zone is evacuated. */
+    LEAVING,
+    /**
+     * Its process has terminated: a later incarnation has its address, and may have received grants
+     * meant for it.
+     */
+    TERMINATED
   }
 
-  /** Whether it may be given keys. */
+  /** Returns whether it may get keys. */
   public boolean eligible() {
     return standing == Standing.ELIGIBLE;
   }
--- a/ownership/src/main/java/weldpoint/ownership/OutstandingGrants.java
+++ b/ownership/src/main/java/weldpoint/ownership/OutstandingGrants.java
@@ -5,9 +5,10 @@
 import weldpoint.transport.OwnershipMessages.KeyRange;
 
 /**
- * What an assigner knows of the grants that may still hold, by slot: who may hold it and until when
- * at the latest. It never knows too little: what it cannot know of (another assigner's grants, an
- * answer that never came) counts as held for the longest time possible.
+ * The grants that may still be valid, by slot: who may hold a slot and until when at the latest.
+ * The record is conservative: whatever the assigner cannot know (grants of another assigner, a call
+ * whose response never came) counts as held for the longest possible time. Not thread-safe; times
+ * are milliseconds of the steady clock.
  */
 final class OutstandingGrants {
   private static final Invariant ONE_HOLDER = Invariant.named("one holder per key");
@@ -15,62 +16,64 @@
 
   private final GrantTimings timings;
   private final String[] holder = new String[KeySpace.SLOTS];
-  private final long[] possibleUntil = new long[KeySpace.SLOTS];
-  private final int[] underWay = new int[KeySpace.SLOTS];
+  private final long[] mayHoldUntil = new long[KeySpace.SLOTS];
+  private final int[] inFlight = new int[KeySpace.SLOTS];
   private final long[] acknowledgedAt = new long[KeySpace.SLOTS];
   private final boolean[] released = new boolean[KeySpace.SLOTS];
 
   OutstandingGrants(final GrantTimings timings) {
     this.timings = timings;
-    Arrays.fill(possibleUntil, NEVER);
+    Arrays.fill(mayHoldUntil, NEVER);
     Arrays.fill(acknowledgedAt, NEVER);
   }
 
-  /** Another assigner granted this range to its holder, nobody knows when. */
-  void inherited(final KeyRange range, final long now) {
+  /**
+   * Records that another assigner may have granted this range to its holder, at an unknown time.
+   */
+  void addInherited(final KeyRange range, final long now) {
     for (int slot = firstSlot(range); slot <= lastSlot(range); slot++) {
       holder[slot] = range.holder;
-      possibleUntil[slot] = timings.surelyOver(timings.predecessorSilent(now));
+      mayHoldUntil[slot] = timings.latestExpiry(timings.latestPredecessorStart(now));
       acknowledgedAt[slot] = NEVER;
       released[slot] = false;
     }
   }
 
-  /** A grant goes out. */
-  void sending(final KeyRange range, final long now) {
+  /** Records that a grant is being sent; checks that no other upstream may still hold the range. */
+  void grantSent(final KeyRange range, final long now) {
     for (int slot = firstSlot(range); slot <= lastSlot(range); slot++) {
-      final int checked = slot;
+      final int checkedSlot = slot;
       ONE_HOLDER.check(
-          range.holder.equals(holder[slot]) || free(slot, now),
-          () -> range + ", slot " + checked + " may still be held by " + holder[checked]);
+          range.holder.equals(holder[slot]) || isFree(slot, now),
+          () -> range + ", slot " + checkedSlot + " may still be held by " + holder[checkedSlot]);
       if (!range.holder.equals(holder[slot])) {
         acknowledgedAt[slot] = NEVER;
       }
       holder[slot] = range.holder;
       released[slot] = false;
-      underWay[slot]++;
+      inFlight[slot]++;
     }
   }
 
-  /** A grant has ended so. */
-  void ended(final KeyRange range, final CallResult.End end, final long now) {
+  /** Records how a grant call ended. */
+  void grantCompleted(final KeyRange range, final CallResult.End end, final long now) {
     for (int slot = firstSlot(range); slot <= lastSlot(range); slot++) {
-      underWay[slot]--;
+      inFlight[slot]--;
       if (!range.holder.equals(holder[slot])) {
         continue;
       }
       if (end == CallResult.End.DONE) {
         acknowledgedAt[slot] = now;
-        possibleUntil[slot] = Math.max(possibleUntil[slot], timings.surelyOver(now));
+        mayHoldUntil[slot] = Math.max(mayHoldUntil[slot], timings.latestExpiry(now));
       } else if (end == CallResult.End.UNKNOWN) {
-        final long countedBy = timings.surelyCounted(now);
-        possibleUntil[slot] = Math.max(possibleUntil[slot], timings.surelyOver(countedBy));
+        final long startedBy = timings.latestStart(now);
+        mayHoldUntil[slot] = Math.max(mayHoldUntil[slot], timings.latestExpiry(startedBy));
       }
     }
   }
 
-  /** The holder has given this range up. */
-  void released(final KeyRange range) {
+  /** Records that the holder has released this range. */
+  void markReleased(final KeyRange range) {
     for (int slot = firstSlot(range); slot <= lastSlot(range); slot++) {
       if (range.holder.equals(holder[slot])) {
         released[slot] = true;
@@ -78,36 +81,36 @@
     }
   }
 
-  private boolean free(final int slot, final long now) {
-    return underWay[slot] == 0 && (released[slot] || now > possibleUntil[slot]);
+  private boolean isFree(final int slot, final long now) {
+    return inFlight[slot] == 0 && (released[slot] || now > mayHoldUntil[slot]);
   }
 
-  /** Whether surely nobody holds any key of this range. */
-  boolean free(final KeyRange range, final long now) {
+  /** Whether it is certain that no upstream holds any key of this range. */
+  boolean isFree(final KeyRange range, final long now) {
     for (int slot = firstSlot(range); slot <= lastSlot(range); slot++) {
-      if (!free(slot, now)) {
+      if (!isFree(slot, now)) {
         return false;
       }
     }
     return true;
   }
 
-  /** Whether a grant of any key of this range is under way. */
-  boolean underWay(final KeyRange range) {
+  /** Whether a grant call for any key of this range is in progress. */
+  boolean inFlight(final KeyRange range) {
     for (int slot = firstSlot(range); slot <= lastSlot(range); slot++) {
-      if (underWay[slot] > 0) {
+      if (inFlight[slot] > 0) {
         return true;
       }
     }
     return false;
   }
 
-  /** When the holder acknowledged all of this range last; a time long ago where it did not. */
+  /** Returns when the holder last acknowledged all of this range; a time long ago if it has not. */
   long acknowledgedAt(final KeyRange range) {
     long oldest = Long.MAX_VALUE;
     for (int slot = firstSlot(range); slot <= lastSlot(range); slot++) {
-      final boolean known = range.holder.equals(holder[slot]);
-      oldest = Math.min(oldest, known ? acknowledgedAt[slot] : NEVER);
+      final boolean sameHolder = range.holder.equals(holder[slot]);
+      oldest = Math.min(oldest, sameHolder ? acknowledgedAt[slot] : NEVER);
     }
     return oldest;
   }
--- a/ownership/src/main/java/weldpoint/ownership/OwnershipCoordinator.java
+++ b/ownership/src/main/java/weldpoint/ownership/OwnershipCoordinator.java
@@ -15,99 +15,112 @@
 import weldpoint.transport.OwnershipMessages.SlotReport;
 
 /**
- * One registry's part in assigning the keys of all divided services: it follows the registers,
- * takes a service over whose assigner has fallen silent, and acts for those that are its own.
+ * One registry's part in assigning the keys of all partitioned services: it follows the assignment
+ * registers of the state store, takes over services whose assigner has stopped sending heartbeats,
+ * and drives the {@link Assigner} of the services that are its own. Not thread-safe; times are
+ * milliseconds of the steady clock.
  */
 public final class OwnershipCoordinator {
-  private static final long PULSE_MILLIS = 300;
-  private static final long SILENCE_MILLIS = 1300;
-  private static final long STAGGER_MILLIS = 350;
-  private static final long GATHER_MILLIS = 1000;
-  private static final long GATHER_QUIET_MILLIS = 700;
-  private static final long MOST_GATHER_MILLIS = 2500;
+  private static final long HEARTBEAT_MILLIS = 300;
+
+  /** An assigner that was not heard of for this long counts as failed. */
+  private static final long FAILURE_TIMEOUT_MILLIS = 1300;
+
+  private static final long TAKE_OVER_STAGGER_MILLIS = 350;
+  private static final long REGISTRATION_MIN_WAIT_MILLIS = 1000;
+  private static final long REGISTRATION_QUIET_MILLIS = 700;
+  private static final long REGISTRATION_MAX_WAIT_MILLIS = 2500;
   private static final long TAKE_OVER_PAUSE_MILLIS = 700;
 
   /**
-   * How this registry stands among those that may assign.
+   * This registry's position among the voters, which alone may assign.
    *
-   * @param place its place among the voters, from 0 on; -1 where it is none
-   * @param voters how many voters there are
-   * @param confirmedAt when it last asked what the registers hold, and heard it from a majority
+   * @param voterIndex its index among the voters, starting at 0; -1 if it is not a voter
+   * @param voterCount the number of voters
+   * @param confirmedAt when it sent the last read of the registers that a majority answered
    */
-  public record Position(int place, int voters, long confirmedAt) {}
+  public record Position(int voterIndex, int voterCount, long confirmedAt) {}
 
-  /** The first upstreams of a service that register one after the other. */
-  private static final class Gathering {
-    private final long beganAt;
+  /**
+   * Tracks the registrations of a new service's first upstreams, which arrive one after another.
+   */
+  private static final class RegistrationWindow {
+    private final long startedAt;
     private long changedAt;
-    private long count;
+    private long memberCount;
 
-    Gathering(final long beganAt) {
-      this.beganAt = beganAt;
-      this.changedAt = beganAt;
+    RegistrationWindow(final long startedAt) {
+      this.startedAt = startedAt;
+      this.changedAt = startedAt;
     }
   }
 
-  private final String self;
+  private final String ownAddress;
   private final long incarnation;
   private final GrantTimings timings;
-  private final Consumer<AssignerHeartbeat> pulses;
-  private final Function<String, Assigner> maker;
+  private final Consumer<AssignerHeartbeat> heartbeatSender;
+  private final Function<String, Assigner> assignerFactory;
   private final Map<String, Assigner> assigners = new TreeMap<>();
-  private final Map<String, Long> heardAt = new HashMap<>();
-  private final Set<String> left = new HashSet<>();
-  private final Map<String, Gathering> gatherings = new HashMap<>();
-  private final Map<String, Long> vacantSince = new HashMap<>();
-  private long pulsedAt = Long.MIN_VALUE / 2;
-  private long takeOverPause;
+  private final Map<String, Long> lastHeartbeatAt = new HashMap<>();
+  private final Set<String> departed = new HashSet<>();
+  private final Map<String, RegistrationWindow> registrationWindows = new HashMap<>();
+  private final Map<String, Long> unassignedSince = new HashMap<>();
+  private long heartbeatSentAt = Long.MIN_VALUE / 2;
+  private long takeOverNotBefore;
   private boolean leaving;
 
-  /** A registry's part in this life; pulses go to all other registries. */
+  /**
+   * Creates the coordinator of one incarnation of a registry; heartbeats go to all other
+   * registries.
+   */
   public OwnershipCoordinator(
-      final String self,
+      final String ownAddress,
       final long incarnation,
       final GrantTimings timings,
       final Assigner.Environment environment,
-      final Consumer<AssignerHeartbeat> pulses) {
+      final Consumer<AssignerHeartbeat> heartbeatSender) {
     this(
-        self,
+        ownAddress,
         incarnation,
         timings,
-        pulses,
-        service -> new Assigner(service, self, incarnation, timings, environment));
+        heartbeatSender,
+        service -> new Assigner(service, ownAddress, incarnation, timings, environment));
   }
 
-  /** A registry's part with assigners of another make, for tests. */
+  /** Creates a coordinator with other assigners, for tests. */
   OwnershipCoordinator(
-      final String self,
+      final String ownAddress,
       final long incarnation,
       final GrantTimings timings,
-      final Consumer<AssignerHeartbeat> pulses,
-      final Function<String, Assigner> maker) {
-    this.self = self;
+      final Consumer<AssignerHeartbeat> heartbeatSender,
+      final Function<String, Assigner> assignerFactory) {
+    this.ownAddress = ownAddress;
     this.incarnation = incarnation;
     this.timings = timings;
-    this.pulses = pulses;
-    this.maker = maker;
+    this.heartbeatSender = heartbeatSender;
+    this.assignerFactory = assignerFactory;
   }
 
   private Assigner assigner(final String service) {
-    return assigners.computeIfAbsent(service, maker);
+    return assigners.computeIfAbsent(service, assignerFactory);
   }
 
-  /** Takes what the registers hold; those that are news here. */
-  public List<Assignment> take(final List<Assignment> given, final long now) {
-    final List<Assignment> news = new ArrayList<>();
-    for (final Assignment assignment : given) {
-      if (assigner(assignment.service).take(assignment, now)) {
-        news.add(assignment);
-        vacantSince.remove(assignment.service);
+  /**
+   * Applies the assignments read from the registers; returns those that were newer than the known
+   * ones.
+   */
+  public List<Assignment> applyAssignments(final List<Assignment> received, final long now) {
+    final List<Assignment> updates = new ArrayList<>();
+    for (final Assignment assignment : received) {
+      if (assigner(assignment.service).applyAssignment(assignment, now)) {
+        updates.add(assignment);
+        unassignedSince.remove(assignment.service);
       }
     }
-    return news;
+    return updates;
   }
 
-  /** All assignments known. */
+  /** Returns all known assignments. */
   public List<Assignment> assignments() {
     final List<Assignment> all = new ArrayList<>();
     for (final Assigner assigner : assigners.values()) {
@@ -118,25 +131,29 @@
     return all;
   }
 
-  /** The sum of all serials: it changes with each change of any. */
-  public long mark() {
+  /** Returns the sum of all serials, which changes with every change of any assignment. */
+  public long combinedVersion() {
     return assignments().stream().mapToLong(assignment -> assignment.serial).sum();
   }
 
-  /** Another registry's pulse. */
-  public void pulse(final String from, final AssignerHeartbeat pulse, final long now) {
-    final String life = life(from, pulse.incarnation);
-    heardAt.put(life, now);
-    if (pulse.leaving) {
-      left.add(life);
+  /**
+   * Takes another registry's heartbeat; one that says that it is leaving makes its services free to
+   * take over.
+   */
+  public void receiveHeartbeat(
+      final String from, final AssignerHeartbeat heartbeat, final long now) {
+    final String key = incarnationKey(from, heartbeat.incarnation);
+    lastHeartbeatAt.put(key, now);
+    if (heartbeat.leaving) {
+      departed.add(key);
     }
   }
 
-  private static String life(final String address, final long life) {
-    return address + "#" + life;
+  private static String incarnationKey(final String address, final long incarnation) {
+    return address + "#" + incarnation;
   }
 
-  /** The registry that assigns a service; null where nobody does. */
+  /** Returns the registry that assigns a service; null if there is none. */
   public String assignerOf(final String service) {
     final Assigner assigner = assigners.get(service);
     return assigner == null || assigner.assignment() == null
@@ -144,25 +161,29 @@
         : assigner.assignment().assigner;
   }
 
-  /** Takes what proxies sent to the holders of a service that is assigned here. */
+  /**
+   * Takes the load that proxies report for the slots of a service; ignored unless it is assigned
+   * here.
+   */
   public void report(final SlotReport report, final long now) {
     final Assigner assigner = assigners.get(report.service);
-    if (assigner != null && assigner.acts()) {
+    if (assigner != null && assigner.isActive()) {
       assigner.report(report, now);
     }
   }
 
-  /** This process ends: it acts no more and says so. */
-  public void leave() {
+  /** Stops assigning since this process shuts down, and tells the other registries so. */
+  public void resign() {
     leaving = true;
-    pulses.accept(new AssignerHeartbeat(incarnation, true));
+    heartbeatSender.accept(new AssignerHeartbeat(incarnation, true));
   }
 
   /**
-   * Time has passed.
+   * Renews grants and rebalances the services assigned here, takes over vacant ones and sends
+   * heartbeats; called periodically.
    *
-   * @param services the divided services of the configuration
-   * @param members a service's upstreams
+   * @param services the partitioned services of the configuration
+   * @param members returns a service's upstreams
    */
   public void tick(
       final List<String> services,
@@ -172,124 +193,132 @@
     if (leaving) {
       return;
     }
-    boolean acting = false;
+    boolean active = false;
     for (final String service : services) {
       final Assigner assigner = assigner(service);
-      if (assigner.acts()) {
-        acting = true;
+      if (assigner.isActive()) {
+        active = true;
         assigner.tick(members.apply(service), position.confirmedAt(), now);
       } else {
-        stand(assigner, service, members, position, now);
+        takeOverIfVacant(assigner, service, members, position, now);
       }
     }
-    if (acting && now - pulsedAt >= PULSE_MILLIS) {
-      pulsedAt = now;
-      pulses.accept(new AssignerHeartbeat(incarnation, false));
+    if (active && now - heartbeatSentAt >= HEARTBEAT_MILLIS) {
+      heartbeatSentAt = now;
+      heartbeatSender.accept(new AssignerHeartbeat(incarnation, false));
     }
   }
 
   /**
-   * Takes a service over, if its assigner has been silent for long enough for one in this place.
+   * Takes a service over if it has had no live assigner for long enough. Voters wait for different
+   * times so that they do not compete; the voter that waits shortest differs by service.
    */
-  private void stand(
+  private void takeOverIfVacant(
       final Assigner assigner,
       final String service,
       final Function<String, List<Member>> members,
       final Position position,
       final long now) {
-    final boolean confirmed = now - position.confirmedAt() < timings.leaseMillis();
-    if (position.place() < 0 || !confirmed || now < takeOverPause) {
+    final boolean hasLease = now - position.confirmedAt() < timings.leaseMillis();
+    if (position.voterIndex() < 0 || !hasLease || now < takeOverNotBefore) {
       return;
     }
-    final long since = vacantSince.computeIfAbsent(service, name -> now);
-    final long turn = rank(service, position) * STAGGER_MILLIS;
+    final long since = unassignedSince.computeIfAbsent(service, name -> now);
+    final long staggerMillis = takeOverRank(service, position) * TAKE_OVER_STAGGER_MILLIS;
     final Assignment assignment = assigner.assignment();
-    if (now < vacantAt(assignment, since) + turn) {
+    if (now < vacantFrom(assignment, since) + staggerMillis) {
       return;
     }
     final List<Member> list = members.apply(service);
-    if (assignment == null && !gathered(service, list, now)) {
+    if (assignment == null && !registrationsSettled(service, list, now)) {
       return;
     }
-    takeOverPause = now + TAKE_OVER_PAUSE_MILLIS;
+    takeOverNotBefore = now + TAKE_OVER_PAUSE_MILLIS;
     assigner.takeOver(list, now);
   }
 
   /**
-   * From when on nobody assigns, as far as is known here: first noticed without one, or not heard.
+   * Returns since when a service counts as without an assigner, as far as is known here: since that
+   * was first noticed, or from the failure timeout after the assigner's last heartbeat.
    */
-  private long vacantAt(final Assignment assignment, final long since) {
-    if (assignment == null || assignment.assigner.equals(self)) {
+  private long vacantFrom(final Assignment assignment, final long since) {
+    if (assignment == null || assignment.assigner.equals(ownAddress)) {
       return since;
     }
-    final String life = life(assignment.assigner, assignment.incarnation);
-    if (left.contains(life)) {
+    final String key = incarnationKey(assignment.assigner, assignment.incarnation);
+    if (departed.contains(key)) {
       return since;
     }
-    return heardAt.getOrDefault(life, since) + SILENCE_MILLIS;
+    return lastHeartbeatAt.getOrDefault(key, since) + FAILURE_TIMEOUT_MILLIS;
   }
 
   /**
-   * Whether upstreams have had a moment to register before the first division: until no more come,
-   * but no longer than most of them need between two beats.
+   * Whether upstreams have had enough time to register before the initial assignment: until no more
+   * arrive, but no longer than most of them need between two heartbeats.
    */
-  private boolean gathered(final String service, final List<Member> members, final long now) {
+  private boolean registrationsSettled(
+      final String service, final List<Member> members, final long now) {
     final long count = members.stream().filter(Member::eligible).count();
     if (count == 0) {
-      gatherings.remove(service);
+      registrationWindows.remove(service);
       return false;
     }
-    final Gathering gathering = gatherings.computeIfAbsent(service, name -> new Gathering(now));
-    if (count != gathering.count) {
-      gathering.count = count;
-      gathering.changedAt = now;
+    final RegistrationWindow window =
+        registrationWindows.computeIfAbsent(service, name -> new RegistrationWindow(now));
+    if (count != window.memberCount) {
+      window.memberCount = count;
+      window.changedAt = now;
     }
-    return now - gathering.beganAt >= MOST_GATHER_MILLIS
-        || now - gathering.beganAt >= GATHER_MILLIS
-            && now - gathering.changedAt >= GATHER_QUIET_MILLIS;
+    return now - window.startedAt >= REGISTRATION_MAX_WAIT_MILLIS
+        || now - window.startedAt >= REGISTRATION_MIN_WAIT_MILLIS
+            && now - window.changedAt >= REGISTRATION_QUIET_MILLIS;
   }
 
-  /** Services begin at different voters, so that they are spread. */
-  private static int rank(final String service, final Position position) {
-    return Math.floorMod(position.place() - service.hashCode(), Math.max(1, position.voters()));
+  /**
+   * Returns this voter's rank in taking over a service; the order starts at a different voter per
+   * service, so that services are spread.
+   */
+  private static int takeOverRank(final String service, final Position position) {
+    return Math.floorMod(
+        position.voterIndex() - service.hashCode(), Math.max(1, position.voterCount()));
   }
 
-  /** What this registry tells of the keys that it assigns. */
-  public List<Metric> figures(final long now) {
-    final List<Metric> figures = new ArrayList<>();
+  /** Returns the metrics of the services that this registry assigns. */
+  public List<Metric> metrics(final long now) {
+    final List<Metric> metrics = new ArrayList<>();
     for (final Map.Entry<String, Assigner> entry : assigners.entrySet()) {
       final Assigner assigner = entry.getValue();
-      if (!assigner.acts()) {
+      if (!assigner.isActive()) {
         continue;
       }
       final String service = entry.getKey();
-      for (final Metric metric : assigner.counts().figures()) {
-        figures.add(metric.with("service", service));
+      for (final Metric metric : assigner.counts().metrics()) {
+        metrics.add(metric.with("service", service));
       }
-      figures.add(
+      metrics.add(
           Metric.gauge(
                   "weldpoint_key_ranges",
                   "Ranges of keys assigned.",
                   assigner.assignment().ranges().size())
               .with("service", service));
-      figures.add(
+      metrics.add(
           Metric.gauge(
                   "weldpoint_keys_without_holder",
                   "Keys that no upstream lately acknowledged to hold.",
                   assigner.keysWithoutHolder(now))
               .with("service", service));
     }
-    return figures;
+    return metrics;
   }
 
-  /** The counters, as one line. */
+  /** Returns the counters of the services assigned here as one log line. */
   public String counters() {
     final StringBuilder line = new StringBuilder();
     for (final Map.Entry<String, Assigner> entry : assigners.entrySet()) {
-      if (entry.getValue().acts()) {
+      if (entry.getValue().isActive()) {
         line.append(" keys of ").append(entry.getKey()).append(": ranges ");
         line.append(entry.getValue().assignment().ranges().size()).append(' ');
-        line.append(entry.getValue().counts().line());
+        line.append(entry.getValue().counts().summary());
       }
     }
     return line.toString();
--- a/ownership/src/main/java/weldpoint/ownership/RangeTable.java
+++ b/ownership/src/main/java/weldpoint/ownership/RangeTable.java
@@ -4,28 +4,28 @@
 import weldpoint.transport.OwnershipMessages.Assignment;
 import weldpoint.transport.OwnershipMessages.KeyRange;
 
-/** Who holds which key of one service: an assignment, made ready for look-ups. */
+/** An assignment of one service indexed for lookups by key. Immutable. */
 public final class RangeTable {
   private final long serial;
   private final KeyRange[] ranges;
 
-  /** A table of an assignment. */
+  /** Creates a table of an assignment, whose ranges must be sorted. */
   public RangeTable(final Assignment assignment) {
     this.serial = assignment.serial;
     this.ranges = assignment.ranges().toArray(new KeyRange[0]);
   }
 
-  /** The number of the assignment. */
+  /** Returns the serial number of the assignment. */
   public long serial() {
     return serial;
   }
 
-  /** All ranges. */
+  /** Returns all ranges. */
   public List<KeyRange> ranges() {
     return List.of(ranges);
   }
 
-  /** The range of a key; null where there is none. */
+  /** Returns the range that contains a key, by binary search; null if there is none. */
   public KeyRange range(final int key) {
     int low = 0;
     int high = ranges.length - 1;
--- a/ownership/src/main/java/weldpoint/ownership/SlotLoads.java
+++ b/ownership/src/main/java/weldpoint/ownership/SlotLoads.java
@@ -4,25 +4,25 @@
 import weldpoint.transport.OwnershipMessages.SlotReport;
 
 /**
- * How many requests of each slot are under way at once, on average over the last seconds, as
- * proxies report them. By Little's law that is the time that all requests of a second took
- * together.
+ * The average number of concurrent requests of each slot over the last seconds, as reported by
+ * proxies, with exponential decay. By Little's law it equals the total time taken by the requests
+ * of one second. Not thread-safe.
  */
 public final class SlotLoads {
   private static final double HALF_LIFE_MILLIS = 1500;
-  private static final double LEAST = 0.001;
+  private static final double MIN_LOAD = 0.001;
 
-  private final double[] busy = new double[KeySpace.SLOTS];
+  private final double[] load = new double[KeySpace.SLOTS];
   private long decayedAt = Long.MIN_VALUE;
 
-  /** Takes what proxies sent. */
+  /** Adds a proxy's report. */
   public void add(final SlotReport report, final long now) {
     decay(now);
-    final double perReportedMilli = Math.log(2) / HALF_LIFE_MILLIS;
+    final double weightPerMilli = Math.log(2) / HALF_LIFE_MILLIS;
     for (int index = 0; index < size(report); index++) {
       final int slot = report.slots.get(index);
       if (slot >= 0 && slot < KeySpace.SLOTS) {
-        busy[slot] += report.busyMillis.get(index) * perReportedMilli;
+        load[slot] += report.busyMillis.get(index) * weightPerMilli;
       }
     }
   }
@@ -34,42 +34,42 @@
     return Math.min(report.slots.size(), report.busyMillis.size());
   }
 
-  /** Lets what was reported earlier count for less. */
+  /** Decays earlier reports up to now. */
   public void decay(final long now) {
     if (decayedAt == Long.MIN_VALUE) {
       decayedAt = now;
     }
-    final long passed = now - decayedAt;
-    if (passed <= 0) {
+    final long elapsedMillis = now - decayedAt;
+    if (elapsedMillis <= 0) {
       return;
     }
-    final double factor = Math.pow(0.5, passed / HALF_LIFE_MILLIS);
-    for (int slot = 0; slot < busy.length; slot++) {
-      busy[slot] *= factor;
+    final double factor = Math.pow(0.5, elapsedMillis / HALF_LIFE_MILLIS);
+    for (int slot = 0; slot < load.length; slot++) {
+      load[slot] *= factor;
     }
     decayedAt = now;
   }
 
-  /** The load of a slot; never quite 0, so that idle keys are divided by their number. */
-  public double of(final int slot) {
-    return busy[slot] + LEAST;
+  /** Returns the load of a slot; never exactly 0, so that idle keys are split by their number. */
+  public double loadOf(final int slot) {
+    return load[slot] + MIN_LOAD;
   }
 
-  /** The load of neighbouring slots, both ends inside. */
-  public double of(final int firstSlot, final int lastSlot) {
+  /** Returns the load of adjacent slots, both ends inclusive. */
+  public double loadOf(final int firstSlot, final int lastSlot) {
     double sum = 0;
     for (int slot = firstSlot; slot <= lastSlot; slot++) {
-      sum += of(slot);
+      sum += loadOf(slot);
     }
     return sum;
   }
 
-  /** The load of all slots. */
+  /** Returns the load of all slots. */
   public double total() {
-    return of(0, KeySpace.SLOTS - 1);
+    return loadOf(0, KeySpace.SLOTS - 1);
   }
 
-  /** Takes the loads of a list of reports at once. */
+  /** Adds a list of reports. */
   public void addAll(final List<SlotReport> reports, final long now) {
     reports.forEach(report -> add(report, now));
   }
--- a/ownership/src/main/java/weldpoint/ownership/SlotReports.java
+++ b/ownership/src/main/java/weldpoint/ownership/SlotReports.java
@@ -6,11 +6,14 @@
 import java.util.TreeMap;
 import weldpoint.transport.OwnershipMessages.SlotReport;
 
-/** Adds proxies' reports up, so that a registry passes one report of a service on, not many. */
+/**
+ * Sums the slot reports of proxies, so that a registry forwards one report per service instead of
+ * many. Not thread-safe.
+ */
 public final class SlotReports {
   private final Map<String, Map<Integer, int[]>> sums = new TreeMap<>();
 
-  /** Takes a proxy's report. */
+  /** Adds a proxy's report; ignores one with missing lists. */
   public void add(final SlotReport report) {
     if (report.slots == null || report.requests == null || report.busyMillis == null) {
       return;
@@ -25,7 +28,7 @@
     }
   }
 
-  /** The sums since the last time. */
+  /** Returns the sums since the last call and resets them. */
   public List<SlotReport> drain() {
     final List<SlotReport> reports = new ArrayList<>();
     sums.forEach(
--- a/ownership/src/test/java/weldpoint/ownership/BalancerTest.java
+++ b/ownership/src/test/java/weldpoint/ownership/BalancerTest.java
@@ -13,9 +13,9 @@
 import weldpoint.transport.OwnershipMessages.RangeState;
 import weldpoint.transport.OwnershipMessages.SlotReport;
 
-/** The first division, what is moved for balance, and how a leaving member's range is cut up. */
+/** Tests the initial assignment, moves for balance, and the split of a leaving member's range. */
 public final class BalancerTest {
-  private static final Set<String> PROVEN = Set.of("a", "b", "c", "d");
+  private static final Set<String> RESPONSIVE = Set.of("a", "b", "c", "d");
 
   private static Member member(final String id, final int capacity) {
     return new Member(id, id + ":1", capacity, Member.Standing.ELIGIBLE);
@@ -39,9 +39,9 @@
   }
 
   @Test
-  public void theFirstDivisionCoversAllKeysByCapacity() {
+  public void theInitialAssignmentCoversAllKeysByCapacity() {
     final List<KeyRange> ranges =
-        Balancer.firstDivision(List.of(member("b", 2), member("a", 6)), 7);
+        Balancer.initialAssignment(List.of(member("b", 2), member("a", 6)), 7);
     assertEquals(ranges.size(), 2);
     assertEquals(ranges.get(0).holder, "a");
     assertEquals(ranges.get(0).first, 0);
@@ -52,13 +52,13 @@
   }
 
   @Test
-  public void nothingIsDividedAmongNobody() {
-    final Member cold = new Member("c", "c:1", 4, Member.Standing.KEEPS);
-    assertEquals(Balancer.firstDivision(List.of(cold), 1), List.of());
+  public void noKeysAreAssignedWithoutEligibleMembers() {
+    final Member warmingUp = new Member("c", "c:1", 4, Member.Standing.NO_NEW_KEYS);
+    assertEquals(Balancer.initialAssignment(List.of(warmingUp), 1), List.of());
   }
 
   @Test
-  public void aHotSlotsNeighboursAreMovedRatherThanWideIdleRanges() {
+  public void hotSlotsAreMovedRatherThanWideIdleRanges() {
     final SlotLoads loads = new SlotLoads();
     loads.add(new SlotReport("s", List.of(10, 11), List.of(9, 9), List.of(6000, 6000)), 0);
     final Balancer balancer =
@@ -66,22 +66,22 @@
             loads,
             List.of(member("a", 4), member("b", 4)),
             List.of(range(0, 511, "a"), range(512, 1023, "b")),
-            PROVEN);
-    final Balancer.Move move = balancer.move(slot -> true);
+            RESPONSIVE);
+    final Balancer.Move move = balancer.planMove(slot -> true);
     assertNotNull(move);
     assertTrue(move.lastSlot() - move.firstSlot() < 16, move.toString());
     assertTrue(move.firstSlot() <= 11 && move.lastSlot() >= 10, move.toString());
   }
 
   @Test
-  public void evenLoadsStayWhereTheyAre() {
+  public void evenLoadsAreNotMoved() {
     final Balancer balancer =
         new Balancer(
             new SlotLoads(),
             List.of(member("a", 4), member("b", 4)),
             List.of(range(0, 499, "a"), range(500, 1023, "b")),
-            PROVEN);
-    assertNull(balancer.move(slot -> true));
+            RESPONSIVE);
+    assertNull(balancer.planMove(slot -> true));
   }
 
   @Test
@@ -91,30 +91,30 @@
             new SlotLoads(),
             List.of(member("a", 4), member("b", 4)),
             List.of(range(0, 1023, "a")),
-            PROVEN);
-    assertEquals(balancer.move(slot -> true), new Balancer.Move(512, 1023, "b"));
+            RESPONSIVE);
+    assertEquals(balancer.planMove(slot -> true), new Balancer.Move(512, 1023, "b"));
   }
 
   @Test
-  public void aMemberThatHasYetToAnswerIsTriedWithOneSlot() {
+  public void aMemberThatHasNotRespondedYetGetsOneSlot() {
     final List<Member> members = List.of(member("a", 4), member("b", 4));
     final List<KeyRange> ranges = List.of(range(0, 1023, "a"));
     final Balancer balancer = new Balancer(new SlotLoads(), members, ranges, Set.of("a"));
-    assertEquals(balancer.move(slot -> true), new Balancer.Move(1023, 1023, "b"));
-    assertEquals(balancer.receiver(range(0, 9, "c")).id(), "a");
+    assertEquals(balancer.planMove(slot -> true), new Balancer.Move(1023, 1023, "b"));
+    assertEquals(balancer.chooseReceiver(range(0, 9, "c")).id(), "a");
     final List<KeyRange> tried = List.of(range(0, 1022, "a"), range(1023, 1023, "b"));
-    assertNull(new Balancer(new SlotLoads(), members, tried, Set.of("a")).move(slot -> true));
+    assertNull(new Balancer(new SlotLoads(), members, tried, Set.of("a")).planMove(slot -> true));
   }
 
   @Test
-  public void aLeavingMembersRangeIsCutIntoPiecesOfLikeLoad() {
+  public void aLeavingMembersRangeIsSplitIntoPiecesOfSimilarLoad() {
     final Balancer balancer =
         new Balancer(
             loads(0, 4000),
             List.of(member("a", 4), member("b", 4), member("c", 4), member("d", 4)),
             List.of(range(0, 99, "a"), range(100, 1023, "b")),
-            PROVEN);
-    final List<KeyRange> pieces = balancer.pieces(range(0, 99, "a"));
+            RESPONSIVE);
+    final List<KeyRange> pieces = balancer.split(range(0, 99, "a"));
     assertEquals(pieces.size(), 3);
     assertEquals(pieces.get(0).last, KeySpace.lastKey(0), "the hot slot alone");
     assertEquals(pieces.get(2).last, KeySpace.lastKey(99));
@@ -127,10 +127,10 @@
             new SlotLoads(),
             List.of(member("b", 4), member("c", 4)),
             List.of(range(200, 600, "b"), range(601, 1023, "c")),
-            PROVEN);
+            RESPONSIVE);
     final List<String> receivers = new ArrayList<>();
-    receivers.add(balancer.receiver(range(0, 99, "a")).id());
-    receivers.add(balancer.receiver(range(100, 199, "a")).id());
+    receivers.add(balancer.chooseReceiver(range(0, 99, "a")).id());
+    receivers.add(balancer.chooseReceiver(range(100, 199, "a")).id());
     assertEquals(receivers, List.of("b", "c"));
   }
 }
--- a/ownership/src/test/java/weldpoint/ownership/KeyOwnersTest.java
+++ b/ownership/src/test/java/weldpoint/ownership/KeyOwnersTest.java
@@ -10,7 +10,7 @@
 import weldpoint.transport.OwnershipMessages.RangeState;
 import weldpoint.transport.OwnershipMessages.SlotReport;
 
-/** A proxy's table of holders, the keys that requests bear, and the reports of what was sent. */
+/** Tests a proxy's table of key holders, the parsing of shard keys, and the load reports. */
 public final class KeyOwnersTest {
   private static Assignment assignment(final long serial, final String first, final String second) {
     return new Assignment(
@@ -24,9 +24,9 @@
   }
 
   @Test
-  public void aKeyIsFoundAtBothEndsOfItsRange() {
+  public void keysAreFoundAtBothEndsOfARange() {
     final KeyOwners owners = new KeyOwners();
-    owners.take(List.of(assignment(1, "a", "b")));
+    owners.applyAssignments(List.of(assignment(1, "a", "b")));
     assertEquals(owners.range("s", 0).holder, "a");
     assertEquals(owners.range("s", 999).holder, "a");
     assertEquals(owners.range("s", 1000).holder, "b");
@@ -35,10 +35,10 @@
   }
 
   @Test
-  public void anOlderAssignmentIsNeverTakenBack() {
+  public void anOlderAssignmentIsIgnored() {
     final KeyOwners owners = new KeyOwners();
-    owners.take(List.of(assignment(2, "a", "b")));
-    owners.take(List.of(assignment(1, "x", "y")));
+    owners.applyAssignments(List.of(assignment(2, "a", "b")));
+    owners.applyAssignments(List.of(assignment(1, "x", "y")));
     assertEquals(owners.range("s", 0).holder, "a");
   }
 
@@ -52,16 +52,16 @@
   }
 
   @Test
-  public void reportsAddUpAndBeginAnew() {
+  public void reportsAddUpAndAreDrained() {
     final KeyOwners owners = new KeyOwners();
-    owners.answered("s", 0, 100);
-    owners.answered("s", 63, 50);
-    owners.answered("s", 64, 7);
-    final SlotReport report = owners.reports().get(0);
+    owners.recordResponse("s", 0, 100);
+    owners.recordResponse("s", 63, 50);
+    owners.recordResponse("s", 64, 7);
+    final SlotReport report = owners.drainReports().get(0);
     assertEquals(report.slots, List.of(0, 1));
     assertEquals(report.requests, List.of(2, 1));
     assertEquals(report.busyMillis, List.of(150, 7));
-    assertEquals(owners.reports(), List.of());
+    assertEquals(owners.drainReports(), List.of());
     final SlotReports sums = new SlotReports();
     sums.add(report);
     sums.add(report);
--- a/ownership/src/test/java/weldpoint/ownership/OwnershipSimulation.java
+++ b/ownership/src/test/java/weldpoint/ownership/OwnershipSimulation.java
@@ -15,161 +15,166 @@
 import weldpoint.transport.OwnershipMessages.SlotReport;
 
 /**
- * A small world for assigners under one fake clock: registries, a register that compares and sets,
- * and upstreams that hold keys by clocks up to 2 in 100 slow and stall now and then. Calls are
- * lost, late or doubled, registries freeze, are killed and cut off from the register, upstreams
- * crash, leave and join. After each event it is judged whether two upstreams hold one key.
+ * Simulates assigners under one simulated clock: registries, a register with compare-and-set, and
+ * upstreams that hold keys by clocks up to 2 % slow and that stall at times. Calls are lost or
+ * delayed, registries are paused, killed and partitioned from the register, and upstreams crash,
+ * leave, restart and join. After each grant it is checked that no other upstream holds one of its
+ * keys.
  */
 final class OwnershipSimulation {
   static final String SERVICE = "store";
 
-  /** How a world is broken on purpose. */
-  enum Broken {
-    NOTHING,
-    /** A range passes on without a release and without a wait. */
+  /** The safeguard that is disabled on purpose. */
+  enum Fault {
+    NONE,
+    /** A range is reassigned without a release and without waiting for its grant to expire. */
     NO_WAIT,
-    /** Holds count for no longer than told: no margin for slow clocks and calls under way. */
+    /** Grants count as expired too early: no margin for slow clocks and calls in progress. */
     NO_MARGIN,
-    /** A new assigner counts none of its predecessor's grants. */
-    FORGETS_PREDECESSOR,
-    /** Grants go out on what was proposed, before the register has it. */
+    /** A new assigner ignores its predecessor's grants. */
+    IGNORES_PREDECESSOR,
+    /** Grants are sent for a proposed assignment before it is in the register. */
     GRANT_BEFORE_REGISTER,
-    /** A grant whose connection was reset counts as lost, though the upstream may still read it. */
-    NOTHING_LATE,
-    /** A registry that was cut off grants on, without asking whether it still assigns. */
+    /**
+     * A grant whose connection was reset counts as lost, although the upstream may still read it.
+     */
+    NO_LATE_ALLOWANCE,
+    /** A partitioned registry keeps granting without confirming that it is still the assigner. */
     NO_LEASE
   }
 
   private static final int REGISTRIES = 3;
-  private static final int LATEST_UPSTREAMS = 7;
-  private static final long HOLD_MILLIS = 2000;
+  private static final int MAX_UPSTREAMS = 7;
+  private static final long GRANT_MILLIS = 2000;
   private static final long TICK_MILLIS = 40;
-  private static final long CONFIRM_MILLIS = 300;
+  private static final long READ_INTERVAL_MILLIS = 300;
   private static final long SEND_MILLIS = 800;
-  private static final long LAST_MILLIS = 10_000;
+  private static final long SAMPLED_MILLIS = 10_000;
 
-  /** For so long calls may lie unread at an upstream, also after their connection was reset. */
+  /** How long calls may stay unread at an upstream, even after their connection was reset. */
   private static final long LATE_MILLIS = 1000;
 
-  private static final long SAMPLE_MILLIS = 250;
-  private static final double SLOWEST = 1 / 0.98;
+  private static final long SAMPLE_INTERVAL_MILLIS = 250;
+  private static final double SLOWEST_CLOCK = 1 / 0.98;
 
   private record Event(long at, long number, Runnable task) {}
 
-  /** An upstream's life. */
+  /** One incarnation of an upstream. */
   private final class Upstream {
     final String id;
     final String address;
-    final double slowness;
-    final long knownAt;
-    final long[] until = new long[KeySpace.SLOTS];
-    final long[] fences = new long[KeySpace.SLOTS];
-    boolean up = true;
+    final double clockSlowdown;
+    final long visibleAt;
+    final long[] heldUntil = new long[KeySpace.SLOTS];
+    final long[] highestFences = new long[KeySpace.SLOTS];
+    boolean running = true;
     boolean leaving;
-    boolean cut;
+    boolean partitioned;
     long stalledUntil;
-    final java.util.Set<String> cutFrom = new java.util.HashSet<>();
-    long beatAt;
+    final java.util.Set<String> unreachableFrom = new java.util.HashSet<>();
+    long lastHeartbeatAt;
 
-    Upstream(final int number, final String address, final long knownAt) {
+    Upstream(final int number, final String address, final long visibleAt) {
       this.address = address;
-      this.knownAt = knownAt;
+      this.visibleAt = visibleAt;
       id = "u" + number;
-      slowness = number % 2 == 0 ? SLOWEST : 1;
+      clockSlowdown = number % 2 == 0 ? SLOWEST_CLOCK : 1;
     }
 
-    boolean grant(final KeyRange range, final long holdMillis) {
+    boolean grant(final KeyRange range, final long grantMillis) {
       for (int slot = KeySpace.slot(range.first); slot <= KeySpace.slot(range.last); slot++) {
-        if (fences[slot] > range.fence) {
+        if (highestFences[slot] > range.fence) {
           return false;
         }
       }
       for (int slot = KeySpace.slot(range.first); slot <= KeySpace.slot(range.last); slot++) {
-        fences[slot] = range.fence;
-        until[slot] = now + (long) Math.ceil(holdMillis * slowness);
+        highestFences[slot] = range.fence;
+        heldUntil[slot] = now + (long) Math.ceil(grantMillis * clockSlowdown);
       }
       grants++;
-      judge(this, range);
+      checkSingleHolder(this, range);
       return true;
     }
 
     void release(final KeyRange range) {
       for (int slot = KeySpace.slot(range.first); slot <= KeySpace.slot(range.last); slot++) {
-        until[slot] = 0;
-        fences[slot] = Math.max(fences[slot], range.fence);
+        heldUntil[slot] = 0;
+        highestFences[slot] = Math.max(highestFences[slot], range.fence);
       }
     }
   }
 
-  /** A registry's life. */
+  /** One incarnation of a registry. */
   private final class Registry implements Assigner.Environment {
     final String address;
     final long incarnation;
     final OwnershipCoordinator coordinator;
-    boolean up = true;
-    boolean cut;
-    long frozenUntil;
+    boolean running = true;
+    boolean partitioned;
+    long pausedUntil;
     long confirmedAt = Long.MIN_VALUE / 2;
 
     Registry(final int place, final long incarnation) {
       this.address = "r" + place;
       this.incarnation = incarnation;
-      final GrantTimings timings = GrantTimings.of(HOLD_MILLIS, LATE_MILLIS);
+      final GrantTimings timings = GrantTimings.of(GRANT_MILLIS, LATE_MILLIS);
       this.coordinator =
-          new OwnershipCoordinator(address, incarnation, timings, this::pulse, this::assigner);
+          new OwnershipCoordinator(
+              address, incarnation, timings, this::sendHeartbeat, this::assigner);
     }
 
     private Assigner assigner(final String service) {
-      return broken == Broken.NOTHING
+      return fault == Fault.NONE
           ? new Assigner(
-              service, address, incarnation, GrantTimings.of(HOLD_MILLIS, LATE_MILLIS), this)
-          : new BrokenAssigner(
-              service, address, incarnation, GrantTimings.of(HOLD_MILLIS, LATE_MILLIS), this);
+              service, address, incarnation, GrantTimings.of(GRANT_MILLIS, LATE_MILLIS), this)
+          : new FaultyAssigner(
+              service, address, incarnation, GrantTimings.of(GRANT_MILLIS, LATE_MILLIS), this);
     }
 
-    boolean runs() {
-      return up && now >= frozenUntil;
+    boolean isRunning() {
+      return running && now >= pausedUntil;
     }
 
-    private void pulse(final AssignerHeartbeat pulse) {
+    private void sendHeartbeat(final AssignerHeartbeat heartbeat) {
       for (final Registry other : registries) {
-        if (other != this && !cut && !other.cut) {
-          later(delay(), other, () -> other.coordinator.pulse(address, pulse, now));
+        if (other != this && !partitioned && !other.partitioned) {
+          schedule(
+              delay(), other, () -> other.coordinator.receiveHeartbeat(address, heartbeat, now));
         }
       }
     }
 
-    /** Asks what the register holds; the answer counts from the moment of the question. */
-    void confirm() {
-      if (!runs() || cut) {
+    /** Reads the register; the result counts from the moment of the request. */
+    void readRegister() {
+      if (!isRunning() || partitioned) {
         return;
       }
-      final long askedAt = now;
-      later(
+      final long requestedAt = now;
+      schedule(
           delay(),
           null,
           () -> {
             final Assignment held = register;
-            later(delay(), this, () -> confirmed(held, askedAt));
+            schedule(delay(), this, () -> readCompleted(held, requestedAt));
           });
     }
 
-    private void confirmed(final Assignment held, final long askedAt) {
-      if (cut) {
+    private void readCompleted(final Assignment held, final long requestedAt) {
+      if (partitioned) {
         return;
       }
-      confirmedAt = Math.max(confirmedAt, askedAt);
+      confirmedAt = Math.max(confirmedAt, requestedAt);
       if (held != null) {
-        coordinator.take(List.of(held), now);
+        coordinator.applyAssignments(List.of(held), now);
       }
     }
 
     void tick() {
-      if (!runs()) {
+      if (!isRunning()) {
         return;
       }
       final int place = Integer.parseInt(address.substring(1));
-      final long confirmed = broken == Broken.NO_LEASE && confirmedAt >= 0 ? now : confirmedAt;
+      final long confirmed = fault == Fault.NO_LEASE && confirmedAt >= 0 ? now : confirmedAt;
       coordinator.tick(
           List.of(SERVICE),
           service -> members(),
@@ -184,14 +189,14 @@
 
     @Override
     public void write(final Assignment next, final Runnable done) {
-      if (broken == Broken.GRANT_BEFORE_REGISTER) {
-        coordinator.take(List.of(next), now);
+      if (fault == Fault.GRANT_BEFORE_REGISTER) {
+        coordinator.applyAssignments(List.of(next), now);
       }
-      if (cut) {
-        later(900, this, done);
+      if (partitioned) {
+        schedule(900, this, done);
         return;
       }
-      later(
+      schedule(
           delay(),
           null,
           () -> {
@@ -200,14 +205,14 @@
               register = next;
               changes++;
             }
-            later(delay(), this, done);
-            later(delay(), this, this::confirm);
+            schedule(delay(), this, done);
+            schedule(delay(), this, this::readRegister);
           });
     }
 
     @Override
     public void grant(final KeyRange range, final long sendBy, final Consumer<CallResult> done) {
-      call(range, done, upstream -> end(upstream.grant(range, HOLD_MILLIS)), SEND_MILLIS);
+      call(range, done, upstream -> end(upstream.grant(range, GRANT_MILLIS)), SEND_MILLIS);
     }
 
     @Override
@@ -223,13 +228,13 @@
             upstream.release(range);
             return new CallResult(CallResult.End.DONE, "t" + range.fence);
           },
-          HOLD_MILLIS);
+          GRANT_MILLIS);
     }
 
-    private void answered(
-        final boolean lost, final Consumer<CallResult> hears, final CallResult result) {
+    private void deliverResult(
+        final boolean lost, final Consumer<CallResult> receiver, final CallResult result) {
       if (!lost) {
-        later(delay(), this, () -> hears.accept(result));
+        schedule(delay(), this, () -> receiver.accept(result));
       }
     }
 
@@ -237,53 +242,56 @@
       return CallResult.of(granted ? CallResult.End.DONE : CallResult.End.REFUSED);
     }
 
-    /** A call arrives within its life or not at all, perhaps twice; its answer may be lost. */
+    /** Delivers a call before its time-out or not at all; its response may be lost. */
     private void call(
         final KeyRange range,
         final Consumer<CallResult> done,
         final java.util.function.Function<Upstream, CallResult> effect,
-        final long lifeMillis) {
-      final Upstream upstream = lifeAt(range.address);
-      final boolean[] over = new boolean[1];
+        final long timeoutMillis) {
+      final Upstream upstream = currentAt(range.address);
+      final boolean[] completed = new boolean[1];
       final Consumer<CallResult> once =
           result -> {
-            if (!over[0]) {
-              over[0] = true;
+            if (!completed[0]) {
+              completed[0] = true;
               done.accept(result);
             }
           };
-      if (upstream == null || !upstream.up || upstream.cut || upstream.cutFrom.contains(address)) {
-        later(delay(), this, () -> once.accept(CallResult.of(CallResult.End.NOT_SENT)));
+      if (upstream == null
+          || !upstream.running
+          || upstream.partitioned
+          || upstream.unreachableFrom.contains(address)) {
+        schedule(delay(), this, () -> once.accept(CallResult.of(CallResult.End.NOT_SENT)));
         return;
       }
       final long arrives = random.nextInt(4) == 0 ? random.nextInt((int) SEND_MILLIS) : delay();
-      final boolean arrivalLost = now < troubledUntil && random.nextInt(12) == 0;
-      final boolean answerLost = now < troubledUntil && random.nextInt(12) == 0;
+      final boolean arrivalLost = now < faultsUntil && random.nextInt(12) == 0;
+      final boolean answerLost = now < faultsUntil && random.nextInt(12) == 0;
       if (!arrivalLost) {
-        later(
+        schedule(
             Math.min(arrives, SEND_MILLIS),
             null,
-            () -> arrive(upstream, effect, result -> answered(answerLost, once, result)));
+            () -> deliver(upstream, effect, result -> deliverResult(answerLost, once, result)));
       }
-      later(lifeMillis, this, () -> once.accept(CallResult.of(CallResult.End.UNKNOWN)));
+      schedule(timeoutMillis, this, () -> once.accept(CallResult.of(CallResult.End.UNKNOWN)));
     }
   }
 
-  /** A call is counted at once, or when an upstream that is stalled goes on. */
-  private void arrive(
+  /** Delivers a call at once, or when a stalled upstream resumes. */
+  private void deliver(
       final Upstream upstream,
       final java.util.function.Function<Upstream, CallResult> effect,
       final Consumer<CallResult> done) {
     if (now < upstream.stalledUntil) {
-      later(upstream.stalledUntil - now, null, () -> arrive(upstream, effect, done));
-    } else if (upstream.up) {
+      schedule(upstream.stalledUntil - now, null, () -> deliver(upstream, effect, done));
+    } else if (upstream.running) {
       done.accept(effect.apply(upstream));
     }
   }
 
-  /** An assigner without one of its safeguards. */
-  private final class BrokenAssigner extends Assigner {
-    BrokenAssigner(
+  /** An assigner with one of its safeguards disabled. */
+  private final class FaultyAssigner extends Assigner {
+    FaultyAssigner(
         final String service,
         final String self,
         final long incarnation,
@@ -293,76 +301,76 @@
           service,
           self,
           incarnation,
-          switch (broken) {
-            case NO_MARGIN -> new NoMargin().times(timings);
-            case NOTHING_LATE -> GrantTimings.of(timings.holdMillis(), 0);
+          switch (fault) {
+            case NO_MARGIN -> new ShortTimings().shorten(timings);
+            case NO_LATE_ALLOWANCE -> GrantTimings.of(timings.grantMillis(), 0);
             default -> timings;
           },
           environment);
     }
 
     @Override
-    protected boolean mayPass(final KeyRange range, final long time) {
-      return broken == Broken.NO_WAIT || super.mayPass(range, time);
+    protected boolean mayReassign(final KeyRange range, final long time) {
+      return fault == Fault.NO_WAIT || super.mayReassign(range, time);
     }
 
     @Override
-    protected void inherit(final KeyRange range, final long time) {
-      if (broken != Broken.FORGETS_PREDECESSOR) {
-        super.inherit(range, time);
+    protected void inheritGrant(final KeyRange range, final long time) {
+      if (fault != Fault.IGNORES_PREDECESSOR) {
+        super.inheritGrant(range, time);
       }
     }
   }
 
-  /** Spans in which a hold counts as over too early. */
-  private static final class NoMargin {
-    private static final double SHORT = 0.85;
+  /** Timings with which a grant counts as expired too early. */
+  private static final class ShortTimings {
+    private static final double FACTOR = 0.85;
 
-    GrantTimings times(final GrantTimings timings) {
-      return new GrantTimings((long) (timings.holdMillis() * SHORT), timings.leaseMillis(), 0, 0);
+    GrantTimings shorten(final GrantTimings timings) {
+      return new GrantTimings((long) (timings.grantMillis() * FACTOR), timings.leaseMillis(), 0, 0);
     }
   }
 
   private final Random random;
-  private final Broken broken;
+  private final Fault fault;
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::number));
   private final List<Registry> registries = new ArrayList<>();
   private final Map<String, Upstream> upstreams = new LinkedHashMap<>();
-  private final List<String> evidence = new ArrayList<>();
-  private final Map<String, Integer> troubles = new HashMap<>();
+  private final List<String> violations = new ArrayList<>();
+  private final Map<String, Integer> faultCounts = new HashMap<>();
   private Assignment register;
   private long now = 10_000;
-  private long troubledUntil;
-  private int mostHeld;
+  private long faultsUntil;
+  private int maxSlotsHeld;
   private long number;
   private long grants;
   private long changes;
-  private int lives;
+  private int incarnations;
 
-  OwnershipSimulation(final long seed, final Broken broken) {
+  OwnershipSimulation(final long seed, final Fault fault) {
     this.random = new Random(seed);
-    this.broken = broken;
+    this.fault = fault;
     for (int place = 0; place < REGISTRIES; place++) {
-      registries.add(new Registry(place, ++lives));
+      registries.add(new Registry(place, ++incarnations));
     }
     for (int index = 0; index < 4; index++) {
-      join();
+      addUpstream();
     }
   }
 
-  private void join() {
-    final int life = ++lives;
-    begin(new Upstream(life, "a" + life + ":1", now + random.nextInt(300)));
+  private void addUpstream() {
+    final int incarnation = ++incarnations;
+    startUpstream(new Upstream(incarnation, "a" + incarnation + ":1", now + random.nextInt(300)));
   }
 
-  private void begin(final Upstream upstream) {
-    upstream.beatAt = now;
+  private void startUpstream(final Upstream upstream) {
+    upstream.lastHeartbeatAt = now;
     upstreams.put(upstream.id, upstream);
   }
 
-  /** The life that has an address now, or had it last. */
-  private Upstream lifeAt(final String address) {
+  /** Returns the incarnation that has an address now, or had it last. */
+  private Upstream currentAt(final String address) {
     Upstream last = null;
     for (final Upstream upstream : upstreams.values()) {
       if (upstream.address.equals(address)) {
@@ -372,27 +380,27 @@
     return last;
   }
 
-  /** Whether another life is known to have the address of this one. */
-  private boolean ended(final Upstream upstream) {
-    final Upstream last = lifeAt(upstream.address);
-    return last != upstream && now >= last.knownAt;
+  /** Whether a later incarnation is known to have the address of this one. */
+  private boolean isReplaced(final Upstream upstream) {
+    final Upstream last = currentAt(upstream.address);
+    return last != upstream && now >= last.visibleAt;
   }
 
   private long delay() {
     return 1 + random.nextInt(random.nextInt(10) == 0 ? 300 : 20);
   }
 
-  private void later(final long millis, final Registry at, final Runnable task) {
+  private void schedule(final long millis, final Registry at, final Runnable task) {
     events.add(new Event(now + millis, ++number, () -> run(at, task)));
   }
 
-  /** A frozen registry does it when it wakes, a killed one never. */
+  /** Runs a task at a registry: a paused one runs it when it resumes, a killed one never. */
   private void run(final Registry at, final Runnable task) {
     if (at == null) {
       task.run();
-    } else if (at.up && now < at.frozenUntil) {
-      later(at.frozenUntil - now, at, task);
-    } else if (at.up) {
+    } else if (at.running && now < at.pausedUntil) {
+      schedule(at.pausedUntil - now, at, task);
+    } else if (at.running) {
       task.run();
     }
   }
@@ -400,16 +408,16 @@
   private List<Member> members() {
     final List<Member> members = new ArrayList<>();
     for (final Upstream upstream : upstreams.values()) {
-      if (now < upstream.knownAt) {
+      if (now < upstream.visibleAt) {
         continue;
       }
       final Member.Standing standing;
-      if (ended(upstream)) {
-        standing = Member.Standing.ENDED;
+      if (isReplaced(upstream)) {
+        standing = Member.Standing.TERMINATED;
       } else if (upstream.leaving) {
-        standing = Member.Standing.LEAVES;
-      } else if (now - upstream.beatAt > 4000) {
-        standing = Member.Standing.KEEPS;
+        standing = Member.Standing.LEAVING;
+      } else if (now - upstream.lastHeartbeatAt > 4000) {
+        standing = Member.Standing.NO_NEW_KEYS;
       } else {
         standing = Member.Standing.ELIGIBLE;
       }
@@ -418,70 +426,70 @@
     return members;
   }
 
-  /** After a grant: nobody else may hold any key of the range. */
-  private void judge(final Upstream one, final KeyRange range) {
+  /** Checks after a grant that no other upstream holds any key of the range. */
+  private void checkSingleHolder(final Upstream one, final KeyRange range) {
     for (final Upstream other : upstreams.values()) {
-      if (other == one || !other.up) {
+      if (other == one || !other.running) {
         continue;
       }
       for (int slot = KeySpace.slot(range.first); slot <= KeySpace.slot(range.last); slot++) {
-        if (now < other.until[slot]) {
-          evidence.add(now + ": " + range + " is also held by " + other.id);
+        if (now < other.heldUntil[slot]) {
+          violations.add(now + ": " + range + " is also held by " + other.id);
           return;
         }
       }
     }
   }
 
-  /** Plays so many milliseconds of trouble, then a calm. */
-  void play(final long millis, final long calmMillis) {
+  /** Simulates a period with faults, then one without, both in milliseconds. */
+  void simulate(final long millis, final long healthyMillis) {
     final long end = now + millis;
-    troubledUntil = end;
-    long nextTrouble = now + 2000;
+    faultsUntil = end;
+    long nextFault = now + 2000;
     long nextTick = now;
-    long nextConfirm = now;
-    while (now < end + calmMillis && evidence.isEmpty()) {
+    long nextRead = now;
+    while (now < end + healthyMillis && violations.isEmpty()) {
       if (now >= nextTick) {
         nextTick = now + TICK_MILLIS;
-        beat();
+        sendHeartbeats();
         if (now < end) {
-          load();
+          reportLoad();
         }
         registries.forEach(Registry::tick);
       }
-      if (now >= nextConfirm) {
-        nextConfirm = now + CONFIRM_MILLIS;
-        registries.forEach(Registry::confirm);
+      if (now >= nextRead) {
+        nextRead = now + READ_INTERVAL_MILLIS;
+        registries.forEach(Registry::readRegister);
       }
-      if (now >= nextTrouble && now < end) {
-        nextTrouble = now + random.nextInt(1500);
-        trouble();
+      if (now >= nextFault && now < end) {
+        nextFault = now + random.nextInt(1500);
+        injectFault();
       }
       while (!events.isEmpty() && events.peek().at() <= now) {
         events.poll().task().run();
       }
-      if (now > end + calmMillis - LAST_MILLIS && now % SAMPLE_MILLIS == 0) {
-        mostHeld = Math.max(mostHeld, slotsHeld());
+      if (now > end + healthyMillis - SAMPLED_MILLIS && now % SAMPLE_INTERVAL_MILLIS == 0) {
+        maxSlotsHeld = Math.max(maxSlotsHeld, slotsHeld());
       }
       now++;
     }
   }
 
-  /** The most slots that were held at one time in the last seconds of the calm. */
-  int mostHeld() {
-    return mostHeld;
+  /** Returns the most slots that were held at one time in the last seconds without faults. */
+  int maxSlotsHeld() {
+    return maxSlotsHeld;
   }
 
-  private void beat() {
+  private void sendHeartbeats() {
     for (final Upstream upstream : upstreams.values()) {
-      if (upstream.up && !upstream.cut) {
-        upstream.beatAt = now;
+      if (upstream.running && !upstream.partitioned) {
+        upstream.lastHeartbeatAt = now;
       }
     }
   }
 
-  /** Some keys are much busier than others. */
-  private void load() {
+  /** Reports a much higher load for some keys than for others. */
+  private void reportLoad() {
     if (now / TICK_MILLIS % 12 != 0) {
       return;
     }
@@ -489,79 +497,82 @@
     final SlotReport report =
         new SlotReport(
             SERVICE, List.of(hot, (hot + 1) % KeySpace.SLOTS), List.of(9, 9), List.of(2500, 2500));
-    registries.stream().filter(Registry::runs).forEach(one -> one.coordinator.report(report, now));
+    registries.stream()
+        .filter(Registry::isRunning)
+        .forEach(one -> one.coordinator.report(report, now));
   }
 
-  private void trouble() {
+  private void injectFault() {
     final Registry registry = registries.get(random.nextInt(REGISTRIES));
     final List<Upstream> all = new ArrayList<>(upstreams.values());
     final Upstream upstream = all.get(random.nextInt(all.size()));
-    final int lasting = 200 + random.nextInt(5000);
+    final int durationMillis = 200 + random.nextInt(5000);
     switch (random.nextInt(10)) {
       case 0 -> {
-        count("freeze");
-        registry.frozenUntil = Math.max(registry.frozenUntil, now + lasting);
+        countFault("registry paused");
+        registry.pausedUntil = Math.max(registry.pausedUntil, now + durationMillis);
       }
       case 1 -> {
-        count("kill");
-        registry.up = false;
+        countFault("registry killed");
+        registry.running = false;
         final int place = registries.indexOf(registry);
-        registries.set(place, new Registry(place, ++lives));
+        registries.set(place, new Registry(place, ++incarnations));
       }
       case 2 -> {
-        count("cut");
-        registry.cut = true;
-        later(lasting, null, () -> registry.cut = false);
+        countFault("registry partitioned");
+        registry.partitioned = true;
+        schedule(durationMillis, null, () -> registry.partitioned = false);
       }
       case 3 -> {
-        count("upstream cut");
-        upstream.cut = true;
-        later(lasting, null, () -> upstream.cut = false);
+        countFault("upstream partitioned");
+        upstream.partitioned = true;
+        schedule(durationMillis, null, () -> upstream.partitioned = false);
       }
       case 4 -> {
-        count("one link cut");
-        upstream.cutFrom.add(registry.address);
-        later(3L * lasting, null, () -> upstream.cutFrom.remove(registry.address));
+        countFault("one link broken");
+        upstream.unreachableFrom.add(registry.address);
+        schedule(
+            3L * durationMillis, null, () -> upstream.unreachableFrom.remove(registry.address));
       }
       case 5 -> {
-        count("leaves");
-        if (all.stream().filter(one -> one.up && !one.leaving).count() > 2) {
+        countFault("upstream leaves");
+        if (all.stream().filter(one -> one.running && !one.leaving).count() > 2) {
           upstream.leaving = true;
-          later(8000, null, () -> upstream.up = false);
+          schedule(8000, null, () -> upstream.running = false);
         }
       }
       case 6 -> {
-        count("restarts at its address");
-        if (upstream.up && !upstream.leaving && lifeAt(upstream.address) == upstream) {
-          upstream.up = false;
-          begin(new Upstream(++lives, upstream.address, now + random.nextInt(2000)));
+        countFault("upstream restarts at its address");
+        if (upstream.running && !upstream.leaving && currentAt(upstream.address) == upstream) {
+          upstream.running = false;
+          startUpstream(new Upstream(++incarnations, upstream.address, now + random.nextInt(2000)));
         }
       }
       case 7 -> {
-        count("crash");
-        if (all.stream().filter(one -> one.up && !one.leaving).count() > 2) {
-          upstream.up = false;
+        countFault("upstream crashes");
+        if (all.stream().filter(one -> one.running && !one.leaving).count() > 2) {
+          upstream.running = false;
         }
       }
       case 8 -> {
-        count("upstream stalls");
+        countFault("upstream stalls");
         upstream.stalledUntil = Math.max(upstream.stalledUntil, now + LATE_MILLIS);
       }
       default -> {
-        count("joins");
-        if (all.stream().filter(one -> one.up).count() < LATEST_UPSTREAMS) {
-          join();
+        countFault("upstream joins");
+        if (all.stream().filter(one -> one.running).count() < MAX_UPSTREAMS) {
+          addUpstream();
         }
       }
     }
   }
 
-  private void count(final String trouble) {
-    troubles.merge(trouble, 1, Integer::sum);
+  private void countFault(final String faultName) {
+    faultCounts.merge(faultName, 1, Integer::sum);
   }
 
-  List<String> evidence() {
-    return evidence;
+  List<String> violations() {
+    return violations;
   }
 
   long grants() {
@@ -572,17 +583,17 @@
     return changes;
   }
 
-  /** What the register says of the slots that nobody holds, for messages of tests. */
-  String unheld() {
+  /** Describes what the register says of the ranges that no upstream holds, for test messages. */
+  String describeUnheldSlots() {
     final StringBuilder text = new StringBuilder("now " + now + " register " + register.serial);
     text.append(" by ").append(register.assigner).append('#').append(register.incarnation);
     for (final KeyRange range : register.ranges()) {
       final int slot = KeySpace.slot(range.first);
-      if (upstreams.values().stream().noneMatch(one -> one.up && now < one.until[slot])) {
+      if (upstreams.values().stream().noneMatch(one -> one.running && now < one.heldUntil[slot])) {
         final Upstream holder = upstreams.get(range.holder);
         text.append("; ").append(range);
-        text.append(" up ").append(holder.up).append(" leaving ").append(holder.leaving);
-        text.append(" fence seen ").append(holder.fences[slot]);
+        text.append(" up ").append(holder.running).append(" leaving ").append(holder.leaving);
+        text.append(" highest fence seen ").append(holder.highestFences[slot]);
       }
     }
     return text.toString();
@@ -593,7 +604,8 @@
     for (int slot = 0; slot < KeySpace.SLOTS; slot++) {
       final int one = slot;
       held +=
-          upstreams.values().stream().anyMatch(upstream -> upstream.up && now < upstream.until[one])
+          upstreams.values().stream()
+                  .anyMatch(upstream -> upstream.running && now < upstream.heldUntil[one])
               ? 1
               : 0;
     }
--- a/proxy/src/main/java/weldpoint/proxy/PartitionedRequestKey.java
+++ b/proxy/src/main/java/weldpoint/proxy/PartitionedRequestKey.java
@@ -57,7 +57,7 @@
   void waits(final KeyOwners owners) {
     if (!waited) {
       waited = true;
-      owners.waited();
+      owners.recordWait();
     }
   }
 
@@ -74,12 +74,12 @@
       final HttpResponse head,
       final long tookMillis) {
     if (fate == AttemptOutcome.ANSWERED) {
-      owners.answered(service, key, tookMillis);
+      owners.recordResponse(service, key, tookMillis);
     } else if (fate == AttemptOutcome.NOT_RUN
         && head != null
         && head.status().code() == MISDIRECTED) {
       turnedAwayAt = System.nanoTime() / 1_000_000;
-      owners.turnedAway();
+      owners.recordRejection();
     }
   }
 }
--- a/proxy/src/main/java/weldpoint/proxy/ProxiedRequest.java
+++ b/proxy/src/main/java/weldpoint/proxy/ProxiedRequest.java
@@ -351,7 +351,7 @@
       return;
     }
     proxyContext.permits.ask(
-        RateLimit.TENANT.permit(tenant.name()), 1, this::permitted, ProxyContext.now());
+        RateLimit.TENANT.permitName(tenant.name()), 1, this::permitted, ProxyContext.now());
   }
 
   /** The answer to an ask for its tenant's first permit has come. */
@@ -394,7 +394,7 @@
   /** Asks for one more permit, which a request that may have run needs before it is sent again. */
   private void furtherPermit(final Runnable granted, final Runnable denied) {
     proxyContext.permits.ask(
-        RateLimit.TENANT.permit(tenantName()),
+        RateLimit.TENANT.permitName(tenantName()),
         1,
         (count, version, confirmedAt) -> {
           if (over) {
@@ -620,7 +620,7 @@
       return;
     }
     proxyContext.permits.ask(
-        RateLimit.ORIGIN.permit(service().name()),
+        RateLimit.ORIGIN.permitName(service().name()),
         1,
         (granted, version, confirmedAt) -> {
           if (over) {
--- a/proxy/src/main/java/weldpoint/proxy/ProxyDaemon.java
+++ b/proxy/src/main/java/weldpoint/proxy/ProxyDaemon.java
@@ -187,7 +187,7 @@
 
               @Override
               public void assignments(final List<Assignment> assignments) {
-                loop.execute(() -> proxyContext.owners.take(assignments));
+                loop.execute(() -> proxyContext.owners.applyAssignments(assignments));
               }
 
               @Override
@@ -304,7 +304,7 @@
     loop.scheduleAtFixedRate(
         () -> report(false), REPORT_MILLIS, REPORT_MILLIS, TimeUnit.MILLISECONDS);
     loop.scheduleAtFixedRate(
-        () -> proxyContext.owners.reports().forEach(stream::send),
+        () -> proxyContext.owners.drainReports().forEach(stream::send),
         REPORT_MILLIS,
         REPORT_MILLIS,
         TimeUnit.MILLISECONDS);
@@ -392,12 +392,12 @@
         Metric.counter(
             "weldpoint_key_waits",
             "Requests that waited for their key's holder.",
-            proxyContext.owners.waitedCount()));
+            proxyContext.owners.waitCount()));
     figures.add(
         Metric.counter(
             "weldpoint_key_turned_away",
             "Requests that an upstream turned away, since it did not hold the key.",
-            proxyContext.owners.turnedAwayCount()));
+            proxyContext.owners.rejectionCount()));
     figures.addAll(proxyContext.proof.figures(ProxyContext.now()));
     figures.addAll(proxyContext.refusals.figures());
     figures.addAll(proxyContext.tenantCounts.figures());
--- a/proxy/src/test/java/weldpoint/proxy/ConfigurationAtSendTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/ConfigurationAtSendTest.java
@@ -289,7 +289,7 @@
             RangeState.HELD,
             null);
     final Assignment assignment = new Assignment("s", 1, "registry", 1, List.of(all));
-    onLoop(() -> proxy.proxyContext().owners.take(List.of(assignment)));
+    onLoop(() -> proxy.proxyContext().owners.applyAssignments(List.of(assignment)));
   }
 
   private void place() throws InterruptedException {
--- a/proxy/src/test/java/weldpoint/proxy/SecondCopyTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/SecondCopyTest.java
@@ -62,7 +62,7 @@
     proxy
         .proxyContext()
         .loop
-        .submit(() -> proxy.proxyContext().owners.take(List.of(assignment)))
+        .submit(() -> proxy.proxyContext().owners.applyAssignments(List.of(assignment)))
         .sync();
   }
 
--- a/ratelimit/src/main/java/weldpoint/ratelimit/QuotaAllocator.java
+++ b/ratelimit/src/main/java/weldpoint/ratelimit/QuotaAllocator.java
@@ -8,27 +8,32 @@
 import weldpoint.routing.RoutingTable;
 
 /**
- * Gives out one registry's fixed part of every limit. The parts of all voters together never exceed
- * the limit, whatever becomes of any of them, so that no registry needs to know what another gave,
- * nor what it gave itself in an earlier life.
+ * Grants permits out of this registry's fixed share of every rate limit. The shares of all voters
+ * together never exceed the limit, whatever happens to any of them, so no registry needs to know
+ * what another one granted, or what it granted itself before a restart. Not thread-safe.
  */
 public final class QuotaAllocator {
-  private static final int MANY_TENANTS = 10_000;
-  private static final long FORGET_MILLIS = 10_000;
+  /** From this many tenants on, idle shares are evicted to bound memory. */
+  private static final int EVICTION_THRESHOLD = 10_000;
+
+  private static final long EVICTION_INTERVAL_MILLIS = 10_000;
 
   private final Settings settings;
   private final long startedAt;
   private final boolean firstStart;
-  private final Map<String, TenantShare> tenants = new HashMap<>();
-  private final Map<String, SlidingWindowCounter> origins = new HashMap<>();
-  private long forgotAt;
-  private long partSince = Long.MIN_VALUE;
+  private final Map<String, TenantShare> tenantShares = new HashMap<>();
+  private final Map<String, SlidingWindowCounter> originCounters = new HashMap<>();
+  private long evictedAt;
+  private long shareSince = Long.MIN_VALUE;
   private long granted;
   private long refused;
 
   /**
-   * An allocator of a process that starts now; at the very first start of the system nothing can
-   * have been given before.
+   * Creates an allocator for a process that starts now.
+   *
+   * @param firstStart whether the system starts for the very first time, so that nothing can have
+   *     been granted before
+   * @param now milliseconds of the steady clock
    */
   public QuotaAllocator(final Settings settings, final boolean firstStart, final long now) {
     this.settings = settings;
@@ -36,62 +41,72 @@
     this.startedAt = now;
   }
 
-  /** Grants up to so many permits out of a part. */
+  /**
+   * Grants up to {@code count} permits out of this registry's share; returns how many were granted.
+   * An unknown limit, tenant or service is granted none, one without a limit all.
+   */
   public int grant(
       final String permit,
       final int count,
       final RoutingTable routingTable,
-      final QuotaShare part,
+      final QuotaShare quotaShare,
       final long now) {
     final RateLimit limit = RateLimit.of(permit);
-    if (limit == null || routingTable == null || part.parts() < 1 || count < 1) {
+    if (limit == null || routingTable == null || quotaShare.shareCount() < 1 || count < 1) {
       return 0;
     }
-    if (part.since() != partSince) {
-      partSince = part.since();
-      tenants.clear();
+    if (quotaShare.since() != shareSince) {
+      shareSince = quotaShare.since();
+      tenantShares.clear();
     }
-    final String name = limit.bare(permit);
-    final int taken =
+    final String name = limit.subjectName(permit);
+    final int grantedCount =
         limit == RateLimit.TENANT
-            ? grantTenant(routingTable.tenant(name), count, part, now)
-            : grantOrigin(routingTable, name, count, part, now);
-    granted += taken;
-    refused += count - taken;
-    return taken;
+            ? grantTenant(routingTable.tenant(name), count, quotaShare, now)
+            : grantOrigin(routingTable, name, count, quotaShare, now);
+    granted += grantedCount;
+    refused += count - grantedCount;
+    return grantedCount;
   }
 
   private int grantTenant(
-      final RoutingTable.Tenant tenant, final int count, final QuotaShare part, final long now) {
+      final RoutingTable.Tenant tenant,
+      final int count,
+      final QuotaShare quotaShare,
+      final long now) {
     if (tenant == null) {
       return 0;
     }
     if (tenant.ratePerSecond() <= 0) {
       return count;
     }
-    if (tenants.size() >= MANY_TENANTS && now - forgotAt >= FORGET_MILLIS) {
-      forgotAt = now;
-      tenants.values().removeIf(share -> share.idle(now));
+    if (tenantShares.size() >= EVICTION_THRESHOLD && now - evictedAt >= EVICTION_INTERVAL_MILLIS) {
+      evictedAt = now;
+      tenantShares.values().removeIf(share -> share.isIdle(now));
     }
-    final RateLimit.TenantLimit limit = RateLimit.TenantLimit.of(settings, tenant, part.parts());
-    return tenants
-        .computeIfAbsent(tenant.name(), name -> share(limit.capacity(), part))
-        .take(count, limit.perMilli(), limit.capacity(), now);
+    final RateLimit.TenantLimit limit =
+        RateLimit.TenantLimit.of(settings, tenant, quotaShare.shareCount());
+    return tenantShares
+        .computeIfAbsent(tenant.name(), name -> newTenantShare(limit.capacity(), quotaShare))
+        .acquireUpTo(count, limit.perMilli(), limit.capacity(), now);
   }
 
-  /** A share is full at the system's first start, and empty at any other start. */
-  private TenantShare share(final double capacity, final QuotaShare part) {
+  /**
+   * Creates a tenant's share: full at the very first start of the system, empty after any other
+   * start or when this registry got a new share.
+   */
+  private TenantShare newTenantShare(final double capacity, final QuotaShare quotaShare) {
     final long window = settings.quotaWindowMillis();
-    return firstStart && part.since() <= startedAt
+    return firstStart && quotaShare.since() <= startedAt
         ? new TenantShare(capacity, startedAt, window)
-        : new TenantShare(0, Math.max(startedAt, part.since()), window);
+        : new TenantShare(0, Math.max(startedAt, quotaShare.since()), window);
   }
 
   private int grantOrigin(
       final RoutingTable routingTable,
       final String name,
       final int count,
-      final QuotaShare part,
+      final QuotaShare quotaShare,
       final long now) {
     final int service = routingTable.service(name);
     if (service < 0) {
@@ -102,34 +117,37 @@
       return count;
     }
     final long window = settings.originWindowMillis() + RateLimit.ORIGIN_TRANSIT_MILLIS;
-    final boolean earlierLife = !firstStart && now - startedAt < window;
-    final boolean newPart = !firstStart && part.since() > startedAt && now - part.since() < window;
-    final double allowed =
-        earlierLife || newPart ? 0 : RateLimit.originAllowance(settings, rate) / part.parts();
-    return origins
+    final boolean afterRestart = !firstStart && now - startedAt < window;
+    final boolean newShare =
+        !firstStart && quotaShare.since() > startedAt && now - quotaShare.since() < window;
+    final double limit =
+        afterRestart || newShare
+            ? 0
+            : RateLimit.originAllowance(settings, rate) / quotaShare.shareCount();
+    return originCounters
         .computeIfAbsent(name, unused -> new SlidingWindowCounter(window))
-        .take(count, allowed, now);
+        .acquireUpTo(count, limit, now);
   }
 
-  /** Whether the system has never run before. */
+  /** Returns whether this process was started as the very first start of the system. */
   public boolean firstStart() {
     return firstStart;
   }
 
   /**
-   * What a tenant was given here since this process took its part.
+   * What a tenant was granted here since its share was created.
    *
    * @param tenant the tenant's name
    * @param granted permits granted
-   * @param refused permits asked for and not granted here
+   * @param refused permits requested and not granted here
    */
   public record TenantCount(String tenant, long granted, long refused) {}
 
-  /** The counts of so many tenants at most. */
-  public List<TenantCount> tenantCounts(final int most) {
+  /** Returns the counts of up to {@code limit} tenants. */
+  public List<TenantCount> tenantCounts(final int limit) {
     final List<TenantCount> counts = new ArrayList<>();
-    for (final Map.Entry<String, TenantShare> entry : tenants.entrySet()) {
-      if (counts.size() == most) {
+    for (final Map.Entry<String, TenantShare> entry : tenantShares.entrySet()) {
+      if (counts.size() == limit) {
         break;
       }
       final TenantShare share = entry.getValue();
@@ -138,12 +156,12 @@
     return counts;
   }
 
-  /** How many permits were granted. */
+  /** Returns the number of permits granted. */
   public long granted() {
     return granted;
   }
 
-  /** How many were asked for and not granted here. */
+  /** Returns the number of permits requested and not granted here. */
   public long refused() {
     return refused;
   }
--- a/ratelimit/src/main/java/weldpoint/ratelimit/QuotaShare.java
+++ b/ratelimit/src/main/java/weldpoint/ratelimit/QuotaShare.java
@@ -1,10 +1,11 @@
 package weldpoint.ratelimit;
 
 /**
- * One registry's part of all limits.
+ * One registry's equal share of all rate limits.
  *
- * @param parts into how many equal parts the limits are divided
- * @param since when the registry was given its part, in milliseconds of the steady clock; long ago
- *     where it had it before its start
+ * @param shareCount into how many equal shares the limits are divided; no permits are granted below
+ *     1
+ * @param since when the registry got its share, in milliseconds of the steady clock; a time long
+ *     ago if it had the share before its start
  */
-public record QuotaShare(int parts, long since) {}
+public record QuotaShare(int shareCount, long since) {}
--- a/ratelimit/src/main/java/weldpoint/ratelimit/RateLimit.java
+++ b/ratelimit/src/main/java/weldpoint/ratelimit/RateLimit.java
@@ -3,25 +3,30 @@
 import weldpoint.common.Settings;
 import weldpoint.routing.RoutingTable;
 
-/** What is limited for the fleet as a whole, by the bounds in the settings. */
+/**
+ * The kinds of rate limits that apply to the fleet as a whole, with the bounds from the settings.
+ */
 public enum RateLimit {
-  /** The requests of a tenant that upstreams run. */
+  /** Requests of one tenant that upstreams run. */
   TENANT("tenant/"),
-  /** What an origin receives, from whomever. */
+  /** Requests that one origin receives, from any sender. */
   ORIGIN("origin/");
 
-  /** The part of an origin's allowance that cache nodes spend without asking. */
-  public static final double CACHE_SHARE = 0.55;
+  /** The fraction of an origin's allowance that cache nodes use without requesting permits. */
+  public static final double CACHE_FRACTION = 0.55;
 
-  /** How much longer than an origin's window permits are counted, for the way to the origin. */
+  /**
+   * Milliseconds by which permits are counted longer than an origin's window, since a request takes
+   * time to reach the origin.
+   */
   public static final long ORIGIN_TRANSIT_MILLIS = 300;
 
-  /** How much of its limit a tenant is given; the rest covers clocks that drift apart. */
-  static final double TENANT_SHARE = 0.98;
+  /** The fraction of its limit that a tenant gets; the rest covers clock drift. */
+  static final double TENANT_FRACTION = 0.98;
 
-  private static final double LEAST_CAPACITY = 3;
-  private static final double ORIGIN_SHARE_BESIDE_CACHES = 0.45;
-  private static final double ORIGIN_SHARE_ALONE = 0.95;
+  private static final double MIN_CAPACITY = 3;
+  private static final double ORIGIN_FRACTION_WITH_CACHES = 0.45;
+  private static final double ORIGIN_FRACTION_WITHOUT_CACHES = 0.95;
 
   private final String prefix;
 
@@ -29,12 +34,12 @@
     this.prefix = prefix;
   }
 
-  /** The name under which permits for this are asked. */
-  public String permit(final String name) {
+  /** Returns the name under which permits for this tenant or service are requested. */
+  public String permitName(final String name) {
     return prefix + name;
   }
 
-  /** The limit that a permit's name falls under; null where there is none. */
+  /** Returns the kind of limit that a permit's name belongs to; null if there is none. */
   static RateLimit of(final String permit) {
     for (final RateLimit limit : values()) {
       if (permit.startsWith(limit.prefix)) {
@@ -44,35 +49,42 @@
     return null;
   }
 
-  String bare(final String permit) {
+  String subjectName(final String permit) {
     return permit.substring(prefix.length());
   }
 
   /**
-   * One of several equal parts of a tenant's limit: in any span of {@code t} milliseconds it gives
-   * {@code capacity + perMilli x t} permits at most.
+   * One of several equal shares of a tenant's limit, as a token bucket: in any {@code t}
+   * milliseconds it grants at most {@code capacity + perMilli x t} permits.
    *
-   * @param perMilli permits that a millisecond brings
-   * @param capacity permits that may be saved up
+   * @param perMilli permits added per millisecond
+   * @param capacity permits that may accumulate
    */
   record TenantLimit(double perMilli, double capacity) {
-    /** Parts that could not save up a few permits take them from their rate. */
+    /**
+     * Computes one share; if its capacity would be below a few permits, it is raised at the expense
+     * of the rate.
+     */
     static TenantLimit of(
-        final Settings settings, final RoutingTable.Tenant tenant, final int parts) {
+        final Settings settings, final RoutingTable.Tenant tenant, final int shareCount) {
       final double window = settings.quotaWindowMillis();
       final double overshoot = 1 + settings.quotaOvershoot();
       final double burst = tenant.burst() * overshoot + settings.quotaTolerance();
       final double inWindow = tenant.ratePerSecond() / 1000 * window * overshoot + burst;
-      final double capacity = Math.max(burst, Math.min(inWindow / 2, LEAST_CAPACITY * parts));
-      final double share = TENANT_SHARE / parts;
-      return new TenantLimit(share * (inWindow - capacity) / window, share * capacity);
+      final double capacity = Math.max(burst, Math.min(inWindow / 2, MIN_CAPACITY * shareCount));
+      final double fraction = TENANT_FRACTION / shareCount;
+      return new TenantLimit(fraction * (inWindow - capacity) / window, fraction * capacity);
     }
   }
 
-  /** How many requests an origin may receive in one window through permits of registries. */
+  /**
+   * Returns how many requests an origin may receive in one window through permits of all
+   * registries.
+   */
   static double originAllowance(final Settings settings, final double ratePerSecond) {
-    final double share = settings.content() ? ORIGIN_SHARE_BESIDE_CACHES : ORIGIN_SHARE_ALONE;
-    return share
+    final double fraction =
+        settings.content() ? ORIGIN_FRACTION_WITH_CACHES : ORIGIN_FRACTION_WITHOUT_CACHES;
+    return fraction
         * ratePerSecond
         * settings.originWindowMillis()
         / 1000.0
--- a/ratelimit/src/main/java/weldpoint/ratelimit/SlidingWindowCounter.java
+++ b/ratelimit/src/main/java/weldpoint/ratelimit/SlidingWindowCounter.java
@@ -1,50 +1,55 @@
 package weldpoint.ratelimit;
 
 /**
- * Counts what was given out in a sliding window, and gives no more than a limit within any such
- * window.
+ * Counts permits in a sliding window of buckets and grants no more than a limit within any such
+ * window. Not thread-safe.
  */
 public final class SlidingWindowCounter {
-  private static final int SLICES = 24;
+  private static final int BUCKETS = 24;
 
-  private final long sliceMillis;
-  private final int[] given = new int[SLICES];
-  private long slice = Long.MIN_VALUE;
-  private int sum;
+  private final long bucketMillis;
+  private final int[] counts = new int[BUCKETS];
+  private long currentBucket = Long.MIN_VALUE;
+  private int total;
 
-  /** A purse over a window of this many milliseconds. */
+  /** Creates a counter over a window of this many milliseconds. */
   public SlidingWindowCounter(final long windowMillis) {
-    this.sliceMillis = Math.max(1, (windowMillis + SLICES - 2) / (SLICES - 1));
+    this.bucketMillis = Math.max(1, (windowMillis + BUCKETS - 2) / (BUCKETS - 1));
   }
 
-  private int place(final long now) {
-    final long present = Math.floorDiv(now, sliceMillis);
-    if (slice == Long.MIN_VALUE || present - slice >= SLICES) {
-      java.util.Arrays.fill(given, 0);
-      sum = 0;
-      slice = present;
+  /**
+   * Moves the window up to now, clearing expired buckets, and returns the current bucket's index.
+   */
+  private int advance(final long now) {
+    final long bucket = Math.floorDiv(now, bucketMillis);
+    if (currentBucket == Long.MIN_VALUE || bucket - currentBucket >= BUCKETS) {
+      java.util.Arrays.fill(counts, 0);
+      total = 0;
+      currentBucket = bucket;
     }
-    while (slice < present) {
-      slice++;
-      final int place = (int) Math.floorMod(slice, (long) SLICES);
-      sum -= given[place];
-      given[place] = 0;
+    while (currentBucket < bucket) {
+      currentBucket++;
+      final int index = (int) Math.floorMod(currentBucket, (long) BUCKETS);
+      total -= counts[index];
+      counts[index] = 0;
     }
-    return (int) Math.floorMod(slice, (long) SLICES);
+    return (int) Math.floorMod(currentBucket, (long) BUCKETS);
   }
 
-  /** Takes up to this many, as far as the limit for a window allows. */
-  public int take(final int count, final double limit, final long now) {
-    final int place = place(now);
-    final int taken = Math.max(0, Math.min(count, (int) Math.floor(limit) - sum));
-    given[place] += taken;
-    sum += taken;
-    return taken;
+  /**
+   * Takes up to {@code count} permits, as far as the limit for a window allows; returns how many.
+   */
+  public int acquireUpTo(final int count, final double limit, final long now) {
+    final int index = advance(now);
+    final int acquired = Math.max(0, Math.min(count, (int) Math.floor(limit) - total));
+    counts[index] += acquired;
+    total += acquired;
+    return acquired;
   }
 
-  /** How many were taken within the present window. */
-  public int taken(final long now) {
-    place(now);
-    return sum;
+  /** Returns how many were taken within the current window. */
+  public int currentTotal(final long now) {
+    advance(now);
+    return total;
   }
 }
--- a/ratelimit/src/main/java/weldpoint/ratelimit/TenantShare.java
+++ b/ratelimit/src/main/java/weldpoint/ratelimit/TenantShare.java
@@ -2,45 +2,61 @@
 
 import weldpoint.common.Invariant;
 
-/** One registry's share of one tenant's limit: a token bucket, and a check of what it gave. */
+/**
+ * One registry's share of one tenant's limit: a token bucket, and an invariant check of what it
+ * granted within a window.
+ */
 final class TenantShare {
   private static final Invariant WITHIN_LIMIT = Invariant.named("tenant grants within the limit");
-  private static final double CHECK_SPAN = 24.0 / 23;
+
+  /**
+   * The counter's 24 buckets cover up to 24/23 of the window, so the check allows that much more.
+   */
+  private static final double CHECK_WINDOW_FACTOR = 24.0 / 23;
 
   private final TokenBucket bucket;
   private final long windowMillis;
-  private SlidingWindowCounter given;
+  private SlidingWindowCounter windowCounter;
   private double ratePerMilli;
   private double capacity;
   private long granted;
   private long refused;
 
-  TenantShare(final double level, final long at, final long windowMillis) {
-    this.bucket = new TokenBucket(level, at);
+  TenantShare(final double initialTokens, final long startAt, final long windowMillis) {
+    this.bucket = new TokenBucket(initialTokens, startAt);
     this.windowMillis = windowMillis;
-    this.given = new SlidingWindowCounter(windowMillis);
+    this.windowCounter = new SlidingWindowCounter(windowMillis);
   }
 
-  /** Takes permits at this rate and capacity, which may change from call to call. */
-  int take(final int count, final double ratePerMilli, final double capacity, final long now) {
+  /**
+   * Takes up to {@code count} permits at this rate and capacity, which may change between calls;
+   * returns how many.
+   */
+  int acquireUpTo(
+      final int count, final double ratePerMilli, final double capacity, final long now) {
     if (ratePerMilli < this.ratePerMilli || capacity < this.capacity) {
-      given = new SlidingWindowCounter(windowMillis);
+      windowCounter = new SlidingWindowCounter(windowMillis);
     }
     this.ratePerMilli = ratePerMilli;
     this.capacity = capacity;
-    final int taken = bucket.take(count, ratePerMilli, capacity, now);
-    given.take(taken, Integer.MAX_VALUE, now);
-    final double allowed = capacity + ratePerMilli * windowMillis * CHECK_SPAN + 1;
-    final int sum = given.taken(now);
-    WITHIN_LIMIT.check(sum <= allowed, () -> sum + " granted in a window, allowed " + allowed);
-    granted += taken;
-    refused += count - taken;
-    return taken;
+    final int acquired = bucket.acquireUpTo(count, ratePerMilli, capacity, now);
+    windowCounter.acquireUpTo(acquired, Integer.MAX_VALUE, now);
+    final double allowed = capacity + ratePerMilli * windowMillis * CHECK_WINDOW_FACTOR + 1;
+    final int inWindow = windowCounter.currentTotal(now);
+    WITHIN_LIMIT.check(
+        inWindow <= allowed,
+        () -> inWindow + " permits granted within one window, allowed " + allowed);
+    granted += acquired;
+    refused += count - acquired;
+    return acquired;
   }
 
-  /** Whether a new share would give the same as this one: nothing was given for a window. */
-  boolean idle(final long now) {
-    return given.taken(now) == 0 && bucket.full(ratePerMilli, capacity, now);
+  /**
+   * Whether a new share would grant the same as this one: nothing was granted for a window and the
+   * bucket is full.
+   */
+  boolean isIdle(final long now) {
+    return windowCounter.currentTotal(now) == 0 && bucket.isFull(ratePerMilli, capacity, now);
   }
 
   long granted() {
--- a/ratelimit/src/main/java/weldpoint/ratelimit/TokenBucket.java
+++ b/ratelimit/src/main/java/weldpoint/ratelimit/TokenBucket.java
@@ -1,40 +1,43 @@
 package weldpoint.ratelimit;
 
 /**
- * A token bucket that a process starts empty, so that a restart can grant nothing that time has not
- * earned since: over any number of lives, one after the other, no span of {@code t} milliseconds
- * sees more than {@code capacity + rate x t} tokens taken.
+ * A token bucket that is empty after a restart, so that a restarted process grants only what has
+ * accumulated since. Across any number of restarts, no {@code t} milliseconds see more than {@code
+ * capacity + rate x t} tokens taken. Not thread-safe.
  */
 final class TokenBucket {
-  private double level;
-  private long at;
+  private double tokens;
+  private long updatedAt;
 
-  /** A bucket that holds so many tokens at a moment, in milliseconds of the steady clock. */
-  TokenBucket(final double level, final long at) {
-    this.level = level;
-    this.at = at;
+  /**
+   * Creates a bucket that holds {@code tokens} at {@code updatedAt}, in milliseconds of the steady clock.
+   */
+  TokenBucket(final double tokens, final long updatedAt) {
+    this.tokens = tokens;
+    this.updatedAt = updatedAt;
   }
 
   /**
-   * Takes whole tokens, as far as there are any.
+   * Takes whole tokens, as far as available.
    *
-   * @param count how many are wanted
-   * @param ratePerMilli tokens that a millisecond brings
-   * @param capacity the most that the bucket holds
+   * @param count how many are requested
+   * @param ratePerMilli tokens added per millisecond
+   * @param capacity the maximum that the bucket holds
    * @param now milliseconds of the steady clock
    * @return how many were taken
    */
-  int take(final int count, final double ratePerMilli, final double capacity, final long now) {
-    final long passed = Math.max(0, now - at);
-    at = Math.max(at, now);
-    level = Math.min(capacity, level + passed * ratePerMilli);
-    final int taken = Math.max(0, Math.min(count, (int) Math.floor(level)));
-    level -= taken;
-    return taken;
+  int acquireUpTo(
+      final int count, final double ratePerMilli, final double capacity, final long now) {
+    final long elapsedMillis = Math.max(0, now - updatedAt);
+    updatedAt = Math.max(updatedAt, now);
+    tokens = Math.min(capacity, tokens + elapsedMillis * ratePerMilli);
+    final int acquired = Math.max(0, Math.min(count, (int) Math.floor(tokens)));
+    tokens -= acquired;
+    return acquired;
   }
 
-  /** Whether nothing was taken lately and the bucket is full again by now. */
-  boolean full(final double ratePerMilli, final double capacity, final long now) {
-    return level + Math.max(0, now - at) * ratePerMilli >= capacity;
+  /** Whether the bucket is full again by now. */
+  boolean isFull(final double ratePerMilli, final double capacity, final long now) {
+    return tokens + Math.max(0, now - updatedAt) * ratePerMilli >= capacity;
   }
 }
--- a/registry/src/main/java/weldpoint/registry/OwnershipEndpoint.java
+++ b/registry/src/main/java/weldpoint/registry/OwnershipEndpoint.java
@@ -59,12 +59,12 @@
 
   /** The sum of all serials known, by which the state stores tell whether anything is news. */
   long mark() {
-    return coordinator.mark();
+    return coordinator.combinedVersion();
   }
 
   /** Takes what the state stores hold; what proxies must be told, or null. */
   Assignments take(final List<Assignment> given, final long now) {
-    final List<Assignment> news = coordinator.take(given, now);
+    final List<Assignment> news = coordinator.applyAssignments(given, now);
     return news.isEmpty() ? null : new Assignments(news);
   }
 
@@ -95,7 +95,7 @@
 
   /** Another registry's pulse. */
   void pulse(final String from, final AssignerHeartbeat pulse, final long now) {
-    coordinator.pulse(from, pulse, now);
+    coordinator.receiveHeartbeat(from, pulse, now);
   }
 
   /** A proxy tells what it sent to holders. */
@@ -110,7 +110,7 @@
 
   /** The process ends. */
   void leave() {
-    coordinator.leave();
+    coordinator.resign();
   }
 
   /** Time has passed. */
@@ -180,18 +180,18 @@
       final Collection<String> evacuated,
       final Set<String> suspects) {
     if (LifecycleStage.of(one) == LifecycleStage.REMOVED && lives.containsKey(one.address)) {
-      return Member.Standing.ENDED;
+      return Member.Standing.TERMINATED;
     }
     if (!LifecycleStage.of(one).open() || evacuated.contains(one.site)) {
-      return Member.Standing.LEAVES;
+      return Member.Standing.LEAVING;
     }
     return suspects.contains(one.id) || one.warmupMillis > 0
-        ? Member.Standing.KEEPS
+        ? Member.Standing.NO_NEW_KEYS
         : Member.Standing.ELIGIBLE;
   }
 
   List<Metric> figures(final long now) {
-    return coordinator.figures(now);
+    return coordinator.metrics(now);
   }
 
   String counters() {
--- a/registry/src/main/java/weldpoint/registry/RegistryDaemon.java
+++ b/registry/src/main/java/weldpoint/registry/RegistryDaemon.java
@@ -213,7 +213,7 @@
     core.ownership(
         incarnation,
         timings,
-        new KeyGrantClient(loop, executor, timings.holdMillis(), timings.sendMillis()));
+        new KeyGrantClient(loop, executor, timings.grantMillis(), timings.maxSendMillis()));
     executor.execute(() -> core.start(found.lost() ? List.of() : found.records(), now()));
     log.start("tape");
     transport.serve(
--- a/upstream/src/test/java/weldpoint/upstream/UpstreamConnectionTest.java
+++ b/upstream/src/test/java/weldpoint/upstream/UpstreamConnectionTest.java
@@ -113,7 +113,7 @@
     };
   }
 
-  @Test(dataProvider = "whole")
+  @Test(dataProvider = "completeResponses")
   public void aResponseSplitAtAnyByteIsDeliveredOnceAndComplete(
       final String answer, final String expected) {
     for (int cut = 0; cut <= answer.length(); cut++) {
@@ -133,7 +133,7 @@
     assertEquals(single.results, List.of(expected));
   }
 
-  @Test(dataProvider = "whole")
+  @Test(dataProvider = "completeResponses")
   public void aResponseTruncatedAtAnyByteIsUncertain(final String answer, final String expected) {
     for (int cut = 0; cut < answer.length(); cut++) {
       final Wire wire =
@@ -166,7 +166,7 @@
     };
   }
 
-  @Test(dataProvider = "noAnswer")
+  @Test(dataProvider = "invalidResponses")
   public void anInvalidResponseClosesTheConnectionAndIsUncertain(final String answer) {
     final Wire wire = new Wire().sendRequest("abc").receive(answer);
     assertEquals(wire.results, List.of("abc UNCERTAIN"));
--- a/upstream/src/test/java/weldpoint/upstream/UpstreamPoolTest.java
+++ b/upstream/src/test/java/weldpoint/upstream/UpstreamPoolTest.java
@@ -124,7 +124,7 @@
   /**
    * Guards against a fault in which a tenant's home regions were not applied to ordinary requests.
    */
-  @Test(dataProvider = "homes")
+  @Test(dataProvider = "homeRegionCases")
   public void homeRegionsOfRouteAndTenantApplyToEveryKindOfChoice(
       final String path, final List<String> tenantHomes, final Set<String> allowed) {
     final UpstreamPool upstreamPool = upstreamPool(1);
