--- a/cache/src/main/java/weldpoint/cache/OriginFetcher.java
+++ b/cache/src/main/java/weldpoint/cache/OriginFetcher.java
@@ -319,7 +319,9 @@
     }
 
     private void ended(
-        final UpstreamConnection.End end, final HttpResponse head, final ByteBuf body) {
+        final UpstreamConnection.CompletionStatus end,
+        final HttpResponse head,
+        final ByteBuf body) {
       final byte[] bytes = new byte[body == null ? 0 : body.readableBytes()];
       if (body != null) {
         body.readBytes(bytes);
@@ -328,7 +330,7 @@
       if (over) {
         return;
       }
-      if (end == UpstreamConnection.End.UNSENT) {
+      if (end == UpstreamConnection.CompletionStatus.UNSENT) {
         tries--;
       }
       final int status = head == null ? 0 : head.status().code();
--- a/ownership/src/main/java/weldpoint/ownership/Assigner.java
+++ b/ownership/src/main/java/weldpoint/ownership/Assigner.java
@@ -39,8 +39,8 @@
     /** Sends a grant, unless it cannot be written to the connection before {@code sendBy}. */
     void grant(KeyRange range, long sendBy, Consumer<CallResult> done);
 
-    /** Requests a release, whose response may take until {@code answerBy}. */
-    void release(KeyRange range, long sendBy, long answerBy, Consumer<CallResult> done);
+    /** Requests a release, whose response may take until {@code responseBy}. */
+    void release(KeyRange range, long sendBy, long responseBy, Consumer<CallResult> done);
   }
 
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
@@ -204,19 +204,19 @@
   }
 
   private static KeyRange withState(
-      final KeyRange range, final RangeState state, final long fence) {
+      final KeyRange range, final RangeState state, final long fencingToken) {
     return new KeyRange(
-        range.first, range.last, range.holder, range.address, fence, state, range.transfer);
+        range.first, range.last, range.holder, range.address, fencingToken, state, range.transfer);
   }
 
   private static KeyRange withHolder(
-      final KeyRange range, final Member receiver, final long fence, final String transfer) {
+      final KeyRange range, final Member receiver, final long fencingToken, final String transfer) {
     return new KeyRange(
         range.first,
         range.last,
         receiver.id(),
         receiver.address(),
-        fence,
+        fencingToken,
         RangeState.HELD,
         transfer);
   }
@@ -276,8 +276,8 @@
         range,
         Math.min(leaseUntil, now + RETRY_MILLIS),
         result -> {
-          sentGrants.grantCompleted(range, result.end(), environment.now());
-          counts.recordGrant(result.end());
+          sentGrants.grantCompleted(range, result.outcome(), environment.now());
+          counts.recordGrant(result.outcome());
           if (term == sentTerm) {
             grantCompleted(range, result);
           }
@@ -285,7 +285,7 @@
   }
 
   private void grantCompleted(final KeyRange range, final CallResult result) {
-    final boolean done = result.end() == CallResult.End.DONE;
+    final boolean done = result.outcome() == CallResult.Outcome.DONE;
     recordCall(range.holder, done);
     final long next = environment.now() + (done ? timings.renewalIntervalMillis() : RETRY_MILLIS);
     for (int slot = KeySpace.slot(range.first); slot <= KeySpace.slot(range.last); slot++) {
@@ -365,7 +365,7 @@
         Math.min(leaseUntil, now + RETRY_MILLIS),
         now + timings.grantMillis(),
         result -> {
-          counts.recordRelease(result.end());
+          counts.recordRelease(result.outcome());
           if (term == sentTerm) {
             releaseCompleted(range, result);
           }
@@ -387,7 +387,7 @@
     }
     final int slot = KeySpace.slot(range.first);
     releaseInFlight[slot] = false;
-    if (result.end() == CallResult.End.DONE) {
+    if (result.outcome() == CallResult.Outcome.DONE) {
       outstandingGrants.markReleased(range);
       if (result.transfer() != null && !isTerminated(range.holder)) {
         transfers.put(slot, result.transfer());
--- a/ownership/src/main/java/weldpoint/ownership/AssignerCounts.java
+++ b/ownership/src/main/java/weldpoint/ownership/AssignerCounts.java
@@ -7,17 +7,17 @@
 
 /** Counters of an assigner since its process started. */
 final class AssignerCounts {
-  private final long[] grants = new long[CallResult.End.values().length];
-  private final long[] releases = new long[CallResult.End.values().length];
+  private final long[] grants = new long[CallResult.Outcome.values().length];
+  private final long[] releases = new long[CallResult.Outcome.values().length];
   private final long[] moves = new long[MoveReason.values().length];
   private long reassignedWithoutRelease;
 
-  void recordGrant(final CallResult.End end) {
-    grants[end.ordinal()]++;
+  void recordGrant(final CallResult.Outcome outcome) {
+    grants[outcome.ordinal()]++;
   }
 
-  void recordRelease(final CallResult.End end) {
-    releases[end.ordinal()]++;
+  void recordRelease(final CallResult.Outcome outcome) {
+    releases[outcome.ordinal()]++;
   }
 
   void recordMove(final MoveReason reason) {
@@ -30,13 +30,13 @@
 
   List<Metric> metrics() {
     final List<Metric> metrics = new ArrayList<>();
-    for (final CallResult.End end : CallResult.End.values()) {
+    for (final CallResult.Outcome outcome : CallResult.Outcome.values()) {
       metrics.add(
-          Metric.counter("weldpoint_key_grants", "Grants of keys.", grants[end.ordinal()])
-              .with("result", name(end)));
+          Metric.counter("weldpoint_key_grants", "Grants of keys.", grants[outcome.ordinal()])
+              .with("result", name(outcome)));
       metrics.add(
-          Metric.counter("weldpoint_key_releases", "Releases of keys.", releases[end.ordinal()])
-              .with("result", name(end)));
+          Metric.counter("weldpoint_key_releases", "Releases of keys.", releases[outcome.ordinal()])
+              .with("result", name(outcome)));
     }
     for (final MoveReason reason : MoveReason.values()) {
       metrics.add(
--- a/ownership/src/main/java/weldpoint/ownership/Balancer.java
+++ b/ownership/src/main/java/weldpoint/ownership/Balancer.java
@@ -90,7 +90,7 @@
   }
 
   /** Divides all keys among the eligible members in proportion to their capacities. */
-  static List<KeyRange> initialAssignment(final List<Member> members, final long fence) {
+  static List<KeyRange> initialAssignment(final List<Member> members, final long fencingToken) {
     final List<Member> eligible = new ArrayList<>();
     members.stream().filter(Member::eligible).forEach(eligible::add);
     eligible.sort(Comparator.comparing(Member::id));
@@ -108,7 +108,7 @@
                 KeySpace.lastKey(end - 1),
                 member.id(),
                 member.address(),
-                fence,
+                fencingToken,
                 RangeState.HELD,
                 null));
         firstSlot = end;
--- a/ownership/src/main/java/weldpoint/ownership/CallResult.java
+++ b/ownership/src/main/java/weldpoint/ownership/CallResult.java
@@ -6,9 +6,9 @@
  * @param end how the call ended
  * @param transfer the state that a release handed over; null if there was none
  */
-public record CallResult(End end, String transfer) {
+public record CallResult(Outcome outcome, String transfer) {
   /** The ways in which a call ends; label values of metrics. */
-  public enum End {
+  public enum Outcome {
     /** The upstream carried it out. */
     DONE,
     /** The upstream rejected it, having seen a higher fencing token. */
@@ -20,7 +20,7 @@
   }
 
   /** Creates a result without handed-over state. */
-  public static CallResult of(final End end) {
-    return new CallResult(end, null);
+  public static CallResult of(final Outcome outcome) {
+    return new CallResult(outcome, null);
   }
 }
--- a/ownership/src/main/java/weldpoint/ownership/OutstandingGrants.java
+++ b/ownership/src/main/java/weldpoint/ownership/OutstandingGrants.java
@@ -56,16 +56,16 @@
   }
 
   /** Records how a grant call ended. */
-  void grantCompleted(final KeyRange range, final CallResult.End end, final long now) {
+  void grantCompleted(final KeyRange range, final CallResult.Outcome outcome, final long now) {
     for (int slot = firstSlot(range); slot <= lastSlot(range); slot++) {
       inFlight[slot]--;
       if (!range.holder.equals(holder[slot])) {
         continue;
       }
-      if (end == CallResult.End.DONE) {
+      if (outcome == CallResult.Outcome.DONE) {
         acknowledgedAt[slot] = now;
         mayHoldUntil[slot] = Math.max(mayHoldUntil[slot], timings.latestExpiry(now));
-      } else if (end == CallResult.End.UNKNOWN) {
+      } else if (outcome == CallResult.Outcome.UNKNOWN) {
         final long startedBy = timings.latestStart(now);
         mayHoldUntil[slot] = Math.max(mayHoldUntil[slot], timings.latestExpiry(startedBy));
       }
--- a/ownership/src/test/java/weldpoint/ownership/OutstandingGrantsTest.java
+++ b/ownership/src/test/java/weldpoint/ownership/OutstandingGrantsTest.java
@@ -17,11 +17,11 @@
   private static final KeyRange RANGE =
       new KeyRange(0, 65_535, "k-1", "10.0.0.1:80", 7, RangeState.HELD, null);
 
-  private static boolean isFreeAt(final CallResult.End end, final long now) {
+  private static boolean isFreeAt(final CallResult.Outcome outcome, final long now) {
     final OutstandingGrants grants =
         new OutstandingGrants(GrantTimings.of(GRANT_MILLIS, LATE_MILLIS));
     grants.grantSent(RANGE, SENT_AT);
-    grants.grantCompleted(RANGE, end, COMPLETED_AT);
+    grants.grantCompleted(RANGE, outcome, COMPLETED_AT);
     return grants.isFree(RANGE, now);
   }
 
@@ -33,16 +33,16 @@
   public void aGrantReadAfterItsConnectionResetIsStillCovered() {
     final long startedAt = COMPLETED_AT + LATE_MILLIS;
     final long latestExpiry = startedAt + (long) Math.ceil(GRANT_MILLIS / 0.98);
-    assertFalse(isFreeAt(CallResult.End.UNKNOWN, latestExpiry));
-    assertTrue(isFreeAt(CallResult.End.UNKNOWN, latestExpiry + 200));
+    assertFalse(isFreeAt(CallResult.Outcome.UNKNOWN, latestExpiry));
+    assertTrue(isFreeAt(CallResult.Outcome.UNKNOWN, latestExpiry + 200));
   }
 
   @Test
   public void anAcknowledgedGrantStartedBeforeItsAcknowledgement() {
     final long latestExpiry = COMPLETED_AT + (long) Math.ceil(GRANT_MILLIS / 0.98);
-    assertFalse(isFreeAt(CallResult.End.DONE, latestExpiry));
-    assertTrue(isFreeAt(CallResult.End.DONE, latestExpiry + 200));
-    assertTrue(isFreeAt(CallResult.End.NOT_SENT, COMPLETED_AT));
-    assertTrue(isFreeAt(CallResult.End.REFUSED, COMPLETED_AT));
+    assertFalse(isFreeAt(CallResult.Outcome.DONE, latestExpiry));
+    assertTrue(isFreeAt(CallResult.Outcome.DONE, latestExpiry + 200));
+    assertTrue(isFreeAt(CallResult.Outcome.NOT_SENT, COMPLETED_AT));
+    assertTrue(isFreeAt(CallResult.Outcome.REFUSED, COMPLETED_AT));
   }
 }
--- a/ownership/src/test/java/weldpoint/ownership/OwnershipSimulation.java
+++ b/ownership/src/test/java/weldpoint/ownership/OwnershipSimulation.java
@@ -66,7 +66,7 @@
     final double clockSlowdown;
     final long visibleAt;
     final long[] heldUntil = new long[KeySpace.SLOTS];
-    final long[] highestFences = new long[KeySpace.SLOTS];
+    final long[] highestFencingTokens = new long[KeySpace.SLOTS];
     boolean running = true;
     boolean leaving;
     boolean partitioned;
@@ -83,12 +83,12 @@
 
     boolean grant(final KeyRange range, final long grantMillis) {
       for (int slot = KeySpace.slot(range.first); slot <= KeySpace.slot(range.last); slot++) {
-        if (highestFences[slot] > range.fence) {
+        if (highestFencingTokens[slot] > range.fence) {
           return false;
         }
       }
       for (int slot = KeySpace.slot(range.first); slot <= KeySpace.slot(range.last); slot++) {
-        highestFences[slot] = range.fence;
+        highestFencingTokens[slot] = range.fence;
         heldUntil[slot] = now + (long) Math.ceil(grantMillis * clockSlowdown);
       }
       grants++;
@@ -99,7 +99,7 @@
     void release(final KeyRange range) {
       for (int slot = KeySpace.slot(range.first); slot <= KeySpace.slot(range.last); slot++) {
         heldUntil[slot] = 0;
-        highestFences[slot] = Math.max(highestFences[slot], range.fence);
+        highestFencingTokens[slot] = Math.max(highestFencingTokens[slot], range.fence);
       }
     }
   }
@@ -212,21 +212,21 @@
 
     @Override
     public void grant(final KeyRange range, final long sendBy, final Consumer<CallResult> done) {
-      call(range, done, upstream -> end(upstream.grant(range, GRANT_MILLIS)), SEND_MILLIS);
+      call(range, done, upstream -> toResult(upstream.grant(range, GRANT_MILLIS)), SEND_MILLIS);
     }
 
     @Override
     public void release(
         final KeyRange range,
         final long sendBy,
-        final long answerBy,
+        final long responseBy,
         final Consumer<CallResult> done) {
       call(
           range,
           done,
           upstream -> {
             upstream.release(range);
-            return new CallResult(CallResult.End.DONE, "t" + range.fence);
+            return new CallResult(CallResult.Outcome.DONE, "t" + range.fence);
           },
           GRANT_MILLIS);
     }
@@ -238,8 +238,8 @@
       }
     }
 
-    private CallResult end(final boolean granted) {
-      return CallResult.of(granted ? CallResult.End.DONE : CallResult.End.REFUSED);
+    private CallResult toResult(final boolean granted) {
+      return CallResult.of(granted ? CallResult.Outcome.DONE : CallResult.Outcome.REFUSED);
     }
 
     /** Delivers a call before its time-out or not at all; its response may be lost. */
@@ -261,19 +261,19 @@
           || !upstream.running
           || upstream.partitioned
           || upstream.unreachableFrom.contains(address)) {
-        schedule(delay(), this, () -> once.accept(CallResult.of(CallResult.End.NOT_SENT)));
+        schedule(delay(), this, () -> once.accept(CallResult.of(CallResult.Outcome.NOT_SENT)));
         return;
       }
       final long arrives = random.nextInt(4) == 0 ? random.nextInt((int) SEND_MILLIS) : delay();
       final boolean arrivalLost = now < faultsUntil && random.nextInt(12) == 0;
-      final boolean answerLost = now < faultsUntil && random.nextInt(12) == 0;
+      final boolean responseLost = now < faultsUntil && random.nextInt(12) == 0;
       if (!arrivalLost) {
         schedule(
             Math.min(arrives, SEND_MILLIS),
             null,
-            () -> deliver(upstream, effect, result -> deliverResult(answerLost, once, result)));
+            () -> deliver(upstream, effect, result -> deliverResult(responseLost, once, result)));
       }
-      schedule(timeoutMillis, this, () -> once.accept(CallResult.of(CallResult.End.UNKNOWN)));
+      schedule(timeoutMillis, this, () -> once.accept(CallResult.of(CallResult.Outcome.UNKNOWN)));
     }
   }
 
@@ -593,7 +593,7 @@
         final Upstream holder = upstreams.get(range.holder);
         text.append("; ").append(range);
         text.append(" up ").append(holder.running).append(" leaving ").append(holder.leaving);
-        text.append(" highest fence seen ").append(holder.highestFences[slot]);
+        text.append(" highest fence seen ").append(holder.highestFencingTokens[slot]);
       }
     }
     return text.toString();
--- a/proxy/src/main/java/weldpoint/proxy/ProxiedRequest.java
+++ b/proxy/src/main/java/weldpoint/proxy/ProxiedRequest.java
@@ -738,7 +738,7 @@
                 heldKey.ended(
                     proxyContext.owners, service().name(), fate, head, ProxyContext.now() - now);
               }
-              if (pendingWrite != null && end != UpstreamConnection.End.UNCERTAIN) {
+              if (pendingWrite != null && end != UpstreamConnection.CompletionStatus.UNCERTAIN) {
                 pendingWrite.ended();
                 proxyContext.affinity.tick(ProxyContext.now());
               }
@@ -813,7 +813,7 @@
   }
 
   private void ended(
-      final UpstreamConnection.End end,
+      final UpstreamConnection.CompletionStatus end,
       final AttemptOutcome fate,
       final HttpResponse head,
       final ByteBuf bytes) {
@@ -824,7 +824,7 @@
       endUnheard(fate, head, bytes);
       return;
     }
-    if (end == UpstreamConnection.End.UNSENT) {
+    if (end == UpstreamConnection.CompletionStatus.UNSENT) {
       sent--;
       if (affinity != null && ++untied > MOST_UNTIED) {
         refuseTied(WriteDecision.DECLINED);
--- a/proxy/src/main/java/weldpoint/proxy/Recorder.java
+++ b/proxy/src/main/java/weldpoint/proxy/Recorder.java
@@ -67,7 +67,7 @@
 
     void ended(
         final int place,
-        final UpstreamConnection.End end,
+        final UpstreamConnection.CompletionStatus end,
         final HttpResponse head,
         final long now) {
       took.set(place, now - at - begun.get(place));
--- a/registry/src/main/java/weldpoint/registry/KeyGrantClient.java
+++ b/registry/src/main/java/weldpoint/registry/KeyGrantClient.java
@@ -83,7 +83,7 @@
     void end(final CallResult result) {
       if (!over) {
         over = true;
-        LOGGER.atFine().log("%s ended at %s: %s, %s", kind, now(), this, result.end());
+        LOGGER.atFine().log("%s ended at %s: %s, %s", kind, now(), this, result.outcome());
         done.accept(result);
       }
     }
@@ -139,7 +139,7 @@
       final Call call = waiting.poll();
       if (now() >= call.sendBy) {
         call.request.release();
-        call.end(CallResult.of(CallResult.End.NOT_SENT));
+        call.end(CallResult.of(CallResult.Outcome.NOT_SENT));
         next();
         return;
       }
@@ -183,7 +183,7 @@
       while (!waiting.isEmpty()) {
         final Call call = waiting.poll();
         call.request.release();
-        call.end(CallResult.of(CallResult.End.NOT_SENT));
+        call.end(CallResult.of(CallResult.Outcome.NOT_SENT));
       }
       links.remove(address, this);
     }
@@ -201,7 +201,7 @@
       }
       final CallResult result = result(response, !used);
       used = true;
-      if (!kept || !HttpUtil.isKeepAlive(response) || result.end() != CallResult.End.DONE) {
+      if (!kept || !HttpUtil.isKeepAlive(response) || result.outcome() != CallResult.Outcome.DONE) {
         channel = null;
         from.close();
       }
@@ -211,7 +211,7 @@
     private void closed(final Channel which) {
       if (which == channel) {
         channel = null;
-        finish(CallResult.of(CallResult.End.UNKNOWN));
+        finish(CallResult.of(CallResult.Outcome.UNKNOWN));
       }
     }
 
@@ -332,9 +332,10 @@
    */
   private static CallResult result(final FullHttpResponse response, final boolean onlyCall) {
     return switch (response.status().code()) {
-      case 200 -> new CallResult(CallResult.End.DONE, response.headers().get(TRANSFER));
-      case 409, 421 -> CallResult.of(onlyCall ? CallResult.End.REFUSED : CallResult.End.UNKNOWN);
-      default -> CallResult.of(CallResult.End.UNKNOWN);
+      case 200 -> new CallResult(CallResult.Outcome.DONE, response.headers().get(TRANSFER));
+      case 409, 421 ->
+          CallResult.of(onlyCall ? CallResult.Outcome.REFUSED : CallResult.Outcome.UNKNOWN);
+      default -> CallResult.of(CallResult.Outcome.UNKNOWN);
     };
   }
 }
--- a/registry/src/test/java/weldpoint/registry/KeyGrantClientTest.java
+++ b/registry/src/test/java/weldpoint/registry/KeyGrantClientTest.java
@@ -86,11 +86,12 @@
     return true;
   }
 
-  private CallResult.End grant() throws Exception {
+  private CallResult.Outcome grant() throws Exception {
     final KeyRange range =
         new KeyRange(0, 63, "i-0", "127.0.0.1:" + server.getLocalPort(), 5, RangeState.HELD, null);
-    final CompletableFuture<CallResult.End> end = new CompletableFuture<>();
-    calls.grant(range, System.nanoTime() / 1_000_000 + 2000, result -> end.complete(result.end()));
+    final CompletableFuture<CallResult.Outcome> end = new CompletableFuture<>();
+    calls.grant(
+        range, System.nanoTime() / 1_000_000 + 2000, result -> end.complete(result.outcome()));
     return end.get(5, TimeUnit.SECONDS);
   }
 
@@ -101,17 +102,17 @@
   @Test
   public void aRefusalProvesNothingWhereItMayBelongToAnEarlierCall() throws Exception {
     script = new String[] {GRANTED, OVERTAKEN};
-    assertEquals(grant(), CallResult.End.DONE);
-    assertEquals(grant(), CallResult.End.UNKNOWN);
-    assertEquals(grant(), CallResult.End.DONE, "the next call has a connection of its own");
+    assertEquals(grant(), CallResult.Outcome.DONE);
+    assertEquals(grant(), CallResult.Outcome.UNKNOWN);
+    assertEquals(grant(), CallResult.Outcome.DONE, "the next call has a connection of its own");
     assertEquals(connections.get(), 2);
   }
 
   @Test
   public void aRefusalOfTheOnlyCallOnAConnectionIsClearAndEndsIt() throws Exception {
     script = new String[] {OVERTAKEN, GRANTED};
-    assertEquals(grant(), CallResult.End.REFUSED);
-    assertEquals(grant(), CallResult.End.REFUSED);
+    assertEquals(grant(), CallResult.Outcome.REFUSED);
+    assertEquals(grant(), CallResult.Outcome.REFUSED);
     assertEquals(connections.get(), 2, "what was refused may come once more on its connection");
   }
 }
--- a/replay/src/main/java/weldpoint/replay/ReplaySimulator.java
+++ b/replay/src/main/java/weldpoint/replay/ReplaySimulator.java
@@ -257,7 +257,11 @@
         final Upstream upstream, final UpstreamPool.Attempt attempt, final boolean first) {
       final Model model = models.get(upstream.id());
       if (model.present >= model.slots * (1 + QUEUE)) {
-        after(1, () -> answered(upstream, attempt, model, UpstreamConnection.End.ANSWERED, false));
+        after(
+            1,
+            () ->
+                answered(
+                    upstream, attempt, model, UpstreamConnection.CompletionStatus.ANSWERED, false));
         return;
       }
       model.present++;
@@ -274,8 +278,8 @@
                 attempt,
                 model,
                 first && call.answerLost
-                    ? UpstreamConnection.End.UNCERTAIN
-                    : UpstreamConnection.End.ANSWERED,
+                    ? UpstreamConnection.CompletionStatus.UNCERTAIN
+                    : UpstreamConnection.CompletionStatus.ANSWERED,
                 true);
           });
     }
@@ -284,7 +288,7 @@
         final Upstream upstream,
         final UpstreamPool.Attempt attempt,
         final Model model,
-        final UpstreamConnection.End end,
+        final UpstreamConnection.CompletionStatus end,
         final boolean ran) {
       if (!attempt.isRunning()) {
         return;
@@ -309,7 +313,7 @@
       if (over) {
         return;
       }
-      if (end == UpstreamConnection.End.ANSWERED && ran) {
+      if (end == UpstreamConnection.CompletionStatus.ANSWERED && ran) {
         outcome.region = boots.get(call.board).sites().getOrDefault(upstream.site(), "");
         end(CallOutcome.End.SERVED);
         return;
--- a/upstream/src/main/java/weldpoint/upstream/AttemptOutcome.java
+++ b/upstream/src/main/java/weldpoint/upstream/AttemptOutcome.java
@@ -18,8 +18,9 @@
    * head. A response with a status below 400 that also carries {@code Weldpoint-Not-Executed}
    * contradicts itself and counts as {@link #UNCERTAIN}.
    */
-  public static AttemptOutcome of(final UpstreamConnection.End end, final HttpResponse head) {
-    return switch (end) {
+  public static AttemptOutcome of(
+      final UpstreamConnection.CompletionStatus completionStatus, final HttpResponse head) {
+    return switch (completionStatus) {
       case UNSENT -> NOT_RUN;
       case UNCERTAIN -> UNCERTAIN;
       case ANSWERED ->
@@ -32,10 +33,11 @@
    * an attempt id; without one the outcome is {@link #UNCERTAIN}.
    */
   public static AttemptOutcome ofIdentifiedResponse(
-      final UpstreamConnection.End end, final HttpResponse head) {
-    return end == UpstreamConnection.End.ANSWERED && !head.headers().contains(Headers.ATTEMPT_ID)
+      final UpstreamConnection.CompletionStatus completionStatus, final HttpResponse head) {
+    return completionStatus == UpstreamConnection.CompletionStatus.ANSWERED
+            && !head.headers().contains(Headers.ATTEMPT_ID)
         ? UNCERTAIN
-        : of(end, head);
+        : of(completionStatus, head);
   }
 
   private static AttemptOutcome ofResponse(final int status, final boolean notExecuted) {
--- a/upstream/src/main/java/weldpoint/upstream/SlowStartLimiter.java
+++ b/upstream/src/main/java/weldpoint/upstream/SlowStartLimiter.java
@@ -84,7 +84,7 @@
    * Sets the proxies of this site by address; one that is no longer listed still counts for {@link
    * #SITE_PROXY_TTL_MILLIS}.
    */
-  void siteProxies(final Collection<String> addresses, final long now) {
+  void setSiteProxies(final Collection<String> addresses, final long now) {
     siteProxies.replaceAll(
         (address, expiresAt) ->
             expiresAt == Long.MAX_VALUE ? now + SITE_PROXY_TTL_MILLIS : expiresAt);
--- a/upstream/src/main/java/weldpoint/upstream/Upstream.java
+++ b/upstream/src/main/java/weldpoint/upstream/Upstream.java
@@ -82,13 +82,13 @@
    * Takes the header {@code Weldpoint-Instance-Load}: two counts of requests, then the capacity.
    */
   void updateLoad(final String load, final long now) {
-    final String[] parts = load.split(",");
-    if (parts.length != 3) {
+    final String[] fields = load.split(",");
+    if (fields.length != 3) {
       return;
     }
     try {
-      reportedLoad = Integer.parseInt(parts[0].strip()) + Integer.parseInt(parts[1].strip());
-      capacity = Math.max(1, Integer.parseInt(parts[2].strip()));
+      reportedLoad = Integer.parseInt(fields[0].strip()) + Integer.parseInt(fields[1].strip());
+      capacity = Math.max(1, Integer.parseInt(fields[2].strip()));
       ownInFlightAtReport = inFlight;
       loadReportedAt = now;
       siteLoad.update(Math.max(0, reportedLoad - ownInFlightAtReport) / (double) capacity, now);
--- a/upstream/src/main/java/weldpoint/upstream/UpstreamConnection.java
+++ b/upstream/src/main/java/weldpoint/upstream/UpstreamConnection.java
@@ -30,7 +30,7 @@
   private static final int MAX_INITIAL_BUFFER_BYTES = 1 << 20;
 
   /** How a request on a connection completed. */
-  public enum End {
+  public enum CompletionStatus {
     /** A complete response came, with the request's attempt id or with none. */
     ANSWERED,
     /** Nothing of the request was written. */
@@ -45,7 +45,7 @@
      * Called with the completion status; head and body are null where no response came, and the
      * body is null if it is empty.
      */
-    void completed(End end, HttpResponse head, ByteBuf body);
+    void completed(CompletionStatus completionStatus, HttpResponse head, ByteBuf body);
   }
 
   /**
@@ -145,7 +145,7 @@
     if (!channel.isActive() || closing) {
       request.release();
       close();
-      listener.completed(End.UNSENT, null, null);
+      listener.completed(CompletionStatus.UNSENT, null, null);
       return;
     }
     pendingListener = listener;
@@ -251,13 +251,14 @@
     if (keepAliveHeader != null) {
       final int start = keepAliveHeader.indexOf("timeout=");
       if (start >= 0) {
-        int end = start + 8;
-        while (end < keepAliveHeader.length() && Character.isDigit(keepAliveHeader.charAt(end))) {
-          end++;
+        int endIndex = start + 8;
+        while (endIndex < keepAliveHeader.length()
+            && Character.isDigit(keepAliveHeader.charAt(endIndex))) {
+          endIndex++;
         }
-        if (end > start + 8 && end < start + 14) {
+        if (endIndex > start + 8 && endIndex < start + 14) {
           keepAliveMillis =
-              1000L * Integer.parseInt(keepAliveHeader.substring(start + 8, end)) - 1500;
+              1000L * Integer.parseInt(keepAliveHeader.substring(start + 8, endIndex)) - 1500;
         }
       }
     }
@@ -270,7 +271,7 @@
     } else {
       idleUntil = System.nanoTime() / 1_000_000 + keepAliveMillis;
     }
-    listener.completed(End.ANSWERED, head, completeBody);
+    listener.completed(CompletionStatus.ANSWERED, head, completeBody);
   }
 
   /**
@@ -292,7 +293,7 @@
     }
     response = null;
     if (listener != null) {
-      listener.completed(End.UNCERTAIN, null, null);
+      listener.completed(CompletionStatus.UNCERTAIN, null, null);
     }
   }
 
--- a/upstream/src/main/java/weldpoint/upstream/UpstreamPool.java
+++ b/upstream/src/main/java/weldpoint/upstream/UpstreamPool.java
@@ -44,7 +44,7 @@
 
   private final Bootstrap bootstrap;
   private final String site;
-  private final String regionOf;
+  private final String region;
   private final Map<String, String> regions;
   private final Settings settings;
   private final Random random;
@@ -68,7 +68,7 @@
   public UpstreamPool(final EventLoopGroup loop, final Settings settings, final Random random) {
     this.settings = settings;
     this.site = settings.site();
-    this.regionOf = settings.region();
+    this.region = settings.region();
     this.regions = settings.sites();
     this.random = random;
     this.subsets = new UpstreamSubsets(settings);
@@ -266,13 +266,13 @@
   }
 
   /** Returns the region of a site; empty if the site is unknown. */
-  public String regionOf(final String ofSite) {
-    return regions.getOrDefault(ofSite, "");
+  public String regionOf(final String siteName) {
+    return regions.getOrDefault(siteName, "");
   }
 
   /** Sets the addresses of this site's proxies, in an order that is the same for all of them. */
   public void setSiteProxies(final List<String> addresses, final long now) {
-    slowStart.siteProxies(addresses, now);
+    slowStart.setSiteProxies(addresses, now);
     subsets.setSiteProxies(addresses);
   }
 
@@ -555,8 +555,8 @@
         || siteResponses(upstream.site).isOverdue(now, typicalMillis(service.name()));
   }
 
-  private SiteResponses siteResponses(final String ofSite) {
-    return siteResponses.computeIfAbsent(ofSite, name -> new SiteResponses());
+  private SiteResponses siteResponses(final String siteName) {
+    return siteResponses.computeIfAbsent(siteName, name -> new SiteResponses());
   }
 
   /** One attempt: a request sent to one upstream. */
@@ -628,11 +628,11 @@
   /** Counts an attempt as completed with this status and records the result. */
   public void finishAttempt(
       final Attempt attempt,
-      final UpstreamConnection.End end,
+      final UpstreamConnection.CompletionStatus completionStatus,
       final HttpResponse head,
       final long now) {
     attempt.markEnded();
-    recordResult(attempt, end, head, now);
+    recordResult(attempt, completionStatus, head, now);
   }
 
   /** Sends a request that was never sent before; see the overload with earlier attempts. */
@@ -665,15 +665,15 @@
       final UpstreamConnection.CompletionListener listener) {
     final Attempt attempt = startAttempt(upstream, now);
     final UpstreamConnection.CompletionListener completion =
-        (end, head, body) -> {
+        (completionStatus, head, body) -> {
           if (attempt.ended) {
             if (body != null) {
               body.release();
             }
             return;
           }
-          finishAttempt(attempt, end, head, System.nanoTime() / 1_000_000);
-          listener.completed(end, head, body);
+          finishAttempt(attempt, completionStatus, head, System.nanoTime() / 1_000_000);
+          listener.completed(completionStatus, head, body);
         };
     final UpstreamConnection idle = takeIdle(upstream, earlierAttempts, now);
     if (idle != null) {
@@ -744,7 +744,7 @@
           upstream.connecting--;
           if (!result.isSuccess()) {
             request.release();
-            completion.completed(UpstreamConnection.End.UNSENT, null, null);
+            completion.completed(UpstreamConnection.CompletionStatus.UNSENT, null, null);
             return;
           }
           connection.connected(future.channel());
@@ -754,7 +754,7 @@
             attempt.withdrawnBeforeSend = true;
             request.release();
             connection.close();
-            completion.completed(UpstreamConnection.End.UNSENT, null, null);
+            completion.completed(UpstreamConnection.CompletionStatus.UNSENT, null, null);
             return;
           }
           attempt.connection = connection;
@@ -765,11 +765,11 @@
 
   private void recordResult(
       final Attempt attempt,
-      final UpstreamConnection.End end,
+      final UpstreamConnection.CompletionStatus completionStatus,
       final HttpResponse head,
       final long now) {
     final Upstream upstream = attempt.upstream;
-    if (end != UpstreamConnection.End.ANSWERED) {
+    if (completionStatus != UpstreamConnection.CompletionStatus.ANSWERED) {
       if (!attempt.withdrawnBeforeSend) {
         upstream.requestFailed(now);
       }
@@ -782,7 +782,7 @@
       upstream.updateLoad(load, now);
     }
     final long latencyMillis = now - attempt.startedAt;
-    if (AttemptOutcome.of(end, head) == AttemptOutcome.NOT_RUN) {
+    if (AttemptOutcome.of(completionStatus, head) == AttemptOutcome.NOT_RUN) {
       upstream.requestFailed(now);
     } else {
       upstream.responseReceived(now, status < 300 ? latencyMillis : -1);
--- a/upstream/src/test/java/weldpoint/upstream/UpstreamConnectionTest.java
+++ b/upstream/src/test/java/weldpoint/upstream/UpstreamConnectionTest.java
@@ -59,7 +59,11 @@
           new DefaultFullHttpRequest(
               HttpVersion.HTTP_1_1, HttpMethod.POST, "/x", Unpooled.EMPTY_BUFFER);
       request.headers().set(Headers.ATTEMPT_ID, id);
-      connection.send(request, id, (end, head, body) -> results.add(describe(id, end, head, body)));
+      connection.send(
+          request,
+          id,
+          (completionStatus, head, body) ->
+              results.add(describe(id, completionStatus, head, body)));
       writtenBytes = drainOutbound();
       return this;
     }
@@ -78,9 +82,11 @@
 
     private int drainOutbound() {
       int bytes = 0;
-      for (ByteBuf part = channel.readOutbound(); part != null; part = channel.readOutbound()) {
-        bytes += part.readableBytes();
-        part.release();
+      for (ByteBuf buffer = channel.readOutbound();
+          buffer != null;
+          buffer = channel.readOutbound()) {
+        bytes += buffer.readableBytes();
+        buffer.release();
       }
       return bytes;
     }
@@ -88,13 +94,13 @@
 
   private static String describe(
       final String id,
-      final UpstreamConnection.End end,
+      final UpstreamConnection.CompletionStatus completionStatus,
       final HttpResponse head,
       final ByteBuf body) {
     final String text =
         id
             + " "
-            + end
+            + completionStatus
             + (head == null ? "" : " " + head.status().code())
             + (body == null ? "" : " " + body.toString(StandardCharsets.UTF_8));
     if (body != null) {
@@ -115,29 +121,29 @@
 
   @Test(dataProvider = "completeResponses")
   public void aResponseSplitAtAnyByteIsDeliveredOnceAndComplete(
-      final String answer, final String expected) {
-    for (int cut = 0; cut <= answer.length(); cut++) {
-      final Wire wire = new Wire().sendRequest("abc").receive(answer.substring(0, cut));
-      assertEquals(wire.results.size(), cut < answer.length() ? 0 : 1, "at byte " + cut);
-      wire.receive(answer.substring(cut));
+      final String response, final String expected) {
+    for (int cut = 0; cut <= response.length(); cut++) {
+      final Wire wire = new Wire().sendRequest("abc").receive(response.substring(0, cut));
+      assertEquals(wire.results.size(), cut < response.length() ? 0 : 1, "at byte " + cut);
+      wire.receive(response.substring(cut));
       assertEquals(wire.results, List.of(expected), "at byte " + cut);
       assertEquals(
           wire.connection.isUsable(System.nanoTime() / 1_000_000),
-          !answer.startsWith(OTHER_REQUEST),
+          !response.startsWith(OTHER_REQUEST),
           "at byte " + cut);
     }
     final Wire single = new Wire().sendRequest("abc");
-    for (final char one : answer.toCharArray()) {
+    for (final char one : response.toCharArray()) {
       single.receive(String.valueOf(one));
     }
     assertEquals(single.results, List.of(expected));
   }
 
   @Test(dataProvider = "completeResponses")
-  public void aResponseTruncatedAtAnyByteIsUncertain(final String answer, final String expected) {
-    for (int cut = 0; cut < answer.length(); cut++) {
+  public void aResponseTruncatedAtAnyByteIsUncertain(final String response, final String expected) {
+    for (int cut = 0; cut < response.length(); cut++) {
       final Wire wire =
-          new Wire().sendRequest("abc").receive(answer.substring(0, cut)).disconnect();
+          new Wire().sendRequest("abc").receive(response.substring(0, cut)).disconnect();
       assertEquals(wire.results, List.of("abc UNCERTAIN"), "at byte " + cut);
       assertFalse(wire.connection.isUsable(0));
     }
@@ -167,8 +173,8 @@
   }
 
   @Test(dataProvider = "invalidResponses")
-  public void anInvalidResponseClosesTheConnectionAndIsUncertain(final String answer) {
-    final Wire wire = new Wire().sendRequest("abc").receive(answer);
+  public void anInvalidResponseClosesTheConnectionAndIsUncertain(final String response) {
+    final Wire wire = new Wire().sendRequest("abc").receive(response);
     assertEquals(wire.results, List.of("abc UNCERTAIN"));
     assertFalse(wire.channel.isOpen());
     wire.receive(WITH_LENGTH);
@@ -177,14 +183,14 @@
 
   @Test
   public void bytesAfterAResponseCloseTheConnectionBeforeItIsReused() {
-    final String surplus = "\r\n" + OTHER_REQUEST;
-    for (int bytes = 1; bytes <= surplus.length(); bytes++) {
+    final String unsolicited = "\r\n" + OTHER_REQUEST;
+    for (int bytes = 1; bytes <= unsolicited.length(); bytes++) {
       for (final boolean together : new boolean[] {true, false}) {
         final Wire wire = new Wire().sendRequest("abc");
         if (together) {
-          wire.receive(WITH_LENGTH + surplus.substring(0, bytes));
+          wire.receive(WITH_LENGTH + unsolicited.substring(0, bytes));
         } else {
-          wire.receive(WITH_LENGTH).receive(surplus.substring(0, bytes));
+          wire.receive(WITH_LENGTH).receive(unsolicited.substring(0, bytes));
         }
         assertEquals(wire.results, List.of("abc ANSWERED 200 body"));
         assertFalse(
@@ -279,27 +285,30 @@
         head.headers().set(Headers.NOT_EXECUTED, "1");
       }
       assertEquals(
-          AttemptOutcome.of(UpstreamConnection.End.ANSWERED, head),
+          AttemptOutcome.of(UpstreamConnection.CompletionStatus.ANSWERED, head),
           outcomes[testCase[2]],
           testCase[0] + " declined " + testCase[1]);
       assertEquals(
-          AttemptOutcome.ofIdentifiedResponse(UpstreamConnection.End.ANSWERED, head),
+          AttemptOutcome.ofIdentifiedResponse(UpstreamConnection.CompletionStatus.ANSWERED, head),
           AttemptOutcome.UNCERTAIN,
           "without an attempt id no response counts for a client's request");
       head.headers().set(Headers.ATTEMPT_ID, "abc");
       assertEquals(
-          AttemptOutcome.ofIdentifiedResponse(UpstreamConnection.End.ANSWERED, head),
+          AttemptOutcome.ofIdentifiedResponse(UpstreamConnection.CompletionStatus.ANSWERED, head),
           outcomes[testCase[2]],
           testCase[0] + " declined " + testCase[1]);
     }
-    assertEquals(AttemptOutcome.of(UpstreamConnection.End.UNSENT, null), AttemptOutcome.NOT_RUN);
     assertEquals(
-        AttemptOutcome.of(UpstreamConnection.End.UNCERTAIN, null), AttemptOutcome.UNCERTAIN);
+        AttemptOutcome.of(UpstreamConnection.CompletionStatus.UNSENT, null),
+        AttemptOutcome.NOT_RUN);
+    assertEquals(
+        AttemptOutcome.of(UpstreamConnection.CompletionStatus.UNCERTAIN, null),
+        AttemptOutcome.UNCERTAIN);
     assertEquals(
-        AttemptOutcome.ofIdentifiedResponse(UpstreamConnection.End.UNSENT, null),
+        AttemptOutcome.ofIdentifiedResponse(UpstreamConnection.CompletionStatus.UNSENT, null),
         AttemptOutcome.NOT_RUN);
     assertEquals(
-        AttemptOutcome.ofIdentifiedResponse(UpstreamConnection.End.UNCERTAIN, null),
+        AttemptOutcome.ofIdentifiedResponse(UpstreamConnection.CompletionStatus.UNCERTAIN, null),
         AttemptOutcome.UNCERTAIN);
   }
 
--- a/upstream/src/test/java/weldpoint/upstream/UpstreamPoolTest.java
+++ b/upstream/src/test/java/weldpoint/upstream/UpstreamPoolTest.java
@@ -423,7 +423,8 @@
     try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
       server.setSoTimeout(8000);
       final UpstreamPool upstreamPool = upstreamPool(3);
-      final CompletableFuture<UpstreamConnection.End> ended = new CompletableFuture<>();
+      final CompletableFuture<UpstreamConnection.CompletionStatus> completion =
+          new CompletableFuture<>();
       final DefaultFullHttpRequest request =
           new DefaultFullHttpRequest(
               HttpVersion.HTTP_1_1, HttpMethod.POST, "/x", Unpooled.EMPTY_BUFFER);
@@ -454,14 +455,14 @@
                 "abc",
                 1000,
                 sendBy,
-                (end, head, body) -> ended.complete(end));
+                (completionStatus, head, body) -> completion.complete(completionStatus));
             meanwhile.accept(upstreamPool);
           });
       try (Socket socket = server.accept()) {
         socket.setSoTimeout(8000);
         final int firstByte = socket.getInputStream().read();
         socket.close();
-        return ended.get(8, TimeUnit.SECONDS) + (firstByte < 0 ? " nothing" : " bytes");
+        return completion.get(8, TimeUnit.SECONDS) + (firstByte < 0 ? " nothing" : " bytes");
       }
     }
   }
