--- a/ownership/src/main/java/weldpoint/ownership/Assigner.java
+++ b/ownership/src/main/java/weldpoint/ownership/Assigner.java
@@ -52,15 +52,24 @@
   /** Delay after becoming the assigner before ranges are moved for balance. */
   private static final long BALANCE_DELAY_MILLIS = 3000;
 
+  /** Pause between two checks for a move for balance. */
   private static final long BALANCE_INTERVAL_MILLIS = 500;
 
   /** How long a slot stays with a new holder before it may be moved for balance. */
   private static final long MIN_STAY_MILLIS = 6000;
 
+  /** How long an upstream that stopped responding gets no new keys, the first time. */
   private static final long EJECTION_MILLIS = 5000;
+
   private static final int MAX_EJECTION_DOUBLINGS = 4;
+
+  /** Ranges in release at the same time beyond which none is moved for balance. */
   private static final int MAX_CONCURRENT_MOVES = 2;
+
+  /** Average number of ranges per member above which adjacent ranges are merged. */
   private static final int MERGE_RANGES_PER_MEMBER = 3;
+
+  /** Consecutive failed grants after which an upstream counts as unresponsive. */
   private static final int UNRESPONSIVE_FAILURES = 2;
 
   /** What is known of one upstream's responses to grants. */
--- a/ownership/src/main/java/weldpoint/ownership/Balancer.java
+++ b/ownership/src/main/java/weldpoint/ownership/Balancer.java
@@ -21,9 +21,14 @@
   /** The same, as a fraction of the higher utilization. */
   private static final double MIN_RELATIVE_GAP = 0.35;
 
+  /** Bounds of a move's load, as fractions of the load that would even out donor and receiver. */
   private static final double MAX_OF_DESIRED = 1.15;
+
   private static final double MIN_OF_DESIRED = 0.7;
+
+  /** Moves of less than this fraction of the donor's load are not worthwhile. */
   private static final double MIN_OF_DONOR_LOAD = 0.08;
+
   private static final int MAX_PIECES = 3;
 
   /**
--- a/ratelimit/src/main/java/weldpoint/ratelimit/RateLimit.java
+++ b/ratelimit/src/main/java/weldpoint/ratelimit/RateLimit.java
@@ -24,7 +24,9 @@
   /** The fraction of its limit that a tenant gets; the rest covers clock drift. */
   static final double TENANT_FRACTION = 0.98;
 
+  /** Permits that every share can accumulate, if the limit for a window allows it. */
   private static final double MIN_CAPACITY = 3;
+
   private static final double ORIGIN_FRACTION_WITH_CACHES = 0.45;
   private static final double ORIGIN_FRACTION_WITHOUT_CACHES = 0.95;
 
--- a/ratelimit/src/main/java/weldpoint/ratelimit/SlidingWindowCounter.java
+++ b/ratelimit/src/main/java/weldpoint/ratelimit/SlidingWindowCounter.java
@@ -5,6 +5,9 @@
  * window. Not thread-safe.
  */
 public final class SlidingWindowCounter {
+  /**
+   * Buckets of the window, one more than it spans, so that a partly expired bucket still counts.
+   */
   private static final int BUCKETS = 24;
 
   private final long bucketMillis;
--- a/ratelimit/src/test/java/weldpoint/ratelimit/QuotaAllocatorTest.java
+++ b/ratelimit/src/test/java/weldpoint/ratelimit/QuotaAllocatorTest.java
@@ -13,6 +13,9 @@
 import weldpoint.common.WeldpointException;
 import weldpoint.routing.RoutingTable;
 
+/**
+ * Tests that the registries' shares of rate limits stay within the limits, also across restarts.
+ */
 public class QuotaAllocatorTest {
   private static final Settings SETTINGS =
       Settings.parse(
--- a/upstream/src/main/java/weldpoint/upstream/RetryBudget.java
+++ b/upstream/src/main/java/weldpoint/upstream/RetryBudget.java
@@ -8,7 +8,10 @@
  * thread-safe.
  */
 public final class RetryBudget {
+  /** Buckets of the sliding window, one more than the window spans. */
   private static final int BUCKETS = 20;
+
+  /** Fraction of its share that this proxy spends. */
   private static final double SAFETY_FACTOR = 0.7;
 
   private final double ratio;
--- a/upstream/src/main/java/weldpoint/upstream/RetryPolicy.java
+++ b/upstream/src/main/java/weldpoint/upstream/RetryPolicy.java
@@ -7,11 +7,20 @@
  * be for it. Proxies and the replay simulator use this same policy. Stateless.
  */
 public final class RetryPolicy {
+  /** Hedge delay as a fraction of the route's target latency. */
   private static final double HEDGE_DELAY_FACTOR = 0.55;
+
+  /** No attempt starts with less time than this left before the deadline. */
   private static final long MIN_REMAINING_MILLIS = 20;
+
+  /** Load limits at the highest priority, as multiples of an upstream's slots. */
   private static final double REPEATABLE_LOAD_LIMIT = 1.6;
+
   private static final double WRITE_LOAD_LIMIT = 2.0;
+
+  /** Reduction of the load limit per priority level. */
   private static final double ROUTE_PRIORITY_STEP = 0.05;
+
   private static final double TENANT_PRIORITY_STEP = 0.1;
   private static final int MAX_PRIORITY = 4;
 
--- a/upstream/src/main/java/weldpoint/upstream/Upstream.java
+++ b/upstream/src/main/java/weldpoint/upstream/Upstream.java
@@ -9,7 +9,9 @@
  * UpstreamPool} only; not thread-safe. Times are milliseconds of the steady clock.
  */
 public final class Upstream {
+  /** Age at which a load report no longer counts; its weight falls linearly until then. */
   private static final long LOAD_REPORT_TTL_MILLIS = 1500;
+
   private static final int MAX_EJECTION_MILLIS = 4000;
   private static final long MIN_AFFINITY_WINDOW_MILLIS = 1000;
 
--- a/upstream/src/main/java/weldpoint/upstream/UpstreamPool.java
+++ b/upstream/src/main/java/weldpoint/upstream/UpstreamPool.java
@@ -34,12 +34,27 @@
  * thread, the event loop that carries the traffic. Times are milliseconds of the steady clock.
  */
 public final class UpstreamPool {
+  /** Latency assumed for a service before its first successful response. */
   private static final double DEFAULT_LATENCY_MILLIS = 150;
+
+  /** Upstreams drawn at random per tier; the one with the lowest estimated latency is taken. */
   private static final int SAMPLE_SIZE = 4;
+
+  /** Up to this utilization an upstream is taken without considering more distant ones. */
   private static final double COMFORTABLE_UTILIZATION = 0.8;
+
+  /**
+   * Reported load of others per slot in this site above which distant upstreams are compared too.
+   */
   private static final double OVERFLOW_UTILIZATION = 0.5;
+
+  /** Factor on the estimated latency of an upstream whose responses are overdue. */
   private static final double OVERDUE_PENALTY = 3;
+
+  /** Added to the remaining slow-start time that the registry states. */
   private static final long SLOW_START_MARGIN_MILLIS = 300;
+
+  /** Factor on the load limit for requests that only the owner of their key may run. */
   private static final double KEY_OWNER_LOAD_FACTOR = 1.6;
 
   private final Bootstrap bootstrap;
--- a/upstream/src/main/java/weldpoint/upstream/UpstreamSubsets.java
+++ b/upstream/src/main/java/weldpoint/upstream/UpstreamSubsets.java
@@ -16,7 +16,9 @@
  * thread-safe.
  */
 final class UpstreamSubsets {
+  /** Least number of upstreams in a slice, if there are that many. */
   private static final int MIN_SUBSET_SIZE = 4;
+
   private static final int TIER_COUNT = 3;
 
   /** A service's upstreams by distance: this site, this region, elsewhere. */
