--- a/ratelimit/src/main/java/weldpoint/ratelimit/TokenBucket.java
+++ b/ratelimit/src/main/java/weldpoint/ratelimit/TokenBucket.java
@@ -10,7 +10,8 @@
   private long updatedAt;
 
   /**
-   * Creates a bucket that holds {@code tokens} at {@code updatedAt}, in milliseconds of the steady clock.
+   * Creates a bucket that holds {@code tokens} at {@code updatedAt}, in milliseconds of the steady
+   * clock.
    */
   TokenBucket(final double tokens, final long updatedAt) {
     this.tokens = tokens;
