--- a/cache/src/main/java/weldpoint/cache/OriginFetcher.java
+++ b/cache/src/main/java/weldpoint/cache/OriginFetcher.java
@@ -95,7 +95,7 @@
       return false;
     }
     final double limit =
-        RateLimit.CACHE_SHARE
+        RateLimit.CACHE_FRACTION
             * service.ratePerSecond()
             * settings.originWindowMillis()
             / 1000.0
@@ -103,7 +103,7 @@
             / announcers;
     return counters
             .computeIfAbsent(service.name(), name -> new SlidingWindowCounter(window))
-            .take(1, limit, now)
+            .acquireUpTo(1, limit, now)
         > 0;
   }
 
@@ -155,8 +155,8 @@
       }
       if (!asking && now >= askAt) {
         asking = true;
-        permits.ask(
-            RateLimit.ORIGIN.permit(service.name()),
+        permits.acquire(
+            RateLimit.ORIGIN.permitName(service.name()),
             Math.min(MOST_ASKED, reads.size()),
             (granted, version, confirmedAt) -> {
               asking = false;
@@ -275,8 +275,8 @@
           .headers()
           .set(HttpHeaderNames.HOST, host)
           .set(Headers.ATTEMPT_ID, id)
-          .set(Headers.DEADLINE, Math.max(1, cutoff - now))
-          .set(Headers.TARGET, upstream.id());
+          .set(Headers.DEADLINE_MS, Math.max(1, cutoff - now))
+          .set(Headers.TARGET_INSTANCE, upstream.id());
       if (etag != null) {
         request.headers().set(HttpHeaderNames.IF_NONE_MATCH, etag);
       }
@@ -313,13 +313,15 @@
     private int running() {
       int count = 0;
       for (final UpstreamPool.Attempt attempt : attempts) {
-        count += attempt.running() ? 1 : 0;
+        count += attempt.isRunning() ? 1 : 0;
       }
       return count;
     }
 
     private void ended(
-        final UpstreamConnection.End end, final HttpResponse head, final ByteBuf body) {
+        final UpstreamConnection.CompletionStatus end,
+        final HttpResponse head,
+        final ByteBuf body) {
       final byte[] bytes = new byte[body == null ? 0 : body.readableBytes()];
       if (body != null) {
         body.readBytes(bytes);
@@ -328,23 +330,23 @@
       if (over) {
         return;
       }
-      if (end == UpstreamConnection.End.UNSENT) {
+      if (end == UpstreamConnection.CompletionStatus.UNSENT) {
         tries--;
       }
       final int status = head == null ? 0 : head.status().code();
       final boolean sound =
           AttemptOutcome.of(end, head) == AttemptOutcome.ANSWERED
               && !head.headers().contains(HttpHeaderNames.CONTENT_ENCODING)
-              && (status == 200 && head.headers().contains(Headers.SEAL)
+              && (status == 200 && head.headers().contains(Headers.SERVER_SEAL)
                   || status == 304 && etag != null
                   || status >= 400 && status < 500 && status != 421 && status != 429);
       if (sound) {
         final List<String> headers = new ArrayList<>();
         final io.netty.handler.codec.http.HttpHeaders kept =
             new io.netty.handler.codec.http.DefaultHttpHeaders(false);
-        Headers.copy(head.headers(), kept);
+        Headers.copyEndToEnd(head.headers(), kept);
         kept.remove(Headers.ATTEMPT_ID);
-        kept.remove(Headers.LOAD);
+        kept.remove(Headers.INSTANCE_LOAD);
         kept.forEach(
             entry -> {
               headers.add(entry.getKey());
@@ -362,7 +364,7 @@
       }
       over = true;
       for (final UpstreamPool.Attempt attempt : attempts) {
-        attempt.abandon();
+        attempt.cancel();
       }
       done.accept(fetched);
     }
--- a/proxy/src/test/java/weldpoint/proxy/ProxyThreadsTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/ProxyThreadsTest.java
@@ -14,7 +14,7 @@
 import weldpoint.common.Settings;
 import weldpoint.routing.RoutingTable;
 
-/** Threads of a switchboard that take turns at the worst points. */
+/** Unfavourable interleavings of the threads of a proxy. */
 public final class ProxyThreadsTest {
   private static int port() throws IOException {
     try (ServerSocket socket = new ServerSocket(0)) {
@@ -23,14 +23,14 @@
   }
 
   @Test
-  public void aConfigurationThatComesBeforeTheStartHasEndedOpensTheDoor()
+  public void configurationBeforeEndOfStartOpensTheListener()
       throws IOException, InterruptedException {
-    final int front = port();
+    final int trafficPort = port();
     final ProxyDaemon daemon =
         new ProxyDaemon(
             Settings.parse(
                 "station.name = one\nstation.address = 127.0.0.1\nstation.site = a\nstation.region = r\ntrunk.ports = 7000,7015\ntrunk.seeds = 127.0.0.1:80\nlisten.traffic = 127.0.0.1:"
-                    + front
+                    + trafficPort
                     + "\n"));
     final RoutingTable routingTable =
         RoutingTable.compile(
@@ -42,19 +42,19 @@
             () ->
                 daemon
                     .proxyContext()
-                    .take(new ControlUpdate(routingTable, List.of(), null, null, 1, null, -1)))
+                    .apply(new ControlUpdate(routingTable, List.of(), null, null, 1, null, -1)))
         .sync();
     final long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(8);
     boolean open = false;
     while (!open && System.nanoTime() < until) {
       try (Socket socket = new Socket()) {
-        socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), front));
+        socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), trafficPort));
         open = true;
       } catch (final IOException notYet) {
         TimeUnit.MILLISECONDS.sleep(5);
       }
     }
-    assertTrue(open, "the door stays shut for good");
+    assertTrue(open, "the traffic listener was not opened within 8 s");
     daemon.proxyContext().loop.shutdownGracefully();
   }
 }
--- a/registry/src/main/java/weldpoint/registry/ControlState.java
+++ b/registry/src/main/java/weldpoint/registry/ControlState.java
@@ -11,21 +11,21 @@
 import weldpoint.trial.TrialVerdict;
 
 /**
- * What operators have ordered as this exchange has learned it: the configuration, evacuations and
- * trials, each under its mark.
+ * What operators have ordered, as known to this registry: the configuration, evacuations and
+ * trials, each with its version.
  */
 final class ControlState {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
   private final String self;
-  private final TrialCoordinator coordinator = new TrialCoordinator();
+  private final TrialCoordinator trialCoordinator = new TrialCoordinator();
   private long version;
   private byte[] spec;
   private List<String> evacuated = List.of();
-  private long evacuationMark;
+  private long evacuationVersion;
   private List<TrialMessages.Trial> trials = List.of();
-  private long trialMark;
-  private long heldSince;
+  private long trialVersion;
+  private long appliedAt;
   private RoutingTable routingTable;
 
   ControlState(final String self) {
@@ -44,34 +44,34 @@
     return evacuated;
   }
 
-  long evacuationMark() {
-    return evacuationMark;
+  long evacuationVersion() {
+    return evacuationVersion;
   }
 
-  /** The trials that have not ended. */
+  /** The trials that are not finished. */
   List<TrialMessages.Trial> trials() {
     return trials;
   }
 
-  long trialMark() {
-    return trialMark;
+  long trialVersion() {
+    return trialVersion;
   }
 
-  TrialCoordinator coordinator() {
-    return coordinator;
+  TrialCoordinator trialCoordinator() {
+    return trialCoordinator;
   }
 
-  /** The mark of evacuations and trials together. */
-  long mark() {
-    return evacuationMark + trialMark;
+  /** The version of evacuations and trials together: the sum of both versions. */
+  long orderVersion() {
+    return evacuationVersion + trialVersion;
   }
 
-  /** Since when this has been held. */
-  long heldSince() {
-    return heldSince;
+  /** When this state last changed here. */
+  long appliedAt() {
+    return appliedAt;
   }
 
-  /** The compiled configuration; null where there is none. */
+  /** The compiled configuration; null if there is none. */
   RoutingTable routingTable() {
     if (spec != null && (routingTable == null || routingTable.version() < version)) {
       routingTable = RoutingTable.compile(Compression.inflate(spec));
@@ -79,72 +79,73 @@
     return routingTable;
   }
 
-  /** Takes what the disk held. */
-  void recall(final PersistedRecord kept) {
-    if (kept.spec != null && kept.version > version) {
-      version = kept.version;
-      spec = kept.spec;
+  /** Restores what a record on disk holds. */
+  void restore(final PersistedRecord persisted) {
+    if (persisted.spec != null && persisted.version > version) {
+      version = persisted.version;
+      spec = persisted.spec;
     }
-    if (kept.evacuationMark > evacuationMark) {
-      evacuationMark = kept.evacuationMark;
-      evacuated = new ArrayList<>(Protocol.list(kept.evacuated));
+    if (persisted.evacuationVersion > evacuationVersion) {
+      evacuationVersion = persisted.evacuationVersion;
+      evacuated = new ArrayList<>(Protocol.list(persisted.evacuated));
     }
-    if (kept.trialMark > trialMark) {
-      trialMark = kept.trialMark;
-      takeTrials(Protocol.list(kept.trials));
+    if (persisted.trialVersion > trialVersion) {
+      trialVersion = persisted.trialVersion;
+      updateTrials(Protocol.list(persisted.trials));
     }
   }
 
-  /** What was news in something taken. */
+  /** What has changed in an update. */
   record Delta(byte[] spec, boolean evacuations, boolean trials) {
-    boolean any() {
+    boolean anyChange() {
       return spec != null || evacuations || trials;
     }
   }
 
   /**
-   * Takes what the frames hold, or what another exchange has learned from them; only what is newer
-   * than what is held.
+   * Takes what the state store holds, or what another registry has learned from it; only the parts
+   * that are newer than those held.
    */
-  Delta take(
+  Delta update(
       final long givenVersion,
       final byte[] givenSpec,
       final List<String> givenEvacuated,
-      final long givenEvacuationMark,
+      final long givenEvacuationVersion,
       final List<TrialMessages.Trial> givenTrials,
-      final long givenTrialMark,
+      final long givenTrialVersion,
       final long now) {
     byte[] newSpec = null;
     if (givenVersion > version && givenSpec != null) {
       version = givenVersion;
       spec = givenSpec;
       newSpec = spec;
-      LOGGER.atInfo().log("registry %s has configuration %s", self, Long.toHexString(version));
+      LOGGER.atInfo().log(
+          "registry %s now has configuration version %s", self, Long.toHexString(version));
     }
-    final boolean evacuations = givenEvacuationMark > evacuationMark;
-    if (evacuations) {
-      evacuationMark = givenEvacuationMark;
+    final boolean evacuationsChanged = givenEvacuationVersion > evacuationVersion;
+    if (evacuationsChanged) {
+      evacuationVersion = givenEvacuationVersion;
       evacuated = new ArrayList<>(Protocol.list(givenEvacuated));
     }
-    final boolean trialNews = givenTrialMark > trialMark;
-    if (trialNews) {
-      trialMark = givenTrialMark;
-      takeTrials(Protocol.list(givenTrials));
+    final boolean trialsChanged = givenTrialVersion > trialVersion;
+    if (trialsChanged) {
+      trialVersion = givenTrialVersion;
+      updateTrials(Protocol.list(givenTrials));
     }
-    final Delta news = new Delta(newSpec, evacuations, trialNews);
-    heldSince = news.any() ? now : heldSince;
-    return news;
+    final Delta delta = new Delta(newSpec, evacuationsChanged, trialsChanged);
+    appliedAt = delta.anyChange() ? now : appliedAt;
+    return delta;
   }
 
-  private void takeTrials(final List<TrialMessages.Trial> given) {
-    coordinator.take(given);
+  private void updateTrials(final List<TrialMessages.Trial> received) {
+    trialCoordinator.take(received);
     trials = new ArrayList<>();
-    for (final TrialMessages.Trial trial : coordinator.trials()) {
+    for (final TrialMessages.Trial trial : trialCoordinator.trials()) {
       if (TrialVerdict.of(trial) != TrialVerdict.FINISHED) {
         trials.add(trial);
       }
       LOGGER.atInfo().log(
-          "trial %s of route %s: stage %s, %s %s",
+          "trial %s of route %s: stage %s, verdict %s %s",
           trial.number, trial.route, trial.stage, TrialVerdict.of(trial), trial.reason);
     }
   }
--- a/registry/src/main/java/weldpoint/registry/KeyClaims.java
+++ b/registry/src/main/java/weldpoint/registry/KeyClaims.java
@@ -18,109 +18,113 @@
 import weldpoint.transport.StateStoreMessages.Voter;
 
 /**
- * A registry's part in claims of idempotency keys: as a voter it remembers claims on its disk, and
- * for the proxies on its streams it asks all voters.
+ * A registry's part in claims of idempotency keys. As a voter it persists the claims that it
+ * accepted; for the proxies connected to it, it collects the votes of all voters. Used by {@link
+ * RegistryCore} on the control thread.
  */
 final class KeyClaims {
-  /** Puts claims on disk; the callback runs once they are lasting. */
+  /** Appends claims to the disk; the callback runs once they are durable. */
   interface Disk {
     void append(List<Claim> claims, Runnable synced);
   }
 
   private final String self;
-  private final BiConsumer<String, Message> members;
+  private final BiConsumer<String, Message> registrySender;
   private final Disk disk;
   private final ClaimTable table = new ClaimTable();
   private final ClaimCoordinator coordinator;
   private Roster roster = new Roster(0, List.of());
-  private Roster before;
-  private boolean votes;
-  private long clock;
+  private Roster previousRoster;
+  private boolean votingAllowed;
+  private long lastNow;
 
-  KeyClaims(final String self, final BiConsumer<String, Message> members, final Disk disk) {
+  KeyClaims(final String self, final BiConsumer<String, Message> registrySender, final Disk disk) {
     this.self = self;
-    this.members = members;
+    this.registrySender = registrySender;
     this.disk = disk;
-    this.coordinator = new ClaimCoordinator(self, this::tellVoters);
+    this.coordinator = new ClaimCoordinator(self, this::sendToVoters);
   }
 
-  /** Takes back what the disk remembered: spans begin anew, since nobody knows how long it was. */
-  void recall(final List<Claim> claims, final long now) {
-    table.recall(claims, now);
+  /**
+   * Restores claims from disk. Their retention spans start again, since it is unknown how long the
+   * process was down.
+   */
+  void restore(final List<Claim> claims, final long now) {
+    table.restore(claims, now);
   }
 
-  /** Takes what another voter remembers. */
-  void learn(final List<Claim> claims, final long now) {
+  /** Merges the claims that another voter remembers, and persists them. */
+  void merge(final List<Claim> claims, final long now) {
     if (!claims.isEmpty()) {
-      table.recall(claims, now);
+      table.restore(claims, now);
       disk.append(claims, () -> {});
     }
   }
 
-  /** The claims that are remembered. */
-  List<Claim> live() {
-    return table.live(clock);
+  /** Returns the claims that have not expired. */
+  List<Claim> liveClaims() {
+    return table.liveClaims(lastNow);
   }
 
   /**
-   * Takes the roster by which votes are counted, the one before it while that still counts, and
-   * whether this registry has all that was granted before and may vote.
+   * Sets the roster by which votes are counted, the previous one while it still counts (else null),
+   * and whether this registry has learned all claims granted before and may vote.
    */
   void roster(final Roster present, final Roster previous, final boolean mayVote) {
     roster = present;
-    before = previous;
-    votes = mayVote;
+    previousRoster = previous;
+    votingAllowed = mayVote;
   }
 
-  private void tellVoters(final Message message) {
+  private void sendToVoters(final Message message) {
     for (final Voter voter : roster.voters) {
       if (voter.address.equals(self)) {
-        receive(self, message, answer -> receive(self, answer, unused -> {}, clock), clock);
+        receive(self, message, response -> receive(self, response, unused -> {}, lastNow), lastNow);
       } else {
-        members.accept(voter.address, message);
+        registrySender.accept(voter.address, message);
       }
     }
   }
 
-  /** A proxy claims a key or gives one back. */
+  /** Handles a proxy's claim of a key or its release of claims. */
   void fromProxy(final Message message, final Consumer<Message> reply, final long now) {
-    clock = Math.max(clock, now);
+    lastNow = Math.max(lastNow, now);
     if (message instanceof ClaimRequest) {
-      coordinator.ask(((ClaimRequest) message).claim, reply, now);
+      coordinator.submit(((ClaimRequest) message).claim, reply, now);
     } else if (message instanceof ClaimRelease) {
       coordinator.release(((ClaimRelease) message).claims);
     }
   }
 
-  /** Another registry, or this one, asks for votes or gives them. */
+  /** Handles a vote request, vote response or release of another registry or of this one. */
   void receive(
       final String from, final Message message, final Consumer<Message> reply, final long now) {
-    clock = Math.max(clock, now);
+    lastNow = Math.max(lastNow, now);
     if (message instanceof ClaimVoteRequest) {
       vote(((ClaimVoteRequest) message).claims, reply, now);
     } else if (message instanceof ClaimVoteResponse) {
-      final ClaimVoteResponse answer = (ClaimVoteResponse) message;
-      if (answer.rosterNumber <= roster.number) {
-        coordinator.voted(from, answer, roster, before, now);
+      final ClaimVoteResponse response = (ClaimVoteResponse) message;
+      if (response.rosterNumber <= roster.number) {
+        coordinator.onVotes(from, response, roster, previousRoster, now);
       }
     } else if (message instanceof ClaimRelease) {
       final List<Claim> claims = ((ClaimRelease) message).claims;
       claims.forEach(table::release);
-      coordinator.released(claims);
+      coordinator.onRelease(claims);
     }
   }
 
   private void vote(final List<Claim> claims, final Consumer<Message> reply, final long now) {
-    if (!votes) {
+    if (!votingAllowed) {
       return;
     }
-    final List<Claim> mine = new ArrayList<>();
+    final List<Claim> accepted = new ArrayList<>();
     final List<ClaimVote> granted = new ArrayList<>();
     final List<ClaimVote> refused = new ArrayList<>();
     for (final Claim claim : claims) {
       final Claim holder = table.claim(claim, now);
       if (holder.sameClaimant(claim)) {
-        mine.add(claim);
+        accepted.add(claim);
         granted.add(new ClaimVote(claim.incarnation, claim.number, null));
       } else {
         refused.add(new ClaimVote(claim.incarnation, claim.number, holder));
@@ -129,27 +133,27 @@
     if (!refused.isEmpty()) {
       reply.accept(new ClaimVoteResponse(roster.number, refused));
     }
-    if (!mine.isEmpty()) {
-      disk.append(mine, () -> reply.accept(new ClaimVoteResponse(roster.number, granted)));
+    if (!accepted.isEmpty()) {
+      disk.append(accepted, () -> reply.accept(new ClaimVoteResponse(roster.number, granted)));
     }
   }
 
-  /** Time has passed. */
+  /** Advances the clock: expires claims and ends vote rounds that timed out. */
   void tick(final long now) {
-    clock = now;
+    lastNow = now;
     coordinator.tick(now);
     table.expire(now);
   }
 
-  /** What was decided here, as counters; empty where there was nothing. */
+  /** Returns the counters of the log line, or an empty string if there was no claim. */
   String counters() {
     final boolean idle = table.size() == 0 && coordinator.granted() + coordinator.unknown() == 0;
     return idle ? "" : " " + coordinator.counters() + " remembered " + table.size();
   }
 
-  /** Figures of claims. */
-  List<Metric> figures() {
-    final String help = "Claims of idempotency keys that this registry asked the voters about.";
+  /** Returns the metrics of claims. */
+  List<Metric> metrics() {
+    final String help = "Claims of idempotency keys for which this registry requested votes.";
     return List.of(
         Metric.counter("weldpoint_key_claims", help, coordinator.granted())
             .with("result", "granted"),
@@ -158,6 +162,8 @@
         Metric.counter("weldpoint_key_claims", help, coordinator.unknown())
             .with("result", "unknown"),
         Metric.gauge(
-            "weldpoint_keys_remembered", "Idempotency keys remembered here.", table.size()));
+            "weldpoint_keys_remembered",
+            "Idempotency keys that this registry remembers.",
+            table.size()));
   }
 }
--- a/registry/src/main/java/weldpoint/registry/MajorityReachability.java
+++ b/registry/src/main/java/weldpoint/registry/MajorityReachability.java
@@ -11,25 +11,27 @@
 import weldpoint.transport.StateStoreMessages.Voter;
 
 /**
- * Whether this exchange knows itself to be cut off from a majority, and who told lately that it is
- * not.
+ * Whether this registry knows itself to be cut off from a majority, and which peer recently
+ * reported that it is not.
  */
 class MajorityReachability {
   private static final long CUT_OFF_MILLIS = 1500;
-  private static final long ASK_MILLIS = 300;
-  private static final long TOLD_MILLIS = 1000;
+  private static final long PROBE_INTERVAL_MILLIS = 300;
 
-  private record PeerReport(long at, long majorityAgeMillis) {}
+  /** How long a peer's report is used. */
+  private static final long REPORT_VALID_MILLIS = 1000;
+
+  private record PeerReport(long receivedAt, long majorityAgeMillis) {}
 
   private final String self;
-  private final BiConsumer<String, Message> members;
-  private final Map<String, PeerReport> told = new HashMap<>();
+  private final BiConsumer<String, Message> sender;
+  private final Map<String, PeerReport> reports = new HashMap<>();
   private long startedAt;
-  private long askedAt;
+  private long lastProbeAt;
 
-  MajorityReachability(final String self, final BiConsumer<String, Message> members) {
+  MajorityReachability(final String self, final BiConsumer<String, Message> sender) {
     this.self = self;
-    this.members = members;
+    this.sender = sender;
   }
 
   void started(final long now) {
@@ -37,8 +39,8 @@
   }
 
   /**
-   * Cut off: no majority has answered lately, though there was time for it, and there are lines to
-   * too few voters.
+   * Whether this registry is cut off: no majority has answered recently, although there was time
+   * for it, and it is connected to too few voters.
    */
   boolean cutOff(
       final Roster roster,
@@ -52,15 +54,16 @@
     if (roster.number == 0) {
       return connected.isEmpty() && seeds.stream().anyMatch(seed -> !seed.equals(self));
     }
-    int reached = 0;
+    int reachable = 0;
     for (final Voter voter : roster.voters) {
-      reached += voter.address.equals(self) || connected.contains(voter.address) ? 1 : 0;
+      reachable += voter.address.equals(self) || connected.contains(voter.address) ? 1 : 0;
     }
-    return reached < roster.majority();
+    return reachable < roster.majority();
   }
 
   /**
-   * Time has passed: one that is cut off asks those it still reaches whether they hear a majority.
+   * If cut off, asks the registries it still reaches at intervals whether they are in contact with
+   * a majority.
    */
   void tick(
       final Roster roster,
@@ -68,33 +71,36 @@
       final Set<String> connected,
       final long majorityAt,
       final long now) {
-    if (now - askedAt >= ASK_MILLIS && cutOff(roster, seeds, connected, majorityAt, now)) {
-      askedAt = now;
-      final Message question =
+    if (now - lastProbeAt >= PROBE_INTERVAL_MILLIS
+        && cutOff(roster, seeds, connected, majorityAt, now)) {
+      lastProbeAt = now;
+      final Message probe =
           new RegistryMessages.ControlStateRequest(
               0, roster.number, Long.MAX_VALUE, Long.MAX_VALUE, Long.MAX_VALUE, null, 0);
-      connected.forEach(member -> members.accept(member, question));
+      connected.forEach(member -> sender.accept(member, probe));
     }
   }
 
-  /** An exchange has told how long ago it heard of a majority. */
-  void told(final String member, final long majorityAgeMillis, final long now) {
-    told.put(member, new PeerReport(now, majorityAgeMillis));
+  /** Records another registry's report of how long ago it was in contact with a majority. */
+  void reported(final String member, final long majorityAgeMillis, final long now) {
+    reports.put(member, new PeerReport(now, majorityAgeMillis));
   }
 
   /**
-   * An exchange that can be reached and told lately that it hears a majority: the one whose word is
-   * newest; null where there is none.
+   * A connected registry that recently reported contact with a majority: the one whose contact is
+   * the most recent; null if there is none.
    */
-  String elsewhere(final Set<String> connected, final long now) {
+  String peerWithMajority(final Set<String> connected, final long now) {
     String best = null;
-    long youngest = CUT_OFF_MILLIS;
-    for (final Map.Entry<String, PeerReport> entry : told.entrySet()) {
-      final long silent = now - entry.getValue().at();
-      final long age = entry.getValue().majorityAgeMillis() + silent;
-      if (silent <= TOLD_MILLIS && age <= youngest && connected.contains(entry.getKey())) {
+    long smallestAge = CUT_OFF_MILLIS;
+    for (final Map.Entry<String, PeerReport> entry : reports.entrySet()) {
+      final long reportAge = now - entry.getValue().receivedAt();
+      final long age = entry.getValue().majorityAgeMillis() + reportAge;
+      if (reportAge <= REPORT_VALID_MILLIS
+          && age <= smallestAge
+          && connected.contains(entry.getKey())) {
         best = entry.getKey();
-        youngest = age;
+        smallestAge = age;
       }
     }
     return best;
--- a/registry/src/main/java/weldpoint/registry/QuorumReads.java
+++ b/registry/src/main/java/weldpoint/registry/QuorumReads.java
@@ -9,137 +9,152 @@
 import weldpoint.transport.StateStoreMessages.Roster;
 
 /**
- * Reads of what a majority of the voters' exchanges have on disk. Every acknowledgement was counted
- * on such a majority, so a read that began after a question came has met all that was acknowledged
- * before the question. Reads are numbered and may overlap: an answer to a later one serves the
+ * Reads of what a majority of the voters' registries have on disk. Every acknowledged change is on
+ * such a majority, so a read that starts after a request arrived sees all that was acknowledged
+ * before the request. Reads are numbered and may overlap: an answer to a later read counts for the
  * earlier ones as well.
  */
 class QuorumReads {
-  private static final long AGAIN_MILLIS = 400;
-  private static final long PAUSE_MILLIS = 40;
-  private static final long KEPT_READS = 64;
+  /** After this time without a majority, another read is started. */
+  private static final long RETRY_MILLIS = 400;
+
+  /** The least time between the starts of two requested reads. */
+  private static final long MIN_INTERVAL_MILLIS = 40;
+
+  /** The start times of this many completed reads are kept. */
+  private static final long RETAINED_READS = 64;
 
   private final String self;
-  private final Map<String, Long> answered = new HashMap<>();
-  private final Map<String, Long> asked = new HashMap<>();
-  private final Map<String, Long> leased = new HashMap<>();
-  private final Map<Long, Long> began = new HashMap<>();
-  private long last;
-  private long done;
-  private long wanted;
-  private long beganAt = Long.MIN_VALUE / 2;
-  private long doneSince = Long.MIN_VALUE / 2;
-
-  /** Reads for this exchange. */
+  private final Map<String, Long> answers = new HashMap<>();
+  private final Map<String, Long> requested = new HashMap<>();
+  private final Map<String, Long> leases = new HashMap<>();
+  private final Map<Long, Long> startTimes = new HashMap<>();
+  private long lastStarted;
+  private long lastCompleted;
+  private long nextRequested;
+  private long lastStartedAt = Long.MIN_VALUE / 2;
+  private long confirmedAt = Long.MIN_VALUE / 2;
+
+  /** Creates the quorum reads of this registry. */
   QuorumReads(final String self) {
     this.self = self;
   }
 
-  /** The read that a question that comes now must wait for. */
-  long next() {
-    wanted = last + 1;
-    return wanted;
+  /**
+   * Requests a read and returns the number of the read that a request arriving now must wait for.
+   */
+  long requestRead() {
+    nextRequested = lastStarted + 1;
+    return nextRequested;
   }
 
-  /** The newest read that is done. */
-  long done() {
-    return done;
+  /** The number of the latest completed read. */
+  long lastCompleted() {
+    return lastCompleted;
   }
 
   /**
-   * When the newest read that is done began: until then, this exchange was surely in touch with a
-   * majority.
+   * The start time of the latest completed read: up to then, this registry was certainly in contact
+   * with a majority.
    */
   long confirmedAt() {
-    return doneSince;
+    return confirmedAt;
   }
 
   /**
-   * Begins the next read where one is wanted, and again where the last one has not met a majority
-   * in time.
+   * Starts the next read if one is requested, and another one if the last has not reached a
+   * majority in time.
    */
-  void tick(final LongFunction<Message> question, final Consumer<Message> voters, final long now) {
-    if (wanted > last && now - beganAt >= PAUSE_MILLIS
-        || last > done && now - beganAt > AGAIN_MILLIS) {
-      last++;
-      beganAt = now;
-      began.put(last, now);
-      voters.accept(question.apply(last));
+  void tick(
+      final LongFunction<Message> request, final Consumer<Message> sendToVoters, final long now) {
+    if (nextRequested > lastStarted && now - lastStartedAt >= MIN_INTERVAL_MILLIS
+        || lastStarted > lastCompleted && now - lastStartedAt > RETRY_MILLIS) {
+      lastStarted++;
+      lastStartedAt = now;
+      startTimes.put(lastStarted, now);
+      sendToVoters.accept(request.apply(lastStarted));
     }
   }
 
   /**
-   * There is a line to a voter's exchange, perhaps a new one: it is asked too, where a read is
-   * under way that it has not answered.
+   * Sends the read in progress to a voter's registry over a connection, perhaps a new one, unless
+   * that voter was asked or has answered already.
    */
-  void line(
-      final String address, final LongFunction<Message> question, final Consumer<Message> line) {
-    if (last > done
-        && answered.getOrDefault(address, 0L) < last
-        && asked.getOrDefault(address, 0L) < last) {
-      asked.put(address, last);
-      line.accept(question.apply(last));
+  void onConnected(
+      final String address,
+      final LongFunction<Message> request,
+      final Consumer<Message> connection) {
+    if (lastStarted > lastCompleted
+        && answers.getOrDefault(address, 0L) < lastStarted
+        && requested.getOrDefault(address, 0L) < lastStarted) {
+      requested.put(address, lastStarted);
+      connection.accept(request.apply(lastStarted));
     }
   }
 
-  /** A voter that has all that it should has answered the read of this number. */
-  void answered(final String from, final long number) {
-    answered.merge(from, number, Math::max);
+  /** Records that a voter with complete data has answered the read of this number. */
+  void recordAnswer(final String from, final long number) {
+    answers.merge(from, number, Math::max);
   }
 
-  /** A voter confirms no change before this time, and what it holds is held here. */
-  void leased(final String voter, final long until) {
-    leased.merge(voter, until, Math::max);
+  /**
+   * Records that a voter acknowledges no change before this time, and that this registry holds all
+   * that the voter holds.
+   */
+  void recordLease(final String voter, final long expiresAt) {
+    leases.merge(voter, expiresAt, Math::max);
   }
 
-  /** When the read of this number began; the start of time where that is not known any more. */
-  long began(final long number) {
-    return began.getOrDefault(number, Long.MIN_VALUE / 2);
+  /**
+   * The start time of the read of this number; a time in the distant past if it is no longer known.
+   */
+  long startedAt(final long number) {
+    return startTimes.getOrDefault(number, Long.MIN_VALUE / 2);
   }
 
   /**
-   * Until when no change can be acknowledged that is not held here, since a majority of voters
-   * confirms none.
+   * The time until which no change that is missing here can be acknowledged, since a majority of
+   * voters has leased that it acknowledges none.
    */
   long leasedUntil(final Roster roster) {
     return roster.number == 0
         ? Long.MIN_VALUE / 2
-        : reached(
-            roster, leased, leased.getOrDefault(self, Long.MIN_VALUE / 2), Long.MIN_VALUE / 2);
+        : majorityValue(
+            roster, leases, leases.getOrDefault(self, Long.MIN_VALUE / 2), Long.MIN_VALUE / 2);
   }
 
-  private long reached(
-      final Roster roster, final Map<String, Long> answers, final long own, final long none) {
-    final long[] reached = new long[roster.voters.size()];
-    for (int place = 0; place < reached.length; place++) {
-      final String address = roster.voters.get(place).address;
-      reached[place] = address.equals(self) ? own : answers.getOrDefault(address, none);
+  private long majorityValue(
+      final Roster roster, final Map<String, Long> byVoter, final long own, final long absent) {
+    final long[] values = new long[roster.voters.size()];
+    for (int index = 0; index < values.length; index++) {
+      final String address = roster.voters.get(index).address;
+      values[index] = address.equals(self) ? own : byVoter.getOrDefault(address, absent);
     }
-    Arrays.sort(reached);
-    return reached[reached.length - roster.majority()];
+    Arrays.sort(values);
+    return values[values.length - roster.majority()];
   }
 
   /**
-   * Whether a newer read has just met a majority; the own disk counts where it has all that it
-   * should.
+   * Whether a newer read has just reached a majority; this registry's own disk counts if its data
+   * is complete.
    */
-  boolean complete(final Roster roster, final boolean whole) {
+  boolean completeReads(final Roster roster, final boolean selfCounts) {
     if (roster.number == 0) {
       return false;
     }
-    final long majority = reached(roster, answered, whole ? last : 0, 0);
-    if (majority <= done) {
+    final long majority = majorityValue(roster, answers, selfCounts ? lastStarted : 0, 0);
+    if (majority <= lastCompleted) {
       return false;
     }
-    done = majority;
-    doneSince = began.getOrDefault(done, doneSince);
-    began.keySet().removeIf(number -> number <= done - KEPT_READS);
+    lastCompleted = majority;
+    confirmedAt = startTimes.getOrDefault(lastCompleted, confirmedAt);
+    startTimes.keySet().removeIf(number -> number <= lastCompleted - RETAINED_READS);
     return true;
   }
 
-  /** The roster has changed: the new voters are asked at once. */
-  void restart() {
-    leased.clear();
-    beganAt = Long.MIN_VALUE / 2;
+  /** Drops all leases after a change of roster and lets the new voters be asked at once. */
+  void onRosterChanged() {
+    leases.clear();
+    lastStartedAt = Long.MIN_VALUE / 2;
   }
 }
--- a/registry/src/main/java/weldpoint/registry/RegistrationBuckets.java
+++ b/registry/src/main/java/weldpoint/registry/RegistrationBuckets.java
@@ -10,14 +10,15 @@
 import weldpoint.transport.Serializer;
 
 /**
- * Registrations by buckets of their names, so that two sides find what differs without telling all;
- * and their packed form.
+ * Registrations hashed into buckets by id, so that two sides find their differences by comparing
+ * one digest per bucket; and the packed form in which registrations are sent. Used by registries
+ * and proxies.
  */
 public final class RegistrationBuckets {
-  /** How many there are. */
+  /** The number of buckets. */
   public static final int COUNT = 32;
 
-  /** How registrations travel packed. */
+  /** The packed form of registrations on the wire. */
   static final class PackedRegistrations {
     final List<Registration> registrations;
 
@@ -28,18 +29,18 @@
 
   private RegistrationBuckets() {}
 
-  /** The bucket of the registration of this id. */
-  static int of(final String id) {
+  /** The bucket of the registration with this id. */
+  static int bucketOf(final String id) {
     return Math.floorMod(id.hashCode() * 0x9e3779b1, COUNT);
   }
 
-  /** The digest of each bucket, of all registrations or only of those that have not ended. */
+  /** The digest of each bucket, of all registrations or only of those that are not removed. */
   public static List<Long> digests(
-      final Collection<Registration> registrations, final boolean ended) {
+      final Collection<Registration> registrations, final boolean includeRemoved) {
     final long[] sums = new long[COUNT];
-    for (final Registration one : registrations) {
-      if (ended || LifecycleStage.of(one) != LifecycleStage.REMOVED) {
-        sums[of(one.id)] += LifecycleStage.digest(one);
+    for (final Registration registration : registrations) {
+      if (includeRemoved || LifecycleStage.of(registration) != LifecycleStage.REMOVED) {
+        sums[bucketOf(registration.id)] += LifecycleStage.digest(registration);
       }
     }
     final List<Long> digests = new ArrayList<>(COUNT);
@@ -49,35 +50,40 @@
     return digests;
   }
 
-  /** Whether there is nothing in any bucket. */
-  static boolean empty(final List<Long> digests) {
-    for (final long one : digests) {
-      if (one != 0) {
+  /** Whether all buckets are empty. */
+  static boolean allEmpty(final List<Long> digests) {
+    for (final long digest : digests) {
+      if (digest != 0) {
         return false;
       }
     }
     return true;
   }
 
-  /** The registrations in buckets where the two differ; all where the other side gave none. */
+  /**
+   * The registrations in buckets whose digests differ; all of them if the other side gave no
+   * digests.
+   */
   static List<Registration> differing(
-      final Collection<Registration> registrations, final List<Long> here, final List<Long> there) {
+      final Collection<Registration> registrations,
+      final List<Long> local,
+      final List<Long> remote) {
     final List<Registration> list = new ArrayList<>();
-    for (final Registration one : registrations) {
-      final int bucket = of(one.id);
-      if (there.size() != COUNT || !here.get(bucket).equals(there.get(bucket))) {
-        list.add(one);
+    for (final Registration registration : registrations) {
+      final int bucket = bucketOf(registration.id);
+      if (remote.size() != COUNT || !local.get(bucket).equals(remote.get(bucket))) {
+        list.add(registration);
       }
     }
     return list;
   }
 
-  /** Registrations as few bytes. */
+  /** Serializes and compresses registrations. */
   static byte[] pack(final List<Registration> registrations) {
     return Compression.deflate(Serializer.serialize(new PackedRegistrations(registrations)));
   }
 
-  /** What was packed; empty for null. */
+  /** The registrations of a packed form; empty for null. */
   public static List<Registration> unpack(final byte[] packed) {
     if (packed == null) {
       return List.of();
@@ -88,8 +94,8 @@
     return list == null ? List.of() : list;
   }
 
-  /** Names in the order in which ages travel. */
-  static <T> TreeMap<String, T> ordered(final Map<String, T> named) {
-    return new TreeMap<>(named);
+  /** A copy sorted by id, the order in which ages are sent. */
+  static <T> TreeMap<String, T> sortedById(final Map<String, T> byId) {
+    return new TreeMap<>(byId);
   }
 }
--- a/registry/src/main/java/weldpoint/registry/TrialService.java
+++ b/registry/src/main/java/weldpoint/registry/TrialService.java
@@ -12,33 +12,34 @@
 import weldpoint.transport.TrialMessages;
 
 /**
- * A registry's part in trials of services: it counts what proxies report, writes the verdicts that
- * follow from the counts, and takes operators' orders. Times are milliseconds of the steady clock.
+ * A registry's part in trials of services: it adds up the counts that proxies report, writes the
+ * verdicts that follow from them, and carries out the trial calls of operators. Used by {@link
+ * RegistryCore} on the control thread. Times are milliseconds of the monotonic clock.
  */
 public final class TrialService {
-  private static final long JUDGE_MILLIS = 100;
-  private static final long WRITE_MILLIS = 900;
-  private static final int USUAL_LEAST_WRITES = 30;
-  private static final double USUAL_LATE_ALLOWANCE = 0.01;
+  private static final long EVALUATION_INTERVAL_MILLIS = 100;
+  private static final long WRITE_TIMEOUT_MILLIS = 900;
+  private static final int DEFAULT_LEAST_WRITES = 30;
+  private static final double DEFAULT_LATE_ALLOWANCE = 0.01;
 
-  /** What the registry around it knows and does. */
+  /** The registry that this service belongs to. */
   interface Registry {
-    /** Completes once a majority has confirmed what is known, after this moment. */
+    /** Completes once a majority has confirmed the known state after {@code now}. */
     CompletableFuture<Void> refresh(long now);
 
-    /** Completes once a majority of registries has what is known. */
-    CompletableFuture<Void> settle();
+    /** Completes once a majority of registries has the known state. */
+    CompletableFuture<Void> awaitReplication();
 
-    /** The steady clock. */
+    /** The monotonic clock, in milliseconds. */
     long now();
 
-    /** The addresses of the proxies that were heard of lately. */
+    /** The addresses of the proxies that reported recently. */
     List<String> liveProxies(long now);
 
-    /** Whether a majority was heard of lately. */
+    /** Whether a majority was heard from recently. */
     boolean hearsMajority(long now);
 
-    /** Passes a report on to all other registries. */
+    /** Relays a report to all other registries. */
     void relay(TrialMessages.TrialReport report);
   }
 
@@ -46,7 +47,7 @@
   private final ControlState control;
   private final StoreClient store;
   private final Registry registry;
-  private long judgedAt;
+  private long evaluatedAt;
 
   TrialService(
       final String self,
@@ -59,23 +60,23 @@
     this.registry = registry;
   }
 
-  /** A proxy, or another registry that passes it on, tells what was counted in trials. */
+  /** Handles the trial counts of a proxy, or those that another registry relayed. */
   public void report(final TrialMessages.TrialReport report, final long now) {
-    control.coordinator().report(report, now);
+    control.trialCoordinator().report(report, now);
     if (!report.relayed) {
       registry.relay(new TrialMessages.TrialReport(true, report.tallies, report.digests));
     }
-    judge(now);
+    evaluate(now);
   }
 
-  /** Writes the verdicts that follow from what was counted. */
-  void judge(final long now) {
-    if (control.trials().isEmpty() || now - judgedAt < JUDGE_MILLIS) {
+  /** Writes the verdicts that follow from the counts. */
+  void evaluate(final long now) {
+    if (control.trials().isEmpty() || now - evaluatedAt < EVALUATION_INTERVAL_MILLIS) {
       return;
     }
-    judgedAt = now;
+    evaluatedAt = now;
     for (final TrialMessages.Trial verdict :
-        control.coordinator().verdicts(control.routingTable())) {
+        control.trialCoordinator().verdicts(control.routingTable())) {
       write(verdict, new StoreMessages.ChangeOrigin(Authors.SYSTEM, "", self, null), now);
     }
   }
@@ -92,59 +93,59 @@
             Serializer.serialize(next),
             origin,
             now,
-            WRITE_MILLIS)
-        .thenApply(answer -> written(next, answer));
+            WRITE_TIMEOUT_MILLIS)
+        .thenApply(response -> requireWritten(next, response));
   }
 
-  private static TrialMessages.Trial written(
-      final TrialMessages.Trial next, final StoreMessages.StoreResponse answer) {
-    if (answer.status == 200) {
+  private static TrialMessages.Trial requireWritten(
+      final TrialMessages.Trial next, final StoreMessages.StoreResponse response) {
+    if (response.status == 200) {
       return next;
     }
     throw new WeldpointException(
-        answer.status == 412
+        response.status == 412
             ? WeldpointException.Kind.CONFLICT
             : WeldpointException.Kind.OUT_OF_REACH,
-        "the trial has changed meanwhile; look at its status and order again");
+        "the trial may have changed in the meantime; read its status and try again");
   }
 
   /**
-   * Judges an order by what a majority confirms after it came, and acknowledges it once a majority
-   * of registries has it.
+   * Carries out an operator's call on the state that a majority confirmed after the call arrived;
+   * completes once a majority of registries has the result.
    */
-  private CompletableFuture<TrialMessages.Trial> order(
+  private CompletableFuture<TrialMessages.Trial> execute(
       final Supplier<TrialMessages.Trial> next,
       final StoreMessages.ChangeOrigin origin,
       final long now) {
     return registry
         .refresh(now)
         .thenCompose(done -> write(next.get(), origin, registry.now()))
-        .thenCompose(written -> registry.settle().thenApply(done -> written));
+        .thenCompose(written -> registry.awaitReplication().thenApply(done -> written));
   }
 
   /** Begins a trial. */
   CompletableFuture<TrialMessages.Trial> begin(
       final String route,
-      final ControlApi.TrialRequest order,
+      final ControlApi.TrialRequest request,
       final StoreMessages.ChangeOrigin origin,
       final long now) {
     final List<Integer> stages = new ArrayList<>();
-    for (final Double stage : order.stages() == null ? List.<Double>of() : order.stages()) {
+    for (final Double stage : request.stages() == null ? List.<Double>of() : request.stages()) {
       stages.add(stage == null ? null : stage.intValue());
     }
     final int leastWrites =
-        order.leastWrites() == null ? USUAL_LEAST_WRITES : order.leastWrites().intValue();
+        request.leastWrites() == null ? DEFAULT_LEAST_WRITES : request.leastWrites().intValue();
     final double lateAllowance =
-        order.lateAllowance() == null ? USUAL_LATE_ALLOWANCE : order.lateAllowance();
-    return order(
+        request.lateAllowance() == null ? DEFAULT_LATE_ALLOWANCE : request.lateAllowance();
+    return execute(
         () ->
             control
-                .coordinator()
+                .trialCoordinator()
                 .begin(
                     route,
-                    String.valueOf(order.oldService()),
-                    String.valueOf(order.newService()),
-                    order.token(),
+                    String.valueOf(request.oldService()),
+                    String.valueOf(request.newService()),
+                    request.token(),
                     stages,
                     leastWrites,
                     lateAllowance,
@@ -153,28 +154,28 @@
         now);
   }
 
-  /** Moves a trial to its next stage, if the evidence is there. */
+  /** Moves a trial to its next stage, if the counts suffice. */
   CompletableFuture<TrialMessages.Trial> advance(
       final String route, final StoreMessages.ChangeOrigin origin, final long now) {
     final List<String> live = registry.liveProxies(now);
-    return order(
-        () -> control.coordinator().advance(route, live, registry.hearsMajority(now), now),
+    return execute(
+        () -> control.trialCoordinator().advance(route, live, registry.hearsMajority(now), now),
         origin,
         now);
   }
 
-  /** Holds a trial by an operator's order. */
+  /** Holds a trial on an operator's request. */
   CompletableFuture<TrialMessages.Trial> hold(
       final String route,
       final String reason,
       final StoreMessages.ChangeOrigin origin,
       final long now) {
-    return order(() -> control.coordinator().hold(route, reason), origin, now);
+    return execute(() -> control.trialCoordinator().hold(route, reason), origin, now);
   }
 
   /** Ends a trial. */
   CompletableFuture<TrialMessages.Trial> finish(
       final String route, final StoreMessages.ChangeOrigin origin, final long now) {
-    return order(() -> control.coordinator().finish(route), origin, now);
+    return execute(() -> control.trialCoordinator().finish(route), origin, now);
   }
 }
--- a/registry/src/test/java/weldpoint/registry/StandstillTest.java
+++ b/registry/src/test/java/weldpoint/registry/PausedDaemonTest.java
@@ -16,10 +16,10 @@
 import weldpoint.transport.StoreMessages;
 
 /**
- * A daemon that stood still: what waited in its sockets for longer than a caller waits is not
- * carried out.
+ * A daemon whose process was paused: calls that waited in its sockets for longer than a caller
+ * waits are not executed.
  */
-public final class StandstillTest {
+public final class PausedDaemonTest {
   private long now;
   private int storeCalls;
   private List<Integer> statuses;
@@ -40,24 +40,25 @@
             new Random(1),
             new RegistryCore.Environment() {
               @Override
-              public boolean member(final String address, final Message message) {
+              public boolean sendToMember(final String address, final Message message) {
                 return false;
               }
 
               @Override
-              public boolean frame(final String address, final StoreMessages.StoreRequest call) {
+              public boolean sendToReplica(
+                  final String address, final StoreMessages.StoreRequest call) {
                 storeCalls++;
                 return true;
               }
 
               @Override
-              public void board(final Object stream, final Message message) {}
+              public void sendToStream(final Object stream, final Message message) {}
 
               @Override
               public void append(final byte[] record, final Runnable synced) {}
 
               @Override
-              public void peers(final List<String> members) {}
+              public void updatePeers(final List<String> members) {}
             });
     core.start(List.of(), now);
     final Settings settings =
@@ -70,12 +71,12 @@
             Runnable::run,
             new ControlServer.Clock() {
               @Override
-              public long steadyMillis() {
+              public long monotonicMillis() {
                 return now;
               }
 
               @Override
-              public long dayMillis() {
+              public long wallMillis() {
                 return now;
               }
             });
@@ -88,35 +89,35 @@
         "10.9.9.9",
         new ControlServer.ResponseCallback() {
           @Override
-          public boolean waits() {
+          public boolean isWaiting() {
             return true;
           }
 
           @Override
-          public void answer(final int status, final byte[] body, final String location) {
+          public void respond(final int status, final byte[] body, final String location) {
             statuses.add(status);
           }
         });
   }
 
-  private void runs(final int ticks) {
-    for (int tick = 0; tick < ticks; tick++) {
+  private void tick(final int ticks) {
+    for (int count = 0; count < ticks; count++) {
       now += 40;
-      server.awake();
+      server.recordTick();
     }
   }
 
   @Test
-  public void aCallIsCarriedOutWhileTheDaemonRuns() {
-    runs(5);
+  public void callIsExecutedWhileTheDaemonRuns() {
+    tick(5);
     call();
     assertEquals(storeCalls, 1);
     assertEquals(statuses, List.of());
   }
 
   @Test
-  public void whatWaitedThroughAStandstillIsNot() {
-    runs(5);
+  public void callThatWaitedThroughAPauseIsNotExecuted() {
+    tick(5);
     now += 2000;
     call();
     assertEquals(storeCalls, 0);
@@ -124,21 +125,21 @@
   }
 
   @Test
-  public void norIsWhatIsReadAfterTheFirstTickFollowingIt() {
-    runs(5);
+  public void callReadAfterTheFirstTickFollowingAPauseIsNotExecuted() {
+    tick(5);
     now += 2000;
-    server.awake();
+    server.recordTick();
     call();
     assertEquals(storeCalls, 0);
     assertEquals(statuses, List.of(504));
-    runs(2);
+    tick(2);
     call();
     assertEquals(storeCalls, 1);
   }
 
   @Test
-  public void aShortStandstillCountsAgainstTheTimeOfTheCall() {
-    runs(5);
+  public void shortPauseCountsAgainstTheDeadlineOfTheCall() {
+    tick(5);
     now += 600;
     call();
     assertEquals(storeCalls, 1);
--- a/registry/src/test/java/weldpoint/registry/StoreClientTest.java
+++ b/registry/src/test/java/weldpoint/registry/StoreClientTest.java
@@ -15,8 +15,9 @@
 import weldpoint.transport.StoreMessages;
 
 /**
- * Calls to frames under scripted lines: each carries who calls, and an answer counts only from
- * whom, and for whom, it was asked.
+ * Calls to state store replicas over scripted connections: each carries the identity of the calling
+ * process, and a response counts only if it comes from a replica that was asked and names this
+ * process.
  */
 public final class StoreClientTest {
   private record Sent(String to, StoreMessages.StoreRequest call) {}
@@ -25,8 +26,8 @@
   private final List<String> down = new ArrayList<>();
   private StoreClient store;
 
-  private StoreClient life(final long seed) {
-    final StoreClient one =
+  private StoreClient newClient(final long seed) {
+    final StoreClient client =
         new StoreClient(
             "here",
             new Random(seed),
@@ -37,112 +38,113 @@
               sent.add(new Sent(address, call));
               return true;
             });
-    one.frames(List.of("here", "there"));
-    return one;
+    client.replicas(List.of("here", "there"));
+    return client;
   }
 
   @BeforeMethod
   public void open() {
     sent.clear();
     down.clear();
-    store = life(1);
+    store = newClient(1);
   }
 
   private CompletableFuture<StoreMessages.StoreResponse> begin(
-      final StoreClient one, final long now) {
-    return one.call(StoreOperation.LOCK_BEGIN, "l", "owner", 3000, 0, null, null, now, 900);
+      final StoreClient client, final long now) {
+    return client.call(StoreOperation.LOCK_BEGIN, "l", "owner", 3000, 0, null, null, now, 900);
   }
 
-  private static StoreMessages.StoreResponse good(final StoreMessages.StoreRequest call) {
+  private static StoreMessages.StoreResponse success(final StoreMessages.StoreRequest call) {
     return new StoreMessages.StoreResponse(call.number, 200, 7, null, null).to(call.caller);
   }
 
-  private static StoreMessages.StoreResponse nothing(
+  private static StoreMessages.StoreResponse notExecuted(
       final StoreMessages.StoreRequest call, final String holder) {
     return new StoreMessages.StoreResponse(call.number, 0, 0, null, holder).to(call.caller);
   }
 
   @Test
-  public void anAnswerToTheNumberOfAnotherLifeIsNotTaken() {
+  public void responseToAnotherProcessWithTheSameNumberIsIgnored() {
     begin(store, 0);
     final StoreMessages.StoreRequest earlier = sent.get(0).call;
-    final StoreClient later = life(2);
+    final StoreClient later = newClient(2);
     final CompletableFuture<StoreMessages.StoreResponse> future = begin(later, 10);
-    final StoreMessages.StoreRequest mine = sent.get(1).call;
-    assertEquals(mine.number, earlier.number);
-    assertNotEquals(mine.caller, earlier.caller);
-    later.answered("here", good(earlier), 20);
+    final StoreMessages.StoreRequest current = sent.get(1).call;
+    assertEquals(current.number, earlier.number);
+    assertNotEquals(current.caller, earlier.caller);
+    later.onResponse("here", success(earlier), 20);
     assertFalse(future.isDone());
-    later.answered("here", new StoreMessages.StoreResponse(mine.number, 200, 7, null, null), 20);
-    assertFalse(future.isDone(), "an answer that names nobody");
-    later.answered("here", good(mine), 20);
+    later.onResponse(
+        "here", new StoreMessages.StoreResponse(current.number, 200, 7, null, null), 20);
+    assertFalse(future.isDone(), "a response that names no caller");
+    later.onResponse("here", success(current), 20);
     assertTrue(future.isDone());
   }
 
   @Test
-  public void anAnswerCountsOnlyFromAFrameThatWasAskedOnTheLineThatThereIs() {
+  public void responseCountsOnlyFromAReplicaAskedOnAnOpenConnection() {
     final CompletableFuture<StoreMessages.StoreResponse> future = begin(store, 0);
     assertEquals(sent.get(0).to, "here");
-    store.answered("there", good(sent.get(0).call), 5);
-    assertFalse(future.isDone(), "a frame that was not asked");
-    store.closed("here", 10);
-    store.answered("here", good(sent.get(0).call), 15);
-    assertFalse(future.isDone(), "the line on which it was asked has ended");
+    store.onResponse("there", success(sent.get(0).call), 5);
+    assertFalse(future.isDone(), "a replica that was not asked");
+    store.onDisconnected("here", 10);
+    store.onResponse("here", success(sent.get(0).call), 15);
+    assertFalse(future.isDone(), "the connection on which it was asked is closed");
     store.tick(50);
     assertEquals(sent.size(), 2);
-    store.answered(sent.get(1).to, good(sent.get(1).call), 60);
+    store.onResponse(sent.get(1).to, success(sent.get(1).call), 60);
     assertTrue(future.isDone());
   }
 
   @Test
-  public void aLateAnswerToTheFirstCopyCountsToo() {
+  public void lateResponseToTheFirstCopyCounts() {
     final CompletableFuture<StoreMessages.StoreResponse> future = begin(store, 0);
     store.tick(401);
     assertEquals(sent.size(), 2);
     assertNotEquals(sent.get(1).to, sent.get(0).to);
-    store.answered("here", good(sent.get(0).call), 450);
+    store.onResponse("here", success(sent.get(0).call), 450);
     assertTrue(future.isDone());
   }
 
   @Test
-  public void aCopyTellsHowLongAgoTheFirstWasSent() {
+  public void resentCopyCarriesTheAgeOfTheFirst() {
     begin(store, 100);
     assertEquals(sent.get(0).call.age, 0);
     store.tick(501);
     assertEquals(sent.get(1).call.age, 401);
     assertEquals(sent.get(1).call.number, sent.get(0).call.number);
     assertEquals(sent.get(1).call.caller, sent.get(0).call.caller);
-    store.closed(sent.get(1).to, 510);
+    store.onDisconnected(sent.get(1).to, 510);
     store.tick(560);
     assertEquals(sent.get(2).call.age, 460);
   }
 
   @Test
-  public void whatCertainlyDidNothingLeavesNoAge() {
+  public void callThatWasNotExecutedLeavesNoAge() {
     begin(store, 100);
-    store.answered("here", nothing(sent.get(0).call, "there"), 130);
+    store.onResponse("here", notExecuted(sent.get(0).call, "there"), 130);
     assertEquals(sent.get(1).to, "there");
     assertEquals(sent.get(1).call.age, 0);
-    store.answered("there", nothing(sent.get(1).call, null), 140);
+    store.onResponse("there", notExecuted(sent.get(1).call, null), 140);
     store.tick(200);
     assertEquals(sent.get(2).call.age, 0);
   }
 
   @Test
-  public void whatMayHaveBeenDoneOnAnEndedLineKeepsItsAge() {
+  public void callThatMayHaveExecutedOnAClosedConnectionKeepsItsAge() {
     begin(store, 100);
-    store.closed("here", 120);
+    store.onDisconnected("here", 120);
     down.add("here");
     store.tick(160);
     assertEquals(sent.get(1).to, "there");
     assertEquals(sent.get(1).call.age, 60);
-    store.answered("there", nothing(sent.get(1).call, null), 170);
+    store.onResponse("there", notExecuted(sent.get(1).call, null), 170);
     store.tick(230);
     assertEquals(sent.get(2).call.age, 130);
   }
 
   @Test
-  public void aCopyThatNoLineTakesIsNone() {
+  public void copyWithoutAConnectionDoesNotCount() {
     down.add("here");
     down.add("there");
     begin(store, 100);
@@ -153,14 +155,14 @@
   }
 
   @Test
-  public void whatLeavesLaterIsOlder() {
+  public void callThatIsSentLaterIsOlder() {
     final StoreMessages.StoreRequest call =
         new StoreMessages.StoreRequest(1, 0, "l", "o", 0, 0, null).from(5);
     assertEquals(call.leaving(77L, 1000).age, 0);
     assertEquals(
         call.aged(40, 1000).leaving(77L, 1600).age,
         640,
-        "a process that stood still between the two");
+        "a process that was paused between the two");
     assertEquals((long) call.leaving(77L, 1000).clock, 77);
     assertEquals(call.leaving(null, 1000).clock, null);
   }
--- a/registry/src/test/java/weldpoint/registry/TakenVersionTest.java
+++ b/registry/src/test/java/weldpoint/registry/TakenVersionTest.java
@@ -28,8 +28,8 @@
 import weldpoint.transport.StoreMessages;
 
 /**
- * A configuration whose version stands for another one: the operator is told so, with who sent that
- * one and when.
+ * A configuration whose version is taken by another configuration is refused; the message names the
+ * author and the time of the other one.
  */
 public final class TakenVersionTest {
   private static final String BODY = "{\"version\":\"0000000c\",\"listeners\":[],\"pools\":[]}";
@@ -38,7 +38,7 @@
   private final List<StoreMessages.StoreRequest> calls = new ArrayList<>();
   private RegistryCore core;
   private ControlServer server;
-  private StoreMessages.StoreResponse next;
+  private StoreMessages.StoreResponse nextResponse;
   private int port;
 
   @BeforeClass
@@ -55,26 +55,31 @@
             new Random(1),
             new RegistryCore.Environment() {
               @Override
-              public boolean member(final String address, final Message message) {
+              public boolean sendToMember(final String address, final Message message) {
                 return false;
               }
 
               @Override
-              public boolean frame(final String address, final StoreMessages.StoreRequest call) {
+              public boolean sendToReplica(
+                  final String address, final StoreMessages.StoreRequest call) {
                 calls.add(call);
-                core.answered(
+                core.onStoreResponse(
                     address,
                     (call.deed == StoreOperation.CONTROL.ordinal()
-                            ? held(call)
+                            ? storedState(call)
                             : new StoreMessages.StoreResponse(
-                                call.number, next.status, next.first, next.body, null))
+                                call.number,
+                                nextResponse.status,
+                                nextResponse.first,
+                                nextResponse.body,
+                                null))
                         .to(call.caller),
                     0);
                 return true;
               }
 
               @Override
-              public void board(final Object stream, final Message message) {}
+              public void sendToStream(final Object stream, final Message message) {}
 
               @Override
               public void append(final byte[] record, final Runnable synced) {
@@ -82,7 +87,7 @@
               }
 
               @Override
-              public void peers(final List<String> members) {}
+              public void updatePeers(final List<String> members) {}
             });
     core.start(List.of(), 0);
     final Settings settings =
@@ -99,8 +104,8 @@
     loop.shutdownGracefully();
   }
 
-  /** What the frames hold: version 12, and this machine as the only voter. */
-  private static StoreMessages.StoreResponse held(final StoreMessages.StoreRequest call) {
+  /** The control state of the state store: version 12, and this registry as the only voter. */
+  private static StoreMessages.StoreResponse storedState(final StoreMessages.StoreRequest call) {
     final StateStoreMessages.Roster roster =
         new StateStoreMessages.Roster(
             1, List.of(new StateStoreMessages.Voter("127.0.0.1", "a", "r", List.of())));
@@ -126,10 +131,10 @@
         null);
   }
 
-  private String replace(final StoreMessages.StoreResponse answer) throws IOException {
-    next = answer;
-    server.awake();
-    server.awake();
+  private String replace(final StoreMessages.StoreResponse response) throws IOException {
+    nextResponse = response;
+    server.recordTick();
+    server.recordTick();
     try (Socket socket = new Socket()) {
       socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
       socket.setSoTimeout(5000);
@@ -146,8 +151,8 @@
   }
 
   @Test
-  public void theRefusalNamesVersionAuthorAndTime() throws IOException {
-    final String answer =
+  public void refusalNamesVersionAuthorAndTime() throws IOException {
+    final String response =
         replace(
             new StoreMessages.StoreResponse(
                 0,
@@ -156,40 +161,40 @@
                 Serializer.serialize(
                     new StoredValues.TakenVersion(12, "dispatch lead", 1_700_000_000_000L)),
                 null));
-    assertTrue(answer.startsWith("HTTP/1.1 409"), answer);
+    assertTrue(response.startsWith("HTTP/1.1 409"), response);
     assertTrue(
-        answer.contains("\"kind\":\"VERSION_TAKEN\"")
-            && answer.contains("0000000c")
-            && answer.contains("dispatch lead")
-            && answer.contains("2023-11-14T22:13:20Z"),
-        answer);
+        response.contains("\"kind\":\"VERSION_TAKEN\"")
+            && response.contains("0000000c")
+            && response.contains("dispatch lead")
+            && response.contains("2023-11-14T22:13:20Z"),
+        response);
     assertEquals(
         calls.get(calls.size() - 1).content,
         CanonicalJson.digest(BODY.getBytes(StandardCharsets.UTF_8)));
   }
 
   @Test
-  public void whatIsNotKnownOfTheOtherIsLeftOut() throws IOException {
-    final String answer =
+  public void unknownAuthorAndTimeAreOmitted() throws IOException {
+    final String response =
         replace(
             new StoreMessages.StoreResponse(
                 0, 409, 12, Serializer.serialize(new StoredValues.TakenVersion(12, "", 0)), null));
     assertTrue(
-        answer.startsWith("HTTP/1.1 409")
-            && answer.contains("0000000c")
-            && !answer.contains("1970")
-            && !answer.contains("sent by"),
-        answer);
+        response.startsWith("HTTP/1.1 409")
+            && response.contains("0000000c")
+            && !response.contains("1970")
+            && !response.contains("sent by"),
+        response);
   }
 
   @Test
-  public void theSameAgainIsAcknowledged() throws IOException {
+  public void identicalConfigurationIsAcknowledged() throws IOException {
     assertTrue(
         replace(new StoreMessages.StoreResponse(0, 200, 0, null, null)).startsWith("HTTP/1.1 200"));
   }
 
   @Test
-  public void whatIsNotDecidedIsLeftUnclear() throws IOException {
+  public void undecidedReplacementGetsTimeout() throws IOException {
     assertTrue(
         replace(new StoreMessages.StoreResponse(0, 504, 0, null, null)).startsWith("HTTP/1.1 504"));
   }
--- a/simulation/src/main/java/weldpoint/simulation/ControlPlaneSimulation.java
+++ b/simulation/src/main/java/weldpoint/simulation/ControlPlaneSimulation.java
@@ -535,7 +535,7 @@
             @Override
             public void heard(final SimulatedConnection connection, final Message message) {
               if (message instanceof RegistryMessages.DaemonReport) {
-                life.exchange.boardState(
+                life.exchange.onDaemonReport(
                     connection,
                     ((RegistryMessages.DaemonReport) message).entry,
                     Protocol.list(((RegistryMessages.DaemonReport) message).buckets),
@@ -547,7 +547,7 @@
 
             @Override
             public void closed(final SimulatedConnection connection) {
-              life.exchange.streamClosed(connection, connection.from(), now);
+              life.exchange.onStreamClosed(connection, connection.from(), now);
             }
           };
     };
@@ -608,10 +608,10 @@
             life.run(
                 () -> {
                   if (life.replica != null) {
-                    life.replica.disk(
+                    life.replica.updateDiskState(
                         life.frameWriter.busyMillis(), life.frameWriter.refusing(), now);
                     life.replica.tick(now);
-                    life.server.awake();
+                    life.server.recordTick();
                     life.exchange.tick(now);
                   } else {
                     life.registry.tick(now);
@@ -635,7 +635,7 @@
 
               @Override
               public void closed(final SimulatedConnection connection) {
-                life.replica.lineClosed(to, now);
+                life.replica.connectionClosed(to, now);
               }
             };
     life.replica =
@@ -672,7 +672,7 @@
               }
             });
     life.frameWriter =
-        machine.disk.new Writer(machine.frameRecords, life, () -> life.replica.view());
+        machine.disk.new Writer(machine.frameRecords, life, () -> life.replica.snapshot());
     life.replica.history(machine.disk.new EntryStore(machine.entries, life), ENTRIES, ENTRY_BYTES);
     life.replica.start(found, first && found.isEmpty(), now);
     life.frameWriter.begin();
@@ -685,7 +685,7 @@
             new SimulatedConnection.Receiver() {
               @Override
               public void opened(final SimulatedConnection connection) {
-                life.exchange.memberOpened(to, now);
+                life.exchange.onMemberConnected(to, now);
               }
 
               @Override
@@ -695,7 +695,7 @@
 
               @Override
               public void closed(final SimulatedConnection connection) {
-                life.exchange.memberClosed(to, now);
+                life.exchange.onMemberDisconnected(to, now);
               }
             };
     life.calls.ears =
@@ -704,13 +704,13 @@
               @Override
               public void heard(final SimulatedConnection connection, final Message message) {
                 if (message instanceof StoreMessages.StoreResponse) {
-                  life.exchange.answered(to, (StoreMessages.StoreResponse) message, now);
+                  life.exchange.onStoreResponse(to, (StoreMessages.StoreResponse) message, now);
                 }
               }
 
               @Override
               public void closed(final SimulatedConnection connection) {
-                life.exchange.frameClosed(to, now);
+                life.exchange.onReplicaDisconnected(to, now);
               }
             };
     final List<byte[]> found = machine.exchangeRecords.lasting();
@@ -723,17 +723,18 @@
             new Random(random.nextLong()),
             new RegistryCore.Environment() {
               @Override
-              public boolean member(final String address, final Message message) {
+              public boolean sendToMember(final String address, final Message message) {
                 return life.members.send(address, message);
               }
 
               @Override
-              public boolean frame(final String address, final StoreMessages.StoreRequest call) {
+              public boolean sendToReplica(
+                  final String address, final StoreMessages.StoreRequest call) {
                 return life.calls.send(address, call);
               }
 
               @Override
-              public void board(final Object stream, final Message message) {
+              public void sendToStream(final Object stream, final Message message) {
                 ((SimulatedConnection) stream).reply(message);
               }
 
@@ -744,7 +745,7 @@
               }
 
               @Override
-              public void peers(final List<String> addresses) {
+              public void updatePeers(final List<String> addresses) {
                 life.members.keep(addresses);
                 final List<String> all = new ArrayList<>(addresses);
                 all.add(machine.address);
@@ -752,8 +753,8 @@
               }
             });
     life.exchangeWriter =
-        machine.disk.new Writer(machine.exchangeRecords, life, () -> life.exchange.view());
-    life.exchange.place(machine.site, machine.region);
+        machine.disk.new Writer(machine.exchangeRecords, life, () -> life.exchange.snapshot());
+    life.exchange.setLocation(machine.site, machine.region);
     life.exchange.start(found, now);
     life.exchangeWriter.begin();
     life.server =
@@ -774,12 +775,12 @@
             Runnable::run,
             new ControlServer.Clock() {
               @Override
-              public long steadyMillis() {
+              public long monotonicMillis() {
                 return now;
               }
 
               @Override
-              public long dayMillis() {
+              public long wallMillis() {
                 return now + machine.clockStep;
               }
             });
@@ -815,7 +816,7 @@
                         new SimulatedConnection.Receiver() {
                           @Override
                           public void opened(final SimulatedConnection connection) {
-                            life.registry.opened(now);
+                            life.registry.streamOpened(now);
                           }
 
                           @Override
@@ -825,12 +826,12 @@
                                 && ((RegistryMessages.View) message).spec != null) {
                               life.lastSpec = ((RegistryMessages.View) message).spec;
                             }
-                            life.registry.heard(message, now);
+                            life.registry.messageReceived(message, now);
                           }
 
                           @Override
                           public void closed(final SimulatedConnection connection) {
-                            life.registry.closed(now);
+                            life.registry.streamClosed(now);
                           }
                         });
               }
@@ -841,7 +842,7 @@
               }
 
               @Override
-              public void outlook(
+              public void controlUpdate(
                   final RoutingTable routingTable,
                   final Map<RegistryMessages.Registration, Boolean> changes,
                   final Set<String> evacuated,
@@ -860,8 +861,8 @@
                       () ->
                           life.run(
                               () ->
-                                  life.registry.inForce(
-                                      life.registry.version(), life.registry.mark(), now)));
+                                  life.registry.reportInForce(
+                                      life.registry.version(), life.registry.stateVersion(), now)));
                 }
                 changes.forEach(
                     (registration, open) -> {
@@ -879,10 +880,10 @@
               }
 
               @Override
-              public void trials(final List<TrialMessages.Trial> trials, final long mark) {}
+              public void trialsChanged(final List<TrialMessages.Trial> trials, final long mark) {}
 
               @Override
-              public void admitted() {}
+              public void firstViewReceived() {}
             });
     life.registry.start(now);
   }
@@ -1003,9 +1004,9 @@
           () -> {
             if (life.replica != null) {
               life.replica.seeds(given);
-              life.exchange.seeds(given, now);
+              life.exchange.updateSeeds(given, now);
             } else {
-              life.registry.seeds(given);
+              life.registry.addSeeds(given);
             }
           });
     }
@@ -1064,12 +1065,12 @@
                         private final long readAt = now;
 
                         @Override
-                        public boolean waits() {
+                        public boolean isWaiting() {
                           return now == readAt || now < calling.closedAt;
                         }
 
                         @Override
-                        public void answer(
+                        public void respond(
                             final int status, final byte[] answer, final String location) {
                           if (life.lives()) {
                             faultInjector.answered(
--- a/statestore/src/main/java/weldpoint/statestore/AuditSequencer.java
+++ b/statestore/src/main/java/weldpoint/statestore/AuditSequencer.java
@@ -17,21 +17,21 @@
 import weldpoint.transport.TrialMessages;
 
 /**
- * The history as the holder of partition 0 sees it: which entry is the last, and which are not yet
- * in the logs of a majority and therefore travel with the register that changed. One change is
- * under way at a time.
+ * Numbers the entries of the history on the leader of partition 0. Entries that are not yet in the
+ * logs of a majority (the tail) are replicated with the register whose change they record. One
+ * change is in flight at a time.
  */
 class AuditSequencer {
-  private static final int FIXED_BYTES = 456;
+  private static final int ENTRY_OVERHEAD_BYTES = 456;
 
   private final int entryBytes;
   private final ArrayDeque<byte[]> tail = new ArrayDeque<>();
-  private final long[] logged = new long[64];
+  private final long[] loggedThrough = new long[64];
   private long tailBase;
   private String tailDigest = AuditEntry.NO_DIGEST;
-  private long last;
-  private String digest = AuditEntry.NO_DIGEST;
-  private long decided;
+  private long lastSequence;
+  private String lastDigest = AuditEntry.NO_DIGEST;
+  private long decidedSequence;
   private String decidedDigest = AuditEntry.NO_DIGEST;
   private RegisterState inFlight;
 
@@ -40,137 +40,136 @@
   }
 
   /**
-   * Begins from what a majority told: the register whose tail reaches furthest carries all that may
-   * be missing in logs.
+   * Restores the tail from the registers that a majority promised: the register whose tail ends
+   * last carries every entry that may be missing in logs.
    */
-  void begin(final Iterable<RegisterState> registers) {
+  void restore(final Iterable<RegisterState> registers) {
     tail.clear();
     tailBase = 0;
     tailDigest = AuditEntry.NO_DIGEST;
-    last = 0;
-    digest = AuditEntry.NO_DIGEST;
+    lastSequence = 0;
+    lastDigest = AuditEntry.NO_DIGEST;
     inFlight = null;
-    Arrays.fill(logged, 0);
+    Arrays.fill(loggedThrough, 0);
     RegisterState best = null;
-    for (final RegisterState held : registers) {
-      if (held.audit != null) {
-        final AuditTail one = Serializer.deserialize(held.audit, AuditTail.class);
-        final long reaches = one.base + Protocol.list(one.entries).size();
-        if (best == null || reaches > last) {
-          best = held;
-          last = reaches;
-          tailBase = one.base;
-          tailDigest = one.baseDigest == null ? AuditEntry.NO_DIGEST : one.baseDigest;
+    for (final RegisterState register : registers) {
+      if (register.auditTail != null) {
+        final AuditTail candidate = Serializer.deserialize(register.auditTail, AuditTail.class);
+        final long reach = candidate.base + Protocol.list(candidate.entries).size();
+        if (best == null || reach > lastSequence) {
+          best = register;
+          lastSequence = reach;
+          tailBase = candidate.base;
+          tailDigest = candidate.baseDigest == null ? AuditEntry.NO_DIGEST : candidate.baseDigest;
           tail.clear();
-          tail.addAll(Protocol.list(one.entries));
+          tail.addAll(Protocol.list(candidate.entries));
         }
       }
     }
-    for (final RegisterState held : registers) {
-      if (held != best) {
-        held.audit = null;
+    for (final RegisterState register : registers) {
+      if (register != best) {
+        register.auditTail = null;
       }
     }
-    digest = tail.isEmpty() ? tailDigest : AuditEntry.digest(tail.peekLast());
-    decided = 0;
+    lastDigest = tail.isEmpty() ? tailDigest : AuditEntry.digest(tail.peekLast());
+    decidedSequence = 0;
     decidedDigest = AuditEntry.NO_DIGEST;
   }
 
   /**
-   * All that was begun from is on a majority of disks now; the entries of the tail are thereby
-   * decided.
+   * Marks the restored tail as decided, since the restored registers are now on a majority of
+   * disks; returns its entries.
    */
-  List<byte[]> serve() {
-    decided = last;
-    decidedDigest = digest;
+  List<byte[]> decideRestored() {
+    decidedSequence = lastSequence;
+    decidedDigest = lastDigest;
     return new ArrayList<>(tail);
   }
 
-  /** Whether another register's change is under way, so that this one's has to wait. */
-  boolean busy(final RegisterState held) {
-    return inFlight != null && inFlight != held;
+  /** Whether a change of this register has to wait for one of another register in flight. */
+  boolean mustWait(final RegisterState register) {
+    return inFlight != null && inFlight != register;
   }
 
-  /** Adds an entry to the change that is being put together. */
+  /** Appends an entry for the change that is about to be proposed. */
   void add(final AuditEntry.Draft draft) {
-    final byte[] bytes = draft.bytes(last + 1, digest);
+    final byte[] bytes = draft.bytes(lastSequence + 1, lastDigest);
     tail.addLast(bytes);
-    last++;
-    digest = AuditEntry.digest(bytes);
+    lastSequence++;
+    lastDigest = AuditEntry.digest(bytes);
   }
 
   /**
-   * The change of this register goes out with all entries that are not in the logs of a majority.
+   * Attaches the tail to a register that is about to be proposed, and marks its change as in
+   * flight.
    */
-  void propose(final RegisterState held) {
-    inFlight = held;
-    held.audit = Serializer.serialize(new AuditTail(tailBase, tailDigest, new ArrayList<>(tail)));
+  void propose(final RegisterState register) {
+    inFlight = register;
+    register.auditTail =
+        Serializer.serialize(new AuditTail(tailBase, tailDigest, new ArrayList<>(tail)));
   }
 
-  /** The change of this register is on a majority of disks; the entries that it decided. */
-  List<byte[]> commit(final RegisterState held) {
-    if (inFlight != held) {
+  /** Returns the entries decided by a register's change that is on a majority of disks. */
+  List<byte[]> commit(final RegisterState register) {
+    if (inFlight != register) {
       return List.of();
     }
     inFlight = null;
-    final List<byte[]> news = new ArrayList<>();
-    int skip = (int) (decided - tailBase);
+    final List<byte[]> newlyDecided = new ArrayList<>();
+    int skip = (int) (decidedSequence - tailBase);
     for (final byte[] entry : tail) {
       if (skip-- <= 0) {
-        news.add(entry);
+        newlyDecided.add(entry);
       }
     }
-    decided = last;
-    decidedDigest = digest;
-    return news;
+    decidedSequence = lastSequence;
+    decidedDigest = lastDigest;
+    return newlyDecided;
   }
 
-  /** A voter's disk has the history up to here. */
-  void logged(final int place, final long through) {
-    logged[place] = Math.max(logged[place], through);
+  /** Notes that a voter has the history on disk up to this entry. */
+  void loggedThrough(final int voterIndex, final long through) {
+    loggedThrough[voterIndex] = Math.max(loggedThrough[voterIndex], through);
   }
 
-  /** Forgets the tail up to where a majority of voters has it in their logs. */
-  void settle(final StateStoreMessages.Roster roster) {
-    final long settled = settled(roster);
-    while (!tail.isEmpty() && tailBase < settled && tailBase < decided) {
+  /** Drops the decided entries of the tail that a majority of voters has in its logs. */
+  void trimTail(final StateStoreMessages.Roster roster) {
+    final long majorityThrough = majorityLogged(roster);
+    while (!tail.isEmpty() && tailBase < majorityThrough && tailBase < decidedSequence) {
       tailDigest = AuditEntry.digest(tail.pollFirst());
       tailBase++;
     }
   }
 
-  /** Forgets the whole tail, wherever else it may be. */
-  final void forget() {
-    tailBase = last;
-    tailDigest = digest;
+  /** Drops the whole tail, whether or not a majority has it in its logs. */
+  final void discardTail() {
+    tailBase = lastSequence;
+    tailDigest = lastDigest;
     tail.clear();
   }
 
-  /** Up to where the logs of a majority reach. */
-  long settled(final StateStoreMessages.Roster roster) {
-    return settledWithout(roster, -1);
+  /** The last entry that the logs of a majority of voters have. */
+  long majorityLogged(final StateStoreMessages.Roster roster) {
+    return majorityLoggedWithout(roster, -1);
   }
 
-  /** Up to where the logs of a majority reach that does without the voter at this place. */
-  long settledWithout(final StateStoreMessages.Roster roster, final int leaver) {
-    final long[] sorted = Arrays.copyOf(logged, roster.voters.size());
-    if (leaver >= 0) {
-      sorted[leaver] = 0;
+  /** The last entry that a majority has without the voter at this index. */
+  long majorityLoggedWithout(final StateStoreMessages.Roster roster, final int leavingIndex) {
+    final long[] sorted = Arrays.copyOf(loggedThrough, roster.voters.size());
+    if (leavingIndex >= 0) {
+      sorted[leavingIndex] = 0;
     }
     Arrays.sort(sorted);
     return sorted.length == 0 ? 0 : sorted[sorted.length - roster.majority()];
   }
 
-  /** Up to which entry the history is in the logs of a majority, and not here. */
+  /** The last entry before the tail, which a majority has in its logs. */
   long tailBase() {
     return tailBase;
   }
 
-  /**
-   * The entry, among those that travel with a register, with which a configuration took this
-   * version; null where none did.
-   */
-  AuditEntry taking(final long version) {
+  /** The entry in the tail with which a configuration took this version; null if there is none. */
+  AuditEntry entryForVersion(final long version) {
     for (final byte[] bytes : tail) {
       final AuditEntry entry = AuditEntry.read(bytes);
       if (entry.takesVersion() && entry.version == version) {
@@ -181,22 +180,23 @@
   }
 
   /** The last decided entry. */
-  long decided() {
-    return decided;
+  long decidedSequence() {
+    return decidedSequence;
   }
 
-  /** Its digest. */
+  /** The digest of the last decided entry. */
   String decidedDigest() {
     return decidedDigest;
   }
 
-  /** Whether nothing is under way. */
-  boolean idle() {
+  /** Whether no change is in flight. */
+  boolean isIdle() {
     return inFlight == null;
   }
 
   /**
-   * What a call changed, as an entry that has no place yet; null where its deed changes no routing.
+   * The draft of the entry that records a change, not numbered yet; null if the operation changes
+   * no routing.
    */
   AuditEntry.Draft draft(
       final StoreOperation operation,
@@ -204,11 +204,11 @@
       final Object before,
       final Object after,
       final long number,
-      final long mark,
+      final long serial,
       final long time) {
     final AuditEntry.Draft draft =
         switch (operation) {
-          case SPEC_REPLACE ->
+          case CONFIGURATION_REPLACE ->
               configuration(
                   (StoredValues.StoredConfiguration) before,
                   (StoredValues.StoredConfiguration) after);
@@ -218,9 +218,9 @@
                           ? ChangeKind.EVACUATION_BEGUN
                           : ChangeKind.EVACUATION_FINISHED,
                       call.name)
-                  .number(0, mark);
+                  .number(0, serial);
           case TRIAL_WRITE ->
-              trial((TrialMessages.Trial) before, (TrialMessages.Trial) after).number(0, mark);
+              trial((TrialMessages.Trial) before, (TrialMessages.Trial) after).number(0, serial);
           default -> null;
         };
     if (draft == null) {
@@ -234,13 +234,15 @@
 
   private AuditEntry.Draft configuration(
       final StoredValues.StoredConfiguration before, final StoredValues.StoredConfiguration after) {
-    final ConfigurationSummary old = summary(before);
-    final ConfigurationSummary fresh = summary(after);
+    final ConfigurationSummary previous = summary(before);
+    final ConfigurationSummary next = summary(after);
     return new AuditEntry.Draft(ChangeKind.CONFIGURATION, "")
         .number(after.version, 0)
-        .digests(old.digest, fresh.digest)
-        .content(after.content)
-        .difference(new ConfigurationDifference(old, fresh), Math.max(0, entryBytes - FIXED_BYTES));
+        .digests(previous.digest, next.digest)
+        .content(after.contentDigest)
+        .difference(
+            new ConfigurationDifference(previous, next),
+            Math.max(0, entryBytes - ENTRY_OVERHEAD_BYTES));
   }
 
   private AuditEntry.Draft trial(
@@ -267,25 +269,31 @@
                             : after.reason)));
   }
 
-  private static ConfigurationSummary summary(final StoredValues.StoredConfiguration spec) {
-    return spec == null || spec.summary == null
+  private static ConfigurationSummary summary(
+      final StoredValues.StoredConfiguration configuration) {
+    return configuration == null || configuration.compressedSummary == null
         ? ConfigurationSummary.none()
-        : Serializer.deserialize(Compression.inflate(spec.summary), ConfigurationSummary.class);
+        : Serializer.deserialize(
+            Compression.inflate(configuration.compressedSummary), ConfigurationSummary.class);
   }
 
-  /** The first entry of a store that is older than its history. */
-  AuditEntry.Draft upgrade(
-      final StoredValues.StoredConfiguration spec, final String taker, final long time) {
+  /** The first entry in a store that is older than its history. */
+  AuditEntry.Draft upgradeEntry(
+      final StoredValues.StoredConfiguration configuration, final String taker, final long time) {
     return new AuditEntry.Draft(ChangeKind.UPGRADE, "")
-        .number(spec == null ? 0 : spec.version, 0)
+        .number(configuration == null ? 0 : configuration.version, 0)
         .origin(weldpoint.audit.Authors.SYSTEM, "", taker, time)
         .line("the store is older than its history; what was changed before is not in it")
-        .digests("", spec == null ? "" : AuditEntry.digest(Compression.inflate(spec.body)))
-        .content(spec == null ? null : TakenVersions.content(spec));
+        .digests(
+            "",
+            configuration == null
+                ? ""
+                : AuditEntry.digest(Compression.inflate(configuration.compressedBody)))
+        .content(configuration == null ? null : TakenVersions.contentDigest(configuration));
   }
 
-  /** The entry under which all replicas forget the oldest ones. */
-  AuditEntry.Draft retention(
+  /** The entry with which all replicas trim the oldest ones. */
+  AuditEntry.Draft retentionEntry(
       final long through, final String throughDigest, final String taker, final long time) {
     return new AuditEntry.Draft(ChangeKind.RETENTION, "")
         .origin(weldpoint.audit.Authors.SYSTEM, "", taker, time)
--- a/statestore/src/main/java/weldpoint/statestore/GracefulLeave.java
+++ b/statestore/src/main/java/weldpoint/statestore/GracefulLeave.java
@@ -3,49 +3,49 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** How far a voter is that ends in order: which partitions the others hold without it. */
+/** The orderly exit of a voter: which partitions a majority has on disk without it. */
 final class GracefulLeave {
-  /** For how long a voter that ends waits for the others. */
-  static final long MOST_MILLIS = 2000;
+  /** How long a leaving voter waits for the partitions' leaders. */
+  static final long TIMEOUT_MILLIS = 2000;
 
-  private static final long AGAIN_MILLIS = 150;
+  private static final long NOTICE_INTERVAL_MILLIS = 150;
 
   private final boolean[] released = new boolean[StateStoreReplica.PARTITIONS];
-  private Runnable gone;
+  private Runnable onStopped;
   private long roster;
   private long begunAt;
-  private long toldAt;
+  private long noticeSentAt;
 
-  void begin(final Runnable deed, final long number, final long now) {
-    gone = deed;
+  void begin(final Runnable whenStopped, final long number, final long now) {
+    onStopped = whenStopped;
     roster = number;
     begunAt = now;
-    toldAt = now;
+    noticeSentAt = now;
   }
 
-  boolean begun() {
-    return gone != null;
+  boolean isLeaving() {
+    return onStopped != null;
   }
 
-  /** The roster under which it began; releases under older ones do not count. */
+  /** The number of the roster when the exit began; releases under older rosters do not count. */
   long roster() {
     return roster;
   }
 
-  Runnable gone() {
-    return gone;
+  Runnable onStopped() {
+    return onStopped;
   }
 
-  boolean late(final long now) {
-    return now - begunAt >= MOST_MILLIS;
+  boolean timedOut(final long now) {
+    return now - begunAt >= TIMEOUT_MILLIS;
   }
 
-  /** Whether it is time to tell the others again. */
-  boolean again(final long now) {
-    if (now - toldAt < AGAIN_MILLIS) {
+  /** Whether it is time to announce the exit again. */
+  boolean noticeDue(final long now) {
+    if (now - noticeSentAt < NOTICE_INTERVAL_MILLIS) {
       return false;
     }
-    toldAt = now;
+    noticeSentAt = now;
     return true;
   }
 
@@ -56,17 +56,17 @@
   }
 
   boolean released() {
-    return open().isEmpty();
+    return unreleasedPartitions().isEmpty();
   }
 
-  /** The partitions that no holder has released. */
-  List<Integer> open() {
-    final List<Integer> open = new ArrayList<>();
+  /** The partitions that no leader has released yet. */
+  List<Integer> unreleasedPartitions() {
+    final List<Integer> unreleased = new ArrayList<>();
     for (int number = 0; number < released.length; number++) {
       if (!released[number]) {
-        open.add(number);
+        unreleased.add(number);
       }
     }
-    return open;
+    return unreleased;
   }
 }
--- a/statestore/src/main/java/weldpoint/statestore/StateStoreDaemon.java
+++ b/statestore/src/main/java/weldpoint/statestore/StateStoreDaemon.java
@@ -24,14 +24,17 @@
 import weldpoint.wal.SegmentRing;
 import weldpoint.wal.WriteAheadLog;
 
-/** The store as a process: its core on one thread, its lines on another, its disk on a third. */
+/**
+ * The state store's process: the replica runs on one thread, the network on another, the disk log
+ * on a third. The command line starts it.
+ */
 public final class StateStoreDaemon implements Daemon {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
-  private static final int FILES = 3;
-  private static final int FILE_BYTES = 1 << 20;
-  private static final int MOST_FILE_BYTES = 1 << 25;
-  private static final int MOST_VOTERS = 5;
-  private static final long TICK_MILLIS = 50;
+  private static final int LOG_FILES = 3;
+  private static final int INITIAL_FILE_BYTES = 1 << 20;
+  private static final int MAX_FILE_BYTES = 1 << 25;
+  private static final int MAX_VOTERS = 5;
+  private static final long TICK_INTERVAL_MILLIS = 50;
 
   private final Settings settings;
   private final SerialExecutor executor = new SerialExecutor("frame");
@@ -40,9 +43,9 @@
   private final Transport transport;
   private final PeerConnections connections;
   private WriteAheadLog log;
-  private long countersAt;
+  private long countersLoggedAt;
 
-  /** A store for these settings; nothing runs yet. */
+  /** A state store with these settings; {@link #start} starts it. */
   public StateStoreDaemon(final Settings settings) {
     this.settings = settings;
     final long owner = RandomIds.next();
@@ -65,7 +68,7 @@
 
                       @Override
                       public void closed(final Connection connection) {
-                        replica().lineClosed(to, now());
+                        replica().connectionClosed(to, now());
                       }
                     }));
     this.replica =
@@ -74,7 +77,7 @@
             settings.site(),
             settings.region(),
             settings.voter(),
-            MOST_VOTERS,
+            MAX_VOTERS,
             settings.historyMillis(),
             owner,
             new Random(owner),
@@ -115,21 +118,21 @@
     if (settings.folder().isEmpty()) {
       throw new WeldpointException(
           WeldpointException.Kind.SETTING,
-          "setting station.folder has the value ''; a frame needs a folder on a disk of its own");
+          "setting station.folder is empty; a state store needs a folder on a disk of its own");
     }
     final WriteAheadLog.Opened opened =
         WriteAheadLog.open(
             Path.of(settings.folder(), "frame"),
             "frame " + settings.address(),
-            FILES,
-            FILE_BYTES,
-            MOST_FILE_BYTES,
+            LOG_FILES,
+            INITIAL_FILE_BYTES,
+            MAX_FILE_BYTES,
             executor,
-            replica::view);
-    final SegmentRing.Recovered found = opened.found();
+            replica::snapshot);
+    final SegmentRing.Recovered found = opened.recovered();
     if (found.lost()) {
       LOGGER.atSevere().log(
-          "the disk of %s lost records that had been synced; it counts as blank and is refetched from the other frames",
+          "the disk of %s lost records that had been synced; its state is discarded and recovered from the other state stores",
           settings.name());
     }
     log = opened.log();
@@ -164,20 +167,23 @@
               }
             }));
     loop.scheduleAtFixedRate(
-        () -> executor.execute(this::tick), TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
+        () -> executor.execute(this::tick),
+        TICK_INTERVAL_MILLIS,
+        TICK_INTERVAL_MILLIS,
+        TimeUnit.MILLISECONDS);
   }
 
   private void tick() {
     final long now = now();
-    replica.disk(log.busyMillis(), log.refusing(), now);
+    replica.updateDiskState(log.currentWriteMillis(), log.failing(), now);
     replica.tick(now);
-    if (now - countersAt >= settings.countersMillis()) {
-      countersAt = now;
+    if (now - countersLoggedAt >= settings.countersMillis()) {
+      countersLoggedAt = now;
       LOGGER.atInfo().log(
           "counters: serving %s ballots %s commits %s syncs %s %s roster %s %s %s",
-          replica.serving(),
-          replica.ballots(),
-          replica.commits(),
+          replica.partitionsLed(),
+          replica.ballotsStarted(),
+          replica.valuesCommitted(),
           log.syncs(),
           log.counters(),
           replica.roster().number,
@@ -187,8 +193,8 @@
   }
 
   @Override
-  public void reload(final Settings news) {
-    executor.execute(() -> replica.seeds(news.seeds()));
+  public void reload(final Settings newSettings) {
+    executor.execute(() -> replica.seeds(newSettings.seeds()));
   }
 
   @Override
@@ -198,7 +204,7 @@
         () ->
             replica.leave(() -> loop.schedule(done::countDown, 60, TimeUnit.MILLISECONDS), now()));
     try {
-      done.await(GracefulLeave.MOST_MILLIS + 1000, TimeUnit.MILLISECONDS);
+      done.await(GracefulLeave.TIMEOUT_MILLIS + 1000, TimeUnit.MILLISECONDS);
     } catch (final InterruptedException ended) {
       Thread.currentThread().interrupt();
     }
--- a/statestore/src/main/java/weldpoint/statestore/StoreOperation.java
+++ b/statestore/src/main/java/weldpoint/statestore/StoreOperation.java
@@ -12,60 +12,60 @@
 import weldpoint.transport.Serializer;
 import weldpoint.transport.StoreMessages.StoreRequest;
 
-/** What may be asked of the store, each with how it is decided at the holder of the duty. */
+/** The operations of the store, each with its decision by the leader of the partition. */
 public enum StoreOperation {
   /**
-   * Takes a configuration: first is its version, second 1 where a route ties callers to nodes, body
-   * its compressed bytes; the answer's first is 0 if it alters nothing, since this or a later one
-   * holds. Status 409 if the version stands for another one.
+   * Replaces the configuration: first is its version, second 1 if a route uses session affinity,
+   * body its compressed bytes. The answer's first is 0 if nothing changes because this or a later
+   * version is stored. Status 409 if the version was taken by another configuration.
    */
-  SPEC_REPLACE(StoredValues.Kind.SPEC) {
+  CONFIGURATION_REPLACE(StoredValues.Kind.CONFIGURATION) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
-      final StoredConfiguration spec = (StoredConfiguration) value;
-      return spec != null && call.first <= spec.version
-          ? held.versions.decide(spec, call)
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
+      final StoredConfiguration configuration = (StoredConfiguration) value;
+      return configuration != null && call.first <= configuration.version
+          ? register.takenVersions.decide(configuration, call)
           : Decision.write(
               new StoredConfiguration(
                   call.first,
                   call.body,
                   call.origin == null ? null : call.origin.extra,
                   call.second == 1,
-                  TakenVersions.content(call)),
+                  TakenVersions.contentDigest(call)),
               null,
               call.first);
     }
   },
   /** Reads the configuration: first is its version, body its compressed bytes. */
-  SPEC_READ(StoredValues.Kind.SPEC) {
+  CONFIGURATION_READ(StoredValues.Kind.CONFIGURATION) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
       return Decision.read();
     }
 
     @Override
     Decision read(final Object value, final StoreRequest call) {
-      final StoredConfiguration spec = (StoredConfiguration) value;
-      return spec == null
-          ? Decision.tell(404, 0, null)
-          : Decision.tell(200, spec.version, spec.body);
+      final StoredConfiguration configuration = (StoredConfiguration) value;
+      return configuration == null
+          ? Decision.reply(404, 0, null)
+          : Decision.reply(200, configuration.version, configuration.compressedBody);
     }
   },
   /**
    * Begins (first is 1) or finishes (0) the evacuation of a site, under the ticket second; status
-   * 410 if another order was decided since the ticket.
+   * 410 if another order was decided since the ticket was issued.
    */
   EVACUATE(StoredValues.Kind.EVACUATION) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
       final Evacuation evacuation = value == null ? new Evacuation(false, 0) : (Evacuation) value;
-      if (call.caller != 0 && call.second != held.ticket()) {
+      if (call.caller != 0 && call.second != register.ticket()) {
         return Decision.confirm(410, 0);
       }
-      held.grants++;
+      register.ticketCount++;
       final boolean wanted = call.first == 1;
       return evacuation.on == wanted
           ? Decision.confirm(200, evacuation.serial)
@@ -74,12 +74,13 @@
     }
   },
   /**
-   * Writes a trial (body), if the one there has the serial first; a held one is never opened again.
+   * Writes a trial (body) if the stored one has the serial first; a verdict of the same trial is
+   * never lowered, so a trial on hold is not reopened.
    */
   TRIAL_WRITE(StoredValues.Kind.TRIAL) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
       final weldpoint.transport.TrialMessages.Trial before =
           (weldpoint.transport.TrialMessages.Trial) value;
       final weldpoint.transport.TrialMessages.Trial next =
@@ -98,110 +99,110 @@
     }
   },
   /**
-   * Ends an object (owner its host, body its path) or a label (owner null, body the label) for all
-   * caches.
+   * Purges an object (owner its host, body its path) or a label (owner null, body the label) from
+   * all caches.
    */
   PURGE(StoredValues.Kind.PURGES) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
       final weldpoint.transport.CacheMessages.Purges before =
           value == null
               ? new weldpoint.transport.CacheMessages.Purges(0, 0, List.of())
               : (weldpoint.transport.CacheMessages.Purges) value;
-      final String named = new String(call.body, java.nio.charset.StandardCharsets.UTF_8);
+      final String target = new String(call.body, java.nio.charset.StandardCharsets.UTF_8);
       final long serial = before.mark + 1;
-      final List<weldpoint.transport.CacheMessages.Purge> all =
+      final List<weldpoint.transport.CacheMessages.Purge> purges =
           new ArrayList<>(weldpoint.transport.Protocol.list(before.purges));
-      all.add(
+      purges.add(
           call.owner == null
-              ? new weldpoint.transport.CacheMessages.Purge(serial, null, null, named)
-              : new weldpoint.transport.CacheMessages.Purge(serial, call.owner, named, null));
-      while (all.size() > MOST_PURGES) {
-        all.remove(0);
+              ? new weldpoint.transport.CacheMessages.Purge(serial, null, null, target)
+              : new weldpoint.transport.CacheMessages.Purge(serial, call.owner, target, null));
+      while (purges.size() > MAX_PURGES) {
+        purges.remove(0);
       }
       return Decision.write(
-          new weldpoint.transport.CacheMessages.Purges(all.get(0).serial - 1, serial, all),
+          new weldpoint.transport.CacheMessages.Purges(purges.get(0).serial - 1, serial, purges),
           null,
           serial);
     }
   },
-  /** Writes who may choose a region's chief (body), if its mark follows the one there. */
+  /** Writes a region's electorate (body), who elects its leader, if its serial is the next. */
   ELECTORATE(StoredValues.Kind.ELECTORATE) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
       final weldpoint.transport.RegionMessages.Electorate before =
           (weldpoint.transport.RegionMessages.Electorate) value;
       final weldpoint.transport.RegionMessages.Electorate next =
           Serializer.deserialize(call.body, weldpoint.transport.RegionMessages.Electorate.class);
-      final long mark = before == null ? 0 : before.mark;
-      return next.mark == mark + 1
+      final long serial = before == null ? 0 : before.mark;
+      return next.mark == serial + 1
           ? Decision.write(next, null, next.mark)
-          : Decision.confirm(412, mark);
+          : Decision.confirm(412, serial);
     }
   },
   /**
-   * Waits for control state newer than version first and the marks of evacuations and trials,
-   * second.
+   * Waits for control state newer than the configuration version first and the sum of the other
+   * serials second.
    */
-  CONTROL(StoredValues.Kind.SPEC) {
+  CONTROL(StoredValues.Kind.CONFIGURATION) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
       return Decision.read();
     }
   },
-  /** Takes a lock for first milliseconds. */
+  /** Acquires a lock for first milliseconds. */
   LOCK_BEGIN(StoredValues.Kind.LOCK) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
       final Lock lock = value == null ? new Lock("", 0, 0) : (Lock) value;
-      if (!lock.owner.isEmpty() && now < held.expiresAt) {
+      if (!lock.owner.isEmpty() && now < register.expiresAt) {
         if (!lock.owner.equals(call.owner)) {
           return Decision.confirm(409, 0);
         }
-        return extend(held, lock, call, now);
+        return extend(register, lock, call, now);
       }
-      held.grants++;
-      held.expiresAt = now + call.first;
+      register.ticketCount++;
+      register.expiresAt = now + call.first;
       return Decision.write(new Lock(call.owner, lock.fence + 1, call.first), null, lock.fence + 1);
     }
   },
-  /** Renews a lock of fence second for first milliseconds. */
+  /** Renews the lock with fencing token second for first milliseconds. */
   LOCK_HEARTBEAT(StoredValues.Kind.LOCK) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
       final Lock lock = (Lock) value;
       if (lock == null
           || !lock.owner.equals(call.owner)
           || lock.fence != call.second
-          || now >= held.expiresAt) {
+          || now >= register.expiresAt) {
         return Decision.confirm(409, 0);
       }
-      return extend(held, lock, call, now);
+      return extend(register, lock, call, now);
     }
   },
   /**
-   * Asks for a ticket to give a lock back with: it is void once the lock has been granted or
-   * renewed again.
+   * Issues a ticket for releasing a lock: it is void once the lock has been granted or renewed
+   * again.
    */
   LOCK_TICKET(StoredValues.Kind.LOCK) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
-      return Decision.confirm(200, held.ticket());
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
+      return Decision.confirm(200, register.ticket());
     }
   },
-  /** Gives a lock of fence second back, under the ticket first. */
+  /** Releases the lock with fencing token second, under the ticket first. */
   LOCK_FINISH(StoredValues.Kind.LOCK) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
       final Lock lock = (Lock) value;
-      if (call.first != held.ticket()) {
+      if (call.first != register.ticket()) {
         return Decision.confirm(410, 0);
       }
       return lock == null || !lock.owner.equals(call.owner) || lock.fence != call.second
@@ -209,26 +210,26 @@
           : Decision.write(new Lock("", lock.fence, 0), null, lock.fence);
     }
   },
-  /** Gives the next number. */
+  /** Returns the next number of a sequence. */
   NUMBER(StoredValues.Kind.NUMBER) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
       final long next = value == null ? 1 : ((StoredValues.Number) value).value + 1;
       return Decision.write(new StoredValues.Number(next), null, next);
     }
   },
   /**
-   * Puts a value (owner carries it) under a key (body names it); first is the revision it must
-   * have, -1 for any.
+   * Puts a value (in owner) under a key (in body); first is the revision that the key must have, -1
+   * for any.
    */
   CELL_REPLACE(StoredValues.Kind.GROUP) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
       final CellGroup group = value == null ? CellGroup.EMPTY : (CellGroup) value;
       final String name = new String(call.body, java.nio.charset.StandardCharsets.UTF_8);
-      final Put before = group.first(name, call.owner);
+      final Put before = group.findPut(name, call.owner);
       if (before != null) {
         return Decision.confirm(200, before.revision);
       }
@@ -238,14 +239,15 @@
         return Decision.confirm(412, revision);
       }
       final Put put = new Put(name, call.owner, group.revision + 1);
-      return Decision.write(group.with(List.of(put), held.floor(now)), put, put.revision);
+      return Decision.write(
+          group.with(List.of(put), register.historyFloor(now)), put, put.revision);
     }
   },
-  /** Reads a key (body names it). */
+  /** Reads the value of a key (in body). */
   CELL_READ(StoredValues.Kind.GROUP) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
       return Decision.read();
     }
 
@@ -255,16 +257,16 @@
       final Put put =
           group.cells.get(new String(call.body, java.nio.charset.StandardCharsets.UTF_8));
       return put == null
-          ? Decision.tell(404, 0, null)
-          : Decision.tell(
+          ? Decision.reply(404, 0, null)
+          : Decision.reply(
               200, put.revision, put.value.getBytes(java.nio.charset.StandardCharsets.UTF_8));
     }
   },
-  /** Waits second milliseconds for puts above revision first. */
+  /** Waits up to second milliseconds for puts above revision first. */
   WATCH(StoredValues.Kind.GROUP) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
       if (call.first == 0) {
         return Decision.read();
       }
@@ -278,39 +280,39 @@
     @Override
     Decision read(final Object value, final StoreRequest call) {
       final CellGroup group = value == null ? CellGroup.EMPTY : (CellGroup) value;
-      return Decision.tell(
+      return Decision.reply(
           200,
           group.revision,
           Serializer.serialize(new StoredValues.WatchEvents(List.of(), group.revision)));
     }
   },
   /**
-   * Asks how far the history of routing changes reaches: the answer's first is the last decided
-   * entry, its body the digest.
+   * Returns the end of the history of routing changes: the answer's first is the last decided
+   * entry, its body that entry's digest.
    */
   HISTORY_HEAD(StoredValues.Kind.AUDIT) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
       return Decision.read();
     }
   },
-  /** Asks any replica, whoever holds the duty, for second entries of its history from first on. */
+  /** Reads at most second history entries from first on; any replica answers, leader or not. */
   HISTORY_READ(StoredValues.Kind.AUDIT) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
       return Decision.read();
     }
   },
   /**
-   * Writes among which upstreams a service's callers are placed (body), if its serial follows the
-   * one there.
+   * Writes a service's placement (body), the upstreams its callers are spread over, if its serial
+   * follows the stored one.
    */
   PLACEMENT_WRITE(StoredValues.Kind.PLACEMENT) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
       final PlacementMessages.Placement next =
           Serializer.deserialize(call.body, PlacementMessages.Placement.class);
       final long serial = value == null ? 0 : ((PlacementMessages.Placement) value).serial;
@@ -319,11 +321,11 @@
           : Decision.confirm(412, serial);
     }
   },
-  /** Writes which exchange keeps placements (body), if its serial follows the one there. */
-  KEEPER_WRITE(StoredValues.Kind.KEEPER) {
+  /** Writes which registry owns placements (body), if its serial follows the stored one. */
+  PLACEMENT_OWNER_WRITE(StoredValues.Kind.PLACEMENT_OWNER) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
       final PlacementMessages.PlacementOwner next =
           Serializer.deserialize(call.body, PlacementMessages.PlacementOwner.class);
       final long serial = value == null ? 0 : ((PlacementMessages.PlacementOwner) value).serial;
@@ -333,25 +335,25 @@
     }
   },
   /**
-   * Asks for a ticket to order a site's evacuation with: it is void once any order for the site was
-   * decided, and with the duty.
+   * Issues a ticket for ordering a site's evacuation: it is void once any order for the site was
+   * decided, or once the partition has a new leader.
    */
   EVACUATION_TICKET(StoredValues.Kind.EVACUATION) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
-      return Decision.confirm(200, held.ticket());
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
+      return Decision.confirm(200, register.ticket());
     }
   },
   /**
-   * Writes who holds the keys of a divided service (body), if its serial follows the one there.
-   * Only the registry that knows the latest assignment can write, so a change by one that has been
-   * overtaken never takes effect.
+   * Writes the key assignment of a partitioned service (body), if its serial follows the stored
+   * one. Only a registry that knows the latest assignment can write, so a change by one with an
+   * outdated assignment never takes effect.
    */
   OWNERSHIP_WRITE(StoredValues.Kind.OWNERSHIP) {
     @Override
     Decision decide(
-        final RegisterState held, final Object value, final StoreRequest call, final long now) {
+        final RegisterState register, final Object value, final StoreRequest call, final long now) {
       final OwnershipMessages.Assignment next =
           Serializer.deserialize(call.body, OwnershipMessages.Assignment.class);
       final long serial = value == null ? 0 : ((OwnershipMessages.Assignment) value).serial;
@@ -361,7 +363,7 @@
     }
   };
 
-  private static final int MOST_PURGES = 200;
+  private static final int MAX_PURGES = 200;
   private static final StoreOperation[] ALL = values();
   private final StoredValues.Kind kind;
 
@@ -369,39 +371,39 @@
     this.kind = kind;
   }
 
-  /** The deed of this number; null where there is none. */
+  /** The operation with this number; null if there is none. */
   public static StoreOperation of(final int number) {
     return number < 0 || number >= ALL.length ? null : ALL[number];
   }
 
-  /** The register that a call of this deed concerns. */
+  /** The name of the register that a request for this operation concerns. */
   public String register(final String identifier) {
-    return kind == StoredValues.Kind.SPEC
+    return kind == StoredValues.Kind.CONFIGURATION
             || kind == StoredValues.Kind.PURGES
             || kind == StoredValues.Kind.AUDIT
-            || kind == StoredValues.Kind.KEEPER
+            || kind == StoredValues.Kind.PLACEMENT_OWNER
         ? kind.register("")
         : kind.register(identifier);
   }
 
   /**
-   * Whether a copy that comes late would do something that the first did not, so that it must be
-   * known by its identity.
+   * Whether carrying out a late copy of a request would change something again, so that copies must
+   * be recognized by caller and number.
    */
-  boolean once() {
+  boolean needsDeduplication() {
     return this == LOCK_BEGIN || this == NUMBER || this == PURGE;
   }
 
-  abstract Decision decide(RegisterState held, Object value, StoreRequest call, long now);
+  abstract Decision decide(RegisterState register, Object value, StoreRequest call, long now);
 
   Decision read(final Object value, final StoreRequest call) {
-    throw new IllegalStateException(this + " reads nothing");
+    throw new IllegalStateException(this + " is not a read operation");
   }
 
   private static Decision extend(
-      final RegisterState held, final Lock lock, final StoreRequest call, final long now) {
-    held.grants++;
-    held.expiresAt = Math.max(held.expiresAt, now + call.first);
+      final RegisterState register, final Lock lock, final StoreRequest call, final long now) {
+    register.ticketCount++;
+    register.expiresAt = Math.max(register.expiresAt, now + call.first);
     return call.first > lock.holdMillis
         ? Decision.write(new Lock(lock.owner, lock.fence, call.first), null, lock.fence)
         : Decision.confirm(200, lock.fence);
@@ -414,7 +416,7 @@
         events.add(put);
       }
     }
-    return Decision.tell(
+    return Decision.reply(
         200,
         group.revision,
         Serializer.serialize(new StoredValues.WatchEvents(events, group.revision)));
--- a/statestore/src/main/java/weldpoint/statestore/TakenVersions.java
+++ b/statestore/src/main/java/weldpoint/statestore/TakenVersions.java
@@ -13,9 +13,9 @@
 import weldpoint.transport.StoreMessages.StoreRequest;
 
 /**
- * Which content each version of the configuration stands for, as the holder of its register knows
- * it: the version held by the register itself, older ones by the history of changes. A version that
- * was taken once never stands for anything else.
+ * Looks up which configuration took each version, on the leader of the configuration's partition:
+ * the current version from the register, older ones from the history. A version that was taken once
+ * never stands for another configuration.
  */
 class TakenVersions {
   private final AuditSequencer auditSequencer;
@@ -27,29 +27,33 @@
   }
 
   /**
-   * What is to be said of a configuration whose version is not above the one held: the same one
-   * again, another one, or one that is not known.
+   * Decides on a configuration whose version is not above the current one: it is the same
+   * configuration again, a conflicting one, or it cannot be told yet.
    */
-  Decision decide(final StoredConfiguration held, final StoreRequest call) {
-    final AuditEntry entry = entry(call.first);
-    if (call.first == held.version) {
-      return Arrays.equals(content(held), content(call)) ? again() : taken(call.first, entry);
+  Decision decide(final StoredConfiguration current, final StoreRequest call) {
+    final AuditEntry entry = findEntry(call.first);
+    if (call.first == current.version) {
+      return Arrays.equals(contentDigest(current), contentDigest(call))
+          ? alreadyApplied()
+          : versionConflict(call.first, entry);
     }
     if (entry == null) {
-      return complete() ? again() : Decision.confirm(504, 0);
+      return historyComplete() ? alreadyApplied() : Decision.confirm(504, 0);
     }
     if (entry.content == null) {
-      return again();
+      return alreadyApplied();
     }
-    return Arrays.equals(entry.content, content(call)) ? again() : taken(call.first, entry);
+    return Arrays.equals(entry.content, contentDigest(call))
+        ? alreadyApplied()
+        : versionConflict(call.first, entry);
   }
 
-  private static Decision again() {
+  private static Decision alreadyApplied() {
     return Decision.confirm(200, 0);
   }
 
-  private Decision taken(final long version, final AuditEntry entry) {
-    if (entry == null && !complete()) {
+  private Decision versionConflict(final long version, final AuditEntry entry) {
+    if (entry == null && !historyComplete()) {
       return Decision.confirm(504, 0);
     }
     final boolean known = entry != null && entry.kind() == ChangeKind.CONFIGURATION;
@@ -60,31 +64,33 @@
             new TakenVersion(version, known ? entry.author : "", known ? entry.time : 0)));
   }
 
-  private AuditEntry entry(final long version) {
-    final AuditEntry young = auditSequencer.taking(version);
-    return young == null ? log.taking(version) : young;
+  private AuditEntry findEntry(final long version) {
+    final AuditEntry recent = auditSequencer.entryForVersion(version);
+    return recent == null ? log.taking(version) : recent;
   }
 
-  /** Whether every entry that is kept is here: in the log, or in the tail after it. */
-  private boolean complete() {
+  /** Whether this replica has every retained entry, in its log or in the tail after it. */
+  private boolean historyComplete() {
     return log.last() >= auditSequencer.tailBase();
   }
 
-  /** What a configuration says, by the digest of its canonical form. */
-  static byte[] content(final StoredConfiguration spec) {
-    return spec.content == null ? content(spec.body) : spec.content;
+  /** The digest of a stored configuration's canonical form. */
+  static byte[] contentDigest(final StoredConfiguration configuration) {
+    return configuration.contentDigest == null
+        ? contentDigest(configuration.compressedBody)
+        : configuration.contentDigest;
   }
 
-  /** What a configuration that is sent says. */
-  static byte[] content(final StoreRequest call) {
-    return call.content == null ? content(call.body) : call.content;
+  /** The digest of the canonical form of a configuration in a request. */
+  static byte[] contentDigest(final StoreRequest call) {
+    return call.content == null ? contentDigest(call.body) : call.content;
   }
 
-  private static byte[] content(final byte[] packed) {
+  private static byte[] contentDigest(final byte[] compressed) {
     try {
-      return CanonicalJson.digest(Compression.inflate(packed));
+      return CanonicalJson.digest(Compression.inflate(compressed));
     } catch (final WeldpointException damaged) {
-      return CanonicalJson.digest(packed);
+      return CanonicalJson.digest(compressed);
     }
   }
 }
--- a/statestore/src/main/java/weldpoint/statestore/TokenAssignment.java
+++ b/statestore/src/main/java/weldpoint/statestore/TokenAssignment.java
@@ -7,26 +7,27 @@
 import weldpoint.transport.StateStoreMessages.Voter;
 
 /**
- * Equal tokens spread over the members, as the paper's third strategy has it: each member keeps Q/S
- * of them.
+ * Assigns equal-sized token ranges to voters by the third strategy of the Dynamo paper: each of S
+ * voters has Q/S of the Q tokens.
  */
 public final class TokenAssignment {
-  /** Q, the number of tokens. */
-  public static final int COUNT = 64;
+  /** The number of tokens, Q in the Dynamo paper. */
+  public static final int TOKENS = 64;
 
   private TokenAssignment() {}
 
-  /** The tokens that a member takes at the very first start. */
-  public static List<Integer> initial(final int index, final int members) {
+  /** The tokens of a voter at the first start of the store. */
+  public static List<Integer> initialTokens(final int index, final int members) {
     final List<Integer> tokens = new ArrayList<>();
-    for (int token = index; token < COUNT; token += members) {
+    for (int token = index; token < TOKENS; token += members) {
       tokens.add(token);
     }
     return tokens;
   }
 
   /**
-   * The roster with a newcomer, who takes tokens from those who have most until it has its share.
+   * The next roster with one more voter, which takes tokens from the voters that have most until it
+   * has its share.
    */
   public static Roster with(final Roster roster, final Voter newcomer) {
     final List<List<Integer>> lists = new ArrayList<>();
@@ -34,7 +35,7 @@
       lists.add(new ArrayList<>(weldpoint.transport.Protocol.list(voter.tokens)));
     }
     final List<Integer> taken = new ArrayList<>();
-    final int share = COUNT / (roster.voters.size() + 1);
+    final int share = TOKENS / (roster.voters.size() + 1);
     while (taken.size() < share) {
       List<Integer> most = lists.get(0);
       for (final List<Integer> list : lists) {
@@ -51,17 +52,17 @@
     return new Roster(roster.number + 1, voters);
   }
 
-  /** The roster without a member, whose tokens go one by one to those who have fewest. */
-  public static Roster without(final Roster roster, final Voter gone) {
+  /** The next roster without a voter; its tokens go one by one to the voters with the fewest. */
+  public static Roster without(final Roster roster, final Voter removed) {
     final List<List<Integer>> lists = new ArrayList<>();
-    final List<Voter> staying = new ArrayList<>();
+    final List<Voter> remaining = new ArrayList<>();
     for (final Voter voter : roster.voters) {
-      if (!voter.address.equals(gone.address)) {
-        staying.add(voter);
+      if (!voter.address.equals(removed.address)) {
+        remaining.add(voter);
         lists.add(new ArrayList<>(weldpoint.transport.Protocol.list(voter.tokens)));
       }
     }
-    for (final int token : weldpoint.transport.Protocol.list(gone.tokens)) {
+    for (final int token : weldpoint.transport.Protocol.list(removed.tokens)) {
       List<Integer> least = lists.get(0);
       for (final List<Integer> list : lists) {
         least = list.size() < least.size() ? list : least;
@@ -70,14 +71,14 @@
     }
     final List<Voter> voters = new ArrayList<>();
     for (int index = 0; index < lists.size(); index++) {
-      final Voter voter = staying.get(index);
+      final Voter voter = remaining.get(index);
       voters.add(new Voter(voter.address, voter.site, voter.region, lists.get(index)));
     }
     return new Roster(roster.number + 1, voters);
   }
 
-  /** The roster with the sites and regions of members filled in; null where nothing changes. */
-  public static Roster described(final Roster roster, final Map<String, Voter> known) {
+  /** The next roster with sites and regions of voters filled in; null if nothing changes. */
+  public static Roster withDescriptions(final Roster roster, final Map<String, Voter> known) {
     boolean changed = false;
     final List<Voter> voters = new ArrayList<>();
     for (final Voter voter : roster.voters) {
--- a/wal/src/main/java/weldpoint/wal/DirectoryFiles.java
+++ b/wal/src/main/java/weldpoint/wal/DirectoryFiles.java
@@ -7,14 +7,14 @@
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
 
-/** The files of a ring in a folder. */
+/** The files of a {@link SegmentRing} in a directory. */
 public final class DirectoryFiles implements SegmentRing.Files {
-  private static final int CHUNK = 1 << 18;
+  private static final int ZERO_FILL_BYTES = 1 << 18;
 
   private final Path folder;
   private final FileChannel[] channels;
 
-  /** Files in this folder, which is made where it is missing. */
+  /** Uses this directory, which is created if it is missing. */
   public DirectoryFiles(final Path folder, final int count) throws IOException {
     this.folder = folder;
     this.channels = new FileChannel[count];
@@ -47,11 +47,11 @@
     final FileChannel channel = channel(file);
     long at = position;
     while (bytes.hasRemaining()) {
-      final int got = channel.read(bytes, at);
-      if (got <= 0) {
+      final int count = channel.read(bytes, at);
+      if (count <= 0) {
         return;
       }
-      at += got;
+      at += count;
     }
   }
 
@@ -77,9 +77,9 @@
     if (at >= size) {
       return;
     }
-    final ByteBuffer zeros = ByteBuffer.allocate(CHUNK);
+    final ByteBuffer zeros = ByteBuffer.allocate(ZERO_FILL_BYTES);
     while (at < size) {
-      zeros.clear().limit((int) Math.min(CHUNK, size - at));
+      zeros.clear().limit((int) Math.min(ZERO_FILL_BYTES, size - at));
       at += channel.write(zeros, at);
     }
     channel.force(true);
@@ -93,7 +93,7 @@
     }
   }
 
-  /** Makes the names in a folder lasting, which a sync of its files need not do. */
+  /** Syncs a directory, since a sync of its files need not make their names durable. */
   public static void sync(final Path folder) throws IOException {
     try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
       channel.force(true);
