--- a/affinity/src/main/java/weldpoint/affinity/AffinityTable.java
+++ b/affinity/src/main/java/weldpoint/affinity/AffinityTable.java
@@ -30,8 +30,11 @@
 
     Epoch(final PlacementMessages.Placement placement) {
       this.placement = placement;
-      this.members = new Rendezvous.Table(Protocol.list(placement.members));
-      this.next = placement.prepared ? new Rendezvous.Table(Protocol.list(placement.next)) : null;
+      this.members = new Rendezvous.Table(Protocol.emptyIfNull(placement.members));
+      this.next =
+          placement.nextPrepared
+              ? new Rendezvous.Table(Protocol.emptyIfNull(placement.nextMembers))
+              : null;
     }
   }
 
@@ -97,11 +100,11 @@
 
   /** Takes placements, unless newer ones are held. */
   public void take(final PlacementMessages.Placements given, final long now) {
-    if (given.mark <= mark) {
+    if (given.revision <= mark) {
       return;
     }
-    mark = given.mark;
-    for (final PlacementMessages.Placement placement : Protocol.list(given.placements)) {
+    mark = given.revision;
+    for (final PlacementMessages.Placement placement : Protocol.emptyIfNull(given.placements)) {
       final Epoch before = epochs.get(placement.service);
       if (before == null || placement.serial > before.placement.serial) {
         epochs.put(placement.service, new Epoch(placement));
@@ -109,9 +112,11 @@
             "placement of %s: epoch %s of %s nodes%s",
             placement.service,
             placement.epoch,
-            Protocol.list(placement.members).size(),
-            placement.prepared
-                ? ", the next of " + Protocol.list(placement.next).size() + " prepared"
+            Protocol.emptyIfNull(placement.members).size(),
+            placement.nextPrepared
+                ? ", the next of "
+                    + Protocol.emptyIfNull(placement.nextMembers).size()
+                    + " prepared"
                 : "");
       }
     }
@@ -121,8 +126,8 @@
   /** A lease was granted, or refused. */
   public void granted(final PlacementMessages.LeaseGrant grant, final long now) {
     final Long asked = askedAt.remove(grant.number);
-    if (asked != null && grant.incarnation == incarnation && grant.millis > 0) {
-      leaseUntil = Math.max(leaseUntil, asked + grant.millis - MARGIN_MILLIS);
+    if (asked != null && grant.incarnation == incarnation && grant.leaseMillis > 0) {
+      leaseUntil = Math.max(leaseUntil, asked + grant.leaseMillis - MARGIN_MILLIS);
     }
   }
 
--- a/affinity/src/main/java/weldpoint/affinity/PlacementCoordinator.java
+++ b/affinity/src/main/java/weldpoint/affinity/PlacementCoordinator.java
@@ -99,7 +99,7 @@
       final Placement before = placements.get(placement.service);
       if (before == null || placement.serial > before.serial) {
         placements.put(placement.service, placement);
-        if (placement.prepared) {
+        if (placement.nextPrepared) {
           preparedMark.put(placement.service, mark);
         } else {
           preparedMark.remove(placement.service);
@@ -145,18 +145,18 @@
     long millis = 0;
     if (keeps()) {
       final Holder holder =
-          holders.computeIfAbsent(ask.board + "#" + ask.incarnation, key -> new Holder());
-      holder.settled = Math.max(holder.settled, ask.settled);
-      holder.counts = Protocol.list(ask.counts);
+          holders.computeIfAbsent(ask.proxy + "#" + ask.incarnation, key -> new Holder());
+      holder.settled = Math.max(holder.settled, ask.settledRevision);
+      holder.counts = Protocol.emptyIfNull(ask.counts);
       final long left = confirmedAt + leaseMillis - now;
-      if (left > 0 && ask.mark >= mark) {
+      if (left > 0 && ask.placementRevision >= mark) {
         millis = left;
         holder.until = Math.max(holder.until, now + left);
-      } else if (ask.mark < mark) {
+      } else if (ask.placementRevision < mark) {
         stale++;
       }
     }
-    return new PlacementMessages.LeaseGrant(ask.number, ask.board, ask.incarnation, millis);
+    return new PlacementMessages.LeaseGrant(ask.number, ask.proxy, ask.incarnation, millis);
   }
 
   /**
@@ -186,7 +186,7 @@
     holders.values().removeIf(holder -> now > holder.until + finishMillis + MARGIN_MILLIS);
     for (final Map.Entry<String, List<PlacementMember>> one : wanted.entrySet()) {
       final Placement before = placements.get(one.getKey());
-      if (before != null && before.prepared) {
+      if (before != null && before.nextPrepared) {
         if (settled(before, now)) {
           changes++;
           write(
@@ -195,7 +195,7 @@
                       before.service,
                       before.serial + 1,
                       before.epoch + 1,
-                      before.next,
+                      before.nextMembers,
                       false,
                       null),
                   now));
@@ -245,7 +245,7 @@
   }
 
   private static boolean same(final List<PlacementMember> one, final List<PlacementMember> other) {
-    final List<PlacementMember> first = Protocol.list(one);
+    final List<PlacementMember> first = Protocol.emptyIfNull(one);
     if (first.size() != other.size()) {
       return false;
     }
--- a/affinity/src/test/java/weldpoint/affinity/AffinitySimulation.java
+++ b/affinity/src/test/java/weldpoint/affinity/AffinitySimulation.java
@@ -659,6 +659,6 @@
   /** Whether an epoch is prepared and not in force yet. */
   boolean prepared() {
     final Placement placement = registers.get(SERVICE);
-    return placement != null && placement.prepared;
+    return placement != null && placement.nextPrepared;
   }
 }
--- a/affinity/src/test/java/weldpoint/affinity/AffinityTest.java
+++ b/affinity/src/test/java/weldpoint/affinity/AffinityTest.java
@@ -202,20 +202,22 @@
         1000);
     assertEquals(
         coordinator.ask(new PlacementMessages.LeaseRequest(1, "b", 1, 1, 1, null), 1000, 1100)
-            .millis,
+            .leaseMillis,
         0);
     assertEquals(
         coordinator.ask(new PlacementMessages.LeaseRequest(2, "b", 1, 2, 2, null), 1000, 1100)
-            .millis,
+            .leaseMillis,
         1900);
     assertEquals(
         coordinator.ask(new PlacementMessages.LeaseRequest(3, "b", 1, 2, 2, null), 1000, 3100)
-            .millis,
+            .leaseMillis,
         0);
     final PlacementCoordinator other = new PlacementCoordinator("f", 1, 2000, 100, null);
     other.take(List.of(), new PlacementMessages.PlacementOwner(1, "e", 1), 2, 1000);
     assertEquals(
-        other.ask(new PlacementMessages.LeaseRequest(1, "b", 1, 2, 2, null), 1000, 1100).millis, 0);
+        other.ask(new PlacementMessages.LeaseRequest(1, "b", 1, 2, 2, null), 1000, 1100)
+            .leaseMillis,
+        0);
   }
 
   @Test
--- a/audit/src/main/java/weldpoint/audit/AuditReplica.java
+++ b/audit/src/main/java/weldpoint/audit/AuditReplica.java
@@ -134,7 +134,7 @@
       log.reset(part.base, part.baseDigest);
     }
     final long before = log.last();
-    for (final byte[] entry : Protocol.list(part.entries)) {
+    for (final byte[] entry : Protocol.emptyIfNull(part.entries)) {
       final AuditLog.Outcome outcome = log.offer(entry);
       if (outcome != AuditLog.Outcome.APPENDED && outcome != AuditLog.Outcome.KNOWN) {
         break;
--- a/audit/src/main/java/weldpoint/audit/ConfigurationDifference.java
+++ b/audit/src/main/java/weldpoint/audit/ConfigurationDifference.java
@@ -21,16 +21,19 @@
   public ConfigurationDifference(
       final ConfigurationSummary before, final ConfigurationSummary after) {
     final Map<String, Line> old = new LinkedHashMap<>();
-    for (final Line line : Protocol.list(before.lines)) {
+    for (final Line line : Protocol.emptyIfNull(before.lines)) {
       old.put(line.key, line);
     }
-    for (final Line line : Protocol.list(after.lines)) {
+    for (final Line line : Protocol.emptyIfNull(after.lines)) {
       final Line was = old.remove(line.key);
       if (was == null) {
         added++;
-        note(line.writes, "+ " + line.key + ": " + String.join(" ", Protocol.list(line.fields)));
+        note(
+            line.writes,
+            "+ " + line.key + ": " + String.join(" ", Protocol.emptyIfNull(line.fields)));
       } else {
-        final String fields = fields(Protocol.list(was.fields), Protocol.list(line.fields));
+        final String fields =
+            fields(Protocol.emptyIfNull(was.fields), Protocol.emptyIfNull(line.fields));
         if (!fields.isEmpty()) {
           changed++;
           note(line.writes, "~ " + line.key + ": " + fields);
--- a/cache/src/main/java/weldpoint/cache/CacheDaemon.java
+++ b/cache/src/main/java/weldpoint/cache/CacheDaemon.java
@@ -53,7 +53,8 @@
     this.transport =
         new Transport(
             loop,
-            new Protocol.Hello(Serializer.PROTOCOL, "announcer", settings.address(), incarnation));
+            new Protocol.Hello(
+                Serializer.PROTOCOL_VERSION, "announcer", settings.address(), incarnation));
     this.upstreamPool = new UpstreamPool(loop, settings, random);
     this.stream =
         new RegistryStream(
@@ -62,9 +63,9 @@
     this.fetcher = new OriginFetcher(loop, settings, upstreamPool, permits, random);
     this.cache =
         new SharedCache(
-            settings.copyBytes(),
-            settings.purgeFirmMillis(),
-            settings.purgeTrustMillis(),
+            settings.cacheBytes(),
+            settings.purgeTrustWithoutContactMillis(),
+            settings.purgeTrustWithoutMajorityMillis(),
             now(),
             fetcher);
     final RegistryMessages.DaemonEntry self =
@@ -171,7 +172,7 @@
 
   @Override
   public void start() throws InterruptedException {
-    transport.serve(
+    transport.bind(
         settings.address(),
         settings.transportPort(2),
         new Transport.Listener() {
--- a/cache/src/main/java/weldpoint/cache/SharedCache.java
+++ b/cache/src/main/java/weldpoint/cache/SharedCache.java
@@ -138,11 +138,11 @@
 
   /** Takes purges: copies and fetches they name are void; with a gap in them, all are. */
   public void purged(final CacheMessages.Purges given) {
-    if (given.mark <= mark) {
+    if (given.lastSerial <= mark) {
       return;
     }
-    final boolean gap = given.floor > mark;
-    for (final CacheMessages.Purge purge : Protocol.list(given.purges)) {
+    final boolean gap = given.floorSerial > mark;
+    for (final CacheMessages.Purge purge : Protocol.emptyIfNull(given.purges)) {
       if (purge.serial > mark) {
         shelf.purge(purge.tag == null ? place(purge.host, purge.path) : null, purge.tag);
       }
@@ -150,9 +150,9 @@
     if (gap) {
       shelf.clear();
     }
-    purges = Protocol.list(given.purges);
-    floor = given.floor;
-    mark = given.mark;
+    purges = Protocol.emptyIfNull(given.purges);
+    floor = given.floorSerial;
+    mark = given.lastSerial;
   }
 
   private static String place(final String host, final String target) {
--- a/cli/src/main/java/weldpoint/cli/RecordCommand.java
+++ b/cli/src/main/java/weldpoint/cli/RecordCommand.java
@@ -76,14 +76,14 @@
       droppedBy.put(exchange, drained.dropped);
       final List<RegistryMessages.Registration> changes = new ArrayList<>();
       for (final RegistryMessages.Registration registration :
-          Protocol.list(drained.registrations)) {
+          Protocol.emptyIfNull(drained.registrations)) {
         final Integer before = known.put(registration.id, registration.stage);
         if (before == null ? registration.stage == 0 : before != registration.stage) {
           changes.add(registration);
         }
       }
       final boolean spec = drained.version > version && drained.spec != null;
-      final List<String> sites = Protocol.list(drained.evacuated);
+      final List<String> sites = Protocol.emptyIfNull(drained.evacuated);
       if (spec || !changes.isEmpty() || !sites.equals(evacuated)) {
         version = Math.max(version, drained.version);
         writer.add(
@@ -94,12 +94,12 @@
                 sites.equals(evacuated) ? null : sites));
         evacuated = sites;
       }
-      for (final RecordingBuffer.CollectedBatch kept : Protocol.list(drained.reels)) {
-        final String life = kept.batch.board + "#" + kept.batch.incarnation;
+      for (final RecordingBuffer.CollectedBatch kept : Protocol.emptyIfNull(drained.reels)) {
+        final String life = kept.batch.proxy + "#" + kept.batch.incarnation;
         final long offset = asked - kept.ageMillis - kept.batch.sentAt;
         offsets.merge(life, offset, Math::min);
         clockError = Math.max(clockError, now - asked);
-        notes += Protocol.list(kept.batch.notes).size();
+        notes += Protocol.emptyIfNull(kept.batch.records).size();
         if (kept.batch.last) {
           open.remove(life);
         } else {
--- a/cli/src/main/java/weldpoint/cli/Weldpoint.java
+++ b/cli/src/main/java/weldpoint/cli/Weldpoint.java
@@ -134,7 +134,7 @@
         "runs everything in one process on the loopback address; demo once ends by itself, demo trial shows a trial that catches a fault, demo affinity callers tied to nodes that come and go") {
       @Override
       int run(final OptionSet options) throws IOException, InterruptedException {
-        Logging.start("demo");
+        Logging.configure("demo");
         quiet();
         return options.nonOptionArguments().contains("affinity")
             ? new Demo().affinity()
@@ -184,7 +184,7 @@
 
     /** The regions of the deployment, if a settings file is named; none otherwise. */
     private static Collection<String> regions() {
-      final String settings = System.getenv(Settings.VARIABLE);
+      final String settings = System.getenv(Settings.FILE_VARIABLE);
       return settings == null || settings.isEmpty()
           ? List.of()
           : Settings.load(Path.of(settings)).sites().values();
@@ -217,7 +217,7 @@
   }
 
   private static Settings boot(final String program) {
-    Logging.start(program);
+    Logging.configure(program);
     quiet();
     return Settings.load();
   }
@@ -236,10 +236,10 @@
         };
     sun.misc.Signal.handle(new sun.misc.Signal("HUP"), signal -> again.run());
     Runtime.getRuntime().addShutdownHook(new Thread(program::stop, "stop"));
-    long seen = Settings.changedAt();
+    long seen = Settings.lastModified();
     while (true) {
       Thread.sleep(SETTINGS_MILLIS);
-      final long changed = Settings.changedAt();
+      final long changed = Settings.lastModified();
       if (changed != seen) {
         seen = changed;
         again.run();
@@ -256,7 +256,7 @@
     }
     return text.append(
             "  --help       shows this\n  --version    shows the version\nsettings are read from the file that ")
-        .append(Settings.VARIABLE)
+        .append(Settings.FILE_VARIABLE)
         .append(" names\n")
         .toString();
   }
--- a/common/src/main/java/weldpoint/common/Logging.java
+++ b/common/src/main/java/weldpoint/common/Logging.java
@@ -12,7 +12,7 @@
   /** The environment variable that names the level of our own lines. */
   public static final String LEVEL_VARIABLE = "WELDPOINT_LOG";
 
-  private static final Logger OWN = Logger.getLogger("weldpoint");
+  private static final Logger WELDPOINT_LOGGER = Logger.getLogger("weldpoint");
 
   private Logging() {}
 
@@ -20,7 +20,7 @@
    * Directs all logs to standard error, at the level named by WELDPOINT_LOG (INFO where it is
    * unset); libraries tell nothing below INFO.
    */
-  public static void start(final String program) {
+  public static void configure(final String program) {
     final Logger root = Logger.getLogger("");
     for (final Handler handler : root.getHandlers()) {
       root.removeHandler(handler);
@@ -38,7 +38,7 @@
     root.addHandler(handler);
     final String named = System.getenv(LEVEL_VARIABLE);
     final Level level = named == null || named.isEmpty() ? Level.INFO : Level.parse(named);
-    OWN.setLevel(level);
+    WELDPOINT_LOGGER.setLevel(level);
     root.setLevel(level.intValue() > Level.INFO.intValue() ? level : Level.INFO);
   }
 
--- a/common/src/main/java/weldpoint/common/Settings.java
+++ b/common/src/main/java/weldpoint/common/Settings.java
@@ -13,15 +13,15 @@
  */
 public final class Settings {
   /** The environment variable that names the settings file. */
-  public static final String VARIABLE = "WELDPOINT_SETTINGS";
-
-  private static final String KEY_HEADERS = "Idempotency-Key,Weldpoint-Idempotency-Key";
-  private static final long USUAL_LATE_MILLIS = 1000;
-  private static final long USUAL_HOLD_MILLIS = 4000;
-  private static final long LEAST_HOLD_MILLIS = 1000;
-  private static final long LEAST_DRAIN_MILLIS = 1000;
-  private static final int LEAST_TRANSFER = 16 << 10;
-  private static final int MOST_TRANSFER = 256 << 10;
+  public static final String FILE_VARIABLE = "WELDPOINT_SETTINGS";
+
+  private static final String DEFAULT_KEY_HEADERS = "Idempotency-Key,Weldpoint-Idempotency-Key";
+  private static final long DEFAULT_LATE_MILLIS = 1000;
+  private static final long DEFAULT_HOLD_MILLIS = 4000;
+  private static final long MIN_HOLD_MILLIS = 1000;
+  private static final long MIN_DRAIN_MILLIS = 1000;
+  private static final int MIN_TRANSFER_BYTES = 16 << 10;
+  private static final int MAX_TRANSFER_BYTES = 256 << 10;
   private static final double TRANSFER_SECONDS = 0.1;
 
   /** A TCP address. */
@@ -37,7 +37,7 @@
       } catch (final NumberFormatException ignored) {
         // reported below, with the field's name
       }
-      throw bad(field, text, "write it as host:port, for example 10.0.0.1:8080");
+      throw invalid(field, text, "write it as host:port, for example 10.0.0.1:8080");
     }
 
     @Override
@@ -53,7 +53,7 @@
   }
 
   private static Path path() {
-    final String path = System.getenv(VARIABLE);
+    final String path = System.getenv(FILE_VARIABLE);
     return Path.of(path == null || path.isEmpty() ? "/etc/weldpoint/local.conf" : path);
   }
 
@@ -63,7 +63,7 @@
   }
 
   /** When that file was last changed; 0 where that cannot be told. */
-  public static long changedAt() {
+  public static long lastModified() {
     return path().toFile().lastModified();
   }
 
@@ -74,7 +74,7 @@
     } catch (final IOException problem) {
       throw new WeldpointException(
           WeldpointException.Kind.SETTING,
-          "settings file " + path + " cannot be read; name a readable file in " + VARIABLE);
+          "settings file " + path + " cannot be read; name a readable file in " + FILE_VARIABLE);
     }
   }
 
@@ -90,7 +90,7 @@
       }
       final int equals = line.indexOf('=');
       if (equals < 1) {
-        throw bad("line " + number, line, "write it as name = value");
+        throw invalid("line " + number, line, "write it as name = value");
       }
       values.put(line.substring(0, equals).strip(), line.substring(equals + 1).strip());
     }
@@ -137,14 +137,14 @@
     originWindowMillis();
     originOvershoot();
     strictRevocation();
-    copyBytes();
-    choiceWidth();
-    choiceSharers();
-    countersMillis();
+    cacheBytes();
+    subsetSize();
+    subsetSharers();
+    counterLogMillis();
     transferBytes();
     regionLeaderEnabled();
     if (leaderTenureMillis() < 2 * leaderHeartbeatMillis()) {
-      throw bad(
+      throw invalid(
           "chief.tenure-ms",
           values.get("chief.tenure-ms"),
           "give at least twice chief.pulse-ms, "
@@ -152,25 +152,25 @@
               + ", or a chief would end between two of its pulses");
     }
     if (leaderWaitMillis() < 500) {
-      throw bad(
+      throw invalid(
           "chief.wait-ms",
           values.get("chief.wait-ms"),
           "give at least 500, the pause between two words of an exchange");
     }
-    purgeTrustMillis();
+    purgeTrustWithoutMajorityMillis();
     affinityWaitMillis();
     affinityBatchMillis();
     affinityReserve();
     checkOwnershipHold();
     if (affinityLeaseMillis() < 1500) {
-      throw bad(
+      throw invalid(
           "affinity.lease-ms",
           values.get("affinity.lease-ms"),
           "give at least 1500: an exchange hears of a majority only every 700 ms, and a lease counts from there");
     }
-    final long needed = auditNeeds(auditRetention(), auditEntryBytes());
+    final long needed = requiredAuditBytes(auditRetention(), auditEntryBytes());
     if (needed > auditBytes()) {
-      throw bad(
+      throw invalid(
           "audit.disk-mb",
           values.getOrDefault("audit.disk-mb", "4"),
           "give at least "
@@ -183,40 +183,40 @@
     }
   }
 
-  private static long auditNeeds(final long entries, final int entryBytes) {
+  private static long requiredAuditBytes(final long entries, final int entryBytes) {
     return (entries + entries / 4 + 64) * (32 + entryBytes) * 8 / 6;
   }
 
-  private static WeldpointException bad(
+  private static WeldpointException invalid(
       final String field, final String value, final String remedy) {
     return new WeldpointException(
         WeldpointException.Kind.SETTING,
         "setting " + field + " has the value '" + value + "'; " + remedy);
   }
 
-  private String text(final String field) {
+  private String requiredText(final String field) {
     final String value = values.get(field);
     if (value == null || value.isEmpty()) {
-      throw bad(field, "", "it is required, give it a value");
+      throw invalid(field, "", "it is required, give it a value");
     }
     return value;
   }
 
   private double number(
-      final String field, final double fallback, final double least, final double most) {
+      final String field, final double defaultValue, final double min, final double max) {
     final String value = values.get(field);
     if (value == null || value.isEmpty()) {
-      return fallback;
+      return defaultValue;
     }
     try {
       final double parsed = Double.parseDouble(value);
-      if (parsed >= least && parsed <= most) {
+      if (parsed >= min && parsed <= max) {
         return parsed;
       }
     } catch (final NumberFormatException ignored) {
       // reported below, with the field's name
     }
-    throw bad(field, value, "give a number from " + least + " to " + most);
+    throw invalid(field, value, "give a number from " + min + " to " + max);
   }
 
   private boolean flag(final String field) {
@@ -224,18 +224,18 @@
     return switch (value) {
       case "true" -> true;
       case "false", "" -> false;
-      default -> throw bad(field, value, "give true or false");
+      default -> throw invalid(field, value, "give true or false");
     };
   }
 
   /** The name of this machine. */
   public String name() {
-    return text("station.name");
+    return requiredText("station.name");
   }
 
   /** The IP address by which other machines know this one. */
   public String address() {
-    return addressOf("station.address", text("station.address"));
+    return addressOf("station.address", requiredText("station.address"));
   }
 
   /**
@@ -249,19 +249,19 @@
 
   private static String addressOf(final String field, final String value) {
     if (!value.matches("[0-9]{1,3}(\\.[0-9]{1,3}){3}")) {
-      throw bad(field, value, "give an IPv4 address such as 10.0.0.1");
+      throw invalid(field, value, "give an IPv4 address such as 10.0.0.1");
     }
     return value;
   }
 
   /** The site of this machine. */
   public String site() {
-    return text("station.site");
+    return requiredText("station.site");
   }
 
   /** The region of this machine. */
   public String region() {
-    return text("station.region");
+    return requiredText("station.region");
   }
 
   /** Whether the disk of this machine may count toward a majority. */
@@ -287,12 +287,12 @@
 
   /** An address that must be there. */
   public Address requiredAddress(final String field) {
-    return Address.parse(field, text(field));
+    return Address.parse(field, requiredText(field));
   }
 
   /** The port of the inner protocol: 0 is the exchange's, 1 the frame's. */
   public int transportPort(final int index) {
-    final String value = text("trunk.ports");
+    final String value = requiredText("trunk.ports");
     final String[] parts = value.split(",");
     try {
       final int first = Integer.parseInt(parts[0].strip());
@@ -303,14 +303,14 @@
     } catch (final NumberFormatException | ArrayIndexOutOfBoundsException ignored) {
       // reported below, with the field's name
     }
-    throw bad(
+    throw invalid(
         "trunk.ports", value, "give the first and last of at least two free ports, as 7000,7015");
   }
 
   /** The hosts of the seeds. */
   public List<String> seeds() {
     final List<String> seeds = new ArrayList<>();
-    for (final String part : text("trunk.seeds").split(",")) {
+    for (final String part : requiredText("trunk.seeds").split(",")) {
       seeds.add(Address.parse("trunk.seeds", part.strip()).host());
     }
     return seeds;
@@ -325,7 +325,7 @@
       }
       final int colon = part.indexOf(':');
       if (colon < 1) {
-        throw bad("sites", part, "write it as site:region, separated by commas");
+        throw invalid("sites", part, "write it as site:region, separated by commas");
       }
       sites.put(part.substring(0, colon).strip(), part.substring(colon + 1).strip());
     }
@@ -358,10 +358,10 @@
   }
 
   /** The shortest of the bounds within which proxies must obey what was acknowledged. */
-  public long obeyMillis() {
+  public long enforcementBoundMillis() {
     return Math.min(
         Math.min(configurationMillis(), evacuationMillis()),
-        Math.min(Math.max(LEAST_DRAIN_MILLIS, drainMillis()), revokeMillis()));
+        Math.min(Math.max(MIN_DRAIN_MILLIS, drainMillis()), revokeMillis()));
   }
 
   /** How long a process has between SIGTERM and SIGKILL. */
@@ -400,7 +400,7 @@
   }
 
   /** Whether this system delivers content: tenants, copies and permits are then in use. */
-  public boolean content() {
+  public boolean contentDelivery() {
     return "content".equals(values.get("station.rollout"));
   }
 
@@ -417,7 +417,7 @@
   /** The headers that may bear a request's idempotency key; the first one that is there counts. */
   public List<String> keyHeaders() {
     final List<String> names = new ArrayList<>();
-    for (final String name : values.getOrDefault("keys.headers", KEY_HEADERS).split(",")) {
+    for (final String name : values.getOrDefault("keys.headers", DEFAULT_KEY_HEADERS).split(",")) {
       if (!name.isBlank()) {
         names.add(name.strip());
       }
@@ -484,7 +484,7 @@
    * How many upstreams of a large service a switchboard uses in its own site while all goes well;
    * half of that in each other.
    */
-  public int choiceWidth() {
+  public int subsetSize() {
     return (int) number("choice.width", 24, 1, 100_000);
   }
 
@@ -492,7 +492,7 @@
    * What ties the callers of write routes that have no rule of their own: off, address, tenant or
    * header:NAME.
    */
-  public String affinityUsual() {
+  public String defaultAffinity() {
     return values.getOrDefault("affinity.default", "");
   }
 
@@ -506,7 +506,7 @@
    * its connection was reset.
    */
   public long ownershipLateMillis() {
-    return (long) number("ownership.late-ms", USUAL_LATE_MILLIS, 0, 60_000);
+    return (long) number("ownership.late-ms", DEFAULT_LATE_MILLIS, 0, 60_000);
   }
 
   /**
@@ -515,7 +515,7 @@
    */
   public long ownershipHoldMillis() {
     return (long)
-        number("ownership.hold-ms", Math.min(USUAL_HOLD_MILLIS, holdLimitMillis()), 1, 600_000);
+        number("ownership.hold-ms", Math.min(DEFAULT_HOLD_MILLIS, holdLimitMillis()), 1, 600_000);
   }
 
   private long holdLimitMillis() {
@@ -526,12 +526,12 @@
     if (values.getOrDefault("ownership.hold-ms", "").isEmpty()) {
       return;
     }
-    if (ownershipHoldMillis() < LEAST_HOLD_MILLIS || ownershipHoldMillis() > holdLimitMillis()) {
-      throw bad(
+    if (ownershipHoldMillis() < MIN_HOLD_MILLIS || ownershipHoldMillis() > holdLimitMillis()) {
+      throw invalid(
           "ownership.hold-ms",
           Long.toString(ownershipHoldMillis()),
           "give at least "
-              + LEAST_HOLD_MILLIS
+              + MIN_HOLD_MILLIS
               + ", since four renewals must fit with their answers, and at most bound.hold-limit-ms, "
               + holdLimitMillis());
     }
@@ -576,7 +576,7 @@
   /**
    * How many switchboards of its own site share an upstream of a large service while all goes well.
    */
-  public double choiceSharers() {
+  public double subsetSharers() {
     return number("choice.sharers", 2, 1, 1000);
   }
 
@@ -586,17 +586,17 @@
    */
   public int transferBytes() {
     final double bytesPerSecond = number("station.link-mbps", 0, 0, 1_000_000) * 125_000;
-    final double bound = Math.max(LEAST_TRANSFER, bytesPerSecond * TRANSFER_SECONDS);
-    return bytesPerSecond == 0 || bound > MOST_TRANSFER ? 0 : (int) bound;
+    final double bound = Math.max(MIN_TRANSFER_BYTES, bytesPerSecond * TRANSFER_SECONDS);
+    return bytesPerSecond == 0 || bound > MAX_TRANSFER_BYTES ? 0 : (int) bound;
   }
 
   /** How often a process logs its counters. */
-  public long countersMillis() {
+  public long counterLogMillis() {
     return (long) number("log.counters-ms", 10_000, 200, 3_600_000);
   }
 
   /** How many bytes of copies an announcer keeps. */
-  public long copyBytes() {
+  public long cacheBytes() {
     return (long) (number("copies.most-mb", 64, 0, 1_000_000) * (1 << 20));
   }
 
@@ -604,13 +604,13 @@
    * For how long after it last heard of a majority an announcer that hears nothing trusts that it
    * knows all purges.
    */
-  public long purgeFirmMillis() {
+  public long purgeTrustWithoutContactMillis() {
     final long bound = (long) number("bound.purge-ms", 2000, 1, 3_600_000);
     return Math.max(bound / 2, bound - 300);
   }
 
   /** For how long while an exchange without a majority speaks to it. */
-  public long purgeTrustMillis() {
+  public long purgeTrustWithoutMajorityMillis() {
     return (long)
         (number("bound.purge-ms", 2000, 1, 3_600_000)
             + number("bound.stretch-ms", 5000, 0, 3_600_000));
--- a/common/src/test/java/weldpoint/common/SettingsTest.java
+++ b/common/src/test/java/weldpoint/common/SettingsTest.java
@@ -10,13 +10,13 @@
 
 /** Settings are checked, and what is wrong is named with its remedy. */
 public final class SettingsTest {
-  private static final String GOOD =
+  private static final String VALID =
       "# a comment\nstation.name = one\nstation.address = 10.0.0.1\nstation.site = a\nstation.region = r\nstation.voter = true\nstation.first-start = false\n"
           + "trunk.ports = 7000,7015\ntrunk.seeds = 10.0.0.1:80,10.0.0.2:80\nsites = a:r,b:q\nunknown.field = whatever\nbound.retry-ratio = 0.2\nlisten.control =\n";
 
   @Test
-  public void goodSettingsAreRead() {
-    final Settings settings = Settings.parse(GOOD);
+  public void validSettingsAreParsed() {
+    final Settings settings = Settings.parse(VALID);
     assertEquals(settings.seeds(), java.util.List.of("10.0.0.1", "10.0.0.2"));
     assertEquals(settings.transportPort(1), 7001);
     assertEquals(settings.sites().get("b"), "q");
@@ -24,28 +24,28 @@
   }
 
   @Test
-  public void holdsOfKeysKeepToTheirBound() {
-    assertEquals(Settings.parse(GOOD).ownershipHoldMillis(), 4000);
-    assertEquals(Settings.parse(GOOD + "bound.hold-limit-ms = 900\n").ownershipHoldMillis(), 900);
-    assertEquals(Settings.parse(GOOD + "ownership.hold-ms = 2000\n").ownershipHoldMillis(), 2000);
-    assertEquals(Settings.parse(GOOD).ownershipLateMillis(), 1000);
-    assertEquals(Settings.parse(GOOD + "ownership.late-ms = 0\n").ownershipLateMillis(), 0);
+  public void ownershipHoldStaysWithinItsLimit() {
+    assertEquals(Settings.parse(VALID).ownershipHoldMillis(), 4000);
+    assertEquals(Settings.parse(VALID + "bound.hold-limit-ms = 900\n").ownershipHoldMillis(), 900);
+    assertEquals(Settings.parse(VALID + "ownership.hold-ms = 2000\n").ownershipHoldMillis(), 2000);
+    assertEquals(Settings.parse(VALID).ownershipLateMillis(), 1000);
+    assertEquals(Settings.parse(VALID + "ownership.late-ms = 0\n").ownershipLateMillis(), 0);
     assertThrows(
         WeldpointException.class,
-        () -> Settings.parse(GOOD + "ownership.late-ms = -1\n").ownershipLateMillis());
+        () -> Settings.parse(VALID + "ownership.late-ms = -1\n").ownershipLateMillis());
     for (final String bad : new String[] {"10", "5000"}) {
       final WeldpointException exception =
           expectThrows(
               WeldpointException.class,
               () ->
                   Settings.parse(
-                      GOOD + "bound.hold-limit-ms = 4500\nownership.hold-ms = " + bad + "\n"));
+                      VALID + "bound.hold-limit-ms = 4500\nownership.hold-ms = " + bad + "\n"));
       assertTrue(exception.getMessage().contains("bound.hold-limit-ms"), exception.getMessage());
     }
   }
 
   @DataProvider
-  public Object[][] bad() {
+  public Object[][] invalidSettings() {
     return new Object[][] {
       {"station.name = one", "station.name =", "station.name"},
       {"10.0.0.1\nstation.site", "host\nstation.site", "station.address"},
@@ -59,10 +59,10 @@
   }
 
   @Test(dataProvider = "bad")
-  public void aBadValueIsNamedWithItsFieldAndRemedy(
+  public void anInvalidValueIsReportedWithItsFieldAndRemedy(
       final String from, final String to, final String field) {
     final WeldpointException exception =
-        expectThrows(WeldpointException.class, () -> Settings.parse(GOOD.replace(from, to)));
+        expectThrows(WeldpointException.class, () -> Settings.parse(VALID.replace(from, to)));
     assertEquals(exception.kind(), WeldpointException.Kind.SETTING);
     assertTrue(exception.getMessage().contains(field), exception.getMessage());
     assertTrue(exception.getMessage().contains(";"), exception.getMessage());
--- a/idempotency/src/main/java/weldpoint/idempotency/ClaimTable.java
+++ b/idempotency/src/main/java/weldpoint/idempotency/ClaimTable.java
@@ -130,7 +130,7 @@
     final List<Claim> live = new ArrayList<>(entries.size());
     for (final Entry entry : entries.values()) {
       if (entry.until > now) {
-        entry.claims.forEach(claim -> live.add(claim.kept(entry.until - now)));
+        entry.claims.forEach(claim -> live.add(claim.withKeepMillis(entry.until - now)));
       }
     }
     return live;
--- a/ownership/src/main/java/weldpoint/ownership/Assigner.java
+++ b/ownership/src/main/java/weldpoint/ownership/Assigner.java
@@ -485,11 +485,11 @@
       if (range.first <= first && last <= range.last) {
         next.remove(index);
         if (last < range.last) {
-          next.add(index, range.part(last + 1, range.last));
+          next.add(index, range.subrange(last + 1, range.last));
         }
-        next.add(index, fenced(range.part(first, last), RangeState.RELEASING, serial));
+        next.add(index, fenced(range.subrange(first, last), RangeState.RELEASING, serial));
         if (range.first < first) {
-          next.add(index, range.part(range.first, first - 1));
+          next.add(index, range.subrange(range.first, first - 1));
         }
         return true;
       }
--- a/ownership/src/main/java/weldpoint/ownership/Balancer.java
+++ b/ownership/src/main/java/weldpoint/ownership/Balancer.java
@@ -166,7 +166,7 @@
       final int left = count - pieces.size() - 1;
       final boolean full = sum >= whole * (pieces.size() + 1) / count;
       if (slot == lastSlot || left > 0 && (full || lastSlot - slot == left)) {
-        pieces.add(range.part(KeySpace.firstKey(from), KeySpace.lastKey(slot)));
+        pieces.add(range.subrange(KeySpace.firstKey(from), KeySpace.lastKey(slot)));
         from = slot + 1;
       }
     }
--- a/proxy/src/main/java/weldpoint/proxy/CachedCopies.java
+++ b/proxy/src/main/java/weldpoint/proxy/CachedCopies.java
@@ -36,7 +36,7 @@
   static FullHttpResponse response(
       final HttpRequest request, final CacheMessages.CacheReadResponse copy) {
     final byte[] bytes = copy.body == null ? new byte[0] : copy.body;
-    final List<String> headers = Protocol.list(copy.headers);
+    final List<String> headers = Protocol.emptyIfNull(copy.headers);
     final String condition = request.headers().get(HttpHeaderNames.IF_RANGE);
     final boolean whole =
         copy.status != 200 || condition != null && !condition.equals(etag(headers));
@@ -80,7 +80,7 @@
             HttpVersion.HTTP_1_1,
             HttpResponseStatus.valueOf(first.status),
             Unpooled.wrappedBuffer(body));
-    final List<String> headers = Protocol.list(first.headers);
+    final List<String> headers = Protocol.emptyIfNull(first.headers);
     for (int index = 0; index + 1 < headers.size(); index += 2) {
       response.headers().add(headers.get(index), headers.get(index + 1));
     }
--- a/proxy/src/main/java/weldpoint/proxy/IdempotentRequest.java
+++ b/proxy/src/main/java/weldpoint/proxy/IdempotentRequest.java
@@ -9,7 +9,7 @@
 
 /** One request that holds an idempotency key at this proxy, and what became of it. */
 final class IdempotentRequest {
-  private static final OutcomeResponse AT_WORK = new OutcomeResponse(Outcome.AT_WORK);
+  private static final OutcomeResponse AT_WORK = new OutcomeResponse(Outcome.IN_PROGRESS);
 
   private final Claim claim;
   private final long fingerprint;
@@ -43,7 +43,7 @@
   }
 
   boolean atWork() {
-    return outcome.outcome() == Outcome.AT_WORK;
+    return outcome.outcome() == Outcome.IN_PROGRESS;
   }
 
   OutcomeResponse outcome() {
--- a/proxy/src/main/java/weldpoint/proxy/IdempotentRequests.java
+++ b/proxy/src/main/java/weldpoint/proxy/IdempotentRequests.java
@@ -129,7 +129,7 @@
   /** Waits for the end of a request of this proxy that has the key. */
   private void await(final Request request, final IdempotentRequest known) {
     if (known.fingerprint() != request.key.fingerprint()) {
-      repeated(request, new OutcomeResponse(Outcome.OTHER_REQUEST));
+      repeated(request, new OutcomeResponse(Outcome.KEY_REUSED));
       return;
     }
     known.whenOver(first -> ended(request, first));
@@ -210,7 +210,7 @@
     } else if (run == null || !run.claim().sameClaimant(claim)) {
       hears.accept(new OutcomeResponse(Outcome.UNCERTAIN));
     } else if (run.fingerprint() != fingerprint) {
-      hears.accept(new OutcomeResponse(Outcome.OTHER_REQUEST));
+      hears.accept(new OutcomeResponse(Outcome.KEY_REUSED));
     } else {
       run.whenOver(hears);
     }
--- a/proxy/src/main/java/weldpoint/proxy/OutcomeClient.java
+++ b/proxy/src/main/java/weldpoint/proxy/OutcomeClient.java
@@ -39,7 +39,7 @@
 
   /** Takes the questions of other proxies from now on. */
   void serve() throws InterruptedException {
-    transport.serve(
+    transport.bind(
         settings.address(),
         settings.transportPort(PORT),
         new Transport.Listener() {
@@ -67,7 +67,7 @@
         () -> {
           if (!answered[0]) {
             answered[0] = true;
-            reply.accept(new OutcomeResponse(Outcome.AT_WORK));
+            reply.accept(new OutcomeResponse(Outcome.IN_PROGRESS));
           }
         },
         Math.max(1, ask.waitMillis - LEAST_WAIT_MILLIS),
@@ -82,7 +82,7 @@
       final Consumer<OutcomeResponse> hears) {
     final PendingQuery question = new PendingQuery(hears);
     question.connector =
-        transport.dial(
+        transport.connectTo(
             holder.proxy,
             settings.transportPort(PORT),
             new Transport.Listener() {
--- a/proxy/src/main/java/weldpoint/proxy/ProxiedRequest.java
+++ b/proxy/src/main/java/weldpoint/proxy/ProxiedRequest.java
@@ -459,8 +459,8 @@
         request.headers().get(Headers.ATTEMPT_ID), tenantName(), route.name, first.outcome());
     final String text =
         switch (first.outcome()) {
-          case OTHER_REQUEST -> "the key was used for another request; take a new one";
-          case AT_WORK -> "a request with this key is still at work; ask again later";
+          case KEY_REUSED -> "the key was used for another request; take a new one";
+          case IN_PROGRESS -> "a request with this key is still at work; ask again later";
           default -> "a request with this key may have run; ask what became of it";
         };
     proxyContext.refused++;
--- a/proxy/src/main/java/weldpoint/proxy/ProxyContext.java
+++ b/proxy/src/main/java/weldpoint/proxy/ProxyContext.java
@@ -67,22 +67,23 @@
     this.random = random;
     this.upstreamPool = new UpstreamPool(loop, settings, random);
     this.upstreamPool.surplus(trials::surplus);
-    this.usual = Affinity.setting("affinity.default", settings.affinityUsual());
+    this.usual = Affinity.setting("affinity.default", settings.defaultAffinity());
     this.tieWaitMillis = settings.affinityWaitMillis();
     this.strict = settings.strictRevocation();
     this.revokeMillis = settings.revokeMillis();
-    this.proof = new ControlProof(settings.obeyMillis(), settings.contactMillis());
+    this.proof = new ControlProof(settings.enforcementBoundMillis(), settings.contactMillis());
   }
 
   /** Takes the orders of a chief; null where none are in force any longer. */
   void ordered(final RegionMessages.LeaderDirective given, final String self) {
     directive = given;
-    uncertainWrites.elsewhere(given == null ? java.util.List.of() : Protocol.list(given.uncertain));
+    uncertainWrites.elsewhere(
+        given == null ? java.util.List.of() : Protocol.emptyIfNull(given.uncertainWrites));
     upstreamPool.ordered(
         given == null ? 0 : RegionAssessment.part(given, self),
         given == null
             ? java.util.Set.of()
-            : new java.util.HashSet<>(Protocol.list(given.suspects)));
+            : new java.util.HashSet<>(Protocol.emptyIfNull(given.suspects)));
   }
 
   /** What was seen since the last time. */
@@ -106,8 +107,8 @@
   boolean admits(final RouteKind kind) {
     return directive == null
         || !kind.repeatable()
-        || directive.admission >= 1
-        || random.nextDouble() < directive.admission;
+        || directive.admittedFraction >= 1
+        || random.nextDouble() < directive.admittedFraction;
   }
 
   private static final long UNSURE_MILLIS = 30_000;
--- a/proxy/src/main/java/weldpoint/proxy/ProxyDaemon.java
+++ b/proxy/src/main/java/weldpoint/proxy/ProxyDaemon.java
@@ -87,7 +87,7 @@
         new Transport(
             loop,
             new Protocol.Hello(
-                Serializer.PROTOCOL, "switchboard", settings.address(), incarnation));
+                Serializer.PROTOCOL_VERSION, "switchboard", settings.address(), incarnation));
     this.proxyContext =
         new ProxyContext(
             loop,
@@ -276,7 +276,7 @@
     }
     permits();
     keys();
-    if (settings.content()) {
+    if (settings.contentDelivery()) {
       content();
     }
     if (settings.metricsPort() > 0) {
@@ -329,8 +329,8 @@
                     : Long.toHexString(proxyContext.routingTable.version()),
                 proxyContext.proof.ageMillis(ProxyContext.now()),
                 trunk.trafficCounters()),
-        settings.countersMillis(),
-        settings.countersMillis(),
+        settings.counterLogMillis(),
+        settings.counterLogMillis(),
         TimeUnit.MILLISECONDS);
   }
 
@@ -349,7 +349,7 @@
   }
 
   private void record(final RecordingMessages.RecordingState state) {
-    if (state.on && proxyContext.recorder == null) {
+    if (state.enabled && proxyContext.recorder == null) {
       proxyContext.recorder =
           new Recorder(settings.address(), settings.site(), settings.region(), incarnation);
       loop.scheduleAtFixedRate(
@@ -468,7 +468,7 @@
             new CacheClient.Connections() {
               @Override
               public void keep(final List<String> addresses) {
-                connections.keep(addresses);
+                connections.updateAddresses(addresses);
               }
 
               @Override
@@ -478,7 +478,7 @@
 
               @Override
               public long silentMillis(final String address) {
-                return connections.silentMillis(address);
+                return connections.millisSinceReceived(address);
               }
             });
     loop.scheduleAtFixedRate(
--- a/proxy/src/main/java/weldpoint/proxy/Recorder.java
+++ b/proxy/src/main/java/weldpoint/proxy/Recorder.java
@@ -98,10 +98,10 @@
   }
 
   void state(final RecordingMessages.RecordingState state) {
-    if (state.mark > mark) {
-      mark = state.mark;
-      closing = on && !state.on;
-      on = state.on;
+    if (state.revision > mark) {
+      mark = state.revision;
+      closing = on && !state.enabled;
+      on = state.enabled;
     }
   }
 
--- a/proxy/src/main/java/weldpoint/proxy/RegionLeaderService.java
+++ b/proxy/src/main/java/weldpoint/proxy/RegionLeaderService.java
@@ -58,7 +58,7 @@
             transport,
             settings.transportPort(PORT),
             to ->
-                Transport.on(
+                Transport.dispatchOn(
                     desk,
                     new Transport.Listener() {
                       @Override
@@ -89,7 +89,7 @@
             new LeaderElection.Environment() {
               @Override
               public void peers(final List<String> addresses) {
-                connections.keep(addresses);
+                connections.updateAddresses(addresses);
               }
 
               @Override
@@ -144,10 +144,10 @@
   }
 
   private ChannelFuture serve() {
-    return transport.listen(
+    return transport.bindAsync(
         settings.address(),
         settings.transportPort(PORT),
-        Transport.on(
+        Transport.dispatchOn(
             desk,
             new Transport.Listener() {
               @Override
--- a/proxy/src/main/java/weldpoint/proxy/RegistryClient.java
+++ b/proxy/src/main/java/weldpoint/proxy/RegistryClient.java
@@ -266,13 +266,13 @@
   private DaemonEntry state(final long now) {
     return new DaemonEntry(
         self.address,
-        self.front,
+        self.trafficAddress,
         self.site,
         self.region,
         self.incarnation,
         leaving,
         0,
-        self.announcer,
+        self.cacheDaemon,
         inForceVersion,
         inForceMark,
         now - inForceSince);
@@ -305,12 +305,12 @@
       final boolean first = !viewed;
       viewed = true;
       addresses.served(current);
-      trialMark = Math.max(trialMark, ((RegistryMessages.View) message).trialMark);
+      trialMark = Math.max(trialMark, ((RegistryMessages.View) message).trialRevision);
       take((RegistryMessages.View) message);
-      if (((RegistryMessages.View) message).trialMark >= 0) {
+      if (((RegistryMessages.View) message).trialRevision >= 0) {
         environment.trials(
-            Protocol.list(((RegistryMessages.View) message).trials),
-            ((RegistryMessages.View) message).trialMark);
+            Protocol.emptyIfNull(((RegistryMessages.View) message).trials),
+            ((RegistryMessages.View) message).trialRevision);
       }
       if (first) {
         environment.admitted();
@@ -318,11 +318,12 @@
     } else if (message instanceof CacheMessages.Purges) {
       environment.purges((CacheMessages.Purges) message);
     } else if (message instanceof RegistryMessages.SiteProxies) {
-      environment.neighbours(Protocol.list(((RegistryMessages.SiteProxies) message).addresses));
+      environment.neighbours(
+          Protocol.emptyIfNull(((RegistryMessages.SiteProxies) message).addresses));
     } else if (message instanceof PlacementMessages.Placements) {
       environment.placements((PlacementMessages.Placements) message);
     } else if (message instanceof Assignments) {
-      environment.assignments(Protocol.list(((Assignments) message).assignments));
+      environment.assignments(Protocol.emptyIfNull(((Assignments) message).assignments));
     } else if (message instanceof PlacementMessages.LeaseGrant) {
       environment.leased((PlacementMessages.LeaseGrant) message);
     } else if (message instanceof RegionMessages.Electorate) {
@@ -335,18 +336,19 @@
       environment.permitted((PermitMessages.PermitResponse) message);
     } else if (message instanceof RegistryMessages.RegistryStatus) {
       final RegistryMessages.RegistryStatus reach = (RegistryMessages.RegistryStatus) message;
-      environment.reached(reach.ageMillis, reach.boards, Protocol.list(reach.announcers));
-      final List<String> members = Protocol.list(reach.members);
+      environment.reached(
+          reach.majorityAgeMillis, reach.proxyCount, Protocol.emptyIfNull(reach.cacheDaemons));
+      final List<String> members = Protocol.emptyIfNull(reach.members);
       addresses.reachable(members);
-      for (int index = 0; index < Protocol.list(reach.places).size(); index++) {
-        addresses.place(members.get(index), reach.places.get(index));
+      for (int index = 0; index < Protocol.emptyIfNull(reach.memberLocations).size(); index++) {
+        addresses.place(members.get(index), reach.memberLocations.get(index));
       }
       if (!viewed) {
         open = false;
         return;
       }
-      environment.outlook(null, Map.of(), null, null, reach.boards);
-      if (reach.contactMillis <= STALE_MILLIS) {
+      environment.outlook(null, Map.of(), null, null, reach.proxyCount);
+      if (reach.contactAgeMillis <= STALE_MILLIS) {
         disappointments = 0;
         approach(now);
       } else if (now - Math.max(dialledAt, approachedAt)
@@ -354,7 +356,7 @@
         disappointments++;
         LOGGER.atInfo().log(
             "registry %s has not heard of a majority for %s ms; trying another",
-            current, reach.contactMillis);
+            current, reach.contactAgeMillis);
         replaceStale(now);
       }
     }
@@ -424,8 +426,8 @@
       }
     }
     final Map<Registration, Boolean> changes = new java.util.LinkedHashMap<>();
-    final List<Registration> given = new ArrayList<>(Protocol.list(view.registrations));
-    given.addAll(RegistrationBuckets.unpack(view.packed));
+    final List<Registration> given = new ArrayList<>(Protocol.emptyIfNull(view.registrations));
+    given.addAll(RegistrationBuckets.unpack(view.packedRegistrations));
     for (final Registration registration : given) {
       final Registration before = history.get(registration.id);
       if (before == null || LifecycleStage.later(before, registration) != before) {
@@ -438,16 +440,16 @@
       }
     }
     Set<String> evacuated = null;
-    if (view.evacuationsGiven && view.evacuationMark > evacuationMark) {
-      evacuationMark = view.evacuationMark;
-      evacuated = new HashSet<>(Protocol.list(view.evacuated));
+    if (view.hasEvacuations && view.evacuationRevision > evacuationMark) {
+      evacuationMark = view.evacuationRevision;
+      evacuated = new HashSet<>(Protocol.emptyIfNull(view.evacuated));
     }
     environment.outlook(
         routingTable,
         changes,
         evacuated,
-        view.suspectsGiven ? new HashSet<>(Protocol.list(view.suspects)) : null,
-        view.boards);
+        view.hasSuspects ? new HashSet<>(Protocol.emptyIfNull(view.suspects)) : null,
+        view.proxyCount);
   }
 
   /** Time has passed. */
--- a/proxy/src/main/java/weldpoint/proxy/RegistryStream.java
+++ b/proxy/src/main/java/weldpoint/proxy/RegistryStream.java
@@ -91,10 +91,10 @@
   private Transport.Connector line(final String address) {
     final Transport.Connector[] mine = new Transport.Connector[1];
     mine[0] =
-        transport.dial(
+        transport.connectTo(
             address,
             port,
-            Transport.on(
+            Transport.dispatchOn(
                 desk,
                 new Transport.Listener() {
                   @Override
@@ -117,7 +117,7 @@
                   }
 
                   @Override
-                  public void refused() {
+                  public void connectionRefused() {
                     registry.refused(address, ProxyContext.now());
                   }
 
@@ -143,16 +143,17 @@
     }
     final RegistryMessages.RegistryStatus reach = (RegistryMessages.RegistryStatus) message;
     final Long provedAt =
-        reach.confirmedClock == null ? null : clock.notAfter(reach.confirmedClock, now);
+        reach.confirmedClock == null ? null : clock.localLowerBound(reach.confirmedClock, now);
     if (provedAt != null) {
       registry.proved(provedAt, now);
     }
-    final Long saidAt = reach.sentClock == null ? null : clock.notAfter(reach.sentClock, now);
+    final Long saidAt =
+        reach.sentClock == null ? null : clock.localLowerBound(reach.sentClock, now);
     final long delayMillis = saidAt == null ? 0 : Math.max(0, now - saidAt);
-    if (saidAt != null && reach.contactMillis >= MAJORITY_LOST_MILLIS) {
-      registry.majorityLost(reach.contactMillis + delayMillis);
+    if (saidAt != null && reach.contactAgeMillis >= MAJORITY_LOST_MILLIS) {
+      registry.majorityLost(reach.contactAgeMillis + delayMillis);
     }
-    registry.heard(reach.delayed(delayMillis), now);
+    registry.heard(reach.withDelay(delayMillis), now);
   }
 
   /** Ends the line for good. */
--- a/proxy/src/test/java/weldpoint/proxy/IdempotentRequestsTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/IdempotentRequestsTest.java
@@ -136,7 +136,7 @@
       assertEquals(repeat.first.body, new byte[] {7});
     }
     final Heard other = begin(new IdempotencyKey(1, 2, 4));
-    assertEquals(other.first.outcome(), Outcome.OTHER_REQUEST);
+    assertEquals(other.first.outcome(), Outcome.KEY_REUSED);
   }
 
   @Test
@@ -215,7 +215,7 @@
     final Heard first = granted();
     final Claim claim = first.run.claim();
     assertNull(told(claim, 3), "still at work: told later");
-    assertEquals(told(claim, 4), Outcome.OTHER_REQUEST);
+    assertEquals(told(claim, 4), Outcome.KEY_REUSED);
     runs.uncertain(first.run);
     assertEquals(told(claim, 3), Outcome.UNCERTAIN);
     final Claim earlierLife = new Claim(1, 2, "10.0.0.1", 76, claim.number, WINDOW);
--- a/proxy/src/test/java/weldpoint/proxy/RegistryStreamTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/RegistryStreamTest.java
@@ -78,8 +78,8 @@
     stream.registry(registry);
     registry.start(0);
     final PeerClock clock = new PeerClock();
-    clock.asked(100);
-    clock.answered(100 + PEER_AHEAD_MILLIS, 110);
+    clock.requestSent(100);
+    clock.responseReceived(100 + PEER_AHEAD_MILLIS, 110);
     stream.take(
         clock,
         new RegistryMessages.View(1, null, false, null, 0, null, false, null, 1, null, -1),
--- a/ratelimit/src/main/java/weldpoint/ratelimit/RateLimit.java
+++ b/ratelimit/src/main/java/weldpoint/ratelimit/RateLimit.java
@@ -71,7 +71,8 @@
 
   /** How many requests an origin may receive in one window through permits of registries. */
   static double originAllowance(final Settings settings, final double ratePerSecond) {
-    final double share = settings.content() ? ORIGIN_SHARE_BESIDE_CACHES : ORIGIN_SHARE_ALONE;
+    final double share =
+        settings.contentDelivery() ? ORIGIN_SHARE_BESIDE_CACHES : ORIGIN_SHARE_ALONE;
     return share
         * ratePerSecond
         * settings.originWindowMillis()
--- a/regionleader/src/main/java/weldpoint/regionleader/LeaderElection.java
+++ b/regionleader/src/main/java/weldpoint/regionleader/LeaderElection.java
@@ -100,7 +100,7 @@
   public void electorate(final Electorate given) {
     if (given != null
         && region.equals(given.region)
-        && (electorate == null || given.mark > electorate.mark)) {
+        && (electorate == null || given.revision > electorate.revision)) {
       electorate = given;
     }
   }
@@ -122,7 +122,7 @@
 
   private boolean elector(final String address, final long life) {
     if (electorate != null) {
-      for (final Elector one : Protocol.list(electorate.electors)) {
+      for (final Elector one : Protocol.emptyIfNull(electorate.electors)) {
         if (one.address.equals(address)) {
           return one.incarnation == life;
         }
@@ -132,12 +132,12 @@
   }
 
   private int majority() {
-    return Protocol.list(electorate.electors).size() / 2 + 1;
+    return Protocol.emptyIfNull(electorate.electors).size() / 2 + 1;
   }
 
   private List<String> others() {
     final List<String> list = new ArrayList<>();
-    for (final Elector one : Protocol.list(electorate.electors)) {
+    for (final Elector one : Protocol.emptyIfNull(electorate.electors)) {
       if (!one.address.equals(self)) {
         list.add(one.address);
       }
@@ -155,7 +155,7 @@
         self,
         next,
         who == null ? "none" : who,
-        electorate == null ? 0 : electorate.mark,
+        electorate == null ? 0 : electorate.revision,
         term,
         now - coreAt);
     phase = next;
@@ -231,7 +231,7 @@
     environment.peers(others());
     for (final String other : others()) {
       environment.send(
-          other, new LeaderVoteRequest(region, electorate.mark, term, self, incarnation));
+          other, new LeaderVoteRequest(region, electorate.revision, term, self, incarnation));
     }
     elected(now);
   }
@@ -239,7 +239,7 @@
   private void elected(final long now) {
     if (phase == LeaderPhase.STANDING && backers.size() >= majority()) {
       chiefTerm = term;
-      chiefMark = electorate.mark;
+      chiefMark = electorate.revision;
       orderNumber = 0;
       enter(LeaderPhase.ACTING, self, now);
       for (final String one : backers) {
@@ -275,7 +275,10 @@
         });
     final RegionAssessment assessment =
         RegionAssessment.of(
-            sights, addresses, Protocol.list(electorate.electors).size(), electorate.regionPart);
+            sights,
+            addresses,
+            Protocol.emptyIfNull(electorate.electors).size(),
+            electorate.regionShare);
     directive =
         new LeaderDirective(
             region,
@@ -300,7 +303,7 @@
   public void opened(final String address) {
     if (phase == LeaderPhase.STANDING) {
       environment.send(
-          address, new LeaderVoteRequest(region, electorate.mark, term, self, incarnation));
+          address, new LeaderVoteRequest(region, electorate.revision, term, self, incarnation));
     } else if (phase == LeaderPhase.ACTING && directive != null) {
       environment.send(address, directive);
     }
@@ -314,8 +317,8 @@
       final LeaderVoteResponse backed = (LeaderVoteResponse) message;
       if (phase == LeaderPhase.STANDING
           && backed.term == term
-          && backed.mark == electorate.mark
-          && backed.yes
+          && backed.electorateRevision == electorate.revision
+          && backed.granted
           && elector(from, life)) {
         backers.add(from);
         elected(now);
@@ -326,10 +329,12 @@
       onOrder(from, life, (LeaderDirective) message, now);
     } else if (message instanceof LeaderDirectiveAck) {
       final LeaderDirectiveAck one = (LeaderDirectiveAck) message;
-      if (phase == LeaderPhase.ACTING && one.term == chiefTerm && one.mark == chiefMark) {
+      if (phase == LeaderPhase.ACTING
+          && one.term == chiefTerm
+          && one.electorateRevision == chiefMark) {
         heeded.put(from, one);
         if (elector(from, life)) {
-          heardOf.merge(from, one.askedAt, Math::max);
+          heardOf.merge(from, one.sentAt, Math::max);
         }
       } else {
         refused++;
@@ -343,7 +348,9 @@
     final boolean held =
         phase == LeaderPhase.ACTING || phase == LeaderPhase.FOLLOWING && now < heedUntil;
     final boolean same =
-        electorate != null && stand.mark == electorate.mark && region.equals(stand.region);
+        electorate != null
+            && stand.electorateRevision == electorate.revision
+            && region.equals(stand.region);
     final boolean free =
         stand.term > backedTerm && now >= backedUntil
             || stand.term == backedTerm && from.equals(backedFor);
@@ -370,7 +377,8 @@
     }
     environment.send(
         from,
-        new LeaderVoteResponse(region, electorate == null ? 0 : electorate.mark, stand.term, yes));
+        new LeaderVoteResponse(
+            region, electorate == null ? 0 : electorate.revision, stand.term, yes));
   }
 
   private void onOrder(
@@ -378,22 +386,23 @@
     final boolean sound =
         terms.on
             && region.equals(given.region)
-            && from.equals(given.chief)
+            && from.equals(given.leader)
             && life == given.incarnation
             && electorate != null
-            && given.mark >= electorate.mark;
-    final boolean known = sound && (given.mark > electorate.mark || elector(from, life));
+            && given.electorateRevision >= electorate.revision;
+    final boolean known =
+        sound && (given.electorateRevision > electorate.revision || elector(from, life));
     final boolean later =
-        given.mark > chiefMark
-            || given.mark == chiefMark
+        given.electorateRevision > chiefMark
+            || given.electorateRevision == chiefMark
                 && (given.term > chiefTerm
                     || given.term == chiefTerm && from.equals(chief) && given.number > orderNumber)
-            || !phase.ordered() && given.mark == chiefMark && given.term >= chiefTerm;
+            || !phase.ordered() && given.electorateRevision == chiefMark && given.term >= chiefTerm;
     if (phase == LeaderPhase.CORE || !known || !later) {
       refused++;
       return;
     }
-    chiefMark = given.mark;
+    chiefMark = given.electorateRevision;
     chiefTerm = given.term;
     orderNumber = given.number;
     term = Math.max(term, given.term);
@@ -404,7 +413,7 @@
     environment.send(
         from,
         new LeaderDirectiveAck(
-            given.mark, given.term, given.number, given.askedAt, environment.sight()));
+            given.electorateRevision, given.term, given.number, given.sentAt, environment.sight()));
   }
 
   /** How this switchboard stands. */
--- a/regionleader/src/main/java/weldpoint/regionleader/RegionAssessment.java
+++ b/regionleader/src/main/java/weldpoint/regionleader/RegionAssessment.java
@@ -38,14 +38,14 @@
     final Map<String, Integer> silent = new HashMap<>();
     final List<String> uncertain = new ArrayList<>();
     for (final ProxyObservations observations : sights) {
-      demand += observations.repeatables + observations.writes;
+      demand += observations.idempotentRequests + observations.writes;
       writes += observations.writes;
-      refusedWrites += observations.refusedWrites;
-      room += observations.carried;
-      for (final String id : Protocol.list(observations.silent)) {
+      refusedWrites += observations.rejectedWrites;
+      room += observations.upstreamRequests;
+      for (final String id : Protocol.emptyIfNull(observations.silentUpstreams)) {
         silent.merge(id, 1, Integer::sum);
       }
-      for (final String id : Protocol.list(observations.uncertain)) {
+      for (final String id : Protocol.emptyIfNull(observations.uncertainWrites)) {
         if (uncertain.size() < MOST_UNCERTAIN) {
           uncertain.add(id);
         }
@@ -64,7 +64,7 @@
     final List<Double> parts = new ArrayList<>();
     double sum = 0;
     for (final ProxyObservations observations : sights) {
-      final double one = 1 + observations.repeatables + observations.writes;
+      final double one = 1 + observations.idempotentRequests + observations.writes;
       parts.add(one);
       sum += one;
     }
@@ -78,7 +78,7 @@
 
   /** One switchboard's part under an order; 0 where the order gives it none. */
   public static double part(final RegionMessages.LeaderDirective directive, final String address) {
-    final int index = Protocol.list(directive.addresses).indexOf(address);
-    return index < 0 ? 0 : directive.parts.get(index);
+    final int index = Protocol.emptyIfNull(directive.addresses).indexOf(address);
+    return index < 0 ? 0 : directive.shares.get(index);
   }
 }
--- a/regionleader/src/test/java/weldpoint/regionleader/SimulatedRegion.java
+++ b/regionleader/src/test/java/weldpoint/regionleader/SimulatedRegion.java
@@ -96,7 +96,7 @@
                 public void ordered(final LeaderDirective given) {
                   directive = given;
                   uncertainWrites.elsewhere(
-                      given == null ? List.of() : Protocol.list(given.uncertain));
+                      given == null ? List.of() : Protocol.emptyIfNull(given.uncertainWrites));
                 }
               });
     }
@@ -236,7 +236,7 @@
       board.repeatables++;
     }
     final boolean letIn =
-        write || board.directive == null || random.nextDouble() < board.directive.admission;
+        write || board.directive == null || random.nextDouble() < board.directive.admittedFraction;
     if (!letIn || busy >= capacity + (write ? capacity / 4 : 0)) {
       if (write) {
         refusedWrites++;
--- a/registry/src/main/java/weldpoint/registry/AppliedStateTable.java
+++ b/registry/src/main/java/weldpoint/registry/AppliedStateTable.java
@@ -49,10 +49,10 @@
         list.add(
             new AppliedState(
                 board.address,
-                board.announcer ? CACHE : PROXY,
+                board.cacheDaemon ? CACHE : PROXY,
                 board.version,
-                board.mark,
-                board.heldMillis,
+                board.controlRevision,
+                board.appliedForMillis,
                 now - entry.heardAt));
       }
     }
--- a/registry/src/main/java/weldpoint/registry/ControlServer.java
+++ b/registry/src/main/java/weldpoint/registry/ControlServer.java
@@ -706,10 +706,10 @@
             trial.reason,
             trial.stage,
             trial.stages,
-            trial.leastWrites,
+            trial.minWrites,
             trial.lateAllowance,
             trial.writes,
-            Protocol.list(trial.attempts),
+            Protocol.emptyIfNull(trial.attempts),
             counted("all", trial, sum),
             boards));
   }
@@ -836,7 +836,7 @@
                   final StoredValues.WatchEvents events =
                       Serializer.deserialize(answer.body, StoredValues.WatchEvents.class);
                   final List<ControlApi.Event> list = new java.util.ArrayList<>();
-                  for (final StoredValues.Put put : Protocol.list(events.events)) {
+                  for (final StoredValues.Put put : Protocol.emptyIfNull(events.events)) {
                     list.add(new ControlApi.Event(put.name, put.value, put.revision));
                   }
                   return ControlReply.of(
--- a/registry/src/main/java/weldpoint/registry/ControlState.java
+++ b/registry/src/main/java/weldpoint/registry/ControlState.java
@@ -87,11 +87,11 @@
     }
     if (kept.evacuationMark > evacuationMark) {
       evacuationMark = kept.evacuationMark;
-      evacuated = new ArrayList<>(Protocol.list(kept.evacuated));
+      evacuated = new ArrayList<>(Protocol.emptyIfNull(kept.evacuated));
     }
     if (kept.trialMark > trialMark) {
       trialMark = kept.trialMark;
-      takeTrials(Protocol.list(kept.trials));
+      takeTrials(Protocol.emptyIfNull(kept.trials));
     }
   }
 
@@ -124,12 +124,12 @@
     final boolean evacuations = givenEvacuationMark > evacuationMark;
     if (evacuations) {
       evacuationMark = givenEvacuationMark;
-      evacuated = new ArrayList<>(Protocol.list(givenEvacuated));
+      evacuated = new ArrayList<>(Protocol.emptyIfNull(givenEvacuated));
     }
     final boolean trialNews = givenTrialMark > trialMark;
     if (trialNews) {
       trialMark = givenTrialMark;
-      takeTrials(Protocol.list(givenTrials));
+      takeTrials(Protocol.emptyIfNull(givenTrials));
     }
     final Delta news = new Delta(newSpec, evacuations, trialNews);
     heldSince = news.any() ? now : heldSince;
--- a/registry/src/main/java/weldpoint/registry/DaemonTable.java
+++ b/registry/src/main/java/weldpoint/registry/DaemonTable.java
@@ -118,22 +118,22 @@
   static DaemonEntry aged(final DaemonEntry board, final long ageMillis) {
     return new DaemonEntry(
         board.address,
-        board.front,
+        board.trafficAddress,
         board.site,
         board.region,
         board.incarnation,
         board.leaving,
         ageMillis,
-        board.announcer,
+        board.cacheDaemon,
         board.version,
-        board.mark,
-        board.heldMillis);
+        board.controlRevision,
+        board.appliedForMillis);
   }
 
   void count(final long now) {
     int live = 0;
     for (final Entry entry : entries.values()) {
-      live += !entry.board.announcer && now - entry.heardAt < COUNTED_MILLIS ? 1 : 0;
+      live += !entry.board.cacheDaemon && now - entry.heardAt < COUNTED_MILLIS ? 1 : 0;
     }
     if (live >= most || now - mostAt > MOST_MILLIS) {
       most = live;
@@ -145,7 +145,7 @@
   List<DaemonEntry> live(final long now) {
     final List<DaemonEntry> live = new ArrayList<>();
     for (final Entry entry : entries.values()) {
-      if (!entry.board.announcer && !entry.board.leaving && now - entry.heardAt < LIVE_MILLIS) {
+      if (!entry.board.cacheDaemon && !entry.board.leaving && now - entry.heardAt < LIVE_MILLIS) {
         live.add(entry.board);
       }
     }
@@ -156,7 +156,7 @@
   List<String> announcers(final long now) {
     List<String> announcers = null;
     for (final Entry entry : entries.values()) {
-      if (entry.board.announcer && !entry.board.leaving && now - entry.heardAt < GONE_MILLIS) {
+      if (entry.board.cacheDaemon && !entry.board.leaving && now - entry.heardAt < GONE_MILLIS) {
         announcers = announcers == null ? new ArrayList<>() : announcers;
         announcers.add(entry.board.address);
       }
@@ -168,7 +168,7 @@
   Map<String, List<String>> sites(final long now) {
     final Map<String, List<String>> sites = new HashMap<>();
     for (final Entry entry : entries.values()) {
-      if (!entry.board.announcer && !entry.board.leaving && now - entry.heardAt < STAYS_MILLIS) {
+      if (!entry.board.cacheDaemon && !entry.board.leaving && now - entry.heardAt < STAYS_MILLIS) {
         sites.computeIfAbsent(entry.board.site, site -> new ArrayList<>()).add(entry.board.address);
       }
     }
@@ -203,7 +203,7 @@
       hash =
           (hash ^ hash >>> 29) * 0xbf58476d1ce4e5b9L
               + board.version * 31
-              + board.mark * 7
+              + board.controlRevision * 7
               + (board.leaving ? 1 : 0);
       sum += (hash ^ hash >>> 31) * 0xff51afd7ed558ccdL;
     }
--- a/registry/src/main/java/weldpoint/registry/Directory.java
+++ b/registry/src/main/java/weldpoint/registry/Directory.java
@@ -25,7 +25,7 @@
     final List<DaemonEntry> live = new ArrayList<>();
     final List<DaemonEntry> dim = new ArrayList<>();
     for (final DaemonTable.Entry entry : daemons.all()) {
-      if (!entry.board.leaving && !entry.board.announcer) {
+      if (!entry.board.leaving && !entry.board.cacheDaemon) {
         (now - entry.heardAt < DaemonTable.LIVE_MILLIS ? live : dim).add(entry.board);
       }
     }
@@ -35,19 +35,19 @@
     final List<String> near = new ArrayList<>();
     for (final DaemonEntry board : live) {
       if (board.site.equals(site)) {
-        near.add(board.front);
+        near.add(board.trafficAddress);
       }
     }
     if (near.size() < 2) {
       for (final DaemonEntry board : live) {
-        if (board.region.equals(region) && !near.contains(board.front)) {
-          near.add(board.front);
+        if (board.region.equals(region) && !near.contains(board.trafficAddress)) {
+          near.add(board.trafficAddress);
         }
       }
     }
     if (near.isEmpty()) {
       for (final DaemonEntry board : live) {
-        near.add(board.front);
+        near.add(board.trafficAddress);
       }
     }
     return near.size() > most ? near.subList(0, most) : near;
--- a/registry/src/main/java/weldpoint/registry/Electorates.java
+++ b/registry/src/main/java/weldpoint/registry/Electorates.java
@@ -40,7 +40,7 @@
   }
 
   long marks() {
-    return known.values().stream().mapToLong(one -> one.mark).sum();
+    return known.values().stream().mapToLong(one -> one.revision).sum();
   }
 
   void stream(final Object stream, final String region) {
@@ -61,7 +61,7 @@
   void take(final List<Electorate> given, final BiConsumer<Object, Message> board) {
     for (final Electorate one : given) {
       final Electorate before = known.get(one.region);
-      if (before == null || one.mark > before.mark) {
+      if (before == null || one.revision > before.revision) {
         known.put(one.region, one);
         regions.forEach(
             (stream, region) -> {
@@ -91,12 +91,12 @@
           final Electorate before = known.get(region);
           if (!out
               && now - wantedAt.get(region) >= STILL_MILLIS
-              && (before == null || !same(electors, Protocol.list(before.electors)))) {
+              && (before == null || !same(electors, Protocol.emptyIfNull(before.electors)))) {
             out = true;
             final Electorate next =
                 new Electorate(
                     region,
-                    before == null ? 1 : before.mark + 1,
+                    before == null ? 1 : before.revision + 1,
                     electors,
                     electors.size() / (double) live.size());
             writer
--- a/registry/src/main/java/weldpoint/registry/HeartbeatOwners.java
+++ b/registry/src/main/java/weldpoint/registry/HeartbeatOwners.java
@@ -61,7 +61,7 @@
     final int token = Math.floorMod(id.hashCode() * 0x9e3779b1, TokenAssignment.COUNT);
     int owner = 0;
     for (int index = 0; index < voters.size(); index++) {
-      if (Protocol.list(voters.get(index).tokens).contains(token)) {
+      if (Protocol.emptyIfNull(voters.get(index).tokens).contains(token)) {
         owner = index;
       }
     }
--- a/registry/src/main/java/weldpoint/registry/HistoryReader.java
+++ b/registry/src/main/java/weldpoint/registry/HistoryReader.java
@@ -240,7 +240,7 @@
     final long last = Math.min(range.to(), through);
     long sequence = part.from;
     String digestThrough = headKnown ? headDigest : part.digest;
-    for (final byte[] bytes : Protocol.list(part.entries)) {
+    for (final byte[] bytes : Protocol.emptyIfNull(part.entries)) {
       if (sequence > last) {
         break;
       }
@@ -273,7 +273,7 @@
     if (query.route() == null || query.route().isEmpty() || query.route().equals(entry.subject)) {
       return true;
     }
-    for (final String change : Protocol.list(entry.changes)) {
+    for (final String change : Protocol.emptyIfNull(entry.changes)) {
       if (change.contains(query.route()) || change.startsWith("and ")) {
         return true;
       }
@@ -300,7 +300,7 @@
         entry.removed,
         entry.changed,
         entry.writes,
-        Protocol.list(entry.changes),
+        Protocol.emptyIfNull(entry.changes),
         AuditEntry.digest(bytes),
         entry.previous);
   }
@@ -389,7 +389,7 @@
                           reach(
                               found,
                               AuditEntry.read(
-                                  Protocol.list(
+                                  Protocol.emptyIfNull(
                                           Serializer.deserialize(
                                                   answer.body, StoredValues.HistoryPart.class)
                                               .entries)
--- a/registry/src/main/java/weldpoint/registry/LifecycleStage.java
+++ b/registry/src/main/java/weldpoint/registry/LifecycleStage.java
@@ -52,7 +52,7 @@
       order = Integer.compare(one.stage, other.stage);
     }
     if (order == 0) {
-      order = Long.compare(other.issued, one.issued);
+      order = Long.compare(other.issuedAt, one.issuedAt);
     }
     if (order == 0) {
       order = Long.compare(one.warmupMillis, other.warmupMillis);
--- a/registry/src/main/java/weldpoint/registry/PlacementService.java
+++ b/registry/src/main/java/weldpoint/registry/PlacementService.java
@@ -59,7 +59,7 @@
       keeperSerial = Math.max(keeperSerial, control.keeper.serial);
     }
     return coordinator.take(
-        Protocol.list(control.placements),
+        Protocol.emptyIfNull(control.placements),
         control.keeper,
         control.placements == null ? 0 : control.placementMark,
         now);
@@ -75,7 +75,7 @@
       final PlacementMessages.LeaseGrant grant,
       final Predicate<Object> open,
       final BiConsumer<Object, Message> board) {
-    final Object stream = askers.remove(grant.board);
+    final Object stream = askers.remove(grant.proxy);
     if (stream != null && open.test(stream)) {
       board.accept(stream, grant);
     }
--- a/registry/src/main/java/weldpoint/registry/ProxyStreams.java
+++ b/registry/src/main/java/weldpoint/registry/ProxyStreams.java
@@ -76,7 +76,7 @@
       final List<Long> buckets,
       final long read,
       final long now) {
-    if (entry.announcer) {
+    if (entry.cacheDaemon) {
       announcers.add(stream);
     }
     opening.put(
--- a/registry/src/main/java/weldpoint/registry/QuotaEndpoint.java
+++ b/registry/src/main/java/weldpoint/registry/QuotaEndpoint.java
@@ -70,7 +70,7 @@
    */
   void began(final Roster roster) {
     rosterNumber = roster.number;
-    among = roster.index(self) >= 0;
+    among = roster.indexOf(self) >= 0;
     amongSince = Long.MIN_VALUE / 2;
     voters = roster.voters.size();
     votersBefore = voters;
@@ -104,7 +104,7 @@
     if (roster.number == rosterNumber) {
       return;
     }
-    final boolean is = roster.index(self) >= 0;
+    final boolean is = roster.indexOf(self) >= 0;
     if (is && !among) {
       final boolean founder = rosterNumber == 0 && allocator.firstStart();
       amongSince = founder ? Long.MIN_VALUE / 2 : now + STALE_MILLIS;
@@ -158,7 +158,7 @@
   private List<Voter> following(final Roster roster) {
     final List<Voter> list = new ArrayList<>();
     final int size = roster.voters.size();
-    final int own = roster.index(self);
+    final int own = roster.indexOf(self);
     final int from = own >= 0 ? own : Math.floorMod(self.hashCode(), Math.max(1, size));
     for (int step = 1; step <= size; step++) {
       final Voter voter = roster.voters.get((from + step) % size);
--- a/registry/src/main/java/weldpoint/registry/RecordingBuffer.java
+++ b/registry/src/main/java/weldpoint/registry/RecordingBuffer.java
@@ -78,13 +78,13 @@
 
   /** Orders recording to begin or end; the new state must be told to all. */
   RecordingState order(final boolean on, final long wall) {
-    state = new RecordingState(Math.max(state.mark + 1, wall), on);
+    state = new RecordingState(Math.max(state.revision + 1, wall), on);
     return state;
   }
 
   /** Takes another exchange's word; true where it was news. */
   boolean take(final RecordingState given) {
-    if (given.mark <= state.mark) {
+    if (given.revision <= state.revision) {
       return false;
     }
     state = given;
@@ -96,7 +96,7 @@
    * to tell.
    */
   boolean tells(final long now) {
-    if (state.mark == 0 || now - toldAt < TELL_MILLIS) {
+    if (state.revision == 0 || now - toldAt < TELL_MILLIS) {
       return false;
     }
     toldAt = now;
@@ -104,7 +104,7 @@
   }
 
   void add(final RecordingBatch batch, final long now) {
-    final int count = Protocol.list(batch.notes).size();
+    final int count = Protocol.emptyIfNull(batch.records).size();
     if (notes + count > MOST_NOTES) {
       dropped += count;
       return;
@@ -118,7 +118,7 @@
     int count = 0;
     while (!held.isEmpty() && count < MOST_DRAINED) {
       final BufferedBatch one = held.poll();
-      count += Protocol.list(one.batch.notes).size();
+      count += Protocol.emptyIfNull(one.batch.records).size();
       list.add(new CollectedBatch(now - one.at, one.batch));
     }
     notes -= count;
--- a/registry/src/main/java/weldpoint/registry/Registrations.java
+++ b/registry/src/main/java/weldpoint/registry/Registrations.java
@@ -153,10 +153,10 @@
       }
       if (LifecycleStage.of(other) == LifecycleStage.JOINED) {
         contested.add(other.address);
-        writeOff(other, LifecycleStage.LAPSED, newcomer.issued, changes);
+        writeOff(other, LifecycleStage.LAPSED, newcomer.issuedAt, changes);
       } else if (LifecycleStage.of(other) == LifecycleStage.DRAINING
           || LifecycleStage.of(other) == LifecycleStage.LAPSED && longSilent(other, now)) {
-        writeOff(other, LifecycleStage.REMOVED, newcomer.issued, changes);
+        writeOff(other, LifecycleStage.REMOVED, newcomer.issuedAt, changes);
       }
     }
     return changes;
@@ -177,7 +177,7 @@
           && other.address.equals(beating.address)
           && LifecycleStage.of(other) == LifecycleStage.JOINED
           && now - beatAt.getOrDefault(other.id, now) > CONTEST_BEATS * beatMillis) {
-        writeOff(other, LifecycleStage.LAPSED, other.issued, changes);
+        writeOff(other, LifecycleStage.LAPSED, other.issuedAt, changes);
       }
     }
     return changes;
--- a/registry/src/main/java/weldpoint/registry/RegistryCore.java
+++ b/registry/src/main/java/weldpoint/registry/RegistryCore.java
@@ -270,7 +270,7 @@
     if (placements.coordinator().keeps()) {
       environment.board(stream, placements.coordinator().ask(ask, majorityAt, now));
     } else {
-      placements.asker(ask.board, stream);
+      placements.asker(ask.proxy, stream);
       environment.member(placements.coordinator().keeper(), ask);
     }
   }
@@ -330,14 +330,14 @@
           kept.learning == PersistedRecord.UNSAID
               ? learning
               : kept.learning == PersistedRecord.LEARNING;
-      for (final Registration registration : Protocol.list(kept.history)) {
+      for (final Registration registration : Protocol.emptyIfNull(kept.history)) {
         registrations.put(registration);
       }
       if (kept.roster != null && kept.roster.number > roster.number) {
         roster = kept.roster;
       }
       control.recall(kept);
-      keyClaims.recall(Protocol.list(kept.claims), now);
+      keyClaims.recall(Protocol.emptyIfNull(kept.claims), now);
     }
     if (learning && records.isEmpty()) {
       keepLearning();
@@ -638,23 +638,23 @@
     }
     if (message instanceof RegistryMessages.Changes) {
       final RegistryMessages.Changes changes = (RegistryMessages.Changes) message;
-      merge(Protocol.list(changes.registrations), now);
+      merge(Protocol.emptyIfNull(changes.registrations), now);
       take(
           changes.version,
           changes.spec,
           changes.evacuated,
-          changes.evacuationMark,
+          changes.evacuationRevision,
           changes.trials,
-          changes.trialMark);
-      switchboards.merge(Protocol.list(changes.boards), now);
-      for (final DaemonEntry board : Protocol.list(changes.boards)) {
+          changes.trialRevision);
+      switchboards.merge(Protocol.emptyIfNull(changes.daemons), now);
+      for (final DaemonEntry board : Protocol.emptyIfNull(changes.daemons)) {
         if (board.ageMillis >= DaemonTable.GONE_MILLIS) {
           switchboards.gone(board, now);
         }
       }
       if (changes.number != 0) {
         final List<Registration> held = new ArrayList<>();
-        for (final Registration registration : Protocol.list(changes.registrations)) {
+        for (final Registration registration : Protocol.emptyIfNull(changes.registrations)) {
           held.add(registrations.get(registration.id));
         }
         persist(
@@ -745,12 +745,13 @@
   private RegistryMessages.ControlStateResponse held(
       final RegistryMessages.ControlStateRequest read, final long now) {
     final boolean spec = control.version() > read.version;
-    final boolean evacuations = control.evacuationMark() > read.evacuationMark;
-    final boolean trials = control.trialMark() > read.trialMark;
+    final boolean evacuations = control.evacuationMark() > read.evacuationRevision;
+    final boolean trials = control.trialMark() > read.trialRevision;
     List<Registration> lacking = List.of();
     final List<Long> buckets = registrations.buckets(true);
-    if (read.buckets != null && !buckets.equals(read.buckets)) {
-      lacking = RegistrationBuckets.differing(registrations.all().values(), buckets, read.buckets);
+    if (read.bucketDigests != null && !buckets.equals(read.bucketDigests)) {
+      lacking =
+          RegistrationBuckets.differing(registrations.all().values(), buckets, read.bucketDigests);
     }
     return new RegistryMessages.ControlStateResponse(
         read.number,
@@ -765,7 +766,7 @@
         trials ? control.trialMark() : 0,
         lacking.isEmpty() ? null : RegistrationBuckets.pack(lacking),
         lease(now),
-        read.claimsToo ? keyClaims.live() : null);
+        read.includeClaims ? keyClaims.live() : null);
   }
 
   /**
@@ -774,7 +775,7 @@
    * back meanwhile, and nothing is held up, since the frames need longer for their ballots.
    */
   private long lease(final long now) {
-    return learning || roster.index(self) < 0 ? 0 : Math.max(0, withheldUntil - now);
+    return learning || roster.indexOf(self) < 0 ? 0 : Math.max(0, withheldUntil - now);
   }
 
   /**
@@ -789,16 +790,16 @@
     clock = Math.max(clock, now);
     reply.accept(held(read, now));
     final boolean nothingNew =
-        read.buckets != null
+        read.bucketDigests != null
             && read.rosterNumber <= roster.number
             && read.version <= control.version()
-            && read.evacuationMark <= control.evacuationMark()
-            && read.trialMark <= control.trialMark()
-            && read.buckets.equals(registrations.buckets(true));
+            && read.evacuationRevision <= control.evacuationMark()
+            && read.trialRevision <= control.trialMark()
+            && read.bucketDigests.equals(registrations.buckets(true));
     if (read.leaseMillis > 0 && nothingNew) {
       reads.leased(from, startedAt + read.leaseMillis);
     }
-    if (roster.index(from) >= 0 && !connected.contains(from)) {
+    if (roster.indexOf(from) >= 0 && !connected.contains(from)) {
       reads.line(from, this::offer, reply);
     }
     admit(now);
@@ -820,9 +821,15 @@
     clock = Math.max(clock, now);
     majority.told(from, held.majorityAgeMillis, now);
     takeRoster(held.roster, now);
-    take(held.version, held.spec, held.evacuated, held.evacuationMark, held.trials, held.trialMark);
-    merge(RegistrationBuckets.unpack(held.packed), now);
-    keyClaims.learn(Protocol.list(held.claims), now);
+    take(
+        held.version,
+        held.spec,
+        held.evacuated,
+        held.evacuationRevision,
+        held.trials,
+        held.trialRevision);
+    merge(RegistrationBuckets.unpack(held.packedRegistrations), now);
+    keyClaims.learn(Protocol.emptyIfNull(held.claims), now);
     if (!held.learning) {
       reads.answered(from, held.number);
       if (held.leaseMillis > 0) {
@@ -836,7 +843,7 @@
   private void read(final long now) {
     if (learning
         && learningRead == Long.MAX_VALUE
-        && roster.index(self) >= 0
+        && roster.indexOf(self) >= 0
         && now - startedAt >= LEARNING_MILLIS) {
       learningRead = reads.next();
     }
@@ -852,7 +859,7 @@
     if (learning && reads.done() >= learningRead) {
       learned(now);
     } else if (learning
-        && roster.index(self) >= 0
+        && roster.indexOf(self) >= 0
         && now - Math.max(rosterAt, startedAt) > MOST_LEARNING_MILLIS
         && now - majorityAt < MAJORITY_MILLIS) {
       LOGGER.atWarning().log(
@@ -900,20 +907,20 @@
       final java.util.function.Consumer<Message> reply,
       final long now) {
     final boolean alike = gossip.digest == registrations.digest();
-    merge(Protocol.list(gossip.history), now);
-    merge(RegistrationBuckets.unpack(gossip.packed), now);
-    appliedStates.told(from, gossip.version, gossip.mark, gossip.heldMillis, now);
+    merge(Protocol.emptyIfNull(gossip.registrations), now);
+    merge(RegistrationBuckets.unpack(gossip.packedRegistrations), now);
+    appliedStates.told(from, gossip.version, gossip.controlRevision, gossip.appliedForMillis, now);
     if (gossip.region != null && !gossip.region.isEmpty()) {
       memberPlaces.put(from, gossip.region + "/" + gossip.site);
     }
-    final boolean boardsAlike = gossip.boardDigest == switchboards.digest(now);
-    if (boardsAlike && gossip.boardAges != null) {
-      switchboards.takeAges(gossip.boardAges, now);
+    final boolean boardsAlike = gossip.daemonDigest == switchboards.digest(now);
+    if (boardsAlike && gossip.packedDaemonAges != null) {
+      switchboards.takeAges(gossip.packedDaemonAges, now);
     }
-    switchboards.merge(Protocol.list(gossip.boards), now);
+    switchboards.merge(Protocol.emptyIfNull(gossip.daemons), now);
     takeRoster(gossip.roster, now);
     boolean more = false;
-    for (final String member : Protocol.list(gossip.members)) {
+    for (final String member : Protocol.emptyIfNull(gossip.members)) {
       if (!members.containsKey(member) && !member.equals(self)) {
         members.put(member, now - 1500);
         more = true;
@@ -923,12 +930,13 @@
       tellPeers(now);
     }
     boolean cleared = false;
-    if (alike && gossip.beatAges != null) {
-      cleared = registrations.takeBeatAges(gossip.beatAges, now);
+    if (alike && gossip.packedHeartbeatAges != null) {
+      cleared = registrations.takeBeatAges(gossip.packedHeartbeatAges, now);
     }
-    final List<String> beaten = Protocol.list(gossip.beaten);
+    final List<String> beaten = Protocol.emptyIfNull(gossip.heartbeatIds);
     for (int index = 0; index < beaten.size(); index++) {
-      cleared |= registrations.beaten(beaten.get(index), now - gossip.ages.get(index), now);
+      cleared |=
+          registrations.beaten(beaten.get(index), now - gossip.heartbeatAges.get(index), now);
     }
     if (cleared) {
       proxyStreams.suspects();
@@ -940,13 +948,19 @@
               !alike,
               !boardsAlike,
               gossip.rosterNumber < roster.number,
-              gossip.count == 0 ? List.of() : null,
+              gossip.registrationCount == 0 ? List.of() : null,
               now));
       return;
     }
     if (gossip.depth < 3 && !alike && gossip.digest != registrations.digest()) {
       reply.accept(
-          gossip(gossip.depth + 1, true, !boardsAlike, false, Protocol.list(gossip.buckets), now));
+          gossip(
+              gossip.depth + 1,
+              true,
+              !boardsAlike,
+              false,
+              Protocol.emptyIfNull(gossip.bucketDigests),
+              now));
     } else if (gossip.depth == 1 && (!boardsAlike || gossip.rosterNumber < roster.number)) {
       reply.accept(gossip(3, false, true, gossip.rosterNumber < roster.number, null, now));
     }
@@ -954,8 +968,8 @@
         && (gossip.depth > 1
             || alike
             || gossip.digest == registrations.digest()
-            || gossip.packed != null
-            || gossip.history != null)) {
+            || gossip.packedRegistrations != null
+            || gossip.registrations != null)) {
       reconciled = true;
       LOGGER.atInfo().log("registry %s has reconciled its history with a peer", self);
     }
@@ -1012,8 +1026,8 @@
       return;
     }
     if (!learning
-        && news.index(self) >= 0
-        && roster.index(self) < 0
+        && news.indexOf(self) >= 0
+        && roster.indexOf(self) < 0
         && (roster.number > 0 || !seeds.contains(self) || !firstStart)) {
       learning = true;
       keepLearning();
@@ -1069,8 +1083,8 @@
   public RecordingBuffer.Collection drain(final long now) {
     final List<RecordingBuffer.CollectedBatch> list = recordingBuffer.drain(now);
     return new RecordingBuffer.Collection(
-        recordingBuffer.state().on,
-        recordingBuffer.state().mark,
+        recordingBuffer.state().enabled,
+        recordingBuffer.state().revision,
         recordingBuffer.dropped(),
         recordingBuffer.left(),
         list,
@@ -1082,7 +1096,7 @@
 
   /** Whether switchboards record, and how much waits here. */
   public String recording() {
-    return (recordingBuffer.state().on ? "recording" : "not recording")
+    return (recordingBuffer.state().enabled ? "recording" : "not recording")
         + ", "
         + recordingBuffer.left()
         + " calls wait to be collected here, "
@@ -1104,7 +1118,7 @@
 
   private void takeKeyRoster(final long now) {
     final boolean joint = now - rosterAt < JOINT_MILLIS;
-    keyClaims.roster(roster, joint ? rosterBefore : null, !learning && roster.index(self) >= 0);
+    keyClaims.roster(roster, joint ? rosterBefore : null, !learning && roster.indexOf(self) >= 0);
   }
 
   /** Somebody asks for permits. */
@@ -1149,7 +1163,7 @@
         electorates.stream(stream, board.region);
       }
       proxyStreams.opened(stream, board, buckets, board.version == 0 ? reads.next() : 0, now);
-      siteMembership.stream(stream, board.announcer ? "" : board.site);
+      siteMembership.stream(stream, board.cacheDaemon ? "" : board.site);
       read(now);
       admit(now);
     }
@@ -1169,7 +1183,7 @@
     if (electorates != null) {
       electorates.tell(stream, environment::board);
     }
-    if (recordingBuffer.state().mark > 0) {
+    if (recordingBuffer.state().revision > 0) {
       environment.board(stream, recordingBuffer.state());
     }
     if (placements != null && placements.coordinator().mark() > 0) {
@@ -1266,7 +1280,7 @@
             stale
                 ? -1
                 : control.mark()
-                    + (purges == null ? 0 : purges.mark)
+                    + (purges == null ? 0 : purges.lastSerial)
                     + (electorates == null ? otherMarks : electorates.marks())
                     + (placements == null ? placementMarks : placements.marks())
                     + (ownership == null ? ownershipMark : ownership.mark()),
@@ -1302,16 +1316,17 @@
         given.trials,
         given.trialMark);
     if (electorates != null) {
-      electorates.take(Protocol.list(given.electorates), environment::board);
+      electorates.take(Protocol.emptyIfNull(given.electorates), environment::board);
     } else if (given.electorates != null) {
-      otherMarks = Protocol.list(given.electorates).stream().mapToLong(one -> one.mark).sum();
+      otherMarks =
+          Protocol.emptyIfNull(given.electorates).stream().mapToLong(one -> one.revision).sum();
     }
     placementMarks = given.placementMark + (given.keeper == null ? 0 : given.keeper.serial);
     if (placements != null && placements.take(given, clock)) {
       proxyStreams.tellSwitchboards(placements.coordinator().placements());
     }
     takeAssignments(given.assignments);
-    if (given.purges != null && (purges == null || given.purges.mark > purges.mark)) {
+    if (given.purges != null && (purges == null || given.purges.lastSerial > purges.lastSerial)) {
       purges = given.purges;
       proxyStreams.tellAnnouncers(purges);
     }
@@ -1458,9 +1473,9 @@
             new ControlApi.PlacementStatus(
                 one.service,
                 one.epoch,
-                Protocol.list(one.members).size(),
-                one.prepared,
-                Protocol.list(one.next).size()));
+                Protocol.emptyIfNull(one.members).size(),
+                one.nextPrepared,
+                Protocol.emptyIfNull(one.nextMembers).size()));
       }
       final long[] counts = placements.coordinator().counts();
       for (int index = 0; placements.coordinator().keeps() && index < counts.length; index++) {
@@ -1524,7 +1539,7 @@
   public void memberOpened(final String address, final long now) {
     connected.add(address);
     members.put(address, now);
-    if (roster.index(address) >= 0) {
+    if (roster.indexOf(address) >= 0) {
       clock = Math.max(clock, now);
       reads.line(address, this::offer, question -> environment.member(address, question));
     }
@@ -1574,7 +1589,7 @@
           control.routingTable(),
           registrations,
           control.evacuated(),
-          new OwnershipCoordinator.Position(roster.index(self), roster.voters.size(), majorityAt),
+          new OwnershipCoordinator.Position(roster.indexOf(self), roster.voters.size(), majorityAt),
           now);
     }
     if (now - reachAt >= REACH_MILLIS) {
@@ -1607,7 +1622,7 @@
             entry ->
                 now - entry.getValue() > 60_000
                     && !seeds.contains(entry.getKey())
-                    && roster.index(entry.getKey()) < 0);
+                    && roster.indexOf(entry.getKey()) < 0);
     for (final String member : members.keySet()) {
       if (!member.equals(self)) {
         others.add(member);
@@ -1639,7 +1654,7 @@
                 LifecycleStage.of(registration) == LifecycleStage.DRAINING
                     ? LifecycleStage.REMOVED
                     : LifecycleStage.LAPSED,
-                registration.issued));
+                registration.issuedAt));
       }
     }
     if (!lapsed.isEmpty()) {
--- a/registry/src/main/java/weldpoint/registry/RegistryDaemon.java
+++ b/registry/src/main/java/weldpoint/registry/RegistryDaemon.java
@@ -66,13 +66,14 @@
     this.transport =
         new Transport(
             loop,
-            new Protocol.Hello(Serializer.PROTOCOL, "exchange", settings.address(), incarnation));
+            new Protocol.Hello(
+                Serializer.PROTOCOL_VERSION, "exchange", settings.address(), incarnation));
     this.members =
         new PeerConnections(
             transport,
             settings.transportPort(0),
             to ->
-                Transport.on(
+                Transport.dispatchOn(
                     executor,
                     new Transport.Listener() {
                       @Override
@@ -96,14 +97,15 @@
             transport,
             settings.transportPort(1),
             to ->
-                Transport.on(
+                Transport.dispatchOn(
                     executor,
                     new Transport.Listener() {
                       @Override
                       public void messageReceived(
                           final Connection connection, final Message message) {
                         if (message instanceof StoreMessages.StoreResponse) {
-                          connection.heardClock(((StoreMessages.StoreResponse) message).clock);
+                          connection.updatePeerClock(
+                              ((StoreMessages.StoreResponse) message).storeClockMillis);
                           core().answered(to, (StoreMessages.StoreResponse) message, now());
                         }
                       }
@@ -131,8 +133,8 @@
                 return frames.send(
                     address,
                     connection -> {
-                      final Long clock = connection.peerClock();
-                      return call.leaving(clock, now());
+                      final Long clock = connection.peerClockMillis();
+                      return call.stampedForSend(clock, now());
                     });
               }
 
@@ -140,7 +142,7 @@
               public void board(final Object stream, final Message message) {
                 if (message != unsealed) {
                   unsealed = message;
-                  sealed = Transport.seal(message);
+                  sealed = Transport.encodeOnce(message);
                 }
                 ((Connection) stream).send(sealed);
               }
@@ -157,10 +159,10 @@
 
               @Override
               public void peers(final List<String> addresses) {
-                members.keep(addresses);
+                members.updateAddresses(addresses);
                 final List<String> all = new ArrayList<>(addresses);
                 all.add(settings.address());
-                frames.keep(all);
+                frames.updateAddresses(all);
               }
             });
   }
@@ -201,7 +203,7 @@
     }
     core.place(settings.site(), settings.region());
     core.placements(
-        Affinity.setting("affinity.default", settings.affinityUsual()),
+        Affinity.setting("affinity.default", settings.defaultAffinity()),
         incarnation,
         settings.affinityLeaseMillis(),
         settings.affinityBatchMillis());
@@ -216,10 +218,10 @@
         new KeyGrantClient(loop, executor, timings.holdMillis(), timings.sendMillis()));
     executor.execute(() -> core.start(found.lost() ? List.of() : found.records(), now()));
     log.start("tape");
-    transport.serve(
+    transport.bind(
         settings.bindAddress(),
         settings.transportPort(0),
-        Transport.on(
+        Transport.dispatchOn(
             executor,
             new Transport.Listener() {
               @Override
@@ -228,7 +230,7 @@
                   core.boardState(
                       connection,
                       ((RegistryMessages.DaemonReport) message).entry,
-                      Protocol.list(((RegistryMessages.DaemonReport) message).buckets),
+                      Protocol.emptyIfNull(((RegistryMessages.DaemonReport) message).bucketDigests),
                       now());
                 } else if (message instanceof TrialMessages.TrialReport
                     && "switchboard".equals(connection.peer().program)) {
@@ -281,7 +283,7 @@
   private void tick() {
     final long now = now();
     core.tick(now);
-    if (now - countersAt >= settings.countersMillis()) {
+    if (now - countersAt >= settings.counterLogMillis()) {
       countersAt = now;
       LOGGER.atInfo().log(
           "counters: %s %s %s", core.counters(), log.counters(), transport.trafficCounters());
--- a/registry/src/main/java/weldpoint/registry/StoreClient.java
+++ b/registry/src/main/java/weldpoint/registry/StoreClient.java
@@ -86,7 +86,7 @@
       final long timeout) {
     final StoreMessages.StoreRequest call =
         new StoreMessages.StoreRequest(++number, operation.ordinal(), "", null, first, second, null)
-            .from(caller);
+            .withCaller(caller);
     final Pending one = new Pending(call, 0, now + timeout, SILENCE_MILLIS, self);
     pending.put(call.number, one);
     send(one, now);
@@ -120,7 +120,7 @@
     final StoreMessages.StoreRequest call =
         new StoreMessages.StoreRequest(
                 ++number, operation.ordinal(), name, owner, first, second, body, origin, content)
-            .from(caller);
+            .withCaller(caller);
     final long patience =
         operation == StoreOperation.WATCH
             ? second + SILENCE_MILLIS
@@ -173,7 +173,7 @@
     one.firstSentAt = again ? one.firstSentAt : now;
     one.doubtful = true;
     if (sender.send(
-        to, again ? one.call.aged(Math.max(1, now - one.firstSentAt), now) : one.call)) {
+        to, again ? one.call.withAge(Math.max(1, now - one.firstSentAt), now) : one.call)) {
       return true;
     }
     one.doubtful = again;
@@ -188,7 +188,7 @@
   }
 
   void answered(final String from, final StoreMessages.StoreResponse answer, final long now) {
-    final Pending one = answer.caller == caller ? pending.get(answer.number) : null;
+    final Pending one = answer.callerIncarnation == caller ? pending.get(answer.number) : null;
     if (one == null || !one.copies.containsKey(from)) {
       return;
     }
--- a/registry/src/main/java/weldpoint/registry/TrialService.java
+++ b/registry/src/main/java/weldpoint/registry/TrialService.java
@@ -63,7 +63,7 @@
   public void report(final TrialMessages.TrialReport report, final long now) {
     control.coordinator().report(report, now);
     if (!report.relayed) {
-      registry.relay(new TrialMessages.TrialReport(true, report.tallies, report.digests));
+      registry.relay(new TrialMessages.TrialReport(true, report.counts, report.attemptDigests));
     }
     judge(now);
   }
--- a/registry/src/test/java/weldpoint/registry/ConfirmationProofTest.java
+++ b/registry/src/test/java/weldpoint/registry/ConfirmationProofTest.java
@@ -94,8 +94,8 @@
       if (message instanceof RegistryMessages.View view) {
         viewed = true;
         version = Math.max(version, view.version);
-        final List<Registration> given = new ArrayList<>(Protocol.list(view.registrations));
-        given.addAll(RegistrationBuckets.unpack(view.packed));
+        final List<Registration> given = new ArrayList<>(Protocol.emptyIfNull(view.registrations));
+        given.addAll(RegistrationBuckets.unpack(view.packedRegistrations));
         for (final Registration one : given) {
           if (LifecycleStage.of(one).open()) {
             open.add(one.id);
--- a/registry/src/test/java/weldpoint/registry/ControlServerFuzzTest.java
+++ b/registry/src/test/java/weldpoint/registry/ControlServerFuzzTest.java
@@ -118,11 +118,13 @@
               @Override
               public boolean frame(final String address, final StoreMessages.StoreRequest call) {
                 final StoreMessages.StoreResponse answer =
-                    call.deed == StoreOperation.CONTROL.ordinal()
+                    call.operation == StoreOperation.CONTROL.ordinal()
                         ? held(call)
                         : new StoreMessages.StoreResponse(call.number, 409, 0, null, null);
                 loop.schedule(
-                    () -> core.answered(address, answer.to(call.caller), clock.get()),
+                    () ->
+                        core.answered(
+                            address, answer.withCaller(call.callerIncarnation), clock.get()),
                     2,
                     TimeUnit.MILLISECONDS);
                 return true;
--- a/registry/src/test/java/weldpoint/registry/CutOffControlServerTest.java
+++ b/registry/src/test/java/weldpoint/registry/CutOffControlServerTest.java
@@ -86,7 +86,7 @@
                 calls.add(call);
                 final StoreMessages.StoreResponse answer = frames.apply(call);
                 if (answer != null) {
-                  core.answered(address, answer.to(call.caller), now());
+                  core.answered(address, answer.withCaller(call.callerIncarnation), now());
                 }
                 return true;
               }
@@ -223,9 +223,9 @@
         status);
     frames =
         call ->
-            call.deed == StoreOperation.HISTORY_HEAD.ordinal()
+            call.operation == StoreOperation.HISTORY_HEAD.ordinal()
                 ? new StoreMessages.StoreResponse(call.number, 504, 0, null, null)
-                : call.deed == StoreOperation.HISTORY_READ.ordinal()
+                : call.operation == StoreOperation.HISTORY_READ.ordinal()
                     ? new StoreMessages.StoreResponse(
                         call.number,
                         200,
@@ -247,7 +247,7 @@
     loop.submit(() -> VOTERS.forEach(voter -> core.memberOpened(voter, now()))).get();
     frames =
         call ->
-            call.deed == StoreOperation.CONTROL.ordinal()
+            call.operation == StoreOperation.CONTROL.ordinal()
                 ? new StoreMessages.StoreResponse(
                     call.number,
                     200,
@@ -271,7 +271,7 @@
       assertTrue(call("POST", "/api/rpc?call=" + call + "&of=r", "").startsWith("HTTP/1.1 504"));
     }
     assertTrue(
-        calls.stream().noneMatch(call -> call.deed == StoreOperation.TRIAL_WRITE.ordinal()),
+        calls.stream().noneMatch(call -> call.operation == StoreOperation.TRIAL_WRITE.ordinal()),
         "something reached the store");
   }
 
@@ -280,7 +280,7 @@
     loop.submit(() -> VOTERS.forEach(voter -> core.memberOpened(voter, now()))).get();
     frames =
         call ->
-            call.deed != StoreOperation.SPEC_REPLACE.ordinal()
+            call.operation != StoreOperation.SPEC_REPLACE.ordinal()
                 ? null
                 : new StoreMessages.StoreResponse(call.number, 200, 7, null, null);
     try (Socket socket = send("POST", "/api/rpc?call=configuration.replace", SPEC)) {
@@ -301,7 +301,7 @@
     loop.submit(() -> VOTERS.forEach(voter -> core.memberOpened(voter, now()))).get();
     frames =
         call ->
-            call.deed == StoreOperation.NUMBER.ordinal()
+            call.operation == StoreOperation.NUMBER.ordinal()
                 ? new StoreMessages.StoreResponse(call.number, 200, 12, null, null)
                 : null;
     assertTrue(call("POST", "/api/numbers/n", "{}").contains("\"value\":12"));
@@ -318,7 +318,7 @@
             () ->
                 (int)
                     calls.stream()
-                        .filter(call -> call.deed != StoreOperation.CONTROL.ordinal())
+                        .filter(call -> call.operation != StoreOperation.CONTROL.ordinal())
                         .count())
         .get();
   }
--- a/registry/src/test/java/weldpoint/registry/CutOffTest.java
+++ b/registry/src/test/java/weldpoint/registry/CutOffTest.java
@@ -194,7 +194,8 @@
     net.node(1).opens("1", 0);
     net.pass(500);
     final List<RegistryMessages.Registration> given =
-        new ArrayList<>(RegistrationBuckets.unpack(net.node(1).views("1").get(0).packed));
+        new ArrayList<>(
+            RegistrationBuckets.unpack(net.node(1).views("1").get(0).packedRegistrations));
     assertEquals(
         given.stream().map(one -> LifecycleStage.of(one)).toList(),
         List.of(LifecycleStage.DRAINING));
@@ -242,7 +243,7 @@
     net.cut(1, true, true);
     net.pass(6000);
     assertEquals(
-        RegistrationBuckets.unpack(net.node(4).views("4").get(0).packed).stream()
+        RegistrationBuckets.unpack(net.node(4).views("4").get(0).packedRegistrations).stream()
             .map(one -> LifecycleStage.of(one))
             .toList(),
         List.of(LifecycleStage.DRAINING));
--- a/registry/src/test/java/weldpoint/registry/HistoryReaderTest.java
+++ b/registry/src/test/java/weldpoint/registry/HistoryReaderTest.java
@@ -184,7 +184,7 @@
             "10.0.0.1",
             new Random(1),
             (to, call) -> {
-              (StoreOperation.of(call.deed) == StoreOperation.HISTORY_HEAD ? heads : reads)
+              (StoreOperation.of(call.operation) == StoreOperation.HISTORY_HEAD ? heads : reads)
                   .add(call);
               return true;
             });
@@ -206,7 +206,7 @@
                 6,
                 AuditEntry.digest(all.get(5)).getBytes(StandardCharsets.UTF_8),
                 null)
-            .to(frames.heads.get(0).caller),
+            .withCaller(frames.heads.get(0).callerIncarnation),
         1010);
     frames.store.answered(
         "10.0.0.1",
@@ -216,7 +216,7 @@
                 4,
                 Serializer.serialize(part(all, 0, 4, 1, false)),
                 null)
-            .to(frames.reads.get(0).caller),
+            .withCaller(frames.reads.get(0).callerIncarnation),
         1020);
     assertFalse(future.isDone());
     desk.tick(1200);
@@ -228,7 +228,7 @@
                 6,
                 Serializer.serialize(part(all, 0, 6, 1, false)),
                 null)
-            .to(frames.reads.get(1).caller),
+            .withCaller(frames.reads.get(1).callerIncarnation),
         1210);
     assertTrue(future.join().complete());
     assertEquals(future.join().entries().size(), 6);
--- a/registry/src/test/java/weldpoint/registry/LargeFleetTest.java
+++ b/registry/src/test/java/weldpoint/registry/LargeFleetTest.java
@@ -151,7 +151,7 @@
     }
     for (final List<Message> messages : told.boards.values()) {
       final RegistryMessages.View view = (RegistryMessages.View) messages.get(0);
-      assertNull(view.packed);
+      assertNull(view.packedRegistrations);
       assertNull(view.spec);
       bytes += Serializer.serialize(view).length;
     }
@@ -168,11 +168,11 @@
             gone.capacity,
             LifecycleStage.DRAINING.ordinal(),
             99,
-            gone.issued,
+            gone.issuedAt,
             0));
     core.boardState("late", board(BOARDS), RegistrationBuckets.digests(had, false), told.now);
     final RegistryMessages.View view = (RegistryMessages.View) told.boards.get("late").get(0);
-    final List<Registration> given = RegistrationBuckets.unpack(view.packed);
+    final List<Registration> given = RegistrationBuckets.unpack(view.packedRegistrations);
     assertTrue(given.size() < UPSTREAMS / 8, given.size() + " were told");
     assertTrue(given.stream().anyMatch(one -> one.id.equals(gone.id)));
   }
@@ -303,7 +303,7 @@
     assertTrue(
         told.boards.isEmpty()
             || RegistrationBuckets.unpack(
-                    ((RegistryMessages.View) told.boards.get("s").get(0)).packed)
+                    ((RegistryMessages.View) told.boards.get("s").get(0)).packedRegistrations)
                 .isEmpty());
   }
 
--- a/registry/src/test/java/weldpoint/registry/SimulatedCoreNetwork.java
+++ b/registry/src/test/java/weldpoint/registry/SimulatedCoreNetwork.java
@@ -103,7 +103,8 @@
                                       address,
                                       () -> {
                                         if (life == mine) {
-                                          core.answered(to, answer.to(call.caller), now);
+                                          core.answered(
+                                              to, answer.withCaller(call.callerIncarnation), now);
                                         }
                                       })));
                   return true;
@@ -292,7 +293,7 @@
       final String at,
       final StoreMessages.StoreRequest call,
       final java.util.function.Consumer<StoreMessages.StoreResponse> reply) {
-    if (StoreOperation.of(call.deed) != StoreOperation.CONTROL || !majority(at)) {
+    if (StoreOperation.of(call.operation) != StoreOperation.CONTROL || !majority(at)) {
       return;
     }
     final boolean news = version > call.first || call.second != evacuationMark;
--- a/registry/src/test/java/weldpoint/registry/StoreClientTest.java
+++ b/registry/src/test/java/weldpoint/registry/StoreClientTest.java
@@ -54,12 +54,14 @@
   }
 
   private static StoreMessages.StoreResponse good(final StoreMessages.StoreRequest call) {
-    return new StoreMessages.StoreResponse(call.number, 200, 7, null, null).to(call.caller);
+    return new StoreMessages.StoreResponse(call.number, 200, 7, null, null)
+        .withCaller(call.callerIncarnation);
   }
 
   private static StoreMessages.StoreResponse nothing(
       final StoreMessages.StoreRequest call, final String holder) {
-    return new StoreMessages.StoreResponse(call.number, 0, 0, null, holder).to(call.caller);
+    return new StoreMessages.StoreResponse(call.number, 0, 0, null, holder)
+        .withCaller(call.callerIncarnation);
   }
 
   @Test
@@ -70,7 +72,7 @@
     final CompletableFuture<StoreMessages.StoreResponse> future = begin(later, 10);
     final StoreMessages.StoreRequest mine = sent.get(1).call;
     assertEquals(mine.number, earlier.number);
-    assertNotEquals(mine.caller, earlier.caller);
+    assertNotEquals(mine.callerIncarnation, earlier.callerIncarnation);
     later.answered("here", good(earlier), 20);
     assertFalse(future.isDone());
     later.answered("here", new StoreMessages.StoreResponse(mine.number, 200, 7, null, null), 20);
@@ -107,14 +109,14 @@
   @Test
   public void aCopyTellsHowLongAgoTheFirstWasSent() {
     begin(store, 100);
-    assertEquals(sent.get(0).call.age, 0);
+    assertEquals(sent.get(0).call.ageMillis, 0);
     store.tick(501);
-    assertEquals(sent.get(1).call.age, 401);
+    assertEquals(sent.get(1).call.ageMillis, 401);
     assertEquals(sent.get(1).call.number, sent.get(0).call.number);
-    assertEquals(sent.get(1).call.caller, sent.get(0).call.caller);
+    assertEquals(sent.get(1).call.callerIncarnation, sent.get(0).call.callerIncarnation);
     store.closed(sent.get(1).to, 510);
     store.tick(560);
-    assertEquals(sent.get(2).call.age, 460);
+    assertEquals(sent.get(2).call.ageMillis, 460);
   }
 
   @Test
@@ -122,10 +124,10 @@
     begin(store, 100);
     store.answered("here", nothing(sent.get(0).call, "there"), 130);
     assertEquals(sent.get(1).to, "there");
-    assertEquals(sent.get(1).call.age, 0);
+    assertEquals(sent.get(1).call.ageMillis, 0);
     store.answered("there", nothing(sent.get(1).call, null), 140);
     store.tick(200);
-    assertEquals(sent.get(2).call.age, 0);
+    assertEquals(sent.get(2).call.ageMillis, 0);
   }
 
   @Test
@@ -135,10 +137,10 @@
     down.add("here");
     store.tick(160);
     assertEquals(sent.get(1).to, "there");
-    assertEquals(sent.get(1).call.age, 60);
+    assertEquals(sent.get(1).call.ageMillis, 60);
     store.answered("there", nothing(sent.get(1).call, null), 170);
     store.tick(230);
-    assertEquals(sent.get(2).call.age, 130);
+    assertEquals(sent.get(2).call.ageMillis, 130);
   }
 
   @Test
@@ -149,19 +151,19 @@
     assertTrue(sent.isEmpty());
     down.clear();
     store.tick(150);
-    assertEquals(sent.get(0).call.age, 0);
+    assertEquals(sent.get(0).call.ageMillis, 0);
   }
 
   @Test
   public void whatLeavesLaterIsOlder() {
     final StoreMessages.StoreRequest call =
-        new StoreMessages.StoreRequest(1, 0, "l", "o", 0, 0, null).from(5);
-    assertEquals(call.leaving(77L, 1000).age, 0);
+        new StoreMessages.StoreRequest(1, 0, "l", "o", 0, 0, null).withCaller(5);
+    assertEquals(call.stampedForSend(77L, 1000).ageMillis, 0);
     assertEquals(
-        call.aged(40, 1000).leaving(77L, 1600).age,
+        call.withAge(40, 1000).stampedForSend(77L, 1600).ageMillis,
         640,
         "a process that stood still between the two");
-    assertEquals((long) call.leaving(77L, 1000).clock, 77);
-    assertEquals(call.leaving(null, 1000).clock, null);
+    assertEquals((long) call.stampedForSend(77L, 1000).storeClockMillis, 77);
+    assertEquals(call.stampedForSend(null, 1000).storeClockMillis, null);
   }
 }
--- a/registry/src/test/java/weldpoint/registry/TakenVersionTest.java
+++ b/registry/src/test/java/weldpoint/registry/TakenVersionTest.java
@@ -64,11 +64,11 @@
                 calls.add(call);
                 core.answered(
                     address,
-                    (call.deed == StoreOperation.CONTROL.ordinal()
+                    (call.operation == StoreOperation.CONTROL.ordinal()
                             ? held(call)
                             : new StoreMessages.StoreResponse(
                                 call.number, next.status, next.first, next.body, null))
-                        .to(call.caller),
+                        .withCaller(call.callerIncarnation),
                     0);
                 return true;
               }
@@ -164,7 +164,7 @@
             && answer.contains("2023-11-14T22:13:20Z"),
         answer);
     assertEquals(
-        calls.get(calls.size() - 1).content,
+        calls.get(calls.size() - 1).contentDigest,
         CanonicalJson.digest(BODY.getBytes(StandardCharsets.UTF_8)));
   }
 
--- a/replay/src/main/java/weldpoint/replay/RecordedCall.java
+++ b/replay/src/main/java/weldpoint/replay/RecordedCall.java
@@ -17,25 +17,31 @@
   RecordedCall(final RequestRecord note, final String board, final long offset, final long usual) {
     this.note = note;
     this.board = board;
-    this.at = note.at + offset;
+    this.at = note.startedAt + offset;
     long answered = -1;
     boolean lost = false;
-    for (int index = 0; note.ends != null && index < note.ends.size(); index++) {
-      final int end = note.ends.get(index);
+    for (int index = 0;
+        note.attemptOutcomes != null && index < note.attemptOutcomes.size();
+        index++) {
+      final int end = note.attemptOutcomes.get(index);
       if (end == AttemptOutcome.ANSWERED.ordinal() && answered < 0) {
-        answered = note.took.get(index);
+        answered = note.attemptDurations.get(index);
       }
       lost |= end == AttemptOutcome.UNCERTAIN.ordinal() && answered < 0;
       if (end == AttemptOutcome.UNCERTAIN.ordinal() && answered < 0) {
-        answered = note.took.get(index);
+        answered = note.attemptDurations.get(index);
       }
     }
     this.work =
-        answered >= 0 ? answered : note.ends == null || note.ends.isEmpty() ? usual : note.waits;
+        answered >= 0
+            ? answered
+            : note.attemptOutcomes == null || note.attemptOutcomes.isEmpty()
+                ? usual
+                : note.waitMillis;
     this.answerLost = lost;
   }
 
   boolean write() {
-    return !RouteKind.values()[note.kind].repeatable();
+    return !RouteKind.values()[note.routeKind].repeatable();
   }
 }
--- a/replay/src/main/java/weldpoint/replay/Replay.java
+++ b/replay/src/main/java/weldpoint/replay/Replay.java
@@ -75,7 +75,7 @@
           if (own.end == CallOutcome.End.SERVED
               && call.note.status >= 200
               && call.note.status < 300) {
-            first.errors.add(call.note.route, Math.abs(own.total - call.note.total));
+            first.errors.add(call.note.route, Math.abs(own.total - call.note.totalMillis));
           }
         });
     final Map<String, Long> errors = new TreeMap<>();
@@ -164,13 +164,15 @@
         turn((RecordingFile.TimedBatch) part);
       } else {
         span.end = (RecordingFile.Trailer) part;
-        if (span.end.dropped > 0 || !Protocol.list(span.end.silent).isEmpty() || !open.isEmpty()) {
+        if (span.end.dropped > 0
+            || !Protocol.emptyIfNull(span.end.silent).isEmpty()
+            || !open.isEmpty()) {
           throw new WeldpointException(
               WeldpointException.Kind.INVALID,
               "the recording has gaps: "
                   + span.end.dropped
                   + " calls dropped, silent switchboards "
-                  + Protocol.list(span.end.silent)
+                  + Protocol.emptyIfNull(span.end.silent)
                   + ", not ended "
                   + open
                   + "; record the day anew");
@@ -180,12 +182,12 @@
 
     private void turn(final RecordingFile.TimedBatch turn) {
       final RecordingMessages.RecordingBatch batch = turn.batch;
-      final String life = batch.board + "#" + batch.incarnation;
+      final String life = batch.proxy + "#" + batch.incarnation;
       if (batch.dropped > 0) {
         throw new WeldpointException(
             WeldpointException.Kind.INVALID,
             "switchboard "
-                + batch.board
+                + batch.proxy
                 + " had to drop "
                 + batch.dropped
                 + " calls; record a shorter or calmer day");
@@ -198,17 +200,17 @@
       } else {
         open.add(life);
       }
-      own.board(batch.board, batch.site, batch.region, sites);
+      own.board(batch.proxy, batch.site, batch.region, sites);
       if (other != null) {
-        other.board(batch.board, batch.site, batch.region, sites);
+        other.board(batch.proxy, batch.site, batch.region, sites);
       }
       final long[] serial = serials.computeIfAbsent(life, name -> new long[1]);
-      for (final RecordingMessages.RequestRecord note : Protocol.list(batch.notes)) {
+      for (final RecordingMessages.RequestRecord note : Protocol.emptyIfNull(batch.records)) {
         if (note.serial != serial[0] + 1) {
           throw new WeldpointException(
               WeldpointException.Kind.INVALID,
               "the recording of "
-                  + batch.board
+                  + batch.proxy
                   + " lacks the calls between "
                   + serial[0]
                   + " and "
@@ -219,7 +221,7 @@
         final RecordedCall call =
             new RecordedCall(
                 note,
-                batch.board,
+                batch.proxy,
                 turn.offset,
                 usual.getOrDefault(note.service, 100.0).longValue());
         if (call.work > 0 && note.status >= 200 && note.status < 300) {
--- a/replay/src/main/java/weldpoint/replay/ReplayComparison.java
+++ b/replay/src/main/java/weldpoint/replay/ReplayComparison.java
@@ -120,7 +120,9 @@
           sums.computeIfAbsent(
               call.note.route
                   + " ("
-                  + RouteKind.values()[call.note.kind].name().toLowerCase(java.util.Locale.ROOT)
+                  + RouteKind.values()[call.note.routeKind]
+                      .name()
+                      .toLowerCase(java.util.Locale.ROOT)
                   + ")",
               name -> new Sum());
       sum.calls++;
--- a/replay/src/main/java/weldpoint/replay/ReplaySimulator.java
+++ b/replay/src/main/java/weldpoint/replay/ReplaySimulator.java
@@ -202,7 +202,8 @@
           now
               + Math.max(
                   1,
-                  Math.min(call.note.waits + MARGIN_MILLIS, route.timeoutMillis) - MARGIN_MILLIS);
+                  Math.min(call.note.waitMillis + MARGIN_MILLIS, route.timeoutMillis)
+                      - MARGIN_MILLIS);
       upstreamPool.budget(service.name()).request(now);
       after(cutoff - now, this::giveUp);
       if (!attempt(false)) {
--- a/replay/src/test/java/weldpoint/replay/ReplayTest.java
+++ b/replay/src/test/java/weldpoint/replay/ReplayTest.java
@@ -172,12 +172,12 @@
         } else if (part instanceof RecordingFile.TimedBatch) {
           final RecordingFile.TimedBatch turn = (RecordingFile.TimedBatch) part;
           fleet.board(
-              turn.batch.board,
+              turn.batch.proxy,
               turn.batch.site,
               turn.batch.region,
               java.util.Map.of("port", "north", "couva", "south"));
-          for (final var note : weldpoint.transport.Protocol.list(turn.batch.notes)) {
-            final RecordedCall call = new RecordedCall(note, turn.batch.board, turn.offset, 100);
+          for (final var note : weldpoint.transport.Protocol.emptyIfNull(turn.batch.records)) {
+            final RecordedCall call = new RecordedCall(note, turn.batch.proxy, turn.offset, 100);
             fleet.until(call.at);
             fleet.play(
                 call,
--- a/scale/src/main/java/weldpoint/scale/MeasuredProcess.java
+++ b/scale/src/main/java/weldpoint/scale/MeasuredProcess.java
@@ -54,7 +54,7 @@
                 "weldpoint.cli.Weldpoint",
                 program));
     final ProcessBuilder builder = new ProcessBuilder(words).redirectErrorStream(true);
-    builder.environment().put(Settings.VARIABLE, settings.toString());
+    builder.environment().put(Settings.FILE_VARIABLE, settings.toString());
     process = builder.start();
     final Thread reader = new Thread(this::read, "reads-" + program);
     reader.setDaemon(true);
--- a/scale/src/main/java/weldpoint/scale/SimulatedProxies.java
+++ b/scale/src/main/java/weldpoint/scale/SimulatedProxies.java
@@ -42,7 +42,8 @@
       transport =
           new Transport(
               loop,
-              new Protocol.Hello(Serializer.PROTOCOL, "switchboard", address(index), incarnation));
+              new Protocol.Hello(
+                  Serializer.PROTOCOL_VERSION, "switchboard", address(index), incarnation));
       stream = new RegistryStream(transport, desk, settings, () -> {});
       final RegistryMessages.DaemonEntry self =
           new RegistryMessages.DaemonEntry(
@@ -99,7 +100,7 @@
                             stream::send);
                   }
                   affinity.take(placements, now());
-                  placed.merge(placements.mark, 1, Integer::sum);
+                  placed.merge(placements.revision, 1, Integer::sum);
                 }
 
                 @Override
@@ -179,8 +180,8 @@
           if (!hollows.isEmpty()) {
             final int index = next++ % hollows.size();
             final SimulatedProxy before = hollows.get(index);
-            gone += before.transport.trafficCounters().bytesIn();
-            goneMessages += before.transport.trafficCounters().messagesIn();
+            gone += before.transport.trafficCounters().bytesReceived();
+            goneMessages += before.transport.trafficCounters().messagesReceived();
             before.stream.close();
             hollows.set(
                 index, new SimulatedProxy(boots.get(index % boots.size()), index, ++incarnations));
@@ -212,10 +213,10 @@
           final long[] sums = {goneMessages, gone, 0, 0};
           for (final SimulatedProxy one : hollows) {
             final TrafficCounters trafficCounters = one.transport.trafficCounters();
-            sums[0] += trafficCounters.messagesIn();
-            sums[1] += trafficCounters.bytesIn();
-            sums[2] += trafficCounters.messagesOut();
-            sums[3] += trafficCounters.bytesOut();
+            sums[0] += trafficCounters.messagesReceived();
+            sums[1] += trafficCounters.bytesReceived();
+            sums[2] += trafficCounters.messagesSent();
+            sums[3] += trafficCounters.bytesSent();
           }
           future.complete(sums);
         });
--- a/simulation/src/main/java/weldpoint/simulation/ControlPlaneSimulation.java
+++ b/simulation/src/main/java/weldpoint/simulation/ControlPlaneSimulation.java
@@ -538,7 +538,7 @@
                 life.exchange.boardState(
                     connection,
                     ((RegistryMessages.DaemonReport) message).entry,
-                    Protocol.list(((RegistryMessages.DaemonReport) message).buckets),
+                    Protocol.emptyIfNull(((RegistryMessages.DaemonReport) message).bucketDigests),
                     now);
               } else {
                 life.exchange.receive(connection.from(), message, connection::reply, now);
--- a/simulation/src/main/java/weldpoint/simulation/StateStoreSimulation.java
+++ b/simulation/src/main/java/weldpoint/simulation/StateStoreSimulation.java
@@ -590,14 +590,14 @@
         at,
         new StoreMessages.StoreRequest(
             ++calls,
-            call.deed,
+            call.operation,
             call.name,
             call.owner,
             call.first,
             call.second,
             call.body,
             call.origin,
-            call.content),
+            call.contentDigest),
         0,
         then);
   }
--- a/simulation/src/test/java/weldpoint/registry/CopiesTest.java
+++ b/simulation/src/test/java/weldpoint/registry/CopiesTest.java
@@ -85,14 +85,14 @@
       }
       final StoreMessages.StoreRequest copy =
           identified
-              ? call.leaving(simulation.now() - random.nextInt(500), simulation.now())
-              : call.from(0).leaving(null, simulation.now());
+              ? call.stampedForSend(simulation.now() - random.nextInt(500), simulation.now())
+              : call.withCaller(0).stampedForSend(null, simulation.now());
       final byte[] bytes = Serializer.serialize(copy);
       final int chance = random.nextInt(20);
       if (chance > 0) {
         simulation.after(
             chance < 4 ? 300 + random.nextInt(6000) : 1 + random.nextInt(8),
-            () -> arrive(which, to, bytes, call.caller));
+            () -> arrive(which, to, bytes, call.callerIncarnation));
       }
       return true;
     }
@@ -112,7 +112,10 @@
                   if (chance > 0) {
                     simulation.after(
                         chance == 1 ? 500 : 1 + simulation.random().nextInt(8),
-                        () -> stores.get(which).answered(to, answer.to(caller), simulation.now()));
+                        () ->
+                            stores
+                                .get(which)
+                                .answered(to, answer.withCaller(caller), simulation.now()));
                   }
                 },
                 simulation.now());
@@ -305,7 +308,7 @@
   private static StoreMessages.StoreRequest begin(final long number, final long hold) {
     return new StoreMessages.StoreRequest(
             number, StoreOperation.LOCK_BEGIN.ordinal(), "k", "owner " + number, hold, 0, null)
-        .from(9);
+        .withCaller(9);
   }
 
   private static StoreMessages.StoreResponse ask(
@@ -332,7 +335,10 @@
     for (int round = 0; round < 40; round++) {
       for (final String address : world.simulation.running()) {
         final StoreMessages.StoreResponse answer =
-            ask(world, address, begin(number + round, hold).leaving(world.simulation.now(), 0));
+            ask(
+                world,
+                address,
+                begin(number + round, hold).stampedForSend(world.simulation.now(), 0));
         if (answer != null && answer.status == 200) {
           return address;
         }
@@ -354,11 +360,12 @@
         ask(
             world,
             next,
-            call.aged(world.simulation.now() - sentAt, 0).leaving(world.simulation.now(), 0));
+            call.withAge(world.simulation.now() - sentAt, 0)
+                .stampedForSend(world.simulation.now(), 0));
     assertEquals(copy.status, 504);
-    assertEquals(copy.caller, 9);
+    assertEquals(copy.callerIncarnation, 9);
     final StoreMessages.StoreResponse fresh =
-        ask(world, next, begin(203, 100).leaving(world.simulation.now(), 0));
+        ask(world, next, begin(203, 100).stampedForSend(world.simulation.now(), 0));
     assertEquals(fresh.status, 200);
     assertEquals(fresh.first, 3, "the copy was carried out after all");
   }
@@ -370,20 +377,21 @@
     final String at = holder(world, 1, 100);
     world.simulation.run(300);
     assertEquals(
-        ask(world, at, begin(202, 100).leaving(world.simulation.now() - 2501, 0)).status, 0);
+        ask(world, at, begin(202, 100).stampedForSend(world.simulation.now() - 2501, 0)).status, 0);
     assertEquals(
-        ask(world, at, begin(203, 100).leaving(world.simulation.now() - 2000, 0)).first, 2);
+        ask(world, at, begin(203, 100).stampedForSend(world.simulation.now() - 2000, 0)).first, 2);
     world.simulation.run(300);
     final String last = holder(world, 300, 100);
     final long before = world.simulation.now();
     world.simulation.kill(last, true);
     final String next = holder(world, 400, 100);
     assertEquals(
-        ask(world, next, begin(205, 100).leaving(before, 0)).status,
+        ask(world, next, begin(205, 100).stampedForSend(before, 0)).status,
         0,
         "sent before the duty began, or after: not known");
     world.simulation.run(300);
-    assertEquals(ask(world, next, begin(205, 100).leaving(world.simulation.now(), 0)).first, 5);
+    assertEquals(
+        ask(world, next, begin(205, 100).stampedForSend(world.simulation.now(), 0)).first, 5);
   }
 
   @Test
@@ -392,17 +400,18 @@
     final String at = holder(world, 1, 100);
     world.simulation.run(300);
     final StoreMessages.StoreResponse first =
-        ask(world, at, begin(202, 100).leaving(world.simulation.now(), 0));
+        ask(world, at, begin(202, 100).stampedForSend(world.simulation.now(), 0));
     world.simulation.run(300);
     final StoreMessages.StoreResponse other =
-        ask(world, at, begin(203, 100).leaving(world.simulation.now(), 0));
+        ask(world, at, begin(203, 100).stampedForSend(world.simulation.now(), 0));
     assertEquals(other.first, first.first + 1);
     world.simulation.run(300);
     final StoreMessages.StoreResponse second =
-        ask(world, at, begin(202, 100).aged(900, 0).leaving(world.simulation.now(), 0));
+        ask(world, at, begin(202, 100).withAge(900, 0).stampedForSend(world.simulation.now(), 0));
     assertEquals(second.status, 200);
     assertEquals(second.first, first.first);
     assertEquals(
-        ask(world, at, begin(204, 100).leaving(world.simulation.now(), 0)).first, other.first + 1);
+        ask(world, at, begin(204, 100).stampedForSend(world.simulation.now(), 0)).first,
+        other.first + 1);
   }
 }
--- a/simulation/src/test/java/weldpoint/simulation/BrokenControlTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/BrokenControlTest.java
@@ -96,7 +96,11 @@
         final StateStoreMessages.HeartbeatAck ack = (StateStoreMessages.HeartbeatAck) message;
         ear.accept(
             new StateStoreMessages.HeartbeatAck(
-                heartbeat.partitions, heartbeat.ballots, ack.incarnation, ack.known, ack.audited));
+                heartbeat.partitions,
+                heartbeat.ballots,
+                ack.incarnation,
+                ack.knownIncarnations,
+                ack.auditedThrough));
         return;
       }
       ear.accept(message);
@@ -118,7 +122,8 @@
         final String from, final String to, final Message message, final Consumer<Message> ear) {
       ear.accept(message);
       if (message instanceof StoreMessages.StoreRequest
-          && ((StoreMessages.StoreRequest) message).deed == StoreOperation.EVACUATE.ordinal()) {
+          && ((StoreMessages.StoreRequest) message).operation
+              == StoreOperation.EVACUATE.ordinal()) {
         final StoreMessages.StoreRequest call = (StoreMessages.StoreRequest) message;
         copies.add(() -> ear.accept(known ? call : unknown(call)));
         if (copies.size() > 2) {
@@ -130,7 +135,7 @@
     private static StoreMessages.StoreRequest unknown(final StoreMessages.StoreRequest call) {
       return new StoreMessages.StoreRequest(
           call.number + 1_000_000,
-          call.deed,
+          call.operation,
           call.name,
           call.owner,
           call.first,
@@ -179,14 +184,14 @@
           && ((StoreMessages.StoreResponse) message).status == 200) {
         final StoreMessages.StoreResponse answer = (StoreMessages.StoreResponse) message;
         final StoreMessages.StoreRequest call = calls.get(to + " " + answer.number);
-        if (call != null && call.deed == StoreOperation.NUMBER.ordinal()) {
+        if (call != null && call.operation == StoreOperation.NUMBER.ordinal()) {
           final StoreMessages.StoreResponse old = former.remove(to + " " + call.name);
           answers.put(to + " " + call.name, answer);
           if (old != null) {
             ear.accept(
                 new StoreMessages.StoreResponse(
                         answer.number, old.status, old.first, old.body, old.holder)
-                    .to(taken ? answer.caller : old.caller));
+                    .withCaller(taken ? answer.callerIncarnation : old.callerIncarnation));
             return;
           }
         }
--- a/simulation/src/test/java/weldpoint/simulation/CatchUpTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/CatchUpTest.java
@@ -266,7 +266,7 @@
               RegisterVersion.NONE,
               List.of(),
               promise.incarnation,
-              promise.known);
+              promise.knownIncarnations);
         }
         return message;
       }
--- a/simulation/src/test/java/weldpoint/simulation/FrameSafetyTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/FrameSafetyTest.java
@@ -301,8 +301,8 @@
     simulation.start("10.0.2.9", false);
     simulation.run(9000);
     final var roster = simulation.machines().get("10.0.1.1").replica().roster();
-    assertEquals(roster.index("10.0.2.1"), -1);
-    assertTrue(roster.index("10.0.2.9") >= 0);
+    assertEquals(roster.indexOf("10.0.2.1"), -1);
+    assertTrue(roster.indexOf("10.0.2.9") >= 0);
     assertEquals(roster.voters.size(), 5);
     final List<Integer> tokens = new ArrayList<>();
     roster.voters.forEach(voter -> tokens.addAll(voter.tokens));
@@ -312,7 +312,7 @@
     simulation.start("10.0.2.1", false);
     simulation.run(4000);
     assertEquals(
-        simulation.machines().get("10.0.2.1").replica().roster().index("10.0.2.1"),
+        simulation.machines().get("10.0.2.1").replica().roster().indexOf("10.0.2.1"),
         -1,
         "a removed daemon must not vote again by itself");
   }
--- a/simulation/src/test/java/weldpoint/simulation/HistoryTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/HistoryTest.java
@@ -443,21 +443,21 @@
                             final List<StateStoreMessages.RegisterEntry> entries =
                                 new ArrayList<>();
                             for (final StateStoreMessages.RegisterEntry entry :
-                                Protocol.list(accept.entries)) {
+                                Protocol.emptyIfNull(accept.entries)) {
                               entries.add(
                                   new StateStoreMessages.RegisterEntry(
                                       entry.name,
-                                      entry.mark,
-                                      entry.base,
-                                      entry.difference,
-                                      entry.whole));
+                                      entry.version,
+                                      entry.baseVersion,
+                                      entry.delta,
+                                      entry.fullValue));
                             }
                             return new StateStoreMessages.Accept(
                                 accept.partition,
-                                accept.roster,
+                                accept.rosterNumber,
                                 accept.ballot,
                                 false,
-                                accept.counted,
+                                accept.countedIncarnations,
                                 entries);
                           }
                           return message;
--- a/simulation/src/test/java/weldpoint/simulation/IncarnationTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/IncarnationTest.java
@@ -46,7 +46,7 @@
     simulation.kill(address, true);
     simulation.run(9000);
     final StateStoreMessages.Roster roster = roster(simulation);
-    assertEquals(roster.index(address), -1, "the voter that was lost is still in the roster");
+    assertEquals(roster.indexOf(address), -1, "the voter that was lost is still in the roster");
     assertEquals(roster.voters.size(), 5);
   }
 
@@ -121,13 +121,13 @@
             if (from.equals(late) && !give[0]) {
               kept.put(to, (StateStoreMessages.HeartbeatAck) message);
             }
-            lists.put(from, ((StateStoreMessages.HeartbeatAck) message).known);
+            lists.put(from, ((StateStoreMessages.HeartbeatAck) message).knownIncarnations);
             return from.equals(late) && give[0] && kept.containsKey(to) ? kept.remove(to) : message;
           }
         });
     simulation.run(2000);
     assertTrue(
-        kept.values().stream().allMatch(ack -> ack.known.contains(2L)),
+        kept.values().stream().allMatch(ack -> ack.knownIncarnations.contains(2L)),
         "nobody knows of the lost disk");
     final Map<String, StateStoreMessages.HeartbeatAck> copies = new HashMap<>(kept);
     replace(simulation, SEEDS[0]);
--- a/simulation/src/test/java/weldpoint/simulation/RosterNumberTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/RosterNumberTest.java
@@ -25,7 +25,7 @@
           .append(' ')
           .append(voter.site)
           .append(' ')
-          .append(Protocol.list(voter.tokens))
+          .append(Protocol.emptyIfNull(voter.tokens))
           .append("; ");
     }
     return text.toString();
@@ -51,12 +51,12 @@
                 && !((StateStoreMessages.Accept) message).establish) {
               for (final StateStoreMessages.RegisterEntry entry :
                   ((StateStoreMessages.Accept) message).entries) {
-                if (entry.name.equals("roster") && entry.whole != null) {
+                if (entry.name.equals("roster") && entry.fullValue != null) {
                   final StateStoreMessages.Roster roster =
-                      Serializer.deserialize(entry.whole, StateStoreMessages.Roster.class);
+                      Serializer.deserialize(entry.fullValue, StateStoreMessages.Roster.class);
                   final String before =
                       proposed.putIfAbsent(
-                          entry.mark.ballot() + " roster " + roster.number, content(roster));
+                          entry.version.ballot() + " roster " + roster.number, content(roster));
                   if (before != null && !before.equals(content(roster))) {
                     breaches.add(
                         from
--- a/simulation/src/test/java/weldpoint/simulation/RosterTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/RosterTest.java
@@ -287,10 +287,10 @@
               final StateStoreMessages.Accept accept = (StateStoreMessages.Accept) message;
               return new StateStoreMessages.Accept(
                   accept.partition,
-                  accept.roster,
+                  accept.rosterNumber,
                   accept.ballot,
                   accept.establish,
-                  accept.counted,
+                  accept.countedIncarnations,
                   accept.entries);
             }
           });
@@ -364,7 +364,7 @@
       final String lost = play.roster().voters.get(seed).address;
       play.simulation.kill(lost, true);
       play.simulation.run(CATCH_UP_MILLIS);
-      assertEquals(play.roster().index(lost), -1);
+      assertEquals(play.roster().indexOf(lost), -1);
       assertEquals(play.roster().voters.size(), 5);
     }
   }
--- a/simulation/src/test/java/weldpoint/simulation/TrialTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/TrialTest.java
@@ -109,10 +109,12 @@
                     Serializer.deserialize(answer.body, StoredValues.ControlSnapshot.class);
                 if (control.trialMark > marks) {
                   marks = control.trialMark;
-                  coordinator.take(Protocol.list(control.trials));
+                  coordinator.take(Protocol.emptyIfNull(control.trials));
                   for (int index = 0; index < books.size(); index++) {
                     if (!cut.get(index)) {
-                      books.get(index).take(Protocol.list(control.trials), control.trialMark);
+                      books
+                          .get(index)
+                          .take(Protocol.emptyIfNull(control.trials), control.trialMark);
                     }
                   }
                 }
@@ -247,7 +249,7 @@
       assertEquals(TrialVerdict.of(stage.trial()), TrialVerdict.HELD, fault + " seed " + seed);
       assertEquals(stage.exposedWithoutToken, 0, fault + " seed " + seed);
       assertFalse(
-          Protocol.list(stage.trial().attempts).isEmpty(),
+          Protocol.emptyIfNull(stage.trial().attempts).isEmpty(),
           fault + " seed " + seed + " names no attempt: " + stage.trial().reason);
       for (final TrialTracker tracker : stage.books) {
         assertTrue(tracker.held("book"));
--- a/simulation/src/test/java/weldpoint/simulation/VersionsTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/VersionsTest.java
@@ -407,14 +407,14 @@
                 }
                 final StateStoreMessages.Accept accept = (StateStoreMessages.Accept) message;
                 final List<StateStoreMessages.RegisterEntry> entries = new ArrayList<>();
-                Protocol.list(accept.entries)
+                Protocol.emptyIfNull(accept.entries)
                     .forEach(entry -> entries.add(BrokenAuditSequencer.older(entry)));
                 return new StateStoreMessages.Accept(
                     accept.partition,
-                    accept.roster,
+                    accept.rosterNumber,
                     accept.ballot,
                     accept.establish,
-                    accept.counted,
+                    accept.countedIncarnations,
                     entries);
               }
             });
--- a/simulation/src/test/java/weldpoint/simulation/model/Trace.java
+++ b/simulation/src/test/java/weldpoint/simulation/model/Trace.java
@@ -179,7 +179,7 @@
           machine.fetched.getOrDefault(voter.address, List.of())) {
         if (one.incarnation == kept.incarnation()
             && one.roster.number == kept.roster().number
-            && !one.values) {
+            && !one.containsValues) {
           pages.merge(one.after, covers(kept, one), (before, now) -> before || now);
           ends |= !one.more;
         }
@@ -204,16 +204,16 @@
 
   private static boolean covers(
       final DiskContents kept, final StateStoreMessages.RecoveryResponse told) {
-    for (int partition = 0; partition < Protocol.list(told.promised).size(); partition++) {
+    for (int partition = 0; partition < Protocol.emptyIfNull(told.promised).size(); partition++) {
       if (kept.promised(partition).compareTo(told.promised.get(partition)) < 0
           || kept.established(partition).compareTo(told.established.get(partition)) < 0) {
         return false;
       }
     }
-    for (final StateStoreMessages.RegisterEntry entry : Protocol.list(told.entries)) {
+    for (final StateStoreMessages.RegisterEntry entry : Protocol.emptyIfNull(told.entries)) {
       final int partition = StateStoreReplica.partition(entry.name);
-      if (entry.mark.compareTo(kept.established(partition)) >= 0
-          && kept.stored(partition, entry.name).compareTo(entry.mark) < 0) {
+      if (entry.version.compareTo(kept.established(partition)) >= 0
+          && kept.stored(partition, entry.name).compareTo(entry.version) < 0) {
         return false;
       }
     }
@@ -261,7 +261,9 @@
               + " before incarnation "
               + fetched.incarnation
               + " is on its disk");
-      for (int partition = 0; partition < Protocol.list(fetched.promised).size(); partition++) {
+      for (int partition = 0;
+          partition < Protocol.emptyIfNull(fetched.promised).size();
+          partition++) {
         must(
             fetched.promised.get(partition).compareTo(machine.kept.promised(partition)) >= 0,
             from,
@@ -284,11 +286,11 @@
         from,
         what + " as incarnation " + incarnation + " and is " + machine.kept.incarnation());
     must(
-        Protocol.list(known).size() == machine.kept.roster().voters.size(),
+        Protocol.emptyIfNull(known).size() == machine.kept.roster().voters.size(),
         from,
         what + " with a list of incarnations for another roster");
     for (int place = 0;
-        place < Protocol.list(known).size() && place < machine.kept.roster().voters.size();
+        place < Protocol.emptyIfNull(known).size() && place < machine.kept.roster().voters.size();
         place++) {
       final String address = machine.kept.roster().voters.get(place).address;
       must(
@@ -296,14 +298,14 @@
           from,
           what + " and tells an older incarnation of " + address + " than it knows");
     }
-    must(machine.kept.roster().index(from) >= 0, from, what + " and is no voter");
+    must(machine.kept.roster().indexOf(from) >= 0, from, what + " and is no voter");
   }
 
   private void promises(
       final String from, final Machine machine, final StateStoreMessages.Promise promise) {
     step(Step.PROMISE);
     final String what = "promises ballot " + promise.ballot + " of partition " + promise.partition;
-    votes(from, machine, promise.incarnation, promise.known, what);
+    votes(from, machine, promise.incarnation, promise.knownIncarnations, what);
     must(
         machine.kept.promised(promise.partition).compareTo(promise.ballot) >= 0,
         from,
@@ -313,12 +315,12 @@
         from,
         what + " and hides an establishment");
     final Map<String, RegisterVersion> told = new HashMap<>();
-    Protocol.list(promise.entries).forEach(entry -> told.put(entry.name, entry.mark));
+    Protocol.emptyIfNull(promise.entries).forEach(entry -> told.put(entry.name, entry.version));
     for (final StateStoreMessages.RegisterEntry entry : machine.kept.entries(promise.partition)) {
       must(
-          told.getOrDefault(entry.name, RegisterVersion.NONE).compareTo(entry.mark) >= 0,
+          told.getOrDefault(entry.name, RegisterVersion.NONE).compareTo(entry.version) >= 0,
           from,
-          what + " and hides " + entry.name + " at " + entry.mark);
+          what + " and hides " + entry.name + " at " + entry.version);
     }
   }
 
@@ -326,7 +328,7 @@
       final String from, final Machine machine, final StateStoreMessages.Accepted accepted) {
     step(Step.ACCEPT);
     final String what = "accepts ballot " + accepted.ballot + " of partition " + accepted.partition;
-    votes(from, machine, accepted.incarnation, accepted.known, what);
+    votes(from, machine, accepted.incarnation, accepted.knownIncarnations, what);
     must(
         machine.kept.promised(accepted.partition).compareTo(accepted.ballot) >= 0,
         from,
@@ -336,8 +338,8 @@
             || machine.kept.established(accepted.partition).compareTo(accepted.ballot) >= 0,
         from,
         what + " before the establishment is on its disk");
-    for (int index = 0; index < Protocol.list(accepted.names).size(); index++) {
-      final RegisterVersion mark = accepted.ballot.at(accepted.counts.get(index));
+    for (int index = 0; index < Protocol.emptyIfNull(accepted.names).size(); index++) {
+      final RegisterVersion mark = accepted.ballot.withCount(accepted.counts.get(index));
       must(
           machine.kept.stored(accepted.partition, accepted.names.get(index)).compareTo(mark) >= 0
               || machine.kept.established(accepted.partition).compareTo(mark) > 0,
@@ -349,8 +351,8 @@
   private void confirms(
       final String from, final Machine machine, final StateStoreMessages.HeartbeatAck ack) {
     step(Step.CONFIRM);
-    votes(from, machine, ack.incarnation, ack.known, "confirms");
-    for (int index = 0; index < Protocol.list(ack.partitions).size(); index++) {
+    votes(from, machine, ack.incarnation, ack.knownIncarnations, "confirms");
+    for (int index = 0; index < Protocol.emptyIfNull(ack.partitions).size(); index++) {
       final int partition = ack.partitions.get(index);
       final RegisterVersion ballot = ack.ballots.get(index);
       must(
@@ -377,13 +379,17 @@
     step(Step.BEGIN);
     final String what = "begins ballot " + prepare.ballot + " of partition " + prepare.partition;
     must(
-        machine.whole() && machine.kept.roster().index(from) >= 0,
+        machine.whole() && machine.kept.roster().indexOf(from) >= 0,
         from,
         what + " and is no voter that counts");
     must(
-        prepare.roster == machine.kept.roster().number,
+        prepare.rosterNumber == machine.kept.roster().number,
         from,
-        what + " under roster " + prepare.roster + " and has " + machine.kept.roster().number);
+        what
+            + " under roster "
+            + prepare.rosterNumber
+            + " and has "
+            + machine.kept.roster().number);
     must(
         before == null || prepare.ballot.compareTo(before.mark) > 0,
         from,
@@ -419,7 +425,7 @@
       must(false, from, what + ", which it has not begun under its roster");
       return;
     }
-    must(accept.roster == ballot.roster.number, from, what + " for another roster");
+    must(accept.rosterNumber == ballot.roster.number, from, what + " for another roster");
     if (!ballot.establishes) {
       must(accept.establish, from, what + " before it establishes");
       ballot.establishes = true;
@@ -429,16 +435,16 @@
       return;
     }
     must(ballot.serves, from, what + " before it serves");
-    for (final StateStoreMessages.RegisterEntry entry : Protocol.list(accept.entries)) {
+    for (final StateStoreMessages.RegisterEntry entry : Protocol.emptyIfNull(accept.entries)) {
       final Long before = ballot.proposed.get(entry.name);
-      if (before != null && before >= entry.mark.count) {
+      if (before != null && before >= entry.version.count) {
         continue;
       }
       step(Step.PROPOSE);
       if (before != null) {
         commits(from, machine, ballot, accept.partition, entry.name, before, what);
       }
-      ballot.proposed.put(entry.name, entry.mark.count);
+      ballot.proposed.put(entry.name, entry.version.count);
       if (entry.name.equals("roster")) {
         step(Step.PROPOSE_ROSTER);
         must(
@@ -471,7 +477,7 @@
     final List<StateStoreMessages.RegisterEntry> entries = new ArrayList<>();
     for (int place = 0; place < ballot.roster.voters.size(); place++) {
       final String voter = ballot.roster.voters.get(place).address;
-      final long counted = accept.counted.get(place);
+      final long counted = accept.countedIncarnations.get(place);
       if (counted == 0) {
         continue;
       }
@@ -508,7 +514,7 @@
       }
       promised++;
       floor = floor.compareTo(promise.established) < 0 ? promise.established : floor;
-      entries.addAll(Protocol.list(promise.entries));
+      entries.addAll(Protocol.emptyIfNull(promise.entries));
     }
     must(
         promised >= ballot.roster.majority(),
@@ -516,22 +522,23 @@
         what + " with " + promised + " promises of " + ballot.roster.voters.size());
     for (final StateStoreMessages.RegisterEntry entry : entries) {
       final StateStoreMessages.RegisterEntry other = best.get(entry.name);
-      if (entry.mark.compareTo(floor) >= 0
-          && (other == null || other.mark.compareTo(entry.mark) < 0)) {
+      if (entry.version.compareTo(floor) >= 0
+          && (other == null || other.version.compareTo(entry.version) < 0)) {
         best.put(entry.name, entry);
       }
     }
     final Set<String> names = new HashSet<>();
-    for (final StateStoreMessages.RegisterEntry entry : Protocol.list(accept.entries)) {
+    for (final StateStoreMessages.RegisterEntry entry : Protocol.emptyIfNull(accept.entries)) {
       names.add(entry.name);
       must(
-          best.containsKey(entry.name) && Arrays.equals(best.get(entry.name).whole, entry.whole),
+          best.containsKey(entry.name)
+              && Arrays.equals(best.get(entry.name).fullValue, entry.fullValue),
           from,
           what
               + " and establishes "
               + entry.name
               + ", which is not what it was told at "
-              + (best.containsKey(entry.name) ? best.get(entry.name).mark : null));
+              + (best.containsKey(entry.name) ? best.get(entry.name).version : null));
     }
     must(
         names.equals(best.keySet()),
@@ -541,7 +548,7 @@
 
   private void serves(
       final String from, final Machine machine, final StateStoreMessages.Heartbeat heartbeat) {
-    for (int index = 0; index < Protocol.list(heartbeat.partitions).size(); index++) {
+    for (int index = 0; index < Protocol.emptyIfNull(heartbeat.partitions).size(); index++) {
       final int partition = heartbeat.partitions.get(index);
       final Ballot ballot = ballot(machine, partition, heartbeat.ballots.get(index));
       final String what =
@@ -583,7 +590,7 @@
                 by.add(voter);
               }
             });
-    if (machine.kept.stored(partition, name).compareTo(ballot.mark.at(count)) >= 0) {
+    if (machine.kept.stored(partition, name).compareTo(ballot.mark.withCount(count)) >= 0) {
       by.add(from);
     }
     must(
@@ -601,20 +608,20 @@
       final StateStoreMessages.Promise promise = (StateStoreMessages.Promise) message;
       final Ballot ballot = ballot(machine, promise.partition, promise.ballot);
       if (ballot != null) {
-        hears(machine, promise.known);
+        hears(machine, promise.knownIncarnations);
         ballot.promises.put(from, promise);
       }
     } else if (message instanceof StateStoreMessages.Accepted) {
       final StateStoreMessages.Accepted accepted = (StateStoreMessages.Accepted) message;
       final Ballot ballot = ballot(machine, accepted.partition, accepted.ballot);
       if (ballot != null) {
-        hears(machine, accepted.known);
+        hears(machine, accepted.knownIncarnations);
         if (accepted.incarnation >= machine.heard.getOrDefault(from, 1L)
             && accepted.incarnation >= machine.kept.known(from)) {
           if (accepted.establish) {
             ballot.established.add(from);
           }
-          for (int index = 0; index < Protocol.list(accepted.names).size(); index++) {
+          for (int index = 0; index < Protocol.emptyIfNull(accepted.names).size(); index++) {
             ballot
                 .accepted
                 .computeIfAbsent(accepted.names.get(index), key -> new HashMap<>())
@@ -624,9 +631,9 @@
       }
     } else if (message instanceof StateStoreMessages.HeartbeatAck) {
       final StateStoreMessages.HeartbeatAck ack = (StateStoreMessages.HeartbeatAck) message;
-      for (int index = 0; index < Protocol.list(ack.partitions).size(); index++) {
+      for (int index = 0; index < Protocol.emptyIfNull(ack.partitions).size(); index++) {
         if (ballot(machine, ack.partitions.get(index), ack.ballots.get(index)) != null) {
-          hears(machine, ack.known);
+          hears(machine, ack.knownIncarnations);
         }
       }
     } else if (message instanceof StateStoreMessages.RecoveryResponse) {
@@ -639,7 +646,7 @@
 
   private void hears(final Machine machine, final List<Long> known) {
     for (int place = 0;
-        place < Protocol.list(known).size() && place < machine.kept.roster().voters.size();
+        place < Protocol.emptyIfNull(known).size() && place < machine.kept.roster().voters.size();
         place++) {
       machine.heard.merge(
           machine.kept.roster().voters.get(place).address, known.get(place), Math::max);
--- a/simulation/src/test/java/weldpoint/simulation/model/TraceTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/model/TraceTest.java
@@ -221,18 +221,31 @@
     } else if (message instanceof StateStoreMessages.Accepted) {
       final StateStoreMessages.Accepted one = (StateStoreMessages.Accepted) message;
       return new StateStoreMessages.Accepted(
-          one.partition, one.ballot, one.establish, one.names, one.counts, one.lacking, 1, null);
+          one.partition,
+          one.ballot,
+          one.establish,
+          one.names,
+          one.counts,
+          one.missingBase,
+          1,
+          null);
     } else if (message instanceof StateStoreMessages.HeartbeatAck) {
       final StateStoreMessages.HeartbeatAck one = (StateStoreMessages.HeartbeatAck) message;
-      return new StateStoreMessages.HeartbeatAck(one.partitions, one.ballots, 1, null, one.audited);
+      return new StateStoreMessages.HeartbeatAck(
+          one.partitions, one.ballots, 1, null, one.auditedThrough);
     } else if (message instanceof StateStoreMessages.Refused) {
       final StateStoreMessages.Refused one = (StateStoreMessages.Refused) message;
       return new StateStoreMessages.Refused(
-          one.partition, one.ballot, one.promised, one.roster, null);
+          one.partition, one.ballot, one.promised, one.rosterNumber, null);
     } else if (message instanceof StateStoreMessages.Accept) {
       final StateStoreMessages.Accept one = (StateStoreMessages.Accept) message;
       return new StateStoreMessages.Accept(
-          one.partition, one.roster, one.ballot, one.establish, one.counted, one.entries);
+          one.partition,
+          one.rosterNumber,
+          one.ballot,
+          one.establish,
+          one.countedIncarnations,
+          one.entries);
     }
     return message;
   }
@@ -260,7 +273,7 @@
                       one.established,
                       List.of(),
                       one.incarnation,
-                      one.known);
+                      one.knownIncarnations);
                 }
                 return message;
               }
@@ -293,16 +306,16 @@
                     && !((StateStoreMessages.Accepted) message).establish) {
                   final StateStoreMessages.Accepted one = (StateStoreMessages.Accepted) message;
                   final List<Long> more = new ArrayList<>();
-                  Protocol.list(one.counts).forEach(count -> more.add(count + 5));
+                  Protocol.emptyIfNull(one.counts).forEach(count -> more.add(count + 5));
                   return new StateStoreMessages.Accepted(
                       one.partition,
                       one.ballot,
                       one.establish,
                       one.names,
                       more,
-                      one.lacking,
+                      one.missingBase,
                       one.incarnation,
-                      one.known);
+                      one.knownIncarnations);
                 }
                 return message;
               }
--- a/simulation/src/test/java/weldpoint/statestore/BrokenAuditSequencer.java
+++ b/simulation/src/test/java/weldpoint/statestore/BrokenAuditSequencer.java
@@ -53,20 +53,20 @@
   /** A configuration as a store wrote it before it kept the digest of what it says. */
   public static weldpoint.transport.StateStoreMessages.RegisterEntry older(
       final weldpoint.transport.StateStoreMessages.RegisterEntry entry) {
-    if (entry.whole == null || StoredValues.Kind.of(entry.name) != StoredValues.Kind.SPEC) {
+    if (entry.fullValue == null || StoredValues.Kind.of(entry.name) != StoredValues.Kind.SPEC) {
       return entry;
     }
     final StoredValues.StoredConfiguration spec =
-        (StoredValues.StoredConfiguration) StoredValues.Kind.SPEC.decode(entry.whole);
+        (StoredValues.StoredConfiguration) StoredValues.Kind.SPEC.decode(entry.fullValue);
     return new weldpoint.transport.StateStoreMessages.RegisterEntry(
         entry.name,
-        entry.mark,
-        entry.base,
-        entry.difference,
+        entry.version,
+        entry.baseVersion,
+        entry.delta,
         StoredValues.Kind.SPEC.encode(
             new StoredValues.StoredConfiguration(
                 spec.version, spec.body, spec.summary, spec.tied, null)),
-        entry.audit);
+        entry.auditEntry);
   }
 
   /** A holder as before there was a history: no entries at all. */
--- a/simulation/src/test/java/weldpoint/statestore/DiskContents.java
+++ b/simulation/src/test/java/weldpoint/statestore/DiskContents.java
@@ -63,7 +63,7 @@
           partitions[record.partition].store(
               record.ballot,
               record.incarnation == 1,
-              Protocol.list(record.entries),
+              Protocol.emptyIfNull(record.entries),
               new ArrayList<>());
       case ROSTER -> roster = record.roster.number > roster.number ? record.roster : roster;
       case KNOWN -> known.merge(record.address, record.incarnation, Math::max);
--- a/soak/src/main/java/weldpoint/soak/DaemonProcess.java
+++ b/soak/src/main/java/weldpoint/soak/DaemonProcess.java
@@ -63,7 +63,7 @@
                 "weldpoint.cli.Weldpoint",
                 program));
     final ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
-    builder.environment().put(Settings.VARIABLE, settings.toString());
+    builder.environment().put(Settings.FILE_VARIABLE, settings.toString());
     builder.environment().put(Logging.LEVEL_VARIABLE, "FINE");
     try {
       process = builder.start();
--- a/statestore/src/main/java/weldpoint/statestore/AuditSequencer.java
+++ b/statestore/src/main/java/weldpoint/statestore/AuditSequencer.java
@@ -55,14 +55,14 @@
     for (final RegisterState held : registers) {
       if (held.audit != null) {
         final AuditTail one = Serializer.deserialize(held.audit, AuditTail.class);
-        final long reaches = one.base + Protocol.list(one.entries).size();
+        final long reaches = one.base + Protocol.emptyIfNull(one.entries).size();
         if (best == null || reaches > last) {
           best = held;
           last = reaches;
           tailBase = one.base;
           tailDigest = one.baseDigest == null ? AuditEntry.NO_DIGEST : one.baseDigest;
           tail.clear();
-          tail.addAll(Protocol.list(one.entries));
+          tail.addAll(Protocol.emptyIfNull(one.entries));
         }
       }
     }
@@ -229,7 +229,7 @@
     final StoreMessages.ChangeOrigin origin = call.origin;
     return origin == null
         ? draft.origin(null, null, null, time)
-        : draft.origin(origin.author, origin.caller, origin.taker, time);
+        : draft.origin(origin.author, origin.callerAddress, origin.receivedBy, time);
   }
 
   private AuditEntry.Draft configuration(
--- a/statestore/src/main/java/weldpoint/statestore/ControlView.java
+++ b/statestore/src/main/java/weldpoint/statestore/ControlView.java
@@ -50,11 +50,11 @@
       }
       case PURGES -> {
         purges = (CacheMessages.Purges) held.committed;
-        otherMarks += purges.mark;
+        otherMarks += purges.lastSerial;
       }
       case ELECTORATE -> {
         electorates.add((RegionMessages.Electorate) held.committed);
-        otherMarks += ((RegionMessages.Electorate) held.committed).mark;
+        otherMarks += ((RegionMessages.Electorate) held.committed).revision;
       }
       case PLACEMENT -> {
         placements.add((PlacementMessages.Placement) held.committed);
--- a/statestore/src/main/java/weldpoint/statestore/Membership.java
+++ b/statestore/src/main/java/weldpoint/statestore/Membership.java
@@ -70,7 +70,7 @@
 
   /** A daemon asks to become a voter; true where it was not known to wait. */
   boolean asks(final Voter voter, final Roster roster, final long now) {
-    if (roster.index(voter.address) >= 0) {
+    if (roster.indexOf(voter.address) >= 0) {
       describes(voter);
       return false;
     }
@@ -167,7 +167,7 @@
   private Roster step(final Roster present, final Set<String> away, final long now) {
     final List<Voter> best = VoterSelection.best(present.voters, away, newcomers(now), mostVoters);
     final List<Voter> in = new ArrayList<>(best);
-    in.removeIf(voter -> present.index(voter.address) >= 0);
+    in.removeIf(voter -> present.indexOf(voter.address) >= 0);
     final List<Voter> out = new ArrayList<>(present.voters);
     out.removeAll(best);
     if (in.isEmpty() && out.isEmpty()) {
--- a/statestore/src/main/java/weldpoint/statestore/Partition.java
+++ b/statestore/src/main/java/weldpoint/statestore/Partition.java
@@ -169,25 +169,25 @@
     }
     for (final RegisterEntry entry : entries) {
       final StoredRegister before = stored.get(entry.name);
-      if (before != null && before.mark.compareTo(entry.mark) >= 0) {
+      if (before != null && before.mark.compareTo(entry.version) >= 0) {
         continue;
       }
       final StoredValues.Kind kind = StoredValues.Kind.of(entry.name);
-      if (entry.whole != null) {
+      if (entry.fullValue != null) {
         stored.put(
-            entry.name, new StoredRegister(entry.mark, kind.decode(entry.whole), entry.audit));
-      } else if (entry.difference != null
-          && (before == null ? RegisterVersion.NONE : before.mark).equals(entry.base)) {
-        final boolean unchanged =
-            before != null && entry.difference != null && entry.difference.length == 0;
+            entry.name,
+            new StoredRegister(entry.version, kind.decode(entry.fullValue), entry.auditEntry));
+      } else if (entry.delta != null
+          && (before == null ? RegisterVersion.NONE : before.mark).equals(entry.baseVersion)) {
+        final boolean unchanged = before != null && entry.delta != null && entry.delta.length == 0;
         stored.put(
             entry.name,
             new StoredRegister(
-                entry.mark,
+                entry.version,
                 unchanged
                     ? before.value
-                    : kind.apply(before == null ? null : before.value, entry.difference),
-                entry.audit));
+                    : kind.apply(before == null ? null : before.value, entry.delta),
+                entry.auditEntry));
       } else {
         lacking.add(entry);
       }
--- a/statestore/src/main/java/weldpoint/statestore/RecentCalls.java
+++ b/statestore/src/main/java/weldpoint/statestore/RecentCalls.java
@@ -33,7 +33,9 @@
   /** What was decided of a call before; null where nothing is known of it. */
   Decision before(final StoreRequest call) {
     final Decided one =
-        call.caller == 0 ? null : decided.get(new Identity(call.caller, call.number));
+        call.callerIncarnation == 0
+            ? null
+            : decided.get(new Identity(call.callerIncarnation, call.number));
     return one == null ? null : one.decision;
   }
 
@@ -48,9 +50,9 @@
 
   /** Remembers what was decided of a call. */
   void remember(final StoreRequest call, final Decision decision, final long now) {
-    if (call.caller != 0) {
+    if (call.callerIncarnation != 0) {
       decided.put(
-          new Identity(call.caller, call.number),
+          new Identity(call.callerIncarnation, call.number),
           new Decided(Decision.confirm(decision.status, decision.first, decision.body), now));
     }
   }
--- a/statestore/src/main/java/weldpoint/statestore/Recovery.java
+++ b/statestore/src/main/java/weldpoint/statestore/Recovery.java
@@ -126,13 +126,13 @@
 
   void onEnquired(
       final String from, final StateStoreMessages.MembershipResponse answer, final long now) {
-    if (answer.blank) {
+    if (answer.blankDisk) {
       return;
     }
     if (!replica.blank) {
       replica.adopt(answer.roster, now);
-      if (replica.roster.index(replica.self) < 0) {
-        final List<String> holders = Protocol.list(answer.holders);
+      if (replica.roster.indexOf(replica.self) < 0) {
+        final List<String> holders = Protocol.emptyIfNull(answer.holders);
         for (int index = 0; index < holders.size(); index++) {
           replica.partitions[index].holder =
               holders.get(index).isEmpty() ? null : holders.get(index);
@@ -208,14 +208,14 @@
     fetchers.add(from);
     final boolean news = fetch.incarnation > replica.incarnationOf(from);
     replica.known.merge(from, fetch.incarnation, Math::max);
-    final int index = replica.roster.index(from);
+    final int index = replica.roster.indexOf(from);
     if (news && index >= 0) {
       LOGGER.atInfo().log(
           "frame %s learns that %s lost its disk and is now incarnation %s",
           replica.self, from, fetch.incarnation);
       replica.overtaken(index);
     }
-    if (!news && !(fetch.after.isEmpty() && Protocol.list(fetch.names).isEmpty())) {
+    if (!news && !(fetch.after.isEmpty() && Protocol.emptyIfNull(fetch.names).isEmpty())) {
       reply.accept(part(from, fetch));
       return;
     }
@@ -227,7 +227,7 @@
 
   private StateStoreMessages.RecoveryResponse part(
       final String from, final StateStoreMessages.RecoveryRequest fetch) {
-    return Protocol.list(fetch.names).isEmpty() ? page(fetch) : values(from, fetch);
+    return Protocol.emptyIfNull(fetch.names).isEmpty() ? page(fetch) : values(from, fetch);
   }
 
   private StateStoreMessages.RecoveryResponse fetched(
@@ -363,9 +363,9 @@
     if (source == null || source.asked == null || source.asked.number != answer.number) {
       return;
     }
-    final List<RegisterEntry> entries = Protocol.list(answer.entries);
+    final List<RegisterEntry> entries = Protocol.emptyIfNull(answer.entries);
     parts++;
-    if (answer.values) {
+    if (answer.containsValues) {
       takeValues(source, answer, entries);
     } else {
       if (answer.after.isEmpty()) {
@@ -373,8 +373,8 @@
         source.marks.clear();
       }
       for (final RegisterEntry entry : entries) {
-        source.marks.put(entry.name, entry.mark);
-        if (entry.whole != null) {
+        source.marks.put(entry.name, entry.version);
+        if (entry.fullValue != null) {
           keep(entry);
         }
         source.after = entry.name;
@@ -391,7 +391,7 @@
       final Source source,
       final StateStoreMessages.RecoveryResponse answer,
       final List<RegisterEntry> entries) {
-    for (final String name : Protocol.list(answer.absent)) {
+    for (final String name : Protocol.emptyIfNull(answer.absentNames)) {
       source.marks.remove(name);
     }
     if (answer.total == 0) {
@@ -405,40 +405,40 @@
       pieces.put(entry.name, piece);
     }
     if (piece == null
-        || !piece.head.mark.equals(entry.mark)
+        || !piece.head.version.equals(entry.version)
         || piece.bytes.size() != answer.offset) {
       return;
     }
-    piece.bytes.writeBytes(entry.whole);
-    bytes += entry.whole.length;
+    piece.bytes.writeBytes(entry.fullValue);
+    bytes += entry.fullValue.length;
     if (piece.bytes.size() == answer.total) {
       pieces.remove(entry.name);
       bytes -= answer.total;
       keep(
           new RegisterEntry(
               entry.name,
-              entry.mark,
+              entry.version,
               RegisterVersion.NONE,
               null,
               piece.bytes.toByteArray(),
-              piece.head.audit));
+              piece.head.auditEntry));
     }
   }
 
   /** Keeps a value that a voter holds, in memory and on disk, so that it need not come again. */
   private void keep(final RegisterEntry entry) {
     final Partition partition = replica.partitions[StateStoreReplica.partition(entry.name)];
-    bytes += entry.whole.length;
+    bytes += entry.fullValue.length;
     final StoredRegister before = partition.stored.get(entry.name);
-    if (before != null && before.mark.compareTo(entry.mark) >= 0) {
+    if (before != null && before.mark.compareTo(entry.version) >= 0) {
       return;
     }
-    partition.store(entry.mark.ballot(), false, List.of(entry), new ArrayList<>());
+    partition.store(entry.version.ballot(), false, List.of(entry), new ArrayList<>());
     replica.persist(
         new StoredValues.DiskRecord(
             StateStoreReplica.REGISTERS,
             partition.number,
-            entry.mark.ballot(),
+            entry.version.ballot(),
             List.of(entry),
             null,
             null,
@@ -548,7 +548,7 @@
     final Set<String> taken = new HashSet<>();
     for (final Source source : whole.values()) {
       if (source.asked != null) {
-        taken.addAll(Protocol.list(source.asked.names));
+        taken.addAll(Protocol.emptyIfNull(source.asked.names));
       }
     }
     final int share = Math.max(1, Math.min(MOST_NAMES, lacking.size() / Math.max(1, whole.size())));
@@ -589,7 +589,9 @@
     for (final Source source : whole.values()) {
       for (int index = 0; index < replica.roster.voters.size(); index++) {
         replica.known.merge(
-            replica.roster.voters.get(index).address, source.first.known.get(index), Math::max);
+            replica.roster.voters.get(index).address,
+            source.first.knownIncarnations.get(index),
+            Math::max);
       }
       for (final Partition partition : replica.partitions) {
         final RegisterVersion promised = source.first.promised.get(partition.number);
@@ -613,8 +615,8 @@
     pieces.clear();
     whole.forEach(
         (address, source) -> {
-          if (source.first.audited > wantedAudit) {
-            wantedAudit = source.first.audited;
+          if (source.first.auditedThrough > wantedAudit) {
+            wantedAudit = source.first.auditedThrough;
             wantedFrom = address;
           }
         });
@@ -678,7 +680,7 @@
       others.removeIf(
           address ->
               sources.get(address).first == null
-                  || sources.get(address).first.audited < wantedAudit);
+                  || sources.get(address).first.auditedThrough < wantedAudit);
       wantedFrom =
           others.isEmpty()
               ? wantedFrom
--- a/statestore/src/main/java/weldpoint/statestore/StateStoreDaemon.java
+++ b/statestore/src/main/java/weldpoint/statestore/StateStoreDaemon.java
@@ -48,13 +48,14 @@
     final long owner = RandomIds.next();
     this.transport =
         new Transport(
-            loop, new Protocol.Hello(Serializer.PROTOCOL, "frame", settings.address(), owner));
+            loop,
+            new Protocol.Hello(Serializer.PROTOCOL_VERSION, "frame", settings.address(), owner));
     this.connections =
         new PeerConnections(
             transport,
             settings.transportPort(1),
             to ->
-                Transport.on(
+                Transport.dispatchOn(
                     executor,
                     new Transport.Listener() {
                       @Override
@@ -92,7 +93,7 @@
 
               @Override
               public void peers(final List<String> addresses) {
-                connections.keep(addresses);
+                connections.updateAddresses(addresses);
               }
 
               @Override
@@ -145,10 +146,10 @@
                 now()));
     log.start("tape");
     segments.start("history");
-    transport.serve(
+    transport.bind(
         settings.bindAddress(),
         settings.transportPort(1),
-        Transport.on(
+        Transport.dispatchOn(
             executor,
             new Transport.Listener() {
               @Override
@@ -156,7 +157,7 @@
                 if (message instanceof StoreMessages.StoreRequest) {
                   replica.call(
                       (StoreMessages.StoreRequest) message,
-                      answer -> connection.send(answer.at(now())),
+                      answer -> connection.send(answer.withClock(now())),
                       now());
                 } else {
                   replica.receive(connection.peer().address, message, connection::send, now());
@@ -171,7 +172,7 @@
     final long now = now();
     replica.disk(log.busyMillis(), log.refusing(), now);
     replica.tick(now);
-    if (now - countersAt >= settings.countersMillis()) {
+    if (now - countersAt >= settings.counterLogMillis()) {
       countersAt = now;
       LOGGER.atInfo().log(
           "counters: serving %s ballots %s commits %s syncs %s %s roster %s %s %s",
--- a/statestore/src/main/java/weldpoint/statestore/StateStoreReplica.java
+++ b/statestore/src/main/java/weldpoint/statestore/StateStoreReplica.java
@@ -216,7 +216,7 @@
           partitions[record.partition].store(
               record.ballot,
               record.incarnation == 1,
-              Protocol.list(record.entries),
+              Protocol.emptyIfNull(record.entries),
               new ArrayList<>());
       case ROSTER -> {
         if (record.roster.number > roster.number) {
@@ -319,7 +319,7 @@
 
   private void learn(final long rosterNumber, final List<Long> incarnations) {
     if (rosterNumber != roster.number
-        || Protocol.list(incarnations).size() != roster.voters.size()) {
+        || Protocol.emptyIfNull(incarnations).size() != roster.voters.size()) {
       return;
     }
     for (int index = 0; index < incarnations.size(); index++) {
@@ -394,7 +394,7 @@
   private final List<Partition> restart = new ArrayList<>();
 
   boolean votes() {
-    return !blank && mayVote && roster.index(self) >= 0;
+    return !blank && mayVote && roster.indexOf(self) >= 0;
   }
 
   // ---- messages from frames
@@ -475,7 +475,7 @@
   public void lineClosed(final String address, final long now) {
     membership.closed(address, now);
     recovery.lineClosed(address);
-    final int index = roster.index(address);
+    final int index = roster.indexOf(address);
     for (final Partition partition : partitions) {
       if (address.equals(partition.holder)
           && partition.phase.ordinal() <= Phase.CANVASSING.ordinal()) {
@@ -515,7 +515,7 @@
 
   private void onCanvass(
       final StateStoreMessages.PreVote canvass, final Consumer<Message> reply, final long now) {
-    if (!agrees(canvass.roster, reply, canvass.partition, RegisterVersion.NONE)) {
+    if (!agrees(canvass.rosterNumber, reply, canvass.partition, RegisterVersion.NONE)) {
       return;
     }
     final Partition partition = partitions[canvass.partition];
@@ -530,7 +530,7 @@
   private void onCanvassed(
       final String from, final StateStoreMessages.PreVoteResponse canvassed, final long now) {
     final Partition partition = partitions[canvassed.partition];
-    final int place = roster.index(from);
+    final int place = roster.indexOf(from);
     if (partition.phase != Phase.CANVASSING
         || partition.canvass != canvassed.number
         || place < 0
@@ -557,7 +557,7 @@
 
   private void onPrepare(
       final StateStoreMessages.Prepare prepare, final Consumer<Message> reply, final long now) {
-    if (!agrees(prepare.roster, reply, prepare.partition, prepare.ballot)) {
+    if (!agrees(prepare.rosterNumber, reply, prepare.partition, prepare.ballot)) {
       return;
     }
     final Partition partition = partitions[prepare.partition];
@@ -582,7 +582,7 @@
     persist(
         new StoredValues.DiskRecord(PROMISE, partition.number, prepare.ballot, null, null, null, 0),
         () -> {
-          if (partition.promised.equals(prepare.ballot) && roster.number == prepare.roster) {
+          if (partition.promised.equals(prepare.ballot) && roster.number == prepare.rosterNumber) {
             reply.accept(
                 new StateStoreMessages.Promise(
                     partition.number,
@@ -600,11 +600,11 @@
       final StateStoreMessages.Accept accept,
       final Consumer<Message> reply,
       final long now) {
-    if (!agrees(accept.roster, reply, accept.partition, accept.ballot)) {
+    if (!agrees(accept.rosterNumber, reply, accept.partition, accept.ballot)) {
       return;
     }
     final Partition partition = partitions[accept.partition];
-    final List<Long> counted = Protocol.list(accept.counted);
+    final List<Long> counted = Protocol.emptyIfNull(accept.countedIncarnations);
     for (int index = 0; index < counted.size() && index < roster.voters.size(); index++) {
       if (counted.get(index) > 0
           && counted.get(index) < incarnationOf(roster.voters.get(index).address)) {
@@ -632,8 +632,8 @@
       stepDown(partition, now);
     }
     heardHolder(partition, from, now);
-    learnLasting(Protocol.list(accept.known));
-    final List<RegisterEntry> entries = Protocol.list(accept.entries);
+    learnLasting(Protocol.emptyIfNull(accept.knownIncarnations));
+    final List<RegisterEntry> entries = Protocol.emptyIfNull(accept.entries);
     final List<RegisterEntry> lacking = new ArrayList<>();
     partition.store(accept.ballot, accept.establish, entries, lacking);
     final List<String> names = new ArrayList<>(entries.size());
@@ -645,7 +645,7 @@
         lackingNames.add(entry.name);
       } else {
         names.add(entry.name);
-        counts.add(entry.mark.count);
+        counts.add(entry.version.count);
         kept.add(entry);
       }
     }
@@ -653,7 +653,7 @@
         new StoredValues.DiskRecord(
             REGISTERS, partition.number, accept.ballot, kept, null, null, accept.establish ? 1 : 0),
         () -> {
-          if (roster.number == accept.roster) {
+          if (roster.number == accept.rosterNumber) {
             reply.accept(
                 new StateStoreMessages.Accepted(
                     partition.number,
@@ -682,9 +682,9 @@
       final StateStoreMessages.Heartbeat heartbeat,
       final Consumer<Message> reply,
       final long now) {
-    final List<Integer> numbers = Protocol.list(heartbeat.partitions);
+    final List<Integer> numbers = Protocol.emptyIfNull(heartbeat.partitions);
     if (numbers.isEmpty()
-        || !agrees(heartbeat.roster, reply, numbers.get(0), heartbeat.ballots.get(0))) {
+        || !agrees(heartbeat.rosterNumber, reply, numbers.get(0), heartbeat.ballots.get(0))) {
       return;
     }
     final List<Integer> standing = new ArrayList<>(numbers.size());
@@ -696,10 +696,10 @@
         standing.add(partition.number);
         ballotsStanding.add(ballot);
         heardHolder(partition, from, now);
-        membership.settled(partition.number, heartbeat.roster);
+        membership.settled(partition.number, heartbeat.rosterNumber);
       } else if (ballot.compareTo(partition.promised) > 0) {
         heardHolder(partition, from, now);
-        membership.settled(partition.number, heartbeat.roster);
+        membership.settled(partition.number, heartbeat.rosterNumber);
       } else {
         reply.accept(
             new StateStoreMessages.Refused(
@@ -716,11 +716,11 @@
       final StateStoreMessages.Refused refused,
       final Consumer<Message> reply,
       final long now) {
-    if (refused.roster < roster.number) {
+    if (refused.rosterNumber < roster.number) {
       environment.send(from, new StateStoreMessages.RosterUpdate(roster));
       return;
     }
-    learn(refused.roster, refused.known);
+    learn(refused.rosterNumber, refused.knownIncarnations);
     final Partition partition = partitions[refused.partition];
     if (partition.phase != Phase.IDLE
         && partition.ballot.sameBallot(refused.ballot)
@@ -742,7 +742,7 @@
       membership.leaves(from, now);
       release(from, reply);
     }
-    for (final int number : Protocol.list(resign.partitions)) {
+    for (final int number : Protocol.emptyIfNull(resign.partitions)) {
       final Partition partition = partitions[number];
       if (from.equals(partition.holder)
           && partition.phase.ordinal() <= Phase.CANVASSING.ordinal()) {
@@ -775,7 +775,7 @@
           membership.adopted(news, now);
           LOGGER.atInfo().log("frame %s adopts roster %s: %s", self, news.number, addresses(news));
           tellPeers();
-          if (news.index(self) < 0) {
+          if (news.indexOf(self) < 0) {
             resign(false, now);
           }
           for (final Partition partition : partitions) {
@@ -960,13 +960,13 @@
   private void onPromise(
       final String from, final StateStoreMessages.Promise promise, final long now) {
     final Partition partition = partitions[promise.partition];
-    final int index = roster.index(from);
+    final int index = roster.indexOf(from);
     if (partition.phase != Phase.PREPARING
         || !partition.ballot.equals(promise.ballot)
         || index < 0) {
       return;
     }
-    learn(roster.number, promise.known);
+    learn(roster.number, promise.knownIncarnations);
     if (restart.contains(partition) || promise.incarnation < incarnationOf(from)) {
       return;
     }
@@ -997,10 +997,10 @@
     final Map<String, RegisterEntry> best = new LinkedHashMap<>();
     for (final StateStoreMessages.Promise one : partition.promises) {
       if (one != null) {
-        for (final RegisterEntry entry : Protocol.list(one.entries)) {
+        for (final RegisterEntry entry : Protocol.emptyIfNull(one.entries)) {
           final RegisterEntry before = best.get(entry.name);
-          if (entry.mark.compareTo(floor) >= 0
-              && (before == null || before.mark.compareTo(entry.mark) < 0)) {
+          if (entry.version.compareTo(floor) >= 0
+              && (before == null || before.version.compareTo(entry.version) < 0)) {
             best.put(entry.name, entry);
           }
         }
@@ -1010,10 +1010,10 @@
     for (final RegisterEntry entry : best.values()) {
       final RegisterState held =
           new RegisterState(entry.name, keepMillis, partition.ballot.round, versions);
-      held.proposed = held.kind.decode(entry.whole);
-      held.audit = entry.audit;
-      held.source = entry.mark;
-      held.mark = partition.ballot.at(++partition.count);
+      held.proposed = held.kind.decode(entry.fullValue);
+      held.audit = entry.auditEntry;
+      held.source = entry.version;
+      held.mark = partition.ballot.withCount(++partition.count);
       held.establishedMark = held.mark;
       Arrays.fill(held.acked, -1);
       Arrays.fill(held.sent, -1);
@@ -1065,17 +1065,17 @@
   private void onAccepted(
       final String from, final StateStoreMessages.Accepted accepted, final long now) {
     final Partition partition = partitions[accepted.partition];
-    final int place = roster.index(from);
+    final int place = roster.indexOf(from);
     if (partition.phase != Phase.ESTABLISHING && partition.phase != Phase.SERVING
         || !partition.ballot.sameBallot(accepted.ballot)
         || place < 0) {
       return;
     }
-    learn(roster.number, accepted.known);
+    learn(roster.number, accepted.knownIncarnations);
     if (restart.contains(partition) || accepted.incarnation != incarnationOf(from)) {
       return;
     }
-    final List<String> names = Protocol.list(accepted.names);
+    final List<String> names = Protocol.emptyIfNull(accepted.names);
     for (int index = 0; index < names.size(); index++) {
       final RegisterState held = partition.held.get(names.get(index));
       if (held != null) {
@@ -1086,7 +1086,7 @@
       partition.establishAcked[place] = true;
     }
     partition.repairs[place].pause = 0;
-    for (final String name : Protocol.list(accepted.lacking)) {
+    for (final String name : Protocol.emptyIfNull(accepted.missingBase)) {
       final RegisterState held = partition.held.get(name);
       if (held != null) {
         sendWhole(partition, held, place, now);
@@ -1166,7 +1166,7 @@
         new StateStoreMessages.Heartbeat(
             roster.number,
             List.of(partition.number),
-            List.of(partition.ballot.at(partition.pulseCount))),
+            List.of(partition.ballot.withCount(partition.pulseCount))),
         now);
   }
 
@@ -1182,7 +1182,7 @@
         partition.pulseCount++;
         partition.pulsedAt = now;
         numbers.add(partition.number);
-        marks.add(partition.ballot.at(partition.pulseCount));
+        marks.add(partition.ballot.withCount(partition.pulseCount));
       }
     }
     if (!numbers.isEmpty()) {
@@ -1194,13 +1194,13 @@
 
   private void onPulsed(
       final String from, final StateStoreMessages.HeartbeatAck ack, final long now) {
-    final int place = roster.index(from);
-    final List<Integer> numbers = Protocol.list(ack.partitions);
+    final int place = roster.indexOf(from);
+    final List<Integer> numbers = Protocol.emptyIfNull(ack.partitions);
     for (int index = 0; index < numbers.size(); index++) {
       final Partition partition = partitions[numbers.get(index)];
       if (partition.phase.ordinal() > Phase.CANVASSING.ordinal()
           && partition.ballot.sameBallot(ack.ballots.get(index))) {
-        learn(roster.number, ack.known);
+        learn(roster.number, ack.knownIncarnations);
         break;
       }
     }
@@ -1213,7 +1213,7 @@
       }
     }
     if (partitions[0].phase == Phase.SERVING) {
-      auditSequencer.logged(place, ack.audited);
+      auditSequencer.logged(place, ack.auditedThrough);
       auditSequencer.settle(roster);
     }
     for (int index = 0; index < numbers.size(); index++) {
@@ -1272,8 +1272,8 @@
       final Consumer<StoreMessages.StoreResponse> line,
       final long now) {
     final Consumer<StoreMessages.StoreResponse> reply =
-        answer -> line.accept(answer.to(call.caller));
-    final StoreOperation operation = StoreOperation.of(call.deed);
+        answer -> line.accept(answer.withCaller(call.callerIncarnation));
+    final StoreOperation operation = StoreOperation.of(call.operation);
     if (operation == null) {
       reply.accept(new StoreMessages.StoreResponse(call.number, 400, 0, null, null));
       return;
@@ -1378,7 +1378,7 @@
 
   /** Whether a copy was under way for too long; nothing is done for it. */
   private static boolean late(final StoreMessages.StoreRequest call, final long now) {
-    return call.clock != null && now - call.clock > COPY_MILLIS;
+    return call.storeClockMillis != null && now - call.storeClockMillis > COPY_MILLIS;
   }
 
   /**
@@ -1387,8 +1387,8 @@
    */
   private static boolean datable(
       final Partition partition, final StoreMessages.StoreRequest call, final long now) {
-    return call.clock == null
-        || call.clock - call.age >= partition.servedAt
+    return call.storeClockMillis == null
+        || call.storeClockMillis - call.ageMillis >= partition.servedAt
         || older(partition, call, now);
   }
 
@@ -1398,7 +1398,7 @@
    */
   private static boolean older(
       final Partition partition, final StoreMessages.StoreRequest call, final long now) {
-    return call.age > 0 && now - call.age < partition.servedAt;
+    return call.ageMillis > 0 && now - call.ageMillis < partition.servedAt;
   }
 
   private Decision decide(
@@ -1457,7 +1457,7 @@
     }
     held.inFlight = true;
     held.proposed = value;
-    held.mark = partition.ballot.at(++partition.count);
+    held.mark = partition.ballot.withCount(++partition.count);
     byte[] whole = null;
     byte[] difference = null;
     for (int place = 0; place < roster.voters.size(); place++) {
@@ -1796,7 +1796,7 @@
    * Tells a voter that leaves which partitions served here are on a majority of disks without it.
    */
   private void release(final String from, final Consumer<Message> reply) {
-    final int place = roster.index(from);
+    final int place = roster.indexOf(from);
     final List<Integer> numbers = new ArrayList<>();
     for (final Partition partition : partitions) {
       if (partition.phase == Phase.SERVING
@@ -1833,8 +1833,8 @@
   }
 
   private void onReleased(final StateStoreMessages.Released released, final long now) {
-    if (gracefulLeave.begun() && released.roster >= gracefulLeave.roster()) {
-      gracefulLeave.released(Protocol.list(released.partitions));
+    if (gracefulLeave.begun() && released.rosterNumber >= gracefulLeave.roster()) {
+      gracefulLeave.released(Protocol.emptyIfNull(released.partitions));
       depart(now);
     }
   }
@@ -1871,7 +1871,7 @@
         resign(true, now);
       }
     }
-    final int place = roster.index(self);
+    final int place = roster.indexOf(self);
     if (blank || place < 0 || roster.voters.get(place).site.isEmpty()) {
       outsider(now);
     }
@@ -2074,7 +2074,7 @@
     }
     seedsToldAt = now;
     for (final String seed : seeds) {
-      if (!seed.equals(self) && roster.index(seed) < 0 && !membership.joiners().contains(seed)) {
+      if (!seed.equals(self) && roster.indexOf(seed) < 0 && !membership.joiners().contains(seed)) {
         environment.send(seed, new StateStoreMessages.RosterUpdate(roster));
       }
     }
