--- a/statestore/src/main/java/weldpoint/statestore/StoreOperation.java
+++ b/statestore/src/main/java/weldpoint/statestore/StoreOperation.java
@@ -30,7 +30,7 @@
               new StoredConfiguration(
                   call.first,
                   call.body,
-                  call.origin == null ? null : call.origin.extra,
+                  call.origin == null ? null : call.origin.configurationSummary,
                   call.second == 1,
                   TakenVersions.content(call)),
               null,
@@ -62,7 +62,7 @@
     Decision decide(
         final RegisterState held, final Object value, final StoreRequest call, final long now) {
       final Evacuation evacuation = value == null ? new Evacuation(false, 0) : (Evacuation) value;
-      if (call.caller != 0 && call.second != held.ticket()) {
+      if (call.callerIncarnation != 0 && call.second != held.ticket()) {
         return Decision.confirm(410, 0);
       }
       held.grants++;
@@ -110,9 +110,9 @@
               ? new weldpoint.transport.CacheMessages.Purges(0, 0, List.of())
               : (weldpoint.transport.CacheMessages.Purges) value;
       final String named = new String(call.body, java.nio.charset.StandardCharsets.UTF_8);
-      final long serial = before.mark + 1;
+      final long serial = before.lastSerial + 1;
       final List<weldpoint.transport.CacheMessages.Purge> all =
-          new ArrayList<>(weldpoint.transport.Protocol.list(before.purges));
+          new ArrayList<>(weldpoint.transport.Protocol.emptyIfNull(before.purges));
       all.add(
           call.owner == null
               ? new weldpoint.transport.CacheMessages.Purge(serial, null, null, named)
@@ -135,9 +135,9 @@
           (weldpoint.transport.RegionMessages.Electorate) value;
       final weldpoint.transport.RegionMessages.Electorate next =
           Serializer.deserialize(call.body, weldpoint.transport.RegionMessages.Electorate.class);
-      final long mark = before == null ? 0 : before.mark;
-      return next.mark == mark + 1
-          ? Decision.write(next, null, next.mark)
+      final long mark = before == null ? 0 : before.revision;
+      return next.revision == mark + 1
+          ? Decision.write(next, null, next.revision)
           : Decision.confirm(412, mark);
     }
   },
--- a/statestore/src/main/java/weldpoint/statestore/StoredValues.java
+++ b/statestore/src/main/java/weldpoint/statestore/StoredValues.java
@@ -83,7 +83,7 @@
     public Object apply(final Object value, final byte[] difference) {
       final GroupDelta change = Serializer.deserialize(difference, GroupDelta.class);
       return (value == null ? CellGroup.EMPTY : (CellGroup) value)
-          .with(Protocol.list(change.puts), change.floor);
+          .with(Protocol.emptyIfNull(change.puts), change.floor);
     }
   }
 
@@ -307,10 +307,11 @@
     static CellGroup decode(final byte[] bytes) {
       final GroupSnapshot packed = Serializer.deserialize(bytes, GroupSnapshot.class);
       final Map<String, Put> cells = new LinkedHashMap<>();
-      for (final Put put : Protocol.list(packed.cells)) {
+      for (final Put put : Protocol.emptyIfNull(packed.cells)) {
         cells.put(put.name, put);
       }
-      return new CellGroup(cells, Protocol.list(packed.history), packed.revision, packed.floor);
+      return new CellGroup(
+          cells, Protocol.emptyIfNull(packed.history), packed.revision, packed.floor);
     }
   }
 
--- a/statestore/src/main/java/weldpoint/statestore/TakenVersions.java
+++ b/statestore/src/main/java/weldpoint/statestore/TakenVersions.java
@@ -77,7 +77,7 @@
 
   /** What a configuration that is sent says. */
   static byte[] content(final StoreRequest call) {
-    return call.content == null ? content(call.body) : call.content;
+    return call.contentDigest == null ? content(call.body) : call.contentDigest;
   }
 
   private static byte[] content(final byte[] packed) {
--- a/statestore/src/main/java/weldpoint/statestore/TokenAssignment.java
+++ b/statestore/src/main/java/weldpoint/statestore/TokenAssignment.java
@@ -31,7 +31,7 @@
   public static Roster with(final Roster roster, final Voter newcomer) {
     final List<List<Integer>> lists = new ArrayList<>();
     for (final Voter voter : roster.voters) {
-      lists.add(new ArrayList<>(weldpoint.transport.Protocol.list(voter.tokens)));
+      lists.add(new ArrayList<>(weldpoint.transport.Protocol.emptyIfNull(voter.tokens)));
     }
     final List<Integer> taken = new ArrayList<>();
     final int share = COUNT / (roster.voters.size() + 1);
@@ -58,10 +58,10 @@
     for (final Voter voter : roster.voters) {
       if (!voter.address.equals(gone.address)) {
         staying.add(voter);
-        lists.add(new ArrayList<>(weldpoint.transport.Protocol.list(voter.tokens)));
+        lists.add(new ArrayList<>(weldpoint.transport.Protocol.emptyIfNull(voter.tokens)));
       }
     }
-    for (final int token : weldpoint.transport.Protocol.list(gone.tokens)) {
+    for (final int token : weldpoint.transport.Protocol.emptyIfNull(gone.tokens)) {
       List<Integer> least = lists.get(0);
       for (final List<Integer> list : lists) {
         least = list.size() < least.size() ? list : least;
--- a/statestore/src/test/java/weldpoint/statestore/FencingTest.java
+++ b/statestore/src/test/java/weldpoint/statestore/FencingTest.java
@@ -68,7 +68,7 @@
             instanceof StateStoreMessages.RecoveryResponse);
     final Message refused = say("10.0.0.3", accept(6, 1));
     assertTrue(refused instanceof StateStoreMessages.Refused);
-    assertEquals(((StateStoreMessages.Refused) refused).known, List.of(1L, 2L, 1L));
+    assertEquals(((StateStoreMessages.Refused) refused).knownIncarnations, List.of(1L, 2L, 1L));
     assertTrue(say("10.0.0.3", accept(7, 2)) instanceof StateStoreMessages.Accepted);
   }
 
--- a/statestore/src/test/java/weldpoint/statestore/RecentCallsTest.java
+++ b/statestore/src/test/java/weldpoint/statestore/RecentCallsTest.java
@@ -16,7 +16,7 @@
   private static StoreMessages.StoreRequest call(final long caller, final long number) {
     return new StoreMessages.StoreRequest(
             number, StoreOperation.NUMBER.ordinal(), "n", null, 0, 0, null)
-        .from(caller);
+        .withCaller(caller);
   }
 
   @Test
--- a/statestore/src/test/java/weldpoint/statestore/ThawTest.java
+++ b/statestore/src/test/java/weldpoint/statestore/ThawTest.java
@@ -304,9 +304,14 @@
                 final StateStoreMessages.HeartbeatAck ack =
                     (StateStoreMessages.HeartbeatAck) message;
                 final List<RegisterVersion> later = new ArrayList<>();
-                Protocol.list(ack.ballots).forEach(mark -> later.add(mark.at(Long.MAX_VALUE)));
+                Protocol.emptyIfNull(ack.ballots)
+                    .forEach(mark -> later.add(mark.withCount(Long.MAX_VALUE)));
                 return new StateStoreMessages.HeartbeatAck(
-                    ack.partitions, later, ack.incarnation, ack.known, ack.audited);
+                    ack.partitions,
+                    later,
+                    ack.incarnation,
+                    ack.knownIncarnations,
+                    ack.auditedThrough);
               }));
     }
     assertTrue(
--- a/transport/src/main/java/weldpoint/transport/CacheMessages.java
+++ b/transport/src/main/java/weldpoint/transport/CacheMessages.java
@@ -26,13 +26,13 @@
    * missed some.
    */
   public static final class Purges implements Message {
-    public final long floor;
-    public final long mark;
+    public final long floorSerial;
+    public final long lastSerial;
     public final List<Purge> purges;
 
-    public Purges(final long floor, final long mark, final List<Purge> purges) {
-      this.floor = floor;
-      this.mark = mark;
+    public Purges(final long floorSerial, final long lastSerial, final List<Purge> purges) {
+      this.floorSerial = floorSerial;
+      this.lastSerial = lastSerial;
       this.purges = purges;
     }
   }
--- a/transport/src/main/java/weldpoint/transport/Connection.java
+++ b/transport/src/main/java/weldpoint/transport/Connection.java
@@ -8,12 +8,12 @@
  * moment between.
  */
 public final class Connection {
-  private static final int MOST_WAITING = 16 << 20;
+  private static final int MAX_PENDING_BYTES = 16 << 20;
 
   private final Channel channel;
   volatile Protocol.Hello peer;
-  volatile long heardNanos = System.nanoTime();
-  volatile Long peerClock;
+  volatile long lastReceivedNanos = System.nanoTime();
+  volatile Long peerClockMillis;
   private final PeerClock clock = new PeerClock();
   private Object attachment;
 
@@ -30,8 +30,8 @@
    * The latest time of the other end's steady clock, in milliseconds, that was heard on this very
    * line; null where none was.
    */
-  public Long peerClock() {
-    return peerClock;
+  public Long peerClockMillis() {
+    return peerClockMillis;
   }
 
   /** The other end's steady clock as seen from here; known only at the end that dialled. */
@@ -40,9 +40,9 @@
   }
 
   /** A message of the other end told this time of its steady clock. */
-  public void heardClock(final Long clock) {
-    if (clock != null && (peerClock == null || clock > peerClock)) {
-      peerClock = clock;
+  public void updatePeerClock(final Long millis) {
+    if (millis != null && (peerClockMillis == null || millis > peerClockMillis)) {
+      peerClockMillis = millis;
     }
   }
 
@@ -51,8 +51,8 @@
     if (!channel.isActive()) {
       return;
     }
-    final ChannelOutboundBuffer waiting = channel.unsafe().outboundBuffer();
-    if (waiting != null && waiting.totalPendingWriteBytes() > MOST_WAITING) {
+    final ChannelOutboundBuffer outbound = channel.unsafe().outboundBuffer();
+    if (outbound != null && outbound.totalPendingWriteBytes() > MAX_PENDING_BYTES) {
       channel.close();
       return;
     }
@@ -71,7 +71,7 @@
   }
 
   /** Keeps something with the line. */
-  public void attach(final Object given) {
-    attachment = given;
+  public void attach(final Object value) {
+    attachment = value;
   }
 }
--- a/transport/src/main/java/weldpoint/transport/KeyMessages.java
+++ b/transport/src/main/java/weldpoint/transport/KeyMessages.java
@@ -48,7 +48,7 @@
     }
 
     /** The same claim with another span to remember it for. */
-    public Claim kept(final long millis) {
+    public Claim withKeepMillis(final long millis) {
       return new Claim(high, low, proxy, incarnation, number, millis);
     }
 
@@ -170,11 +170,11 @@
     /** It never ran and never will. */
     NEVER_RAN,
     /** It is still at work. */
-    AT_WORK,
+    IN_PROGRESS,
     /** It may have run. */
     UNCERTAIN,
     /** Another request than this one holds the key. */
-    OTHER_REQUEST
+    KEY_REUSED
   }
 
   /** The holder's answer; status, headers (name, value, ...) and body where it was answered. */
--- a/transport/src/main/java/weldpoint/transport/OwnershipMessages.java
+++ b/transport/src/main/java/weldpoint/transport/OwnershipMessages.java
@@ -67,7 +67,7 @@
     }
 
     /** The same holder and fence for a part of the keys. */
-    public KeyRange part(final int from, final int to) {
+    public KeyRange subrange(final int from, final int to) {
       return new KeyRange(from, to, holder, address, fence, state(), transfer);
     }
 
@@ -110,12 +110,12 @@
 
     /** The ranges; an empty list travels as null. */
     public List<KeyRange> ranges() {
-      return Protocol.list(ranges);
+      return Protocol.emptyIfNull(ranges);
     }
 
     /** Whether this life of this registry assigns. */
-    public boolean assignedBy(final String address, final long life) {
-      return assigner.equals(address) && incarnation == life;
+    public boolean assignedBy(final String address, final long assignerIncarnation) {
+      return assigner.equals(address) && incarnation == assignerIncarnation;
     }
   }
 
--- a/transport/src/main/java/weldpoint/transport/PeerClock.java
+++ b/transport/src/main/java/weldpoint/transport/PeerClock.java
@@ -9,7 +9,7 @@
  */
 public final class PeerClock {
   /** One part in so many by which the two clocks may drift apart. */
-  private static final long DRIFT_PARTS = 50;
+  private static final long MAX_DRIFT_DIVISOR = 50;
 
   private final ArrayDeque<Long> sentAt = new ArrayDeque<>();
   private boolean known;
@@ -17,33 +17,33 @@
   private long offsetAt;
 
   /** A question goes out now; questions are answered in their order. */
-  public synchronized void asked(final long now) {
+  public synchronized void requestSent(final long now) {
     sentAt.addLast(now);
   }
 
   /** The answer to the oldest open question has come; it was given at this time of the peer. */
-  public synchronized void answered(final Long peerMillis, final long now) {
-    final Long asked = sentAt.pollFirst();
-    if (asked == null || peerMillis == null) {
+  public synchronized void responseReceived(final Long peerMillis, final long now) {
+    final Long requestSentAt = sentAt.pollFirst();
+    if (requestSentAt == null || peerMillis == null) {
       return;
     }
-    final long fresh = asked - peerMillis;
-    if (!known || fresh >= offset(now)) {
+    final long measured = requestSentAt - peerMillis;
+    if (!known || measured >= offset(now)) {
       known = true;
-      offset = fresh;
+      offset = measured;
       offsetAt = now;
     }
   }
 
   private long offset(final long now) {
-    return offset - (now - offsetAt) / DRIFT_PARTS;
+    return offset - (now - offsetAt) / MAX_DRIFT_DIVISOR;
   }
 
   /**
    * A time of the own clock that was not after this time of the peer's clock; null where no
    * question has been answered yet.
    */
-  public synchronized Long notAfter(final long peerMillis, final long now) {
+  public synchronized Long localLowerBound(final long peerMillis, final long now) {
     return known ? peerMillis + offset(now) : null;
   }
 }
--- a/transport/src/main/java/weldpoint/transport/PlacementMessages.java
+++ b/transport/src/main/java/weldpoint/transport/PlacementMessages.java
@@ -28,22 +28,22 @@
     public final long serial;
     public final long epoch;
     public final List<PlacementMember> members;
-    public final boolean prepared;
-    public final List<PlacementMember> next;
+    public final boolean nextPrepared;
+    public final List<PlacementMember> nextMembers;
 
     public Placement(
         final String service,
         final long serial,
         final long epoch,
         final List<PlacementMember> members,
-        final boolean prepared,
-        final List<PlacementMember> next) {
+        final boolean nextPrepared,
+        final List<PlacementMember> nextMembers) {
       this.service = service;
       this.serial = serial;
       this.epoch = epoch;
       this.members = members;
-      this.prepared = prepared;
-      this.next = next;
+      this.nextPrepared = nextPrepared;
+      this.nextMembers = nextMembers;
     }
   }
 
@@ -62,11 +62,11 @@
 
   /** All placements; the mark rises with each change of any. */
   public static final class Placements implements Message {
-    public final long mark;
+    public final long revision;
     public final List<Placement> placements;
 
-    public Placements(final long mark, final List<Placement> placements) {
-      this.mark = mark;
+    public Placements(final long revision, final List<Placement> placements) {
+      this.revision = revision;
       this.placements = placements;
     }
   }
@@ -77,24 +77,24 @@
    */
   public static final class LeaseRequest implements Message {
     public final long number;
-    public final String board;
+    public final String proxy;
     public final long incarnation;
-    public final long mark;
-    public final long settled;
+    public final long placementRevision;
+    public final long settledRevision;
     public final List<Long> counts;
 
     public LeaseRequest(
         final long number,
-        final String board,
+        final String proxy,
         final long incarnation,
-        final long mark,
-        final long settled,
+        final long placementRevision,
+        final long settledRevision,
         final List<Long> counts) {
       this.number = number;
-      this.board = board;
+      this.proxy = proxy;
       this.incarnation = incarnation;
-      this.mark = mark;
-      this.settled = settled;
+      this.placementRevision = placementRevision;
+      this.settledRevision = settledRevision;
       this.counts = counts;
     }
   }
@@ -102,16 +102,16 @@
   /** The lease: for so many milliseconds from the asker's question; 0 where none is granted. */
   public static final class LeaseGrant implements Message {
     public final long number;
-    public final String board;
+    public final String proxy;
     public final long incarnation;
-    public final long millis;
+    public final long leaseMillis;
 
     public LeaseGrant(
-        final long number, final String board, final long incarnation, final long millis) {
+        final long number, final String proxy, final long incarnation, final long leaseMillis) {
       this.number = number;
-      this.board = board;
+      this.proxy = proxy;
       this.incarnation = incarnation;
-      this.millis = millis;
+      this.leaseMillis = leaseMillis;
     }
   }
 }
--- a/transport/src/main/java/weldpoint/transport/Protocol.java
+++ b/transport/src/main/java/weldpoint/transport/Protocol.java
@@ -4,10 +4,10 @@
 
 /**
  * The kinds of messages of the inner protocol, each with the number under which it travels. A list
- * that travelled empty arrives as null; {@link #list} mends that.
+ * that travelled empty arrives as null; {@link #emptyIfNull} mends that.
  */
 public final class Protocol {
-  static final Class<?>[] KINDS = {
+  static final Class<?>[] MESSAGE_TYPES = {
     Hello.class,
     KeepAlive.class,
     StateStoreMessages.Prepare.class,
@@ -72,54 +72,57 @@
   private Protocol() {}
 
   /** The list itself, or an empty one for null. */
-  public static <T> List<T> list(final List<T> list) {
+  public static <T> List<T> emptyIfNull(final List<T> list) {
     return list == null ? List.of() : list;
   }
 
   /** The first message on every line. */
   public static final class Hello implements Message {
-    public final int protocol;
+    public final int protocolVersion;
     public final String program;
     public final String address;
     public final long incarnation;
-    public final Long clock;
+    public final Long clockMillis;
 
     public Hello(
-        final int protocol, final String program, final String address, final long incarnation) {
-      this(protocol, program, address, incarnation, null);
+        final int protocolVersion,
+        final String program,
+        final String address,
+        final long incarnation) {
+      this(protocolVersion, program, address, incarnation, null);
     }
 
     private Hello(
-        final int protocol,
+        final int protocolVersion,
         final String program,
         final String address,
         final long incarnation,
-        final Long clock) {
-      this.protocol = protocol;
+        final Long clockMillis) {
+      this.protocolVersion = protocolVersion;
       this.program = program;
       this.address = address;
       this.incarnation = incarnation;
-      this.clock = clock;
+      this.clockMillis = clockMillis;
     }
 
     /** This hello with the time of its sender's steady clock. */
-    public Hello at(final long millis) {
-      return new Hello(protocol, program, address, incarnation, millis);
+    public Hello withClock(final long millis) {
+      return new Hello(protocolVersion, program, address, incarnation, millis);
     }
   }
 
   /** Keeps a line alive; echoed once, with the time of the echoing side's steady clock. */
   public static final class KeepAlive implements Message {
     public final boolean echo;
-    public final Long clock;
+    public final Long clockMillis;
 
     public KeepAlive(final boolean echo) {
       this(echo, null);
     }
 
-    public KeepAlive(final boolean echo, final Long clock) {
+    public KeepAlive(final boolean echo, final Long clockMillis) {
       this.echo = echo;
-      this.clock = clock;
+      this.clockMillis = clockMillis;
     }
   }
 }
--- a/transport/src/main/java/weldpoint/transport/RecordingMessages.java
+++ b/transport/src/main/java/weldpoint/transport/RecordingMessages.java
@@ -8,12 +8,12 @@
 
   /** Whether switchboards record what they carry, under a rising mark. */
   public static final class RecordingState implements Message {
-    public final long mark;
-    public final boolean on;
+    public final long revision;
+    public final boolean enabled;
 
-    public RecordingState(final long mark, final boolean on) {
-      this.mark = mark;
-      this.on = on;
+    public RecordingState(final long revision, final boolean enabled) {
+      this.revision = revision;
+      this.enabled = enabled;
     }
   }
 
@@ -23,54 +23,54 @@
    */
   public static final class RequestRecord {
     public final long serial;
-    public final long at;
+    public final long startedAt;
     public final String id;
     public final String host;
     public final String target;
     public final String route;
-    public final int kind;
+    public final int routeKind;
     public final String service;
-    public final long waits;
+    public final long waitMillis;
     public final long bytes;
     public final List<String> upstreams;
-    public final List<Long> begun;
-    public final List<Long> took;
-    public final List<Integer> ends;
-    public final long total;
+    public final List<Long> attemptStarts;
+    public final List<Long> attemptDurations;
+    public final List<Integer> attemptOutcomes;
+    public final long totalMillis;
     public final int status;
 
     public RequestRecord(
         final long serial,
-        final long at,
+        final long startedAt,
         final String id,
         final String host,
         final String target,
         final String route,
-        final int kind,
+        final int routeKind,
         final String service,
-        final long waits,
+        final long waitMillis,
         final long bytes,
         final List<String> upstreams,
-        final List<Long> begun,
-        final List<Long> took,
-        final List<Integer> ends,
-        final long total,
+        final List<Long> attemptStarts,
+        final List<Long> attemptDurations,
+        final List<Integer> attemptOutcomes,
+        final long totalMillis,
         final int status) {
       this.serial = serial;
-      this.at = at;
+      this.startedAt = startedAt;
       this.id = id;
       this.host = host;
       this.target = target;
       this.route = route;
-      this.kind = kind;
+      this.routeKind = routeKind;
       this.service = service;
-      this.waits = waits;
+      this.waitMillis = waitMillis;
       this.bytes = bytes;
       this.upstreams = upstreams;
-      this.begun = begun;
-      this.took = took;
-      this.ends = ends;
-      this.total = total;
+      this.attemptStarts = attemptStarts;
+      this.attemptDurations = attemptDurations;
+      this.attemptOutcomes = attemptOutcomes;
+      this.totalMillis = totalMillis;
       this.status = status;
     }
   }
@@ -80,32 +80,32 @@
    * dropped so far; the last reel of a life says so.
    */
   public static final class RecordingBatch implements Message {
-    public final String board;
+    public final String proxy;
     public final String site;
     public final String region;
     public final long incarnation;
     public final long sentAt;
     public final long dropped;
     public final boolean last;
-    public final List<RequestRecord> notes;
+    public final List<RequestRecord> records;
 
     public RecordingBatch(
-        final String board,
+        final String proxy,
         final String site,
         final String region,
         final long incarnation,
         final long sentAt,
         final long dropped,
         final boolean last,
-        final List<RequestRecord> notes) {
-      this.board = board;
+        final List<RequestRecord> records) {
+      this.proxy = proxy;
       this.site = site;
       this.region = region;
       this.incarnation = incarnation;
       this.sentAt = sentAt;
       this.dropped = dropped;
       this.last = last;
-      this.notes = notes;
+      this.records = records;
     }
   }
 }
--- a/transport/src/main/java/weldpoint/transport/RegionMessages.java
+++ b/transport/src/main/java/weldpoint/transport/RegionMessages.java
@@ -23,38 +23,38 @@
    */
   public static final class Electorate implements Message {
     public final String region;
-    public final long mark;
+    public final long revision;
     public final List<Elector> electors;
-    public final double regionPart;
+    public final double regionShare;
 
     public Electorate(
         final String region,
-        final long mark,
+        final long revision,
         final List<Elector> electors,
-        final double regionPart) {
+        final double regionShare) {
       this.region = region;
-      this.mark = mark;
+      this.revision = revision;
       this.electors = electors;
-      this.regionPart = regionPart;
+      this.regionShare = regionShare;
     }
   }
 
   /** A switchboard stands for chief. */
   public static final class LeaderVoteRequest implements Message {
     public final String region;
-    public final long mark;
+    public final long electorateRevision;
     public final long term;
     public final String address;
     public final long incarnation;
 
     public LeaderVoteRequest(
         final String region,
-        final long mark,
+        final long electorateRevision,
         final long term,
         final String address,
         final long incarnation) {
       this.region = region;
-      this.mark = mark;
+      this.electorateRevision = electorateRevision;
       this.term = term;
       this.address = address;
       this.incarnation = incarnation;
@@ -64,59 +64,62 @@
   /** Whether the sender backs whoever stands. */
   public static final class LeaderVoteResponse implements Message {
     public final String region;
-    public final long mark;
+    public final long electorateRevision;
     public final long term;
-    public final boolean yes;
+    public final boolean granted;
 
     public LeaderVoteResponse(
-        final String region, final long mark, final long term, final boolean yes) {
+        final String region,
+        final long electorateRevision,
+        final long term,
+        final boolean granted) {
       this.region = region;
-      this.mark = mark;
+      this.electorateRevision = electorateRevision;
       this.term = term;
-      this.yes = yes;
+      this.granted = granted;
     }
   }
 
   /** What a chief orders, fenced by the electorate's mark and the term. */
   public static final class LeaderDirective implements Message {
     public final String region;
-    public final long mark;
+    public final long electorateRevision;
     public final long term;
-    public final String chief;
+    public final String leader;
     public final long incarnation;
     public final long number;
-    public final long askedAt;
-    public final double admission;
+    public final long sentAt;
+    public final double admittedFraction;
     public final List<String> addresses;
-    public final List<Double> parts;
+    public final List<Double> shares;
     public final List<String> suspects;
-    public final List<String> uncertain;
+    public final List<String> uncertainWrites;
 
     public LeaderDirective(
         final String region,
-        final long mark,
+        final long electorateRevision,
         final long term,
-        final String chief,
+        final String leader,
         final long incarnation,
         final long number,
-        final long askedAt,
-        final double admission,
+        final long sentAt,
+        final double admittedFraction,
         final List<String> addresses,
-        final List<Double> parts,
+        final List<Double> shares,
         final List<String> suspects,
-        final List<String> uncertain) {
+        final List<String> uncertainWrites) {
       this.region = region;
-      this.mark = mark;
+      this.electorateRevision = electorateRevision;
       this.term = term;
-      this.chief = chief;
+      this.leader = leader;
       this.incarnation = incarnation;
       this.number = number;
-      this.askedAt = askedAt;
-      this.admission = admission;
+      this.sentAt = sentAt;
+      this.admittedFraction = admittedFraction;
       this.addresses = addresses;
-      this.parts = parts;
+      this.shares = shares;
       this.suspects = suspects;
-      this.uncertain = uncertain;
+      this.uncertainWrites = uncertainWrites;
     }
   }
 
@@ -125,47 +128,47 @@
    * silent upstreams, writes of unknown fate.
    */
   public static final class ProxyObservations {
-    public final long repeatables;
+    public final long idempotentRequests;
     public final long writes;
-    public final long refusedWrites;
-    public final long carried;
-    public final List<String> silent;
-    public final List<String> uncertain;
+    public final long rejectedWrites;
+    public final long upstreamRequests;
+    public final List<String> silentUpstreams;
+    public final List<String> uncertainWrites;
 
     public ProxyObservations(
-        final long repeatables,
+        final long idempotentRequests,
         final long writes,
-        final long refusedWrites,
-        final long carried,
-        final List<String> silent,
-        final List<String> uncertain) {
-      this.repeatables = repeatables;
+        final long rejectedWrites,
+        final long upstreamRequests,
+        final List<String> silentUpstreams,
+        final List<String> uncertainWrites) {
+      this.idempotentRequests = idempotentRequests;
       this.writes = writes;
-      this.refusedWrites = refusedWrites;
-      this.carried = carried;
-      this.silent = silent;
-      this.uncertain = uncertain;
+      this.rejectedWrites = rejectedWrites;
+      this.upstreamRequests = upstreamRequests;
+      this.silentUpstreams = silentUpstreams;
+      this.uncertainWrites = uncertainWrites;
     }
   }
 
   /** The sender heeds an order, and tells what it has seen. */
   public static final class LeaderDirectiveAck implements Message {
-    public final long mark;
+    public final long electorateRevision;
     public final long term;
     public final long number;
-    public final long askedAt;
+    public final long sentAt;
     public final ProxyObservations observations;
 
     public LeaderDirectiveAck(
-        final long mark,
+        final long electorateRevision,
         final long term,
         final long number,
-        final long askedAt,
+        final long sentAt,
         final ProxyObservations observations) {
-      this.mark = mark;
+      this.electorateRevision = electorateRevision;
       this.term = term;
       this.number = number;
-      this.askedAt = askedAt;
+      this.sentAt = sentAt;
       this.observations = observations;
     }
   }
--- a/transport/src/main/java/weldpoint/transport/RegisterVersion.java
+++ b/transport/src/main/java/weldpoint/transport/RegisterVersion.java
@@ -22,8 +22,8 @@
   }
 
   /** Another mark of the same ballot. */
-  public RegisterVersion at(final long other) {
-    return new RegisterVersion(round, owner, other);
+  public RegisterVersion withCount(final long newCount) {
+    return new RegisterVersion(round, owner, newCount);
   }
 
   /** Whether both belong to one ballot. */
--- a/transport/src/main/java/weldpoint/transport/RegistryMessages.java
+++ b/transport/src/main/java/weldpoint/transport/RegistryMessages.java
@@ -27,7 +27,7 @@
     public final int capacity;
     public final int stage;
     public final long sequence;
-    public final long issued;
+    public final long issuedAt;
     public final long warmupMillis;
 
     public Registration(
@@ -39,7 +39,7 @@
         final int capacity,
         final int stage,
         final long sequence,
-        final long issued,
+        final long issuedAt,
         final long warmupMillis) {
       this.id = id;
       this.service = service;
@@ -49,7 +49,7 @@
       this.capacity = capacity;
       this.stage = stage;
       this.sequence = sequence;
-      this.issued = issued;
+      this.issuedAt = issuedAt;
       this.warmupMillis = warmupMillis;
     }
   }
@@ -60,58 +60,69 @@
    */
   public static final class DaemonEntry {
     public final String address;
-    public final String front;
+    public final String trafficAddress;
     public final String site;
     public final String region;
     public final long incarnation;
     public final boolean leaving;
     public final long ageMillis;
-    public final boolean announcer;
+    public final boolean cacheDaemon;
     public final long version;
-    public final long mark;
-    public final long heldMillis;
+    public final long controlRevision;
+    public final long appliedForMillis;
 
     public DaemonEntry(
         final String address,
-        final String front,
+        final String trafficAddress,
         final String site,
         final String region,
         final long incarnation,
         final boolean leaving,
         final long ageMillis) {
-      this(address, front, site, region, incarnation, leaving, ageMillis, false);
+      this(address, trafficAddress, site, region, incarnation, leaving, ageMillis, false);
     }
 
     public DaemonEntry(
         final String address,
-        final String front,
+        final String trafficAddress,
         final String site,
         final String region,
         final long incarnation,
         final boolean leaving,
         final long ageMillis,
-        final boolean announcer) {
-      this(address, front, site, region, incarnation, leaving, ageMillis, announcer, 0, 0, 0);
+        final boolean cacheDaemon) {
+      this(
+          address,
+          trafficAddress,
+          site,
+          region,
+          incarnation,
+          leaving,
+          ageMillis,
+          cacheDaemon,
+          0,
+          0,
+          0);
     }
 
     public DaemonEntry(
         final String address,
-        final String front,
+        final String trafficAddress,
         final String site,
         final String region,
         final long incarnation,
         final boolean leaving,
         final long ageMillis,
-        final boolean announcer,
+        final boolean cacheDaemon,
         final long version,
-        final long mark,
-        final long heldMillis) {
+        final long controlRevision,
+        final long appliedForMillis) {
       this.version = version;
-      this.mark = mark;
-      this.heldMillis = heldMillis;
-      this.announcer = announcer;
+      this.controlRevision = controlRevision;
+      this.appliedForMillis = appliedForMillis;
+      this.cacheDaemon = cacheDaemon;
       this.address = address;
-      this.front = front;
+      this.trafficAddress = trafficAddress;
       this.site = site;
       this.region = region;
       this.incarnation = incarnation;
@@ -129,20 +140,20 @@
     public final long digest;
     public final StateStoreMessages.Roster roster;
     public final List<String> members;
-    public final List<Registration> history;
-    public final List<DaemonEntry> boards;
-    public final List<String> beaten;
-    public final List<Long> ages;
+    public final List<Registration> registrations;
+    public final List<DaemonEntry> daemons;
+    public final List<String> heartbeatIds;
+    public final List<Long> heartbeatAges;
     public final long version;
-    public final long mark;
-    public final long heldMillis;
+    public final long controlRevision;
+    public final long appliedForMillis;
     public final long rosterNumber;
-    public final int count;
-    public final byte[] beatAges;
-    public final long boardDigest;
-    public final byte[] boardAges;
-    public final List<Long> buckets;
-    public final byte[] packed;
+    public final int registrationCount;
+    public final byte[] packedHeartbeatAges;
+    public final long daemonDigest;
+    public final byte[] packedDaemonAges;
+    public final List<Long> bucketDigests;
+    public final byte[] packedRegistrations;
     public final String site;
     public final String region;
 
@@ -151,13 +162,31 @@
         final long digest,
         final StateStoreMessages.Roster roster,
         final List<String> members,
-        final List<Registration> history,
-        final List<DaemonEntry> boards,
-        final List<String> beaten,
-        final List<Long> ages) {
+        final List<Registration> registrations,
+        final List<DaemonEntry> daemons,
+        final List<String> heartbeatIds,
+        final List<Long> heartbeatAges) {
       this(
-          depth, digest, roster, members, history, boards, beaten, ages, 0, 0, 0, 0, 0, null, 0,
-          null, null, null, "", "");
+          depth,
+          digest,
+          roster,
+          members,
+          registrations,
+          daemons,
+          heartbeatIds,
+          heartbeatAges,
+          0,
+          0,
+          0,
+          0,
+          0,
+          null,
+          0,
+          null,
+          null,
+          null,
+          "",
+          "");
     }
 
     public Gossip(
@@ -165,42 +194,42 @@
         final long digest,
         final StateStoreMessages.Roster roster,
         final List<String> members,
-        final List<Registration> history,
-        final List<DaemonEntry> boards,
-        final List<String> beaten,
-        final List<Long> ages,
+        final List<Registration> registrations,
+        final List<DaemonEntry> daemons,
+        final List<String> heartbeatIds,
+        final List<Long> heartbeatAges,
         final long version,
-        final long mark,
-        final long heldMillis,
+        final long controlRevision,
+        final long appliedForMillis,
         final long rosterNumber,
-        final int count,
-        final byte[] beatAges,
-        final long boardDigest,
-        final byte[] boardAges,
-        final List<Long> buckets,
-        final byte[] packed,
+        final int registrationCount,
+        final byte[] packedHeartbeatAges,
+        final long daemonDigest,
+        final byte[] packedDaemonAges,
+        final List<Long> bucketDigests,
+        final byte[] packedRegistrations,
         final String site,
         final String region) {
       this.rosterNumber = rosterNumber;
-      this.count = count;
-      this.beatAges = beatAges;
-      this.boardDigest = boardDigest;
-      this.boardAges = boardAges;
-      this.buckets = buckets;
-      this.packed = packed;
+      this.registrationCount = registrationCount;
+      this.packedHeartbeatAges = packedHeartbeatAges;
+      this.daemonDigest = daemonDigest;
+      this.packedDaemonAges = packedDaemonAges;
+      this.bucketDigests = bucketDigests;
+      this.packedRegistrations = packedRegistrations;
       this.site = site;
       this.region = region;
       this.version = version;
-      this.mark = mark;
-      this.heldMillis = heldMillis;
+      this.controlRevision = controlRevision;
+      this.appliedForMillis = appliedForMillis;
       this.depth = depth;
       this.digest = digest;
       this.roster = roster;
       this.members = members;
-      this.history = history;
-      this.boards = boards;
-      this.beaten = beaten;
-      this.ages = ages;
+      this.registrations = registrations;
+      this.daemons = daemons;
+      this.heartbeatIds = heartbeatIds;
+      this.heartbeatAges = heartbeatAges;
     }
   }
 
@@ -210,38 +239,40 @@
   public static final class Changes implements Message {
     public final long number;
     public final List<Registration> registrations;
-    public final List<DaemonEntry> boards;
+    public final List<DaemonEntry> daemons;
     public final long version;
     public final byte[] spec;
     public final List<String> evacuated;
-    public final long evacuationMark;
+    public final long evacuationRevision;
     public final List<TrialMessages.Trial> trials;
-    public final long trialMark;
+    public final long trialRevision;
 
     public Changes(
-        final long number, final List<Registration> registrations, final List<DaemonEntry> boards) {
-      this(number, registrations, boards, 0, null, null, 0, null, 0);
+        final long number,
+        final List<Registration> registrations,
+        final List<DaemonEntry> daemons) {
+      this(number, registrations, daemons, 0, null, null, 0, null, 0);
     }
 
     public Changes(
         final long number,
         final List<Registration> registrations,
-        final List<DaemonEntry> boards,
+        final List<DaemonEntry> daemons,
         final long version,
         final byte[] spec,
         final List<String> evacuated,
-        final long evacuationMark,
+        final long evacuationRevision,
         final List<TrialMessages.Trial> trials,
-        final long trialMark) {
+        final long trialRevision) {
       this.evacuated = evacuated;
-      this.evacuationMark = evacuationMark;
+      this.evacuationRevision = evacuationRevision;
       this.trials = trials;
-      this.trialMark = trialMark;
+      this.trialRevision = trialRevision;
       this.version = version;
       this.spec = spec;
       this.number = number;
       this.registrations = registrations;
-      this.boards = boards;
+      this.daemons = daemons;
     }
   }
 
@@ -272,23 +303,31 @@
     public final long number;
     public final long rosterNumber;
     public final long version;
-    public final long evacuationMark;
-    public final long trialMark;
-    public final List<Long> buckets;
+    public final long evacuationRevision;
+    public final long trialRevision;
+    public final List<Long> bucketDigests;
     public final long leaseMillis;
 
     /** Whether the asker lacks the claims of keys as well. */
-    public final boolean claimsToo;
+    public final boolean includeClaims;
 
     public ControlStateRequest(
         final long number,
         final long rosterNumber,
         final long version,
-        final long evacuationMark,
-        final long trialMark,
-        final List<Long> buckets,
+        final long evacuationRevision,
+        final long trialRevision,
+        final List<Long> bucketDigests,
         final long leaseMillis) {
-      this(number, rosterNumber, version, evacuationMark, trialMark, buckets, leaseMillis, false);
+      this(
+          number,
+          rosterNumber,
+          version,
+          evacuationRevision,
+          trialRevision,
+          bucketDigests,
+          leaseMillis,
+          false);
     }
 
     /** A question that says whether claims of keys are wanted too. */
@@ -296,19 +335,19 @@
         final long number,
         final long rosterNumber,
         final long version,
-        final long evacuationMark,
-        final long trialMark,
-        final List<Long> buckets,
+        final long evacuationRevision,
+        final long trialRevision,
+        final List<Long> bucketDigests,
         final long leaseMillis,
-        final boolean claimsToo) {
-      this.claimsToo = claimsToo;
+        final boolean includeClaims) {
+      this.includeClaims = includeClaims;
       this.leaseMillis = leaseMillis;
       this.number = number;
       this.rosterNumber = rosterNumber;
       this.version = version;
-      this.evacuationMark = evacuationMark;
-      this.trialMark = trialMark;
-      this.buckets = buckets;
+      this.evacuationRevision = evacuationRevision;
+      this.trialRevision = trialRevision;
+      this.bucketDigests = bucketDigests;
     }
   }
 
@@ -325,10 +364,10 @@
     public final long version;
     public final byte[] spec;
     public final List<String> evacuated;
-    public final long evacuationMark;
+    public final long evacuationRevision;
     public final List<TrialMessages.Trial> trials;
-    public final long trialMark;
-    public final byte[] packed;
+    public final long trialRevision;
+    public final byte[] packedRegistrations;
     public final long leaseMillis;
 
     /** The claims of keys, for an asker that lacks them. */
@@ -342,10 +381,10 @@
         final long version,
         final byte[] spec,
         final List<String> evacuated,
-        final long evacuationMark,
+        final long evacuationRevision,
         final List<TrialMessages.Trial> trials,
-        final long trialMark,
-        final byte[] packed,
+        final long trialRevision,
+        final byte[] packedRegistrations,
         final long leaseMillis) {
       this(
           number,
@@ -355,10 +394,10 @@
           version,
           spec,
           evacuated,
-          evacuationMark,
+          evacuationRevision,
           trials,
-          trialMark,
-          packed,
+          trialRevision,
+          packedRegistrations,
           leaseMillis,
           null);
     }
@@ -372,10 +411,10 @@
         final long version,
         final byte[] spec,
         final List<String> evacuated,
-        final long evacuationMark,
+        final long evacuationRevision,
         final List<TrialMessages.Trial> trials,
-        final long trialMark,
-        final byte[] packed,
+        final long trialRevision,
+        final byte[] packedRegistrations,
         final long leaseMillis,
         final List<KeyMessages.Claim> claims) {
       this.claims = claims;
@@ -387,10 +426,10 @@
       this.version = version;
       this.spec = spec;
       this.evacuated = evacuated;
-      this.evacuationMark = evacuationMark;
+      this.evacuationRevision = evacuationRevision;
       this.trials = trials;
-      this.trialMark = trialMark;
-      this.packed = packed;
+      this.trialRevision = trialRevision;
+      this.packedRegistrations = packedRegistrations;
     }
   }
 
@@ -400,14 +439,14 @@
    */
   public static final class DaemonReport implements Message {
     public final DaemonEntry entry;
-    public final List<Long> buckets;
+    public final List<Long> bucketDigests;
 
     public DaemonReport(final DaemonEntry entry) {
       this(entry, null);
     }
 
-    public DaemonReport(final DaemonEntry entry, final List<Long> buckets) {
-      this.buckets = buckets;
+    public DaemonReport(final DaemonEntry entry, final List<Long> bucketDigests) {
+      this.bucketDigests = bucketDigests;
       this.entry = entry;
     }
   }
@@ -416,69 +455,69 @@
   public static final class View implements Message {
     public final long version;
     public final byte[] spec;
-    public final boolean evacuationsGiven;
+    public final boolean hasEvacuations;
     public final List<String> evacuated;
-    public final long evacuationMark;
+    public final long evacuationRevision;
     public final List<Registration> registrations;
     public final List<String> suspects;
-    public final boolean suspectsGiven;
-    public final int boards;
+    public final boolean hasSuspects;
+    public final int proxyCount;
     public final List<TrialMessages.Trial> trials;
-    public final long trialMark;
-    public final byte[] packed;
+    public final long trialRevision;
+    public final byte[] packedRegistrations;
 
     public View(
         final long version,
         final byte[] spec,
-        final boolean evacuationsGiven,
+        final boolean hasEvacuations,
         final List<String> evacuated,
-        final long evacuationMark,
+        final long evacuationRevision,
         final List<Registration> registrations,
-        final boolean suspectsGiven,
+        final boolean hasSuspects,
         final List<String> suspects,
-        final int boards,
+        final int proxyCount,
         final List<TrialMessages.Trial> trials,
-        final long trialMark) {
+        final long trialRevision) {
       this(
           version,
           spec,
-          evacuationsGiven,
+          hasEvacuations,
           evacuated,
-          evacuationMark,
+          evacuationRevision,
           registrations,
-          suspectsGiven,
+          hasSuspects,
           suspects,
-          boards,
+          proxyCount,
           trials,
-          trialMark,
+          trialRevision,
           null);
     }
 
     public View(
         final long version,
         final byte[] spec,
-        final boolean evacuationsGiven,
+        final boolean hasEvacuations,
         final List<String> evacuated,
-        final long evacuationMark,
+        final long evacuationRevision,
         final List<Registration> registrations,
-        final boolean suspectsGiven,
+        final boolean hasSuspects,
         final List<String> suspects,
-        final int boards,
+        final int proxyCount,
         final List<TrialMessages.Trial> trials,
-        final long trialMark,
-        final byte[] packed) {
-      this.packed = packed;
+        final long trialRevision,
+        final byte[] packedRegistrations) {
+      this.packedRegistrations = packedRegistrations;
       this.trials = trials;
-      this.trialMark = trialMark;
+      this.trialRevision = trialRevision;
       this.version = version;
       this.spec = spec;
-      this.evacuationsGiven = evacuationsGiven;
+      this.hasEvacuations = hasEvacuations;
       this.evacuated = evacuated;
-      this.evacuationMark = evacuationMark;
+      this.evacuationRevision = evacuationRevision;
       this.registrations = registrations;
-      this.suspectsGiven = suspectsGiven;
+      this.hasSuspects = hasSuspects;
       this.suspects = suspects;
-      this.boards = boards;
+      this.proxyCount = proxyCount;
     }
   }
 
@@ -487,12 +526,12 @@
    * other exchanges with their places, as region/site.
    */
   public static final class RegistryStatus implements Message {
-    public final long ageMillis;
-    public final int boards;
+    public final long majorityAgeMillis;
+    public final int proxyCount;
     public final List<String> members;
-    public final List<String> announcers;
-    public final List<String> places;
-    public final long contactMillis;
+    public final List<String> cacheDaemons;
+    public final List<String> memberLocations;
+    public final long contactAgeMillis;
 
     /**
      * The time of the sender's steady clock, in milliseconds, up to which this stream was told all
@@ -503,58 +542,68 @@
     /** The time of the sender's steady clock at which this was said; null where it is not told. */
     public final Long sentClock;
 
-    public RegistryStatus(final long ageMillis, final int boards, final List<String> members) {
-      this(ageMillis, boards, members, null, null, ageMillis);
+    public RegistryStatus(
+        final long majorityAgeMillis, final int proxyCount, final List<String> members) {
+      this(majorityAgeMillis, proxyCount, members, null, null, majorityAgeMillis);
     }
 
     public RegistryStatus(
-        final long ageMillis,
-        final int boards,
+        final long majorityAgeMillis,
+        final int proxyCount,
         final List<String> members,
-        final List<String> announcers,
-        final List<String> places) {
-      this(ageMillis, boards, members, announcers, places, ageMillis);
+        final List<String> cacheDaemons,
+        final List<String> memberLocations) {
+      this(
+          majorityAgeMillis, proxyCount, members, cacheDaemons, memberLocations, majorityAgeMillis);
     }
 
     public RegistryStatus(
-        final long ageMillis,
-        final int boards,
+        final long majorityAgeMillis,
+        final int proxyCount,
         final List<String> members,
-        final List<String> announcers,
-        final List<String> places,
-        final long contactMillis) {
-      this(ageMillis, boards, members, announcers, places, contactMillis, null, null);
+        final List<String> cacheDaemons,
+        final List<String> memberLocations,
+        final long contactAgeMillis) {
+      this(
+          majorityAgeMillis,
+          proxyCount,
+          members,
+          cacheDaemons,
+          memberLocations,
+          contactAgeMillis,
+          null,
+          null);
     }
 
     /** The same with the time up to which all that was acknowledged has been told, and with now. */
     public RegistryStatus(
-        final long ageMillis,
-        final int boards,
+        final long majorityAgeMillis,
+        final int proxyCount,
         final List<String> members,
-        final List<String> announcers,
-        final List<String> places,
-        final long contactMillis,
+        final List<String> cacheDaemons,
+        final List<String> memberLocations,
+        final long contactAgeMillis,
         final Long confirmedClock,
         final Long sentClock) {
       this.sentClock = sentClock;
       this.confirmedClock = confirmedClock;
-      this.contactMillis = contactMillis;
-      this.places = places;
-      this.announcers = announcers;
-      this.ageMillis = ageMillis;
-      this.boards = boards;
+      this.contactAgeMillis = contactAgeMillis;
+      this.memberLocations = memberLocations;
+      this.cacheDaemons = cacheDaemons;
+      this.majorityAgeMillis = majorityAgeMillis;
+      this.proxyCount = proxyCount;
       this.members = members;
     }
 
     /** The same as it is to be taken when it has been under way for so long. */
-    public RegistryStatus delayed(final long delayMillis) {
+    public RegistryStatus withDelay(final long delayMillis) {
       return new RegistryStatus(
-          ageMillis + delayMillis,
-          boards,
+          majorityAgeMillis + delayMillis,
+          proxyCount,
           members,
-          announcers,
-          places,
-          contactMillis + delayMillis,
+          cacheDaemons,
+          memberLocations,
+          contactAgeMillis + delayMillis,
           confirmedClock,
           sentClock);
     }
--- a/transport/src/main/java/weldpoint/transport/Serializer.java
+++ b/transport/src/main/java/weldpoint/transport/Serializer.java
@@ -10,14 +10,14 @@
 /** Turns messages and stored values into bytes and back, by Protostuff. */
 public final class Serializer {
   /** The number of the inner protocol; peers with another one are refused. */
-  public static final int PROTOCOL = 1;
+  public static final int PROTOCOL_VERSION = 1;
 
-  private static final Map<Class<?>, Integer> NUMBERS = new HashMap<>();
-  private static final Class<?>[] KINDS = Protocol.KINDS;
+  private static final Map<Class<?>, Integer> TYPE_NUMBERS = new HashMap<>();
+  private static final Class<?>[] MESSAGE_TYPES = Protocol.MESSAGE_TYPES;
 
   static {
-    for (int index = 0; index < KINDS.length; index++) {
-      NUMBERS.put(KINDS[index], index);
+    for (int index = 0; index < MESSAGE_TYPES.length; index++) {
+      TYPE_NUMBERS.put(MESSAGE_TYPES[index], index);
     }
   }
 
@@ -39,12 +39,12 @@
   }
 
   /** The number under which a class of messages travels. */
-  public static int number(final Message message) {
-    return NUMBERS.get(message.getClass());
+  public static int typeNumber(final Message message) {
+    return TYPE_NUMBERS.get(message.getClass());
   }
 
   /** The class of messages that travels under a number; null where there is none. */
-  public static Class<?> kind(final int number) {
-    return number < 0 || number >= KINDS.length ? null : KINDS[number];
+  public static Class<?> messageType(final int number) {
+    return number < 0 || number >= MESSAGE_TYPES.length ? null : MESSAGE_TYPES[number];
   }
 }
--- a/transport/src/main/java/weldpoint/transport/StateStoreMessages.java
+++ b/transport/src/main/java/weldpoint/transport/StateStoreMessages.java
@@ -33,7 +33,7 @@
     }
 
     /** The place of an address among the voters, or -1. */
-    public int index(final String address) {
+    public int indexOf(final String address) {
       for (int index = 0; index < voters.size(); index++) {
         if (voters.get(index).address.equals(address)) {
           return index;
@@ -51,46 +51,46 @@
   /** A register's value under its mark; either whole or as a difference from the base mark. */
   public static final class RegisterEntry {
     public final String name;
-    public final RegisterVersion mark;
-    public final RegisterVersion base;
-    public final byte[] difference;
-    public final byte[] whole;
-    public final byte[] audit;
+    public final RegisterVersion version;
+    public final RegisterVersion baseVersion;
+    public final byte[] delta;
+    public final byte[] fullValue;
+    public final byte[] auditEntry;
 
     public RegisterEntry(
         final String name,
-        final RegisterVersion mark,
-        final RegisterVersion base,
-        final byte[] difference,
-        final byte[] whole) {
-      this(name, mark, base, difference, whole, null);
+        final RegisterVersion version,
+        final RegisterVersion baseVersion,
+        final byte[] delta,
+        final byte[] fullValue) {
+      this(name, version, baseVersion, delta, fullValue, null);
     }
 
     public RegisterEntry(
         final String name,
-        final RegisterVersion mark,
-        final RegisterVersion base,
-        final byte[] difference,
-        final byte[] whole,
-        final byte[] audit) {
-      this.audit = audit;
+        final RegisterVersion version,
+        final RegisterVersion baseVersion,
+        final byte[] delta,
+        final byte[] fullValue,
+        final byte[] auditEntry) {
+      this.auditEntry = auditEntry;
       this.name = name;
-      this.mark = mark;
-      this.base = base;
-      this.difference = difference;
-      this.whole = whole;
+      this.version = version;
+      this.baseVersion = baseVersion;
+      this.delta = delta;
+      this.fullValue = fullValue;
     }
   }
 
   /** Asks for a partition's promise under a higher ballot. */
   public static final class Prepare implements Message {
     public final int partition;
-    public final long roster;
+    public final long rosterNumber;
     public final RegisterVersion ballot;
 
-    public Prepare(final int partition, final long roster, final RegisterVersion ballot) {
+    public Prepare(final int partition, final long rosterNumber, final RegisterVersion ballot) {
       this.partition = partition;
-      this.roster = roster;
+      this.rosterNumber = rosterNumber;
       this.ballot = ballot;
     }
   }
@@ -102,7 +102,7 @@
     public final RegisterVersion established;
     public final List<RegisterEntry> entries;
     public final long incarnation;
-    public final List<Long> known;
+    public final List<Long> knownIncarnations;
 
     public Promise(
         final int partition,
@@ -110,13 +110,13 @@
         final RegisterVersion established,
         final List<RegisterEntry> entries,
         final long incarnation,
-        final List<Long> known) {
+        final List<Long> knownIncarnations) {
       this.partition = partition;
       this.ballot = ballot;
       this.established = established;
       this.entries = entries;
       this.incarnation = incarnation;
-      this.known = known;
+      this.knownIncarnations = knownIncarnations;
     }
   }
 
@@ -126,37 +126,37 @@
    */
   public static final class Accept implements Message {
     public final int partition;
-    public final long roster;
+    public final long rosterNumber;
     public final RegisterVersion ballot;
     public final boolean establish;
-    public final List<Long> counted;
+    public final List<Long> countedIncarnations;
     public final List<RegisterEntry> entries;
-    public final List<Long> known;
+    public final List<Long> knownIncarnations;
 
     public Accept(
         final int partition,
-        final long roster,
+        final long rosterNumber,
         final RegisterVersion ballot,
         final boolean establish,
-        final List<Long> counted,
+        final List<Long> countedIncarnations,
         final List<RegisterEntry> entries) {
-      this(partition, roster, ballot, establish, counted, entries, null);
+      this(partition, rosterNumber, ballot, establish, countedIncarnations, entries, null);
     }
 
     public Accept(
         final int partition,
-        final long roster,
+        final long rosterNumber,
         final RegisterVersion ballot,
         final boolean establish,
-        final List<Long> counted,
+        final List<Long> countedIncarnations,
         final List<RegisterEntry> entries,
-        final List<Long> known) {
-      this.known = known;
+        final List<Long> knownIncarnations) {
+      this.knownIncarnations = knownIncarnations;
       this.partition = partition;
-      this.roster = roster;
+      this.rosterNumber = rosterNumber;
       this.ballot = ballot;
       this.establish = establish;
-      this.counted = counted;
+      this.countedIncarnations = countedIncarnations;
       this.entries = entries;
     }
   }
@@ -171,9 +171,9 @@
     public final boolean establish;
     public final List<String> names;
     public final List<Long> counts;
-    public final List<String> lacking;
+    public final List<String> missingBase;
     public final long incarnation;
-    public final List<Long> known;
+    public final List<Long> knownIncarnations;
 
     public Accepted(
         final int partition,
@@ -181,29 +181,31 @@
         final boolean establish,
         final List<String> names,
         final List<Long> counts,
-        final List<String> lacking,
+        final List<String> missingBase,
         final long incarnation,
-        final List<Long> known) {
+        final List<Long> knownIncarnations) {
       this.partition = partition;
       this.ballot = ballot;
       this.establish = establish;
       this.names = names;
       this.counts = counts;
-      this.lacking = lacking;
+      this.missingBase = missingBase;
       this.incarnation = incarnation;
-      this.known = known;
+      this.knownIncarnations = knownIncarnations;
     }
   }
 
   /** A holder tells that it still serves these partitions and asks whether its ballots stand. */
   public static final class Heartbeat implements Message {
-    public final long roster;
+    public final long rosterNumber;
     public final List<Integer> partitions;
     public final List<RegisterVersion> ballots;
 
     public Heartbeat(
-        final long roster, final List<Integer> partitions, final List<RegisterVersion> ballots) {
-      this.roster = roster;
+        final long rosterNumber,
+        final List<Integer> partitions,
+        final List<RegisterVersion> ballots) {
+      this.rosterNumber = rosterNumber;
       this.partitions = partitions;
       this.ballots = ballots;
     }
@@ -217,20 +219,20 @@
     public final List<Integer> partitions;
     public final List<RegisterVersion> ballots;
     public final long incarnation;
-    public final List<Long> known;
-    public final long audited;
+    public final List<Long> knownIncarnations;
+    public final long auditedThrough;
 
     public HeartbeatAck(
         final List<Integer> partitions,
         final List<RegisterVersion> ballots,
         final long incarnation,
-        final List<Long> known,
-        final long audited) {
-      this.audited = audited;
+        final List<Long> knownIncarnations,
+        final long auditedThrough) {
+      this.auditedThrough = auditedThrough;
       this.partitions = partitions;
       this.ballots = ballots;
       this.incarnation = incarnation;
-      this.known = known;
+      this.knownIncarnations = knownIncarnations;
     }
   }
 
@@ -246,19 +248,19 @@
   /** The answer to an enquiry. */
   public static final class MembershipResponse implements Message {
     public final long number;
-    public final boolean blank;
+    public final boolean blankDisk;
     public final Roster roster;
     public final long incarnation;
     public final List<String> holders;
 
     public MembershipResponse(
         final long number,
-        final boolean blank,
+        final boolean blankDisk,
         final Roster roster,
         final long incarnation,
         final List<String> holders) {
       this.number = number;
-      this.blank = blank;
+      this.blankDisk = blankDisk;
       this.roster = roster;
       this.incarnation = incarnation;
       this.holders = holders;
@@ -308,12 +310,12 @@
     public final List<RegisterVersion> promised;
     public final List<RegisterVersion> established;
     public final List<RegisterEntry> entries;
-    public final List<Long> known;
-    public final long audited;
+    public final List<Long> knownIncarnations;
+    public final long auditedThrough;
     public final String after;
-    public final boolean values;
+    public final boolean containsValues;
     public final boolean more;
-    public final List<String> absent;
+    public final List<String> absentNames;
     public final int offset;
     public final int total;
     public final long number;
@@ -324,27 +326,27 @@
         final List<RegisterVersion> promised,
         final List<RegisterVersion> established,
         final List<RegisterEntry> entries,
-        final List<Long> known,
-        final long audited,
+        final List<Long> knownIncarnations,
+        final long auditedThrough,
         final String after,
-        final boolean values,
+        final boolean containsValues,
         final boolean more,
-        final List<String> absent,
+        final List<String> absentNames,
         final int offset,
         final int total,
         final long number) {
       this.number = number;
-      this.audited = audited;
+      this.auditedThrough = auditedThrough;
       this.incarnation = incarnation;
       this.roster = roster;
       this.promised = promised;
       this.established = established;
       this.entries = entries;
-      this.known = known;
+      this.knownIncarnations = knownIncarnations;
       this.after = after;
-      this.values = values;
+      this.containsValues = containsValues;
       this.more = more;
-      this.absent = absent;
+      this.absentNames = absentNames;
       this.offset = offset;
       this.total = total;
     }
@@ -367,20 +369,20 @@
     public final int partition;
     public final RegisterVersion ballot;
     public final RegisterVersion promised;
-    public final long roster;
-    public final List<Long> known;
+    public final long rosterNumber;
+    public final List<Long> knownIncarnations;
 
     public Refused(
         final int partition,
         final RegisterVersion ballot,
         final RegisterVersion promised,
-        final long roster,
-        final List<Long> known) {
+        final long rosterNumber,
+        final List<Long> knownIncarnations) {
       this.partition = partition;
       this.ballot = ballot;
       this.promised = promised;
-      this.roster = roster;
-      this.known = known;
+      this.rosterNumber = rosterNumber;
+      this.knownIncarnations = knownIncarnations;
     }
   }
 
@@ -406,11 +408,11 @@
 
   /** To a voter that leaves: a majority holds these partitions without it, under this roster. */
   public static final class Released implements Message {
-    public final long roster;
+    public final long rosterNumber;
     public final List<Integer> partitions;
 
-    public Released(final long roster, final List<Integer> partitions) {
-      this.roster = roster;
+    public Released(final long rosterNumber, final List<Integer> partitions) {
+      this.rosterNumber = rosterNumber;
       this.partitions = partitions;
     }
   }
@@ -418,12 +420,12 @@
   /** Asks, before any ballot, whether the voters too find a partition vacant. */
   public static final class PreVote implements Message {
     public final int partition;
-    public final long roster;
+    public final long rosterNumber;
     public final long number;
 
-    public PreVote(final int partition, final long roster, final long number) {
+    public PreVote(final int partition, final long rosterNumber, final long number) {
       this.partition = partition;
-      this.roster = roster;
+      this.rosterNumber = rosterNumber;
       this.number = number;
     }
   }
--- a/transport/src/main/java/weldpoint/transport/StoreMessages.java
+++ b/transport/src/main/java/weldpoint/transport/StoreMessages.java
@@ -10,16 +10,19 @@
    */
   public static final class ChangeOrigin {
     public final String author;
-    public final String caller;
-    public final String taker;
-    public final byte[] extra;
+    public final String callerAddress;
+    public final String receivedBy;
+    public final byte[] configurationSummary;
 
     public ChangeOrigin(
-        final String author, final String caller, final String taker, final byte[] extra) {
+        final String author,
+        final String callerAddress,
+        final String receivedBy,
+        final byte[] configurationSummary) {
       this.author = author;
-      this.caller = caller;
-      this.taker = taker;
-      this.extra = extra;
+      this.callerAddress = callerAddress;
+      this.receivedBy = receivedBy;
+      this.configurationSummary = configurationSummary;
     }
   }
 
@@ -32,77 +35,90 @@
    */
   public static final class StoreRequest implements Message {
     public final long number;
-    public final int deed;
+    public final int operation;
     public final String name;
     public final String owner;
     public final long first;
     public final long second;
     public final byte[] body;
     public final ChangeOrigin origin;
-    public final byte[] content;
-    public final long caller;
-    public final long age;
-    public final Long clock;
-    private final transient long agedAt;
+    public final byte[] contentDigest;
+    public final long callerIncarnation;
+    public final long ageMillis;
+    public final Long storeClockMillis;
+    private final transient long ageTakenAt;
 
     public StoreRequest(
         final long number,
-        final int deed,
+        final int operation,
         final String name,
         final String owner,
         final long first,
         final long second,
         final byte[] body) {
-      this(number, deed, name, owner, first, second, body, null);
+      this(number, operation, name, owner, first, second, body, null);
     }
 
     public StoreRequest(
         final long number,
-        final int deed,
+        final int operation,
         final String name,
         final String owner,
         final long first,
         final long second,
         final byte[] body,
         final ChangeOrigin origin) {
-      this(number, deed, name, owner, first, second, body, origin, null);
+      this(number, operation, name, owner, first, second, body, origin, null);
     }
 
     public StoreRequest(
         final long number,
-        final int deed,
+        final int operation,
         final String name,
         final String owner,
         final long first,
         final long second,
         final byte[] body,
         final ChangeOrigin origin,
-        final byte[] content) {
-      this(number, deed, name, owner, first, second, body, origin, content, 0, 0, 0, null);
+        final byte[] contentDigest) {
+      this(
+          number,
+          operation,
+          name,
+          owner,
+          first,
+          second,
+          body,
+          origin,
+          contentDigest,
+          0,
+          0,
+          0,
+          null);
     }
 
     private StoreRequest(
         final long number,
-        final int deed,
+        final int operation,
         final String name,
         final String owner,
         final long first,
         final long second,
         final byte[] body,
         final ChangeOrigin origin,
-        final byte[] content,
-        final long caller,
-        final long age,
-        final long agedAt,
-        final Long clock) {
-      this.agedAt = agedAt;
-      this.caller = caller;
-      this.age = age;
-      this.clock = clock;
+        final byte[] contentDigest,
+        final long callerIncarnation,
+        final long ageMillis,
+        final long ageTakenAt,
+        final Long storeClockMillis) {
+      this.ageTakenAt = ageTakenAt;
+      this.callerIncarnation = callerIncarnation;
+      this.ageMillis = ageMillis;
+      this.storeClockMillis = storeClockMillis;
       this.origin = origin;
-      this.content = content;
+      this.contentDigest = contentDigest;
       this.number = number;
-      this.deed = deed;
+      this.operation = operation;
       this.name = name;
       this.owner = owner;
       this.first = first;
@@ -111,52 +127,63 @@
     }
 
     /** This call in the name of a caller. */
-    public StoreRequest from(final long givenCaller) {
+    public StoreRequest withCaller(final long newCaller) {
       return new StoreRequest(
           number,
-          deed,
+          operation,
           name,
           owner,
           first,
           second,
           body,
           origin,
-          content,
-          givenCaller,
-          age,
-          agedAt,
-          clock);
+          contentDigest,
+          newCaller,
+          ageMillis,
+          ageTakenAt,
+          storeClockMillis);
     }
 
     /**
      * A copy of this call whose first copy that may have been carried out was sent so long before
      * now, by the caller's steady clock.
      */
-    public StoreRequest aged(final long givenAge, final long now) {
+    public StoreRequest withAge(final long newAgeMillis, final long now) {
       return new StoreRequest(
-          number, deed, name, owner, first, second, body, origin, content, caller, givenAge, now,
-          clock);
+          number,
+          operation,
+          name,
+          owner,
+          first,
+          second,
+          body,
+          origin,
+          contentDigest,
+          callerIncarnation,
+          newAgeMillis,
+          now,
+          storeClockMillis);
     }
 
     /**
      * A copy of this call as it leaves now, over a line on which this time of the frame's clock had
      * been heard before.
      */
-    public StoreRequest leaving(final Long heardClock, final long now) {
+    public StoreRequest stampedForSend(final Long newStoreClockMillis, final long now) {
       return new StoreRequest(
           number,
-          deed,
+          operation,
           name,
           owner,
           first,
           second,
           body,
           origin,
-          content,
-          caller,
-          age == 0 ? 0 : age + Math.max(0, now - agedAt),
-          agedAt,
-          heardClock);
+          contentDigest,
+          callerIncarnation,
+          ageMillis == 0 ? 0 : ageMillis + Math.max(0, now - ageTakenAt),
+          ageTakenAt,
+          newStoreClockMillis);
     }
   }
 
@@ -171,8 +198,8 @@
     public final long first;
     public final byte[] body;
     public final String holder;
-    public final long caller;
-    public final Long clock;
+    public final long callerIncarnation;
+    public final Long storeClockMillis;
 
     public StoreResponse(
         final long number,
@@ -189,10 +216,10 @@
         final long first,
         final byte[] body,
         final String holder,
-        final long caller,
-        final Long clock) {
-      this.clock = clock;
-      this.caller = caller;
+        final long callerIncarnation,
+        final Long storeClockMillis) {
+      this.storeClockMillis = storeClockMillis;
+      this.callerIncarnation = callerIncarnation;
       this.number = number;
       this.status = status;
       this.first = first;
@@ -201,13 +228,13 @@
     }
 
     /** This answer for a caller. */
-    public StoreResponse to(final long givenCaller) {
-      return new StoreResponse(number, status, first, body, holder, givenCaller, clock);
+    public StoreResponse withCaller(final long newCaller) {
+      return new StoreResponse(number, status, first, body, holder, newCaller, storeClockMillis);
     }
 
     /** This answer as it leaves, at this time of its sender's steady clock. */
-    public StoreResponse at(final long millis) {
-      return new StoreResponse(number, status, first, body, holder, caller, millis);
+    public StoreResponse withClock(final long millis) {
+      return new StoreResponse(number, status, first, body, holder, callerIncarnation, millis);
     }
   }
 }
--- a/transport/src/main/java/weldpoint/transport/TrafficCounters.java
+++ b/transport/src/main/java/weldpoint/transport/TrafficCounters.java
@@ -2,45 +2,52 @@
 
 /** Counts what passes over the inner protocol; written by the traffic thread only. */
 public final class TrafficCounters {
-  private volatile long messagesIn;
-  private volatile long bytesIn;
-  private volatile long messagesOut;
-  private volatile long bytesOut;
+  private volatile long messagesReceived;
+  private volatile long bytesReceived;
+  private volatile long messagesSent;
+  private volatile long bytesSent;
 
   TrafficCounters() {}
 
-  void in(final long bytes) {
-    messagesIn++;
-    bytesIn += bytes;
+  void recordReceived(final long bytes) {
+    messagesReceived++;
+    bytesReceived += bytes;
   }
 
-  void out(final long bytes) {
-    messagesOut++;
-    bytesOut += bytes;
+  void recordSent(final long bytes) {
+    messagesSent++;
+    bytesSent += bytes;
   }
 
   /** Messages that came. */
-  public long messagesIn() {
-    return messagesIn;
+  public long messagesReceived() {
+    return messagesReceived;
   }
 
   /** Bytes that came. */
-  public long bytesIn() {
-    return bytesIn;
+  public long bytesReceived() {
+    return bytesReceived;
   }
 
   /** Messages that went. */
-  public long messagesOut() {
-    return messagesOut;
+  public long messagesSent() {
+    return messagesSent;
   }
 
   /** Bytes that went. */
-  public long bytesOut() {
-    return bytesOut;
+  public long bytesSent() {
+    return bytesSent;
   }
 
   @Override
   public String toString() {
-    return "trunk-in " + messagesIn + " " + bytesIn + " trunk-out " + messagesOut + " " + bytesOut;
+    return "trunk-in "
+        + messagesReceived
+        + " "
+        + bytesReceived
+        + " trunk-out "
+        + messagesSent
+        + " "
+        + bytesSent;
   }
 }
--- a/transport/src/main/java/weldpoint/transport/Transport.java
+++ b/transport/src/main/java/weldpoint/transport/Transport.java
@@ -26,9 +26,9 @@
 /** The inner protocol over TCP: frames of a length, a kind and a Protostuff body, after a hello. */
 public final class Transport {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
-  private static final int MOST_BYTES = 64 << 20;
-  private static final long RING_MILLIS = 500;
-  private static final long SILENCE_NANOS = TimeUnit.MILLISECONDS.toNanos(1900);
+  private static final int MAX_FRAME_BYTES = 64 << 20;
+  private static final long KEEP_ALIVE_MILLIS = 500;
+  private static final long IDLE_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(1900);
 
   /** Hears what happens on lines; called on the traffic thread. */
   public interface Listener {
@@ -42,10 +42,10 @@
     default void closed(final Connection connection) {}
 
     /** The peer's machine answered that nobody listens there. */
-    default void refused() {}
+    default void connectionRefused() {}
   }
 
-  private final EventLoopGroup loop;
+  private final EventLoopGroup eventLoopGroup;
   private final Protocol.Hello hello;
   private final TrafficCounters trafficCounters = new TrafficCounters();
 
@@ -55,24 +55,24 @@
   }
 
   /** A trunk whose lines open with this hello. */
-  public Transport(final EventLoopGroup loop, final Protocol.Hello hello) {
-    this.loop = loop;
+  public Transport(final EventLoopGroup eventLoopGroup, final Protocol.Hello hello) {
+    this.eventLoopGroup = eventLoopGroup;
     this.hello = hello;
   }
 
   /** Takes calls at an address, and returns once it does. */
-  public void serve(final String address, final int port, final Listener listener)
+  public void bind(final String address, final int port, final Listener listener)
       throws InterruptedException {
-    listen(address, port, listener).sync();
+    bindAsync(address, port, listener).sync();
   }
 
   /**
    * Begins to take calls at an address, without waiting: the control thread must never wait for the
    * traffic thread, which may be waiting for it.
    */
-  public ChannelFuture listen(final String address, final int port, final Listener listener) {
+  public ChannelFuture bindAsync(final String address, final int port, final Listener listener) {
     return new ServerBootstrap()
-        .group(loop)
+        .group(eventLoopGroup)
         .channel(NioServerSocketChannel.class)
         .option(ChannelOption.SO_REUSEADDR, true)
         .option(ChannelOption.SO_BACKLOG, 256)
@@ -81,7 +81,7 @@
             new ChannelInitializer<SocketChannel>() {
               @Override
               protected void initChannel(final SocketChannel channel) {
-                prepare(channel, listener, false);
+                initPipeline(channel, listener, false);
               }
             })
         .bind(address, port);
@@ -91,23 +91,23 @@
     return System.nanoTime() / 1_000_000;
   }
 
-  private Connection prepare(
-      final SocketChannel channel, final Listener listener, final boolean dialled) {
+  private Connection initPipeline(
+      final SocketChannel channel, final Listener listener, final boolean outgoing) {
     final Connection connection = new Connection(channel);
-    if (dialled) {
-      connection.clock().asked(now());
+    if (outgoing) {
+      connection.clock().requestSent(now());
     }
     channel
         .pipeline()
         .addLast(
-            new LengthFieldBasedFrameDecoder(MOST_BYTES, 0, 4, 0, 4),
+            new LengthFieldBasedFrameDecoder(MAX_FRAME_BYTES, 0, 4, 0, 4),
             new MessageEncoder(),
-            new ConnectionHandler(connection, listener, dialled));
+            new ConnectionHandler(connection, listener, outgoing));
     return connection;
   }
 
   /** Keeps a line to an address open until closed. */
-  public Connector dial(final String address, final int port, final Listener listener) {
+  public Connector connectTo(final String address, final int port, final Listener listener) {
     return new Connector(address, port, listener);
   }
 
@@ -117,8 +117,8 @@
     private final int port;
     private final Listener listener;
     private volatile Connection connection;
-    private volatile boolean ended;
-    private long pauseMillis = 50;
+    private volatile boolean stopped;
+    private long backoffMillis = 50;
 
     private Connector(final String address, final int port, final Listener listener) {
       this.address = address;
@@ -128,12 +128,12 @@
     }
 
     private void connect() {
-      if (ended) {
+      if (stopped) {
         return;
       }
       final ChannelFuture attempt =
           new Bootstrap()
-              .group(loop)
+              .group(eventLoopGroup)
               .channel(NioSocketChannel.class)
               .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1000)
               .option(ChannelOption.TCP_NODELAY, true)
@@ -141,13 +141,13 @@
                   new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(final SocketChannel channel) {
-                      prepare(
+                      initPipeline(
                           channel,
                           new Listener() {
                             @Override
                             public void opened(final Connection opened) {
-                              if (take(opened)) {
-                                pauseMillis = 50;
+                              if (setConnection(opened)) {
+                                backoffMillis = 50;
                                 listener.opened(opened);
                               } else {
                                 opened.close();
@@ -174,31 +174,31 @@
               .connect(new InetSocketAddress(address, port));
       attempt.addListener(
           done -> {
-            if (isRefusal(done.cause())) {
-              listener.refused();
+            if (isConnectionRefused(done.cause())) {
+              listener.connectionRefused();
             }
           });
-      attempt.channel().closeFuture().addListener(done -> again());
+      attempt.channel().closeFuture().addListener(done -> scheduleReconnect());
     }
 
-    private boolean isRefusal(final Throwable cause) {
-      return !ended
+    private boolean isConnectionRefused(final Throwable cause) {
+      return !stopped
           && cause instanceof ConnectException
           && !(cause instanceof ConnectTimeoutException);
     }
 
     /** Takes a line unless the end came first; the two may come from different threads. */
-    private synchronized boolean take(final Connection opened) {
-      if (!ended) {
+    private synchronized boolean setConnection(final Connection opened) {
+      if (!stopped) {
         connection = opened;
       }
-      return !ended;
+      return !stopped;
     }
 
-    private void again() {
-      if (!ended) {
-        pauseMillis = Math.min(250, pauseMillis * 2);
-        loop.schedule(this::connect, pauseMillis, TimeUnit.MILLISECONDS);
+    private void scheduleReconnect() {
+      if (!stopped) {
+        backoffMillis = Math.min(250, backoffMillis * 2);
+        eventLoopGroup.schedule(this::connect, backoffMillis, TimeUnit.MILLISECONDS);
       }
     }
 
@@ -209,62 +209,63 @@
 
     /** Sends where there is a line; tells whether there was one. */
     public boolean send(final Message message) {
-      final Connection now = connection;
-      if (now == null) {
+      final Connection current = connection;
+      if (current == null) {
         return false;
       }
-      now.send(message);
+      current.send(message);
       return true;
     }
 
     /** Sends what is made for the line of the moment; tells whether there was one. */
-    public boolean send(final Function<Connection, Message> made) {
-      final Connection now = connection;
-      if (now == null) {
+    public boolean send(final Function<Connection, Message> messageFactory) {
+      final Connection current = connection;
+      if (current == null) {
         return false;
       }
-      now.send(made.apply(now));
+      current.send(messageFactory.apply(current));
       return true;
     }
 
     /** Ends the line for good. */
     public void close() {
-      final Connection now;
+      final Connection current;
       synchronized (this) {
-        ended = true;
-        now = connection;
+        stopped = true;
+        current = connection;
       }
-      if (now != null) {
-        now.close();
+      if (current != null) {
+        current.close();
       }
     }
   }
 
   private static final class EncodedMessage implements Message {
-    private final int kind;
+    private final int typeNumber;
     private final byte[] body;
 
-    private EncodedMessage(final int kind, final byte[] body) {
-      this.kind = kind;
+    private EncodedMessage(final int typeNumber, final byte[] body) {
+      this.typeNumber = typeNumber;
       this.body = body;
     }
   }
 
   /** The message as its bytes: what goes to many is then turned into bytes once. */
-  public static Message seal(final Message message) {
-    return new EncodedMessage(Serializer.number(message), Serializer.serialize(message));
+  public static Message encodeOnce(final Message message) {
+    return new EncodedMessage(Serializer.typeNumber(message), Serializer.serialize(message));
   }
 
   private final class MessageEncoder extends MessageToByteEncoder<Message> {
     @Override
     protected void encode(
         final ChannelHandlerContext context, final Message message, final ByteBuf out) {
-      final boolean sealed = message instanceof EncodedMessage;
-      final byte[] body = sealed ? ((EncodedMessage) message).body : Serializer.serialize(message);
-      trafficCounters.out(body.length + 5);
+      final boolean encoded = message instanceof EncodedMessage;
+      final byte[] body = encoded ? ((EncodedMessage) message).body : Serializer.serialize(message);
+      trafficCounters.recordSent(body.length + 5);
       out.ensureWritable(body.length + 5);
       out.writeInt(body.length + 1);
-      out.writeByte(sealed ? ((EncodedMessage) message).kind : Serializer.number(message));
+      out.writeByte(
+          encoded ? ((EncodedMessage) message).typeNumber : Serializer.typeNumber(message));
       out.writeBytes(body);
     }
   }
@@ -272,25 +273,25 @@
   private final class ConnectionHandler extends ChannelDuplexHandler {
     private final Connection connection;
     private final Listener listener;
-    private final boolean dialled;
-    private boolean open;
-    private long ringNanos = System.nanoTime();
+    private final boolean outgoing;
+    private boolean helloReceived;
+    private long lastCheckNanos = System.nanoTime();
 
     private ConnectionHandler(
-        final Connection connection, final Listener listener, final boolean dialled) {
+        final Connection connection, final Listener listener, final boolean outgoing) {
       this.connection = connection;
       this.listener = listener;
-      this.dialled = dialled;
+      this.outgoing = outgoing;
     }
 
     @Override
     public void channelActive(final ChannelHandlerContext context) {
-      connection.heardNanos = System.nanoTime();
-      context.writeAndFlush(hello.at(now()));
-      watch(context.channel());
+      connection.lastReceivedNanos = System.nanoTime();
+      context.writeAndFlush(hello.withClock(now()));
+      scheduleKeepAlive(context.channel());
     }
 
-    private void watch(final Channel channel) {
+    private void scheduleKeepAlive(final Channel channel) {
       channel
           .eventLoop()
           .schedule(
@@ -298,61 +299,61 @@
                 if (!channel.isActive()) {
                   return;
                 }
-                if (System.nanoTime() - connection.heardNanos > SILENCE_NANOS
-                    && System.nanoTime() - ringNanos < 2 * SILENCE_NANOS) {
+                if (System.nanoTime() - connection.lastReceivedNanos > IDLE_TIMEOUT_NANOS
+                    && System.nanoTime() - lastCheckNanos < 2 * IDLE_TIMEOUT_NANOS) {
                   channel.close();
                   return;
                 }
-                ringNanos = System.nanoTime();
-                if (dialled) {
-                  connection.clock().asked(now());
+                lastCheckNanos = System.nanoTime();
+                if (outgoing) {
+                  connection.clock().requestSent(now());
                   channel.writeAndFlush(new Protocol.KeepAlive(false));
                 }
-                watch(channel);
+                scheduleKeepAlive(channel);
               },
-              RING_MILLIS,
+              KEEP_ALIVE_MILLIS,
               TimeUnit.MILLISECONDS);
     }
 
     @Override
-    public void channelRead(final ChannelHandlerContext context, final Object read) {
-      final ByteBuf frame = (ByteBuf) read;
+    public void channelRead(final ChannelHandlerContext context, final Object received) {
+      final ByteBuf frame = (ByteBuf) received;
       final Message message;
       try {
-        final Class<?> kind = Serializer.kind(frame.readByte());
-        if (kind == null) {
+        final Class<?> type = Serializer.messageType(frame.readByte());
+        if (type == null) {
           context.close();
           return;
         }
-        trafficCounters.in(frame.readableBytes() + 5);
+        trafficCounters.recordReceived(frame.readableBytes() + 5);
         final byte[] body = new byte[frame.readableBytes()];
         frame.readBytes(body);
-        message = (Message) Serializer.deserialize(body, kind);
+        message = (Message) Serializer.deserialize(body, type);
       } finally {
         frame.release();
       }
-      connection.heardNanos = System.nanoTime();
+      connection.lastReceivedNanos = System.nanoTime();
       if (message instanceof Protocol.KeepAlive) {
         if (((Protocol.KeepAlive) message).echo) {
-          connection.heardClock(((Protocol.KeepAlive) message).clock);
-          connection.clock().answered(((Protocol.KeepAlive) message).clock, now());
+          connection.updatePeerClock(((Protocol.KeepAlive) message).clockMillis);
+          connection.clock().responseReceived(((Protocol.KeepAlive) message).clockMillis, now());
         } else {
           context.writeAndFlush(new Protocol.KeepAlive(true, now()));
         }
-      } else if (!open) {
+      } else if (!helloReceived) {
         if (!(message instanceof Protocol.Hello)
-            || ((Protocol.Hello) message).protocol != Serializer.PROTOCOL) {
+            || ((Protocol.Hello) message).protocolVersion != Serializer.PROTOCOL_VERSION) {
           LOGGER.atWarning().log(
               "a peer at %s speaks another inner protocol than %d and was refused; run the same release everywhere",
-              context.channel().remoteAddress(), Serializer.PROTOCOL);
+              context.channel().remoteAddress(), Serializer.PROTOCOL_VERSION);
           context.close();
           return;
         }
-        open = true;
+        helloReceived = true;
         connection.peer = (Protocol.Hello) message;
-        connection.peerClock = connection.peer.clock;
-        if (dialled) {
-          connection.clock().answered(connection.peer.clock, now());
+        connection.peerClockMillis = connection.peer.clockMillis;
+        if (outgoing) {
+          connection.clock().responseReceived(connection.peer.clockMillis, now());
         }
         listener.opened(connection);
       } else {
@@ -362,8 +363,8 @@
 
     @Override
     public void channelInactive(final ChannelHandlerContext context) {
-      if (open) {
-        open = false;
+      if (helloReceived) {
+        helloReceived = false;
         listener.closed(connection);
       }
     }
@@ -378,7 +379,8 @@
   }
 
   /** An ear that runs everything on another thread, in order. */
-  public static Listener on(final java.util.concurrent.Executor executor, final Listener listener) {
+  public static Listener dispatchOn(
+      final java.util.concurrent.Executor executor, final Listener listener) {
     return new Listener() {
       @Override
       public void opened(final Connection connection) {
@@ -396,14 +398,14 @@
       }
 
       @Override
-      public void refused() {
-        executor.execute(listener::refused);
+      public void connectionRefused() {
+        executor.execute(listener::connectionRefused);
       }
     };
   }
 
   /** The names of all kinds, for tests. */
-  public static List<Class<?>> kinds() {
-    return List.of(Protocol.KINDS);
+  public static List<Class<?>> messageTypes() {
+    return List.of(Protocol.MESSAGE_TYPES);
   }
 }
--- a/transport/src/main/java/weldpoint/transport/TrialMessages.java
+++ b/transport/src/main/java/weldpoint/transport/TrialMessages.java
@@ -16,7 +16,7 @@
     public final String token;
     public final List<Integer> stages;
     public final int stage;
-    public final int leastWrites;
+    public final int minWrites;
     public final double lateAllowance;
     public final int verdict;
     public final String reason;
@@ -32,7 +32,7 @@
         final String token,
         final List<Integer> stages,
         final int stage,
-        final int leastWrites,
+        final int minWrites,
         final double lateAllowance,
         final int verdict,
         final String reason,
@@ -46,7 +46,7 @@
       this.token = token;
       this.stages = stages;
       this.stage = stage;
-      this.leastWrites = leastWrites;
+      this.minWrites = minWrites;
       this.lateAllowance = lateAllowance;
       this.verdict = verdict;
       this.reason = reason;
@@ -61,26 +61,26 @@
   public static final class TrialCounts {
     public final String route;
     public final long number;
-    public final String board;
+    public final String proxy;
     public final long incarnation;
     public final List<Long> counts;
-    public final String hold;
+    public final String holdReason;
     public final List<String> attempts;
 
     public TrialCounts(
         final String route,
         final long number,
-        final String board,
+        final String proxy,
         final long incarnation,
         final List<Long> counts,
-        final String hold,
+        final String holdReason,
         final List<String> attempts) {
       this.route = route;
       this.number = number;
-      this.board = board;
+      this.proxy = proxy;
       this.incarnation = incarnation;
       this.counts = counts;
-      this.hold = hold;
+      this.holdReason = holdReason;
       this.attempts = attempts;
     }
   }
@@ -88,14 +88,14 @@
   /** Tallies, with digests of the attempts that were sent to the new version. */
   public static final class TrialReport implements Message {
     public final boolean relayed;
-    public final List<TrialCounts> tallies;
-    public final List<Long> digests;
+    public final List<TrialCounts> counts;
+    public final List<Long> attemptDigests;
 
     public TrialReport(
-        final boolean relayed, final List<TrialCounts> tallies, final List<Long> digests) {
+        final boolean relayed, final List<TrialCounts> counts, final List<Long> attemptDigests) {
       this.relayed = relayed;
-      this.tallies = tallies;
-      this.digests = digests;
+      this.counts = counts;
+      this.attemptDigests = attemptDigests;
     }
   }
 }
--- a/transport/src/test/java/weldpoint/transport/TransportTest.java
+++ b/transport/src/test/java/weldpoint/transport/TransportTest.java
@@ -25,13 +25,13 @@
 
 /** The inner protocol: what does not speak it is refused before anything it says is heard. */
 public final class TransportTest {
-  private final EventLoopGroup loop = new NioEventLoopGroup(1);
-  private final AtomicInteger heard = new AtomicInteger();
+  private final EventLoopGroup eventLoopGroup = new NioEventLoopGroup(1);
+  private final AtomicInteger received = new AtomicInteger();
   private int port;
 
   @AfterClass
-  public void end() {
-    loop.shutdownGracefully();
+  public void shutDown() {
+    eventLoopGroup.shutdownGracefully();
   }
 
   private static Protocol.Hello hello(final int protocol) {
@@ -39,47 +39,47 @@
   }
 
   @BeforeMethod
-  public void open() throws IOException, InterruptedException {
+  public void bind() throws IOException, InterruptedException {
     try (ServerSocket socket = new ServerSocket(0)) {
       port = socket.getLocalPort();
     }
-    heard.set(0);
-    new Transport(loop, hello(Serializer.PROTOCOL))
-        .serve(
+    received.set(0);
+    new Transport(eventLoopGroup, hello(Serializer.PROTOCOL_VERSION))
+        .bind(
             "127.0.0.1",
             port,
             new Transport.Listener() {
               @Override
               public void messageReceived(final Connection connection, final Message message) {
-                heard.incrementAndGet();
+                received.incrementAndGet();
                 connection.send(message);
               }
             });
   }
 
-  private static byte[] frame(final int kind, final byte[] body) throws IOException {
+  private static byte[] frame(final int typeNumber, final byte[] body) throws IOException {
     final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     final DataOutputStream out = new DataOutputStream(bytes);
     out.writeInt(body.length + 1);
-    out.writeByte(kind);
+    out.writeByte(typeNumber);
     out.write(body);
     return bytes.toByteArray();
   }
 
   @DataProvider
-  public Object[][] strangers() throws IOException {
-    final Message word = new RegistryMessages.ChangesAck(3);
-    final byte[] kept = frame(Serializer.number(word), Serializer.serialize(word));
+  public Object[][] invalidOpenings() throws IOException {
+    final Message message = new RegistryMessages.ChangesAck(3);
+    final byte[] validFrame = frame(Serializer.typeNumber(message), Serializer.serialize(message));
     return new Object[][] {
-      {frame(Serializer.number(hello(99)), Serializer.serialize(hello(99))), kept},
-      {kept, kept},
-      {frame(200, new byte[0]), kept},
-      {new byte[] {127, 127, 127, 127, 1}, kept},
+      {frame(Serializer.typeNumber(hello(99)), Serializer.serialize(hello(99))), validFrame},
+      {validFrame, validFrame},
+      {frame(200, new byte[0]), validFrame},
+      {new byte[] {127, 127, 127, 127, 1}, validFrame},
     };
   }
 
   @Test(dataProvider = "strangers")
-  public void whoDoesNotOpenWithThisProtocolsHelloIsRefused(final byte[] first, final byte[] then)
+  public void connectionsWithoutAMatchingHelloAreClosed(final byte[] first, final byte[] then)
       throws IOException {
     try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
       socket.setSoTimeout(5000);
@@ -96,16 +96,16 @@
       }
       assertEquals(more, -1, "the line must end");
     }
-    assertEquals(heard.get(), 0);
+    assertEquals(received.get(), 0);
   }
 
   @Test
-  public void wordsTravelWholeOverADialledLine()
+  public void messagesRoundTripOverAnOutgoingConnection()
       throws InterruptedException, ExecutionException, TimeoutException {
     final CompletableFuture<RegistryMessages.Gossip> answer = new CompletableFuture<>();
     final Transport.Connector connector =
-        new Transport(loop, hello(Serializer.PROTOCOL))
-            .dial(
+        new Transport(eventLoopGroup, hello(Serializer.PROTOCOL_VERSION))
+            .connectTo(
                 "127.0.0.1",
                 port,
                 new Transport.Listener() {
@@ -135,7 +135,9 @@
     connector.close();
     assertEquals(gossip.digest, 42);
     assertEquals(gossip.roster.voters.get(0).tokens, List.of(1, 2));
-    assertTrue(Protocol.list(gossip.history).isEmpty() && Protocol.list(gossip.boards).isEmpty());
-    assertEquals(gossip.ages, List.of(5L));
+    assertTrue(
+        Protocol.emptyIfNull(gossip.registrations).isEmpty()
+            && Protocol.emptyIfNull(gossip.daemons).isEmpty());
+    assertEquals(gossip.heartbeatAges, List.of(5L));
   }
 }
--- a/transport/src/test/java/weldpoint/transport/TransportThreadsTest.java
+++ b/transport/src/test/java/weldpoint/transport/TransportThreadsTest.java
@@ -26,7 +26,7 @@
 /** The control thread and the traffic thread take turns at the worst points. */
 public final class TransportThreadsTest {
   private static final Protocol.Hello HELLO =
-      new Protocol.Hello(Serializer.PROTOCOL, "exchange", "127.0.0.1", 7);
+      new Protocol.Hello(Serializer.PROTOCOL_VERSION, "exchange", "127.0.0.1", 7);
 
   private static int port() throws IOException {
     try (ServerSocket socket = new ServerSocket(0)) {
@@ -38,10 +38,10 @@
    * A channel that the traffic thread closes at the moment in which the control thread has looked
    * at its buffer so many times.
    */
-  private static Channel closingAfter(final int looks) {
+  private static Channel closedAfterReads(final int reads) {
     final EmbeddedChannel real = new EmbeddedChannel();
     final ChannelOutboundBuffer buffer = real.unsafe().outboundBuffer();
-    final AtomicInteger looked = new AtomicInteger();
+    final AtomicInteger readCount = new AtomicInteger();
     final Channel.Unsafe unsafe =
         (Channel.Unsafe)
             Proxy.newProxyInstance(
@@ -49,7 +49,7 @@
                 new Class<?>[] {Channel.Unsafe.class},
                 (self, method, arguments) ->
                     method.getName().equals("outboundBuffer")
-                        ? looked.getAndIncrement() < looks ? buffer : null
+                        ? readCount.getAndIncrement() < reads ? buffer : null
                         : method.invoke(real.unsafe(), arguments));
     return (Channel)
         Proxy.newProxyInstance(
@@ -68,15 +68,14 @@
   }
 
   @Test
-  public void aLineThatEndsWhileAnotherThreadSendsLosesTheMessageAndNothingElse() {
-    for (int looks = 0; looks < 3; looks++) {
-      new Connection(closingAfter(looks)).send(new Protocol.KeepAlive(false));
+  public void closingAConnectionDuringSendLosesOnlyTheMessage() {
+    for (int reads = 0; reads < 3; reads++) {
+      new Connection(closedAfterReads(reads)).send(new Protocol.KeepAlive(false));
     }
   }
 
   @Test
-  public void listeningDoesNotWaitForATrafficThreadThatWaitsItself()
-      throws IOException, InterruptedException {
+  public void bindAsyncDoesNotWaitForABlockedEventLoop() throws IOException, InterruptedException {
     final EventLoopGroup loop = new NioEventLoopGroup(1);
     final CountDownLatch held = new CountDownLatch(1);
     final CountDownLatch returned = new CountDownLatch(1);
@@ -89,7 +88,7 @@
               () -> {
                 future[0] =
                     new Transport(loop, HELLO)
-                        .listen("127.0.0.1", port, (connection, message) -> {});
+                        .bindAsync("127.0.0.1", port, (connection, message) -> {});
                 returned.countDown();
               });
       control.setDaemon(true);
@@ -114,7 +113,7 @@
   }
 
   @Test
-  public void aLineThatIsEndedWhileItComesUpDoesNotStayOpen()
+  public void aConnectorClosedWhileConnectingLeavesNoConnectionOpen()
       throws IOException, InterruptedException {
     final EventLoopGroup loop = new NioEventLoopGroup(1);
     final Set<Connection> open = Collections.synchronizedSet(new HashSet<>());
@@ -122,7 +121,7 @@
     final int port = port();
     try {
       new Transport(loop, HELLO)
-          .serve(
+          .bind(
               "127.0.0.1",
               port,
               new Transport.Listener() {
@@ -145,7 +144,7 @@
       for (int round = 0; round < 400; round++) {
         final CountDownLatch up = new CountDownLatch(1);
         final Transport.Connector connector =
-            transport.dial(
+            transport.connectTo(
                 "127.0.0.1",
                 port,
                 new Transport.Listener() {
--- a/trial/src/main/java/weldpoint/trial/TrialCoordinator.java
+++ b/trial/src/main/java/weldpoint/trial/TrialCoordinator.java
@@ -192,7 +192,7 @@
       for (final ReceivedCounts one : reports.values()) {
         final long[] counts = TrialCounter.array(one.tally.counts);
         fresh |=
-            one.tally.board.equals(board)
+            one.tally.proxy.equals(board)
                 && now - one.heardAt < FRESH_MILLIS
                 && TrialCounter.STAGE.in(counts) == trial.stage;
       }
@@ -209,12 +209,12 @@
               ? TrialCounter.STAGE_CONFIRMED.in(counts)
               : 0;
     }
-    return writes >= trial.leastWrites
+    return writes >= trial.minWrites
         ? null
         : "only "
             + writes
             + " of "
-            + trial.leastWrites
+            + trial.minWrites
             + " writes were confirmed on the new version at this stage; wait for more";
   }
 
@@ -248,7 +248,7 @@
         trial.token,
         trial.stages,
         stage,
-        trial.leastWrites,
+        trial.minWrites,
         trial.lateAllowance,
         verdict.ordinal(),
         reason,
@@ -268,7 +268,7 @@
         trial.token,
         trial.stages,
         trial.stage,
-        trial.leastWrites,
+        trial.minWrites,
         trial.lateAllowance,
         TrialVerdict.HELD.ordinal(),
         both
@@ -280,18 +280,18 @@
 
   /** Takes what a switchboard has counted; reports may come late, twice and in any order. */
   public void report(final TrialMessages.TrialReport report, final long now) {
-    for (final TrialCounts tally : Protocol.list(report.tallies)) {
+    for (final TrialCounts tally : Protocol.emptyIfNull(report.counts)) {
       final Trial trial = trials.get(tally.route);
       if (trial == null || trial.number != tally.number) {
         continue;
       }
       final Map<String, ReceivedCounts> reports =
           told.computeIfAbsent(tally.route, route -> new LinkedHashMap<>());
-      final String key = tally.board + "#" + tally.incarnation;
+      final String key = tally.proxy + "#" + tally.incarnation;
       final ReceivedCounts before = reports.get(key);
       reports.put(
           key, new ReceivedCounts(before == null ? tally : later(before.tally, tally), now));
-      for (final Long digest : Protocol.list(report.digests)) {
+      for (final Long digest : Protocol.emptyIfNull(report.attemptDigests)) {
         final String other = digests.putIfAbsent(digest, key);
         if (other != null && !other.equals(key)) {
           doubledRoute = tally.route;
@@ -318,15 +318,16 @@
           TrialCounter.STAGE_CONFIRMED.in(laterStage ? right : left);
     }
     final boolean fuller =
-        Protocol.list(other.attempts).size() >= Protocol.list(one.attempts).size();
-    final TrialCounts held = other.hold != null || one.hold == null && fuller ? other : one;
+        Protocol.emptyIfNull(other.attempts).size() >= Protocol.emptyIfNull(one.attempts).size();
+    final TrialCounts held =
+        other.holdReason != null || one.holdReason == null && fuller ? other : one;
     return new TrialCounts(
         one.route,
         one.number,
-        one.board,
+        one.proxy,
         one.incarnation,
         TrialCounter.list(most),
-        held.hold,
+        held.holdReason,
         held.attempts);
   }
 
@@ -359,11 +360,11 @@
 
   private Trial verdict(final Trial trial, final RoutingTable routingTable) {
     for (final ReceivedCounts one : told.getOrDefault(trial.route, Map.of()).values()) {
-      if (one.tally.hold != null) {
+      if (one.tally.holdReason != null) {
         return held(
             trial,
-            one.tally.hold + " (switchboard " + one.tally.board + ")",
-            Protocol.list(one.tally.attempts));
+            one.tally.holdReason + " (switchboard " + one.tally.proxy + ")",
+            Protocol.emptyIfNull(one.tally.attempts));
       }
     }
     if (trial.route.equals(doubledRoute) && !doubles.isEmpty()) {
@@ -417,7 +418,7 @@
   private List<String> lateAttempts(final String route) {
     final List<String> list = new ArrayList<>();
     for (final ReceivedCounts one : told.getOrDefault(route, Map.of()).values()) {
-      list.addAll(Protocol.list(one.tally.attempts));
+      list.addAll(Protocol.emptyIfNull(one.tally.attempts));
     }
     return list.size() > 20 ? list.subList(0, 20) : list;
   }
--- a/trial/src/main/java/weldpoint/trial/TrialTracker.java
+++ b/trial/src/main/java/weldpoint/trial/TrialTracker.java
@@ -114,7 +114,7 @@
       TrialCounter.NEW_REHEARSED.more(page.counts);
       return trial.newService;
     }
-    return chance * 100 < Protocol.list(trial.stages).get(trial.stage)
+    return chance * 100 < Protocol.emptyIfNull(trial.stages).get(trial.stage)
         ? trial.newService
         : trial.oldService;
   }
--- a/upstream/src/main/java/weldpoint/upstream/UpstreamSubsets.java
+++ b/upstream/src/main/java/weldpoint/upstream/UpstreamSubsets.java
@@ -88,7 +88,7 @@
   }
 
   private Tiers divide(final List<Upstream> upstreams) {
-    final boolean large = upstreams.size() > 2 * settings.choiceWidth();
+    final boolean large = upstreams.size() > 2 * settings.subsetSize();
     final Map<String, List<Upstream>> sites = new HashMap<>();
     for (final Upstream upstream : upstreams) {
       upstream.own = !large;
@@ -116,7 +116,7 @@
     takeStretch(
         near,
         (double) place(near.size()) / neighbours.size(),
-        Math.ceil(settings.choiceSharers() * near.size() / neighbours.size()));
+        Math.ceil(settings.subsetSharers() * near.size() / neighbours.size()));
     final Map<String, List<Upstream>> regions = new HashMap<>();
     for (final Upstream upstream : upstreams) {
       if (!upstream.site.equals(settings.site())) {
@@ -125,14 +125,14 @@
     }
     regions
         .values()
-        .forEach(list -> takeStretch(list, position(), (settings.choiceWidth() + 1) / 2));
+        .forEach(list -> takeStretch(list, position(), (settings.subsetSize() + 1) / 2));
   }
 
   private void takeNearestByRank(final String site, final List<Upstream> upstreams) {
     upstreams.sort(
         Comparator.comparingLong(upstream -> RendezvousHash.of(upstream.id, settings.address())));
     final int most =
-        site.equals(settings.site()) ? settings.choiceWidth() : (settings.choiceWidth() + 1) / 2;
+        site.equals(settings.site()) ? settings.subsetSize() : (settings.subsetSize() + 1) / 2;
     upstreams.subList(0, Math.min(most, upstreams.size())).forEach(upstream -> upstream.own = true);
   }
 
@@ -141,7 +141,7 @@
    * too many upstreams.
    */
   private int place(final int upstreams) {
-    return neighbours.size() * (long) settings.choiceWidth() < settings.choiceSharers() * upstreams
+    return neighbours.size() * (long) settings.subsetSize() < settings.subsetSharers() * upstreams
         ? -1
         : neighbours.indexOf(settings.address());
   }
