--- a/transport/src/main/java/weldpoint/transport/AuditMessages.java
+++ b/transport/src/main/java/weldpoint/transport/AuditMessages.java
@@ -6,7 +6,7 @@
 public final class AuditMessages {
   private AuditMessages() {}
 
-  /** Tells how far the sender's history reaches. */
+  /** The range of entries in the sender's history, and the digest of the last one. */
   public static final class AuditState implements Message {
     public final long base;
     public final long last;
@@ -19,7 +19,7 @@
     }
   }
 
-  /** Asks for the history from this entry on. */
+  /** Asks for the entries of the history from this one on. */
   public static final class AuditRequest implements Message {
     public final long from;
 
@@ -29,8 +29,8 @@
   }
 
   /**
-   * Entries of the history behind the base; whether the sender keeps none before them, and how far
-   * it reaches.
+   * The entries of the history that follow the base; {@code trimmed} is set if the sender keeps no
+   * earlier ones, and {@code last} is the last entry that it has.
    */
   public static final class AuditEntries implements Message {
     public final long base;
--- a/transport/src/main/java/weldpoint/transport/CacheMessages.java
+++ b/transport/src/main/java/weldpoint/transport/CacheMessages.java
@@ -2,11 +2,11 @@
 
 import java.util.List;
 
-/** Purges, and reads of copies from the shared cache tier. */
+/** Purges of cached objects, and reads from the shared cache. */
 public final class CacheMessages {
   private CacheMessages() {}
 
-  /** What an operator ended for caches: one object by its host and path, or all under a label. */
+  /** An operator's purge: of one object, by its host and path, or of all objects with a tag. */
   public static final class Purge {
     public final long serial;
     public final String host;
@@ -22,8 +22,8 @@
   }
 
   /**
-   * All purges above the floor up to the mark, in order; whoever knows less than the floor has
-   * missed some.
+   * All purges after {@code floorSerial} up to {@code lastSerial}, in order. A receiver whose last
+   * purge is before {@code floorSerial} has missed some.
    */
   public static final class Purges implements Message {
     public final long floorSerial;
@@ -37,7 +37,7 @@
     }
   }
 
-  /** Asks an announcer for an object. */
+  /** Asks a cache daemon for an object, waiting at most {@code waitMillis}. */
   public static final class CacheReadRequest implements Message {
     public final long number;
     public final String service;
@@ -59,7 +59,7 @@
     }
   }
 
-  /** The object with its headers; status 0 means that it cannot be had from here now. */
+  /** The object with its headers; status 0 means that the cache cannot supply it now. */
   public static final class CacheReadResponse implements Message {
     public final long number;
     public final int status;
--- a/transport/src/main/java/weldpoint/transport/KeyMessages.java
+++ b/transport/src/main/java/weldpoint/transport/KeyMessages.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * Messages by which an idempotency key is claimed for one request before it is sent to an upstream.
- * Spans are in milliseconds and are counted by each receiver on its own steady clock.
+ * Messages that claim an idempotency key for one request before it is sent to an upstream.
+ * Durations are in milliseconds and are measured by each receiver on its own monotonic clock.
  */
 public final class KeyMessages {
   private KeyMessages() {}
 
-  /** One request's claim of a key: the key's digest, and who claims it. */
+  /** A request's claim of a key: the two halves of the key's digest, and who claims it. */
   public static final class Claim {
     public final long high;
     public final long low;
@@ -17,16 +17,16 @@
     /** The address of the proxy that holds the request. */
     public final String proxy;
 
-    /** The life of that proxy. */
+    /** The incarnation of that proxy. */
     public final long incarnation;
 
-    /** The claim's number within that life. */
+    /** The claim's number within that incarnation. */
     public final long number;
 
-    /** For how long the claim must be remembered from its receipt on. */
+    /** How long the claim must be kept, counted from its receipt. */
     public final long keepMillis;
 
-    /** A claim. */
+    /** Creates a claim. */
     public Claim(
         final long high,
         final long low,
@@ -42,12 +42,12 @@
       this.keepMillis = keepMillis;
     }
 
-    /** Whether both are the same request's. */
+    /** Returns whether both claims were made for the same request. */
     public boolean sameClaimant(final Claim other) {
       return incarnation == other.incarnation && number == other.number;
     }
 
-    /** The same claim with another span to remember it for. */
+    /** Returns this claim with another retention period. */
     public Claim withKeepMillis(final long millis) {
       return new Claim(high, low, proxy, incarnation, number, millis);
     }
@@ -64,72 +64,72 @@
     }
   }
 
-  /** A proxy asks its registry for a key. */
+  /** A proxy asks its registry to grant a claim. */
   public static final class ClaimRequest implements Message {
     public final Claim claim;
 
-    /** Asks for this claim. */
+    /** Creates a request for this claim. */
     public ClaimRequest(final Claim claim) {
       this.claim = claim;
     }
   }
 
-  /** What became of a claim. */
+  /** The result of a claim. */
   public enum ClaimResult {
-    /** A majority remembers the claim: the request may be sent. */
+    /** A majority has stored the claim: the request may be sent. */
     GRANTED,
     /** Another request holds the key. */
     HELD,
-    /** It cannot be told: the request must not be sent. */
+    /** The result cannot be determined: the request must not be sent. */
     UNKNOWN
   }
 
-  /** A registry answers a claim; the holder is given where another has the key. */
+  /** A registry's answer to a claim, with the holder if another request has the key. */
   public static final class ClaimResponse implements Message {
     public final long number;
     public final int result;
     public final Claim holder;
 
-    /** An answer to the claim of this number. */
+    /** Creates the answer to the claim of this number. */
     public ClaimResponse(final long number, final ClaimResult result, final Claim holder) {
       this.number = number;
       this.result = result.ordinal();
       this.holder = holder;
     }
 
-    /** The result. */
+    /** Returns the result. */
     public ClaimResult result() {
       return ClaimResult.values()[result];
     }
   }
 
-  /** Claims whose requests never ran and never will: their keys are free again. */
+  /** Releases claims whose requests never ran and never will, so that their keys are free again. */
   public static final class ClaimRelease implements Message {
     public final List<Claim> claims;
 
-    /** Releases these. */
+    /** Creates a release of these claims. */
     public ClaimRelease(final List<Claim> claims) {
       this.claims = claims;
     }
   }
 
-  /** A registry asks the voters' registries to remember claims. */
+  /** A registry asks the registries of the voters to store claims. */
   public static final class ClaimVoteRequest implements Message {
     public final List<Claim> claims;
 
-    /** Asks for votes on these. */
+    /** Creates a request for votes on these claims. */
     public ClaimVoteRequest(final List<Claim> claims) {
       this.claims = claims;
     }
   }
 
-  /** One vote: granted where no holder is given. */
+  /** A vote on one claim; it grants the claim if the holder is null. */
   public static final class ClaimVote {
     public final long incarnation;
     public final long number;
     public final Claim holder;
 
-    /** A vote on the claim of this claimant. */
+    /** Creates a vote on the claim with this incarnation and number. */
     public ClaimVote(final long incarnation, final long number, final Claim holder) {
       this.incarnation = incarnation;
       this.number = number;
@@ -137,25 +137,27 @@
     }
   }
 
-  /** A voter's votes; those that grant are on its disk. */
+  /** The votes of one voter; the votes that grant a claim are on its disk. */
   public static final class ClaimVoteResponse implements Message {
     public final long rosterNumber;
     public final List<ClaimVote> votes;
 
-    /** Votes given under a roster. */
+    /** Creates a response with votes that were given under the roster of this number. */
     public ClaimVoteResponse(final long rosterNumber, final List<ClaimVote> votes) {
       this.rosterNumber = rosterNumber;
       this.votes = votes;
     }
   }
 
-  /** A proxy asks the holder of a key what became of its request. */
+  /** A proxy asks the holder of a key for the outcome of the holder's request. */
   public static final class OutcomeRequest implements Message {
     public final Claim claim;
     public final long fingerprint;
     public final long waitMillis;
 
-    /** Asks for the outcome of this claim's request, waiting for it for so long. */
+    /**
+     * Creates a request for the outcome of a claim's request that waits for it at most this long.
+     */
     public OutcomeRequest(final Claim claim, final long fingerprint, final long waitMillis) {
       this.claim = claim;
       this.fingerprint = fingerprint;
@@ -163,28 +165,30 @@
     }
   }
 
-  /** What became of a request that held a key. */
+  /** The outcome of a request that held a key. */
   public enum Outcome {
-    /** It was answered. */
+    /** The request was answered. */
     ANSWERED,
-    /** It never ran and never will. */
+    /** The request never ran and never will. */
     NEVER_RAN,
-    /** It is still at work. */
+    /** The request is still being processed. */
     IN_PROGRESS,
-    /** It may have run. */
+    /** The request may have run. */
     UNCERTAIN,
-    /** Another request than this one holds the key. */
+    /** The key was used for a different request. */
     KEY_REUSED
   }
 
-  /** The holder's answer; status, headers (name, value, ...) and body where it was answered. */
+  /**
+   * The holder's reply; if the request was answered, with status, headers (name, value, ...), body.
+   */
   public static final class OutcomeResponse implements Message {
     public final int outcome;
     public final int status;
     public final List<String> headers;
     public final byte[] body;
 
-    /** An outcome with the answer that the first request got. */
+    /** Creates an outcome with the response that the first request received. */
     public OutcomeResponse(
         final Outcome outcome, final int status, final List<String> headers, final byte[] body) {
       this.outcome = outcome.ordinal();
@@ -193,12 +197,12 @@
       this.body = body;
     }
 
-    /** An outcome without an answer. */
+    /** Creates an outcome without a response. */
     public OutcomeResponse(final Outcome outcome) {
       this(outcome, 0, null, null);
     }
 
-    /** The outcome. */
+    /** Returns the outcome. */
     public Outcome outcome() {
       return Outcome.values()[outcome];
     }
--- a/transport/src/main/java/weldpoint/transport/Message.java
+++ b/transport/src/main/java/weldpoint/transport/Message.java
@@ -1,4 +1,4 @@
 package weldpoint.transport;
 
-/** Anything that one program of the system says to another. */
+/** A message of the internal protocol, which the programs of the system exchange. */
 public interface Message {}
--- a/transport/src/main/java/weldpoint/transport/OwnershipMessages.java
+++ b/transport/src/main/java/weldpoint/transport/OwnershipMessages.java
@@ -4,41 +4,43 @@
 import java.util.List;
 
 /**
- * Messages and stored values about services whose keys are divided among their upstreams. Spans are
- * in milliseconds and are counted by each receiver on its own steady clock.
+ * Messages and stored values about services whose keys are partitioned among their upstreams.
+ * Durations are in milliseconds and are measured by each receiver on its own monotonic clock.
  */
 public final class OwnershipMessages {
   private OwnershipMessages() {}
 
-  /** Whether an upstream may still be granted a range of keys. */
+  /** Whether the holder of a key range is still granted it. */
   public enum RangeState {
-    /** The holder is granted the range, again and again. */
+    /** The holder is granted the range, and the grant is renewed. */
     HELD,
-    /** Nothing is granted any more: the holder is asked to give the range up, or waited for. */
+    /**
+     * The grant is not renewed: the holder is asked to release the range, or its grant runs out.
+     */
     RELEASING
   }
 
-  /** A range of keys, both ends inside, and the upstream that holds it. */
+  /** A range of keys, {@code first} and {@code last} included, and the upstream that holds it. */
   public static final class KeyRange {
     public final int first;
     public final int last;
 
-    /** The id of the upstream's life that holds the range. */
+    /** The instance id of the upstream that holds the range; a restarted upstream has a new one. */
     public final String holder;
 
-    /** The address, host:port, at which that life is granted keys. */
+    /** The address, as host:port, at which that instance is granted keys. */
     public final String address;
 
-    /** Rises with each change of the range, also over changes of the assigner. */
+    /** The fencing number: it rises with each change of the range, also if the assigner changes. */
     public final long fence;
 
-    /** The number of a {@link RangeState}. */
+    /** The ordinal of a {@link RangeState}. */
     public final int state;
 
-    /** What the holder before handed over with its release; null where there is nothing. */
+    /** What the previous holder handed over when it released the range; null if nothing. */
     public final String transfer;
 
-    /** A range. */
+    /** Creates a range. */
     public KeyRange(
         final int first,
         final int last,
@@ -56,17 +58,17 @@
       this.transfer = transfer;
     }
 
-    /** The state. */
+    /** Returns the state. */
     public RangeState state() {
       return RangeState.values()[state];
     }
 
-    /** Whether the holder is granted the range. */
+    /** Returns whether the holder is granted the range. */
     public boolean held() {
       return state() == RangeState.HELD;
     }
 
-    /** The same holder and fence for a part of the keys. */
+    /** Returns a range over part of the keys, with the same holder and fence. */
     public KeyRange subrange(final int from, final int to) {
       return new KeyRange(from, to, holder, address, fence, state(), transfer);
     }
@@ -78,23 +80,23 @@
   }
 
   /**
-   * Who holds the keys of one service, and which registry assigns them: a register of the state
-   * store. The serial rises by one with each change.
+   * The holders of the keys of one service, and the registry that assigns them. It is kept in a
+   * register of the state store; the serial rises by one with each change.
    */
   public static final class Assignment {
     public final String service;
     public final long serial;
 
-    /** The address of the registry that assigns. */
+    /** The address of the registry that assigns the keys. */
     public final String assigner;
 
-    /** The life of that registry. */
+    /** The incarnation of that registry. */
     public final long incarnation;
 
-    /** Sorted, without gaps or overlaps; empty while no upstream is known. */
+    /** The ranges, sorted, without gaps or overlaps; empty while no upstream is known. */
     public final List<KeyRange> ranges;
 
-    /** An assignment. */
+    /** Creates an assignment. */
     public Assignment(
         final String service,
         final long serial,
@@ -108,33 +110,33 @@
       this.ranges = new ArrayList<>(ranges);
     }
 
-    /** The ranges; an empty list travels as null. */
+    /** Returns the ranges; an empty list is null after it was deserialized. */
     public List<KeyRange> ranges() {
       return Protocol.emptyIfNull(ranges);
     }
 
-    /** Whether this life of this registry assigns. */
+    /** Returns whether the registry at this address, in this incarnation, is the assigner. */
     public boolean assignedBy(final String address, final long assignerIncarnation) {
       return assigner.equals(address) && incarnation == assignerIncarnation;
     }
   }
 
-  /** A registry tells a proxy who holds the keys of these services. */
+  /** A registry sends a proxy the key assignments of these services. */
   public static final class Assignments implements Message {
     public final List<Assignment> assignments;
 
-    /** News of these services. */
+    /** Creates a message with these assignments. */
     public Assignments(final List<Assignment> assignments) {
       this.assignments = assignments;
     }
   }
 
-  /** An assigner tells the other registries that it is at work, or that it ends. */
+  /** An assigner tells the other registries that it is active, or that it is shutting down. */
   public static final class AssignerHeartbeat implements Message {
     public final long incarnation;
     public final boolean leaving;
 
-    /** A pulse of this life. */
+    /** Creates a heartbeat of this incarnation. */
     public AssignerHeartbeat(final long incarnation, final boolean leaving) {
       this.incarnation = incarnation;
       this.leaving = leaving;
@@ -142,20 +144,20 @@
   }
 
   /**
-   * What was sent to the holders of a service's keys since the last report, by slot: a slot is a
-   * fixed number of neighbouring keys.
+   * The load that a service's keys have caused since the last report, by slot. A slot is a fixed
+   * number of adjacent keys.
    */
   public static final class SlotReport implements Message {
     public final String service;
     public final List<Integer> slots;
 
-    /** Requests that were answered, for each of the slots. */
+    /** The number of requests that were answered, for each of the slots. */
     public final List<Integer> requests;
 
-    /** The time that those requests took at their upstreams together, for each of the slots. */
+    /** The total time that those requests took at their upstreams, for each of the slots. */
     public final List<Integer> busyMillis;
 
-    /** A report; the three lists are of one length. */
+    /** Creates a report; the three lists have the same length. */
     public SlotReport(
         final String service,
         final List<Integer> slots,
--- a/transport/src/main/java/weldpoint/transport/PermitMessages.java
+++ b/transport/src/main/java/weldpoint/transport/PermitMessages.java
@@ -1,10 +1,10 @@
 package weldpoint.transport;
 
-/** Asks for permits of tenants and origins, and their answers. */
+/** Requests for rate limit permits of tenants and origins, and the responses. */
 public final class PermitMessages {
   private PermitMessages() {}
 
-  /** Asks for permits under a name; hops counts the exchanges that passed it on. */
+  /** Asks for permits under a name; {@code hops} counts the registries that forwarded it. */
   public static final class PermitRequest implements Message {
     public final long number;
     public final String name;
@@ -19,7 +19,7 @@
     }
   }
 
-  /** How many were granted, under which spec, and how long ago that was known to be the newest. */
+  /** The permits granted, the configuration version, and how long ago that was the latest. */
   public static final class PermitResponse implements Message {
     public final long number;
     public final int granted;
--- a/transport/src/main/java/weldpoint/transport/PlacementMessages.java
+++ b/transport/src/main/java/weldpoint/transport/PlacementMessages.java
@@ -2,11 +2,11 @@
 
 import java.util.List;
 
-/** Where callers that are tied to one upstream are placed, and the leases on that. */
+/** Placement of callers with affinity to one upstream, and the leases on placements. */
 public final class PlacementMessages {
   private PlacementMessages() {}
 
-  /** One upstream that callers may be tied to. */
+  /** One upstream among which callers with affinity are placed. */
   public static final class PlacementMember {
     public final String id;
     public final int capacity;
@@ -20,8 +20,8 @@
   }
 
   /**
-   * Among which upstreams of a service callers are placed in this epoch, and, where the next epoch
-   * is prepared, among which then.
+   * The upstreams of a service among which callers are placed in this epoch and, if the next epoch
+   * has been prepared, those of that one.
    */
   public static final class Placement {
     public final String service;
@@ -47,7 +47,7 @@
     }
   }
 
-  /** Which exchange, in which life, changes placements and grants leases on them. */
+  /** The registry, with its incarnation, that changes placements and grants leases on them. */
   public static final class PlacementOwner {
     public final long serial;
     public final String address;
@@ -60,7 +60,7 @@
     }
   }
 
-  /** All placements; the mark rises with each change of any. */
+  /** All placements; the revision rises with each change of any of them. */
   public static final class Placements implements Message {
     public final long revision;
     public final List<Placement> placements;
@@ -72,8 +72,9 @@
   }
 
   /**
-   * A switchboard asks for a lease; it has the placements under this mark, and has finished what
-   * had to be finished for those up to settled. Counts are from its start.
+   * A proxy asks for a lease. It has the placements of {@code placementRevision}, and has completed
+   * everything that had to be completed for those up to {@code settledRevision}. The counts are
+   * cumulative from the start of the proxy.
    */
   public static final class LeaseRequest implements Message {
     public final long number;
@@ -99,7 +100,7 @@
     }
   }
 
-  /** The lease: for so many milliseconds from the asker's question; 0 where none is granted. */
+  /** A lease, in milliseconds from when the proxy sent the request; 0 if none is granted. */
   public static final class LeaseGrant implements Message {
     public final long number;
     public final String proxy;
--- a/transport/src/main/java/weldpoint/transport/Protocol.java
+++ b/transport/src/main/java/weldpoint/transport/Protocol.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * The kinds of messages of the inner protocol, each with the number under which it travels. A list
- * that travelled empty arrives as null; {@link #emptyIfNull} mends that.
+ * The message types of the internal protocol. A message is sent with the index of its type in the
+ * table. A list that is sent empty arrives as null; {@link #emptyIfNull} corrects that.
  */
 public final class Protocol {
   static final Class<?>[] MESSAGE_TYPES = {
@@ -71,12 +71,12 @@
 
   private Protocol() {}
 
-  /** The list itself, or an empty one for null. */
+  /** Returns the list, or an empty one if it is null. */
   public static <T> List<T> emptyIfNull(final List<T> list) {
     return list == null ? List.of() : list;
   }
 
-  /** The first message on every line. */
+  /** The first message of each side of a connection. */
   public static final class Hello implements Message {
     public final int protocolVersion;
     public final String program;
@@ -105,13 +105,13 @@
       this.clockMillis = clockMillis;
     }
 
-    /** This hello with the time of its sender's steady clock. */
+    /** Returns this hello with the time of its sender's monotonic clock, in milliseconds. */
     public Hello withClock(final long millis) {
       return new Hello(protocolVersion, program, address, incarnation, millis);
     }
   }
 
-  /** Keeps a line alive; echoed once, with the time of the echoing side's steady clock. */
+  /** Keeps a connection alive; answered by an echo with the time of the peer's monotonic clock. */
   public static final class KeepAlive implements Message {
     public final boolean echo;
     public final Long clockMillis;
--- a/transport/src/main/java/weldpoint/transport/RecordingMessages.java
+++ b/transport/src/main/java/weldpoint/transport/RecordingMessages.java
@@ -6,7 +6,7 @@
 public final class RecordingMessages {
   private RecordingMessages() {}
 
-  /** Whether switchboards record what they carry, under a rising mark. */
+  /** Whether proxies record the requests that they carry; the revision rises with each change. */
   public static final class RecordingState implements Message {
     public final long revision;
     public final boolean enabled;
@@ -18,8 +18,9 @@
   }
 
   /**
-   * One request as a switchboard carried it; serials of one switchboard's life leave no gap. Tries
-   * stand in three lists, in order.
+   * One request as a proxy carried it; the serials of one incarnation of a proxy have no gaps. The
+   * attempts are in parallel lists, in order: upstream, start, duration and outcome. Times are in
+   * milliseconds.
    */
   public static final class RequestRecord {
     public final long serial;
@@ -76,8 +77,8 @@
   }
 
   /**
-   * Notes of one switchboard's life, with its own clock when they were sent, and how many were
-   * dropped so far; the last reel of a life says so.
+   * Records of one incarnation of a proxy, with the time of its own clock when they were sent and
+   * the number of records dropped so far. The last batch of an incarnation is marked as such.
    */
   public static final class RecordingBatch implements Message {
     public final String proxy;
--- a/transport/src/main/java/weldpoint/transport/RegionMessages.java
+++ b/transport/src/main/java/weldpoint/transport/RegionMessages.java
@@ -2,11 +2,11 @@
 
 import java.util.List;
 
-/** Messages by which the proxies of a region elect and heed an acting coordinator. */
+/** Messages by which the proxies of a region elect a leader and follow its directives. */
 public final class RegionMessages {
   private RegionMessages() {}
 
-  /** One switchboard, in one life, that may vote. */
+  /** One proxy, in one incarnation, that may vote. */
   public static final class Elector {
     public final String address;
     public final long incarnation;
@@ -18,8 +18,8 @@
   }
 
   /**
-   * The switchboards of a region that may choose a chief, under a rising mark, with the region's
-   * part of all switchboards.
+   * The proxies of a region that may elect its leader, under a revision that rises with each
+   * change, and the region's share of all proxies.
    */
   public static final class Electorate implements Message {
     public final String region;
@@ -39,7 +39,7 @@
     }
   }
 
-  /** A switchboard stands for chief. */
+  /** A proxy asks for votes to become the leader of its region. */
   public static final class LeaderVoteRequest implements Message {
     public final String region;
     public final long electorateRevision;
@@ -61,7 +61,7 @@
     }
   }
 
-  /** Whether the sender backs whoever stands. */
+  /** Whether the sender votes for the candidate. */
   public static final class LeaderVoteResponse implements Message {
     public final String region;
     public final long electorateRevision;
@@ -80,7 +80,7 @@
     }
   }
 
-  /** What a chief orders, fenced by the electorate's mark and the term. */
+  /** A leader's directive, fenced by the revision of the electorate and the term. */
   public static final class LeaderDirective implements Message {
     public final String region;
     public final long electorateRevision;
@@ -124,8 +124,8 @@
   }
 
   /**
-   * What one switchboard has seen lately: requests by kind, writes refused, what upstreams carried,
-   * silent upstreams, writes of unknown fate.
+   * What one proxy has observed lately: requests by kind, rejected writes, what upstreams carried,
+   * upstreams that did not answer, and writes of unknown outcome.
    */
   public static final class ProxyObservations {
     public final long idempotentRequests;
@@ -151,7 +151,7 @@
     }
   }
 
-  /** The sender heeds an order, and tells what it has seen. */
+  /** The sender follows a directive, and reports its observations. */
   public static final class LeaderDirectiveAck implements Message {
     public final long electorateRevision;
     public final long term;
--- a/transport/src/main/java/weldpoint/transport/RegisterVersion.java
+++ b/transport/src/main/java/weldpoint/transport/RegisterVersion.java
@@ -2,31 +2,31 @@
 
 /** The version of a register: the ballot that wrote it and a count within that ballot. */
 public final class RegisterVersion implements Comparable<RegisterVersion> {
-  /** Below every other mark. */
+  /** The version below every other. */
   public static final RegisterVersion NONE = new RegisterVersion(0, 0, 0);
 
   public final long round;
   public final long owner;
   public final long count;
 
-  /** A mark of the given ballot. */
+  /** Creates a version within the ballot of the given round and owner. */
   public RegisterVersion(final long round, final long owner, final long count) {
     this.round = round;
     this.owner = owner;
     this.count = count;
   }
 
-  /** The first mark of this one's ballot. */
+  /** Returns the first version of this version's ballot. */
   public RegisterVersion ballot() {
     return count == 0 ? this : new RegisterVersion(round, owner, 0);
   }
 
-  /** Another mark of the same ballot. */
+  /** Returns the version of the same ballot with another count. */
   public RegisterVersion withCount(final long newCount) {
     return new RegisterVersion(round, owner, newCount);
   }
 
-  /** Whether both belong to one ballot. */
+  /** Returns whether both versions belong to the same ballot. */
   public boolean sameBallot(final RegisterVersion other) {
     return round == other.round && owner == other.owner;
   }
--- a/transport/src/main/java/weldpoint/transport/RegistryMessages.java
+++ b/transport/src/main/java/weldpoint/transport/RegistryMessages.java
@@ -3,12 +3,13 @@
 import java.util.List;
 
 /**
- * Messages between registries, and between a registry and its proxies: membership, views and reach.
+ * Messages between registries, and between a registry and the daemons that subscribe to it:
+ * membership, registrations, routing state and contact with a majority.
  */
 public final class RegistryMessages {
   private RegistryMessages() {}
 
-  /** The switchboards of one site, in an order that all of them are told alike. */
+  /** The addresses of the proxies of one site; all of them receive the list in the same order. */
   public static final class SiteProxies implements Message {
     public final List<String> addresses;
 
@@ -17,7 +18,7 @@
     }
   }
 
-  /** One upstream's registration: a step of its life, with the time at which it was issued. */
+  /** One upstream's registration: a stage of its lifecycle and the time at which it was issued. */
   public static final class Registration {
     public final String id;
     public final String service;
@@ -55,8 +56,8 @@
   }
 
   /**
-   * One switchboard, or announcer, as the directory knows it: which configuration and which mark of
-   * evacuations and trials it has in force, and for how long.
+   * One proxy or cache daemon as the directory knows it: the version of the configuration and the
+   * revision of evacuations and trials that it applies, and for how long it has applied them.
    */
   public static final class DaemonEntry {
     public final String address;
@@ -132,8 +133,8 @@
   }
 
   /**
-   * Reconciles two exchanges. While the digests agree, ages stand alone, in the order of names;
-   * where they differ, only the buckets that do travel.
+   * Anti-entropy between two registries. While the digests agree, only ages are sent, in the order
+   * of names; otherwise only the registrations of the buckets that differ are sent.
    */
   public static final class Gossip implements Message {
     public final int depth;
@@ -234,7 +235,8 @@
   }
 
   /**
-   * Changes pushed at once; acknowledged with {@link ChangesAck} under the number if that is not 0.
+   * Changes that are pushed immediately; if the number is not 0, the receiver acknowledges them
+   * with a {@link ChangesAck} of that number.
    */
   public static final class Changes implements Message {
     public final long number;
@@ -277,8 +279,8 @@
   }
 
   /**
-   * Changes pushed under this number are on the sender's disk; it knows the roster of the number
-   * given.
+   * The changes pushed under this number are on the sender's disk; the sender knows the roster of
+   * {@code rosterNumber}.
    */
   public static final class ChangesAck implements Message {
     public final long number;
@@ -295,9 +297,9 @@
   }
 
   /**
-   * An exchange asks another for what it holds beyond what the asker has: configuration,
-   * evacuations, trials, registrations. It says so what it holds itself, and for how long from now
-   * it will confirm no change.
+   * A registry asks another for the configuration, evacuations, trials and registrations that it
+   * itself lacks. The fields say what the sender has, and for how many milliseconds from now it
+   * promises to confirm no change.
    */
   public static final class ControlStateRequest implements Message {
     public final long number;
@@ -308,7 +310,7 @@
     public final List<Long> bucketDigests;
     public final long leaseMillis;
 
-    /** Whether the asker lacks the claims of keys as well. */
+    /** Whether the sender also lacks the claims of idempotency keys. */
     public final boolean includeClaims;
 
     public ControlStateRequest(
@@ -330,7 +332,7 @@
           false);
     }
 
-    /** A question that says whether claims of keys are wanted too. */
+    /** Creates a request that can also ask for the claims of idempotency keys. */
     public ControlStateRequest(
         final long number,
         final long rosterNumber,
@@ -352,9 +354,10 @@
   }
 
   /**
-   * What an exchange holds beyond what the asker has, whether it still learns what was acknowledged
-   * before it came, how long ago it heard of a majority, and for how long from now it will confirm
-   * no change, so that the asker may rely on this.
+   * What a registry holds beyond what the requester has; whether it is still learning what was
+   * acknowledged before it joined; how long ago it was in contact with a majority; and for how many
+   * milliseconds from now it promises to confirm no change, so that the requester may rely on the
+   * answer.
    */
   public static final class ControlStateResponse implements Message {
     public final long number;
@@ -370,7 +373,7 @@
     public final byte[] packedRegistrations;
     public final long leaseMillis;
 
-    /** The claims of keys, for an asker that lacks them. */
+    /** The claims of idempotency keys; null unless they were asked for. */
     public final List<KeyMessages.Claim> claims;
 
     public ControlStateResponse(
@@ -402,7 +405,7 @@
           null);
     }
 
-    /** What is held, with the claims of keys. */
+    /** Creates a response that includes the claims of idempotency keys. */
     public ControlStateResponse(
         final long number,
         final StateStoreMessages.Roster roster,
@@ -434,8 +437,8 @@
   }
 
   /**
-   * A switchboard tells of itself; at the opening of a stream also, by digests, which registrations
-   * it has.
+   * A daemon's report about itself. At the start of a stream it also says, by digests of buckets,
+   * which registrations the daemon already has.
    */
   public static final class DaemonReport implements Message {
     public final DaemonEntry entry;
@@ -451,7 +454,7 @@
     }
   }
 
-  /** What switchboards need to know: all of it at first, then what has changed. */
+  /** The state that proxies need: all of it in the first message of a stream, then changes only. */
   public static final class View implements Message {
     public final long version;
     public final byte[] spec;
@@ -522,8 +525,8 @@
   }
 
   /**
-   * An exchange tells how long ago it heard of a majority, how many switchboards there are, and of
-   * other exchanges with their places, as region/site.
+   * A registry reports how long ago it was in contact with a majority, how many proxies there are,
+   * and the other registries with their locations, written as region/site.
    */
   public static final class RegistryStatus implements Message {
     public final long majorityAgeMillis;
@@ -534,12 +537,12 @@
     public final long contactAgeMillis;
 
     /**
-     * The time of the sender's steady clock, in milliseconds, up to which this stream was told all
-     * that was acknowledged anywhere; null where that is not known.
+     * The time of the sender's monotonic clock, in milliseconds, up to which everything that was
+     * acknowledged anywhere has been sent on this stream; null if it is not known.
      */
     public final Long confirmedClock;
 
-    /** The time of the sender's steady clock at which this was said; null where it is not told. */
+    /** When this was sent, in milliseconds of the sender's monotonic clock; null if not given. */
     public final Long sentClock;
 
     public RegistryStatus(
@@ -575,7 +578,7 @@
           null);
     }
 
-    /** The same with the time up to which all that was acknowledged has been told, and with now. */
+    /** Creates a status with the time up to which this stream is complete, and the sending time. */
     public RegistryStatus(
         final long majorityAgeMillis,
         final int proxyCount,
@@ -595,7 +598,7 @@
       this.members = members;
     }
 
-    /** The same as it is to be taken when it has been under way for so long. */
+    /** Returns this status with its ages increased by the time that it spent in transit. */
     public RegistryStatus withDelay(final long delayMillis) {
       return new RegistryStatus(
           majorityAgeMillis + delayMillis,
--- a/transport/src/main/java/weldpoint/transport/StateStoreMessages.java
+++ b/transport/src/main/java/weldpoint/transport/StateStoreMessages.java
@@ -2,11 +2,11 @@
 
 import java.util.List;
 
-/** Messages between state stores: ballots, repair and the roster of voters. */
+/** Messages between state store replicas: ballots, repair, recovery and the roster of voters. */
 public final class StateStoreMessages {
   private StateStoreMessages() {}
 
-  /** One voter of the roster. */
+  /** One voter of the roster: where it runs and which tokens it has. */
   public static final class Voter {
     public final String address;
     public final String site;
@@ -22,7 +22,7 @@
     }
   }
 
-  /** The voters, under a rising number. */
+  /** The list of voters; its number rises with each change. */
   public static final class Roster {
     public final long number;
     public final List<Voter> voters;
@@ -32,7 +32,7 @@
       this.voters = voters;
     }
 
-    /** The place of an address among the voters, or -1. */
+    /** Returns the index of an address in the list of voters, or -1 if it is not a voter. */
     public int indexOf(final String address) {
       for (int index = 0; index < voters.size(); index++) {
         if (voters.get(index).address.equals(address)) {
@@ -42,13 +42,13 @@
       return -1;
     }
 
-    /** The smallest number of voters that is more than half. */
+    /** Returns the smallest number of voters that is more than half of them. */
     public int majority() {
       return voters.size() / 2 + 1;
     }
   }
 
-  /** A register's value under its mark; either whole or as a difference from the base mark. */
+  /** A register's value at a version, either in full or as a delta against the base version. */
   public static final class RegisterEntry {
     public final String name;
     public final RegisterVersion version;
@@ -82,7 +82,7 @@
     }
   }
 
-  /** Asks for a partition's promise under a higher ballot. */
+  /** Phase 1 of consensus: asks for the promise of a partition under a higher ballot. */
   public static final class Prepare implements Message {
     public final int partition;
     public final long rosterNumber;
@@ -95,7 +95,7 @@
     }
   }
 
-  /** The promise, with all that the sender holds of the partition. */
+  /** A promise, with all register values that the sender holds of the partition. */
   public static final class Promise implements Message {
     public final int partition;
     public final RegisterVersion ballot;
@@ -121,8 +121,8 @@
   }
 
   /**
-   * Writes registers; an establishing one replaces the whole partition, and tells the incarnations
-   * that its sender knows.
+   * Phase 2 of consensus: writes registers. If {@code establish} is set, the entries replace the
+   * whole partition and the message carries the incarnations that the sender knows.
    */
   public static final class Accept implements Message {
     public final int partition;
@@ -162,8 +162,8 @@
   }
 
   /**
-   * The registers named are on the sender's disk under these marks; those it lacks the base for are
-   * named apart.
+   * The named registers are on the sender's disk, at these counts within the ballot. Registers for
+   * which the sender lacks the base version of a delta are listed in {@code missingBase}.
    */
   public static final class Accepted implements Message {
     public final int partition;
@@ -195,7 +195,9 @@
     }
   }
 
-  /** A holder tells that it still serves these partitions and asks whether its ballots stand. */
+  /**
+   * The holder of partitions reports that it still serves them and asks if its ballots are valid.
+   */
   public static final class Heartbeat implements Message {
     public final long rosterNumber;
     public final List<Integer> partitions;
@@ -212,8 +214,8 @@
   }
 
   /**
-   * The ballots that stand, with the count that each pulse carried, and up to where the sender's
-   * disk has the history.
+   * The ballots that are still valid, each with the count that its heartbeat carried, and the last
+   * entry of the change history that is on the sender's disk.
    */
   public static final class HeartbeatAck implements Message {
     public final List<Integer> partitions;
@@ -236,7 +238,7 @@
     }
   }
 
-  /** Asks who is on the roster and which incarnation of the sender is known. */
+  /** Asks for the roster and for the sender's incarnation as the receiver knows it. */
   public static final class MembershipRequest implements Message {
     public final long number;
 
@@ -245,7 +247,7 @@
     }
   }
 
-  /** The answer to an enquiry. */
+  /** The answer to a {@link MembershipRequest}. */
   public static final class MembershipResponse implements Message {
     public final long number;
     public final boolean blankDisk;
@@ -268,9 +270,9 @@
   }
 
   /**
-   * A blank disk asks, under its new incarnation, for the catalogue of all registers behind a name,
-   * in their order, or, where it names registers, for their values; a value is asked for from an
-   * offset on where part of it has come.
+   * Sent by a replica whose disk is blank, under its new incarnation. Without names it asks for the
+   * catalogue of all registers that sort after a name; with names it asks for their values. If part
+   * of a value has already been received, the offset says where to continue.
    */
   public static final class RecoveryRequest implements Message {
     public final long incarnation;
@@ -279,7 +281,7 @@
     public final int offset;
     public final long number;
 
-    /** Asks for the beginning of the catalogue. */
+    /** Asks for the first page of the catalogue. */
     public RecoveryRequest(final long incarnation) {
       this(incarnation, "", null, 0, 0);
     }
@@ -299,10 +301,11 @@
   }
 
   /**
-   * One part of what the sender holds: its promises and how far its partitions were established,
-   * with a page of the catalogue, in which entries for which there is no room come without their
-   * value; or the values that were named, those that it does not hold being listed apart. Of a
-   * value too large for one part, total tells its length and offset where this piece begins.
+   * One part of the sender's state. It holds either the promises and the established versions of
+   * its partitions with a page of the catalogue, whose entries omit their value if it does not fit,
+   * or the values of the named registers; registers that the sender does not hold are listed in
+   * {@code absentNames}. For a value too large for one part, {@code total} is its length and {@code
+   * offset} the position of this piece.
    */
   public static final class RecoveryResponse implements Message {
     public final long incarnation;
@@ -352,7 +355,7 @@
     }
   }
 
-  /** A roster that a majority holds. */
+  /** A roster that a majority has stored. */
   public static final class RosterUpdate implements Message {
     public final Roster roster;
 
@@ -362,8 +365,8 @@
   }
 
   /**
-   * A refusal: a higher ballot was promised, a roster or an incarnation is overtaken, or the sender
-   * cannot vote.
+   * Refuses a message: a higher ballot was promised, the roster or an incarnation is outdated, or
+   * the sender cannot vote.
    */
   public static final class Refused implements Message {
     public final int partition;
@@ -386,7 +389,7 @@
     }
   }
 
-  /** A daemon that is no voter offers itself. */
+  /** Sent by a replica that is not a voter, to be added to the roster. */
   public static final class Join implements Message {
     public final Voter voter;
 
@@ -395,7 +398,7 @@
     }
   }
 
-  /** The sender gives up these partitions, or leaves altogether. */
+  /** The sender gives up these partitions or, if {@code leaving} is set, leaves the roster. */
   public static final class Resign implements Message {
     public final boolean leaving;
     public final List<Integer> partitions;
@@ -406,7 +409,7 @@
     }
   }
 
-  /** To a voter that leaves: a majority holds these partitions without it, under this roster. */
+  /** Tells a leaving voter that a majority holds these partitions without it, under this roster. */
   public static final class Released implements Message {
     public final long rosterNumber;
     public final List<Integer> partitions;
@@ -417,7 +420,9 @@
     }
   }
 
-  /** Asks, before any ballot, whether the voters too find a partition vacant. */
+  /**
+   * Asks the voters, before any ballot is started, whether they too see a partition without holder.
+   */
   public static final class PreVote implements Message {
     public final int partition;
     public final long rosterNumber;
@@ -430,7 +435,9 @@
     }
   }
 
-  /** The sender finds the partition vacant; it tells the highest round that it has promised. */
+  /**
+   * The sender sees the partition without holder; the round is the highest that it has promised.
+   */
   public static final class PreVoteResponse implements Message {
     public final int partition;
     public final long number;
--- a/transport/src/main/java/weldpoint/transport/StoreMessages.java
+++ b/transport/src/main/java/weldpoint/transport/StoreMessages.java
@@ -1,12 +1,12 @@
 package weldpoint.transport;
 
-/** Calls of registries to the state store, and their answers. */
+/** Requests of registries to the state store, and the responses. */
 public final class StoreMessages {
   private StoreMessages() {}
 
   /**
-   * Who wants a change of routing: the author named, the address it came from and the daemon that
-   * took it; extra is a configuration's summary.
+   * Where a routing change comes from: the author given, the address of the caller and the daemon
+   * that received the call. For a change of configuration it carries a summary of that.
    */
   public static final class ChangeOrigin {
     public final String author;
@@ -27,11 +27,12 @@
   }
 
   /**
-   * A call to the store; content is the digest of what its body says, where the deed compares that.
-   * Caller, the incarnation of the process that calls, and number are its identity, which never
-   * recurs. Age is how long ago the first copy of it that may have been carried out was sent, 0
-   * where there is none; clock is the latest time of the frame's own steady clock that the caller
-   * had heard over this line when it sent this copy.
+   * A request to the state store. {@code contentDigest} is the digest of what the body says, for
+   * operations that compare it. {@code callerIncarnation}, the incarnation of the calling process,
+   * and {@code number} identify the request and are never reused. {@code ageMillis} is how long ago
+   * the first copy that may have been executed was sent, or 0 if there is none. {@code
+   * storeClockMillis} is the latest time of the replica's own monotonic clock that the caller had
+   * received on this connection when it sent this copy.
    */
   public static final class StoreRequest implements Message {
     public final long number;
@@ -126,7 +127,7 @@
       this.body = body;
     }
 
-    /** This call in the name of a caller. */
+    /** Returns this request with the incarnation of its caller. */
     public StoreRequest withCaller(final long newCaller) {
       return new StoreRequest(
           number,
@@ -145,8 +146,8 @@
     }
 
     /**
-     * A copy of this call whose first copy that may have been carried out was sent so long before
-     * now, by the caller's steady clock.
+     * Returns a copy of this request whose first copy that may have been executed was sent that
+     * many milliseconds before now, by the caller's monotonic clock.
      */
     public StoreRequest withAge(final long newAgeMillis, final long now) {
       return new StoreRequest(
@@ -166,8 +167,8 @@
     }
 
     /**
-     * A copy of this call as it leaves now, over a line on which this time of the frame's clock had
-     * been heard before.
+     * Returns a copy of this request to be sent now, with its age updated, over a connection on
+     * which this time of the replica's clock was the latest received.
      */
     public StoreRequest stampedForSend(final Long newStoreClockMillis, final long now) {
       return new StoreRequest(
@@ -188,9 +189,9 @@
   }
 
   /**
-   * The store's answer to the call of this number and caller, with the time of the frame's steady
-   * clock; status 0 means that nothing was done and "ask the holder named", or nobody knows one
-   * where it is null.
+   * The store's response to the request of this number and caller, with the time of the replica's
+   * monotonic clock. Status 0 means that nothing was done and that the request should be sent to
+   * {@code holder}, which is null if no holder is known.
    */
   public static final class StoreResponse implements Message {
     public final long number;
@@ -227,12 +228,12 @@
       this.holder = holder;
     }
 
-    /** This answer for a caller. */
+    /** Returns this response with the incarnation of the caller it is for. */
     public StoreResponse withCaller(final long newCaller) {
       return new StoreResponse(number, status, first, body, holder, newCaller, storeClockMillis);
     }
 
-    /** This answer as it leaves, at this time of its sender's steady clock. */
+    /** Returns this response as sent at a time of its sender's monotonic clock, in milliseconds. */
     public StoreResponse withClock(final long millis) {
       return new StoreResponse(number, status, first, body, holder, callerIncarnation, millis);
     }
--- a/transport/src/main/java/weldpoint/transport/TrialMessages.java
+++ b/transport/src/main/java/weldpoint/transport/TrialMessages.java
@@ -6,7 +6,7 @@
 public final class TrialMessages {
   private TrialMessages() {}
 
-  /** A trial of a route's new version, as the frame keeps it. */
+  /** A trial of a route's new version, as the state store keeps it. */
   public static final class Trial {
     public final String route;
     public final long number;
@@ -56,7 +56,7 @@
   }
 
   /**
-   * What one life of a switchboard has counted in one trial, from its beginning: counts only rise.
+   * What one incarnation of a proxy has counted in one trial since its beginning: counts only rise.
    */
   public static final class TrialCounts {
     public final String route;
@@ -85,7 +85,7 @@
     }
   }
 
-  /** Tallies, with digests of the attempts that were sent to the new version. */
+  /** Counts of trials, with digests of the attempts that were sent to the new version. */
   public static final class TrialReport implements Message {
     public final boolean relayed;
     public final List<TrialCounts> counts;
