--- a/common/src/main/java/weldpoint/common/Daemon.java
+++ b/common/src/main/java/weldpoint/common/Daemon.java
@@ -2,14 +2,14 @@
 
 import java.io.IOException;
 
-/** One of the system's programs, as a process runs it. */
+/** One of the system's long-running programs. */
 public interface Daemon {
-  /** Starts everything. */
+  /** Starts the program. */
   void start() throws IOException, InterruptedException;
 
-  /** Takes what may change while it runs. */
+  /** Applies the settings that may change while the program runs. */
   void reload(Settings settings);
 
-  /** Leaves in order; returns when the process may end. */
+  /** Shuts down in order; returns when the process may exit. */
   void stop();
 }
--- a/common/src/main/java/weldpoint/common/Invariant.java
+++ b/common/src/main/java/weldpoint/common/Invariant.java
@@ -8,9 +8,10 @@
 import java.util.function.Supplier;
 
 /**
- * Something that must hold whenever a piece of code runs, checked there. A violation is counted
- * and, the first time, logged with its evidence; it never ends the process. Where the system
- * property {@value #STRICT_PROPERTY} is true, as in tests, a violation is thrown besides.
+ * A condition that must hold whenever the code that checks it runs. A violation is counted and, the
+ * first time, logged with its evidence; it never ends the process. If the system property {@value
+ * #STRICT_PROPERTY} is true, as in tests, a violation also throws an exception. Invariants may be
+ * checked from any thread.
  */
 public final class Invariant {
   /** The system property that makes violations throw. */
@@ -27,12 +28,16 @@
     this.name = name;
   }
 
-  /** The invariant of this name; one object for all who name it. */
+  /** Returns the invariant of this name; there is one object for each name. */
   public static Invariant named(final String name) {
     return ALL.computeIfAbsent(name, Invariant::new);
   }
 
-  /** Counts a check, and a violation where it does not hold. */
+  /**
+   * Counts a check, and a violation if the condition does not hold.
+   *
+   * @throws IllegalStateException on a violation, if {@link #STRICT_PROPERTY} is true
+   */
   public void check(final boolean holds, final Supplier<String> evidence) {
     checks.incrementAndGet();
     if (holds) {
@@ -47,17 +52,17 @@
     }
   }
 
-  /** How often it did not hold. */
+  /** Returns the number of violations. */
   public long violations() {
     return violations.get();
   }
 
-  /** How often it was checked. */
+  /** Returns the number of checks. */
   public long checks() {
     return checks.get();
   }
 
-  /** Violations by name, of all invariants that were named so far. */
+  /** Returns the violations by name, of all invariants requested so far. */
   public static Map<String, Long> counts() {
     final Map<String, Long> counts = new TreeMap<>();
     ALL.forEach((name, invariant) -> counts.put(name, invariant.violations()));
--- a/common/src/main/java/weldpoint/common/Logging.java
+++ b/common/src/main/java/weldpoint/common/Logging.java
@@ -7,9 +7,9 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 
-/** Sets up logging: one line a record on standard error. */
+/** Configures logging: one line for each record, on standard error. */
 public final class Logging {
-  /** The environment variable that names the level of our own lines. */
+  /** The environment variable with the level of the project's own loggers. */
   public static final String LEVEL_VARIABLE = "WELDPOINT_LOG";
 
   private static final Logger WELDPOINT_LOGGER = Logger.getLogger("weldpoint");
@@ -17,8 +17,8 @@
   private Logging() {}
 
   /**
-   * Directs all logs to standard error, at the level named by WELDPOINT_LOG (INFO where it is
-   * unset); libraries tell nothing below INFO.
+   * Directs all logs to standard error, at the level given by WELDPOINT_LOG (INFO if it is unset);
+   * libraries log nothing below INFO.
    */
   public static void configure(final String program) {
     final Logger root = Logger.getLogger("");
--- a/common/src/main/java/weldpoint/common/RandomIds.java
+++ b/common/src/main/java/weldpoint/common/RandomIds.java
@@ -4,11 +4,11 @@
 import java.io.FileInputStream;
 import java.io.IOException;
 
-/** Numbers that no two lives of any process share. */
+/** Random numbers that identify one incarnation of one process. */
 public final class RandomIds {
   private RandomIds() {}
 
-  /** A number from the system's source of chance, not below 0. */
+  /** Returns a non-negative number from the system's random source. */
   public static long next() {
     try (DataInputStream source = new DataInputStream(new FileInputStream("/dev/urandom"))) {
       return source.readLong() >>> 1;
--- a/common/src/main/java/weldpoint/common/RendezvousHash.java
+++ b/common/src/main/java/weldpoint/common/RendezvousHash.java
@@ -1,13 +1,13 @@
 package weldpoint.common;
 
 /**
- * The rank of a place for a name in rendezvous hashing: the same in every process, and unrelated
- * from name to name.
+ * Ranks the nodes for a key in rendezvous hashing. The ranks are the same in every process, and
+ * independent from key to key.
  */
 public final class RendezvousHash {
   private RendezvousHash() {}
 
-  /** The rank; the lowest comes first. */
+  /** Returns the rank of a node for a key; the node with the lowest rank comes first. */
   public static long of(final String node, final String key) {
     long mixed = node.hashCode() * 0x9e3779b97f4a7c15L + key.hashCode();
     mixed = (mixed ^ mixed >>> 30) * 0xbf58476d1ce4e5b9L;
--- a/common/src/main/java/weldpoint/common/SerialExecutor.java
+++ b/common/src/main/java/weldpoint/common/SerialExecutor.java
@@ -7,7 +7,10 @@
 import com.lmax.disruptor.dsl.ProducerType;
 import java.util.concurrent.Executor;
 
-/** The one thread that owns control state: commands are put on a ring and run in order. */
+/**
+ * Runs commands in order on one thread, which owns the control state. Commands from any thread are
+ * queued in a ring buffer of 4096 slots; a caller waits while it is full.
+ */
 public final class SerialExecutor implements Executor {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
@@ -41,7 +44,8 @@
           @Override
           public void handleEventException(
               final Throwable problem, final long sequence, final Slot slot) {
-            LOGGER.atSevere().withCause(problem).log("a command failed");
+            LOGGER.atSevere().withCause(problem).log(
+                "a command of the control thread failed; later commands still run");
           }
 
           @Override
--- a/common/src/main/java/weldpoint/common/Settings.java
+++ b/common/src/main/java/weldpoint/common/Settings.java
@@ -9,7 +9,10 @@
 import java.util.Map;
 
 /**
- * The checked settings of one process, read from "name = value" lines. Unknown names are ignored.
+ * The validated settings of one process, read from "name = value" lines. Unknown names are ignored;
+ * an invalid value is reported as a {@link WeldpointException} of kind SETTING that names it. An
+ * object is immutable and may be read from any thread. Methods whose name ends with Millis return
+ * milliseconds.
  */
 public final class Settings {
   /** The environment variable that names the settings file. */
@@ -24,9 +27,9 @@
   private static final int MAX_TRANSFER_BYTES = 256 << 10;
   private static final double TRANSFER_SECONDS = 0.1;
 
-  /** A TCP address. */
+  /** A host and a TCP port. */
   public record Address(String host, int port) {
-    /** Reads "host:port". */
+    /** Parses "host:port"; the field is the setting that an error names. */
     public static Address parse(final String field, final String text) {
       final int colon = text.lastIndexOf(':');
       try {
@@ -57,28 +60,31 @@
     return Path.of(path == null || path.isEmpty() ? "/etc/weldpoint/local.conf" : path);
   }
 
-  /** Reads the file that the environment names. */
+  /** Loads the file named in the environment, or /etc/weldpoint/local.conf. */
   public static Settings load() {
     return load(path());
   }
 
-  /** When that file was last changed; 0 where that cannot be told. */
+  /** Returns when that file was last modified, in milliseconds of the epoch; 0 if unknown. */
   public static long lastModified() {
     return path().toFile().lastModified();
   }
 
-  /** Reads a settings file. */
+  /** Loads and validates a settings file. */
   public static Settings load(final Path path) {
     try {
       return parse(Files.readString(path));
     } catch (final IOException problem) {
       throw new WeldpointException(
           WeldpointException.Kind.SETTING,
-          "settings file " + path + " cannot be read; name a readable file in " + FILE_VARIABLE);
+          "settings file "
+              + path
+              + " cannot be read; set the path of a readable file in "
+              + FILE_VARIABLE);
     }
   }
 
-  /** Reads settings from text and checks them. */
+  /** Parses and validates settings. */
   public static Settings parse(final String text) {
     final Map<String, String> values = new LinkedHashMap<>();
     int number = 0;
@@ -149,13 +155,13 @@
           values.get("chief.tenure-ms"),
           "give at least twice chief.pulse-ms, "
               + 2 * leaderHeartbeatMillis()
-              + ", or a chief would end between two of its pulses");
+              + " ms, or a region leader would step down between two of its heartbeats");
     }
     if (leaderWaitMillis() < 500) {
       throw invalid(
           "chief.wait-ms",
           values.get("chief.wait-ms"),
-          "give at least 500, the pause between two words of an exchange");
+          "give at least 500, the milliseconds between two status messages of a registry");
     }
     purgeTrustWithoutMajorityMillis();
     affinityWaitMillis();
@@ -166,7 +172,7 @@
       throw invalid(
           "affinity.lease-ms",
           values.get("affinity.lease-ms"),
-          "give at least 1500: an exchange hears of a majority only every 700 ms, and a lease counts from there");
+          "give at least 1500: a lease counts from the last majority contact, renewed every 700 ms");
     }
     final long needed = requiredAuditBytes(auditRetention(), auditEntryBytes());
     if (needed > auditBytes()) {
@@ -197,7 +203,7 @@
   private String requiredText(final String field) {
     final String value = values.get(field);
     if (value == null || value.isEmpty()) {
-      throw invalid(field, "", "it is required, give it a value");
+      throw invalid(field, "", "it is required, set it in the settings file");
     }
     return value;
   }
@@ -228,19 +234,20 @@
     };
   }
 
-  /** The name of this machine. */
+  /** Returns the name of this machine. */
   public String name() {
     return requiredText("station.name");
   }
 
-  /** The IP address by which other machines know this one. */
+  /** Returns the IP address at which other machines reach this one. */
   public String address() {
     return addressOf("station.address", requiredText("station.address"));
   }
 
   /**
-   * The IP address that inner ports and figures are bound to: the station's own, unless something
-   * stands between this machine and the others.
+   * Returns the IP address to which the internal ports and the metrics port are bound: the
+   * machine's own, unless station.bind is set because something stands between it and the other
+   * machines.
    */
   public String bindAddress() {
     final String value = values.getOrDefault("station.bind", "");
@@ -254,43 +261,43 @@
     return value;
   }
 
-  /** The site of this machine. */
+  /** Returns the site of this machine. */
   public String site() {
     return requiredText("station.site");
   }
 
-  /** The region of this machine. */
+  /** Returns the region of this machine. */
   public String region() {
     return requiredText("station.region");
   }
 
-  /** Whether the disk of this machine may count toward a majority. */
+  /** Returns whether the disk of this machine may count towards a majority. */
   public boolean voter() {
     return flag("station.voter");
   }
 
-  /** Whether this is the very first start of the whole system. */
+  /** Returns whether this is the very first start of the whole system. */
   public boolean firstStart() {
     return flag("station.first-start");
   }
 
-  /** Where this process keeps its files; empty where it has no disk. */
+  /** Returns the folder of this process's files; empty if it has no disk. */
   public String folder() {
     return values.getOrDefault("station.folder", "");
   }
 
-  /** An address that may be left out; null then. */
+  /** Returns the address in an optional setting; null if it is not set. */
   public Address optionalAddress(final String field) {
     final String value = values.get(field);
     return value == null || value.isEmpty() ? null : Address.parse(field, value);
   }
 
-  /** An address that must be there. */
+  /** Returns the address in a required setting. */
   public Address requiredAddress(final String field) {
     return Address.parse(field, requiredText(field));
   }
 
-  /** The port of the inner protocol: 0 is the exchange's, 1 the frame's. */
+  /** Returns a port of the internal protocol: 0 is the registry's, 1 the state store's. */
   public int transportPort(final int index) {
     final String value = requiredText("trunk.ports");
     final String[] parts = value.split(",");
@@ -307,7 +314,7 @@
         "trunk.ports", value, "give the first and last of at least two free ports, as 7000,7015");
   }
 
-  /** The hosts of the seeds. */
+  /** Returns the hosts of the seeds. */
   public List<String> seeds() {
     final List<String> seeds = new ArrayList<>();
     for (final String part : requiredText("trunk.seeds").split(",")) {
@@ -316,7 +323,7 @@
     return seeds;
   }
 
-  /** The region of every site. */
+  /** Returns the region of every site. */
   public Map<String, String> sites() {
     final Map<String, String> sites = new LinkedHashMap<>();
     for (final String part : values.getOrDefault("sites", "").split(",")) {
@@ -332,89 +339,89 @@
     return sites;
   }
 
-  /** How often an upstream beats. */
+  /** Returns the interval of the heartbeats of an upstream. */
   public long heartbeatMillis() {
     return (long) number("beat.every-ms", 1500, 1, 600_000);
   }
 
-  /** How long after the word of a drain an upstream still serves. */
+  /** Returns how long an upstream still serves after it was told to drain. */
   public long drainMillis() {
     return (long) number("bound.drain-ms", 2000, 0, 600_000);
   }
 
-  /** How long after its acknowledgement a configuration must be in force everywhere. */
+  /** Returns the time after its acknowledgement in which a configuration must apply everywhere. */
   public long configurationMillis() {
     return (long) number("bound.config-ms", 2000, 100, 600_000);
   }
 
-  /** How long after its acknowledgement an evacuation must be in force everywhere. */
+  /** Returns the time after its acknowledgement in which an evacuation must apply everywhere. */
   public long evacuationMillis() {
     return (long) number("bound.evacuate-ms", 5000, 100, 600_000);
   }
 
-  /** For how long a machine must have been sound and connected to be held to those bounds. */
+  /** Returns how long a machine must have been healthy and connected for those bounds to hold. */
   public long contactMillis() {
     return (long) number("bound.contact-ms", 4000, 100, 600_000);
   }
 
-  /** The shortest of the bounds within which proxies must obey what was acknowledged. */
+  /** Returns the shortest of the bounds in which proxies must apply acknowledged changes. */
   public long enforcementBoundMillis() {
     return Math.min(
         Math.min(configurationMillis(), evacuationMillis()),
         Math.min(Math.max(MIN_DRAIN_MILLIS, drainMillis()), revokeMillis()));
   }
 
-  /** How long a process has between SIGTERM and SIGKILL. */
+  /** Returns the time between SIGTERM and SIGKILL of a process. */
   public long graceMillis() {
     return (long) (1000 * number("bound.grace-s", 6, 0, 3600));
   }
 
-  /** How far back a watch may resume. */
+  /** Returns how far back a watch may resume. */
   public long historyMillis() {
     return (long) (1000 * number("bound.history-s", 20, 0, 86_400));
   }
 
-  /** Further tries allowed for each request. */
+  /** Returns the number of retries that each request adds to the retry budget. */
   public double retryRatio() {
     return number("bound.retry-ratio", 0.2, 0, 100);
   }
 
-  /** The window of the budget of further tries. */
+  /** Returns the window of the retry budget. */
   public long retryWindowMillis() {
     return (long) (1000 * number("bound.retry-window-s", 10, 0.001, 3600));
   }
 
-  /** Further tries allowed besides, over all switchboards. */
+  /** Returns the retries allowed in addition to the ratio, over all proxies. */
   public double retrySlack() {
     return number("bound.retry-slack", 10, 0, 1_000_000);
   }
 
-  /** The factor by which a cold upstream's bound may be exceeded. */
+  /** Returns the factor by which the request limit of a cold upstream may be exceeded. */
   public double warmupOvershoot() {
     return number("bound.warmup-overshoot", 1.5, 0, 1000);
   }
 
-  /** What a cold upstream may get besides in a second. */
+  /** Returns the requests per second that a cold upstream may get in addition. */
   public double warmupTolerance() {
     return number("bound.warmup-tolerance", 5, 0, 1_000_000);
   }
 
-  /** Whether this system delivers content: tenants, copies and permits are then in use. */
+  /** Returns whether the system delivers content, with tenants, cached copies and permits. */
   public boolean contentDelivery() {
     return "content".equals(values.get("station.rollout"));
   }
 
-  /** Whether a removed key must stop everywhere, also on machines that are cut off. */
+  /** Returns whether a removed API key must stop working on disconnected machines too. */
   public boolean strictRevocation() {
     return flag("bound.revocation-strict");
   }
 
-  /** How long after its removal a key may still be used. */
+  /** Returns how long after its removal an API key may still be used. */
   public long revokeMillis() {
     return (long) number("bound.revoke-ms", 5000, 1, 3_600_000);
   }
 
-  /** The headers that may bear a request's idempotency key; the first one that is there counts. */
+  /** Returns the headers that may carry an idempotency key; the first one present is used. */
   public List<String> keyHeaders() {
     final List<String> names = new ArrayList<>();
     for (final String name : values.getOrDefault("keys.headers", DEFAULT_KEY_HEADERS).split(",")) {
@@ -425,93 +432,92 @@
     return names;
   }
 
-  /** For how long an idempotency key belongs to the request that ran with it, in milliseconds. */
+  /** Returns how long an idempotency key belongs to the request that ran with it. */
   public long keyWindowMillis() {
     return (long) (1000 * number("keys.window-s", 75, 1, 300));
   }
 
-  /** The port at which the proxy tells its figures, the registry at the next; 0 where none does. */
+  /** Returns the proxy's metrics port; the registry uses the next one; 0 disables metrics. */
   public int metricsPort() {
     return (int) number("metrics.port", 0, 0, 65_534);
   }
 
-  /** The window of quotas. */
+  /** Returns the window of quotas. */
   public long quotaWindowMillis() {
     return (long) (1000 * number("bound.quota-window-s", 5, 0.001, 3600));
   }
 
-  /** By how much of itself a quota may be exceeded. */
+  /** Returns the fraction by which a quota may be exceeded. */
   public double quotaOvershoot() {
     return number("bound.quota-overshoot", 0.1, 0, 100);
   }
 
-  /** By how many requests a quota may be exceeded besides. */
+  /** Returns the number of requests by which a quota may be exceeded in addition. */
   public double quotaTolerance() {
     return number("bound.quota-tolerance", 20, 0, 1_000_000);
   }
 
-  /** The window of an origin's rate. */
+  /** Returns the window of an origin's rate limit. */
   public long originWindowMillis() {
     return (long) (1000 * number("bound.origin-window-s", 5, 0.001, 3600));
   }
 
-  /** The factor by which an origin's rate may be exceeded. */
+  /** Returns the factor by which an origin's rate limit may be exceeded. */
   public double originOvershoot() {
     return number("bound.origin-overshoot", 1, 0, 1000);
   }
 
-  /** Whether the switchboards of a region choose a chief while the core is silent. */
+  /** Returns whether the proxies of a region elect a leader while the core does not answer. */
   public boolean regionLeaderEnabled() {
     return flag("chief.enabled");
   }
 
-  /** For how long the core must have been silent before an election. */
+  /** Returns how long the core must not have answered before an election starts. */
   public long leaderWaitMillis() {
     return (long) number("chief.wait-ms", 3000, 1, 3_600_000);
   }
 
-  /** For how long a chief acts without being heeded by a majority. */
+  /** Returns how long a region leader stays in office without answers from a majority. */
   public long leaderTenureMillis() {
     return (long) number("chief.tenure-ms", 2500, 1, 3_600_000);
   }
 
-  /** How often a chief gives its orders. */
+  /** Returns the interval of the directives of a region leader. */
   public long leaderHeartbeatMillis() {
     return (long) number("chief.pulse-ms", 500, 1, 600_000);
   }
 
   /**
-   * How many upstreams of a large service a switchboard uses in its own site while all goes well;
-   * half of that in each other.
+   * Returns how many upstreams of a large service a proxy uses in its own site in normal operation;
+   * it uses half as many in each other site.
    */
   public int subsetSize() {
     return (int) number("choice.width", 24, 1, 100_000);
   }
 
   /**
-   * What ties the callers of write routes that have no rule of their own: off, address, tenant or
-   * header:NAME.
+   * Returns the affinity of callers on write routes that have no rule of their own: off, address,
+   * tenant or header:NAME.
    */
   public String defaultAffinity() {
     return values.getOrDefault("affinity.default", "");
   }
 
-  /** For how long a switchboard may tie callers by a placement without asking again. */
+  /** Returns how long a proxy may use a placement without renewing its lease. */
   public long affinityLeaseMillis() {
     return (long) number("affinity.lease-ms", 4000, 500, 600_000);
   }
 
   /**
-   * The longest, in milliseconds, that a grant of keys may still be counted by an upstream after
-   * its connection was reset.
+   * Returns the longest time after a reset of an upstream's connection in which a grant of keys may
+   * still take effect there.
    */
   public long ownershipLateMillis() {
     return (long) number("ownership.late-ms", DEFAULT_LATE_MILLIS, 0, 60_000);
   }
 
   /**
-   * For how many milliseconds a grant of keys holds: the setting, or the usual 4000 where the bound
-   * allows that.
+   * Returns how long a grant of keys is valid: the setting, or 4000 ms if the limit permits that.
    */
   public long ownershipHoldMillis() {
     return (long)
@@ -532,57 +538,58 @@
           Long.toString(ownershipHoldMillis()),
           "give at least "
               + MIN_HOLD_MILLIS
-              + ", since four renewals must fit with their answers, and at most bound.hold-limit-ms, "
+              + " to leave time for four renewals, and at most bound.hold-limit-ms, "
               + holdLimitMillis());
     }
   }
 
-  /** For how long a write waits for its caller's move before it is refused. */
+  /** Returns how long a write waits while its caller is moved, before it is rejected. */
   public long affinityWaitMillis() {
     return (long) number("affinity.wait-ms", 250, 0, 60_000);
   }
 
-  /** How long changes of upstreams are gathered before callers are placed anew. */
+  /** Returns how long changes of upstreams are batched before callers are placed again. */
   public long affinityBatchMillis() {
     return (long) number("affinity.batch-ms", 300, 0, 60_000);
   }
 
   /**
-   * The largest part of an upstream's slots that lookups and downloads leave free for writes tied
-   * to it.
+   * Returns the largest fraction of an upstream's slots that lookups and downloads leave free for
+   * the writes that have affinity to it.
    */
   public double affinityReserve() {
     return number("affinity.reserve", 0.5, 0, 1);
   }
 
-  /** How many entries of the history of routing changes are kept at least. */
+  /** Returns the minimum number of entries kept in the history of routing changes. */
   public long auditRetention() {
     return (long) number("audit.retention", 2000, 100, 10_000_000);
   }
 
   /**
-   * The most bytes that one entry of the history takes; what a larger change would add to it is
-   * counted instead.
+   * Returns the maximum size in bytes of one entry of the history; of a larger change, the parts
+   * that do not fit are counted instead of listed.
    */
   public int auditEntryBytes() {
     return (int) number("audit.entry-bytes", 1024, 512, 65_536);
   }
 
-  /** The disk that the history takes, whatever happens. */
+  /** Returns the disk space in bytes that the history never exceeds. */
   public long auditBytes() {
     return (long) (number("audit.disk-mb", 4, 1, 8192) * (1 << 20));
   }
 
   /**
-   * How many switchboards of its own site share an upstream of a large service while all goes well.
+   * Returns how many proxies of an upstream's own site share it, if the service is large, in normal
+   * operation.
    */
   public double subsetSharers() {
     return number("choice.sharers", 2, 1, 1000);
   }
 
   /**
-   * How many bytes may be under way on one connection of traffic, so that a download does not fill
-   * a narrow link's queue; 0 for no bound.
+   * Returns how many bytes may be in flight on one client connection, so that a download does not
+   * fill the queue of a slow link; 0 for no limit.
    */
   public int transferBytes() {
     final double bytesPerSecond = number("station.link-mbps", 0, 0, 1_000_000) * 125_000;
@@ -590,33 +597,33 @@
     return bytesPerSecond == 0 || bound > MAX_TRANSFER_BYTES ? 0 : (int) bound;
   }
 
-  /** How often a process logs its counters. */
+  /** Returns the interval at which a process logs its counters. */
   public long counterLogMillis() {
     return (long) number("log.counters-ms", 10_000, 200, 3_600_000);
   }
 
-  /** How many bytes of copies an announcer keeps. */
+  /** Returns the size in bytes of the cache of a cache daemon. */
   public long cacheBytes() {
     return (long) (number("copies.most-mb", 64, 0, 1_000_000) * (1 << 20));
   }
 
   /**
-   * For how long after it last heard of a majority an announcer that hears nothing trusts that it
-   * knows all purges.
+   * Returns how long after its last news of a majority a cache daemon without contact to any
+   * registry may assume that it knows all purges.
    */
   public long purgeTrustWithoutContactMillis() {
     final long bound = (long) number("bound.purge-ms", 2000, 1, 3_600_000);
     return Math.max(bound / 2, bound - 300);
   }
 
-  /** For how long while an exchange without a majority speaks to it. */
+  /** Returns the same period for a cache daemon in contact with a registry without majority. */
   public long purgeTrustWithoutMajorityMillis() {
     return (long)
         (number("bound.purge-ms", 2000, 1, 3_600_000)
             + number("bound.stretch-ms", 5000, 0, 3_600_000));
   }
 
-  /** The longest time in seconds that a directory answer may be kept. */
+  /** Returns the maximum time in seconds for which a directory answer may be cached. */
   public double resolutionTtl() {
     return number("bound.resolution-ttl-s", 5, 0, 3600);
   }
--- a/common/src/main/java/weldpoint/common/WeldpointException.java
+++ b/common/src/main/java/weldpoint/common/WeldpointException.java
@@ -1,10 +1,10 @@
 package weldpoint.common;
 
-/** A typed failure whose message names what was wrong and the remedy. */
+/** A failure of a known kind; the message says what was wrong and how to correct it. */
 public final class WeldpointException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
-  /** The kinds of failure, each with the status that the outside is told. */
+  /** The kinds of failure, each with the HTTP status of the response, or 0 if there is none. */
   public enum Kind {
     SETTING(0),
     UNREADABLE(400),
@@ -25,7 +25,7 @@
       this.status = status;
     }
 
-    /** The HTTP status under which an outside caller learns of it. */
+    /** Returns the HTTP status that a caller receives for this kind of failure. */
     public int status() {
       return status;
     }
@@ -33,13 +33,13 @@
 
   private final Kind kind;
 
-  /** A failure of the given kind; the message names the remedy. */
+  /** Creates a failure; the message says how to correct it. */
   public WeldpointException(final Kind kind, final String message) {
     super(message, null, false, false);
     this.kind = kind;
   }
 
-  /** What kind of failure this is. */
+  /** Returns the kind of this failure. */
   public Kind kind() {
     return kind;
   }
--- a/common/src/test/java/weldpoint/common/SettingsTest.java
+++ b/common/src/test/java/weldpoint/common/SettingsTest.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Settings are checked, and what is wrong is named with its remedy. */
+/** Settings are validated; an error names the setting and how to correct it. */
 public final class SettingsTest {
   private static final String VALID =
       "# a comment\nstation.name = one\nstation.address = 10.0.0.1\nstation.site = a\nstation.region = r\nstation.voter = true\nstation.first-start = false\n"
--- a/transport/src/main/java/weldpoint/transport/Compression.java
+++ b/transport/src/main/java/weldpoint/transport/Compression.java
@@ -7,13 +7,13 @@
 import weldpoint.common.WeldpointException;
 
 /**
- * The form in which a configuration is stored and sent: compressed, otherwise as the operator wrote
- * it.
+ * Compresses configurations for storage and sending, without any other change to the operator's
+ * text.
  */
 public final class Compression {
   private Compression() {}
 
-  /** The compressed form. */
+  /** Compresses bytes. */
   public static byte[] deflate(final byte[] bytes) {
     final Deflater deflater = new Deflater(Deflater.BEST_SPEED);
     deflater.setInput(bytes);
@@ -27,7 +27,7 @@
     return out.toByteArray();
   }
 
-  /** The bytes that were deflated. */
+  /** Restores bytes that {@link #deflate} compressed. */
   public static byte[] inflate(final byte[] bytes) {
     final Inflater inflater = new Inflater();
     inflater.setInput(bytes);
@@ -39,13 +39,14 @@
         if (got == 0 && !inflater.finished() && inflater.needsInput()) {
           throw new WeldpointException(
               WeldpointException.Kind.UNREADABLE,
-              "a stored configuration is cut short; send it again");
+              "a stored configuration is truncated; send the configuration again");
         }
         out.write(chunk, 0, got);
       }
     } catch (final DataFormatException problem) {
       throw new WeldpointException(
-          WeldpointException.Kind.UNREADABLE, "a stored configuration is damaged; send it again");
+          WeldpointException.Kind.UNREADABLE,
+          "a stored configuration is corrupt; send the configuration again");
     } finally {
       inflater.end();
     }
--- a/transport/src/main/java/weldpoint/transport/Connection.java
+++ b/transport/src/main/java/weldpoint/transport/Connection.java
@@ -4,8 +4,8 @@
 import io.netty.channel.ChannelOutboundBuffer;
 
 /**
- * One connection between two programs. Any thread may send; the traffic thread may end it at any
- * moment between.
+ * One connection between two programs. Any thread may send; the traffic thread may close the
+ * connection at any time, also during a send.
  */
 public final class Connection {
   private static final int MAX_PENDING_BYTES = 16 << 20;
@@ -21,32 +21,35 @@
     this.channel = channel;
   }
 
-  /** Who is at the other end; null before its hello. */
+  /** Returns the peer's hello; null before it has arrived. */
   public Protocol.Hello peer() {
     return peer;
   }
 
   /**
-   * The latest time of the other end's steady clock, in milliseconds, that was heard on this very
-   * line; null where none was.
+   * Returns the latest time of the peer's monotonic clock, in milliseconds, that was received on
+   * this connection; null if none was.
    */
   public Long peerClockMillis() {
     return peerClockMillis;
   }
 
-  /** The other end's steady clock as seen from here; known only at the end that dialled. */
+  /** Returns the relation to the peer's monotonic clock; known only at the end that connected. */
   public PeerClock clock() {
     return clock;
   }
 
-  /** A message of the other end told this time of its steady clock. */
+  /** Records a time of the peer's monotonic clock that a message carried; null is ignored. */
   public void updatePeerClock(final Long millis) {
     if (millis != null && (peerClockMillis == null || millis > peerClockMillis)) {
       peerClockMillis = millis;
     }
   }
 
-  /** Sends a message, in order; a line whose peer does not read is closed. */
+  /**
+   * Sends a message, in order. If more than 16 MiB are pending because the peer does not read, the
+   * connection is closed instead; on a closed connection the message is dropped.
+   */
   public void send(final Message message) {
     if (!channel.isActive()) {
       return;
@@ -59,18 +62,18 @@
     channel.writeAndFlush(message, channel.voidPromise());
   }
 
-  /** Ends the connection. */
+  /** Closes the connection. */
   public void close() {
     channel.close();
   }
 
-  /** Whatever the owner keeps with the line. */
+  /** Returns the object that the owner of the connection attached to it. */
   @SuppressWarnings("unchecked")
   public <T> T attachment() {
     return (T) attachment;
   }
 
-  /** Keeps something with the line. */
+  /** Attaches an object to the connection. */
   public void attach(final Object value) {
     attachment = value;
   }
--- a/transport/src/main/java/weldpoint/transport/PeerClock.java
+++ b/transport/src/main/java/weldpoint/transport/PeerClock.java
@@ -3,12 +3,12 @@
 import java.util.ArrayDeque;
 
 /**
- * Relates the steady clock of a peer to the own one, both in milliseconds, from questions that were
- * answered with the peer's clock. It gives lower bounds only: the peer read its clock after the
- * question was sent, so that no assumption about the delay of either direction is made.
+ * Relates the monotonic clock of a peer to the local one, both in milliseconds, by requests that
+ * the peer answers with its clock. It gives lower bounds only: the peer reads its clock after the
+ * request was sent, so that no assumption is made about the delay in either direction.
  */
 public final class PeerClock {
-  /** One part in so many by which the two clocks may drift apart. */
+  /** The clocks may drift apart by one part in this many. */
   private static final long MAX_DRIFT_DIVISOR = 50;
 
   private final ArrayDeque<Long> sentAt = new ArrayDeque<>();
@@ -16,12 +16,12 @@
   private long offset;
   private long offsetAt;
 
-  /** A question goes out now; questions are answered in their order. */
+  /** A request is being sent; requests are answered in the order in which they are sent. */
   public synchronized void requestSent(final long now) {
     sentAt.addLast(now);
   }
 
-  /** The answer to the oldest open question has come; it was given at this time of the peer. */
+  /** The oldest pending request was answered, with this time of the peer's clock or null. */
   public synchronized void responseReceived(final Long peerMillis, final long now) {
     final Long requestSentAt = sentAt.pollFirst();
     if (requestSentAt == null || peerMillis == null) {
@@ -40,8 +40,8 @@
   }
 
   /**
-   * A time of the own clock that was not after this time of the peer's clock; null where no
-   * question has been answered yet.
+   * Returns a time of the local clock that was not after the given time of the peer's clock; null
+   * if no request has been answered yet.
    */
   public synchronized Long localLowerBound(final long peerMillis, final long now) {
     return known ? peerMillis + offset(now) : null;
--- a/transport/src/main/java/weldpoint/transport/PeerConnections.java
+++ b/transport/src/main/java/weldpoint/transport/PeerConnections.java
@@ -5,14 +5,14 @@
 import java.util.Map;
 import java.util.function.Function;
 
-/** Lines kept to a wanted set of addresses: missing ones are dialled, others are closed. */
+/** Connections to a set of addresses: missing ones are opened, superfluous ones are closed. */
 public final class PeerConnections {
   private final Transport transport;
   private final int port;
   private final Function<String, Transport.Listener> listenerFactory;
   private final Map<String, Transport.Connector> connectors = new HashMap<>();
 
-  /** Lines to this port, each with an ear of its own. */
+  /** Creates connections to a port; the factory makes a listener for each address. */
   public PeerConnections(
       final Transport transport,
       final int port,
@@ -22,7 +22,7 @@
     this.listenerFactory = listenerFactory;
   }
 
-  /** Makes these the addresses that lines are kept to. */
+  /** Opens and closes connections so that they lead to exactly these addresses. */
   public void updateAddresses(final List<String> addresses) {
     for (final String address : addresses) {
       connectors.computeIfAbsent(
@@ -41,8 +41,8 @@
   }
 
   /**
-   * For how many milliseconds nothing has come from an address; a large number where there is no
-   * line to it.
+   * Returns for how many milliseconds nothing has been received from an address; a very large
+   * number if there is no connection to it.
    */
   public long millisSinceReceived(final String address) {
     final Transport.Connector connector = connectors.get(address);
@@ -52,13 +52,13 @@
         : (System.nanoTime() - connection.lastReceivedNanos) / 1_000_000;
   }
 
-  /** Sends to an address what is made for the line of the moment; false where there is none. */
+  /** Sends the message made for the current connection to an address; false if there is none. */
   public boolean send(final String address, final Function<Connection, Message> messageFactory) {
     final Transport.Connector connector = connectors.get(address);
     return connector != null && connector.send(messageFactory);
   }
 
-  /** Sends to an address; false where there is no line to it. */
+  /** Sends a message to an address; returns false if there is no connection to it. */
   public boolean send(final String address, final Message message) {
     final Transport.Connector connector = connectors.get(address);
     return connector != null && connector.send(message);
--- a/transport/src/main/java/weldpoint/transport/Serializer.java
+++ b/transport/src/main/java/weldpoint/transport/Serializer.java
@@ -7,9 +7,9 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Turns messages and stored values into bytes and back, by Protostuff. */
+/** Serializes and deserializes messages and stored values with Protostuff. */
 public final class Serializer {
-  /** The number of the inner protocol; peers with another one are refused. */
+  /** The version of the internal protocol; peers with another version are refused. */
   public static final int PROTOCOL_VERSION = 1;
 
   private static final Map<Class<?>, Integer> TYPE_NUMBERS = new HashMap<>();
@@ -23,14 +23,14 @@
 
   private Serializer() {}
 
-  /** The bytes of a value. */
+  /** Serializes a value. */
   @SuppressWarnings("unchecked")
   public static <T> byte[] serialize(final T value) {
     return ProtostuffIOUtil.toByteArray(
         value, (Schema<T>) RuntimeSchema.getSchema(value.getClass()), LinkedBuffer.allocate(512));
   }
 
-  /** The value that the bytes hold. */
+  /** Deserializes a value of the given class. */
   public static <T> T deserialize(final byte[] bytes, final Class<T> type) {
     final Schema<T> schema = RuntimeSchema.getSchema(type);
     final T value = schema.newMessage();
@@ -38,12 +38,12 @@
     return value;
   }
 
-  /** The number under which a class of messages travels. */
+  /** Returns the number that stands for a message's class on the wire. */
   public static int typeNumber(final Message message) {
     return TYPE_NUMBERS.get(message.getClass());
   }
 
-  /** The class of messages that travels under a number; null where there is none. */
+  /** Returns the message class that a number stands for on the wire; null if there is none. */
   public static Class<?> messageType(final int number) {
     return number < 0 || number >= MESSAGE_TYPES.length ? null : MESSAGE_TYPES[number];
   }
--- a/transport/src/main/java/weldpoint/transport/TrafficCounters.java
+++ b/transport/src/main/java/weldpoint/transport/TrafficCounters.java
@@ -1,6 +1,6 @@
 package weldpoint.transport;
 
-/** Counts what passes over the inner protocol; written by the traffic thread only. */
+/** Counts the messages and bytes of the internal protocol; written by the traffic thread only. */
 public final class TrafficCounters {
   private volatile long messagesReceived;
   private volatile long bytesReceived;
@@ -19,22 +19,22 @@
     bytesSent += bytes;
   }
 
-  /** Messages that came. */
+  /** Returns the number of messages received. */
   public long messagesReceived() {
     return messagesReceived;
   }
 
-  /** Bytes that came. */
+  /** Returns the number of bytes received, with frame headers. */
   public long bytesReceived() {
     return bytesReceived;
   }
 
-  /** Messages that went. */
+  /** Returns the number of messages sent. */
   public long messagesSent() {
     return messagesSent;
   }
 
-  /** Bytes that went. */
+  /** Returns the number of bytes sent, with frame headers. */
   public long bytesSent() {
     return bytesSent;
   }
--- a/transport/src/main/java/weldpoint/transport/Transport.java
+++ b/transport/src/main/java/weldpoint/transport/Transport.java
@@ -23,25 +23,29 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 
-/** The inner protocol over TCP: frames of a length, a kind and a Protostuff body, after a hello. */
+/**
+ * The internal protocol over TCP. A frame is a length of four bytes, a message type of one byte and
+ * a Protostuff body; the first message of each side is a hello. All handlers and listeners run on
+ * the event loop, which is called the traffic thread here.
+ */
 public final class Transport {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
   private static final int MAX_FRAME_BYTES = 64 << 20;
   private static final long KEEP_ALIVE_MILLIS = 500;
   private static final long IDLE_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(1900);
 
-  /** Hears what happens on lines; called on the traffic thread. */
+  /** Receives the events of connections; called on the traffic thread. */
   public interface Listener {
-    /** The peer has said hello. */
+    /** The peer's hello has arrived. */
     default void opened(final Connection connection) {}
 
-    /** The peer has said something. */
+    /** A message has arrived that is neither a hello nor a keep-alive. */
     void messageReceived(Connection connection, Message message);
 
-    /** The line has ended. */
+    /** The connection has closed. */
     default void closed(final Connection connection) {}
 
-    /** The peer's machine answered that nobody listens there. */
+    /** The connection was refused: no process listens on the peer's port. */
     default void connectionRefused() {}
   }
 
@@ -49,26 +53,26 @@
   private final Protocol.Hello hello;
   private final TrafficCounters trafficCounters = new TrafficCounters();
 
-  /** What has passed over all lines. */
+  /** Returns the counters over all connections. */
   public TrafficCounters trafficCounters() {
     return trafficCounters;
   }
 
-  /** A trunk whose lines open with this hello. */
+  /** Creates a transport whose connections start with this hello. */
   public Transport(final EventLoopGroup eventLoopGroup, final Protocol.Hello hello) {
     this.eventLoopGroup = eventLoopGroup;
     this.hello = hello;
   }
 
-  /** Takes calls at an address, and returns once it does. */
+  /** Accepts connections at an address; returns once the port is bound. */
   public void bind(final String address, final int port, final Listener listener)
       throws InterruptedException {
     bindAsync(address, port, listener).sync();
   }
 
   /**
-   * Begins to take calls at an address, without waiting: the control thread must never wait for the
-   * traffic thread, which may be waiting for it.
+   * Starts to accept connections at an address, without waiting for the port to be bound: the
+   * control thread must never wait for the traffic thread, which may be waiting for it.
    */
   public ChannelFuture bindAsync(final String address, final int port, final Listener listener) {
     return new ServerBootstrap()
@@ -106,12 +110,12 @@
     return connection;
   }
 
-  /** Keeps a line to an address open until closed. */
+  /** Keeps a connection to an address open until the connector is closed. */
   public Connector connectTo(final String address, final int port, final Listener listener) {
     return new Connector(address, port, listener);
   }
 
-  /** Keeps one outgoing line open, dialling again after it ends. */
+  /** Keeps one outgoing connection open, and reconnects with backoff after it closes. */
   public final class Connector {
     private final String address;
     private final int port;
@@ -187,7 +191,7 @@
           && !(cause instanceof ConnectTimeoutException);
     }
 
-    /** Takes a line unless the end came first; the two may come from different threads. */
+    /** Stores the connection unless the connector was closed first, maybe by another thread. */
     private synchronized boolean setConnection(final Connection opened) {
       if (!stopped) {
         connection = opened;
@@ -202,12 +206,12 @@
       }
     }
 
-    /** The line, or null while there is none. */
+    /** Returns the connection, or null while there is none. */
     public Connection connection() {
       return connection;
     }
 
-    /** Sends where there is a line; tells whether there was one. */
+    /** Sends a message if there is a connection; returns whether there was one. */
     public boolean send(final Message message) {
       final Connection current = connection;
       if (current == null) {
@@ -217,7 +221,7 @@
       return true;
     }
 
-    /** Sends what is made for the line of the moment; tells whether there was one. */
+    /** Sends the message made for the current connection; returns whether there was one. */
     public boolean send(final Function<Connection, Message> messageFactory) {
       final Connection current = connection;
       if (current == null) {
@@ -227,7 +231,7 @@
       return true;
     }
 
-    /** Ends the line for good. */
+    /** Closes the connection and does not reconnect. */
     public void close() {
       final Connection current;
       synchronized (this) {
@@ -250,7 +254,7 @@
     }
   }
 
-  /** The message as its bytes: what goes to many is then turned into bytes once. */
+  /** Serializes a message once, so that it can be sent to many peers. */
   public static Message encodeOnce(final Message message) {
     return new EncodedMessage(Serializer.typeNumber(message), Serializer.serialize(message));
   }
@@ -344,7 +348,7 @@
         if (!(message instanceof Protocol.Hello)
             || ((Protocol.Hello) message).protocolVersion != Serializer.PROTOCOL_VERSION) {
           LOGGER.atWarning().log(
-              "a peer at %s speaks another inner protocol than %d and was refused; run the same release everywhere",
+              "a peer at %s did not open with a hello of internal protocol %d, connection closed; run the same release everywhere",
               context.channel().remoteAddress(), Serializer.PROTOCOL_VERSION);
           context.close();
           return;
@@ -372,13 +376,13 @@
     @Override
     public void exceptionCaught(final ChannelHandlerContext context, final Throwable cause) {
       if (!(cause instanceof java.io.IOException)) {
-        LOGGER.atWarning().withCause(cause).log("a line was closed");
+        LOGGER.atWarning().withCause(cause).log("connection closed after an error in its handlers");
       }
       context.close();
     }
   }
 
-  /** An ear that runs everything on another thread, in order. */
+  /** Returns a listener that passes each event on to an executor, in order. */
   public static Listener dispatchOn(
       final java.util.concurrent.Executor executor, final Listener listener) {
     return new Listener() {
@@ -404,7 +408,7 @@
     };
   }
 
-  /** The names of all kinds, for tests. */
+  /** Returns the message types in the order of their numbers, for tests. */
   public static List<Class<?>> messageTypes() {
     return List.of(Protocol.MESSAGE_TYPES);
   }
--- a/transport/src/test/java/weldpoint/transport/PeerClockTest.java
+++ b/transport/src/test/java/weldpoint/transport/PeerClockTest.java
@@ -7,7 +7,7 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-/** The bound that a peer's clock is given never lies after the truth, whatever the line does. */
+/** The lower bound of a peer's time is never after the true time, whatever the network delays. */
 public final class PeerClockTest {
   private static final long PEER_OFFSET_MILLIS = 700_000;
   private static final long REQUEST_INTERVAL_MILLIS = 500;
@@ -28,7 +28,7 @@
     assertEquals(clock.localLowerBound(1010 + PEER_OFFSET_MILLIS, 6000), Long.valueOf(1000));
   }
 
-  /** Delays at random both ways, and a peer whose clock runs up to one part in 100 fast or slow. */
+  /** Random delays in both directions, and a peer whose clock runs up to 1 % fast or slow. */
   @Test
   public void theBoundIsNeverAfterTheTrueTime() {
     for (int seed = 0; seed < SEEDS; seed++) {
--- a/transport/src/test/java/weldpoint/transport/TransportTest.java
+++ b/transport/src/test/java/weldpoint/transport/TransportTest.java
@@ -23,7 +23,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The inner protocol: what does not speak it is refused before anything it says is heard. */
+/** A connection that does not open with a valid hello is closed before any message is handled. */
 public final class TransportTest {
   private final EventLoopGroup eventLoopGroup = new NioEventLoopGroup(1);
   private final AtomicInteger received = new AtomicInteger();
@@ -94,7 +94,7 @@
       } catch (final IOException reset) {
         more = -1;
       }
-      assertEquals(more, -1, "the line must end");
+      assertEquals(more, -1, "the connection must be closed");
     }
     assertEquals(received.get(), 0);
   }
--- a/transport/src/test/java/weldpoint/transport/TransportThreadsTest.java
+++ b/transport/src/test/java/weldpoint/transport/TransportThreadsTest.java
@@ -23,7 +23,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.testng.annotations.Test;
 
-/** The control thread and the traffic thread take turns at the worst points. */
+/** Races between the control thread and the traffic thread, at the most critical points. */
 public final class TransportThreadsTest {
   private static final Protocol.Hello HELLO =
       new Protocol.Hello(Serializer.PROTOCOL_VERSION, "exchange", "127.0.0.1", 7);
@@ -35,8 +35,8 @@
   }
 
   /**
-   * A channel that the traffic thread closes at the moment in which the control thread has looked
-   * at its buffer so many times.
+   * Returns a channel that appears closed by the traffic thread after the control thread has read
+   * its outbound buffer this many times; the buffer is null from then on.
    */
   private static Channel closedAfterReads(final int reads) {
     final EmbeddedChannel real = new EmbeddedChannel();
@@ -170,7 +170,9 @@
         TimeUnit.MILLISECONDS.sleep(5);
       }
       assertEquals(
-          open.size(), 0, "of " + opened.get() + " lines stay open that their owner has ended");
+          open.size(),
+          0,
+          "of " + opened.get() + " connections stay open after their connectors were closed");
     } finally {
       loop.shutdownGracefully();
     }
