--- a/common/src/main/java/weldpoint/common/Logging.java
+++ b/common/src/main/java/weldpoint/common/Logging.java
@@ -30,14 +30,15 @@
     handler.setFormatter(
         new Formatter() {
           @Override
-          public String format(final LogRecord line) {
-            final String cause = line.getThrown() == null ? "" : " " + trace(line.getThrown());
-            return program + " " + line.getLevel() + " " + line.getMessage() + cause + "\n";
+          public String format(final LogRecord record) {
+            final String cause = record.getThrown() == null ? "" : " " + trace(record.getThrown());
+            return program + " " + record.getLevel() + " " + record.getMessage() + cause + "\n";
           }
         });
     root.addHandler(handler);
-    final String named = System.getenv(LEVEL_VARIABLE);
-    final Level level = named == null || named.isEmpty() ? Level.INFO : Level.parse(named);
+    final String levelName = System.getenv(LEVEL_VARIABLE);
+    final Level level =
+        levelName == null || levelName.isEmpty() ? Level.INFO : Level.parse(levelName);
     WELDPOINT_LOGGER.setLevel(level);
     root.setLevel(level.intValue() > Level.INFO.intValue() ? level : Level.INFO);
   }
--- a/common/src/main/java/weldpoint/common/RandomIds.java
+++ b/common/src/main/java/weldpoint/common/RandomIds.java
@@ -12,7 +12,7 @@
   public static long next() {
     try (DataInputStream source = new DataInputStream(new FileInputStream("/dev/urandom"))) {
       return source.readLong() >>> 1;
-    } catch (final IOException absent) {
+    } catch (final IOException unavailable) {
       return new java.security.SecureRandom().nextLong() >>> 1;
     }
   }
--- a/common/src/main/java/weldpoint/common/Settings.java
+++ b/common/src/main/java/weldpoint/common/Settings.java
@@ -87,16 +87,16 @@
   /** Parses and validates settings. */
   public static Settings parse(final String text) {
     final Map<String, String> values = new LinkedHashMap<>();
-    int number = 0;
-    for (final String raw : text.split("\n", -1)) {
-      number++;
-      final String line = raw.strip();
+    int lineNumber = 0;
+    for (final String rawLine : text.split("\n", -1)) {
+      lineNumber++;
+      final String line = rawLine.strip();
       if (line.isEmpty() || line.charAt(0) == '#') {
         continue;
       }
       final int equals = line.indexOf('=');
       if (equals < 1) {
-        throw invalid("line " + number, line, "write it as name = value");
+        throw invalid("line " + lineNumber, line, "write it as name = value");
       }
       values.put(line.substring(0, equals).strip(), line.substring(equals + 1).strip());
     }
@@ -174,13 +174,13 @@
           values.get("affinity.lease-ms"),
           "give at least 1500: a lease counts from the last majority contact, renewed every 700 ms");
     }
-    final long needed = requiredAuditBytes(auditRetention(), auditEntryBytes());
-    if (needed > auditBytes()) {
+    final long requiredBytes = requiredAuditBytes(auditRetention(), auditEntryBytes());
+    if (requiredBytes > auditBytes()) {
       throw invalid(
           "audit.disk-mb",
           values.getOrDefault("audit.disk-mb", "4"),
           "give at least "
-              + ((needed >> 20) + 1)
+              + ((requiredBytes >> 20) + 1)
               + " for "
               + auditRetention()
               + " entries of up to "
--- a/common/src/test/java/weldpoint/common/SettingsTest.java
+++ b/common/src/test/java/weldpoint/common/SettingsTest.java
@@ -58,7 +58,7 @@
     };
   }
 
-  @Test(dataProvider = "bad")
+  @Test(dataProvider = "invalidSettings")
   public void anInvalidValueIsReportedWithItsFieldAndRemedy(
       final String from, final String to, final String field) {
     final WeldpointException exception =
--- a/proxy/src/main/java/weldpoint/proxy/RegistryStream.java
+++ b/proxy/src/main/java/weldpoint/proxy/RegistryStream.java
@@ -143,12 +143,14 @@
     }
     final RegistryMessages.RegistryStatus reach = (RegistryMessages.RegistryStatus) message;
     final Long provedAt =
-        reach.confirmedClock == null ? null : clock.localLowerBound(reach.confirmedClock, now);
+        reach.confirmedClockMillis == null
+            ? null
+            : clock.localLowerBound(reach.confirmedClockMillis, now);
     if (provedAt != null) {
       registry.proved(provedAt, now);
     }
     final Long saidAt =
-        reach.sentClock == null ? null : clock.localLowerBound(reach.sentClock, now);
+        reach.sentClockMillis == null ? null : clock.localLowerBound(reach.sentClockMillis, now);
     final long delayMillis = saidAt == null ? 0 : Math.max(0, now - saidAt);
     if (saidAt != null && reach.contactAgeMillis >= MAJORITY_LOST_MILLIS) {
       registry.majorityLost(reach.contactAgeMillis + delayMillis);
--- a/registry/src/test/java/weldpoint/registry/ConfirmationProofTest.java
+++ b/registry/src/test/java/weldpoint/registry/ConfirmationProofTest.java
@@ -105,15 +105,15 @@
         }
       } else if (viewed
           && message instanceof RegistryMessages.RegistryStatus reach
-          && reach.confirmedClock != null) {
+          && reach.confirmedClockMillis != null) {
         proofs++;
         for (final Acknowledged change : acknowledged) {
-          if (change.at < reach.confirmedClock) {
+          if (change.at < reach.confirmedClockMillis) {
             assertTrue(
                 change.upstream == null
                     ? version >= change.version
                     : !open.contains(change.upstream),
-                what + ": proof up to " + reach.confirmedClock + " lacks " + change);
+                what + ": proof up to " + reach.confirmedClockMillis + " lacks " + change);
           }
         }
       }
--- a/transport/src/main/java/weldpoint/transport/RegistryMessages.java
+++ b/transport/src/main/java/weldpoint/transport/RegistryMessages.java
@@ -540,10 +540,10 @@
      * The time of the sender's monotonic clock, in milliseconds, up to which everything that was
      * acknowledged anywhere has been sent on this stream; null if it is not known.
      */
-    public final Long confirmedClock;
+    public final Long confirmedClockMillis;
 
     /** When this was sent, in milliseconds of the sender's monotonic clock; null if not given. */
-    public final Long sentClock;
+    public final Long sentClockMillis;
 
     public RegistryStatus(
         final long majorityAgeMillis, final int proxyCount, final List<String> members) {
@@ -586,10 +586,10 @@
         final List<String> cacheDaemons,
         final List<String> memberLocations,
         final long contactAgeMillis,
-        final Long confirmedClock,
-        final Long sentClock) {
-      this.sentClock = sentClock;
-      this.confirmedClock = confirmedClock;
+        final Long confirmedClockMillis,
+        final Long sentClockMillis) {
+      this.sentClockMillis = sentClockMillis;
+      this.confirmedClockMillis = confirmedClockMillis;
       this.contactAgeMillis = contactAgeMillis;
       this.memberLocations = memberLocations;
       this.cacheDaemons = cacheDaemons;
@@ -599,16 +599,16 @@
     }
 
     /** Returns this status with its ages increased by the time that it spent in transit. */
-    public RegistryStatus withDelay(final long delayMillis) {
+    public RegistryStatus withDelay(final long transitMillis) {
       return new RegistryStatus(
-          majorityAgeMillis + delayMillis,
+          majorityAgeMillis + transitMillis,
           proxyCount,
           members,
           cacheDaemons,
           memberLocations,
-          contactAgeMillis + delayMillis,
-          confirmedClock,
-          sentClock);
+          contactAgeMillis + transitMillis,
+          confirmedClockMillis,
+          sentClockMillis);
     }
   }
 }
--- a/transport/src/main/java/weldpoint/transport/StateStoreMessages.java
+++ b/transport/src/main/java/weldpoint/transport/StateStoreMessages.java
@@ -247,7 +247,10 @@
     }
   }
 
-  /** The answer to a {@link MembershipRequest}. */
+  /**
+   * The answer to a {@link MembershipRequest}, with the holder of each partition; the holder is
+   * empty if the sender knows none.
+   */
   public static final class MembershipResponse implements Message {
     public final long number;
     public final boolean blankDisk;
--- a/transport/src/main/java/weldpoint/transport/Transport.java
+++ b/transport/src/main/java/weldpoint/transport/Transport.java
@@ -160,8 +160,8 @@
 
                             @Override
                             public void messageReceived(
-                                final Connection heard, final Message message) {
-                              listener.messageReceived(heard, message);
+                                final Connection sender, final Message message) {
+                              listener.messageReceived(sender, message);
                             }
 
                             @Override
--- a/transport/src/test/java/weldpoint/transport/PeerClockTest.java
+++ b/transport/src/test/java/weldpoint/transport/PeerClockTest.java
@@ -36,17 +36,18 @@
       final double rate = 1 + (random.nextDouble() - 0.5) / 50;
       final PeerClock clock = new PeerClock();
       long now = 1000;
-      for (int question = 0; question < 200; question++) {
+      for (int request = 0; request < 200; request++) {
         clock.requestSent(now);
-        final long there = now + 1 + random.nextInt(300);
-        final long back = there + 1 + random.nextInt(300);
-        clock.responseReceived((long) (there * rate) + PEER_OFFSET_MILLIS, back);
-        final long moment = back - random.nextInt(200);
-        final long peer = (long) (moment * rate) + PEER_OFFSET_MILLIS;
-        final long bound = clock.localLowerBound(peer, back);
-        assertTrue(bound <= moment + 1, "seed " + seed + ": " + bound + " is after " + moment);
-        assertTrue(moment - bound < 1000, "seed " + seed + ": " + (moment - bound) + " ms too low");
-        now = back + random.nextInt((int) REQUEST_INTERVAL_MILLIS);
+        final long receivedAt = now + 1 + random.nextInt(300);
+        final long answeredAt = receivedAt + 1 + random.nextInt(300);
+        clock.responseReceived((long) (receivedAt * rate) + PEER_OFFSET_MILLIS, answeredAt);
+        final long trueTime = answeredAt - random.nextInt(200);
+        final long peerMillis = (long) (trueTime * rate) + PEER_OFFSET_MILLIS;
+        final long bound = clock.localLowerBound(peerMillis, answeredAt);
+        assertTrue(bound <= trueTime + 1, "seed " + seed + ": " + bound + " is after " + trueTime);
+        assertTrue(
+            trueTime - bound < 1000, "seed " + seed + ": " + (trueTime - bound) + " ms too low");
+        now = answeredAt + random.nextInt((int) REQUEST_INTERVAL_MILLIS);
       }
     }
   }
--- a/transport/src/test/java/weldpoint/transport/TransportTest.java
+++ b/transport/src/test/java/weldpoint/transport/TransportTest.java
@@ -78,7 +78,7 @@
     };
   }
 
-  @Test(dataProvider = "strangers")
+  @Test(dataProvider = "invalidOpenings")
   public void connectionsWithoutAMatchingHelloAreClosed(final byte[] first, final byte[] then)
       throws IOException {
     try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
