--- a/common/src/main/java/weldpoint/common/Settings.java
+++ b/common/src/main/java/weldpoint/common/Settings.java
@@ -172,7 +172,7 @@
       throw invalid(
           "affinity.lease-ms",
           values.get("affinity.lease-ms"),
-          "give at least 1500: a lease counts from the last majority contact, renewed every 700 ms");
+          "give at least 1500: leases count from the last majority contact, heard every 700 ms");
     }
     final long requiredBytes = requiredAuditBytes(auditRetention(), auditEntryBytes());
     if (requiredBytes > auditBytes()) {
--- a/transport/src/main/java/weldpoint/transport/Transport.java
+++ b/transport/src/main/java/weldpoint/transport/Transport.java
@@ -348,7 +348,8 @@
         if (!(message instanceof Protocol.Hello)
             || ((Protocol.Hello) message).protocolVersion != Serializer.PROTOCOL_VERSION) {
           LOGGER.atWarning().log(
-              "a peer at %s did not open with a hello of internal protocol %d, connection closed; run the same release everywhere",
+              "a peer at %s did not open with a hello of internal protocol %d, connection closed;"
+                  + " run the same release everywhere",
               context.channel().remoteAddress(), Serializer.PROTOCOL_VERSION);
           context.close();
           return;
