--- a/affinity/src/main/java/weldpoint/affinity/AffinityKeys.java
+++ b/affinity/src/main/java/weldpoint/affinity/AffinityKeys.java
@@ -19,10 +19,10 @@
    */
   public String name(
       final Affinity rule, final List<String> header, final String tenant, final String address) {
-    if (rule.by() == Affinity.By.TENANT && tenant != null) {
+    if (rule.by() == Affinity.CallerIdentity.TENANT && tenant != null) {
       return "t" + tenant;
     }
-    if (rule.by() == Affinity.By.HEADER) {
+    if (rule.by() == Affinity.CallerIdentity.HEADER) {
       if (header.size() > 1) {
         several++;
       } else if (header.isEmpty() || header.get(0).isBlank()) {
--- a/affinity/src/test/java/weldpoint/affinity/AffinityTest.java
+++ b/affinity/src/test/java/weldpoint/affinity/AffinityTest.java
@@ -149,7 +149,7 @@
   @Test
   public void aNameThatIsMissingDoubleOrOverlongGivesTheAddressAndIsCounted() {
     final AffinityKeys callers = new AffinityKeys();
-    final Affinity rule = new Affinity(Affinity.By.HEADER, "X-Firm", 1000);
+    final Affinity rule = new Affinity(Affinity.CallerIdentity.HEADER, "X-Firm", 1000);
     assertEquals(callers.name(rule, List.of("north"), null, "10.0.0.1"), "hnorth");
     assertEquals(callers.name(rule, List.of(), null, "10.0.0.1"), "a10.0.0.1");
     assertEquals(callers.name(rule, List.of("one", "two"), null, "10.0.0.1"), "a10.0.0.1");
@@ -157,10 +157,14 @@
     assertEquals(callers.unnamed() + callers.several() * 10 + callers.overlong() * 100, 111);
     assertEquals(
         callers.name(
-            new Affinity(Affinity.By.TENANT, null, 1000), List.of(), "harbour", "10.0.0.1"),
+            new Affinity(Affinity.CallerIdentity.TENANT, null, 1000),
+            List.of(),
+            "harbour",
+            "10.0.0.1"),
         "tharbour");
     assertEquals(
-        callers.name(new Affinity(Affinity.By.TENANT, null, 1000), List.of(), null, "10.0.0.1"),
+        callers.name(
+            new Affinity(Affinity.CallerIdentity.TENANT, null, 1000), List.of(), null, "10.0.0.1"),
         "a10.0.0.1");
   }
 
--- a/audit/src/main/java/weldpoint/audit/AuditEntry.java
+++ b/audit/src/main/java/weldpoint/audit/AuditEntry.java
@@ -23,7 +23,7 @@
   public final String subject;
   public final String author;
   public final String caller;
-  public final String taker;
+  public final String acceptedBy;
   public final long time;
   public final String before;
   public final String after;
@@ -31,13 +31,13 @@
   public final int added;
   public final int removed;
   public final int changed;
-  public final int writes;
+  public final int changedWriteRoutes;
   public final long trimmedThrough;
   public final String trimmedDigest;
-  public final String previous;
-  public final byte[] content;
+  public final String previousDigest;
+  public final byte[] contentDigest;
 
-  private AuditEntry(final Draft draft, final long sequence, final String previous) {
+  private AuditEntry(final Draft draft, final long sequence, final String previousDigest) {
     this.sequence = sequence;
     this.kind = draft.kind.ordinal();
     this.version = draft.version;
@@ -45,7 +45,7 @@
     this.subject = draft.subject;
     this.author = draft.author;
     this.caller = draft.caller;
-    this.taker = draft.taker;
+    this.acceptedBy = draft.acceptedBy;
     this.time = draft.time;
     this.before = draft.before;
     this.after = draft.after;
@@ -53,11 +53,11 @@
     this.added = draft.added;
     this.removed = draft.removed;
     this.changed = draft.changed;
-    this.writes = draft.writes;
+    this.changedWriteRoutes = draft.changedWriteRoutes;
     this.trimmedThrough = draft.trimmedThrough;
     this.trimmedDigest = draft.trimmedDigest;
-    this.previous = previous;
-    this.content = draft.content;
+    this.previousDigest = previousDigest;
+    this.contentDigest = draft.contentDigest;
   }
 
   /** The kind of the change. */
@@ -69,7 +69,7 @@
    * Whether a configuration took this entry's version with it, and what the version stands for is
    * therefore known.
    */
-  public boolean takesVersion() {
+  public boolean definesVersion() {
     return kind == ChangeKind.CONFIGURATION.ordinal()
         || kind == ChangeKind.UPGRADE.ordinal() && version > 0;
   }
@@ -97,16 +97,16 @@
     private long mark;
     private String author = "";
     private String caller = "";
-    private String taker = "";
+    private String acceptedBy = "";
     private long time;
     private String before = "";
     private String after = "";
-    private byte[] content;
+    private byte[] contentDigest;
     private List<String> changes = List.of();
     private int added;
     private int removed;
     private int changed;
-    private int writes;
+    private int changedWriteRoutes;
     private long trimmedThrough;
     private String trimmedDigest = "";
 
@@ -120,7 +120,7 @@
      * Under which number it is in force: a configuration's version, otherwise the mark of what it
      * changed.
      */
-    public Draft number(final long givenVersion, final long givenMark) {
+    public Draft version(final long givenVersion, final long givenMark) {
       version = givenVersion;
       mark = givenMark;
       return this;
@@ -130,11 +130,11 @@
     public Draft origin(
         final String givenAuthor,
         final String givenCaller,
-        final String givenTaker,
+        final String givenAcceptedBy,
         final long givenTime) {
       author = givenAuthor == null || givenAuthor.isEmpty() ? Authors.UNNAMED : givenAuthor;
       caller = givenCaller == null ? "" : givenCaller;
-      taker = givenTaker == null ? "" : givenTaker;
+      acceptedBy = givenAcceptedBy == null ? "" : givenAcceptedBy;
       time = givenTime;
       return this;
     }
@@ -149,42 +149,42 @@
     /**
      * What the configuration says, by the digest of its canonical form; null for any other change.
      */
-    public Draft content(final byte[] givenContent) {
-      content = givenContent;
+    public Draft contentDigest(final byte[] givenContent) {
+      contentDigest = givenContent;
       return this;
     }
 
     /** What it changed. */
-    public Draft difference(final ConfigurationDifference difference, final int mostBytes) {
+    public Draft difference(final ConfigurationDifference difference, final int maxBytes) {
       added = difference.added();
       removed = difference.removed();
       changed = difference.changed();
-      writes = difference.writes();
-      changes = difference.lines(mostBytes);
+      changedWriteRoutes = difference.changedWriteRoutes();
+      changes = difference.lines(maxBytes);
       return this;
     }
 
     /** Says what it was, in one line. */
-    public Draft line(final String text) {
+    public Draft summary(final String text) {
       changes = List.of(text);
       return this;
     }
 
     /** Up to where entries are forgotten, and the digest of the last of them. */
-    public Draft trims(final long through, final String digest) {
+    public Draft trimThrough(final long through, final String digest) {
       trimmedThrough = through;
       trimmedDigest = digest;
       return this;
     }
 
     /** The bytes of the entry at its place. */
-    public byte[] bytes(final long sequence, final String previous) {
-      return Serializer.serialize(new AuditEntry(this, sequence, previous));
+    public byte[] encode(final long sequence, final String previousDigest) {
+      return Serializer.serialize(new AuditEntry(this, sequence, previousDigest));
     }
   }
 
   /** How many bytes a text takes. */
-  static int bytes(final String text) {
+  static int encodedSize(final String text) {
     return text.getBytes(StandardCharsets.UTF_8).length + 2;
   }
 }
--- a/audit/src/main/java/weldpoint/audit/AuditLog.java
+++ b/audit/src/main/java/weldpoint/audit/AuditLog.java
@@ -22,31 +22,31 @@
 
   private final String self;
   private final AuditStore store;
-  private final Runnable grown;
+  private final Runnable onDurable;
   private final VersionIndex versions = new VersionIndex();
   private long base;
   private String baseDigest = AuditEntry.NO_DIGEST;
   private long last;
-  private long durable;
+  private long lastDurable;
   private long synced;
   private String digest = AuditEntry.NO_DIGEST;
   private long conflicts;
-  private long damaged;
+  private long damagedEntries;
 
   /** The log of one replica over its store; grown runs whenever more of it has become lasting. */
-  public AuditLog(final String self, final AuditStore store, final Runnable grown) {
+  public AuditLog(final String self, final AuditStore store, final Runnable onDurable) {
     this.self = self;
     this.store = store;
-    this.grown = grown;
+    this.onDurable = onDurable;
     if (store.base() > 0 && store.last() == store.base()) {
       store.reset(0);
     }
     this.base = store.base();
     this.last = base;
-    this.damaged = store.damaged() ? 1 : 0;
-    final boolean whole = load();
-    this.durable = whole ? last : base;
-    this.synced = durable;
+    this.damagedEntries = store.damaged() ? 1 : 0;
+    final boolean intact = load();
+    this.lastDurable = intact ? last : base;
+    this.synced = lastDurable;
   }
 
   private boolean load() {
@@ -55,8 +55,8 @@
       final AuditEntry entry = bytes == null ? null : AuditEntry.read(bytes);
       if (entry == null
           || entry.sequence != last + 1
-          || last > base && !entry.previous.equals(digest)) {
-        damaged += store.last() - last;
+          || last > base && !entry.previousDigest.equals(digest)) {
+        damagedEntries += store.last() - last;
         LOGGER.atSevere().log(
             "the history of %s is damaged from entry %s on; %s entries are fetched again from other replicas",
             self, last + 1, store.last() - last);
@@ -64,9 +64,9 @@
         return false;
       }
       if (last == base) {
-        baseDigest = entry.previous;
+        baseDigest = entry.previousDigest;
       }
-      take(entry, bytes);
+      apply(entry, bytes);
     }
     return true;
   }
@@ -77,16 +77,16 @@
       kept.add(store.read(sequence));
     }
     store.reset(base);
-    for (int place = 0; place < kept.size(); place++) {
-      final long sequence = base + 1 + place;
-      store.append(sequence, kept.get(place), () -> synced(sequence));
+    for (int position = 0; position < kept.size(); position++) {
+      final long sequence = base + 1 + position;
+      store.append(sequence, kept.get(position), () -> synced(sequence));
     }
   }
 
-  private void take(final AuditEntry entry, final byte[] bytes) {
+  private void apply(final AuditEntry entry, final byte[] bytes) {
     last = entry.sequence;
     digest = AuditEntry.digest(bytes);
-    if (entry.takesVersion()) {
+    if (entry.definesVersion()) {
       versions.add(entry.version, entry.sequence);
     }
     if (entry.kind() == ChangeKind.RETENTION
@@ -96,14 +96,15 @@
     } else if (entry.kind() == ChangeKind.RETENTION
         && entry.trimmedThrough == base
         && !entry.trimmedDigest.equals(baseDigest)) {
-      conflict("entry " + entry.sequence + " names another digest for the trimmed entry " + base);
+      reportConflict(
+          "entry " + entry.sequence + " names another digest for the trimmed entry " + base);
     }
   }
 
   private void trim(final AuditEntry entry) {
-    final String found = digestAt(entry.trimmedThrough);
-    if (found != null && !found.equals(entry.trimmedDigest)) {
-      conflict(
+    final String localDigest = digestAt(entry.trimmedThrough);
+    if (localDigest != null && !localDigest.equals(entry.trimmedDigest)) {
+      reportConflict(
           "entry " + entry.sequence + " names another digest for entry " + entry.trimmedThrough);
       return;
     }
@@ -113,10 +114,10 @@
     versions.trim(base);
   }
 
-  private void conflict(final String what) {
+  private void reportConflict(final String problem) {
     conflicts++;
     LOGGER.atSevere().log(
-        "the history of %s differs: %s; nothing was taken, compare the replicas", self, what);
+        "the history of %s differs: %s; nothing was taken, compare the replicas", self, problem);
   }
 
   /** Offers a decided entry. */
@@ -129,31 +130,32 @@
       if (java.util.Arrays.equals(bytes, store.read(entry.sequence))) {
         return Outcome.KNOWN;
       }
-      conflict("entry " + entry.sequence + " is here with another content");
+      reportConflict("entry " + entry.sequence + " is here with another content");
       return Outcome.CONFLICT;
     }
     if (entry.sequence > last + 1) {
       return Outcome.GAP;
     }
-    if (!entry.previous.equals(digest)) {
-      conflict("entry " + entry.sequence + " does not follow the entry " + last + " that is here");
+    if (!entry.previousDigest.equals(digest)) {
+      reportConflict(
+          "entry " + entry.sequence + " does not follow the entry " + last + " that is here");
       return Outcome.CONFLICT;
     }
     final long sequence = entry.sequence;
     if (!store.append(sequence, bytes, () -> synced(sequence))) {
       return Outcome.FULL;
     }
-    take(entry, bytes);
+    apply(entry, bytes);
     synced(synced);
     return Outcome.APPENDED;
   }
 
   private void synced(final long sequence) {
     synced = Math.max(synced, sequence);
-    final long reached = Math.min(synced, last);
-    if (reached > durable) {
-      durable = reached;
-      grown.run();
+    final long durableThrough = Math.min(synced, last);
+    if (durableThrough > lastDurable) {
+      lastDurable = durableThrough;
+      onDurable.run();
     }
   }
 
@@ -171,14 +173,14 @@
     baseDigest = newDigest;
     last = newBase;
     digest = newDigest;
-    durable = newBase;
+    lastDurable = newBase;
     synced = newBase;
-    grown.run();
+    onDurable.run();
   }
 
   /** Notes that another replica has another entry at the end of its log. */
-  public void differs(final String other, final long sequence) {
-    conflict(other + " has another entry " + sequence);
+  public void reportDivergence(final String peer, final long sequence) {
+    reportConflict(peer + " has another entry " + sequence);
   }
 
   /** The digest of an entry, or of the base; null where it is not known here. */
@@ -202,7 +204,7 @@
   }
 
   /** The entry with which a configuration took this version; null where none is here. */
-  public AuditEntry taking(final long version) {
+  public AuditEntry entryForVersion(final long version) {
     final long sequence = versions.sequence(version);
     final byte[] bytes = sequence == 0 ? null : read(sequence);
     return bytes == null ? null : AuditEntry.read(bytes);
@@ -224,8 +226,8 @@
   }
 
   /** The number of the last entry that is lasting. */
-  public long durable() {
-    return durable;
+  public long lastDurable() {
+    return lastDurable;
   }
 
   /** The digest of the last entry. */
@@ -239,7 +241,7 @@
   }
 
   /** How many entries were found damaged at the start. */
-  public long damaged() {
-    return damaged;
+  public long damagedEntries() {
+    return damagedEntries;
   }
 }
--- a/audit/src/main/java/weldpoint/audit/AuditReplica.java
+++ b/audit/src/main/java/weldpoint/audit/AuditReplica.java
@@ -15,22 +15,22 @@
  * peer is asked each second.
  */
 public final class AuditReplica {
-  private static final long RECONCILE_MILLIS = 1000;
-  private static final int MOST_ENTRIES = 512;
-  private static final int MOST_BYTES = 128 << 10;
+  private static final long RECONCILE_INTERVAL_MILLIS = 1000;
+  private static final int MAX_BATCH_ENTRIES = 512;
+  private static final int MAX_BATCH_BYTES = 128 << 10;
 
   private final AuditLog log;
-  private final BiConsumer<String, Message> outlet;
+  private final BiConsumer<String, Message> sender;
   private final Random random;
-  private long reconciledAt = Long.MIN_VALUE / 2;
-  private long parts;
-  private long asks;
+  private long lastReconcileMillis = Long.MIN_VALUE / 2;
+  private long batchesReceived;
+  private long requestsSent;
 
   /** A replica over its log, that sends to peers by their addresses. */
   public AuditReplica(
-      final AuditLog log, final BiConsumer<String, Message> outlet, final Random random) {
+      final AuditLog log, final BiConsumer<String, Message> sender, final Random random) {
     this.log = log;
-    this.outlet = outlet;
+    this.sender = sender;
     this.random = random;
   }
 
@@ -40,7 +40,7 @@
   }
 
   /** Entries were decided here: takes them and tells all others. */
-  public void decided(final List<byte[]> entries, final Collection<String> others) {
+  public void replicate(final List<byte[]> entries, final Collection<String> peers) {
     for (final byte[] entry : entries) {
       log.offer(entry);
     }
@@ -49,21 +49,21 @@
     }
     final AuditEntry first = AuditEntry.read(entries.get(0));
     final AuditEntry last = AuditEntry.read(entries.get(entries.size() - 1));
-    final AuditMessages.AuditEntries part =
+    final AuditMessages.AuditEntries batch =
         new AuditMessages.AuditEntries(
-            first.sequence - 1, first.previous, false, entries, last.sequence);
-    for (final String other : others) {
-      outlet.accept(other, part);
+            first.sequence - 1, first.previousDigest, false, entries, last.sequence);
+    for (final String peer : peers) {
+      sender.accept(peer, batch);
     }
   }
 
   /** Time has passed. */
-  public void tick(final List<String> others, final long now) {
-    if (now - reconciledAt < RECONCILE_MILLIS || others.isEmpty()) {
+  public void tick(final List<String> peers, final long nowMillis) {
+    if (nowMillis - lastReconcileMillis < RECONCILE_INTERVAL_MILLIS || peers.isEmpty()) {
       return;
     }
-    reconciledAt = now;
-    outlet.accept(others.get(random.nextInt(others.size())), state());
+    lastReconcileMillis = nowMillis;
+    sender.accept(peers.get(random.nextInt(peers.size())), state());
   }
 
   private AuditMessages.AuditState state() {
@@ -71,9 +71,9 @@
   }
 
   /** Asks one peer now for all that is missing here. */
-  public void ask(final String peer) {
-    asks++;
-    outlet.accept(peer, new AuditMessages.AuditRequest(log.last() + 1));
+  public void requestMissing(final String peer) {
+    requestsSent++;
+    sender.accept(peer, new AuditMessages.AuditRequest(log.last() + 1));
   }
 
   /** A peer has said something; false where it does not concern the history. */
@@ -81,9 +81,9 @@
     if (message instanceof AuditMessages.AuditState) {
       onState(from, (AuditMessages.AuditState) message, reply);
     } else if (message instanceof AuditMessages.AuditRequest) {
-      give(((AuditMessages.AuditRequest) message).from, reply);
+      sendEntries(((AuditMessages.AuditRequest) message).from, reply);
     } else if (message instanceof AuditMessages.AuditEntries) {
-      onPart((AuditMessages.AuditEntries) message, reply);
+      onEntries((AuditMessages.AuditEntries) message, reply);
     } else {
       return false;
     }
@@ -92,18 +92,18 @@
 
   private void onState(
       final String from, final AuditMessages.AuditState state, final Consumer<Message> reply) {
-    final String here = log.digestAt(state.last);
-    if (here != null && !here.equals(state.digest)) {
-      log.differs(from, state.last);
+    final String localDigest = log.digestAt(state.last);
+    if (localDigest != null && !localDigest.equals(state.digest)) {
+      log.reportDivergence(from, state.last);
     } else if (state.last < log.last()) {
-      give(state.last + 1, reply);
+      sendEntries(state.last + 1, reply);
     } else if (state.last > log.last()) {
-      asks++;
+      requestsSent++;
       reply.accept(new AuditMessages.AuditRequest(log.last() + 1));
     }
   }
 
-  private void give(final long from, final Consumer<Message> reply) {
+  private void sendEntries(final long from, final Consumer<Message> reply) {
     if (from > log.last()) {
       return;
     }
@@ -112,7 +112,7 @@
     final List<byte[]> entries = new ArrayList<>();
     int bytes = 0;
     for (long sequence = start;
-        sequence <= log.last() && entries.size() < MOST_ENTRIES && bytes < MOST_BYTES;
+        sequence <= log.last() && entries.size() < MAX_BATCH_ENTRIES && bytes < MAX_BATCH_BYTES;
         sequence++) {
       final byte[] entry = log.read(sequence);
       if (entry == null) {
@@ -121,28 +121,29 @@
       bytes += entry.length;
       entries.add(entry);
     }
-    final String before = log.digestAt(start - 1);
-    if (before == null || entries.isEmpty() && !trimmed) {
+    final String baseDigest = log.digestAt(start - 1);
+    if (baseDigest == null || entries.isEmpty() && !trimmed) {
       return;
     }
-    reply.accept(new AuditMessages.AuditEntries(start - 1, before, trimmed, entries, log.last()));
+    reply.accept(
+        new AuditMessages.AuditEntries(start - 1, baseDigest, trimmed, entries, log.last()));
   }
 
-  private void onPart(final AuditMessages.AuditEntries part, final Consumer<Message> reply) {
-    parts++;
-    if (part.trimmed && part.base > log.last()) {
-      log.reset(part.base, part.baseDigest);
+  private void onEntries(final AuditMessages.AuditEntries batch, final Consumer<Message> reply) {
+    batchesReceived++;
+    if (batch.trimmed && batch.base > log.last()) {
+      log.reset(batch.base, batch.baseDigest);
     }
-    final long before = log.last();
-    for (final byte[] entry : Protocol.list(part.entries)) {
+    final long previousLast = log.last();
+    for (final byte[] entry : Protocol.list(batch.entries)) {
       final AuditLog.Outcome outcome = log.offer(entry);
       if (outcome != AuditLog.Outcome.APPENDED && outcome != AuditLog.Outcome.KNOWN) {
         break;
       }
     }
-    final boolean behind = log.last() < part.last;
-    if (behind && (log.last() > before || part.base > log.last())) {
-      asks++;
+    final boolean behind = log.last() < batch.last;
+    if (behind && (log.last() > previousLast || batch.base > log.last())) {
+      requestsSent++;
       reply.accept(new AuditMessages.AuditRequest(log.last() + 1));
     }
   }
@@ -154,12 +155,12 @@
         + " from "
         + (log.base() + 1)
         + " parts "
-        + parts
+        + batchesReceived
         + " asks "
-        + asks
+        + requestsSent
         + " differing "
         + log.conflicts()
         + " damaged "
-        + log.damaged();
+        + log.damagedEntries();
   }
 }
--- a/audit/src/main/java/weldpoint/audit/AuditStore.java
+++ b/audit/src/main/java/weldpoint/audit/AuditStore.java
@@ -12,7 +12,7 @@
    * Appends the next entry; the callback runs, in order, once it is lasting. False where there is
    * no room.
    */
-  boolean append(long sequence, byte[] entry, Runnable synced);
+  boolean append(long sequence, byte[] entry, Runnable onSynced);
 
   /** The bytes of an entry that was appended; null where they cannot be read any longer. */
   byte[] read(long sequence);
--- a/audit/src/main/java/weldpoint/audit/Authors.java
+++ b/audit/src/main/java/weldpoint/audit/Authors.java
@@ -13,7 +13,7 @@
   /** The system itself. */
   public static final String SYSTEM = "weldpoint";
 
-  private static final int MOST = 64;
+  private static final int MAX_LENGTH = 64;
 
   private Authors() {}
 
@@ -21,23 +21,23 @@
    * The author of a call that carried the header so many times with this value; fails where it is
    * no name.
    */
-  public static String check(final String given, final int times) {
-    if (times == 0) {
+  public static String check(final String value, final int occurrences) {
+    if (occurrences == 0) {
       return UNNAMED;
     }
-    if (times > 1) {
-      throw bad("is there " + times + " times", "send it once");
+    if (occurrences > 1) {
+      throw invalid("is there " + occurrences + " times", "send it once");
     }
-    final String name = given.strip();
+    final String name = value.strip();
     if (name.isEmpty()) {
-      throw bad("is empty", "name the author or leave the header out");
+      throw invalid("is empty", "name the author or leave the header out");
     }
-    if (name.length() > MOST) {
-      throw bad("has " + name.length() + " characters", "give at most " + MOST);
+    if (name.length() > MAX_LENGTH) {
+      throw invalid("has " + name.length() + " characters", "give at most " + MAX_LENGTH);
     }
     for (int index = 0; index < name.length(); index++) {
       if (Character.isISOControl(name.charAt(index))) {
-        throw bad(
+        throw invalid(
             "has a control character at place " + (index + 1),
             "give letters, digits, blanks and signs only");
       }
@@ -45,8 +45,8 @@
     return name;
   }
 
-  private static WeldpointException bad(final String what, final String remedy) {
+  private static WeldpointException invalid(final String problem, final String remedy) {
     return new WeldpointException(
-        WeldpointException.Kind.INVALID, "the header " + HEADER + " " + what + "; " + remedy);
+        WeldpointException.Kind.INVALID, "the header " + HEADER + " " + problem + "; " + remedy);
   }
 }
--- a/audit/src/main/java/weldpoint/audit/CanonicalJson.java
+++ b/audit/src/main/java/weldpoint/audit/CanonicalJson.java
@@ -13,12 +13,12 @@
  * of lists counts.
  */
 public final class CanonicalJson {
-  private static final int DEEPEST = 100;
-  private static final int LONGEST_NUMBER = 64;
+  private static final int MAX_DEPTH = 100;
+  private static final int MAX_NUMBER_LENGTH = 64;
 
   private final String text;
   private final StringBuilder out;
-  private int at;
+  private int position;
 
   private CanonicalJson(final String text) {
     this.text = text;
@@ -40,85 +40,88 @@
   /** The canonical form; null where the bytes are not JSON. */
   static String canonical(final byte[] json) {
     final CanonicalJson reader = new CanonicalJson(new String(json, StandardCharsets.UTF_8));
-    return reader.value(0) && reader.next() < 0 ? reader.out.toString() : null;
+    return reader.value(0) && reader.peek() < 0 ? reader.out.toString() : null;
   }
 
   /** The next character that is no white space, which is not taken; -1 at the end. */
-  private int next() {
-    while (at < text.length()) {
-      final char one = text.charAt(at);
-      if (one != ' ' && one != '\n' && one != '\r' && one != '\t') {
-        return one;
+  private int peek() {
+    while (position < text.length()) {
+      final char character = text.charAt(position);
+      if (character != ' ' && character != '\n' && character != '\r' && character != '\t') {
+        return character;
       }
-      at++;
+      position++;
     }
     return -1;
   }
 
-  private boolean takes(final char wanted) {
-    if (next() != wanted) {
+  private boolean consume(final char expected) {
+    if (peek() != expected) {
       return false;
     }
-    at++;
+    position++;
     return true;
   }
 
   private boolean value(final int depth) {
-    final int first = next();
+    final int first = peek();
     return switch (first) {
-      case '{' -> depth < DEEPEST && object(depth + 1);
-      case '[' -> depth < DEEPEST && list(depth + 1);
+      case '{' -> depth < MAX_DEPTH && object(depth + 1);
+      case '[' -> depth < MAX_DEPTH && array(depth + 1);
       case '"' -> string();
-      case 't' -> word("true");
-      case 'f' -> word("false");
-      case 'n' -> word("null");
+      case 't' -> literal("true");
+      case 'f' -> literal("false");
+      case 'n' -> literal("null");
       default -> first >= 0 && number();
     };
   }
 
-  private boolean word(final String word) {
-    if (!text.startsWith(word, at)) {
+  private boolean literal(final String literal) {
+    if (!text.startsWith(literal, position)) {
       return false;
     }
-    at += word.length();
-    out.append(word);
+    position += literal.length();
+    out.append(literal);
     return true;
   }
 
   private boolean object(final int depth) {
-    at++;
-    final int from = out.length();
+    position++;
+    final int start = out.length();
     final Map<String, String> members = new TreeMap<>();
-    if (!takes('}')) {
+    if (!consume('}')) {
       do {
-        out.setLength(from);
-        if (next() != '"' || !string() || !takes(':')) {
+        out.setLength(start);
+        if (peek() != '"' || !string() || !consume(':')) {
           return false;
         }
-        final String name = out.substring(from);
-        out.setLength(from);
+        final String name = out.substring(start);
+        out.setLength(start);
         if (!value(depth)) {
           return false;
         }
-        members.put(name, out.substring(from));
-      } while (takes(','));
-      if (!takes('}')) {
+        members.put(name, out.substring(start));
+      } while (consume(','));
+      if (!consume('}')) {
         return false;
       }
     }
-    out.setLength(from);
+    out.setLength(start);
     out.append('{');
     members.forEach(
         (name, value) ->
-            out.append(out.length() == from + 1 ? "" : ",").append(name).append(':').append(value));
+            out.append(out.length() == start + 1 ? "" : ",")
+                .append(name)
+                .append(':')
+                .append(value));
     out.append('}');
     return true;
   }
 
-  private boolean list(final int depth) {
-    at++;
+  private boolean array(final int depth) {
+    position++;
     out.append('[');
-    if (takes(']')) {
+    if (consume(']')) {
       out.append(']');
       return true;
     }
@@ -127,51 +130,52 @@
         return false;
       }
       out.append(',');
-    } while (takes(','));
+    } while (consume(','));
     out.setCharAt(out.length() - 1, ']');
-    return takes(']');
+    return consume(']');
   }
 
   private boolean string() {
-    at++;
+    position++;
     out.append('"');
-    while (at < text.length()) {
-      final char one = text.charAt(at++);
-      if (one == '"') {
+    while (position < text.length()) {
+      final char character = text.charAt(position++);
+      if (character == '"') {
         out.append('"');
         return true;
       }
-      if (one != '\\') {
-        put(one);
-      } else if (!escaped()) {
+      if (character != '\\') {
+        appendEscaped(character);
+      } else if (!escapeSequence()) {
         return false;
       }
     }
     return false;
   }
 
-  private boolean escaped() {
-    if (at >= text.length()) {
+  private boolean escapeSequence() {
+    if (position >= text.length()) {
       return false;
     }
-    final char one = text.charAt(at++);
-    switch (one) {
-      case '"', '\\', '/' -> put(one);
-      case 'b' -> put('\b');
-      case 'f' -> put('\f');
-      case 'n' -> put('\n');
-      case 'r' -> put('\r');
-      case 't' -> put('\t');
+    final char character = text.charAt(position++);
+    switch (character) {
+      case '"', '\\', '/' -> appendEscaped(character);
+      case 'b' -> appendEscaped('\b');
+      case 'f' -> appendEscaped('\f');
+      case 'n' -> appendEscaped('\n');
+      case 'r' -> appendEscaped('\r');
+      case 't' -> appendEscaped('\t');
       case 'u' -> {
         int code = 0;
         for (int digit = 0; digit < 4; digit++) {
-          final int value = at < text.length() ? Character.digit(text.charAt(at++), 16) : -1;
+          final int value =
+              position < text.length() ? Character.digit(text.charAt(position++), 16) : -1;
           if (value < 0) {
             return false;
           }
           code = code * 16 + value;
         }
-        put((char) code);
+        appendEscaped((char) code);
       }
       default -> {
         return false;
@@ -180,28 +184,28 @@
     return true;
   }
 
-  private void put(final char one) {
-    if (one == '"' || one == '\\') {
-      out.append('\\').append(one);
-    } else if (one < ' ' || Character.isSurrogate(one)) {
-      out.append(String.format("\\u%04x", (int) one));
+  private void appendEscaped(final char character) {
+    if (character == '"' || character == '\\') {
+      out.append('\\').append(character);
+    } else if (character < ' ' || Character.isSurrogate(character)) {
+      out.append(String.format("\\u%04x", (int) character));
     } else {
-      out.append(one);
+      out.append(character);
     }
   }
 
   private boolean number() {
-    final int from = at;
-    while (at < text.length()
-        && (Character.digit(text.charAt(at), 10) >= 0 && text.charAt(at) < 128
-            || "+-.eE".indexOf(text.charAt(at)) >= 0)) {
-      at++;
+    final int start = position;
+    while (position < text.length()
+        && (Character.digit(text.charAt(position), 10) >= 0 && text.charAt(position) < 128
+            || "+-.eE".indexOf(text.charAt(position)) >= 0)) {
+      position++;
     }
-    final String digits = text.substring(from, at);
+    final String digits = text.substring(start, position);
     if (digits.isEmpty()) {
       return false;
     }
-    if (digits.length() > LONGEST_NUMBER) {
+    if (digits.length() > MAX_NUMBER_LENGTH) {
       out.append(digits);
       return true;
     }
--- a/audit/src/main/java/weldpoint/audit/ChangeKind.java
+++ b/audit/src/main/java/weldpoint/audit/ChangeKind.java
@@ -16,10 +16,10 @@
   UPGRADE("upgrade");
 
   private static final ChangeKind[] ALL = values();
-  private final String words;
+  private final String label;
 
-  ChangeKind(final String words) {
-    this.words = words;
+  ChangeKind(final String label) {
+    this.label = label;
   }
 
   /** The kind of this number. */
@@ -32,7 +32,7 @@
   }
 
   /** The kind in an operator's words. */
-  public String words() {
-    return words;
+  public String label() {
+    return label;
   }
 }
--- a/audit/src/main/java/weldpoint/audit/ConfigurationDifference.java
+++ b/audit/src/main/java/weldpoint/audit/ConfigurationDifference.java
@@ -25,51 +25,54 @@
       old.put(line.key, line);
     }
     for (final Line line : Protocol.list(after.lines)) {
-      final Line was = old.remove(line.key);
-      if (was == null) {
+      final Line previous = old.remove(line.key);
+      if (previous == null) {
         added++;
-        note(line.writes, "+ " + line.key + ": " + String.join(" ", Protocol.list(line.fields)));
+        addLine(
+            line.carriesWrites,
+            "+ " + line.key + ": " + String.join(" ", Protocol.list(line.fields)));
       } else {
-        final String fields = fields(Protocol.list(was.fields), Protocol.list(line.fields));
+        final String fields =
+            describeFields(Protocol.list(previous.fields), Protocol.list(line.fields));
         if (!fields.isEmpty()) {
           changed++;
-          note(line.writes, "~ " + line.key + ": " + fields);
+          addLine(line.carriesWrites, "~ " + line.key + ": " + fields);
         }
       }
     }
     for (final Line line : old.values()) {
       removed++;
-      note(line.writes, "- " + line.key);
+      addLine(line.carriesWrites, "- " + line.key);
     }
   }
 
-  private void note(final boolean writes, final String text) {
-    (writes ? writeLines : otherLines).add(text);
+  private void addLine(final boolean carriesWrites, final String text) {
+    (carriesWrites ? writeLines : otherLines).add(text);
   }
 
-  private static String fields(final List<String> before, final List<String> after) {
+  private static String describeFields(final List<String> before, final List<String> after) {
     final Map<String, String> old = new LinkedHashMap<>();
     for (final String field : before) {
       old.put(name(field), value(field));
     }
     final StringBuilder text = new StringBuilder();
     for (final String field : after) {
-      final String was = old.remove(name(field));
-      if (!value(field).equals(was)) {
+      final String previous = old.remove(name(field));
+      if (!value(field).equals(previous)) {
         text.append(text.length() == 0 ? "" : ", ")
             .append(name(field))
             .append(' ')
-            .append(was == null ? "unset" : was)
+            .append(previous == null ? "unset" : previous)
             .append(" -> ")
             .append(value(field));
       }
     }
     old.forEach(
-        (name, was) ->
+        (name, previous) ->
             text.append(text.length() == 0 ? "" : ", ")
                 .append(name)
                 .append(' ')
-                .append(was)
+                .append(previous)
                 .append(" -> unset"));
     return text.toString();
   }
@@ -98,19 +101,19 @@
   }
 
   /** How many of them are routes that carry writes. */
-  public int writes() {
+  public int changedWriteRoutes() {
     return writeLines.size();
   }
 
   /** The changes as lines, within so many bytes; what does not fit is counted in the last line. */
-  public List<String> lines(final int mostBytes) {
+  public List<String> lines(final int maxBytes) {
     final List<String> all = new ArrayList<>(writeLines);
     all.addAll(otherLines);
     final List<String> lines = new ArrayList<>();
     int used = 0;
     for (int index = 0; index < all.size(); index++) {
-      final int bytes = AuditEntry.bytes(all.get(index));
-      if (used + bytes > mostBytes) {
+      final int bytes = AuditEntry.encodedSize(all.get(index));
+      if (used + bytes > maxBytes) {
         lines.add("and " + (all.size() - index) + " more; read the configuration of this version");
         break;
       }
--- a/audit/src/main/java/weldpoint/audit/ConfigurationSummary.java
+++ b/audit/src/main/java/weldpoint/audit/ConfigurationSummary.java
@@ -13,12 +13,12 @@
    */
   public static final class Line {
     public final String key;
-    public final boolean writes;
+    public final boolean carriesWrites;
     public final List<String> fields;
 
-    Line(final String key, final boolean writes, final List<String> fields) {
+    Line(final String key, final boolean carriesWrites, final List<String> fields) {
       this.key = key;
-      this.writes = writes;
+      this.carriesWrites = carriesWrites;
       this.fields = fields;
     }
   }
@@ -32,39 +32,39 @@
   }
 
   /** The summary of nothing. */
-  public static ConfigurationSummary none() {
+  public static ConfigurationSummary empty() {
     return new ConfigurationSummary(List.of(), AuditEntry.NO_DIGEST);
   }
 
   /** The summary of a configuration that was sent with these bytes. */
   public static ConfigurationSummary of(final SpecDocument document, final byte[] body) {
     final List<Line> lines = new ArrayList<>();
-    for (final SpecDocument.Listener listener : orNone(document.listeners())) {
-      for (final SpecDocument.Rule rule : orNone(listener.rules())) {
-        route(listener.host(), rule, lines);
+    for (final SpecDocument.Listener listener : orEmpty(document.listeners())) {
+      for (final SpecDocument.Rule rule : orEmpty(listener.rules())) {
+        addRoute(listener.host(), rule, lines);
       }
     }
-    for (final SpecDocument.Pool pool : orNone(document.pools())) {
+    for (final SpecDocument.Pool pool : orEmpty(document.pools())) {
       final List<String> fields = new ArrayList<>();
-      field(fields, "healthPath", pool.healthPath());
-      field(fields, "maxConns", pool.maxConns());
-      field(fields, "warmupS", pool.warmupS());
-      field(fields, "warmupPerS", pool.warmupPerS());
-      field(fields, "ratePerS", pool.ratePerS());
-      field(fields, "partitioned", pool.partitioned());
+      addField(fields, "healthPath", pool.healthPath());
+      addField(fields, "maxConns", pool.maxConns());
+      addField(fields, "warmupS", pool.warmupS());
+      addField(fields, "warmupPerS", pool.warmupPerS());
+      addField(fields, "ratePerS", pool.ratePerS());
+      addField(fields, "partitioned", pool.partitioned());
       lines.add(new Line("service " + pool.name(), false, fields));
     }
     if (document.limits() != null) {
       final List<String> fields = new ArrayList<>();
-      field(fields, "maxHeaderBytes", document.limits().maxHeaderBytes());
-      field(fields, "maxBodyBytes", document.limits().maxBodyBytes());
-      field(fields, "headerTimeoutMs", document.limits().headerTimeoutMs());
-      field(fields, "idleTimeoutMs", document.limits().idleTimeoutMs());
+      addField(fields, "maxHeaderBytes", document.limits().maxHeaderBytes());
+      addField(fields, "maxBodyBytes", document.limits().maxBodyBytes());
+      addField(fields, "headerTimeoutMs", document.limits().headerTimeoutMs());
+      addField(fields, "idleTimeoutMs", document.limits().idleTimeoutMs());
       lines.add(new Line("limits", false, fields));
     }
-    for (final SpecDocument.Tenant tenant : orNone(document.tenants())) {
+    for (final SpecDocument.Tenant tenant : orEmpty(document.tenants())) {
       final List<String> fields = new ArrayList<>();
-      field(
+      addField(
           fields,
           "keys",
           tenant.apiKeys() == null
@@ -73,22 +73,22 @@
                       String.join("\n", tenant.apiKeys())
                           .getBytes(java.nio.charset.StandardCharsets.UTF_8))
                   .substring(0, 12));
-      field(fields, "priority", tenant.priority());
-      field(fields, "ratePerS", tenant.ratePerS());
-      field(fields, "burst", tenant.burst());
-      field(fields, "homeRegions", tenant.homeRegions());
+      addField(fields, "priority", tenant.priority());
+      addField(fields, "ratePerS", tenant.ratePerS());
+      addField(fields, "burst", tenant.burst());
+      addField(fields, "homeRegions", tenant.homeRegions());
       lines.add(new Line("tenant " + tenant.name(), false, fields));
     }
     return new ConfigurationSummary(lines, AuditEntry.digest(body));
   }
 
-  private static void route(
+  private static void addRoute(
       final String host, final SpecDocument.Rule rule, final List<Line> lines) {
     final List<String> fields = new ArrayList<>();
-    field(fields, "kind", rule.routeKind());
+    addField(fields, "kind", rule.routeKind());
     final SpecDocument.Action action = rule.action();
     if (action != null) {
-      field(fields, "service", action.service());
+      addField(fields, "service", action.service());
       if (action.split() != null && !action.split().isEmpty()) {
         final StringBuilder split = new StringBuilder();
         for (final SpecDocument.Share share : action.split()) {
@@ -96,50 +96,50 @@
               .append(split.length() == 0 ? "" : "+")
               .append(share.service())
               .append(':')
-              .append(plain(share.weight()));
+              .append(format(share.weight()));
         }
-        field(fields, "split", split.toString());
+        addField(fields, "split", split.toString());
       }
-      field(fields, "timeoutMs", action.timeoutMs());
-      field(fields, "maxAttempts", action.maxAttempts());
+      addField(fields, "timeoutMs", action.timeoutMs());
+      addField(fields, "maxAttempts", action.maxAttempts());
       if (action.affinity() != null) {
-        field(
+        addField(
             fields,
             "affinity",
             action.affinity().by()
                 + (action.affinity().header() == null ? "" : ":" + action.affinity().header())
                 + (action.affinity().pauseMs() == null
                     ? ""
-                    : ":" + plain(action.affinity().pauseMs())));
+                    : ":" + format(action.affinity().pauseMs())));
       }
-      field(
+      addField(
           fields,
           "homeRegions",
           action.homeRegions() == null || action.homeRegions().isEmpty()
               ? null
               : action.homeRegions());
     }
-    field(fields, "targetLatencyMs", rule.targetLatencyMs());
-    field(fields, "priority", rule.priority());
-    field(fields, "public", rule.open());
-    field(fields, "cacheTtlS", rule.cacheTtlS());
-    final boolean writes = !RouteKind.of(rule.routeKind()).repeatable();
+    addField(fields, "targetLatencyMs", rule.targetLatencyMs());
+    addField(fields, "priority", rule.priority());
+    addField(fields, "public", rule.open());
+    addField(fields, "cacheTtlS", rule.cacheTtlS());
+    final boolean carriesWrites = !RouteKind.of(rule.routeKind()).repeatable();
     final String prefix = rule.match() == null ? "" : rule.match().pathPrefix();
     lines.add(
         new Line(
-            (writes ? "write route " : "route ")
+            (carriesWrites ? "write route " : "route ")
                 + host
                 + prefix
                 + (rule.name() == null ? "" : " (" + rule.name() + ")"),
-            writes,
+            carriesWrites,
             fields));
   }
 
-  private static <T> List<T> orNone(final List<T> list) {
+  private static <T> List<T> orEmpty(final List<T> list) {
     return list == null ? List.of() : list;
   }
 
-  private static String plain(final Object value) {
+  private static String format(final Object value) {
     return value instanceof Double
             && ((Double) value) == Math.rint((Double) value)
             && Math.abs((Double) value) < 1e15
@@ -147,9 +147,9 @@
         : String.valueOf(value);
   }
 
-  private static void field(final List<String> fields, final String name, final Object value) {
+  private static void addField(final List<String> fields, final String name, final Object value) {
     if (value != null) {
-      fields.add(name + "=" + plain(value));
+      fields.add(name + "=" + format(value));
     }
   }
 }
--- a/audit/src/main/java/weldpoint/audit/HeapStore.java
+++ b/audit/src/main/java/weldpoint/audit/HeapStore.java
@@ -22,9 +22,9 @@
   }
 
   @Override
-  public boolean append(final long sequence, final byte[] entry, final Runnable synced) {
+  public boolean append(final long sequence, final byte[] entry, final Runnable onSynced) {
     entries.add(entry);
-    synced.run();
+    onSynced.run();
     return true;
   }
 
--- a/audit/src/main/java/weldpoint/audit/SegmentStore.java
+++ b/audit/src/main/java/weldpoint/audit/SegmentStore.java
@@ -22,13 +22,13 @@
 public final class SegmentStore implements AuditStore {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
   private static final int MAGIC = 0x7e1da0d1;
-  private static final int HEAD = 32;
-  private static final int RECORD = 28;
-  private static final int CHUNK = 1 << 18;
-  private static final long RETRY_MILLIS = 200;
+  private static final int SEGMENT_HEADER_BYTES = 32;
+  private static final int RECORD_HEADER_BYTES = 28;
+  private static final int PREALLOCATION_CHUNK_BYTES = 1 << 18;
+  private static final long RETRY_INTERVAL_MILLIS = 200;
 
   /** The segments there are. */
-  public static final int SEGMENTS = 8;
+  public static final int SEGMENT_COUNT = 8;
 
   private record PendingAppend(
       long sequence,
@@ -36,67 +36,70 @@
       int segment,
       long generation,
       int position,
-      boolean opens,
-      boolean resets,
-      Runnable synced) {}
+      boolean opensSegment,
+      boolean resetsLog,
+      Runnable onSynced) {}
 
   private final Path folder;
-  private final Executor owner;
-  private final FileChannel[] channels = new FileChannel[SEGMENTS];
-  private final int size;
-  private final long[] generations = new long[SEGMENTS];
-  private final long[] lasts = new long[SEGMENTS];
-  private final ArrayDeque<PendingAppend> waiting = new ArrayDeque<>();
+  private final Executor callbackExecutor;
+  private final FileChannel[] channels = new FileChannel[SEGMENT_COUNT];
+  private final int segmentBytes;
+  private final long[] generations = new long[SEGMENT_COUNT];
+  private final long[] lastSequences = new long[SEGMENT_COUNT];
+  private final ArrayDeque<PendingAppend> pending = new ArrayDeque<>();
   private final Map<Long, byte[]> unsynced = new HashMap<>();
-  private long[] index = new long[256];
+  private long[] recordIndex = new long[256];
   private long base;
   private long last;
-  private long trimmed;
+  private long trimmedThrough;
   private long generation;
-  private int segment = SEGMENTS - 1;
+  private int segment = SEGMENT_COUNT - 1;
   private int position;
-  private boolean fresh = true;
-  private boolean resets;
+  private boolean noSegmentOpen = true;
+  private boolean resetPending;
   private boolean damaged;
 
   /**
    * Opens the segments in a folder, of so many bytes together; callbacks run on the owner's thread.
    * Nothing is made on disk before the start.
    */
-  public SegmentStore(final Path folder, final long bytes, final Executor owner)
+  public SegmentStore(final Path folder, final long totalBytes, final Executor callbackExecutor)
       throws IOException {
-    this.owner = owner;
-    this.size = (int) Math.min(1 << 30, bytes / SEGMENTS);
+    this.callbackExecutor = callbackExecutor;
+    this.segmentBytes = (int) Math.min(1 << 30, totalBytes / SEGMENT_COUNT);
     this.folder = folder;
-    for (int number = 0; number < SEGMENTS; number++) {
-      if (Files.exists(file(number))) {
+    for (int number = 0; number < SEGMENT_COUNT; number++) {
+      if (Files.exists(segmentFile(number))) {
         channels[number] =
-            FileChannel.open(file(number), StandardOpenOption.READ, StandardOpenOption.WRITE);
+            FileChannel.open(
+                segmentFile(number), StandardOpenOption.READ, StandardOpenOption.WRITE);
       }
     }
-    open();
+    recover();
   }
 
-  private Path file(final int number) {
+  private Path segmentFile(final int number) {
     return folder.resolve("history-" + number);
   }
 
-  private static int sum(final ByteBuffer buffer, final int from, final int length) {
-    final CRC32 sum = new CRC32();
-    sum.update(buffer.array(), from, length);
-    return (int) sum.getValue();
+  private static int crc32(final ByteBuffer buffer, final int from, final int length) {
+    final CRC32 checksum = new CRC32();
+    checksum.update(buffer.array(), from, length);
+    return (int) checksum.getValue();
   }
 
-  private void open() throws IOException {
+  private void recover() throws IOException {
     final List<Integer> order = new ArrayList<>();
-    final boolean[] resetting = new boolean[SEGMENTS];
-    final long[] firsts = new long[SEGMENTS];
-    for (int number = 0; number < SEGMENTS; number++) {
-      final ByteBuffer head = read(number, 0, HEAD);
-      if (head != null && head.getInt(0) == MAGIC && head.getInt(4) == sum(head, 8, HEAD - 8)) {
-        generations[number] = head.getLong(8);
-        firsts[number] = head.getLong(16);
-        resetting[number] = head.getInt(24) != 0;
+    final boolean[] resetsLog = new boolean[SEGMENT_COUNT];
+    final long[] firstSequences = new long[SEGMENT_COUNT];
+    for (int number = 0; number < SEGMENT_COUNT; number++) {
+      final ByteBuffer header = read(number, 0, SEGMENT_HEADER_BYTES);
+      if (header != null
+          && header.getInt(0) == MAGIC
+          && header.getInt(4) == crc32(header, 8, SEGMENT_HEADER_BYTES - 8)) {
+        generations[number] = header.getLong(8);
+        firstSequences[number] = header.getLong(16);
+        resetsLog[number] = header.getInt(24) != 0;
         generation = Math.max(generation, generations[number]);
         order.add(number);
       }
@@ -104,23 +107,23 @@
     order.sort(java.util.Comparator.comparingLong(number -> generations[number]));
     boolean broken = false;
     for (final int number : order) {
-      if (fresh || resetting[number]) {
-        base = firsts[number] - 1;
+      if (noSegmentOpen || resetsLog[number]) {
+        base = firstSequences[number] - 1;
         last = base;
-        index = new long[256];
+        recordIndex = new long[256];
         broken = false;
-      } else if (broken || firsts[number] != last + 1) {
+      } else if (broken || firstSequences[number] != last + 1) {
         broken = true;
-        blank(number);
+        eraseHeader(number);
         continue;
       }
-      fresh = false;
+      noSegmentOpen = false;
       segment = number;
       broken = scan(number);
       damaged |= broken;
-      lasts[number] = last;
+      lastSequences[number] = last;
     }
-    if (!fresh) {
+    if (!noSegmentOpen) {
       // What a process wrote and did not sync before it ended may be read here and still be lost
       // with the power.
       channels[segment].force(false);
@@ -128,44 +131,49 @@
   }
 
   private boolean scan(final int number) throws IOException {
-    final ByteBuffer all = read(number, 0, (int) Math.min(size, channels[number].size()));
-    int at = HEAD;
-    while (all != null && at + RECORD <= all.capacity()) {
-      final int length = record(all, at, generations[number]);
-      if (length < 0 || all.getLong(at + 20) != last + 1) {
+    final ByteBuffer contents =
+        read(number, 0, (int) Math.min(segmentBytes, channels[number].size()));
+    int offset = SEGMENT_HEADER_BYTES;
+    while (contents != null && offset + RECORD_HEADER_BYTES <= contents.capacity()) {
+      final int length = recordLength(contents, offset, generations[number]);
+      if (length < 0 || contents.getLong(offset + 20) != last + 1) {
         break;
       }
       last++;
-      place(last, number, at);
-      at += RECORD + length;
+      indexRecord(last, number, offset);
+      offset += RECORD_HEADER_BYTES + length;
     }
-    position = at;
-    for (int ahead = at; all != null && ahead + RECORD <= all.capacity(); ahead++) {
-      if (all.getInt(ahead) == MAGIC
-          && record(all, ahead, generations[number]) >= 0
-          && all.getLong(ahead + 20) > last) {
+    position = offset;
+    for (int laterOffset = offset;
+        contents != null && laterOffset + RECORD_HEADER_BYTES <= contents.capacity();
+        laterOffset++) {
+      if (contents.getInt(laterOffset) == MAGIC
+          && recordLength(contents, laterOffset, generations[number]) >= 0
+          && contents.getLong(laterOffset + 20) > last) {
         return true;
       }
     }
     return false;
   }
 
-  private static int record(final ByteBuffer buffer, final int at, final long wanted) {
-    if (buffer.getInt(at) != MAGIC) {
+  private static int recordLength(
+      final ByteBuffer buffer, final int offset, final long expectedGeneration) {
+    if (buffer.getInt(offset) != MAGIC) {
       return -1;
     }
-    final int length = buffer.getInt(at + 4);
+    final int length = buffer.getInt(offset + 4);
     if (length < 0
-        || length > buffer.capacity() - at - RECORD
-        || buffer.getLong(at + 12) != wanted
-        || sum(buffer, at + 12, RECORD - 12 + length) != buffer.getInt(at + 8)) {
+        || length > buffer.capacity() - offset - RECORD_HEADER_BYTES
+        || buffer.getLong(offset + 12) != expectedGeneration
+        || crc32(buffer, offset + 12, RECORD_HEADER_BYTES - 12 + length)
+            != buffer.getInt(offset + 8)) {
       return -1;
     }
     return length;
   }
 
-  private void blank(final int number) throws IOException {
-    channels[number].write(ByteBuffer.allocate(HEAD), 0);
+  private void eraseHeader(final int number) throws IOException {
+    channels[number].write(ByteBuffer.allocate(SEGMENT_HEADER_BYTES), 0);
     channels[number].force(false);
     generations[number] = 0;
   }
@@ -190,12 +198,12 @@
     }
   }
 
-  private void place(final long sequence, final int number, final int at) {
+  private void indexRecord(final long sequence, final int number, final int offset) {
     final int slot = (int) (sequence - base - 1);
-    if (slot >= index.length) {
-      index = java.util.Arrays.copyOf(index, index.length * 2);
+    if (slot >= recordIndex.length) {
+      recordIndex = java.util.Arrays.copyOf(recordIndex, recordIndex.length * 2);
     }
-    index[slot] = (long) number << 32 | at;
+    recordIndex[slot] = (long) number << 32 | offset;
   }
 
   @Override
@@ -221,34 +229,41 @@
   }
 
   @Override
-  public boolean append(final long sequence, final byte[] entry, final Runnable synced) {
+  public boolean append(final long sequence, final byte[] entry, final Runnable onSynced) {
     synchronized (this) {
-      boolean opens = false;
-      if (fresh || position + RECORD + entry.length > size) {
-        final int next = (segment + 1) % SEGMENTS;
-        if (generations[next] != 0 && lasts[next] > trimmed && !resets
-            || HEAD + RECORD + entry.length > size) {
+      boolean opensSegment = false;
+      if (noSegmentOpen || position + RECORD_HEADER_BYTES + entry.length > segmentBytes) {
+        final int next = (segment + 1) % SEGMENT_COUNT;
+        if (generations[next] != 0 && lastSequences[next] > trimmedThrough && !resetPending
+            || SEGMENT_HEADER_BYTES + RECORD_HEADER_BYTES + entry.length > segmentBytes) {
           LOGGER.atSevere().log(
               "the segments of the history are full; raise audit.disk-mb or lower audit.retention");
           return false;
         }
         segment = next;
-        position = HEAD;
+        position = SEGMENT_HEADER_BYTES;
         generations[segment] = ++generation;
-        opens = true;
-        fresh = false;
+        opensSegment = true;
+        noSegmentOpen = false;
       }
-      final int at = position;
-      position += RECORD + entry.length;
+      final int offset = position;
+      position += RECORD_HEADER_BYTES + entry.length;
       last = sequence;
-      lasts[segment] = sequence;
-      place(sequence, segment, at);
+      lastSequences[segment] = sequence;
+      indexRecord(sequence, segment, offset);
       unsynced.put(sequence, entry);
-      waiting.add(
+      pending.add(
           new PendingAppend(
-              sequence, entry, segment, generations[segment], at, opens, opens && resets, synced));
-      if (opens) {
-        resets = false;
+              sequence,
+              entry,
+              segment,
+              generations[segment],
+              offset,
+              opensSegment,
+              opensSegment && resetPending,
+              onSynced));
+      if (opensSegment) {
+        resetPending = false;
       }
       notifyAll();
       return true;
@@ -257,8 +272,8 @@
 
   @Override
   public byte[] read(final long sequence) {
-    final long place;
-    final long wanted;
+    final long location;
+    final long expectedGeneration;
     synchronized (this) {
       if (sequence <= base || sequence > last) {
         return null;
@@ -267,34 +282,37 @@
       if (entry != null) {
         return entry;
       }
-      place = index[(int) (sequence - base - 1)];
-      wanted = generations[(int) (place >>> 32)];
+      location = recordIndex[(int) (sequence - base - 1)];
+      expectedGeneration = generations[(int) (location >>> 32)];
     }
-    final int number = (int) (place >>> 32);
-    final ByteBuffer head = read(number, (int) place, RECORD);
-    final int length = head == null ? -1 : head.getInt(4);
-    if (length < 0 || length > size) {
+    final int number = (int) (location >>> 32);
+    final ByteBuffer header = read(number, (int) location, RECORD_HEADER_BYTES);
+    final int length = header == null ? -1 : header.getInt(4);
+    if (length < 0 || length > segmentBytes) {
       return null;
     }
-    final ByteBuffer record = read(number, (int) place, RECORD + length);
-    if (record == null || record(record, 0, wanted) != length || record.getLong(20) != sequence) {
+    final ByteBuffer record = read(number, (int) location, RECORD_HEADER_BYTES + length);
+    if (record == null
+        || recordLength(record, 0, expectedGeneration) != length
+        || record.getLong(20) != sequence) {
       return null;
     }
     final byte[] entry = new byte[length];
-    System.arraycopy(record.array(), RECORD, entry, 0, length);
+    System.arraycopy(record.array(), RECORD_HEADER_BYTES, entry, 0, length);
     return entry;
   }
 
   @Override
   public void trim(final long through) {
     synchronized (this) {
-      trimmed = Math.max(trimmed, through);
+      trimmedThrough = Math.max(trimmedThrough, through);
       if (through > base && through <= last) {
-        final int drop = (int) (through - base);
+        final int dropped = (int) (through - base);
         final int kept = (int) (last - through);
-        final long[] next = new long[Math.max(256, Integer.highestOneBit(Math.max(1, kept)) * 2)];
-        System.arraycopy(index, drop, next, 0, kept);
-        index = next;
+        final long[] newIndex =
+            new long[Math.max(256, Integer.highestOneBit(Math.max(1, kept)) * 2)];
+        System.arraycopy(recordIndex, dropped, newIndex, 0, kept);
+        recordIndex = newIndex;
         base = through;
       }
     }
@@ -305,35 +323,35 @@
     synchronized (this) {
       base = newBase;
       last = newBase;
-      trimmed = Math.max(trimmed, newBase);
-      index = new long[256];
-      fresh = true;
-      resets = true;
+      trimmedThrough = Math.max(trimmedThrough, newBase);
+      recordIndex = new long[256];
+      noSegmentOpen = true;
+      resetPending = true;
     }
   }
 
   private void run() {
     try {
-      attempt(this::preallocate);
+      retryUntilWritten(this::preallocate);
       while (true) {
         final List<PendingAppend> batch = new ArrayList<>();
         synchronized (this) {
-          while (waiting.isEmpty()) {
+          while (pending.isEmpty()) {
             wait();
           }
-          batch.addAll(waiting);
-          waiting.clear();
+          batch.addAll(pending);
+          pending.clear();
         }
-        attempt(() -> write(batch));
+        retryUntilWritten(() -> writeBatch(batch));
         synchronized (this) {
           for (final PendingAppend item : batch) {
             unsynced.remove(item.sequence, item.entry);
           }
         }
-        owner.execute(
+        callbackExecutor.execute(
             () -> {
               for (final PendingAppend item : batch) {
-                item.synced.run();
+                item.onSynced.run();
               }
             });
       }
@@ -346,89 +364,92 @@
     void run() throws IOException;
   }
 
-  private static void attempt(final DiskOperation deed) throws InterruptedException {
+  private static void retryUntilWritten(final DiskOperation operation) throws InterruptedException {
     while (true) {
       try {
-        deed.run();
+        operation.run();
         return;
       } catch (final IOException problem) {
         LOGGER.atWarning().atMostEvery(10, java.util.concurrent.TimeUnit.SECONDS).log(
             "the disk refuses the history (%s); trying again until it takes it",
             problem.getMessage());
-        Thread.sleep(RETRY_MILLIS);
+        Thread.sleep(RETRY_INTERVAL_MILLIS);
       }
     }
   }
 
   private void preallocate() throws IOException {
-    final ByteBuffer zeros = ByteBuffer.allocate(CHUNK);
+    final ByteBuffer zeros = ByteBuffer.allocate(PREALLOCATION_CHUNK_BYTES);
     Files.createDirectories(folder);
-    for (int number = 0; number < SEGMENTS; number++) {
+    for (int number = 0; number < SEGMENT_COUNT; number++) {
       if (channels[number] == null) {
         channels[number] =
             FileChannel.open(
-                file(number),
+                segmentFile(number),
                 StandardOpenOption.READ,
                 StandardOpenOption.WRITE,
                 StandardOpenOption.CREATE);
       }
       final FileChannel channel = channels[number];
-      long at = channel.size();
-      final boolean grows = at < size;
-      while (at < size) {
-        zeros.clear().limit((int) Math.min(CHUNK, size - at));
-        at += channel.write(zeros, at);
+      long offset = channel.size();
+      final boolean grows = offset < segmentBytes;
+      while (offset < segmentBytes) {
+        zeros.clear().limit((int) Math.min(PREALLOCATION_CHUNK_BYTES, segmentBytes - offset));
+        offset += channel.write(zeros, offset);
       }
       if (grows) {
         channel.force(true);
       }
     }
-    syncNames(folder);
-    syncNames(folder.toAbsolutePath().getParent());
+    syncDirectory(folder);
+    syncDirectory(folder.toAbsolutePath().getParent());
   }
 
-  private static void syncNames(final Path folder) throws IOException {
+  private static void syncDirectory(final Path folder) throws IOException {
     try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
       channel.force(true);
     }
   }
 
-  private void write(final List<PendingAppend> batch) throws IOException {
+  private void writeBatch(final List<PendingAppend> batch) throws IOException {
     int from = 0;
     while (from < batch.size()) {
       int until = from;
       int bytes = 0;
-      while (until < batch.size() && (until == from || !batch.get(until).opens)) {
-        bytes += RECORD + batch.get(until).entry.length;
+      while (until < batch.size() && (until == from || !batch.get(until).opensSegment)) {
+        bytes += RECORD_HEADER_BYTES + batch.get(until).entry.length;
         until++;
       }
       final PendingAppend first = batch.get(from);
-      final long writes = first.generation;
-      final ByteBuffer buffer = ByteBuffer.allocate((first.opens ? HEAD : 0) + bytes);
-      if (first.opens) {
+      final long batchGeneration = first.generation;
+      final ByteBuffer buffer =
+          ByteBuffer.allocate((first.opensSegment ? SEGMENT_HEADER_BYTES : 0) + bytes);
+      if (first.opensSegment) {
         buffer
             .putInt(0, MAGIC)
-            .putLong(8, writes)
+            .putLong(8, batchGeneration)
             .putLong(16, first.sequence)
-            .putInt(24, first.resets ? 1 : 0);
-        buffer.putInt(4, sum(buffer, 8, HEAD - 8));
-        buffer.position(HEAD);
+            .putInt(24, first.resetsLog ? 1 : 0);
+        buffer.putInt(4, crc32(buffer, 8, SEGMENT_HEADER_BYTES - 8));
+        buffer.position(SEGMENT_HEADER_BYTES);
       }
       for (final PendingAppend item : batch.subList(from, until)) {
-        final int at = buffer.position();
+        final int offset = buffer.position();
         buffer
-            .putInt(at, MAGIC)
-            .putInt(at + 4, item.entry.length)
-            .putLong(at + 12, writes)
-            .putLong(at + 20, item.sequence);
-        System.arraycopy(item.entry, 0, buffer.array(), at + RECORD, item.entry.length);
-        buffer.putInt(at + 8, sum(buffer, at + 12, RECORD - 12 + item.entry.length));
-        buffer.position(at + RECORD + item.entry.length);
+            .putInt(offset, MAGIC)
+            .putInt(offset + 4, item.entry.length)
+            .putLong(offset + 12, batchGeneration)
+            .putLong(offset + 20, item.sequence);
+        System.arraycopy(
+            item.entry, 0, buffer.array(), offset + RECORD_HEADER_BYTES, item.entry.length);
+        buffer.putInt(
+            offset + 8, crc32(buffer, offset + 12, RECORD_HEADER_BYTES - 12 + item.entry.length));
+        buffer.position(offset + RECORD_HEADER_BYTES + item.entry.length);
       }
       buffer.flip();
-      long at = first.opens ? 0 : first.position;
+      long offset = first.opensSegment ? 0 : first.position;
       while (buffer.hasRemaining()) {
-        at += channels[first.segment].write(buffer, at);
+        offset += channels[first.segment].write(buffer, offset);
       }
       channels[first.segment].force(false);
       from = until;
--- a/audit/src/main/java/weldpoint/audit/VersionIndex.java
+++ b/audit/src/main/java/weldpoint/audit/VersionIndex.java
@@ -23,17 +23,17 @@
 
   /** At which sequence a version was taken; 0 where it is not in here. */
   long sequence(final long version) {
-    final int place = Arrays.binarySearch(versions, 0, size, version);
-    return place < 0 ? 0 : sequences[place];
+    final int position = Arrays.binarySearch(versions, 0, size, version);
+    return position < 0 ? 0 : sequences[position];
   }
 
   /** Forgets what was taken up to a sequence. */
   void trim(final long through) {
-    int gone = Arrays.binarySearch(sequences, 0, size, through + 1);
-    gone = gone < 0 ? -gone - 1 : gone;
-    System.arraycopy(versions, gone, versions, 0, size - gone);
-    System.arraycopy(sequences, gone, sequences, 0, size - gone);
-    size -= gone;
+    int removed = Arrays.binarySearch(sequences, 0, size, through + 1);
+    removed = removed < 0 ? -removed - 1 : removed;
+    System.arraycopy(versions, removed, versions, 0, size - removed);
+    System.arraycopy(sequences, removed, sequences, 0, size - removed);
+    size -= removed;
   }
 
   /** Forgets all. */
--- a/audit/src/test/java/weldpoint/audit/AuditTest.java
+++ b/audit/src/test/java/weldpoint/audit/AuditTest.java
@@ -27,7 +27,7 @@
 /** Entries, logs, segments on disk, differences and authors. */
 public final class AuditTest {
   @BeforeClass
-  public void quiet() {
+  public void disableLogging() {
     java.util.logging.Logger.getLogger("").setLevel(java.util.logging.Level.OFF);
   }
 
@@ -42,10 +42,10 @@
               .origin("me", "10.0.0.9", "10.0.0.1", 1000 - sequence);
       final byte[] bytes =
           (trims
-                  ? draft.trims(
+                  ? draft.trimThrough(
                       sequence - keep, AuditEntry.digest(entries.get(sequence - keep - 1)))
                   : draft)
-              .bytes(sequence, digest);
+              .encode(sequence, digest);
       digest = AuditEntry.digest(bytes);
       entries.add(bytes);
     }
@@ -57,29 +57,30 @@
   }
 
   @Test
-  public void aLogTakesOnlyWhatFollowsAndReportsWhatDiffers() {
+  public void logAppendsOnlyTheNextEntryAndReportsConflicts() {
     final List<byte[]> entries = chain(5, 0);
     final AuditLog log = log(new HeapStore());
     assertEquals(log.offer(entries.get(1)), AuditLog.Outcome.GAP);
     assertEquals(log.offer(entries.get(0)), AuditLog.Outcome.APPENDED);
     assertEquals(log.offer(entries.get(0)), AuditLog.Outcome.KNOWN);
-    final byte[] other = new AuditEntry.Draft(ChangeKind.TRIAL, "r").bytes(1, AuditEntry.NO_DIGEST);
+    final byte[] other =
+        new AuditEntry.Draft(ChangeKind.TRIAL, "r").encode(1, AuditEntry.NO_DIGEST);
     assertEquals(log.offer(other), AuditLog.Outcome.CONFLICT);
-    final byte[] stranger =
-        new AuditEntry.Draft(ChangeKind.TRIAL, "r").bytes(2, AuditEntry.digest(other));
-    assertEquals(log.offer(stranger), AuditLog.Outcome.CONFLICT);
+    final byte[] foreign =
+        new AuditEntry.Draft(ChangeKind.TRIAL, "r").encode(2, AuditEntry.digest(other));
+    assertEquals(log.offer(foreign), AuditLog.Outcome.CONFLICT);
     assertEquals(log.conflicts(), 2);
     assertEquals(log.last(), 1);
     assertEquals(log.read(1), entries.get(0));
-    assertEquals(log.durable(), 1);
+    assertEquals(log.lastDurable(), 1);
   }
 
   @Test
-  public void replicasThatDifferAreCountedAndNotMerged() {
+  public void divergedReplicasAreCountedAndNotMerged() {
     final AuditLog one = log(new HeapStore());
     final AuditLog other = log(new HeapStore());
-    one.offer(new AuditEntry.Draft(ChangeKind.TRIAL, "r").bytes(1, AuditEntry.NO_DIGEST));
-    other.offer(new AuditEntry.Draft(ChangeKind.TRIAL, "s").bytes(1, AuditEntry.NO_DIGEST));
+    one.offer(new AuditEntry.Draft(ChangeKind.TRIAL, "r").encode(1, AuditEntry.NO_DIGEST));
+    other.offer(new AuditEntry.Draft(ChangeKind.TRIAL, "s").encode(1, AuditEntry.NO_DIGEST));
     reconcile(one, other);
     assertEquals(other.conflicts(), 1);
     assertFalse(one.digest().equals(other.digest()));
@@ -87,32 +88,32 @@
 
   private static void reconcile(final AuditLog from, final AuditLog to) {
     final AuditReplica[] replicas = new AuditReplica[2];
-    final List<Runnable> wire = new ArrayList<>();
+    final List<Runnable> messages = new ArrayList<>();
     for (int index = 0; index < 2; index++) {
       final int self = index;
       replicas[index] =
           new AuditReplica(
               index == 0 ? from : to,
-              (peer, message) -> wire.add(() -> deliver(replicas, wire, self, message)),
+              (peer, message) -> messages.add(() -> deliver(replicas, messages, self, message)),
               new Random(1));
     }
     replicas[0].tick(List.of("b"), 10_000);
-    for (int step = 0; step < wire.size() && step < 5000; step++) {
-      wire.get(step).run();
+    for (int step = 0; step < messages.size() && step < 5000; step++) {
+      messages.get(step).run();
     }
   }
 
   private static void deliver(
       final AuditReplica[] replicas,
-      final List<Runnable> wire,
+      final List<Runnable> messages,
       final int from,
       final Message message) {
     replicas[1 - from].receive(
-        "x", message, answer -> wire.add(() -> deliver(replicas, wire, 1 - from, answer)));
+        "x", message, answer -> messages.add(() -> deliver(replicas, messages, 1 - from, answer)));
   }
 
   @Test
-  public void anEmptyReplicaIsFilledByOneMeetingAndATrimmedPastIsSkipped() {
+  public void reconciliationFillsEmptyReplicaAndSkipsTrimmedEntries() {
     final List<byte[]> entries = chain(3000, 700);
     final AuditLog full = log(new HeapStore());
     entries.forEach(full::offer);
@@ -143,40 +144,40 @@
       assertEquals(log.offer(entry), AuditLog.Outcome.APPENDED);
     }
     final long last = AuditEntry.read(entries.get(entries.size() - 1)).sequence;
-    final Thread waits =
+    final Thread waiter =
         new Thread(
             () -> {
-              while (log.durable() < last) {
+              while (log.lastDurable() < last) {
                 Thread.onSpinWait();
               }
               done.countDown();
             });
-    waits.setDaemon(true);
-    waits.start();
+    waiter.setDaemon(true);
+    waiter.start();
     assertTrue(done.await(30, TimeUnit.SECONDS), "not all became lasting");
   }
 
   @Test
-  public void segmentsOutliveTheProcessAndAreUsedAgainOnceTrimmed() throws Exception {
+  public void segmentsSurviveRestartAndAreReusedAfterTrim() throws Exception {
     final Path folder = Files.createTempDirectory("history");
     final List<byte[]> entries = chain(6000, 700);
     final SegmentStore store = open(folder, 8 * 64 << 10);
     final AuditLog log = log(store);
     write(store, log, entries);
-    final AuditLog again = log(open(folder, 8 * 64 << 10));
-    assertEquals(again.last(), 6000);
-    assertEquals(again.base(), log.base());
-    assertEquals(again.digest(), log.digest());
-    assertEquals(again.read(5990), entries.get(5989));
+    final AuditLog reopened = log(open(folder, 8 * 64 << 10));
+    assertEquals(reopened.last(), 6000);
+    assertEquals(reopened.base(), log.base());
+    assertEquals(reopened.digest(), log.digest());
+    assertEquals(reopened.read(5990), entries.get(5989));
     long size = 0;
-    for (int number = 0; number < SegmentStore.SEGMENTS; number++) {
+    for (int number = 0; number < SegmentStore.SEGMENT_COUNT; number++) {
       size += Files.size(folder.resolve("history-" + number));
     }
     assertEquals(size, 8 * 64 << 10);
   }
 
   @Test
-  public void aFullRingRefusesRatherThanForgets() throws Exception {
+  public void fullSegmentRingRejectsAppends() throws Exception {
     final SegmentStore store = open(Files.createTempDirectory("history"), 8 * 8 << 10);
     final AuditLog log = log(store);
     AuditLog.Outcome outcome = AuditLog.Outcome.APPENDED;
@@ -191,7 +192,7 @@
   }
 
   @Test
-  public void aDamagedEntryAndAllBehindItAreFetchedAgainAndCounted() throws Exception {
+  public void damagedEntryAndItsSuccessorsAreCountedAndFetchedAgain() throws Exception {
     final Path folder = Files.createTempDirectory("history");
     final List<byte[]> entries = chain(900, 0);
     final SegmentStore store = open(folder, 8 * 64 << 10);
@@ -202,7 +203,7 @@
     }
     final SegmentStore damaged = open(folder, 8 * 64 << 10);
     final AuditLog log = log(damaged);
-    assertTrue(log.damaged() > 0);
+    assertTrue(log.damagedEntries() > 0);
     assertTrue(log.last() > 50 && log.last() < 200, "kept " + log.last());
     final AuditLog full = log(new HeapStore());
     entries.forEach(full::offer);
@@ -214,12 +215,12 @@
   }
 
   @Test
-  public void aTornTailIsDropped() throws Exception {
+  public void partiallyWrittenLastEntryIsDropped() throws Exception {
     final Path folder = Files.createTempDirectory("history");
     final SegmentStore store = open(folder, 8 * 64 << 10);
     write(store, log(store), chain(20, 0));
-    final AuditLog whole = log(open(folder, 8 * 64 << 10));
-    assertEquals(whole.last(), 20);
+    final AuditLog intact = log(open(folder, 8 * 64 << 10));
+    assertEquals(intact.last(), 20);
     try (RandomAccessFile file = new RandomAccessFile(folder.resolve("history-0").toFile(), "rw")) {
       long end = file.length();
       final byte[] bytes = new byte[(int) end];
@@ -236,7 +237,7 @@
   }
 
   private static byte[][] contents(final Path folder) throws IOException {
-    final byte[][] files = new byte[SegmentStore.SEGMENTS][];
+    final byte[][] files = new byte[SegmentStore.SEGMENT_COUNT][];
     for (int number = 0; number < files.length; number++) {
       files[number] = Files.readAllBytes(folder.resolve("history-" + number));
     }
@@ -248,7 +249,7 @@
    * what was lasting is read again.
    */
   @Test
-  public void whatWasLastingIsReadAgainAfterAnyLossOfPower() throws Exception {
+  public void durableEntriesSurvivePowerLoss() throws Exception {
     final Path folder = Files.createTempDirectory("history");
     final List<byte[]> entries = chain(900, 0);
     final int bytes = 8 * 64 << 10;
@@ -263,7 +264,7 @@
         for (final byte[] entry : entries.subList(from, from + 60)) {
           assertEquals(log.offer(entry), AuditLog.Outcome.APPENDED);
         }
-        while (log.durable() < from + 60) {
+        while (log.lastDurable() < from + 60) {
           Thread.onSpinWait();
         }
       }
@@ -275,7 +276,7 @@
       final int step = random.nextInt(states.size() - 1);
       final int chance = 1 + random.nextInt(7);
       final Path after = Files.createTempDirectory("history");
-      for (int number = 0; number < SegmentStore.SEGMENTS; number++) {
+      for (int number = 0; number < SegmentStore.SEGMENT_COUNT; number++) {
         final byte[] mixed = states.get(step)[number].clone();
         for (int at = 0; at < mixed.length; at += 256) {
           if (random.nextInt(8) < chance) {
@@ -291,7 +292,7 @@
       for (long sequence = 1; sequence <= read.last(); sequence++) {
         assertEquals(read.read(sequence), entries.get((int) sequence - 1), "trial " + trial);
       }
-      for (int number = 0; number < SegmentStore.SEGMENTS; number++) {
+      for (int number = 0; number < SegmentStore.SEGMENT_COUNT; number++) {
         Files.delete(after.resolve("history-" + number));
       }
       Files.delete(after);
@@ -299,7 +300,7 @@
   }
 
   @DataProvider
-  public Object[][] badAuthors() {
+  public Object[][] invalidAuthors() {
     return new Object[][] {
       {"", 1, "empty"},
       {"   ", 1, "empty"},
@@ -310,7 +311,7 @@
   }
 
   @Test(dataProvider = "badAuthors")
-  public void anAuthorThatIsNoNameIsRefusedWithTheRemedy(
+  public void invalidAuthorIsRejectedWithRemedy(
       final String name, final int times, final String reason) {
     final WeldpointException exception =
         expectThrows(WeldpointException.class, () -> Authors.check(name, times));
@@ -321,7 +322,7 @@
   }
 
   @Test
-  public void noAuthorIsSaidSo() {
+  public void missingAuthorIsRecordedAsUnnamed() {
     assertEquals(Authors.check("", 0), "unnamed");
     assertEquals(Authors.check(" dispatch lead ", 1), "dispatch lead");
   }
@@ -346,16 +347,16 @@
                 + rules
                 + "]}],\"pools\":[{\"name\":\"a\"},{\"name\":\"b\"}]}")
             .getBytes(StandardCharsets.UTF_8);
-    return ConfigurationSummary.of(RoutingTable.read(body), body);
+    return ConfigurationSummary.of(RoutingTable.parse(body), body);
   }
 
   @Test
-  public void writeRoutesComeFirstAndWhatDoesNotFitIsCounted() {
+  public void writeRoutesComeFirstAndOmittedLinesAreCounted() {
     final ConfigurationDifference difference =
         new ConfigurationDifference(summary(40, "a"), summary(38, "b"));
     assertEquals(difference.changed(), 38);
     assertEquals(difference.removed(), 2);
-    assertEquals(difference.writes(), 20);
+    assertEquals(difference.changedWriteRoutes(), 20);
     final List<String> lines = difference.lines(300);
     assertTrue(
         lines.get(0).startsWith("~ write route h/0/ (r0): service a -> b"), lines.toString());
@@ -365,30 +366,30 @@
         Collections.emptyList());
     final byte[] entry =
         new AuditEntry.Draft(ChangeKind.CONFIGURATION, "")
-            .number(7, 0)
+            .version(7, 0)
             .origin("x".repeat(64), "255.255.255.255", "255.255.255.255", Long.MAX_VALUE)
             .digests("0".repeat(64), "1".repeat(64))
             .difference(difference, 1024 - 420)
-            .bytes(Long.MAX_VALUE, "2".repeat(64));
+            .encode(Long.MAX_VALUE, "2".repeat(64));
     assertTrue(entry.length <= 1024, "an entry of " + entry.length + " bytes");
   }
 
   @Test
-  public void aDiskThatTakesNothingYetDoesNotKeepTheReplicaFromOpening() throws Exception {
+  public void replicaOpensWhileDiskIsNotWritable() throws Exception {
     final Path file = Files.createTempFile("history", "no-folder");
     final SegmentStore store = open(file.resolve("below-a-file"), 8 * 64 << 10);
     final AuditLog log = log(store);
     store.start("history");
     assertEquals(log.offer(chain(1, 0).get(0)), AuditLog.Outcome.APPENDED);
-    assertEquals(log.durable(), 0);
+    assertEquals(log.lastDurable(), 0);
     assertEquals(log.read(1), chain(1, 0).get(0));
     Files.delete(file);
     Files.createDirectories(file);
-    final long cutoff = System.nanoTime() + 20_000_000_000L;
-    while (log.durable() < 1 && System.nanoTime() < cutoff) {
+    final long deadline = System.nanoTime() + 20_000_000_000L;
+    while (log.lastDurable() < 1 && System.nanoTime() < deadline) {
       Thread.onSpinWait();
     }
-    assertEquals(log.durable(), 1);
+    assertEquals(log.lastDurable(), 1);
   }
 
   @DataProvider
@@ -415,7 +416,7 @@
   }
 
   @Test(dataProvider = "same")
-  public void whatSaysTheSameHasOneDigest(
+  public void equivalentJsonHasTheSameDigest(
       final String one, final String other, final boolean same) {
     final byte[] left = CanonicalJson.digest(one.getBytes(StandardCharsets.UTF_8));
     assertEquals(
@@ -426,14 +427,14 @@
   }
 
   @Test
-  public void whatIsNestedWithoutEndIsComparedByItsBytes() {
+  public void excessiveNestingFallsBackToDigestOfBytes() {
     final String deep = "[".repeat(100_000) + "]".repeat(100_000);
     assertNull(CanonicalJson.canonical(deep.getBytes(StandardCharsets.UTF_8)));
     assertEquals(CanonicalJson.digest(deep.getBytes(StandardCharsets.UTF_8)).length, 32);
   }
 
   @Test
-  public void versionsAreFoundUntilTheirEntriesAreForgotten() {
+  public void versionsAreFoundUntilTheirEntriesAreTrimmed() {
     final AuditLog log = log(new HeapStore());
     String digest = AuditEntry.NO_DIGEST;
     final List<byte[]> entries = new ArrayList<>();
@@ -442,25 +443,25 @@
           sequence % 3 == 0
               ? new AuditEntry.Draft(ChangeKind.EVACUATION_BEGUN, "z")
               : new AuditEntry.Draft(ChangeKind.CONFIGURATION, "")
-                  .number(sequence * 10L, 0)
-                  .content(new byte[] {(byte) sequence});
-      entries.add(draft.bytes(sequence, digest));
+                  .version(sequence * 10L, 0)
+                  .contentDigest(new byte[] {(byte) sequence});
+      entries.add(draft.encode(sequence, digest));
       digest = AuditEntry.digest(entries.get(sequence - 1));
       assertEquals(log.offer(entries.get(sequence - 1)), AuditLog.Outcome.APPENDED);
     }
-    assertEquals(log.taking(400).sequence, 40);
-    assertEquals(log.taking(400).content, new byte[] {40});
-    assertNull(log.taking(300));
-    assertNull(log.taking(401));
+    assertEquals(log.entryForVersion(400).sequence, 40);
+    assertEquals(log.entryForVersion(400).contentDigest, new byte[] {40});
+    assertNull(log.entryForVersion(300));
+    assertNull(log.entryForVersion(401));
     assertEquals(
         log.offer(
             new AuditEntry.Draft(ChangeKind.RETENTION, "")
-                .trims(40, AuditEntry.digest(entries.get(39)))
-                .bytes(61, digest)),
+                .trimThrough(40, AuditEntry.digest(entries.get(39)))
+                .encode(61, digest)),
         AuditLog.Outcome.APPENDED);
-    assertNull(log.taking(400));
-    assertEquals(log.taking(410).sequence, 41);
+    assertNull(log.entryForVersion(400));
+    assertEquals(log.entryForVersion(410).sequence, 41);
     log.reset(100, "other");
-    assertNull(log.taking(410));
+    assertNull(log.entryForVersion(410));
   }
 }
--- a/cache/src/main/java/weldpoint/cache/OriginFetcher.java
+++ b/cache/src/main/java/weldpoint/cache/OriginFetcher.java
@@ -282,7 +282,7 @@
       }
       attempts.add(upstreamPool.send(upstream, binding, request, id, now, cutoff, this::ended));
       final long patience =
-          Math.min(cutoff - now, Math.max(100, (long) (0.6 * route.targetMillis)));
+          Math.min(cutoff - now, Math.max(100, (long) (0.6 * route.targetLatencyMillis)));
       loop.schedule(
           () -> {
             if (!over
--- a/cache/src/main/java/weldpoint/cache/SharedCache.java
+++ b/cache/src/main/java/weldpoint/cache/SharedCache.java
@@ -120,7 +120,7 @@
   /** Takes a configuration; copies whose routes have got home regions are dropped. */
   public void take(final RoutingTable given) {
     routingTable = given;
-    if (given.all().stream().anyMatch(route -> route.homes.length > 0)) {
+    if (given.allRoutes().stream().anyMatch(route -> route.homeRegions.length > 0)) {
       shelf.removeIf(object -> bind(object.service, object.host, object.target) == null);
     }
   }
@@ -178,7 +178,7 @@
     final String key =
         request.service + ' ' + request.host.toLowerCase(Locale.ROOT) + request.target;
     final CachedObject object = shelf.get(key);
-    if (object != null && now - object.startedAt < binding.route().cacheMillis) {
+    if (object != null && now - object.startedAt < binding.route().cacheTtlMillis) {
       hits++;
       waiter.reply.accept(answer(request, object));
       return;
@@ -214,19 +214,19 @@
 
   /** What the configuration says of an object; null where no copy of it may be kept. */
   private RouteBinding bind(final String serviceName, final String host, final String target) {
-    final int service = routingTable == null ? -1 : routingTable.service(serviceName);
+    final int service = routingTable == null ? -1 : routingTable.serviceIndex(serviceName);
     if (service < 0) {
       return null;
     }
     final RouteBinding binding = new RouteBinding(host, target, 0);
-    if (!routingTable.interpret(binding)
+    if (!routingTable.resolve(binding)
         || binding.route().kind != RouteKind.CACHEABLE
-        || binding.route().cacheMillis <= 0
-        || binding.homed()) {
+        || binding.route().cacheTtlMillis <= 0
+        || binding.hasHomeRegions()) {
       return null;
     }
-    binding.forEverybody();
-    binding.divert(routingTable.services().get(service));
+    binding.shareAcrossTenants();
+    binding.overrideService(routingTable.services().get(service));
     return binding;
   }
 
@@ -259,7 +259,7 @@
     if (fetches.get(fetch.key) == fetch) {
       fetches.remove(fetch.key);
     }
-    if (!fetch.binding.follow(routingTable) || fetch.binding.homed()) {
+    if (!fetch.binding.revalidate(routingTable) || fetch.binding.hasHomeRegions()) {
       for (final Waiter waiter : fetch.waiters) {
         waiter.reply.accept(new CacheReadResponse(waiter.request.number, 0, null, null));
       }
--- a/cache/src/test/java/weldpoint/cache/OriginFetcherTest.java
+++ b/cache/src/test/java/weldpoint/cache/OriginFetcherTest.java
@@ -96,7 +96,7 @@
         () -> {
           upstreamPool.apply(changes, System.nanoTime() / 1_000_000);
           final RouteBinding binding = new RouteBinding("h", "/x", 0);
-          routingTable.interpret(binding);
+          routingTable.resolve(binding);
           fetcher.fetch(
               binding,
               "h",
--- a/cli/src/main/java/weldpoint/cli/Weldpoint.java
+++ b/cli/src/main/java/weldpoint/cli/Weldpoint.java
@@ -166,7 +166,7 @@
               "version "
                   + Long.toHexString(routingTable.version())
                   + ", "
-                  + routingTable.routes()
+                  + routingTable.routeCount()
                   + " routes, "
                   + routingTable.services().size()
                   + " services");
--- a/metrics/src/main/java/weldpoint/metrics/Metric.java
+++ b/metrics/src/main/java/weldpoint/metrics/Metric.java
@@ -13,7 +13,7 @@
  * @param value the value at the moment of the question
  */
 public record Metric(
-    String name, String help, boolean rises, Map<String, String> labels, double value) {
+    String name, String help, boolean monotonic, Map<String, String> labels, double value) {
   /** A figure that only rises. */
   public static Metric counter(final String name, final String help, final double value) {
     return new Metric(name, help, true, Map.of(), value);
@@ -25,9 +25,9 @@
   }
 
   /** The same with one more label. */
-  public Metric with(final String label, final String text) {
-    final Map<String, String> more = new TreeMap<>(labels);
-    more.put(label, text);
-    return new Metric(name, help, rises, more, value);
+  public Metric withLabel(final String label, final String labelValue) {
+    final Map<String, String> extended = new TreeMap<>(labels);
+    extended.put(label, labelValue);
+    return new Metric(name, help, monotonic, extended, value);
   }
 }
--- a/metrics/src/main/java/weldpoint/metrics/MetricsServer.java
+++ b/metrics/src/main/java/weldpoint/metrics/MetricsServer.java
@@ -39,7 +39,7 @@
       final EventLoopGroup loop,
       final String host,
       final int port,
-      final Supplier<CompletableFuture<List<Metric>>> figures) {
+      final Supplier<CompletableFuture<List<Metric>>> metrics) {
     new ServerBootstrap()
         .group(loop)
         .channel(NioServerSocketChannel.class)
@@ -48,7 +48,7 @@
             new ChannelInitializer<SocketChannel>() {
               @Override
               protected void initChannel(final SocketChannel channel) {
-                channel.pipeline().addLast(new HttpServerCodec(), new Handler(figures));
+                channel.pipeline().addLast(new HttpServerCodec(), new ScrapeHandler(metrics));
               }
             })
         .bind(host, port)
@@ -62,36 +62,37 @@
             });
   }
 
-  private static final class Handler extends SimpleChannelInboundHandler<HttpRequest> {
-    private final Supplier<CompletableFuture<List<Metric>>> figures;
+  private static final class ScrapeHandler extends SimpleChannelInboundHandler<HttpRequest> {
+    private final Supplier<CompletableFuture<List<Metric>>> metrics;
 
-    Handler(final Supplier<CompletableFuture<List<Metric>>> figures) {
-      this.figures = figures;
+    ScrapeHandler(final Supplier<CompletableFuture<List<Metric>>> metrics) {
+      this.metrics = metrics;
     }
 
     @Override
     protected void channelRead0(final ChannelHandlerContext context, final HttpRequest request) {
       if (!request.uri().equals(PATH)) {
-        answer(context, HttpResponseStatus.NOT_FOUND, new byte[0]);
+        respond(context, HttpResponseStatus.NOT_FOUND, new byte[0]);
         return;
       }
-      figures
+      metrics
           .get()
           .whenComplete(
-              (list, problem) ->
+              (list, failure) ->
                   context
                       .executor()
                       .execute(
                           () -> {
-                            if (problem == null) {
-                              answer(context, HttpResponseStatus.OK, PrometheusFormat.text(list));
+                            if (failure == null) {
+                              respond(
+                                  context, HttpResponseStatus.OK, PrometheusFormat.format(list));
                             } else {
-                              answer(context, HttpResponseStatus.SERVICE_UNAVAILABLE, new byte[0]);
+                              respond(context, HttpResponseStatus.SERVICE_UNAVAILABLE, new byte[0]);
                             }
                           }));
     }
 
-    private static void answer(
+    private static void respond(
         final ChannelHandlerContext context, final HttpResponseStatus status, final byte[] body) {
       final DefaultFullHttpResponse response =
           new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(body));
--- a/metrics/src/main/java/weldpoint/metrics/PrometheusFormat.java
+++ b/metrics/src/main/java/weldpoint/metrics/PrometheusFormat.java
@@ -20,9 +20,9 @@
   private PrometheusFormat() {}
 
   /** The text of these figures, with the violations of all invariants. */
-  static byte[] text(final List<Metric> figures) {
+  static byte[] format(final List<Metric> metrics) {
     final Map<String, List<Metric>> byName = new LinkedHashMap<>();
-    figures.forEach(
+    metrics.forEach(
         metric -> byName.computeIfAbsent(metric.name(), name -> new ArrayList<>()).add(metric));
     final List<Metric> violations = new ArrayList<>();
     Invariant.counts()
@@ -33,12 +33,12 @@
                             "weldpoint_invariant_violations",
                             "Checks of an invariant that did not hold.",
                             count)
-                        .with("invariant", name)));
+                        .withLabel("invariant", name)));
     if (!violations.isEmpty()) {
       byName.put("weldpoint_invariant_violations", violations);
     }
     final List<MetricSnapshot> snapshots = new ArrayList<>();
-    byName.values().forEach(same -> snapshots.add(snapshot(same)));
+    byName.values().forEach(family -> snapshots.add(snapshot(family)));
     final ByteArrayOutputStream out = new ByteArrayOutputStream();
     try {
       new PrometheusTextFormatWriter(false).write(out, new MetricSnapshots(snapshots));
@@ -48,14 +48,14 @@
     return out.toByteArray();
   }
 
-  private static MetricSnapshot snapshot(final List<Metric> same) {
-    return same.get(0).rises() ? counter(same) : gauge(same);
+  private static MetricSnapshot snapshot(final List<Metric> family) {
+    return family.get(0).monotonic() ? counter(family) : gauge(family);
   }
 
-  private static MetricSnapshot counter(final List<Metric> same) {
+  private static MetricSnapshot counter(final List<Metric> family) {
     final CounterSnapshot.Builder builder =
-        CounterSnapshot.builder().name(same.get(0).name()).help(same.get(0).help());
-    for (final Metric metric : same) {
+        CounterSnapshot.builder().name(family.get(0).name()).help(family.get(0).help());
+    for (final Metric metric : family) {
       builder.dataPoint(
           CounterSnapshot.CounterDataPointSnapshot.builder()
               .value(metric.value())
@@ -65,10 +65,10 @@
     return builder.build();
   }
 
-  private static MetricSnapshot gauge(final List<Metric> same) {
+  private static MetricSnapshot gauge(final List<Metric> family) {
     final GaugeSnapshot.Builder builder =
-        GaugeSnapshot.builder().name(same.get(0).name()).help(same.get(0).help());
-    for (final Metric metric : same) {
+        GaugeSnapshot.builder().name(family.get(0).name()).help(family.get(0).help());
+    for (final Metric metric : family) {
       builder.dataPoint(
           GaugeSnapshot.GaugeDataPointSnapshot.builder()
               .value(metric.value())
--- a/metrics/src/test/java/weldpoint/metrics/PrometheusFormatTest.java
+++ b/metrics/src/test/java/weldpoint/metrics/PrometheusFormatTest.java
@@ -18,14 +18,14 @@
 
 public final class PrometheusFormatTest {
   @Test
-  public void figuresOfOneNameStandTogetherWithTheirLabels() {
+  public void metricsOfOneNameAreGroupedWithTheirLabels() {
     final String text =
         new String(
-            PrometheusFormat.text(
+            PrometheusFormat.format(
                 List.of(
-                    Metric.counter("weldpoint_runs", "Runs.", 3).with("tenant", "a \"b\""),
+                    Metric.counter("weldpoint_runs", "Runs.", 3).withLabel("tenant", "a \"b\""),
                     Metric.gauge("weldpoint_active", "Active.", 2),
-                    Metric.counter("weldpoint_runs", "Runs.", 4).with("tenant", "c"))),
+                    Metric.counter("weldpoint_runs", "Runs.", 4).withLabel("tenant", "c"))),
             StandardCharsets.UTF_8);
     assertTrue(text.contains("# TYPE weldpoint_runs_total counter\n"), text);
     assertTrue(text.contains("weldpoint_runs_total{tenant=\"a \\\"b\\\"\"} 3.0\n"), text);
@@ -34,35 +34,34 @@
   }
 
   @Test
-  public void violationsOfInvariantsAreTold() {
+  public void invariantViolationsAreReported() {
     final Invariant invariant = Invariant.named("a test's");
     invariant.check(true, () -> "never");
     assertTrue(
-        new String(PrometheusFormat.text(List.of()), StandardCharsets.UTF_8)
+        new String(PrometheusFormat.format(List.of()), StandardCharsets.UTF_8)
             .contains("weldpoint_invariant_violations_total{invariant=\"a test's\"} 0.0"));
   }
 
   @Test
-  public void theyAreServedAndAPortThatIsTakenIsLeftAlone()
-      throws IOException, InterruptedException {
+  public void servesMetricsAndToleratesPortInUse() throws IOException, InterruptedException {
     final EventLoopGroup loop = new NioEventLoopGroup(1);
     final int port;
     try (ServerSocket free = new ServerSocket(0)) {
       port = free.getLocalPort();
     }
-    final List<Metric> figures = List.of(Metric.gauge("weldpoint_active", "Active.", 2));
-    for (int twice = 0; twice < 2; twice++) {
+    final List<Metric> metrics = List.of(Metric.gauge("weldpoint_active", "Active.", 2));
+    for (int attempt = 0; attempt < 2; attempt++) {
       MetricsServer.serve(
-          loop, "127.0.0.1", port, () -> CompletableFuture.completedFuture(figures));
+          loop, "127.0.0.1", port, () -> CompletableFuture.completedFuture(metrics));
     }
-    final HttpRequest question =
+    final HttpRequest request =
         HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + "/metrics")).build();
     String text = "";
     for (int tries = 0; tries < 100 && text.isEmpty(); tries++) {
       Thread.sleep(20);
       try {
         text =
-            HttpClient.newHttpClient().send(question, HttpResponse.BodyHandlers.ofString()).body();
+            HttpClient.newHttpClient().send(request, HttpResponse.BodyHandlers.ofString()).body();
       } catch (final IOException notYet) {
         text = "";
       }
--- a/ownership/src/main/java/weldpoint/ownership/AssignerCounts.java
+++ b/ownership/src/main/java/weldpoint/ownership/AssignerCounts.java
@@ -33,16 +33,16 @@
     for (final CallResult.End end : CallResult.End.values()) {
       figures.add(
           Metric.counter("weldpoint_key_grants", "Grants of keys.", grants[end.ordinal()])
-              .with("result", name(end)));
+              .withLabel("result", name(end)));
       figures.add(
           Metric.counter("weldpoint_key_releases", "Releases of keys.", releases[end.ordinal()])
-              .with("result", name(end)));
+              .withLabel("result", name(end)));
     }
     for (final MoveReason reason : MoveReason.values()) {
       figures.add(
           Metric.counter(
                   "weldpoint_key_moves", "Ranges of keys taken away.", moves[reason.ordinal()])
-              .with("reason", name(reason)));
+              .withLabel("reason", name(reason)));
     }
     figures.add(
         Metric.counter(
--- a/ownership/src/main/java/weldpoint/ownership/OwnershipCoordinator.java
+++ b/ownership/src/main/java/weldpoint/ownership/OwnershipCoordinator.java
@@ -264,20 +264,20 @@
       }
       final String service = entry.getKey();
       for (final Metric metric : assigner.counts().figures()) {
-        figures.add(metric.with("service", service));
+        figures.add(metric.withLabel("service", service));
       }
       figures.add(
           Metric.gauge(
                   "weldpoint_key_ranges",
                   "Ranges of keys assigned.",
                   assigner.assignment().ranges().size())
-              .with("service", service));
+              .withLabel("service", service));
       figures.add(
           Metric.gauge(
                   "weldpoint_keys_without_holder",
                   "Keys that no upstream lately acknowledged to hold.",
                   assigner.keysWithoutHolder(now))
-              .with("service", service));
+              .withLabel("service", service));
     }
     return figures;
   }
--- a/proxy/src/main/java/weldpoint/proxy/ClientConnection.java
+++ b/proxy/src/main/java/weldpoint/proxy/ClientConnection.java
@@ -338,14 +338,14 @@
     if (trip != null || closing || proxyContext.routingTable == null) {
       return;
     }
-    if (reading && now - since > proxyContext.routingTable.headerMillis()) {
+    if (reading && now - since > proxyContext.routingTable.headerTimeoutMillis()) {
       refuse(
           HttpResponseStatus.REQUEST_TIMEOUT,
           "the request came too slowly; send it faster",
           null,
           true);
     } else if (!reading
-        && (now - since > proxyContext.routingTable.idleMillis()
+        && (now - since > proxyContext.routingTable.idleTimeoutMillis()
             || proxyContext.leaving && now - since > LEAVING_IDLE_MILLIS)) {
       closing = true;
       context.close();
@@ -358,7 +358,9 @@
    */
   private void endOverdueAnswer(final long now) {
     final long spare =
-        proxyContext.routingTable == null ? LINGER_MILLIS : proxyContext.routingTable.idleMillis();
+        proxyContext.routingTable == null
+            ? LINGER_MILLIS
+            : proxyContext.routingTable.idleTimeoutMillis();
     if (now - answerDeadline > spare) {
       closing = true;
       context.close();
--- a/proxy/src/main/java/weldpoint/proxy/ControlProof.java
+++ b/proxy/src/main/java/weldpoint/proxy/ControlProof.java
@@ -125,7 +125,7 @@
                   "weldpoint_control_proof_renewals",
                   "Proofs, by how old the one before had become, in milliseconds at most.",
                   renewals[bound])
-              .with(
+              .withLabel(
                   "most",
                   bound == BOUNDS_MILLIS.length ? "inf" : Long.toString(BOUNDS_MILLIS[bound])));
     }
--- a/proxy/src/main/java/weldpoint/proxy/IdempotentRequests.java
+++ b/proxy/src/main/java/weldpoint/proxy/IdempotentRequests.java
@@ -319,11 +319,13 @@
   List<Metric> figures() {
     final String help = "Requests with an idempotency key, by what was decided.";
     return List.of(
-        Metric.counter("weldpoint_keyed_requests", help, claimed).with("decision", "claimed"),
-        Metric.counter("weldpoint_keyed_requests", help, repeated).with("decision", "repeated"),
-        Metric.counter("weldpoint_keyed_requests", help, conflicts).with("decision", "conflict"),
+        Metric.counter("weldpoint_keyed_requests", help, claimed).withLabel("decision", "claimed"),
+        Metric.counter("weldpoint_keyed_requests", help, repeated)
+            .withLabel("decision", "repeated"),
+        Metric.counter("weldpoint_keyed_requests", help, conflicts)
+            .withLabel("decision", "conflict"),
         Metric.counter("weldpoint_keyed_requests", help, unavailable)
-            .with("decision", "unavailable"),
+            .withLabel("decision", "unavailable"),
         Metric.gauge("weldpoint_keyed_runs", "Keyed requests remembered here.", runs.size()),
         Metric.gauge("weldpoint_keyed_bytes", "Bytes of answers kept for repeats.", bytes));
   }
--- a/proxy/src/main/java/weldpoint/proxy/PartitionedRequestKey.java
+++ b/proxy/src/main/java/weldpoint/proxy/PartitionedRequestKey.java
@@ -50,7 +50,7 @@
    * still comes back in time, or a moment longer after it was turned away.
    */
   boolean mayWait(final long arrivedAt, final Route route, final long now) {
-    return now - arrivedAt < (long) (WAIT_OF_TARGET * route.targetMillis)
+    return now - arrivedAt < (long) (WAIT_OF_TARGET * route.targetLatencyMillis)
         || now - turnedAwayAt < MISDIRECTED_WAIT_MILLIS;
   }
 
--- a/proxy/src/main/java/weldpoint/proxy/ProxiedRequest.java
+++ b/proxy/src/main/java/weldpoint/proxy/ProxiedRequest.java
@@ -114,7 +114,7 @@
       return;
     }
     final RouteBinding bound = newBinding();
-    if (!routingTable.interpret(bound)) {
+    if (!routingTable.resolve(bound)) {
       finish();
       session.refuse(
           HttpResponseStatus.NOT_FOUND, "no route matches; check host and path", null, closeAfter);
@@ -134,7 +134,7 @@
     if (!routingTable.tenants().isEmpty() && !admit()) {
       return;
     }
-    affinity = Affinity.inForce(route, proxyContext.usual);
+    affinity = Affinity.effective(route, proxyContext.usual);
     double chance = proxyContext.random.nextDouble();
     if (affinity != null) {
       final String name =
@@ -144,20 +144,20 @@
               tenantName(),
               session.address());
       final long drawn = Rendezvous.caller(route.name, name);
-      binding.draw(route.serviceFor(drawn));
+      binding.selectService(route.serviceForCaller(drawn));
       chance = (drawn >>> 11) / (double) (1L << 53);
       caller = Rendezvous.caller(service().name(), name);
     }
     if (!proxyContext.trials.idle() && proxyContext.trials.covers(route.name)) {
       final int other =
-          routingTable.service(
+          routingTable.serviceIndex(
               proxyContext.trials.choose(
                   route.name,
                   service().name(),
                   request.headers().get(Headers.TRIAL_TOKEN),
                   chance));
       if (other >= 0) {
-        binding.divert(routingTable.services().get(other));
+        binding.overrideService(routingTable.services().get(other));
       }
       trialled = true;
     }
@@ -204,11 +204,11 @@
             this::giveUp, cutoff - ProxyContext.now(), TimeUnit.MILLISECONDS);
     if (proxyContext.recordings != null
         && route.kind == RouteKind.CACHEABLE
-        && route.cacheMillis > 0
+        && route.cacheTtlMillis > 0
         && request.method().equals(HttpMethod.GET)
         && !body.isReadable()
         && proxyContext.recordings.any()
-        && !binding.homed()) {
+        && !binding.hasHomeRegions()) {
       proxyContext.recordings.ask(
           service().name(),
           request.headers().get(HttpHeaderNames.HOST),
@@ -235,7 +235,9 @@
   private void awaitProof(final RoutingTable routingTable) {
     final RouteBinding probable = newBinding();
     final long waits =
-        routingTable.interpret(probable) ? probable.route().targetMillis / 4 : PROOF_WAIT_MILLIS;
+        routingTable.resolve(probable)
+            ? probable.route().targetLatencyMillis / 4
+            : PROOF_WAIT_MILLIS;
     final Runnable again =
         () -> {
           if (!over) {
@@ -270,8 +272,8 @@
   /** Finds whose request it is; false where it was refused. */
   private boolean admit() {
     keyed = true;
-    binding.identify(CachedCopies.key(request.headers()));
-    if (binding.tenant() != null || route.open) {
+    binding.identifyTenant(CachedCopies.key(request.headers()));
+    if (binding.tenant() != null || route.publicAccess) {
       return true;
     }
     finish();
@@ -298,7 +300,7 @@
    */
   private boolean bound() {
     final boolean proved = proxyContext.proof.holds(ProxyContext.now());
-    if (proved && binding.follow(proxyContext.routingTable)) {
+    if (proved && binding.revalidate(proxyContext.routingTable)) {
       return true;
     }
     if (over || running() > 0) {
@@ -308,12 +310,11 @@
       conclude();
     } else if (!proved) {
       refuse(RefusalCounts.Reason.UNPROVED, UNPROVED);
-    } else if (binding.standing() == RouteBinding.Standing.KEY_UNKNOWN) {
+    } else if (binding.status() == RouteBinding.Status.KEY_UNKNOWN) {
       finish();
-      session.refuse(
-          HttpResponseStatus.UNAUTHORIZED, binding.standing().reason(), null, closeAfter);
+      session.refuse(HttpResponseStatus.UNAUTHORIZED, binding.status().reason(), null, closeAfter);
     } else {
-      refuse(RefusalCounts.Reason.CONFIGURATION_CHANGED, binding.standing().reason());
+      refuse(RefusalCounts.Reason.CONFIGURATION_CHANGED, binding.status().reason());
     }
     return false;
   }
@@ -323,7 +324,7 @@
     if (over || !bound()) {
       return;
     }
-    if (binding.homed()) {
+    if (binding.hasHomeRegions()) {
       origin();
       return;
     }
@@ -594,10 +595,10 @@
     }
     final long now = ProxyContext.now();
     final Predicate<PlacementMessages.PlacementMember> may =
-        member -> binding.home(proxyContext.upstreamPool.region(member.site));
+        member -> binding.allowsRegion(proxyContext.upstreamPool.region(member.site));
     final WriteDecision verdict = proxyContext.affinity.decide(service().name(), caller, may, now);
     if (verdict != WriteDecision.GO) {
-      return verdict == WriteDecision.NO_NODE && binding.homed()
+      return verdict == WriteDecision.NO_NODE && binding.hasHomeRegions()
           ? WriteDecision.OUTSIDE_HOMES
           : verdict;
     }
@@ -781,7 +782,7 @@
           attemptId,
           fate,
           ProxyContext.now() - arrivedAt,
-          route.targetMillis);
+          route.targetLatencyMillis);
     }
   }
 
--- a/proxy/src/main/java/weldpoint/proxy/ProxyContext.java
+++ b/proxy/src/main/java/weldpoint/proxy/ProxyContext.java
@@ -67,7 +67,7 @@
     this.random = random;
     this.upstreamPool = new UpstreamPool(loop, settings, random);
     this.upstreamPool.surplus(trials::surplus);
-    this.usual = Affinity.setting("affinity.default", settings.affinityUsual());
+    this.usual = Affinity.parseSetting("affinity.default", settings.affinityUsual());
     this.tieWaitMillis = settings.affinityWaitMillis();
     this.strict = settings.strictRevocation();
     this.revokeMillis = settings.revokeMillis();
@@ -126,8 +126,8 @@
       upstreamPool.configuration(routingTable);
       if (affinity == null
           && uponTies != null
-          && routingTable.all().stream()
-              .anyMatch(route -> Affinity.inForce(route, usual) != null)) {
+          && routingTable.allRoutes().stream()
+              .anyMatch(route -> Affinity.effective(route, usual) != null)) {
         uponTies.run();
       }
       if (first && uponPlan != null) {
--- a/proxy/src/main/java/weldpoint/proxy/ProxyDaemon.java
+++ b/proxy/src/main/java/weldpoint/proxy/ProxyDaemon.java
@@ -369,11 +369,14 @@
     final String help = "Requests by how they ended.";
     final List<Metric> figures = new ArrayList<>();
     figures.add(
-        Metric.counter("weldpoint_requests", help, proxyContext.served).with("result", "served"));
+        Metric.counter("weldpoint_requests", help, proxyContext.served)
+            .withLabel("result", "served"));
     figures.add(
-        Metric.counter("weldpoint_requests", help, proxyContext.refused).with("result", "refused"));
+        Metric.counter("weldpoint_requests", help, proxyContext.refused)
+            .withLabel("result", "refused"));
     figures.add(
-        Metric.counter("weldpoint_requests", help, proxyContext.failed).with("result", "failed"));
+        Metric.counter("weldpoint_requests", help, proxyContext.failed)
+            .withLabel("result", "failed"));
     figures.add(
         Metric.counter(
             "weldpoint_further_sends", "Sends beyond a request's first.", proxyContext.repeated));
--- a/proxy/src/main/java/weldpoint/proxy/RefusalCounts.java
+++ b/proxy/src/main/java/weldpoint/proxy/RefusalCounts.java
@@ -34,7 +34,7 @@
                   "weldpoint_refused_by_configuration",
                   "Requests refused since the configuration in force forbids the send.",
                   counts[reason.ordinal()])
-              .with("reason", reason.name().toLowerCase(Locale.ROOT)));
+              .withLabel("reason", reason.name().toLowerCase(Locale.ROOT)));
     }
     return figures;
   }
--- a/proxy/src/main/java/weldpoint/proxy/RegistryClient.java
+++ b/proxy/src/main/java/weldpoint/proxy/RegistryClient.java
@@ -417,7 +417,7 @@
         version = view.version;
         LOGGER.atInfo().log(
             "spec %s is in force with %s routes, from %s, dialled %s ms ago",
-            Long.toHexString(version), routingTable.routes(), current, heardAt - dialledAt);
+            Long.toHexString(version), routingTable.routeCount(), current, heardAt - dialledAt);
       } catch (final WeldpointException exception) {
         LOGGER.atSevere().log(
             "spec %s was not taken: %s", Long.toHexString(view.version), exception.getMessage());
--- a/proxy/src/main/java/weldpoint/proxy/TenantCounts.java
+++ b/proxy/src/main/java/weldpoint/proxy/TenantCounts.java
@@ -45,11 +45,11 @@
           figures.add(
               Metric.counter(
                       "weldpoint_tenant_sends", "Sends to upstreams on a permit.", count.sent)
-                  .with("tenant", tenant));
+                  .withLabel("tenant", tenant));
           figures.add(
               Metric.counter(
                       "weldpoint_tenant_refusals", "Requests refused with 429.", count.refused)
-                  .with("tenant", tenant));
+                  .withLabel("tenant", tenant));
         });
     return figures;
   }
--- a/ratelimit/src/main/java/weldpoint/ratelimit/QuotaAllocator.java
+++ b/ratelimit/src/main/java/weldpoint/ratelimit/QuotaAllocator.java
@@ -93,7 +93,7 @@
       final int count,
       final QuotaShare part,
       final long now) {
-    final int service = routingTable.service(name);
+    final int service = routingTable.serviceIndex(name);
     if (service < 0) {
       return 0;
     }
--- a/registry/src/main/java/weldpoint/registry/ControlCall.java
+++ b/registry/src/main/java/weldpoint/registry/ControlCall.java
@@ -39,7 +39,7 @@
     ControlCommand decode(
         final ControlServer server, final String id, final byte[] body, final Origin origin) {
       return (now, waits) -> {
-        final SpecDocument document = RoutingTable.read(body);
+        final SpecDocument document = RoutingTable.parse(body);
         final RoutingTable routingTable = RoutingTable.compile(document);
         final byte[] packed = Compression.deflate(body);
         final StoreMessages.ChangeOrigin cause =
@@ -50,7 +50,8 @@
                     origin.caller(),
                     Compression.deflate(
                         Serializer.serialize(ConfigurationSummary.of(document, body))));
-        final boolean tied = routingTable.all().stream().anyMatch(route -> route.affinity != null);
+        final boolean tied =
+            routingTable.allRoutes().stream().anyMatch(route -> route.affinity != null);
         return server
             .core()
             .replace(
--- a/registry/src/main/java/weldpoint/registry/HistoryReader.java
+++ b/registry/src/main/java/weldpoint/registry/HistoryReader.java
@@ -285,24 +285,24 @@
   static ControlApi.HistoryEntry json(final AuditEntry entry, final byte[] bytes) {
     return new ControlApi.HistoryEntry(
         entry.sequence,
-        entry.kind().words(),
+        entry.kind().label(),
         entry.kind() == ChangeKind.CONFIGURATION || entry.kind() == ChangeKind.UPGRADE
             ? String.format("%08x", entry.version)
             : "",
         entry.subject,
         entry.author,
         entry.caller,
-        entry.taker,
+        entry.acceptedBy,
         Instant.ofEpochMilli(entry.time).toString(),
         entry.before,
         entry.after,
         entry.added,
         entry.removed,
         entry.changed,
-        entry.writes,
+        entry.changedWriteRoutes,
         Protocol.list(entry.changes),
         AuditEntry.digest(bytes),
-        entry.previous);
+        entry.previousDigest);
   }
 
   /** Which daemons had a change in force. */
--- a/registry/src/main/java/weldpoint/registry/KeyClaims.java
+++ b/registry/src/main/java/weldpoint/registry/KeyClaims.java
@@ -152,11 +152,11 @@
     final String help = "Claims of idempotency keys that this registry asked the voters about.";
     return List.of(
         Metric.counter("weldpoint_key_claims", help, coordinator.granted())
-            .with("result", "granted"),
+            .withLabel("result", "granted"),
         Metric.counter("weldpoint_key_claims", help, coordinator.conflicts())
-            .with("result", "held"),
+            .withLabel("result", "held"),
         Metric.counter("weldpoint_key_claims", help, coordinator.unknown())
-            .with("result", "unknown"),
+            .withLabel("result", "unknown"),
         Metric.gauge(
             "weldpoint_keys_remembered", "Idempotency keys remembered here.", table.size()));
   }
--- a/registry/src/main/java/weldpoint/registry/OwnershipEndpoint.java
+++ b/registry/src/main/java/weldpoint/registry/OwnershipEndpoint.java
@@ -155,7 +155,7 @@
     knownVersion = routingTable.version();
     knownRevision = registrations.revision();
     knownState = state;
-    services = routingTable.partitioned();
+    services = routingTable.partitionedServices();
     members.clear();
     services.forEach(service -> members.put(service, new ArrayList<>()));
     final Map<String, String> lives = new HashMap<>();
--- a/registry/src/main/java/weldpoint/registry/PlacementService.java
+++ b/registry/src/main/java/weldpoint/registry/PlacementService.java
@@ -114,10 +114,10 @@
       final Set<String> suspects) {
     final Map<String, List<PlacementMember>> wanted = new TreeMap<>();
     long longest = 0;
-    for (final Route route : routingTable.all()) {
-      if (Affinity.inForce(route, usual) != null) {
+    for (final Route route : routingTable.allRoutes()) {
+      if (Affinity.effective(route, usual) != null) {
         longest = Math.max(longest, route.timeoutMillis);
-        for (final int service : route.services()) {
+        for (final int service : route.serviceIndices()) {
           wanted.computeIfAbsent(
               routingTable.services().get(service).name(), name -> new ArrayList<>());
         }
--- a/registry/src/main/java/weldpoint/registry/QuotaEndpoint.java
+++ b/registry/src/main/java/weldpoint/registry/QuotaEndpoint.java
@@ -204,10 +204,10 @@
     for (final QuotaAllocator.TenantCount count : allocator.tenantCounts(MOST_SERIES)) {
       figures.add(
           Metric.counter("weldpoint_permits_granted", granted, count.granted())
-              .with("tenant", count.tenant()));
+              .withLabel("tenant", count.tenant()));
       figures.add(
           Metric.counter("weldpoint_permits_refused", refused, count.refused())
-              .with("tenant", count.tenant()));
+              .withLabel("tenant", count.tenant()));
     }
     return figures;
   }
--- a/registry/src/main/java/weldpoint/registry/RegistryDaemon.java
+++ b/registry/src/main/java/weldpoint/registry/RegistryDaemon.java
@@ -201,7 +201,7 @@
     }
     core.place(settings.site(), settings.region());
     core.placements(
-        Affinity.setting("affinity.default", settings.affinityUsual()),
+        Affinity.parseSetting("affinity.default", settings.affinityUsual()),
         incarnation,
         settings.affinityLeaseMillis(),
         settings.affinityBatchMillis());
--- a/registry/src/test/java/weldpoint/registry/HistoryReaderTest.java
+++ b/registry/src/test/java/weldpoint/registry/HistoryReaderTest.java
@@ -33,9 +33,9 @@
     for (int sequence = 1; sequence <= count; sequence++) {
       final byte[] bytes =
           new AuditEntry.Draft(ChangeKind.EVACUATION_BEGUN, "zone-" + sequence % 3)
-              .number(0, sequence)
+              .version(0, sequence)
               .origin(sequence % 2 == 0 ? "even" : "odd", "", "", WALL - 1000 * (count - sequence))
-              .bytes(sequence, digest);
+              .encode(sequence, digest);
       digest = AuditEntry.digest(bytes);
       entries.add(bytes);
     }
@@ -238,9 +238,9 @@
   public void whoHasNotBeenHeardOfIsNeverGuessed() {
     final byte[] bytes =
         new AuditEntry.Draft(ChangeKind.CONFIGURATION, "")
-            .number(8, 0)
+            .version(8, 0)
             .origin("me", "", "", WALL)
-            .bytes(1, "");
+            .encode(1, "");
     final ControlApi.HistoryResponse found =
         new ControlApi.HistoryResponse(
             true, null, 1, 1, "", 0, List.of(HistoryReader.json(AuditEntry.read(bytes), bytes)));
--- a/replay/src/main/java/weldpoint/replay/Replay.java
+++ b/replay/src/main/java/weldpoint/replay/Replay.java
@@ -62,7 +62,7 @@
 
   /** Plays the day and judges it. */
   public ReplayComparison run() throws IOException {
-    if (proposed.all().stream().anyMatch(route -> route.affinity != null)) {
+    if (proposed.allRoutes().stream().anyMatch(route -> route.affinity != null)) {
       throw new WeldpointException(
           WeldpointException.Kind.INVALID,
           "the proposed configuration ties callers to nodes, and a recorded day does not hold who called; leave affinity out, or try it on a route by a trial");
--- a/replay/src/main/java/weldpoint/replay/ReplaySimulator.java
+++ b/replay/src/main/java/weldpoint/replay/ReplaySimulator.java
@@ -191,7 +191,7 @@
       final Random chance = chances.get(call.board);
       chance.setSeed(call.note.id.hashCode() * 0x9e3779b97f4a7c15L + seed);
       binding = new RouteBinding(call.note.host, call.note.target, chance.nextDouble());
-      if (!routingTable.interpret(binding)) {
+      if (!routingTable.resolve(binding)) {
         end(CallOutcome.End.UNROUTED);
         return;
       }
--- a/routing/src/main/java/weldpoint/routing/HomeRegionWarnings.java
+++ b/routing/src/main/java/weldpoint/routing/HomeRegionWarnings.java
@@ -23,33 +23,38 @@
    *
    * @param regions the regions of the deployment; empty where they are not known
    */
-  public static List<String> of(final RoutingTable routingTable, final Collection<String> regions) {
-    final Map<Set<String>, List<String>> routes = new LinkedHashMap<>();
-    for (final Route route : routingTable.all()) {
-      add(routes, Arrays.asList(route.homes), route.name);
+  public static List<String> of(
+      final RoutingTable routingTable, final Collection<String> deploymentRegions) {
+    final Map<Set<String>, List<String>> routesByHomeRegions = new LinkedHashMap<>();
+    for (final Route route : routingTable.allRoutes()) {
+      add(routesByHomeRegions, Arrays.asList(route.homeRegions), route.name);
     }
-    final Map<Set<String>, List<String>> tenants = new LinkedHashMap<>();
+    final Map<Set<String>, List<String>> tenantsByHomeRegions = new LinkedHashMap<>();
     for (final RoutingTable.Tenant tenant : routingTable.tenants()) {
-      add(tenants, tenant.homes(), tenant.name());
+      add(tenantsByHomeRegions, tenant.homeRegions(), tenant.name());
     }
     final List<String> warnings = new ArrayList<>();
-    if (!regions.isEmpty()) {
-      routes.forEach((homes, names) -> outside("route", names, homes, regions, warnings));
-      tenants.forEach((homes, names) -> outside("tenant", names, homes, regions, warnings));
+    if (!deploymentRegions.isEmpty()) {
+      routesByHomeRegions.forEach(
+          (homeRegions, names) ->
+              addIfOutsideDeployment("route", names, homeRegions, deploymentRegions, warnings));
+      tenantsByHomeRegions.forEach(
+          (homeRegions, names) ->
+              addIfOutsideDeployment("tenant", names, homeRegions, deploymentRegions, warnings));
     }
-    routes.forEach(
-        (routeHomes, routeNames) ->
-            tenants.forEach(
-                (tenantHomes, tenantNames) -> {
-                  if (Collections.disjoint(routeHomes, tenantHomes)) {
+    routesByHomeRegions.forEach(
+        (routeRegions, routeNames) ->
+            tenantsByHomeRegions.forEach(
+                (tenantRegions, tenantNames) -> {
+                  if (Collections.disjoint(routeRegions, tenantRegions)) {
                     warnings.add(
-                        named("tenant", tenantNames)
+                        describe("tenant", tenantNames)
                             + " may be served in "
-                            + tenantHomes
+                            + tenantRegions
                             + " and "
-                            + named("route", routeNames)
+                            + describe("route", routeNames)
                             + " in "
-                            + routeHomes
+                            + routeRegions
                             + ": all requests of the one on the other are refused");
                   }
                 }));
@@ -57,28 +62,32 @@
   }
 
   private static void add(
-      final Map<Set<String>, List<String>> byHomes, final List<String> homes, final String name) {
-    if (!homes.isEmpty()) {
-      byHomes.computeIfAbsent(new TreeSet<>(homes), set -> new ArrayList<>()).add(name);
+      final Map<Set<String>, List<String>> namesByHomeRegions,
+      final List<String> homeRegions,
+      final String name) {
+    if (!homeRegions.isEmpty()) {
+      namesByHomeRegions
+          .computeIfAbsent(new TreeSet<>(homeRegions), regions -> new ArrayList<>())
+          .add(name);
     }
   }
 
-  private static void outside(
+  private static void addIfOutsideDeployment(
       final String kind,
       final List<String> names,
-      final Set<String> homes,
-      final Collection<String> regions,
+      final Set<String> homeRegions,
+      final Collection<String> deploymentRegions,
       final List<String> warnings) {
-    if (Collections.disjoint(homes, regions)) {
+    if (Collections.disjoint(homeRegions, deploymentRegions)) {
       warnings.add(
-          named(kind, names)
+          describe(kind, names)
               + " may be served in "
-              + homes
+              + homeRegions
               + " only, where the deployment has no zone: all requests are refused");
     }
   }
 
-  private static String named(final String kind, final List<String> names) {
+  private static String describe(final String kind, final List<String> names) {
     return kind
         + " "
         + names.get(0)
--- a/routing/src/main/java/weldpoint/routing/Route.java
+++ b/routing/src/main/java/weldpoint/routing/Route.java
@@ -6,55 +6,55 @@
   public final String name;
   public final RouteKind kind;
   public final int priority;
-  public final long targetMillis;
+  public final long targetLatencyMillis;
   public final long timeoutMillis;
   public final int maxAttempts;
-  public final String[] homes;
-  public final boolean open;
-  public final long cacheMillis;
+  public final String[] homeRegions;
+  public final boolean publicAccess;
+  public final long cacheTtlMillis;
 
   /** What ties callers to nodes; null where nothing does. */
   public final Affinity affinity;
 
-  final int[] services;
-  final double[] upTo;
+  final int[] serviceIndices;
+  final double[] cumulativeWeights;
 
   Route(
       final int index,
       final String name,
       final RouteKind kind,
       final int priority,
-      final long targetMillis,
+      final long targetLatencyMillis,
       final long timeoutMillis,
       final int maxAttempts,
-      final String[] homes,
-      final boolean open,
-      final long cacheMillis,
+      final String[] homeRegions,
+      final boolean publicAccess,
+      final long cacheTtlMillis,
       final Affinity affinity,
-      final int[] services,
-      final double[] upTo) {
+      final int[] serviceIndices,
+      final double[] cumulativeWeights) {
     this.affinity = affinity;
     this.index = index;
     this.name = name;
     this.kind = kind;
     this.priority = priority;
-    this.targetMillis = targetMillis;
+    this.targetLatencyMillis = targetLatencyMillis;
     this.timeoutMillis = timeoutMillis;
     this.maxAttempts = maxAttempts;
-    this.homes = homes;
-    this.open = open;
-    this.cacheMillis = cacheMillis;
-    this.services = services;
-    this.upTo = upTo;
+    this.homeRegions = homeRegions;
+    this.publicAccess = publicAccess;
+    this.cacheTtlMillis = cacheTtlMillis;
+    this.serviceIndices = serviceIndices;
+    this.cumulativeWeights = cumulativeWeights;
   }
 
-  /** Whether upstreams in this region may serve it; see {@link RouteBinding#home}. */
-  boolean home(final String region) {
-    if (homes.length == 0) {
+  /** Whether upstreams in this region may serve it; see {@link RouteBinding#allowsRegion}. */
+  boolean allowsRegion(final String region) {
+    if (homeRegions.length == 0) {
       return true;
     }
-    for (final String home : homes) {
-      if (home.equals(region)) {
+    for (final String homeRegion : homeRegions) {
+      if (homeRegion.equals(region)) {
         return true;
       }
     }
@@ -62,9 +62,9 @@
   }
 
   /** Whether the route may lead to the service of this index. */
-  boolean leadsTo(final int service) {
-    for (final int one : services) {
-      if (one == service) {
+  boolean includesService(final int serviceIndex) {
+    for (final int candidate : serviceIndices) {
+      if (candidate == serviceIndex) {
         return true;
       }
     }
@@ -72,25 +72,25 @@
   }
 
   /** The service of the split for a draw from 0 to 1. */
-  int service(final double chance) {
-    final double wanted = chance * upTo[upTo.length - 1];
-    int place = 0;
-    while (place < services.length - 1 && wanted >= upTo[place]) {
-      place++;
+  int serviceAt(final double splitPoint) {
+    final double weightedPoint = splitPoint * cumulativeWeights[cumulativeWeights.length - 1];
+    int position = 0;
+    while (position < serviceIndices.length - 1 && weightedPoint >= cumulativeWeights[position]) {
+      position++;
     }
-    return services[place];
+    return serviceIndices[position];
   }
 
   /**
    * The service of the split that a caller always gets: drawn by its name, so that it stays on one
    * while the weights stand.
    */
-  public int serviceFor(final long callerHash) {
-    return service((callerHash >>> 11) / (double) (1L << 53));
+  public int serviceForCaller(final long callerHash) {
+    return serviceAt((callerHash >>> 11) / (double) (1L << 53));
   }
 
   /** The services that the route may lead to. */
-  public int[] services() {
-    return services.clone();
+  public int[] serviceIndices() {
+    return serviceIndices.clone();
   }
 }
--- a/routing/src/main/java/weldpoint/routing/RoutingTable.java
+++ b/routing/src/main/java/weldpoint/routing/RoutingTable.java
@@ -11,27 +11,27 @@
 
 /** A configuration compiled into a small program: names have become dense indices. */
 public final class RoutingTable {
-  private static final JsonType<SpecDocument> TYPE =
+  private static final JsonType<SpecDocument> SPEC_TYPE =
       Jsonb.builder().build().type(SpecDocument.class);
 
   /** The steps of the program that every request runs through, in order. */
   enum Step {
     FIND_HOST {
       @Override
-      boolean run(final RoutingTable routingTable, final RouteBinding request) {
-        request.prefixes = routingTable.hosts.get(request.host);
-        return request.prefixes != null;
+      boolean run(final RoutingTable routingTable, final RouteBinding binding) {
+        binding.routesByPrefix = routingTable.routesByHost.get(binding.host);
+        return binding.routesByPrefix != null;
       }
     },
     FIND_LONGEST_PREFIX {
       @Override
-      boolean run(final RoutingTable routingTable, final RouteBinding request) {
-        for (int slash = request.pathEnd;
+      boolean run(final RoutingTable routingTable, final RouteBinding binding) {
+        for (int slash = binding.lastSlash;
             slash >= 0;
-            slash = request.path.lastIndexOf('/', slash - 1)) {
-          final Route found = request.prefixes.get(request.path.substring(0, slash + 1));
+            slash = binding.path.lastIndexOf('/', slash - 1)) {
+          final Route found = binding.routesByPrefix.get(binding.path.substring(0, slash + 1));
           if (found != null) {
-            request.route = found;
+            binding.route = found;
             return true;
           }
           if (slash == 0) {
@@ -43,19 +43,19 @@
     },
     CHOOSE_SERVICE {
       @Override
-      boolean run(final RoutingTable routingTable, final RouteBinding request) {
-        request.routed =
-            request.route.services.length == 1
-                ? request.route.services[0]
-                : request.route.service(request.chance);
+      boolean run(final RoutingTable routingTable, final RouteBinding binding) {
+        binding.serviceIndex =
+            binding.route.serviceIndices.length == 1
+                ? binding.route.serviceIndices[0]
+                : binding.route.serviceAt(binding.splitPoint);
         return true;
       }
     };
 
-    abstract boolean run(RoutingTable routingTable, RouteBinding request);
+    abstract boolean run(RoutingTable routingTable, RouteBinding binding);
   }
 
-  private static final Step[] PROGRAM = Step.values();
+  private static final Step[] STEPS = Step.values();
 
   /** What is known of a service; a partitioned one is divided among its upstreams by key. */
   public record Service(
@@ -74,48 +74,52 @@
       int priority,
       double ratePerSecond,
       double burst,
-      List<String> homes) {
+      List<String> homeRegions) {
     /** Whether upstreams in this region may serve the tenant. */
-    public boolean home(final String region) {
-      return homes.isEmpty() || homes.contains(region);
+    public boolean allowsRegion(final String region) {
+      return homeRegions.isEmpty() || homeRegions.contains(region);
     }
   }
 
   private final long version;
   private final List<Tenant> tenants;
-  private final Map<String, Tenant> keys;
-  private final Map<String, Map<String, Route>> hosts;
+  private final Map<String, Tenant> tenantsByKey;
+  private final Map<String, Map<String, Route>> routesByHost;
   private final List<Service> services;
   private final Map<String, Integer> serviceIndices;
   private final int maxHeaderBytes;
   private final long maxBodyBytes;
-  private final long headerMillis;
-  private final long idleMillis;
-  private final int routes;
+  private final long headerTimeoutMillis;
+  private final long idleTimeoutMillis;
+  private final int routeCount;
 
   private RoutingTable(
       final long version,
       final List<Tenant> tenants,
-      final Map<String, Tenant> keys,
-      final Map<String, Map<String, Route>> hosts,
+      final Map<String, Tenant> tenantsByKey,
+      final Map<String, Map<String, Route>> routesByHost,
       final List<Service> services,
       final Map<String, Integer> serviceIndices,
       final SpecDocument.Limits limits,
-      final int routes) {
+      final int routeCount) {
     this.tenants = tenants;
-    this.keys = keys;
+    this.tenantsByKey = tenantsByKey;
     this.version = version;
-    this.hosts = hosts;
+    this.routesByHost = routesByHost;
     this.services = services;
     this.serviceIndices = serviceIndices;
-    this.routes = routes;
-    this.maxHeaderBytes = (int) orElse(limits == null ? null : limits.maxHeaderBytes(), 16_384);
-    this.maxBodyBytes = (long) orElse(limits == null ? null : limits.maxBodyBytes(), 64 << 20);
-    this.headerMillis = (long) orElse(limits == null ? null : limits.headerTimeoutMs(), 5000);
-    this.idleMillis = (long) orElse(limits == null ? null : limits.idleTimeoutMs(), 15_000);
+    this.routeCount = routeCount;
+    this.maxHeaderBytes =
+        (int) positiveOrDefault(limits == null ? null : limits.maxHeaderBytes(), 16_384);
+    this.maxBodyBytes =
+        (long) positiveOrDefault(limits == null ? null : limits.maxBodyBytes(), 64 << 20);
+    this.headerTimeoutMillis =
+        (long) positiveOrDefault(limits == null ? null : limits.headerTimeoutMs(), 5000);
+    this.idleTimeoutMillis =
+        (long) positiveOrDefault(limits == null ? null : limits.idleTimeoutMs(), 15_000);
   }
 
-  private static double orElse(final Double value, final double fallback) {
+  private static double positiveOrDefault(final Double value, final double fallback) {
     return value == null || value <= 0 ? fallback : value;
   }
 
@@ -132,14 +136,14 @@
 
   /** Reads, checks and compiles a configuration. */
   public static RoutingTable compile(final byte[] body) {
-    return compile(read(body));
+    return compile(parse(body));
   }
 
   /** Reads a configuration without checking what it says. */
-  public static SpecDocument read(final byte[] body) {
+  public static SpecDocument parse(final byte[] body) {
     final SpecDocument document;
     try {
-      document = TYPE.fromJson(new String(body, StandardCharsets.UTF_8));
+      document = SPEC_TYPE.fromJson(new String(body, StandardCharsets.UTF_8));
     } catch (final RuntimeException problem) {
       throw new WeldpointException(
           WeldpointException.Kind.UNREADABLE,
@@ -159,71 +163,80 @@
   public static RoutingTable compile(final SpecDocument document) {
     final long version = version(document.version());
     final List<Service> services = new ArrayList<>();
-    final Map<String, Integer> indices = new HashMap<>();
+    final Map<String, Integer> indicesByName = new HashMap<>();
     for (final SpecDocument.Pool pool : document.pools()) {
       if (pool.name() == null) {
         throw invalid("a pool has no name; give it one");
       }
-      indices.put(pool.name(), services.size());
+      indicesByName.put(pool.name(), services.size());
       services.add(
           new Service(
               services.size(),
               pool.name(),
               pool.healthPath() == null ? "/health" : pool.healthPath(),
-              (int) orElse(pool.maxConns(), 100),
-              orElse(pool.warmupPerS(), 0),
-              orElse(pool.ratePerS(), 0),
+              (int) positiveOrDefault(pool.maxConns(), 100),
+              positiveOrDefault(pool.warmupPerS(), 0),
+              positiveOrDefault(pool.ratePerS(), 0),
               Boolean.TRUE.equals(pool.partitioned())));
     }
-    final Map<String, Map<String, Route>> hosts = new HashMap<>();
-    int count = 0;
+    final Map<String, Map<String, Route>> routesByHost = new HashMap<>();
+    int routeCount = 0;
     for (final SpecDocument.Listener listener : document.listeners()) {
       if (listener.host() == null || listener.host().isEmpty()) {
         throw invalid("a listener has an empty host; name the host it serves");
       }
-      final Map<String, Route> prefixes =
-          hosts.computeIfAbsent(
+      final Map<String, Route> routesByPrefix =
+          routesByHost.computeIfAbsent(
               listener.host().toLowerCase(java.util.Locale.ROOT), host -> new HashMap<>());
       if (listener.rules() == null) {
         continue;
       }
       for (final SpecDocument.Rule rule : listener.rules()) {
-        final Route route = route(rule, count++, indices);
-        prefixes.put(rule.match().pathPrefix(), route);
+        final Route route = route(rule, routeCount++, indicesByName);
+        routesByPrefix.put(rule.match().pathPrefix(), route);
       }
     }
     final List<Tenant> tenants = new ArrayList<>();
-    final Map<String, Tenant> keys = new HashMap<>();
-    tenants(document, tenants, keys);
+    final Map<String, Tenant> tenantsByKey = new HashMap<>();
+    tenants(document, tenants, tenantsByKey);
     return new RoutingTable(
-        version, tenants, keys, hosts, services, indices, document.limits(), count);
+        version,
+        tenants,
+        tenantsByKey,
+        routesByHost,
+        services,
+        indicesByName,
+        document.limits(),
+        routeCount);
   }
 
   private static void tenants(
-      final SpecDocument document, final List<Tenant> tenants, final Map<String, Tenant> keys) {
-    final Map<String, Tenant> names = new HashMap<>();
-    for (final SpecDocument.Tenant given :
+      final SpecDocument document,
+      final List<Tenant> tenants,
+      final Map<String, Tenant> tenantsByKey) {
+    final Map<String, Tenant> tenantsByName = new HashMap<>();
+    for (final SpecDocument.Tenant spec :
         document.tenants() == null ? List.<SpecDocument.Tenant>of() : document.tenants()) {
-      if (given.name() == null || given.name().isEmpty()) {
+      if (spec.name() == null || spec.name().isEmpty()) {
         throw invalid("a tenant has no name; give it one");
       }
       final Tenant tenant =
           new Tenant(
               tenants.size(),
-              given.name(),
-              (int) orElse(given.priority(), 0),
-              orElse(given.ratePerS(), 0),
-              orElse(given.burst(), 0),
-              given.homeRegions() == null ? List.of() : given.homeRegions());
-      if (names.put(tenant.name(), tenant) != null) {
+              spec.name(),
+              (int) positiveOrDefault(spec.priority(), 0),
+              positiveOrDefault(spec.ratePerS(), 0),
+              positiveOrDefault(spec.burst(), 0),
+              spec.homeRegions() == null ? List.of() : spec.homeRegions());
+      if (tenantsByName.put(tenant.name(), tenant) != null) {
         throw invalid("two tenants are named " + tenant.name() + "; give each a name of its own");
       }
       tenants.add(tenant);
-      for (final String key : given.apiKeys() == null ? List.<String>of() : given.apiKeys()) {
+      for (final String key : spec.apiKeys() == null ? List.<String>of() : spec.apiKeys()) {
         if (key == null || key.isEmpty()) {
           throw invalid("tenant " + tenant.name() + " has an empty key; give it a key or none");
         }
-        final Tenant other = keys.put(key, tenant);
+        final Tenant other = tenantsByKey.put(key, tenant);
         if (other != null && other != tenant) {
           throw invalid(
               "the tenants "
@@ -241,7 +254,7 @@
   }
 
   private static Route route(
-      final SpecDocument.Rule rule, final int index, final Map<String, Integer> indices) {
+      final SpecDocument.Rule rule, final int index, final Map<String, Integer> indicesByName) {
     final String name = rule.name() == null ? "#" + index : rule.name();
     final SpecDocument.Action action = rule.action();
     if (rule.match() == null || rule.match().pathPrefix() == null || action == null) {
@@ -259,54 +272,56 @@
         action.split() != null && !action.split().isEmpty()
             ? action.split()
             : List.of(new SpecDocument.Share(action.service(), 1.0));
-    final int[] services = new int[shares.size()];
-    final double[] upTo = new double[shares.size()];
-    double sum = 0;
-    for (int place = 0; place < services.length; place++) {
-      final Integer service = indices.get(shares.get(place).service());
+    final int[] targetIndices = new int[shares.size()];
+    final double[] cumulativeWeights = new double[shares.size()];
+    double totalWeight = 0;
+    for (int position = 0; position < targetIndices.length; position++) {
+      final Integer service = indicesByName.get(shares.get(position).service());
       if (service == null) {
         throw invalid(
             "route "
                 + name
                 + " names the unknown service "
-                + shares.get(place).service()
+                + shares.get(position).service()
                 + "; add it to pools or name another");
       }
-      services[place] = service;
-      sum += shares.get(place).weight() == null ? 0 : Math.max(0, shares.get(place).weight());
-      upTo[place] = sum;
+      targetIndices[position] = service;
+      totalWeight +=
+          shares.get(position).weight() == null ? 0 : Math.max(0, shares.get(position).weight());
+      cumulativeWeights[position] = totalWeight;
     }
-    final List<String> homes = action.homeRegions() == null ? List.of() : action.homeRegions();
+    final List<String> homeRegions =
+        action.homeRegions() == null ? List.of() : action.homeRegions();
     return new Route(
         index,
         name,
         RouteKind.of(rule.routeKind()),
-        (int) orElse(rule.priority(), 0),
-        (long) orElse(rule.targetLatencyMs(), 1000),
+        (int) positiveOrDefault(rule.priority(), 0),
+        (long) positiveOrDefault(rule.targetLatencyMs(), 1000),
         Math.max(1, action.timeoutMs().longValue()),
         action.maxAttempts().intValue(),
-        homes.toArray(new String[0]),
+        homeRegions.toArray(new String[0]),
         Boolean.TRUE.equals(rule.open()),
-        (long) (1000 * orElse(rule.cacheTtlS(), 0)),
+        (long) (1000 * positiveOrDefault(rule.cacheTtlS(), 0)),
         Affinity.of(name, RouteKind.of(rule.routeKind()), action.affinity()),
-        services,
-        upTo);
+        targetIndices,
+        cumulativeWeights);
   }
 
   /** Runs the program for a request; false where no route matches. */
-  public boolean interpret(final RouteBinding request) {
-    for (final Step step : PROGRAM) {
-      if (!step.run(this, request)) {
+  public boolean resolve(final RouteBinding binding) {
+    for (final Step step : STEPS) {
+      if (!step.run(this, binding)) {
         return false;
       }
     }
-    request.found(this);
+    binding.setResolved(this);
     return true;
   }
 
   /** Finds the route of a request whose service was chosen before; false where none matches. */
-  boolean findRoute(final RouteBinding request) {
-    return Step.FIND_HOST.run(this, request) && Step.FIND_LONGEST_PREFIX.run(this, request);
+  boolean findRoute(final RouteBinding binding) {
+    return Step.FIND_HOST.run(this, binding) && Step.FIND_LONGEST_PREFIX.run(this, binding);
   }
 
   /** The version of the configuration. */
@@ -320,8 +335,8 @@
   }
 
   /** The tenant that holds this key; null where nobody does. */
-  public Tenant holder(final String key) {
-    return keys.get(key);
+  public Tenant tenantForKey(final String key) {
+    return tenantsByKey.get(key);
   }
 
   /** The tenant of this name; null where there is none. */
@@ -340,19 +355,19 @@
   }
 
   /** The names of the services that are divided among their upstreams by key. */
-  public List<String> partitioned() {
+  public List<String> partitionedServices() {
     return services.stream().filter(Service::partitioned).map(Service::name).toList();
   }
 
   /** The index of a service, or -1. */
-  public int service(final String name) {
+  public int serviceIndex(final String name) {
     return serviceIndices.getOrDefault(name, -1);
   }
 
   /** The route of this name; null where there is none. */
   public Route route(final String name) {
-    for (final Map<String, Route> prefixes : hosts.values()) {
-      for (final Route route : prefixes.values()) {
+    for (final Map<String, Route> routesByPrefix : routesByHost.values()) {
+      for (final Route route : routesByPrefix.values()) {
         if (route.name.equals(name)) {
           return route;
         }
@@ -362,15 +377,15 @@
   }
 
   /** All routes. */
-  public List<Route> all() {
-    final List<Route> all = new ArrayList<>();
-    hosts.values().forEach(prefixes -> all.addAll(prefixes.values()));
-    return all;
+  public List<Route> allRoutes() {
+    final List<Route> routes = new ArrayList<>();
+    routesByHost.values().forEach(routesByPrefix -> routes.addAll(routesByPrefix.values()));
+    return routes;
   }
 
   /** How many routes there are. */
-  public int routes() {
-    return routes;
+  public int routeCount() {
+    return routeCount;
   }
 
   /** The most bytes that the head of a request may have. */
@@ -384,12 +399,12 @@
   }
 
   /** How long the head of a request may take. */
-  public long headerMillis() {
-    return headerMillis;
+  public long headerTimeoutMillis() {
+    return headerTimeoutMillis;
   }
 
   /** How long a connection may be idle. */
-  public long idleMillis() {
-    return idleMillis;
+  public long idleTimeoutMillis() {
+    return idleTimeoutMillis;
   }
 }
--- a/routing/src/test/java/weldpoint/routing/RoutingTableTest.java
+++ b/routing/src/test/java/weldpoint/routing/RoutingTableTest.java
@@ -15,7 +15,7 @@
 
 /** Compiling, checking and interpreting configurations. */
 public final class RoutingTableTest {
-  private static final String GOOD =
+  private static final String VALID =
       "{\"version\":\"0000000c\",\"limits\":{\"maxHeaderBytes\":16384,\"maxBodyBytes\":1000,\"headerTimeoutMs\":3000,\"idleTimeoutMs\":15000},\"listeners\":[{\"host\":\"a.example\",\"rules\":["
           + "{\"name\":\"r1\",\"routeKind\":\"idempotent\",\"targetLatencyMs\":300,\"priority\":2,\"match\":{\"pathPrefix\":\"/x/\"},\"action\":{\"service\":\"s\",\"timeoutMs\":2000.5,\"maxAttempts\":2,\"homeRegions\":[]},\"unknown\":{\"a\":[1]}},"
           + "{\"name\":\"r2\",\"routeKind\":\"mutating\",\"targetLatencyMs\":400,\"priority\":1,\"match\":{\"pathPrefix\":\"/x/y/\"},\"action\":{\"split\":[{\"service\":\"s\",\"weight\":90},{\"service\":\"t\",\"weight\":10}],\"timeoutMs\":2500,\"maxAttempts\":1,\"homeRegions\":[\"north\"]}}]}],"
@@ -26,102 +26,109 @@
   }
 
   @Test
-  public void theLongestPrefixOfTheHostWins() {
-    final RoutingTable routingTable = compile(GOOD);
+  public void longestPrefixOfTheHostMatches() {
+    final RoutingTable routingTable = compile(VALID);
     assertEquals(routingTable.version(), 12);
     final RouteBinding deep = new RouteBinding("A.example:80", "/x/y/z?q=/1/", 0.95);
-    assertTrue(routingTable.interpret(deep));
+    assertTrue(routingTable.resolve(deep));
     assertEquals(deep.route().name, "r2");
     assertFalse(deep.route().kind.repeatable());
     assertEquals(deep.service().name(), "t");
-    assertTrue(deep.home("north"));
-    assertFalse(deep.home("south"));
+    assertTrue(deep.allowsRegion("north"));
+    assertFalse(deep.allowsRegion("south"));
     final RouteBinding shallow = new RouteBinding("a.example", "/x/z", 0.5);
-    assertTrue(routingTable.interpret(shallow));
+    assertTrue(routingTable.resolve(shallow));
     assertEquals(shallow.route().name, "r1");
-    assertFalse(routingTable.interpret(new RouteBinding("a.example", "/y/z", 0.5)));
-    assertFalse(routingTable.interpret(new RouteBinding("b.example", "/x/z", 0.5)));
+    assertFalse(routingTable.resolve(new RouteBinding("a.example", "/y/z", 0.5)));
+    assertFalse(routingTable.resolve(new RouteBinding("b.example", "/x/z", 0.5)));
   }
 
   @Test
-  public void aServiceMayBeDividedByKey() {
-    assertEquals(compile(GOOD).partitioned(), java.util.List.of());
+  public void servicesMayBePartitionedByKey() {
+    assertEquals(compile(VALID).partitionedServices(), java.util.List.of());
     final String divided =
-        GOOD.replace("{\"name\":\"t\",", "{\"name\":\"t\",\"partitioned\":true,");
-    assertEquals(compile(divided).partitioned(), java.util.List.of("t"));
+        VALID.replace("{\"name\":\"t\",", "{\"name\":\"t\",\"partitioned\":true,");
+    assertEquals(compile(divided).partitionedServices(), java.util.List.of("t"));
   }
 
   @DataProvider
   public Object[][] invalid() {
     return new Object[][] {
-      {GOOD.substring(0, GOOD.length() - 40), WeldpointException.Kind.UNREADABLE},
+      {VALID.substring(0, VALID.length() - 40), WeldpointException.Kind.UNREADABLE},
       {"", WeldpointException.Kind.UNREADABLE},
-      {GOOD.replace("\"a.example\"", "\"\""), WeldpointException.Kind.INVALID},
-      {GOOD.replace("2000.5", "0"), WeldpointException.Kind.INVALID},
+      {VALID.replace("\"a.example\"", "\"\""), WeldpointException.Kind.INVALID},
+      {VALID.replace("2000.5", "0"), WeldpointException.Kind.INVALID},
       {
-        GOOD.replace("\"service\":\"s\",\"timeoutMs\"", "\"service\":\"u\",\"timeoutMs\""),
+        VALID.replace("\"service\":\"s\",\"timeoutMs\"", "\"service\":\"u\",\"timeoutMs\""),
         WeldpointException.Kind.INVALID
       },
-      {GOOD.replace("{\"service\":\"t\"", "{\"service\":\"u\""), WeldpointException.Kind.INVALID},
-      {GOOD.replace("\"maxAttempts\":1", "\"maxAttempts\":0"), WeldpointException.Kind.INVALID},
-      {GOOD.replace("0000000c", "zz"), WeldpointException.Kind.UNREADABLE},
+      {VALID.replace("{\"service\":\"t\"", "{\"service\":\"u\""), WeldpointException.Kind.INVALID},
+      {VALID.replace("\"maxAttempts\":1", "\"maxAttempts\":0"), WeldpointException.Kind.INVALID},
+      {VALID.replace("0000000c", "zz"), WeldpointException.Kind.UNREADABLE},
     };
   }
 
-  private static String tied(final String affinity) {
-    return GOOD.replace("\"maxAttempts\":1,", "\"maxAttempts\":1,\"affinity\":" + affinity + ",");
+  private static String withAffinity(final String affinity) {
+    return VALID.replace("\"maxAttempts\":1,", "\"maxAttempts\":1,\"affinity\":" + affinity + ",");
   }
 
   @Test
-  public void aRuleTiesTheCallersOfAWriteRoute() {
+  public void affinityAppliesToWriteRoutes() {
     final Route route =
-        compile(tied("{\"by\":\"header\",\"header\":\"X-Firm\",\"pauseMs\":5000}")).route("r2");
-    assertEquals(route.affinity, new Affinity(Affinity.By.HEADER, "X-Firm", 5000));
+        compile(withAffinity("{\"by\":\"header\",\"header\":\"X-Firm\",\"pauseMs\":5000}"))
+            .route("r2");
+    assertEquals(route.affinity, new Affinity(Affinity.CallerIdentity.HEADER, "X-Firm", 5000));
     assertEquals(
-        compile(tied("{\"by\":\"address\"}")).route("r2").affinity.by(), Affinity.By.ADDRESS);
-    assertEquals(compile(GOOD).route("r2").affinity, null);
+        compile(withAffinity("{\"by\":\"address\"}")).route("r2").affinity.by(),
+        Affinity.CallerIdentity.ADDRESS);
+    assertEquals(compile(VALID).route("r2").affinity, null);
     assertEquals(
-        Affinity.inForce(
-                compile(GOOD).route("r2"), Affinity.setting("affinity.default", "header:X-Firm"))
+        Affinity.effective(
+                compile(VALID).route("r2"),
+                Affinity.parseSetting("affinity.default", "header:X-Firm"))
             .header(),
         "X-Firm");
     assertEquals(
-        Affinity.inForce(
-            compile(GOOD).route("r1"), Affinity.setting("affinity.default", "address")),
+        Affinity.effective(
+            compile(VALID).route("r1"), Affinity.parseSetting("affinity.default", "address")),
         null);
   }
 
   @Test
-  public void aSplitKeepsEachCallerOnOneServiceInTheWeightsParts() {
-    final RoutingTable routingTable = compile(tied("{\"by\":\"address\"}"));
+  public void splitKeepsEachCallerOnOneServiceInProportionToWeights() {
+    final RoutingTable routingTable = compile(withAffinity("{\"by\":\"address\"}"));
     final Route route = routingTable.route("r2");
     int second = 0;
     for (int caller = 0; caller < 20_000; caller++) {
       final long hash = caller * 0x9e3779b97f4a7c15L;
-      assertEquals(route.serviceFor(hash), route.serviceFor(hash));
-      second += routingTable.services().get(route.serviceFor(hash)).name().equals("t") ? 1 : 0;
+      assertEquals(route.serviceForCaller(hash), route.serviceForCaller(hash));
+      second +=
+          routingTable.services().get(route.serviceForCaller(hash)).name().equals("t") ? 1 : 0;
     }
     assertTrue(
         second > 1600 && second < 2400, "t has " + second + " of 20000 at a weight of 10 in 100");
   }
 
   @DataProvider
-  public Object[][] badAffinity() {
+  public Object[][] invalidAffinity() {
     return new Object[][] {
-      {tied("{\"by\":\"moon\"}"), "give header, tenant or address"},
-      {tied("{}"), "give header, tenant or address"},
-      {tied("{\"by\":\"header\"}"), "name the header"},
-      {tied("{\"by\":\"header\",\"header\":\"\"}"), "no name of one"},
-      {tied("{\"by\":\"header\",\"header\":\"X Firm\"}"), "no name of one"},
-      {tied("{\"by\":\"address\",\"header\":\"X-Firm\"}"), "leave the header out"},
-      {tied("{\"by\":\"address\",\"pauseMs\":0}"), "above 0"},
-      {tied("{\"by\":\"address\",\"pauseMs\":-5}"), "above 0"},
-      {tied("{\"by\":\"address\"}").replace("\"mutating\"", "\"egress\""), "carries no writes"},
+      {withAffinity("{\"by\":\"moon\"}"), "give header, tenant or address"},
+      {withAffinity("{}"), "give header, tenant or address"},
+      {withAffinity("{\"by\":\"header\"}"), "name the header"},
+      {withAffinity("{\"by\":\"header\",\"header\":\"\"}"), "no name of one"},
+      {withAffinity("{\"by\":\"header\",\"header\":\"X Firm\"}"), "no name of one"},
+      {withAffinity("{\"by\":\"address\",\"header\":\"X-Firm\"}"), "leave the header out"},
+      {withAffinity("{\"by\":\"address\",\"pauseMs\":0}"), "above 0"},
+      {withAffinity("{\"by\":\"address\",\"pauseMs\":-5}"), "above 0"},
+      {
+        withAffinity("{\"by\":\"address\"}").replace("\"mutating\"", "\"egress\""),
+        "carries no writes"
+      },
     };
   }
 
   @Test(dataProvider = "badAffinity")
-  public void aRuleThatCannotHoldIsRefusedWithTheRemedy(final String text, final String remedy) {
+  public void invalidAffinityIsRejectedWithRemedy(final String text, final String remedy) {
     final WeldpointException exception =
         expectThrows(WeldpointException.class, () -> compile(text));
     assertEquals(exception.kind(), WeldpointException.Kind.INVALID);
@@ -129,12 +136,12 @@
   }
 
   @Test(dataProvider = "invalid")
-  public void whatIsInvalidIsRefusedWithItsKind(
+  public void invalidConfigurationIsRejectedWithItsKind(
       final String text, final WeldpointException.Kind kind) {
     assertEquals(expectThrows(WeldpointException.class, () -> compile(text)).kind(), kind);
   }
 
-  private static RoutingTable followed(
+  private static RoutingTable tableWith(
       final String prefix, final String rule, final String action, final String tenant) {
     return RoutingTable.compile(
         ("{\"version\":\"1\",\"tenants\":["
@@ -155,13 +162,13 @@
     final String toS = "\"service\":\"s\",";
     final String tenant = "{\"name\":\"t\",\"apiKeys\":[\"k\"]}";
     return new Object[][] {
-      {"/x/", rule, toS, tenant, RouteBinding.Standing.BOUND, Set.of("north", "south")},
+      {"/x/", rule, toS, tenant, RouteBinding.Status.BOUND, Set.of("north", "south")},
       {
         "/x/",
         rule,
         toS + "\"homeRegions\":[\"north\"],",
         tenant,
-        RouteBinding.Standing.BOUND,
+        RouteBinding.Status.BOUND,
         Set.of("north")
       },
       {
@@ -169,7 +176,7 @@
         rule,
         toS,
         tenant.replace("}", ",\"homeRegions\":[\"south\"]}"),
-        RouteBinding.Standing.BOUND,
+        RouteBinding.Status.BOUND,
         Set.of("south")
       },
       {
@@ -177,20 +184,18 @@
         rule,
         toS + "\"homeRegions\":[\"north\"],",
         tenant.replace("}", ",\"homeRegions\":[\"south\"]}"),
-        RouteBinding.Standing.BOUND,
+        RouteBinding.Status.BOUND,
         Set.of()
       },
-      {"/", rule, toS, tenant, RouteBinding.Standing.BOUND, Set.of("north", "south")},
-      {"/y/", rule, toS, tenant, RouteBinding.Standing.ROUTE_GONE, Set.of()},
-      {
-        "/x/", rule, "\"service\":\"other\",", tenant, RouteBinding.Standing.ROUTE_CHANGED, Set.of()
-      },
+      {"/", rule, toS, tenant, RouteBinding.Status.BOUND, Set.of("north", "south")},
+      {"/y/", rule, toS, tenant, RouteBinding.Status.ROUTE_REMOVED, Set.of()},
+      {"/x/", rule, "\"service\":\"other\",", tenant, RouteBinding.Status.ROUTE_CHANGED, Set.of()},
       {
         "/x/",
         rule,
         "\"split\":[{\"service\":\"other\",\"weight\":1},{\"service\":\"s\",\"weight\":1}],",
         tenant,
-        RouteBinding.Standing.BOUND,
+        RouteBinding.Status.BOUND,
         Set.of("north", "south")
       },
       {
@@ -198,7 +203,7 @@
         "\"routeKind\":\"mutating\",",
         toS,
         tenant,
-        RouteBinding.Standing.ROUTE_CHANGED,
+        RouteBinding.Status.ROUTE_CHANGED,
         Set.of()
       },
       {
@@ -206,7 +211,7 @@
         rule,
         toS,
         tenant.replace("\"k\"", "\"l\""),
-        RouteBinding.Standing.KEY_UNKNOWN,
+        RouteBinding.Status.KEY_UNKNOWN,
         Set.of()
       },
       {
@@ -214,7 +219,7 @@
         rule,
         toS,
         tenant.replace("\"t\"", "\"u\""),
-        RouteBinding.Standing.TENANT_CHANGED,
+        RouteBinding.Status.TENANT_CHANGED,
         Set.of()
       },
       {
@@ -222,46 +227,46 @@
         rule,
         toS,
         tenant.replace("}", ",\"ratePerS\":5}"),
-        RouteBinding.Standing.TENANT_CHANGED,
+        RouteBinding.Status.TENANT_CHANGED,
         Set.of()
       },
     };
   }
 
   @Test(dataProvider = "changes")
-  public void aBindingFollowsTheConfigurationInForce(
+  public void bindingIsRevalidatedAgainstCurrentConfiguration(
       final String prefix,
       final String rule,
       final String action,
       final String tenant,
-      final RouteBinding.Standing standing,
+      final RouteBinding.Status status,
       final Set<String> regions) {
     final RoutingTable first =
-        followed(
+        tableWith(
             "/x/",
             "\"routeKind\":\"idempotent\",",
             "\"service\":\"s\",",
             "{\"name\":\"t\",\"apiKeys\":[\"k\"]}");
     final RouteBinding binding = new RouteBinding("h", "/x/1", 0);
-    assertTrue(first.interpret(binding));
-    binding.identify("k");
-    assertTrue(binding.follow(first));
+    assertTrue(first.resolve(binding));
+    binding.identifyTenant("k");
+    assertTrue(binding.revalidate(first));
     assertEquals(
-        binding.follow(followed(prefix, rule, action, tenant)),
-        standing == RouteBinding.Standing.BOUND);
-    assertEquals(binding.standing(), standing);
-    if (standing == RouteBinding.Standing.BOUND) {
+        binding.revalidate(tableWith(prefix, rule, action, tenant)),
+        status == RouteBinding.Status.BOUND);
+    assertEquals(binding.status(), status);
+    if (status == RouteBinding.Status.BOUND) {
       final Set<String> allowed = new HashSet<>(List.of("north", "south"));
-      allowed.removeIf(region -> !binding.home(region));
+      allowed.removeIf(region -> !binding.allowsRegion(region));
       assertEquals(allowed, regions);
       assertEquals(binding.service().name(), "s");
     }
   }
 
   @Test
-  public void homesThatLetRequestsBeRefusedAreWarnedOf() {
+  public void homeRegionsThatRejectRequestsCauseWarnings() {
     final RoutingTable routingTable =
-        followed(
+        tableWith(
             "/x/",
             "\"routeKind\":\"idempotent\",",
             "\"service\":\"s\",\"homeRegions\":[\"north\"],",
@@ -276,7 +281,7 @@
     assertEquals(known.size(), 2, known.toString());
     assertTrue(known.get(0).startsWith("route r may be served in [north] only"), known.toString());
     assertEquals(
-        HomeRegionWarnings.of(followed("/x/", "", "\"service\":\"s\",", ""), List.of("south")),
+        HomeRegionWarnings.of(tableWith("/x/", "", "\"service\":\"s\",", ""), List.of("south")),
         List.of());
   }
 }
--- a/scale/src/main/java/weldpoint/scale/HistoryMeasurement.java
+++ b/scale/src/main/java/weldpoint/scale/HistoryMeasurement.java
@@ -35,7 +35,7 @@
   }
 
   private static void lasting(final AuditLog log, final long entries) throws InterruptedException {
-    while (log.durable() < entries) {
+    while (log.lastDurable() < entries) {
       Thread.sleep(5);
     }
   }
@@ -49,13 +49,13 @@
     for (int sequence = 1; sequence <= entries; sequence++) {
       final byte[] entry =
           new AuditEntry.Draft(ChangeKind.CONFIGURATION, "")
-              .number(sequence, 0)
+              .version(sequence, 0)
               .origin("dispatch lead", "10.0.0.9", "10.0.0.4", 1_800_000_000_000L + sequence)
               .digests(digest, digest)
-              .line(
+              .summary(
                   "~ write route booking.example/book/ (r-book): service booking-desk -> booking-desk-"
                       + sequence % 7)
-              .bytes(sequence, digest);
+              .encode(sequence, digest);
       digest = AuditEntry.digest(entry);
       bytes += entry.length;
       full.offer(entry);
--- a/simulation/src/test/java/weldpoint/simulation/CatchUpMeasureTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/CatchUpMeasureTest.java
@@ -93,7 +93,7 @@
               "10.9.9.9",
               "10.0.1.1",
               Compression.deflate(
-                  Serializer.serialize(ConfigurationSummary.of(RoutingTable.read(body), body))));
+                  Serializer.serialize(ConfigurationSummary.of(RoutingTable.parse(body), body))));
       final byte[] packed = Compression.deflate(body);
       final boolean[] taken = new boolean[1];
       for (int attempt = 0; attempt < 100 && !taken[0]; attempt++) {
@@ -122,8 +122,8 @@
 
   private static boolean caughtUp(final StateStoreSimulation simulation) {
     return !simulation.machines().get(MEMBER).replica().blank()
-        && simulation.machines().get(MEMBER).replica().history().durable()
-            == simulation.machines().get(SEEDS.get(0)).replica().history().durable();
+        && simulation.machines().get(MEMBER).replica().history().lastDurable()
+            == simulation.machines().get(SEEDS.get(0)).replica().history().lastDurable();
   }
 
   private static long[] catchUp(final StateStoreSimulation simulation) {
--- a/simulation/src/test/java/weldpoint/simulation/HistoryChecker.java
+++ b/simulation/src/test/java/weldpoint/simulation/HistoryChecker.java
@@ -52,7 +52,7 @@
         breaches.add("entry " + sequence + " at " + address + " differs from what was seen before");
       }
       final AuditEntry entry = AuditEntry.read(bytes);
-      if (entry.sequence != sequence || !entry.previous.equals(before)) {
+      if (entry.sequence != sequence || !entry.previousDigest.equals(before)) {
         breaches.add("entry " + sequence + " at " + address + " is not chained");
       }
       before = AuditEntry.digest(bytes);
--- a/simulation/src/test/java/weldpoint/simulation/HistoryTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/HistoryTest.java
@@ -82,7 +82,7 @@
         body == null
             ? null
             : Compression.deflate(
-                Serializer.serialize(ConfigurationSummary.of(RoutingTable.read(body), body))));
+                Serializer.serialize(ConfigurationSummary.of(RoutingTable.parse(body), body))));
   }
 
   private static final class Operators {
@@ -371,7 +371,7 @@
     assertEquals(begun.added, 5);
     final AuditEntry changed = AuditEntry.read(log.read(3));
     assertEquals(changed.author, "dispatch lead");
-    assertEquals(changed.writes, 1);
+    assertEquals(changed.changedWriteRoutes, 1);
     assertEquals(changed.changed, 1);
     assertTrue(
         changed
--- a/simulation/src/test/java/weldpoint/simulation/VersionsTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/VersionsTest.java
@@ -91,7 +91,7 @@
             "10.9.9.9",
             "10.0.1.1",
             Compression.deflate(
-                Serializer.serialize(ConfigurationSummary.of(RoutingTable.read(body), body))));
+                Serializer.serialize(ConfigurationSummary.of(RoutingTable.parse(body), body))));
     return new StoreMessages.StoreRequest(
         0,
         StoreOperation.SPEC_REPLACE.ordinal(),
@@ -142,7 +142,7 @@
           (version, contents) -> {
             final AuditEntry entry = taken.get(version);
             final String stands =
-                entry == null ? null : java.util.HexFormat.of().formatHex(entry.content);
+                entry == null ? null : java.util.HexFormat.of().formatHex(entry.contentDigest);
             contents.forEach(
                 (content, list) -> {
                   for (final StoreMessages.StoreResponse answer : list) {
@@ -184,7 +184,7 @@
           });
       if (taken.get(inForce) == null
           || !java.util.HexFormat.of()
-              .formatHex(taken.get(inForce).content)
+              .formatHex(taken.get(inForce).contentDigest)
               .equals(contentInForce)) {
         breaches.add(
             "in force is version " + inForce + " with a content that it does not stand for");
--- a/statestore/src/main/java/weldpoint/statestore/AuditSequencer.java
+++ b/statestore/src/main/java/weldpoint/statestore/AuditSequencer.java
@@ -93,7 +93,7 @@
 
   /** Adds an entry to the change that is being put together. */
   void add(final AuditEntry.Draft draft) {
-    final byte[] bytes = draft.bytes(last + 1, digest);
+    final byte[] bytes = draft.encode(last + 1, digest);
     tail.addLast(bytes);
     last++;
     digest = AuditEntry.digest(bytes);
@@ -173,7 +173,7 @@
   AuditEntry taking(final long version) {
     for (final byte[] bytes : tail) {
       final AuditEntry entry = AuditEntry.read(bytes);
-      if (entry.takesVersion() && entry.version == version) {
+      if (entry.definesVersion() && entry.version == version) {
         return entry;
       }
     }
@@ -218,9 +218,9 @@
                           ? ChangeKind.EVACUATION_BEGUN
                           : ChangeKind.EVACUATION_FINISHED,
                       call.name)
-                  .number(0, mark);
+                  .version(0, mark);
           case TRIAL_WRITE ->
-              trial((TrialMessages.Trial) before, (TrialMessages.Trial) after).number(0, mark);
+              trial((TrialMessages.Trial) before, (TrialMessages.Trial) after).version(0, mark);
           default -> null;
         };
     if (draft == null) {
@@ -237,16 +237,16 @@
     final ConfigurationSummary old = summary(before);
     final ConfigurationSummary fresh = summary(after);
     return new AuditEntry.Draft(ChangeKind.CONFIGURATION, "")
-        .number(after.version, 0)
+        .version(after.version, 0)
         .digests(old.digest, fresh.digest)
-        .content(after.content)
+        .contentDigest(after.content)
         .difference(new ConfigurationDifference(old, fresh), Math.max(0, entryBytes - FIXED_BYTES));
   }
 
   private AuditEntry.Draft trial(
       final TrialMessages.Trial before, final TrialMessages.Trial after) {
     return new AuditEntry.Draft(ChangeKind.TRIAL, after.route)
-        .line(
+        .summary(
             "trial "
                 + after.number
                 + " of "
@@ -269,7 +269,7 @@
 
   private static ConfigurationSummary summary(final StoredValues.StoredConfiguration spec) {
     return spec == null || spec.summary == null
-        ? ConfigurationSummary.none()
+        ? ConfigurationSummary.empty()
         : Serializer.deserialize(Compression.inflate(spec.summary), ConfigurationSummary.class);
   }
 
@@ -277,11 +277,11 @@
   AuditEntry.Draft upgrade(
       final StoredValues.StoredConfiguration spec, final String taker, final long time) {
     return new AuditEntry.Draft(ChangeKind.UPGRADE, "")
-        .number(spec == null ? 0 : spec.version, 0)
+        .version(spec == null ? 0 : spec.version, 0)
         .origin(weldpoint.audit.Authors.SYSTEM, "", taker, time)
-        .line("the store is older than its history; what was changed before is not in it")
+        .summary("the store is older than its history; what was changed before is not in it")
         .digests("", spec == null ? "" : AuditEntry.digest(Compression.inflate(spec.body)))
-        .content(spec == null ? null : TakenVersions.content(spec));
+        .contentDigest(spec == null ? null : TakenVersions.content(spec));
   }
 
   /** The entry under which all replicas forget the oldest ones. */
@@ -289,7 +289,7 @@
       final long through, final String throughDigest, final String taker, final long time) {
     return new AuditEntry.Draft(ChangeKind.RETENTION, "")
         .origin(weldpoint.audit.Authors.SYSTEM, "", taker, time)
-        .trims(through, throughDigest)
-        .line("entries up to " + through + " are forgotten");
+        .trimThrough(through, throughDigest)
+        .summary("entries up to " + through + " are forgotten");
   }
 }
--- a/statestore/src/main/java/weldpoint/statestore/Recovery.java
+++ b/statestore/src/main/java/weldpoint/statestore/Recovery.java
@@ -647,7 +647,7 @@
     if (replica.blank
         && registersKept
         && !wholeAsked
-        && replica.audit.log().durable() >= wantedAudit) {
+        && replica.audit.log().lastDurable() >= wantedAudit) {
       wholeAsked = true;
       replica.persist(
           replica.selfRecord(),
@@ -689,7 +689,7 @@
 
   private void askHistory(final long now) {
     wantedAskedAt = now;
-    replica.audit.ask(wantedFrom);
+    replica.audit.requestMissing(wantedFrom);
   }
 
   /** What came in parts, as counters. */
--- a/statestore/src/main/java/weldpoint/statestore/StateStoreReplica.java
+++ b/statestore/src/main/java/weldpoint/statestore/StateStoreReplica.java
@@ -708,7 +708,11 @@
     }
     reply.accept(
         new StateStoreMessages.HeartbeatAck(
-            standing, ballotsStanding, incarnation, knownIncarnations(), audit.log().durable()));
+            standing,
+            ballotsStanding,
+            incarnation,
+            knownIncarnations(),
+            audit.log().lastDurable()));
   }
 
   private void onRefused(
@@ -1135,7 +1139,7 @@
         "frame %s serves partition %s under ballot %s, roster %s, registers %s",
         self, partition.number, partition.ballot, roster.number, partition.held.size());
     if (partition.number == 0) {
-      audit.decided(auditSequencer.serve(), others());
+      audit.replicate(auditSequencer.serve(), others());
       final RegisterState held = partition.held.get("roster");
       if (held != null && ((Roster) held.committed).number > roster.number) {
         announce((Roster) held.committed, now);
@@ -1569,7 +1573,7 @@
       }
       wakeControl(partition, now);
       if (held.kind.audited()) {
-        audit.decided(auditSequencer.commit(held), others());
+        audit.replicate(auditSequencer.commit(held), others());
         for (final RegisterState other : new ArrayList<>(partition.held.values())) {
           if (other != held && other.kind.audited() && !other.waiting.isEmpty()) {
             drain(partition, other, now);
--- a/statestore/src/main/java/weldpoint/statestore/TakenVersions.java
+++ b/statestore/src/main/java/weldpoint/statestore/TakenVersions.java
@@ -38,10 +38,10 @@
     if (entry == null) {
       return complete() ? again() : Decision.confirm(504, 0);
     }
-    if (entry.content == null) {
+    if (entry.contentDigest == null) {
       return again();
     }
-    return Arrays.equals(entry.content, content(call)) ? again() : taken(call.first, entry);
+    return Arrays.equals(entry.contentDigest, content(call)) ? again() : taken(call.first, entry);
   }
 
   private static Decision again() {
@@ -62,7 +62,7 @@
 
   private AuditEntry entry(final long version) {
     final AuditEntry young = auditSequencer.taking(version);
-    return young == null ? log.taking(version) : young;
+    return young == null ? log.entryForVersion(version) : young;
   }
 
   /** Whether every entry that is kept is here: in the log, or in the tail after it. */
--- a/trial/src/main/java/weldpoint/trial/TrialCoordinator.java
+++ b/trial/src/main/java/weldpoint/trial/TrialCoordinator.java
@@ -132,7 +132,7 @@
     }
     boolean old = false;
     boolean fresh = false;
-    for (final int service : found.services()) {
+    for (final int service : found.serviceIndices()) {
       old |= routingTable.services().get(service).name().equals(oldService);
       fresh |= routingTable.services().get(service).name().equals(newService);
     }
--- a/upstream/src/main/java/weldpoint/upstream/RetryPolicy.java
+++ b/upstream/src/main/java/weldpoint/upstream/RetryPolicy.java
@@ -37,7 +37,7 @@
 
   /** After how long. */
   public static long hedgeMillis(final Route route) {
-    return (long) (HEDGE * route.targetMillis);
+    return (long) (HEDGE * route.targetLatencyMillis);
   }
 
   /**
--- a/upstream/src/main/java/weldpoint/upstream/UpstreamPool.java
+++ b/upstream/src/main/java/weldpoint/upstream/UpstreamPool.java
@@ -281,7 +281,7 @@
   /** Chooses an upstream for a request, not among those tried before. */
   public Choice choose(final RouteBinding binding, final List<Upstream> tried, final long now) {
     chosen = null;
-    if (!binding.follow(inForce)) {
+    if (!binding.revalidate(inForce)) {
       return Choice.NONE;
     }
     final RoutingTable.Service service = binding.service();
@@ -398,17 +398,17 @@
   /** Whether this very upstream may run a request, and if not, whether only homes forbid it. */
   private Choice allowed(final Upstream upstream, final RouteBinding binding) {
     if (upstream == null
-        || !binding.follow(inForce)
+        || !binding.revalidate(inForce)
         || !upstream.service.equals(binding.service().name())
         || !available(upstream)) {
       return Choice.NONE;
     }
-    return binding.home(upstream.region) ? Choice.CHOSEN : Choice.OUTSIDE_HOMES;
+    return binding.allowsRegion(upstream.region) ? Choice.CHOSEN : Choice.OUTSIDE_HOMES;
   }
 
   /** Whether an upstream may run a request at all, however full it is. */
   private boolean mayRun(final Upstream upstream, final RouteBinding binding) {
-    return available(upstream) && binding.home(upstream.region);
+    return available(upstream) && binding.allowsRegion(upstream.region);
   }
 
   private boolean available(final Upstream upstream) {
@@ -422,7 +422,7 @@
       if (!available(upstream)) {
         continue;
       }
-      if (binding.home(upstream.region)) {
+      if (binding.allowsRegion(upstream.region)) {
         return Choice.NONE;
       }
       outside = true;
--- a/upstream/src/test/java/weldpoint/upstream/SlowStartLimiterTest.java
+++ b/upstream/src/test/java/weldpoint/upstream/SlowStartLimiterTest.java
@@ -90,7 +90,7 @@
   private void choose(
       final UpstreamPool upstreamPool, final List<List<Long>> sent, final long now) {
     final RouteBinding binding = new RouteBinding("h", "/x", 0);
-    routingTable.interpret(binding);
+    routingTable.resolve(binding);
     if (upstreamPool.choose(binding, List.of(), now) == UpstreamPool.Choice.CHOSEN) {
       sent.get(Integer.parseInt(upstreamPool.chosen().id().substring(2))).add(now);
     }
--- a/upstream/src/test/java/weldpoint/upstream/UpstreamPoolTest.java
+++ b/upstream/src/test/java/weldpoint/upstream/UpstreamPoolTest.java
@@ -80,8 +80,8 @@
 
   private static RouteBinding request(final RoutingTable routingTable, final String path) {
     final RouteBinding binding = new RouteBinding("h", path, 0);
-    routingTable.interpret(binding);
-    binding.identify("k");
+    routingTable.resolve(binding);
+    binding.identifyTenant("k");
     return binding;
   }
 
