--- a/audit/src/main/java/weldpoint/audit/AuditEntry.java
+++ b/audit/src/main/java/weldpoint/audit/AuditEntry.java
@@ -8,12 +8,13 @@
 import weldpoint.transport.Serializer;
 
 /**
- * One decided change of routing. Its bytes are made once, by the daemon that proposed it, and never
- * again: the digest of an entry is the SHA-256 of those bytes, and each entry carries the digest of
- * the one before it.
+ * One decided change of the routing, as an entry of the audit log. The daemon that proposes the
+ * change serializes the entry once; the digest of the entry is the SHA-256 of those bytes, and each
+ * entry contains the digest of the one before it. Entries are therefore stored and sent as bytes
+ * and never serialized again. Fields are serialized by position: their order must not change.
  */
 public final class AuditEntry {
-  /** The digest that the very first entry names as the one before it. */
+  /** The previous digest of the first entry of a log. */
   public static final String NO_DIGEST = "";
 
   public final long sequence;
@@ -66,30 +67,30 @@
   }
 
   /**
-   * Whether a configuration took this entry's version with it, and what the version stands for is
-   * therefore known.
+   * Whether the entry introduced its version of the configuration, so that the contents of that
+   * version are known from it.
    */
   public boolean definesVersion() {
     return kind == ChangeKind.CONFIGURATION.ordinal()
         || kind == ChangeKind.UPGRADE.ordinal() && version > 0;
   }
 
-  /** Reads an entry from its bytes. */
+  /** Deserializes an entry. */
   public static AuditEntry read(final byte[] bytes) {
     return Serializer.deserialize(bytes, AuditEntry.class);
   }
 
-  /** The digest of bytes, as hexadecimal digits. */
+  /** The SHA-256 of the bytes in hexadecimal. */
   public static String digest(final byte[] bytes) {
     try {
       return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(bytes));
     } catch (final NoSuchAlgorithmException impossible) {
       throw new IllegalStateException(
-          "this Java has no SHA-256; run it on a complete one", impossible);
+          "this Java runtime has no SHA-256; use a complete JDK or JRE", impossible);
     }
   }
 
-  /** An entry before it has its place in the order. */
+  /** Builder of an entry, before its sequence number and its previous digest are known. */
   public static final class Draft {
     private final ChangeKind kind;
     private final String subject;
@@ -110,15 +111,19 @@
     private long trimmedThrough;
     private String trimmedDigest = "";
 
-    /** A change of this kind, to this zone or route; empty where it concerns all. */
+    /**
+     * Starts an entry.
+     *
+     * @param subject the zone or route that changed; empty or null if the change concerns all
+     */
     public Draft(final ChangeKind kind, final String subject) {
       this.kind = kind;
       this.subject = subject == null ? "" : subject;
     }
 
     /**
-     * Under which number it is in force: a configuration's version, otherwise the mark of what it
-     * changed.
+     * Sets the numbers that identify the changed state: the version of a configuration, or for
+     * other changes the mark of the changed register, which increases with each change of it.
      */
     public Draft version(final long givenVersion, final long givenMark) {
       version = givenVersion;
@@ -126,7 +131,14 @@
       return this;
     }
 
-    /** Who wanted it, from which address, which daemon took it, and when it was proposed. */
+    /**
+     * Sets the origin of the change.
+     *
+     * @param givenAuthor who requested it; null or empty if unnamed
+     * @param givenCaller the address of the client
+     * @param givenAcceptedBy the daemon that accepted the call
+     * @param givenTime when it was proposed
+     */
     public Draft origin(
         final String givenAuthor,
         final String givenCaller,
@@ -139,22 +151,20 @@
       return this;
     }
 
-    /** What it was before and after, by digests. */
+    /** Sets the digests of the state before and after the change. */
     public Draft digests(final String givenBefore, final String givenAfter) {
       before = givenBefore;
       after = givenAfter;
       return this;
     }
 
-    /**
-     * What the configuration says, by the digest of its canonical form; null for any other change.
-     */
-    public Draft contentDigest(final byte[] givenContent) {
-      contentDigest = givenContent;
+    /** Sets the digest of the canonical form of a configuration; null for any other change. */
+    public Draft contentDigest(final byte[] givenDigest) {
+      contentDigest = givenDigest;
       return this;
     }
 
-    /** What it changed. */
+    /** Sets the difference of two configurations, with lines of at most so many bytes. */
     public Draft difference(final ConfigurationDifference difference, final int maxBytes) {
       added = difference.added();
       removed = difference.removed();
@@ -164,26 +174,26 @@
       return this;
     }
 
-    /** Says what it was, in one line. */
+    /** Describes the change in one line. */
     public Draft summary(final String text) {
       changes = List.of(text);
       return this;
     }
 
-    /** Up to where entries are forgotten, and the digest of the last of them. */
+    /** Sets the last entry that this entry causes to be trimmed, and the digest of that entry. */
     public Draft trimThrough(final long through, final String digest) {
       trimmedThrough = through;
       trimmedDigest = digest;
       return this;
     }
 
-    /** The bytes of the entry at its place. */
+    /** Serializes the entry with its sequence number and the digest of the entry before it. */
     public byte[] encode(final long sequence, final String previousDigest) {
       return Serializer.serialize(new AuditEntry(this, sequence, previousDigest));
     }
   }
 
-  /** How many bytes a text takes. */
+  /** The size of a serialized text in bytes: its UTF-8 form and two bytes of overhead. */
   static int encodedSize(final String text) {
     return text.getBytes(StandardCharsets.UTF_8).length + 2;
   }
--- a/audit/src/main/java/weldpoint/audit/AuditLog.java
+++ b/audit/src/main/java/weldpoint/audit/AuditLog.java
@@ -2,21 +2,28 @@
 
 import com.google.common.flogger.FluentLogger;
 
-/** One replica's decided entries: dense, chained, and never changed. */
+/**
+ * The audit log of one replica: decided entries with consecutive sequence numbers, each chained to
+ * the one before it by its digest. Entries are appended and trimmed at the start, never changed.
+ * Not thread-safe; owned by one replica of the state store.
+ */
 public final class AuditLog {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
-  /** What came of offering an entry. */
+  /** The result of offering an entry. */
   public enum Outcome {
-    /** It is the next one and was taken. */
+    /** The entry is the next one and was appended. */
     APPENDED,
-    /** It is here already. */
+    /** The log already contains the entry, or has trimmed it. */
     KNOWN,
-    /** Entries before it are missing here. */
+    /** Entries before it are missing in the log. */
     GAP,
-    /** Another entry stands here at its place, or it does not follow the one before it. */
+    /**
+     * The log contains a different entry with the same sequence number, or the entry is not chained
+     * to the last entry of the log.
+     */
     CONFLICT,
-    /** The disk has no room for it. */
+    /** The store has no space for the entry. */
     FULL
   }
 
@@ -33,7 +40,12 @@
   private long conflicts;
   private long damagedEntries;
 
-  /** The log of one replica over its store; grown runs whenever more of it has become lasting. */
+  /**
+   * Opens the log of a replica and checks the chain of the entries in its store.
+   *
+   * @param self the name of the replica in log messages
+   * @param onDurable runs each time {@link #lastDurable} has advanced
+   */
   public AuditLog(final String self, final AuditStore store, final Runnable onDurable) {
     this.self = self;
     this.store = store;
@@ -58,7 +70,7 @@
           || last > base && !entry.previousDigest.equals(digest)) {
         damagedEntries += store.last() - last;
         LOGGER.atSevere().log(
-            "the history of %s is damaged from entry %s on; %s entries are fetched again from other replicas",
+            "audit log of %s is damaged from entry %s on; fetching %s entries again from other replicas",
             self, last + 1, store.last() - last);
         truncate();
         return false;
@@ -97,7 +109,7 @@
         && entry.trimmedThrough == base
         && !entry.trimmedDigest.equals(baseDigest)) {
       reportConflict(
-          "entry " + entry.sequence + " names another digest for the trimmed entry " + base);
+          "entry " + entry.sequence + " has a different digest for the trimmed entry " + base);
     }
   }
 
@@ -105,7 +117,7 @@
     final String localDigest = digestAt(entry.trimmedThrough);
     if (localDigest != null && !localDigest.equals(entry.trimmedDigest)) {
       reportConflict(
-          "entry " + entry.sequence + " names another digest for entry " + entry.trimmedThrough);
+          "entry " + entry.sequence + " has a different digest for entry " + entry.trimmedThrough);
       return;
     }
     base = entry.trimmedThrough;
@@ -117,10 +129,11 @@
   private void reportConflict(final String problem) {
     conflicts++;
     LOGGER.atSevere().log(
-        "the history of %s differs: %s; nothing was taken, compare the replicas", self, problem);
+        "audit log of %s has a conflict: %s; no entry was replaced or trimmed, compare the replicas",
+        self, problem);
   }
 
-  /** Offers a decided entry. */
+  /** Appends a decided entry if it is the next one of the chain. */
   public Outcome offer(final byte[] bytes) {
     final AuditEntry entry = AuditEntry.read(bytes);
     if (entry.sequence <= base) {
@@ -130,7 +143,7 @@
       if (java.util.Arrays.equals(bytes, store.read(entry.sequence))) {
         return Outcome.KNOWN;
       }
-      reportConflict("entry " + entry.sequence + " is here with another content");
+      reportConflict("entry " + entry.sequence + " is already present with different content");
       return Outcome.CONFLICT;
     }
     if (entry.sequence > last + 1) {
@@ -138,7 +151,7 @@
     }
     if (!entry.previousDigest.equals(digest)) {
       reportConflict(
-          "entry " + entry.sequence + " does not follow the entry " + last + " that is here");
+          "entry " + entry.sequence + " is not chained to entry " + last + ", the last one");
       return Outcome.CONFLICT;
     }
     final long sequence = entry.sequence;
@@ -159,13 +172,16 @@
     }
   }
 
-  /** Begins anew behind a base that another replica gives because it keeps nothing older. */
+  /**
+   * Drops all entries and continues after a newer base, which another replica sends when it has
+   * trimmed the entries that this log lacks. Does nothing unless the base is after the last entry.
+   */
   public void reset(final long newBase, final String newDigest) {
     if (newBase <= last) {
       return;
     }
     LOGGER.atInfo().log(
-        "the history of %s begins anew behind entry %s; older ones were trimmed meanwhile",
+        "audit log of %s restarts after entry %s; other replicas have trimmed the older entries",
         self, newBase);
     store.reset(newBase);
     versions.clear();
@@ -178,12 +194,12 @@
     onDurable.run();
   }
 
-  /** Notes that another replica has another entry at the end of its log. */
+  /** Counts and logs that the last entry of a peer differs from the entry in this log. */
   public void reportDivergence(final String peer, final long sequence) {
-    reportConflict(peer + " has another entry " + sequence);
+    reportConflict(peer + " has a different entry " + sequence);
   }
 
-  /** The digest of an entry, or of the base; null where it is not known here. */
+  /** The digest of an entry or of the base; null if this log does not contain it. */
   public String digestAt(final long sequence) {
     if (sequence == last) {
       return digest;
@@ -198,34 +214,34 @@
     return bytes == null ? null : AuditEntry.digest(bytes);
   }
 
-  /** The bytes of an entry; null where they are not here. */
+  /** The bytes of an entry; null if it is not in the log or cannot be read. */
   public byte[] read(final long sequence) {
     return sequence <= base || sequence > last ? null : store.read(sequence);
   }
 
-  /** The entry with which a configuration took this version; null where none is here. */
+  /** The entry that introduced a version of the configuration; null if it is not in the log. */
   public AuditEntry entryForVersion(final long version) {
     final long sequence = versions.sequence(version);
     final byte[] bytes = sequence == 0 ? null : read(sequence);
     return bytes == null ? null : AuditEntry.read(bytes);
   }
 
-  /** The number of the entry before the first kept. */
+  /** The sequence number of the last trimmed entry, which precedes the first one kept; or 0. */
   public long base() {
     return base;
   }
 
-  /** The digest of the entry before the first kept. */
+  /** The digest of the entry before the first one kept. */
   public String baseDigest() {
     return baseDigest;
   }
 
-  /** The number of the last entry. */
+  /** The sequence number of the last entry, or the base if there is none. */
   public long last() {
     return last;
   }
 
-  /** The number of the last entry that is lasting. */
+  /** The sequence number up to which all entries are durable. */
   public long lastDurable() {
     return lastDurable;
   }
@@ -235,12 +251,15 @@
     return digest;
   }
 
-  /** How often another replica, or an entry offered, differed from what is here. */
+  /** The number of conflicts found with entries that were offered and with other replicas. */
   public long conflicts() {
     return conflicts;
   }
 
-  /** How many entries were found damaged at the start. */
+  /**
+   * The number of entries that were found damaged when the log was opened. Damage reported by the
+   * store itself counts as one.
+   */
   public long damagedEntries() {
     return damagedEntries;
   }
--- a/audit/src/main/java/weldpoint/audit/AuditReplica.java
+++ b/audit/src/main/java/weldpoint/audit/AuditReplica.java
@@ -11,8 +11,9 @@
 import weldpoint.transport.Protocol;
 
 /**
- * Keeps one replica's log alike with the others': what is decided is pushed at once, and a random
- * peer is asked each second.
+ * Replicates an audit log. Entries decided here are pushed to all peers at once; in addition, the
+ * state of the log is sent to a random peer each second, and whichever of the two is behind gets
+ * the missing entries. Not thread-safe; owned by one replica of the state store.
  */
 public final class AuditReplica {
   private static final long RECONCILE_INTERVAL_MILLIS = 1000;
@@ -26,7 +27,12 @@
   private long batchesReceived;
   private long requestsSent;
 
-  /** A replica over its log, that sends to peers by their addresses. */
+  /**
+   * Creates a replica.
+   *
+   * @param sender sends a message to the peer with the given address
+   * @param random chooses the peer to reconcile with
+   */
   public AuditReplica(
       final AuditLog log, final BiConsumer<String, Message> sender, final Random random) {
     this.log = log;
@@ -34,12 +40,12 @@
     this.random = random;
   }
 
-  /** The log. */
+  /** The log that is replicated. */
   public AuditLog log() {
     return log;
   }
 
-  /** Entries were decided here: takes them and tells all others. */
+  /** Appends entries that were decided here, in order, and sends them to all peers. */
   public void replicate(final List<byte[]> entries, final Collection<String> peers) {
     for (final byte[] entry : entries) {
       log.offer(entry);
@@ -57,7 +63,10 @@
     }
   }
 
-  /** Time has passed. */
+  /**
+   * Sends the state of the log to a random peer if a second has passed since the last time. To be
+   * called regularly.
+   */
   public void tick(final List<String> peers, final long nowMillis) {
     if (nowMillis - lastReconcileMillis < RECONCILE_INTERVAL_MILLIS || peers.isEmpty()) {
       return;
@@ -70,13 +79,13 @@
     return new AuditMessages.AuditState(log.base(), log.last(), log.digest());
   }
 
-  /** Asks one peer now for all that is missing here. */
+  /** Requests all entries after the last one from a peer. */
   public void requestMissing(final String peer) {
     requestsSent++;
     sender.accept(peer, new AuditMessages.AuditRequest(log.last() + 1));
   }
 
-  /** A peer has said something; false where it does not concern the history. */
+  /** Handles a message from a peer; false if it is not a message about the audit log. */
   public boolean receive(final String from, final Message message, final Consumer<Message> reply) {
     if (message instanceof AuditMessages.AuditState) {
       onState(from, (AuditMessages.AuditState) message, reply);
@@ -148,17 +157,17 @@
     }
   }
 
-  /** How many parts came and how many were asked for. */
+  /** The counters of this replica as one line for the log. */
   public String counters() {
     return "history "
         + log.last()
         + " from "
         + (log.base() + 1)
-        + " parts "
+        + " batches "
         + batchesReceived
-        + " asks "
+        + " requests "
         + requestsSent
-        + " differing "
+        + " conflicts "
         + log.conflicts()
         + " damaged "
         + log.damagedEntries();
--- a/audit/src/main/java/weldpoint/audit/CanonicalJson.java
+++ b/audit/src/main/java/weldpoint/audit/CanonicalJson.java
@@ -8,9 +8,10 @@
 import java.util.TreeMap;
 
 /**
- * What a JSON text says, whatever its white space, the order of its keys, its escapes and the forms
- * of its numbers: two texts that say the same have one canonical form, and so one digest. The order
- * of lists counts.
+ * Converts JSON to a canonical form, which does not depend on white space, the order of keys,
+ * escapes and the notation of numbers. Equivalent texts have the same canonical form and therefore
+ * the same digest. The order of the elements of an array is significant; of members with the same
+ * key, the last one is kept.
  */
 public final class CanonicalJson {
   private static final int MAX_DEPTH = 100;
@@ -25,7 +26,7 @@
     this.out = new StringBuilder(text.length());
   }
 
-  /** The SHA-256 of the canonical form; of the bytes as they are where they are not JSON. */
+  /** The SHA-256 of the canonical form, or of the bytes themselves if they are not JSON. */
   public static byte[] digest(final byte[] json) {
     final String canonical = canonical(json);
     try {
@@ -33,17 +34,17 @@
           .digest(canonical == null ? json : canonical.getBytes(StandardCharsets.UTF_8));
     } catch (final NoSuchAlgorithmException impossible) {
       throw new IllegalStateException(
-          "this Java has no SHA-256; run it on a complete one", impossible);
+          "this Java runtime has no SHA-256; use a complete JDK or JRE", impossible);
     }
   }
 
-  /** The canonical form; null where the bytes are not JSON. */
+  /** The canonical form; null if the bytes are not JSON or nested more than 100 levels deep. */
   static String canonical(final byte[] json) {
     final CanonicalJson reader = new CanonicalJson(new String(json, StandardCharsets.UTF_8));
     return reader.value(0) && reader.peek() < 0 ? reader.out.toString() : null;
   }
 
-  /** The next character that is no white space, which is not taken; -1 at the end. */
+  /** Skips white space and returns the next character without consuming it; -1 at the end. */
   private int peek() {
     while (position < text.length()) {
       final char character = text.charAt(position);
--- a/audit/src/main/java/weldpoint/audit/ChangeKind.java
+++ b/audit/src/main/java/weldpoint/audit/ChangeKind.java
@@ -1,18 +1,21 @@
 package weldpoint.audit;
 
-/** What a change of routing was. */
+/**
+ * The kinds of changes in the audit log. Entries store the ordinal, so the order of the constants
+ * must not change.
+ */
 public enum ChangeKind {
-  /** An operator's configuration took force. */
+  /** An operator's configuration became effective. */
   CONFIGURATION("configuration"),
-  /** A zone is evacuated. */
+  /** The evacuation of a zone was started. */
   EVACUATION_BEGUN("evacuation begun"),
-  /** An evacuation was taken back. */
+  /** The evacuation of a zone was ended. */
   EVACUATION_FINISHED("evacuation finished"),
-  /** The trial of a route's new version was begun, moved on, held or ended. */
+  /** The trial of a new version on a route was started, advanced, held or ended. */
   TRIAL("trial"),
-  /** The oldest entries were forgotten, on all replicas alike. */
+  /** The oldest entries were trimmed, up to the same entry on all replicas. */
   RETENTION("retention"),
-  /** A store that is older than its history begins to keep one. */
+  /** The audit log was started in a state store that was created without one. */
   UPGRADE("upgrade");
 
   private static final ChangeKind[] ALL = values();
@@ -22,16 +25,20 @@
     this.label = label;
   }
 
-  /** The kind of this number. */
+  /**
+   * The kind with this ordinal.
+   *
+   * @throws IllegalArgumentException if a newer release wrote a kind that is unknown here
+   */
   public static ChangeKind of(final int number) {
     if (number < 0 || number >= ALL.length) {
       throw new IllegalArgumentException(
-          "no kind of change has the number " + number + "; run the release that wrote it");
+          "unknown kind of change " + number + "; run the release that wrote this entry");
     }
     return ALL[number];
   }
 
-  /** The kind in an operator's words. */
+  /** The name of the kind in the history that operators read. */
   public String label() {
     return label;
   }
--- a/audit/src/main/java/weldpoint/audit/ConfigurationDifference.java
+++ b/audit/src/main/java/weldpoint/audit/ConfigurationDifference.java
@@ -8,7 +8,8 @@
 import weldpoint.transport.Protocol;
 
 /**
- * What one configuration changed against the one before it; routes that carry writes come first.
+ * The differences between two configurations, as lines for the audit log. Routes that carry writes
+ * come first. The lines are stored in audit entries, so their format must not change.
  */
 public final class ConfigurationDifference {
   private final List<String> writeLines = new ArrayList<>();
@@ -85,27 +86,30 @@
     return field.substring(field.indexOf('=') + 1);
   }
 
-  /** Parts that are new. */
+  /** The number of routes, services and other parts that were added. */
   public int added() {
     return added;
   }
 
-  /** Parts that are gone. */
+  /** The number of parts that were removed. */
   public int removed() {
     return removed;
   }
 
-  /** Parts that differ. */
+  /** The number of parts of which a field changed. */
   public int changed() {
     return changed;
   }
 
-  /** How many of them are routes that carry writes. */
+  /** How many of the added, removed and changed parts are routes that carry writes. */
   public int changedWriteRoutes() {
     return writeLines.size();
   }
 
-  /** The changes as lines, within so many bytes; what does not fit is counted in the last line. */
+  /**
+   * The changes as lines of at most so many bytes in total. If not all of them fit, one more line
+   * gives the number of lines omitted.
+   */
   public List<String> lines(final int maxBytes) {
     final List<String> all = new ArrayList<>(writeLines);
     all.addAll(otherLines);
--- a/audit/src/main/java/weldpoint/audit/ConfigurationSummary.java
+++ b/audit/src/main/java/weldpoint/audit/ConfigurationSummary.java
@@ -5,11 +5,15 @@
 import weldpoint.routing.RouteKind;
 import weldpoint.routing.SpecDocument;
 
-/** A configuration, route by route and service by service, as short texts that can be compared. */
+/**
+ * A configuration as one line for each route, service, tenant and other part, so that two
+ * configurations can be compared by {@link ConfigurationDifference}. Summaries are stored, so keys
+ * and fields of the lines must keep their text and order.
+ */
 public final class ConfigurationSummary {
   /**
-   * One route, service or other part: what it is, under which name, and its fields in order as
-   * "name=value".
+   * One route, service, tenant or other part. The key consists of the kind of the part and its
+   * name; the fields have the form "name=value", in a fixed order.
    */
   public static final class Line {
     public final String key;
@@ -31,12 +35,16 @@
     this.digest = digest;
   }
 
-  /** The summary of nothing. */
+  /** The summary before the first configuration, without lines. */
   public static ConfigurationSummary empty() {
     return new ConfigurationSummary(List.of(), AuditEntry.NO_DIGEST);
   }
 
-  /** The summary of a configuration that was sent with these bytes. */
+  /**
+   * The summary of a configuration.
+   *
+   * @param body the bytes from which the document was parsed, for the digest
+   */
   public static ConfigurationSummary of(final SpecDocument document, final byte[] body) {
     final List<Line> lines = new ArrayList<>();
     for (final SpecDocument.Listener listener : orEmpty(document.listeners())) {
--- a/audit/src/main/java/weldpoint/audit/HeapStore.java
+++ b/audit/src/main/java/weldpoint/audit/HeapStore.java
@@ -3,12 +3,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Keeps entries in memory, for a replica that has no disk of its own. */
+/** Stores entries in memory, for a replica without a disk. Entries are durable at once. */
 public final class HeapStore implements AuditStore {
   private final List<byte[]> entries = new ArrayList<>();
   private long base;
 
-  /** A store without entries. */
+  /** Creates an empty store. */
   public HeapStore() {}
 
   @Override
--- a/audit/src/main/java/weldpoint/audit/SegmentStore.java
+++ b/audit/src/main/java/weldpoint/audit/SegmentStore.java
@@ -16,8 +16,15 @@
 import java.util.zip.CRC32;
 
 /**
- * Entries on disk: a ring of preallocated segments, each with a head and then records that carry
- * its generation, their number and a checksum. One thread writes; whoever owns the store reads.
+ * Stores entries on disk in a ring of preallocated segment files. A segment has a header followed
+ * by records, each with the generation of the segment, its sequence number and a CRC-32. A segment
+ * is reused with a higher generation once all of its entries are trimmed. A thread of its own
+ * writes and syncs; the owner of the store calls the other methods.
+ *
+ * <p>Segment header, 32 bytes: magic number (4), CRC-32 of the bytes after it (4), generation (8),
+ * sequence number of the first entry (8), whether earlier segments are to be ignored (4), unused
+ * (4). Record header, 28 bytes: magic number (4), length of the entry (4), CRC-32 of the bytes
+ * after it and the entry (4), generation (8), sequence number (8).
  */
 public final class SegmentStore implements AuditStore {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
@@ -27,7 +34,7 @@
   private static final int PREALLOCATION_CHUNK_BYTES = 1 << 18;
   private static final long RETRY_INTERVAL_MILLIS = 200;
 
-  /** The segments there are. */
+  /** The number of segments. */
   public static final int SEGMENT_COUNT = 8;
 
   private record PendingAppend(
@@ -60,8 +67,12 @@
   private boolean damaged;
 
   /**
-   * Opens the segments in a folder, of so many bytes together; callbacks run on the owner's thread.
-   * Nothing is made on disk before the start.
+   * Opens the existing segments in a folder and recovers their entries. Nothing is created on disk
+   * before {@link #start}.
+   *
+   * @param totalBytes the size of all segments together
+   * @param callbackExecutor runs the callbacks of {@link #append}
+   * @throws IOException if existing segments cannot be opened or recovered
    */
   public SegmentStore(final Path folder, final long totalBytes, final Executor callbackExecutor)
       throws IOException {
@@ -124,8 +135,8 @@
       lastSequences[number] = last;
     }
     if (!noSegmentOpen) {
-      // What a process wrote and did not sync before it ended may be read here and still be lost
-      // with the power.
+      // Data that an earlier process wrote but did not sync can be read here and could still be
+      // lost in a power failure.
       channels[segment].force(false);
     }
   }
@@ -192,7 +203,7 @@
       return buffer;
     } catch (final IOException problem) {
       LOGGER.atWarning().log(
-          "the history cannot be read from disk (%s); other replicas are asked",
+          "cannot read the audit log from disk (%s); requesting entries from other replicas",
           problem.getMessage());
       return null;
     }
@@ -211,7 +222,7 @@
     return damaged;
   }
 
-  /** Starts the writing thread. */
+  /** Starts the thread that creates the segments and writes and syncs the entries. */
   public void start(final String name) {
     final Thread thread = new Thread(this::run, name);
     thread.setDaemon(true);
@@ -237,7 +248,7 @@
         if (generations[next] != 0 && lastSequences[next] > trimmedThrough && !resetPending
             || SEGMENT_HEADER_BYTES + RECORD_HEADER_BYTES + entry.length > segmentBytes) {
           LOGGER.atSevere().log(
-              "the segments of the history are full; raise audit.disk-mb or lower audit.retention");
+              "the audit log on disk is full; raise audit.disk-mb or lower audit.retention");
           return false;
         }
         segment = next;
@@ -332,7 +343,7 @@
 
   private void run() {
     try {
-      retryUntilWritten(this::preallocate);
+      retryUntilSuccess(this::preallocate);
       while (true) {
         final List<PendingAppend> batch = new ArrayList<>();
         synchronized (this) {
@@ -342,7 +353,7 @@
           batch.addAll(pending);
           pending.clear();
         }
-        retryUntilWritten(() -> writeBatch(batch));
+        retryUntilSuccess(() -> writeBatch(batch));
         synchronized (this) {
           for (final PendingAppend item : batch) {
             unsynced.remove(item.sequence, item.entry);
@@ -364,14 +375,14 @@
     void run() throws IOException;
   }
 
-  private static void retryUntilWritten(final DiskOperation operation) throws InterruptedException {
+  private static void retryUntilSuccess(final DiskOperation operation) throws InterruptedException {
     while (true) {
       try {
         operation.run();
         return;
       } catch (final IOException problem) {
         LOGGER.atWarning().atMostEvery(10, java.util.concurrent.TimeUnit.SECONDS).log(
-            "the disk refuses the history (%s); trying again until it takes it",
+            "cannot write the audit log to disk (%s); retrying until it succeeds",
             problem.getMessage());
         Thread.sleep(RETRY_INTERVAL_MILLIS);
       }
--- a/audit/src/main/java/weldpoint/audit/VersionIndex.java
+++ b/audit/src/main/java/weldpoint/audit/VersionIndex.java
@@ -3,15 +3,15 @@
 import java.util.Arrays;
 
 /**
- * At which entries of a history the versions of configurations were taken: two numbers a version,
- * both rising.
+ * Maps each version of the configuration to the sequence number of the audit entry that introduced
+ * it, in two sorted arrays: versions and sequence numbers both ascend.
  */
 final class VersionIndex {
   private long[] versions = new long[16];
   private long[] sequences = new long[16];
   private int size;
 
-  /** Adds a version, above all before it, taken at a sequence above all before it. */
+  /** Adds a version; it and its sequence number must be greater than all added before. */
   void add(final long version, final long sequence) {
     if (size == versions.length) {
       versions = Arrays.copyOf(versions, size * 2);
@@ -21,13 +21,13 @@
     sequences[size++] = sequence;
   }
 
-  /** At which sequence a version was taken; 0 where it is not in here. */
+  /** The sequence number of the entry that introduced a version; 0 if it is not known. */
   long sequence(final long version) {
     final int position = Arrays.binarySearch(versions, 0, size, version);
     return position < 0 ? 0 : sequences[position];
   }
 
-  /** Forgets what was taken up to a sequence. */
+  /** Removes the versions of the entries up to and including this sequence number. */
   void trim(final long through) {
     int removed = Arrays.binarySearch(sequences, 0, size, through + 1);
     removed = removed < 0 ? -removed - 1 : removed;
@@ -36,7 +36,7 @@
     size -= removed;
   }
 
-  /** Forgets all. */
+  /** Removes all versions. */
   void clear() {
     size = 0;
   }
--- a/audit/src/test/java/weldpoint/audit/AuditTest.java
+++ b/audit/src/test/java/weldpoint/audit/AuditTest.java
@@ -24,18 +24,18 @@
 import weldpoint.routing.RoutingTable;
 import weldpoint.transport.Message;
 
-/** Entries, logs, segments on disk, differences and authors. */
+/** Tests audit entries, logs, segments on disk, configuration differences and authors. */
 public final class AuditTest {
   @BeforeClass
   public void disableLogging() {
     java.util.logging.Logger.getLogger("").setLevel(java.util.logging.Level.OFF);
   }
 
-  private static List<byte[]> chain(final int count, final int keep) {
+  private static List<byte[]> chain(final int count, final int retained) {
     final List<byte[]> entries = new ArrayList<>();
     String digest = AuditEntry.NO_DIGEST;
     for (int sequence = 1; sequence <= count; sequence++) {
-      final boolean trims = keep > 0 && sequence > keep && sequence % 50 == 0;
+      final boolean trims = retained > 0 && sequence > retained && sequence % 50 == 0;
       final AuditEntry.Draft draft =
           new AuditEntry.Draft(
                   trims ? ChangeKind.RETENTION : ChangeKind.EVACUATION_BEGUN, "zone-" + sequence)
@@ -43,7 +43,7 @@
       final byte[] bytes =
           (trims
                   ? draft.trimThrough(
-                      sequence - keep, AuditEntry.digest(entries.get(sequence - keep - 1)))
+                      sequence - retained, AuditEntry.digest(entries.get(sequence - retained - 1)))
                   : draft)
               .encode(sequence, digest);
       digest = AuditEntry.digest(bytes);
@@ -154,7 +154,7 @@
             });
     waiter.setDaemon(true);
     waiter.start();
-    assertTrue(done.await(30, TimeUnit.SECONDS), "not all became lasting");
+    assertTrue(done.await(30, TimeUnit.SECONDS), "not all entries became durable within 30 s");
   }
 
   @Test
@@ -204,7 +204,7 @@
     final SegmentStore damaged = open(folder, 8 * 64 << 10);
     final AuditLog log = log(damaged);
     assertTrue(log.damagedEntries() > 0);
-    assertTrue(log.last() > 50 && log.last() < 200, "kept " + log.last());
+    assertTrue(log.last() > 50 && log.last() < 200, "entries kept: " + log.last());
     final AuditLog full = log(new HeapStore());
     entries.forEach(full::offer);
     damaged.start("history");
@@ -245,8 +245,8 @@
   }
 
   /**
-   * After a loss of power each sector written since the last sync is there or missing by itself;
-   * what was lasting is read again.
+   * After a power failure, each sector written since the last sync may or may not have reached the
+   * disk, independently of the others. All entries that were durable must be recovered.
    */
   @Test
   public void durableEntriesSurvivePowerLoss() throws Exception {
@@ -256,7 +256,7 @@
     final SegmentStore store = open(folder, bytes);
     final AuditLog log = log(store);
     final List<byte[][]> states = new ArrayList<>();
-    final List<Integer> lasts = new ArrayList<>();
+    final List<Integer> durableThrough = new ArrayList<>();
     for (int from = 0; from < entries.size(); from += 60) {
       if (from == 0) {
         write(store, log, entries.subList(0, 60));
@@ -269,7 +269,7 @@
         }
       }
       states.add(contents(folder));
-      lasts.add(from + 60);
+      durableThrough.add(from + 60);
     }
     final Random random = new Random(3);
     for (int trial = 0; trial < 300; trial++) {
@@ -285,12 +285,18 @@
         }
         Files.write(after.resolve("history-" + number), mixed);
       }
-      final AuditLog read = log(open(after, bytes));
+      final AuditLog recovered = log(open(after, bytes));
       assertTrue(
-          read.last() >= lasts.get(step) && read.last() <= lasts.get(step + 1),
-          "trial " + trial + ": lasting up to " + lasts.get(step) + ", read up to " + read.last());
-      for (long sequence = 1; sequence <= read.last(); sequence++) {
-        assertEquals(read.read(sequence), entries.get((int) sequence - 1), "trial " + trial);
+          recovered.last() >= durableThrough.get(step)
+              && recovered.last() <= durableThrough.get(step + 1),
+          "trial "
+              + trial
+              + ": durable up to "
+              + durableThrough.get(step)
+              + ", recovered up to "
+              + recovered.last());
+      for (long sequence = 1; sequence <= recovered.last(); sequence++) {
+        assertEquals(recovered.read(sequence), entries.get((int) sequence - 1), "trial " + trial);
       }
       for (int number = 0; number < SegmentStore.SEGMENT_COUNT; number++) {
         Files.delete(after.resolve("history-" + number));
@@ -310,7 +316,7 @@
     };
   }
 
-  @Test(dataProvider = "badAuthors")
+  @Test(dataProvider = "invalidAuthors")
   public void invalidAuthorIsRejectedWithRemedy(
       final String name, final int times, final String reason) {
     final WeldpointException exception =
--- a/metrics/src/main/java/weldpoint/metrics/MetricsServer.java
+++ b/metrics/src/main/java/weldpoint/metrics/MetricsServer.java
@@ -23,18 +23,24 @@
 import java.util.function.Supplier;
 
 /**
- * Answers {@code GET /metrics} with a daemon's figures as Prometheus text. Nothing is gathered
- * while nobody asks, and an address that cannot be listened at is told and otherwise left alone.
+ * Serves a daemon's metrics at {@code /metrics} in the Prometheus text format. Metrics are only
+ * collected during a scrape. If the address cannot be bound, a warning is logged and the daemon
+ * runs without the server.
  */
 public final class MetricsServer {
-  /** The path that is answered. */
+  /** The path of the metrics; any other is answered with 404. */
   public static final String PATH = "/metrics";
 
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
   private MetricsServer() {}
 
-  /** Listens at an address on a traffic thread; the figures may come from another thread. */
+  /**
+   * Listens at an address; connections are handled on the given event loop.
+   *
+   * @param metrics collects the metrics for a scrape; the future may be completed on any thread,
+   *     and a failure is answered with 503
+   */
   public static void serve(
       final EventLoopGroup loop,
       final String host,
@@ -56,7 +62,7 @@
             (ChannelFuture bound) -> {
               if (!bound.isSuccess()) {
                 LOGGER.atWarning().log(
-                    "metrics cannot be served at %s:%s (%s); set metrics.port to a free port",
+                    "cannot serve metrics at %s:%s (%s); set metrics.port to a free port",
                     host, port, bound.cause().getMessage());
               }
             });
--- a/metrics/src/main/java/weldpoint/metrics/PrometheusFormat.java
+++ b/metrics/src/main/java/weldpoint/metrics/PrometheusFormat.java
@@ -15,11 +15,11 @@
 import java.util.Map;
 import weldpoint.common.Invariant;
 
-/** Figures as Prometheus text. */
+/** Formats metrics in the Prometheus text format. */
 final class PrometheusFormat {
   private PrometheusFormat() {}
 
-  /** The text of these figures, with the violations of all invariants. */
+  /** Formats these metrics and the number of violations of each invariant as UTF-8. */
   static byte[] format(final List<Metric> metrics) {
     final Map<String, List<Metric>> byName = new LinkedHashMap<>();
     metrics.forEach(
--- a/metrics/src/test/java/weldpoint/metrics/PrometheusFormatTest.java
+++ b/metrics/src/test/java/weldpoint/metrics/PrometheusFormatTest.java
@@ -57,7 +57,7 @@
     final HttpRequest request =
         HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + "/metrics")).build();
     String text = "";
-    for (int tries = 0; tries < 100 && text.isEmpty(); tries++) {
+    for (int poll = 0; poll < 100 && text.isEmpty(); poll++) {
       Thread.sleep(20);
       try {
         text =
--- a/routing/src/main/java/weldpoint/routing/Affinity.java
+++ b/routing/src/main/java/weldpoint/routing/Affinity.java
@@ -3,24 +3,31 @@
 import weldpoint.common.WeldpointException;
 
 /**
- * A route's rule that ties each caller to one node: by what a caller is known, and how long a pause
- * ends a session.
+ * A rule of a route that sends all requests of a caller to the same upstream.
+ *
+ * @param by how callers are identified
+ * @param header the request header that identifies callers; null unless {@code by} is {@link
+ *     CallerIdentity#HEADER}
+ * @param pauseMillis the time in milliseconds without requests after which a session ends
  */
 public record Affinity(CallerIdentity by, String header, long pauseMillis) {
   private static final long DEFAULT_PAUSE_MILLIS = 60_000;
   private static final int MAX_HEADER_NAME_LENGTH = 64;
 
-  /** By what a caller is known. */
+  /** How callers are identified. */
   public enum CallerIdentity {
-    /** A named header; a caller without it is known by its address. */
+    /** By a named header; a caller that does not send it is identified by its address. */
     HEADER,
-    /** The tenant that the request's key belongs to; where requests need no keys, the address. */
+    /**
+     * By the tenant that the API key of the request belongs to; if requests need no keys, by the
+     * address.
+     */
     TENANT,
-    /** The client's address. */
+    /** By the client's address. */
     ADDRESS
   }
 
-  /** Reads a route's rule; null where it has none. */
+  /** Checks and converts the rule of a route; null if the route has none. */
   static Affinity of(final String route, final RouteKind kind, final SpecDocument.Affinity spec) {
     if (spec == null) {
       return null;
@@ -28,7 +35,7 @@
     if (kind.repeatable()) {
       throw invalid(
           route,
-          "carries no writes; leave affinity out, lookups and downloads go where there is room");
+          "carries no writes; leave affinity out, its requests go to any upstream with free capacity");
     }
     return of("route " + route, spec.by(), spec.header(), spec.pauseMs());
   }
@@ -46,8 +53,8 @@
           WeldpointException.Kind.INVALID,
           subject
               + (identity == CallerIdentity.HEADER
-                  ? " has affinity by header and names none; name the header"
-                  : " names a header and has affinity by "
+                  ? " has affinity by header but does not name one; name the header"
+                  : " names a header but has affinity by "
                       + by
                       + "; leave the header out or give by header"));
     }
@@ -60,13 +67,13 @@
           subject
               + " has affinity by the header '"
               + header
-              + "', which is no name of one; give letters, digits and signs such as - without blanks, at most "
+              + "', which is no name of one; use letters, digits and characters such as - without spaces, at most "
               + MAX_HEADER_NAME_LENGTH);
     }
     if (pause != null && !(pause > 0)) {
       throw new WeldpointException(
           WeldpointException.Kind.INVALID,
-          subject + " has the pause " + pause + "; give pauseMs above 0");
+          subject + " has a pauseMs of " + pause + "; give pauseMs above 0");
     }
     return new Affinity(
         identity, header, pause == null ? DEFAULT_PAUSE_MILLIS : Math.max(1, pause.longValue()));
@@ -86,7 +93,10 @@
         WeldpointException.Kind.INVALID, "route " + route + " " + problem);
   }
 
-  /** Reads a setting: empty or off for none, otherwise address, tenant or header:NAME. */
+  /**
+   * Parses the value of a setting: empty or {@code off} for none (null), otherwise {@code address},
+   * {@code tenant} or {@code header:NAME}.
+   */
   public static Affinity parseSetting(final String key, final String text) {
     if (text.isEmpty() || text.equals("off")) {
       return null;
@@ -99,7 +109,10 @@
         null);
   }
 
-  /** The rule in force on a route, given what settings say of write routes without one. */
+  /**
+   * The rule that applies to a route: its own if it has one, none (null) if its requests are
+   * repeatable, otherwise the default from the settings.
+   */
   public static Affinity effective(final Route route, final Affinity defaultAffinity) {
     return route.affinity != null
         ? route.affinity
--- a/routing/src/main/java/weldpoint/routing/HomeRegionWarnings.java
+++ b/routing/src/main/java/weldpoint/routing/HomeRegionWarnings.java
@@ -11,17 +11,18 @@
 import java.util.TreeSet;
 
 /**
- * What is valid in a configuration's home regions and yet lets requests be refused: homes that hold
- * no region of the deployment, and homes of a tenant and a route that exclude each other. Routes
- * and tenants are compared by their sets of homes, of which there are few.
+ * Finds home regions that are valid in a configuration but cause requests to be rejected: home
+ * regions of which none is part of the deployment, and home regions of a tenant and a route that
+ * have no region in common. Routes and tenants are grouped by their set of home regions before they
+ * are compared, since there are few different sets.
  */
 public final class HomeRegionWarnings {
   private HomeRegionWarnings() {}
 
   /**
-   * Warnings, one sentence each.
+   * Returns the warnings for a configuration, one sentence each.
    *
-   * @param regions the regions of the deployment; empty where they are not known
+   * @param deploymentRegions the regions of the deployment; empty if they are not known
    */
   public static List<String> of(
       final RoutingTable routingTable, final Collection<String> deploymentRegions) {
@@ -55,7 +56,7 @@
                             + describe("route", routeNames)
                             + " in "
                             + routeRegions
-                            + ": all requests of the one on the other are refused");
+                            + ": all requests of the tenant on the route are rejected");
                   }
                 }));
     return warnings;
@@ -83,7 +84,7 @@
           describe(kind, names)
               + " may be served in "
               + homeRegions
-              + " only, where the deployment has no zone: all requests are refused");
+              + " only, where the deployment has no zone: all requests are rejected");
     }
   }
 
--- a/routing/src/main/java/weldpoint/routing/Route.java
+++ b/routing/src/main/java/weldpoint/routing/Route.java
@@ -1,6 +1,9 @@
 package weldpoint.routing;
 
-/** A compiled route: names have become indices of services. */
+/**
+ * One route of a compiled {@link RoutingTable}. Services are referred to by their index in {@link
+ * RoutingTable#services()}. Immutable; callers must not modify {@code homeRegions}.
+ */
 public final class Route {
   public final int index;
   public final String name;
@@ -13,7 +16,7 @@
   public final boolean publicAccess;
   public final long cacheTtlMillis;
 
-  /** What ties callers to nodes; null where nothing does. */
+  /** The rule that keeps each caller on one upstream; null if the route has none. */
   public final Affinity affinity;
 
   final int[] serviceIndices;
@@ -48,7 +51,10 @@
     this.cumulativeWeights = cumulativeWeights;
   }
 
-  /** Whether upstreams in this region may serve it; see {@link RouteBinding#allowsRegion}. */
+  /**
+   * Whether the route's home regions allow upstreams of this region. A tenant can restrict it
+   * further, see {@link RouteBinding#allowsRegion}.
+   */
   boolean allowsRegion(final String region) {
     if (homeRegions.length == 0) {
       return true;
@@ -61,7 +67,7 @@
     return false;
   }
 
-  /** Whether the route may lead to the service of this index. */
+  /** Whether the service with this index is one of the targets of the route. */
   boolean includesService(final int serviceIndex) {
     for (final int candidate : serviceIndices) {
       if (candidate == serviceIndex) {
@@ -71,7 +77,7 @@
     return false;
   }
 
-  /** The service of the split for a draw from 0 to 1. */
+  /** The index of the service that a point between 0 and 1 selects in the weighted split. */
   int serviceAt(final double splitPoint) {
     final double weightedPoint = splitPoint * cumulativeWeights[cumulativeWeights.length - 1];
     int position = 0;
@@ -82,14 +88,15 @@
   }
 
   /**
-   * The service of the split that a caller always gets: drawn by its name, so that it stays on one
-   * while the weights stand.
+   * The index of the service that the weighted split assigns to a caller. It depends only on the
+   * hash of the caller and on the weights, so a caller keeps its service while the weights do not
+   * change.
    */
   public int serviceForCaller(final long callerHash) {
     return serviceAt((callerHash >>> 11) / (double) (1L << 53));
   }
 
-  /** The services that the route may lead to. */
+  /** The indices of all services that the route may send requests to, as a copy. */
   public int[] serviceIndices() {
     return serviceIndices.clone();
   }
--- a/routing/src/main/java/weldpoint/routing/RouteBinding.java
+++ b/routing/src/main/java/weldpoint/routing/RouteBinding.java
@@ -4,24 +4,27 @@
 import java.util.Objects;
 
 /**
- * What a configuration says of one request: its route, its service and its tenant, and so where it
- * may be sent. A binding follows the configuration in force ({@link #revalidate}), which is asked
- * at each send. What was fixed when the request came (its deadline, whether it may be repeated, how
- * many tries it has) is none of a binding's business.
+ * The route, service and tenant that a configuration assigns to one request, which determine the
+ * upstreams that it may be sent to. {@link #revalidate} checks the binding against the current
+ * configuration before each send. A binding does not hold what was fixed when the request arrived:
+ * its deadline, whether it may be repeated, and its number of attempts.
  */
 public final class RouteBinding {
-  /** Whether the configuration in force lets a request go on as it was begun. */
+  /** Whether the current configuration still allows the request to be sent as it was bound. */
   public enum Status {
-    /** It may be sent, within the homes in force. */
-    BOUND("it may be sent"),
-    /** Its route is gone. */
-    ROUTE_REMOVED("its route was removed while it waited; come back"),
-    /** Its route leads elsewhere, or may be repeated no longer, or ties its callers otherwise. */
-    ROUTE_CHANGED("its route was changed while it waited; come back"),
-    /** Its key is unknown now, and its route wants one. */
-    KEY_UNKNOWN("the key is unknown; send one of yours"),
-    /** Its key is another tenant's now, or its tenant has got a limit. */
-    TENANT_CHANGED("its tenant was changed while it waited; come back");
+    /** The request may be sent, within the current home regions. */
+    BOUND("the request may be sent"),
+    /** No route matches the request any more. */
+    ROUTE_REMOVED("the route of the request was removed while it waited; retry the request"),
+    /**
+     * The route no longer includes the service, its requests have become repeatable or no longer
+     * are, the service is partitioned differently, or the affinity rule has changed.
+     */
+    ROUTE_CHANGED("the route of the request was changed while it waited; retry the request"),
+    /** The API key is unknown or missing, and the route requires one. */
+    KEY_UNKNOWN("the API key is unknown or missing; send a valid key"),
+    /** The API key now belongs to another tenant, or a rate limit was added to the tenant. */
+    TENANT_CHANGED("the tenant of the request was changed while it waited; retry the request");
 
     private final String reason;
 
@@ -29,7 +32,7 @@
       this.reason = reason;
     }
 
-    /** What a client is told. */
+    /** The explanation that is sent to the client. */
     public String reason() {
       return reason;
     }
@@ -50,7 +53,13 @@
   private boolean sharedAcrossTenants;
   private Status status = Status.BOUND;
 
-  /** A request for this host and path; chance, from 0 to 1, decides in a split. */
+  /**
+   * Creates an unresolved binding.
+   *
+   * @param host the host of the request, with or without a port
+   * @param target the request target; its query is ignored
+   * @param splitPoint a number from 0 to 1 that selects the service in a weighted split
+   */
   public RouteBinding(final String host, final String target, final double splitPoint) {
     final int colon = host.lastIndexOf(':');
     this.host = (colon > 0 ? host.substring(0, colon) : host).toLowerCase(java.util.Locale.ROOT);
@@ -60,73 +69,80 @@
     this.splitPoint = splitPoint;
   }
 
-  /** Takes what a configuration's program has found. */
+  /** Records the routing table that has resolved the route and the service index. */
   void setResolved(final RoutingTable resolvedBy) {
     routingTable = resolvedBy;
     service = resolvedBy.services().get(serviceIndex);
   }
 
-  /** Sends the request to another service of its route than chance has drawn. */
+  /** Replaces the service that the split selected by another service of the route. */
   public void selectService(final int index) {
     serviceIndex = index;
     service = routingTable.services().get(index);
   }
 
-  /** Sends the request to a service that its route need not lead to, as a trial has it. */
+  /**
+   * Sends the request to a service that need not be a target of its route, for instance to the new
+   * version of a service in a trial.
+   */
   public void overrideService(final RoutingTable.Service override) {
     service = override;
   }
 
-  /** Says that the answer is for everybody who may ask for it, whoever the tenants are. */
+  /**
+   * Marks the response as shared by the clients of all tenants, so that no API key is required when
+   * the binding is revalidated.
+   */
   public void shareAcrossTenants() {
     sharedAcrossTenants = true;
   }
 
-  /** Finds whose request it is; the key may be null. */
+  /** Looks up the tenant by the API key of the request; the key may be null. */
   public void identifyTenant(final String presentedKey) {
     keyChecked = true;
     apiKey = presentedKey;
     tenant = presentedKey == null ? null : routingTable.tenantForKey(presentedKey);
   }
 
-  /** The route. */
+  /** The route; null before the binding was resolved. */
   public Route route() {
     return route;
   }
 
-  /** The service that is to run it. */
+  /** The service that the request is sent to. */
   public RoutingTable.Service service() {
     return service;
   }
 
-  /** The tenant; null where it is nobody's. */
+  /** The tenant; null if the request belongs to none. */
   public RoutingTable.Tenant tenant() {
     return tenant;
   }
 
-  /** Whether the last configuration that was followed lets the request go on. */
+  /** The result of the last {@link #revalidate}. */
   public Status status() {
     return status;
   }
 
-  /** Whether the route or the tenant has homes. */
+  /** Whether the route or the tenant is restricted to home regions. */
   public boolean hasHomeRegions() {
     return route.homeRegions.length > 0 || tenant != null && !tenant.homeRegions().isEmpty();
   }
 
   /**
-   * Whether upstreams in this region may run it, and copies of its answer may be kept there: where
-   * both route and tenant have homes, both bind.
+   * Whether upstreams in this region may serve the request and its response may be cached there. If
+   * both the route and the tenant have home regions, the region must be among both.
    */
   public boolean allowsRegion(final String region) {
     return route.allowsRegion(region) && (tenant == null || tenant.allowsRegion(region));
   }
 
   /**
-   * Takes the configuration in force, which costs nothing while it is the one known. False where
-   * the request must not be sent any more; {@link #status} tells why.
+   * Checks the binding against the current configuration and adopts it, which costs nothing if it
+   * is the configuration already adopted. Returns false if the request must not be sent any more;
+   * {@link #status} gives the reason.
    *
-   * @param inForce the configuration in force; null where only the one known counts
+   * @param current the current configuration; null to keep the one already adopted
    */
   public boolean revalidate(final RoutingTable current) {
     if (current != null && current != routingTable && status == Status.BOUND) {
@@ -167,7 +183,10 @@
     return Status.BOUND;
   }
 
-  /** The service in force of this name; null where there is none, or it is divided otherwise. */
+  /**
+   * The service with the same name in the current configuration; null if there is none or if only
+   * one of the two is partitioned.
+   */
   private static RoutingTable.Service sameService(
       final RoutingTable current, final RoutingTable.Service previous) {
     final int index = current.serviceIndex(previous.name());
@@ -177,7 +196,10 @@
         : candidate;
   }
 
-  /** Whether a key's tenant is the one it was; a limit that came meanwhile was not asked for. */
+  /**
+   * Whether the key still belongs to the same tenant. A tenant that has got a rate limit since then
+   * counts as another one, because no permit was requested for this request.
+   */
   private boolean sameTenant(final RoutingTable.Tenant keyOwner) {
     return tenant != null
         && tenant.name().equals(keyOwner.name())
--- a/routing/src/main/java/weldpoint/routing/RouteKind.java
+++ b/routing/src/main/java/weldpoint/routing/RouteKind.java
@@ -1,14 +1,17 @@
 package weldpoint.routing;
 
-/** What may be repeated on a route. */
+/** Classifies routes by whether a request may be executed more than once. */
 public enum RouteKind {
-  /** May run more than once. */
+  /** Requests may be executed more than once. */
   IDEMPOTENT(true),
-  /** Runs at most once a try. */
+  /** Writes: each attempt is executed at most once. */
   MUTATING(false),
-  /** Large answers; may run more than once. */
+  /** Large responses; requests may be executed more than once. */
   EGRESS(true),
-  /** Objects that may be kept and given to others; may run more than once. */
+  /**
+   * Responses that may be cached and served to other clients; requests may be executed more than
+   * once.
+   */
   CACHEABLE(true);
 
   private final boolean repeatable;
@@ -17,12 +20,15 @@
     this.repeatable = repeatable;
   }
 
-  /** Whether a request may run more than once. */
+  /** Whether a request may be executed more than once. */
   public boolean repeatable() {
     return repeatable;
   }
 
-  /** The kind of this name; whatever is unknown may not be repeated. */
+  /**
+   * The kind of this name, in any case. An unknown name or null is {@link #MUTATING}, so that its
+   * requests are not repeated.
+   */
   public static RouteKind of(final String name) {
     for (final RouteKind kind : values()) {
       if (kind.name().equalsIgnoreCase(name)) {
--- a/routing/src/main/java/weldpoint/routing/RoutingTable.java
+++ b/routing/src/main/java/weldpoint/routing/RoutingTable.java
@@ -9,12 +9,15 @@
 import java.util.Map;
 import weldpoint.common.WeldpointException;
 
-/** A configuration compiled into a small program: names have become dense indices. */
+/**
+ * A compiled configuration: routes by host and longest path prefix, services and tenants by dense
+ * indices. Immutable, so it can be read from any thread; a changed configuration is a new table.
+ */
 public final class RoutingTable {
   private static final JsonType<SpecDocument> SPEC_TYPE =
       Jsonb.builder().build().type(SpecDocument.class);
 
-  /** The steps of the program that every request runs through, in order. */
+  /** The steps by which a request is resolved, in order; each returns false to stop. */
   enum Step {
     FIND_HOST {
       @Override
@@ -57,7 +60,10 @@
 
   private static final Step[] STEPS = Step.values();
 
-  /** What is known of a service; a partitioned one is divided among its upstreams by key. */
+  /**
+   * A service. A value of 0 for {@code warmupPerSecond} or {@code ratePerSecond} means that it was
+   * not configured; each upstream of a partitioned service serves its own part of the keys.
+   */
   public record Service(
       int index,
       String name,
@@ -67,7 +73,7 @@
       double ratePerSecond,
       boolean partitioned) {}
 
-  /** Somebody with keys; a rate of 0 means no limit. */
+  /** A tenant with API keys; a {@code ratePerSecond} of 0 means no limit. */
   public record Tenant(
       int index,
       String name,
@@ -75,7 +81,7 @@
       double ratePerSecond,
       double burst,
       List<String> homeRegions) {
-    /** Whether upstreams in this region may serve the tenant. */
+    /** Whether the home regions of the tenant allow upstreams of this region. */
     public boolean allowsRegion(final String region) {
       return homeRegions.isEmpty() || homeRegions.contains(region);
     }
@@ -123,23 +129,23 @@
     return value == null || value <= 0 ? fallback : value;
   }
 
-  /** The version in an operator's words: eight hexadecimal digits. */
+  /** Parses a version as operators write it: hexadecimal, eight digits. */
   public static long version(final String text) {
     try {
       return Long.parseUnsignedLong(text, 16);
     } catch (final NumberFormatException | NullPointerException problem) {
       throw new WeldpointException(
           WeldpointException.Kind.UNREADABLE,
-          "the version '" + text + "' is no number; write it as eight hexadecimal digits");
+          "the version '" + text + "' is not a number; write it as eight hexadecimal digits");
     }
   }
 
-  /** Reads, checks and compiles a configuration. */
+  /** Parses, checks and compiles a configuration. */
   public static RoutingTable compile(final byte[] body) {
     return compile(parse(body));
   }
 
-  /** Reads a configuration without checking what it says. */
+  /** Parses the JSON of a configuration without checking its contents. */
   public static SpecDocument parse(final byte[] body) {
     final SpecDocument document;
     try {
@@ -147,19 +153,17 @@
     } catch (final RuntimeException problem) {
       throw new WeldpointException(
           WeldpointException.Kind.UNREADABLE,
-          "the configuration cannot be read whole ("
-              + problem.getMessage()
-              + "); send complete JSON");
+          "the configuration cannot be parsed (" + problem.getMessage() + "); send complete JSON");
     }
     if (document == null || document.listeners() == null || document.pools() == null) {
       throw new WeldpointException(
           WeldpointException.Kind.UNREADABLE,
-          "the configuration lacks listeners or pools; send it whole");
+          "the configuration has no listeners or no pools; send a complete configuration");
     }
     return document;
   }
 
-  /** Checks and compiles a configuration that was read. */
+  /** Checks and compiles a parsed configuration. */
   public static RoutingTable compile(final SpecDocument document) {
     final long version = version(document.version());
     final List<Service> services = new ArrayList<>();
@@ -183,7 +187,7 @@
     int routeCount = 0;
     for (final SpecDocument.Listener listener : document.listeners()) {
       if (listener.host() == null || listener.host().isEmpty()) {
-        throw invalid("a listener has an empty host; name the host it serves");
+        throw invalid("a listener has no host; name the host that it serves");
       }
       final Map<String, Route> routesByPrefix =
           routesByHost.computeIfAbsent(
@@ -229,12 +233,12 @@
               positiveOrDefault(spec.burst(), 0),
               spec.homeRegions() == null ? List.of() : spec.homeRegions());
       if (tenantsByName.put(tenant.name(), tenant) != null) {
-        throw invalid("two tenants are named " + tenant.name() + "; give each a name of its own");
+        throw invalid("two tenants are named " + tenant.name() + "; give each a different name");
       }
       tenants.add(tenant);
       for (final String key : spec.apiKeys() == null ? List.<String>of() : spec.apiKeys()) {
         if (key == null || key.isEmpty()) {
-          throw invalid("tenant " + tenant.name() + " has an empty key; give it a key or none");
+          throw invalid("tenant " + tenant.name() + " has an empty key; set the key or remove it");
         }
         final Tenant other = tenantsByKey.put(key, tenant);
         if (other != null && other != tenant) {
@@ -243,7 +247,7 @@
                   + other.name()
                   + " and "
                   + tenant.name()
-                  + " share a key; give each its own");
+                  + " share a key; give each a different key");
         }
       }
     }
@@ -260,13 +264,13 @@
     if (rule.match() == null || rule.match().pathPrefix() == null || action == null) {
       throw new WeldpointException(
           WeldpointException.Kind.UNREADABLE,
-          "route " + name + " lacks its match or its action; send it whole");
+          "route " + name + " has no match or no action; send a complete route");
     }
     if (action.timeoutMs() == null || action.timeoutMs() <= 0) {
-      throw invalid("route " + name + " has no timeoutMs; give it more than 0");
+      throw invalid("route " + name + " has no timeoutMs above 0; give it one");
     }
     if (action.maxAttempts() == null || action.maxAttempts() < 1) {
-      throw invalid("route " + name + " has 0 maxAttempts; give it at least 1");
+      throw invalid("route " + name + " has no maxAttempts of 1 or more; give it at least 1");
     }
     final List<SpecDocument.Share> shares =
         action.split() != null && !action.split().isEmpty()
@@ -281,9 +285,9 @@
         throw invalid(
             "route "
                 + name
-                + " names the unknown service "
+                + " refers to the unknown service "
                 + shares.get(position).service()
-                + "; add it to pools or name another");
+                + "; add it to pools or name another service");
       }
       targetIndices[position] = service;
       totalWeight +=
@@ -308,7 +312,10 @@
         cumulativeWeights);
   }
 
-  /** Runs the program for a request; false where no route matches. */
+  /**
+   * Resolves the route and the service of a request and stores them in its binding; false if no
+   * route matches.
+   */
   public boolean resolve(final RouteBinding binding) {
     for (final Step step : STEPS) {
       if (!step.run(this, binding)) {
@@ -319,7 +326,10 @@
     return true;
   }
 
-  /** Finds the route of a request whose service was chosen before; false where none matches. */
+  /**
+   * Finds the route of a request whose service has already been selected; false if no route
+   * matches.
+   */
   boolean findRoute(final RouteBinding binding) {
     return Step.FIND_HOST.run(this, binding) && Step.FIND_LONGEST_PREFIX.run(this, binding);
   }
@@ -329,17 +339,17 @@
     return version;
   }
 
-  /** The tenants, by index; empty where requests need no keys. */
+  /** The tenants, by index; empty if requests need no API keys. */
   public List<Tenant> tenants() {
     return tenants;
   }
 
-  /** The tenant that holds this key; null where nobody does. */
+  /** The tenant that this API key belongs to; null if the key is unknown. */
   public Tenant tenantForKey(final String key) {
     return tenantsByKey.get(key);
   }
 
-  /** The tenant of this name; null where there is none. */
+  /** The tenant of this name; null if there is none. */
   public Tenant tenant(final String name) {
     for (final Tenant tenant : tenants) {
       if (tenant.name().equals(name)) {
@@ -354,17 +364,17 @@
     return services;
   }
 
-  /** The names of the services that are divided among their upstreams by key. */
+  /** The names of the services whose keys are partitioned among their upstreams. */
   public List<String> partitionedServices() {
     return services.stream().filter(Service::partitioned).map(Service::name).toList();
   }
 
-  /** The index of a service, or -1. */
+  /** The index of the service of this name, or -1 if there is none. */
   public int serviceIndex(final String name) {
     return serviceIndices.getOrDefault(name, -1);
   }
 
-  /** The route of this name; null where there is none. */
+  /** The route of this name; null if there is none. */
   public Route route(final String name) {
     for (final Map<String, Route> routesByPrefix : routesByHost.values()) {
       for (final Route route : routesByPrefix.values()) {
@@ -376,34 +386,34 @@
     return null;
   }
 
-  /** All routes. */
+  /** All routes, in no particular order. */
   public List<Route> allRoutes() {
     final List<Route> routes = new ArrayList<>();
     routesByHost.values().forEach(routesByPrefix -> routes.addAll(routesByPrefix.values()));
     return routes;
   }
 
-  /** How many routes there are. */
+  /** The number of routes in the configuration. */
   public int routeCount() {
     return routeCount;
   }
 
-  /** The most bytes that the head of a request may have. */
+  /** The maximum size of the header of a request in bytes. */
   public int maxHeaderBytes() {
     return maxHeaderBytes;
   }
 
-  /** The most bytes that the body of a request may have. */
+  /** The maximum size of the body of a request in bytes. */
   public long maxBodyBytes() {
     return maxBodyBytes;
   }
 
-  /** How long the head of a request may take. */
+  /** The time within which the header of a request must arrive, in milliseconds. */
   public long headerTimeoutMillis() {
     return headerTimeoutMillis;
   }
 
-  /** How long a connection may be idle. */
+  /** The time for which a connection may be idle, in milliseconds. */
   public long idleTimeoutMillis() {
     return idleTimeoutMillis;
   }
--- a/routing/src/main/java/weldpoint/routing/SpecDocument.java
+++ b/routing/src/main/java/weldpoint/routing/SpecDocument.java
@@ -3,7 +3,10 @@
 import io.avaje.jsonb.Json;
 import java.util.List;
 
-/** An operator's configuration as it is written. */
+/**
+ * The JSON document of an operator's configuration as it was sent. Its contents are checked when
+ * {@link RoutingTable#compile(SpecDocument)} compiles it.
+ */
 @Json
 public record SpecDocument(
     String version,
@@ -12,7 +15,7 @@
     List<Listener> listeners,
     List<Pool> pools) {
 
-  /** Somebody with keys, who may make so many requests. */
+  /** A tenant with its API keys, rate limit and home regions. */
   @Json
   public record Tenant(
       String name,
@@ -22,16 +25,16 @@
       Double burst,
       List<String> homeRegions) {}
 
-  /** What a client may send and how long it may take. */
+  /** Limits on the size of a client's requests and on how long a client may take. */
   @Json
   public record Limits(
       Double maxHeaderBytes, Double maxBodyBytes, Double headerTimeoutMs, Double idleTimeoutMs) {}
 
-  /** The rules of one host. */
+  /** A host name and the rules that route its requests. */
   @Json
   public record Listener(String host, List<Rule> rules) {}
 
-  /** One route. */
+  /** A rule that is compiled into one {@link Route}. */
   @Json
   public record Rule(
       String name,
@@ -43,11 +46,11 @@
       Match match,
       Action action) {}
 
-  /** What a route matches. */
+  /** The condition under which a rule applies to a request. */
   @Json
   public record Match(String pathPrefix) {}
 
-  /** Where a route leads. */
+  /** The services that a rule sends requests to, with time-out, attempts and home regions. */
   @Json
   public record Action(
       String service,
@@ -57,15 +60,15 @@
       List<String> homeRegions,
       Affinity affinity) {}
 
-  /** What ties a caller to one node. */
+  /** How a rule identifies its callers in order to keep each on one upstream. */
   @Json
   public record Affinity(String by, String header, Double pauseMs) {}
 
-  /** A service's part of a split. */
+  /** The weight of one service in a split. */
   @Json
   public record Share(String service, Double weight) {}
 
-  /** A service. */
+  /** A service whose upstreams serve requests. */
   @Json
   public record Pool(
       String name,
--- a/routing/src/test/java/weldpoint/routing/RoutingTableTest.java
+++ b/routing/src/test/java/weldpoint/routing/RoutingTableTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.Test;
 import weldpoint.common.WeldpointException;
 
-/** Compiling, checking and interpreting configurations. */
+/** Tests how configurations are compiled and checked, and how requests are routed. */
 public final class RoutingTableTest {
   private static final String VALID =
       "{\"version\":\"0000000c\",\"limits\":{\"maxHeaderBytes\":16384,\"maxBodyBytes\":1000,\"headerTimeoutMs\":3000,\"idleTimeoutMs\":15000},\"listeners\":[{\"host\":\"a.example\",\"rules\":["
@@ -46,9 +46,9 @@
   @Test
   public void servicesMayBePartitionedByKey() {
     assertEquals(compile(VALID).partitionedServices(), java.util.List.of());
-    final String divided =
+    final String partitioned =
         VALID.replace("{\"name\":\"t\",", "{\"name\":\"t\",\"partitioned\":true,");
-    assertEquals(compile(divided).partitionedServices(), java.util.List.of("t"));
+    assertEquals(compile(partitioned).partitionedServices(), java.util.List.of("t"));
   }
 
   @DataProvider
@@ -98,15 +98,16 @@
   public void splitKeepsEachCallerOnOneServiceInProportionToWeights() {
     final RoutingTable routingTable = compile(withAffinity("{\"by\":\"address\"}"));
     final Route route = routingTable.route("r2");
-    int second = 0;
+    int callersOfT = 0;
     for (int caller = 0; caller < 20_000; caller++) {
       final long hash = caller * 0x9e3779b97f4a7c15L;
       assertEquals(route.serviceForCaller(hash), route.serviceForCaller(hash));
-      second +=
+      callersOfT +=
           routingTable.services().get(route.serviceForCaller(hash)).name().equals("t") ? 1 : 0;
     }
     assertTrue(
-        second > 1600 && second < 2400, "t has " + second + " of 20000 at a weight of 10 in 100");
+        callersOfT > 1600 && callersOfT < 2400,
+        "t has " + callersOfT + " of 20000 callers at a weight of 10 in 100");
   }
 
   @DataProvider
@@ -127,7 +128,7 @@
     };
   }
 
-  @Test(dataProvider = "badAffinity")
+  @Test(dataProvider = "invalidAffinity")
   public void invalidAffinityIsRejectedWithRemedy(final String text, final String remedy) {
     final WeldpointException exception =
         expectThrows(WeldpointException.class, () -> compile(text));
@@ -157,7 +158,7 @@
   }
 
   @DataProvider
-  public Object[][] changes() {
+  public Object[][] changedConfigurations() {
     final String rule = "\"routeKind\":\"idempotent\",";
     final String toS = "\"service\":\"s\",";
     final String tenant = "{\"name\":\"t\",\"apiKeys\":[\"k\"]}";
@@ -233,7 +234,7 @@
     };
   }
 
-  @Test(dataProvider = "changes")
+  @Test(dataProvider = "changedConfigurations")
   public void bindingIsRevalidatedAgainstCurrentConfiguration(
       final String prefix,
       final String rule,
@@ -276,10 +277,11 @@
         HomeRegionWarnings.of(routingTable, List.of()),
         List.of(
             "tenant t (and 1 more) may be served in [south] and route r in [north]: all requests"
-                + " of the one on the other are refused"));
-    final List<String> known = HomeRegionWarnings.of(routingTable, List.of("south"));
-    assertEquals(known.size(), 2, known.toString());
-    assertTrue(known.get(0).startsWith("route r may be served in [north] only"), known.toString());
+                + " of the tenant on the route are rejected"));
+    final List<String> warnings = HomeRegionWarnings.of(routingTable, List.of("south"));
+    assertEquals(warnings.size(), 2, warnings.toString());
+    assertTrue(
+        warnings.get(0).startsWith("route r may be served in [north] only"), warnings.toString());
     assertEquals(
         HomeRegionWarnings.of(tableWith("/x/", "", "\"service\":\"s\",", ""), List.of("south")),
         List.of());
