--- a/affinity/src/main/java/weldpoint/affinity/AffinityTable.java
+++ b/affinity/src/main/java/weldpoint/affinity/AffinityTable.java
@@ -19,9 +19,9 @@
  */
 public class AffinityTable {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
-  private static final long MARGIN_MILLIS = 60;
-  private static final long FINISH_MILLIS = 100;
-  private static final long ASK_AGAIN_MILLIS = 200;
+  private static final long LEASE_MARGIN_MILLIS = 60;
+  private static final long COMPLETION_GRACE_MILLIS = 100;
+  private static final long LEASE_RETRY_MILLIS = 200;
 
   private static final class Epoch {
     final PlacementMessages.Placement placement;
@@ -39,71 +39,71 @@
   public static final class PendingWrite {
     private final String service;
     private final long caller;
-    private final String node;
-    private final Predicate<PlacementMember> may;
-    private final long until;
-    private boolean over;
+    private final String nodeId;
+    private final Predicate<PlacementMember> eligible;
+    private final long expiresAt;
+    private boolean ended;
 
     private PendingWrite(
         final String service,
         final long caller,
-        final String node,
+        final String nodeId,
         final Predicate<PlacementMember> may,
-        final long until) {
+        final long expiresAt) {
       this.service = service;
       this.caller = caller;
-      this.node = node;
-      this.may = may;
-      this.until = until;
+      this.nodeId = nodeId;
+      this.eligible = may;
+      this.expiresAt = expiresAt;
     }
 
     /**
      * The write has ended: an answer came, or not a byte was sent. Otherwise it counts until its
      * deadline.
      */
-    public void ended() {
-      over = true;
+    public void markEnded() {
+      ended = true;
     }
   }
 
   private final String self;
   private final long incarnation;
   private final long leaseMillis;
-  private final Consumer<PlacementMessages.LeaseRequest> outlet;
+  private final Consumer<PlacementMessages.LeaseRequest> leaseRequestSender;
   private final Map<String, Epoch> epochs = new HashMap<>();
-  private final List<PendingWrite> ties = new ArrayList<>();
-  private final Map<Long, Long> askedAt = new HashMap<>();
-  private final long[] counts = new long[WriteDecision.values().length];
-  private PlacementMember node;
-  private long mark;
-  private long settled;
-  private long toldSettled = -1;
-  private long toldMark = -1;
+  private final List<PendingWrite> pendingWrites = new ArrayList<>();
+  private final Map<Long, Long> requestedAt = new HashMap<>();
+  private final long[] decisionCounts = new long[WriteDecision.values().length];
+  private PlacementMember chosenNode;
+  private long placementVersion;
+  private long settledVersion;
+  private long reportedSettledVersion = -1;
+  private long reportedVersion = -1;
   private long leaseUntil = Long.MIN_VALUE / 2;
-  private long lastAskAt = Long.MIN_VALUE / 2;
-  private long asks;
+  private long lastRequestAt = Long.MIN_VALUE / 2;
+  private long lastRequestNumber;
 
   /** Nothing is held yet; asks for leases go to the outlet. */
   public AffinityTable(
       final String self,
       final long incarnation,
       final long leaseMillis,
-      final Consumer<PlacementMessages.LeaseRequest> outlet) {
+      final Consumer<PlacementMessages.LeaseRequest> leaseRequestSender) {
     this.self = self;
     this.incarnation = incarnation;
     this.leaseMillis = leaseMillis;
-    this.outlet = outlet;
+    this.leaseRequestSender = leaseRequestSender;
   }
 
   /** Takes placements, unless newer ones are held. */
-  public void take(final PlacementMessages.Placements given, final long now) {
-    if (given.mark <= mark) {
+  public void updatePlacements(final PlacementMessages.Placements received, final long now) {
+    if (received.mark <= placementVersion) {
       return;
     }
-    mark = given.mark;
-    for (final PlacementMessages.Placement placement : Protocol.list(given.placements)) {
-      final Epoch before = epochs.get(placement.service);
-      if (before == null || placement.serial > before.placement.serial) {
+    placementVersion = received.mark;
+    for (final PlacementMessages.Placement placement : Protocol.list(received.placements)) {
+      final Epoch previous = epochs.get(placement.service);
+      if (previous == null || placement.serial > previous.placement.serial) {
         epochs.put(placement.service, new Epoch(placement));
         LOGGER.atInfo().log(
             "placement of %s: epoch %s of %s nodes%s",
@@ -119,15 +119,15 @@
   }
 
   /** A lease was granted, or refused. */
-  public void granted(final PlacementMessages.LeaseGrant grant, final long now) {
-    final Long asked = askedAt.remove(grant.number);
-    if (asked != null && grant.incarnation == incarnation && grant.millis > 0) {
-      leaseUntil = Math.max(leaseUntil, asked + grant.millis - MARGIN_MILLIS);
+  public void onLeaseGrant(final PlacementMessages.LeaseGrant grant, final long now) {
+    final Long requested = requestedAt.remove(grant.number);
+    if (requested != null && grant.incarnation == incarnation && grant.millis > 0) {
+      leaseUntil = Math.max(leaseUntil, requested + grant.millis - LEASE_MARGIN_MILLIS);
     }
   }
 
   /** Whether the placements held may be used. */
-  public boolean leased(final long now) {
+  public boolean hasLease(final long now) {
     return now < leaseUntil;
   }
 
@@ -138,102 +138,111 @@
   public WriteDecision decide(
       final String service,
       final long caller,
-      final Predicate<PlacementMember> may,
+      final Predicate<PlacementMember> eligible,
       final long now) {
-    node = null;
+    chosenNode = null;
     final Epoch epoch = epochs.get(service);
     if (epoch == null) {
       return WriteDecision.NO_PLACEMENT;
     }
-    if (!leased(now)) {
+    if (!hasLease(now)) {
       return WriteDecision.NO_LEASE;
     }
-    final PlacementMember here = epoch.members.choose(caller, may);
+    final PlacementMember current = epoch.members.choose(caller, eligible);
     if (epoch.next != null) {
-      final PlacementMember then = epoch.next.choose(caller, may);
-      if (here == null || then == null || !here.id.equals(then.id)) {
+      final PlacementMember upcoming = epoch.next.choose(caller, eligible);
+      if (current == null || upcoming == null || !current.id.equals(upcoming.id)) {
         return WriteDecision.MOVING;
       }
     }
-    if (here == null) {
+    if (current == null) {
       return WriteDecision.NO_NODE;
     }
-    node = here;
+    chosenNode = current;
     return WriteDecision.GO;
   }
 
   /** The node of the last decision that said go. */
-  public PlacementMember node() {
-    return node;
+  public PlacementMember chosenNode() {
+    return chosenNode;
   }
 
   /** Counts what became of a write in the end. */
-  public void count(final WriteDecision verdict) {
-    counts[verdict.ordinal()]++;
+  public void recordDecision(final WriteDecision decision) {
+    decisionCounts[decision.ordinal()]++;
   }
 
   /** A write goes to the node now; its upstream gives it up at the deadline. */
-  public PendingWrite begin(
+  public PendingWrite beginWrite(
       final String service,
       final long caller,
       final String nodeId,
-      final Predicate<PlacementMember> may,
+      final Predicate<PlacementMember> eligible,
       final long deadline) {
     final PendingWrite pendingWrite =
-        new PendingWrite(service, caller, nodeId, may, deadline + FINISH_MILLIS);
-    ties.add(pendingWrite);
+        new PendingWrite(service, caller, nodeId, eligible, deadline + COMPLETION_GRACE_MILLIS);
+    pendingWrites.add(pendingWrite);
     return pendingWrite;
   }
 
   /** Time has passed, or something ended. */
   public void tick(final long now) {
-    boolean pending = false;
-    for (final Iterator<PendingWrite> all = ties.iterator(); all.hasNext(); ) {
-      final PendingWrite pendingWrite = all.next();
-      if (pendingWrite.over || now >= pendingWrite.until) {
-        all.remove();
+    boolean unsettled = false;
+    for (final Iterator<PendingWrite> iterator = pendingWrites.iterator(); iterator.hasNext(); ) {
+      final PendingWrite pendingWrite = iterator.next();
+      if (pendingWrite.ended || now >= pendingWrite.expiresAt) {
+        iterator.remove();
         continue;
       }
       final Epoch epoch = epochs.get(pendingWrite.service);
       if (epoch != null && epoch.next != null) {
-        final PlacementMember then = epoch.next.choose(pendingWrite.caller, pendingWrite.may);
-        pending |= then == null || !then.id.equals(pendingWrite.node);
+        final PlacementMember upcoming =
+            epoch.next.choose(pendingWrite.caller, pendingWrite.eligible);
+        unsettled |= upcoming == null || !upcoming.id.equals(pendingWrite.nodeId);
       }
     }
-    if (!pending) {
-      settled = mark;
+    if (!unsettled) {
+      settledVersion = placementVersion;
     }
-    final boolean news = settled > toldSettled || mark > toldMark;
-    final long since = now - lastAskAt;
-    if (mark > 0
-        && (news && since > 0
-            || since >= leaseMillis / 4
-            || !leased(now) && since >= ASK_AGAIN_MILLIS)) {
-      ask(now);
+    final boolean unreported =
+        settledVersion > reportedSettledVersion || placementVersion > reportedVersion;
+    final long sinceLastRequest = now - lastRequestAt;
+    if (placementVersion > 0
+        && (unreported && sinceLastRequest > 0
+            || sinceLastRequest >= leaseMillis / 4
+            || !hasLease(now) && sinceLastRequest >= LEASE_RETRY_MILLIS)) {
+      requestLease(now);
     }
   }
 
-  private void ask(final long now) {
-    lastAskAt = now;
-    toldSettled = settled;
-    toldMark = mark;
-    askedAt.values().removeIf(at -> now - at > leaseMillis);
-    askedAt.put(++asks, now);
-    final List<Long> told = new ArrayList<>();
-    for (final long count : counts) {
-      told.add(count);
+  private void requestLease(final long now) {
+    lastRequestAt = now;
+    reportedSettledVersion = settledVersion;
+    reportedVersion = placementVersion;
+    requestedAt.values().removeIf(at -> now - at > leaseMillis);
+    requestedAt.put(++lastRequestNumber, now);
+    final List<Long> reportedCounts = new ArrayList<>();
+    for (final long count : decisionCounts) {
+      reportedCounts.add(count);
     }
-    outlet.accept(new PlacementMessages.LeaseRequest(asks, self, incarnation, mark, settled, told));
+    leaseRequestSender.accept(
+        new PlacementMessages.LeaseRequest(
+            lastRequestNumber,
+            self,
+            incarnation,
+            placementVersion,
+            settledVersion,
+            reportedCounts));
   }
 
   /** The mark of the placements held. */
-  public long mark() {
-    return mark;
+  public long placementVersion() {
+    return placementVersion;
   }
 
   /** The mark up to which everything that had to be finished is. */
-  public long settled() {
-    return settled;
+  public long settledVersion() {
+    return settledVersion;
   }
 
   /** The epoch held of a service; 0 where there is none. */
@@ -248,18 +257,18 @@
         new StringBuilder("placements ")
             .append(epochs.size())
             .append(" mark ")
-            .append(mark)
+            .append(placementVersion)
             .append(" settled ")
-            .append(settled)
+            .append(settledVersion)
             .append(" lease ")
             .append(Math.max(0, leaseUntil - now))
             .append(" ms under way ")
-            .append(ties.size());
-    for (final WriteDecision verdict : WriteDecision.values()) {
+            .append(pendingWrites.size());
+    for (final WriteDecision decision : WriteDecision.values()) {
       text.append(' ')
-          .append(verdict.name().toLowerCase(java.util.Locale.ROOT))
+          .append(decision.name().toLowerCase(java.util.Locale.ROOT))
           .append(' ')
-          .append(counts[verdict.ordinal()]);
+          .append(decisionCounts[decision.ordinal()]);
     }
     return text.toString();
   }
--- a/affinity/src/main/java/weldpoint/affinity/PlacementCoordinator.java
+++ b/affinity/src/main/java/weldpoint/affinity/PlacementCoordinator.java
@@ -24,23 +24,23 @@
  */
 public class PlacementCoordinator {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
-  private static final long MARGIN_MILLIS = 150;
-  private static final long TAKE_OVER_MILLIS = 1500;
+  private static final long LEASE_MARGIN_MILLIS = 150;
+  private static final long TAKEOVER_DELAY_MILLIS = 1500;
 
   /** Writes registers, if they still have the serial before. */
   public interface Writer {
     /** Writes who keeps placements. */
-    CompletableFuture<StoreMessages.StoreResponse> keeper(
+    CompletableFuture<StoreMessages.StoreResponse> writeOwner(
         PlacementMessages.PlacementOwner next, long now);
 
     /** Writes a service's placement. */
-    CompletableFuture<StoreMessages.StoreResponse> placement(Placement next, long now);
+    CompletableFuture<StoreMessages.StoreResponse> writePlacement(Placement next, long now);
   }
 
-  private static final class Holder {
-    long until;
-    long settled;
-    List<Long> counts = List.of();
+  private static final class LeaseHolder {
+    long leaseUntil;
+    long settledVersion;
+    List<Long> decisionCounts = List.of();
   }
 
   private final String self;
@@ -49,18 +49,18 @@
   private final long batchMillis;
   private final Writer writer;
   private final Map<String, Placement> placements = new TreeMap<>();
-  private final Map<String, Long> preparedMark = new HashMap<>();
-  private final Map<String, Long> differsSince = new HashMap<>();
-  private final Map<String, Holder> holders = new LinkedHashMap<>();
-  private Map<String, List<PlacementMember>> wanted = Map.of();
-  private PlacementMessages.PlacementOwner keeper = new PlacementMessages.PlacementOwner(0, "", 0);
-  private long mark;
-  private long finishMillis;
-  private long keeperSince;
-  private long keeperLostAt = -1;
-  private boolean out;
-  private long changes;
-  private long stale;
+  private final Map<String, Long> preparedVersion = new HashMap<>();
+  private final Map<String, Long> membersDifferSince = new HashMap<>();
+  private final Map<String, LeaseHolder> leaseHolders = new LinkedHashMap<>();
+  private Map<String, List<PlacementMember>> desiredMembers = Map.of();
+  private PlacementMessages.PlacementOwner owner = new PlacementMessages.PlacementOwner(0, "", 0);
+  private long placementVersion;
+  private long maxWriteMillis;
+  private long ownerSince;
+  private long ownerLostAt = -1;
+  private boolean writeInFlight;
+  private long epochChanges;
+  private long staleRequests;
 
   /** Nothing is known yet. */
   public PlacementCoordinator(
@@ -77,33 +77,33 @@
   }
 
   /** Takes what the frames hold; true where placements are new. */
-  public boolean take(
-      final List<Placement> given,
-      final PlacementMessages.PlacementOwner named,
-      final long givenMark,
+  public boolean update(
+      final List<Placement> storedPlacements,
+      final PlacementMessages.PlacementOwner storedOwner,
+      final long storedVersion,
       final long now) {
-    if (named != null && named.serial > keeper.serial) {
-      keeper = named;
-      keeperLostAt = -1;
-      if (keeps()) {
-        keeperSince = now;
-        holders.clear();
+    if (storedOwner != null && storedOwner.serial > owner.serial) {
+      owner = storedOwner;
+      ownerLostAt = -1;
+      if (isOwner()) {
+        ownerSince = now;
+        leaseHolders.clear();
         LOGGER.atInfo().log("exchange %s keeps placements now", self);
       }
     }
-    if (givenMark <= mark) {
+    if (storedVersion <= placementVersion) {
       return false;
     }
-    mark = givenMark;
-    for (final Placement placement : given) {
-      final Placement before = placements.get(placement.service);
-      if (before == null || placement.serial > before.serial) {
+    placementVersion = storedVersion;
+    for (final Placement placement : storedPlacements) {
+      final Placement previous = placements.get(placement.service);
+      if (previous == null || placement.serial > previous.serial) {
         placements.put(placement.service, placement);
         if (placement.prepared) {
-          preparedMark.put(placement.service, mark);
+          preparedVersion.put(placement.service, placementVersion);
         } else {
-          preparedMark.remove(placement.service);
-          differsSince.remove(placement.service);
+          preparedVersion.remove(placement.service);
+          membersDifferSince.remove(placement.service);
         }
       }
     }
@@ -114,49 +114,52 @@
    * Takes among which upstreams the callers of each service should be placed, and how long a tied
    * write may take.
    */
-  public void wanted(final Map<String, List<PlacementMember>> given, final long longestMillis) {
-    wanted = given;
-    finishMillis = longestMillis;
+  public void desiredMembers(
+      final Map<String, List<PlacementMember>> membersByService, final long longestWriteMillis) {
+    desiredMembers = membersByService;
+    maxWriteMillis = longestWriteMillis;
   }
 
   /** Whether this exchange, in this life, keeps placements. */
-  public boolean keeps() {
-    return keeper.address.equals(self) && keeper.incarnation == incarnation;
+  public boolean isOwner() {
+    return owner.address.equals(self) && owner.incarnation == incarnation;
   }
 
   /** Who keeps placements; empty where nobody does. */
-  public String keeper() {
-    return keeper.address;
+  public String owner() {
+    return owner.address;
   }
 
   /** The mark of what is known. */
-  public long mark() {
-    return mark;
+  public long placementVersion() {
+    return placementVersion;
   }
 
   /** All placements, as switchboards are told. */
   public PlacementMessages.Placements placements() {
-    return new PlacementMessages.Placements(mark, new ArrayList<>(placements.values()));
+    return new PlacementMessages.Placements(placementVersion, new ArrayList<>(placements.values()));
   }
 
   /** Somebody asks for a lease; a majority confirmed what is known here at the time given. */
-  public PlacementMessages.LeaseGrant ask(
-      final PlacementMessages.LeaseRequest ask, final long confirmedAt, final long now) {
+  public PlacementMessages.LeaseGrant handleLeaseRequest(
+      final PlacementMessages.LeaseRequest request, final long confirmedAt, final long now) {
     long millis = 0;
-    if (keeps()) {
-      final Holder holder =
-          holders.computeIfAbsent(ask.board + "#" + ask.incarnation, key -> new Holder());
-      holder.settled = Math.max(holder.settled, ask.settled);
-      holder.counts = Protocol.list(ask.counts);
-      final long left = confirmedAt + leaseMillis - now;
-      if (left > 0 && ask.mark >= mark) {
-        millis = left;
-        holder.until = Math.max(holder.until, now + left);
-      } else if (ask.mark < mark) {
-        stale++;
+    if (isOwner()) {
+      final LeaseHolder holder =
+          leaseHolders.computeIfAbsent(
+              request.board + "#" + request.incarnation, key -> new LeaseHolder());
+      holder.settledVersion = Math.max(holder.settledVersion, request.settled);
+      holder.decisionCounts = Protocol.list(request.counts);
+      final long remainingMillis = confirmedAt + leaseMillis - now;
+      if (remainingMillis > 0 && request.mark >= placementVersion) {
+        millis = remainingMillis;
+        holder.leaseUntil = Math.max(holder.leaseUntil, now + remainingMillis);
+      } else if (request.mark < placementVersion) {
+        staleRequests++;
       }
     }
-    return new PlacementMessages.LeaseGrant(ask.number, ask.board, ask.incarnation, millis);
+    return new PlacementMessages.LeaseGrant(
+        request.number, request.board, request.incarnation, millis);
   }
 
   /**
@@ -164,94 +167,100 @@
    * reached.
    */
   public void tick(
-      final boolean mayKeep, final boolean reachable, final boolean confirmed, final long now) {
-    if (out || !confirmed || wanted.isEmpty()) {
+      final boolean mayOwn, final boolean ownerReachable, final boolean confirmed, final long now) {
+    if (writeInFlight || !confirmed || desiredMembers.isEmpty()) {
       return;
     }
-    if (!keeps()) {
-      final boolean lost = keeper.address.isEmpty() || keeper.address.equals(self) || !reachable;
-      keeperLostAt = !lost ? -1 : keeperLostAt < 0 ? now : keeperLostAt;
-      final boolean due =
-          lost
-              && (keeper.address.isEmpty()
-                  || keeper.address.equals(self)
-                  || now - keeperLostAt >= TAKE_OVER_MILLIS);
-      if (mayKeep && due) {
-        write(
-            writer.keeper(
-                new PlacementMessages.PlacementOwner(keeper.serial + 1, self, incarnation), now));
+    if (!isOwner()) {
+      final boolean ownerLost =
+          owner.address.isEmpty() || owner.address.equals(self) || !ownerReachable;
+      ownerLostAt = !ownerLost ? -1 : ownerLostAt < 0 ? now : ownerLostAt;
+      final boolean takeoverDue =
+          ownerLost
+              && (owner.address.isEmpty()
+                  || owner.address.equals(self)
+                  || now - ownerLostAt >= TAKEOVER_DELAY_MILLIS);
+      if (mayOwn && takeoverDue) {
+        submit(
+            writer.writeOwner(
+                new PlacementMessages.PlacementOwner(owner.serial + 1, self, incarnation), now));
       }
       return;
     }
-    holders.values().removeIf(holder -> now > holder.until + finishMillis + MARGIN_MILLIS);
-    for (final Map.Entry<String, List<PlacementMember>> one : wanted.entrySet()) {
-      final Placement before = placements.get(one.getKey());
-      if (before != null && before.prepared) {
-        if (settled(before, now)) {
-          changes++;
-          write(
-              writer.placement(
+    leaseHolders
+        .values()
+        .removeIf(holder -> now > holder.leaseUntil + maxWriteMillis + LEASE_MARGIN_MILLIS);
+    for (final Map.Entry<String, List<PlacementMember>> desired : desiredMembers.entrySet()) {
+      final Placement current = placements.get(desired.getKey());
+      if (current != null && current.prepared) {
+        if (isSettled(current, now)) {
+          epochChanges++;
+          submit(
+              writer.writePlacement(
                   new Placement(
-                      before.service,
-                      before.serial + 1,
-                      before.epoch + 1,
-                      before.next,
+                      current.service,
+                      current.serial + 1,
+                      current.epoch + 1,
+                      current.next,
                       false,
                       null),
                   now));
           return;
         }
-      } else if (before == null || !same(before.members, one.getValue())) {
-        final long since = differsSince.computeIfAbsent(one.getKey(), service -> now);
-        if (before == null && !one.getValue().isEmpty()
-            || before != null && now - since >= batchMillis) {
-          write(
-              writer.placement(
-                  before == null
-                      ? new Placement(one.getKey(), 1, 1, one.getValue(), false, null)
+      } else if (current == null || !sameMembers(current.members, desired.getValue())) {
+        final long since = membersDifferSince.computeIfAbsent(desired.getKey(), service -> now);
+        if (current == null && !desired.getValue().isEmpty()
+            || current != null && now - since >= batchMillis) {
+          submit(
+              writer.writePlacement(
+                  current == null
+                      ? new Placement(desired.getKey(), 1, 1, desired.getValue(), false, null)
                       : new Placement(
-                          before.service,
-                          before.serial + 1,
-                          before.epoch,
-                          before.members,
+                          current.service,
+                          current.serial + 1,
+                          current.epoch,
+                          current.members,
                           true,
-                          one.getValue()),
+                          desired.getValue()),
                   now));
           return;
         }
       } else {
-        differsSince.remove(one.getKey());
+        membersDifferSince.remove(desired.getKey());
       }
     }
   }
 
-  private void write(final CompletableFuture<StoreMessages.StoreResponse> future) {
-    out = true;
-    future.whenComplete((answer, problem) -> out = false);
+  private void submit(final CompletableFuture<StoreMessages.StoreResponse> future) {
+    writeInFlight = true;
+    future.whenComplete((response, error) -> writeInFlight = false);
   }
 
   /** Whether nobody can be sending, or have sent, under the epoch before to callers that move. */
-  protected boolean settled(final Placement prepared, final long now) {
-    final Long since = preparedMark.get(prepared.service);
-    if (since == null || now < keeperSince + leaseMillis + finishMillis + MARGIN_MILLIS) {
+  protected boolean isSettled(final Placement prepared, final long now) {
+    final Long preparedAtVersion = preparedVersion.get(prepared.service);
+    if (preparedAtVersion == null
+        || now < ownerSince + leaseMillis + maxWriteMillis + LEASE_MARGIN_MILLIS) {
       return false;
     }
-    for (final Holder holder : holders.values()) {
-      if (holder.settled < since && now <= holder.until + finishMillis + MARGIN_MILLIS) {
+    for (final LeaseHolder holder : leaseHolders.values()) {
+      if (holder.settledVersion < preparedAtVersion
+          && now <= holder.leaseUntil + maxWriteMillis + LEASE_MARGIN_MILLIS) {
         return false;
       }
     }
     return true;
   }
 
-  private static boolean same(final List<PlacementMember> one, final List<PlacementMember> other) {
-    final List<PlacementMember> first = Protocol.list(one);
-    if (first.size() != other.size()) {
+  private static boolean sameMembers(
+      final List<PlacementMember> left, final List<PlacementMember> right) {
+    final List<PlacementMember> leftMembers = Protocol.list(left);
+    if (leftMembers.size() != right.size()) {
       return false;
     }
-    for (int index = 0; index < first.size(); index++) {
-      if (!first.get(index).id.equals(other.get(index).id)
-          || first.get(index).capacity != other.get(index).capacity) {
+    for (int index = 0; index < leftMembers.size(); index++) {
+      if (!leftMembers.get(index).id.equals(right.get(index).id)
+          || leftMembers.get(index).capacity != right.get(index).capacity) {
         return false;
       }
     }
@@ -259,21 +268,21 @@
   }
 
   /** Members in the order in which they are compared. */
-  public static List<PlacementMember> sorted(final List<PlacementMember> members) {
+  public static List<PlacementMember> sortedById(final List<PlacementMember> members) {
     final List<PlacementMember> sorted = new ArrayList<>(members);
     sorted.sort(Comparator.comparing(member -> member.id));
     return sorted;
   }
 
   /** What the switchboards that hold leases counted, by verdict. */
-  public long[] counts() {
-    final long[] sums = new long[WriteDecision.values().length];
-    for (final Holder holder : holders.values()) {
-      for (int index = 0; index < Math.min(sums.length, holder.counts.size()); index++) {
-        sums[index] += holder.counts.get(index);
+  public long[] decisionCounts() {
+    final long[] totals = new long[WriteDecision.values().length];
+    for (final LeaseHolder holder : leaseHolders.values()) {
+      for (int index = 0; index < Math.min(totals.length, holder.decisionCounts.size()); index++) {
+        totals[index] += holder.decisionCounts.get(index);
       }
     }
-    return sums;
+    return totals;
   }
 
   /** The counters, as one line. */
@@ -281,19 +290,19 @@
     return "placements "
         + placements.size()
         + " mark "
-        + mark
+        + placementVersion
         + " keeper "
-        + keeper.address
+        + owner.address
         + " holders "
-        + holders.size()
+        + leaseHolders.size()
         + " epochs changed "
-        + changes
+        + epochChanges
         + " stale asks "
-        + stale;
+        + staleRequests;
   }
 
   /** The bytes of a placement. */
-  public static byte[] bytes(final Placement placement) {
+  public static byte[] toBytes(final Placement placement) {
     return Serializer.serialize(placement);
   }
 }
--- a/affinity/src/main/java/weldpoint/affinity/Rendezvous.java
+++ b/affinity/src/main/java/weldpoint/affinity/Rendezvous.java
@@ -13,7 +13,7 @@
   private Rendezvous() {}
 
   /** The hash of a caller of a service. */
-  public static long caller(final String service, final String caller) {
+  public static long callerHash(final String service, final String caller) {
     return mix(hash(service) * 31 + hash(caller));
   }
 
@@ -38,8 +38,8 @@
     private final long[] hashes;
 
     /** A table of these members. */
-    public Table(final List<PlacementMember> given) {
-      members = given.toArray(new PlacementMember[0]);
+    public Table(final List<PlacementMember> memberList) {
+      members = memberList.toArray(new PlacementMember[0]);
       hashes = new long[members.length];
       for (int index = 0; index < hashes.length; index++) {
         hashes[index] = hash(members[index].id);
@@ -47,14 +47,14 @@
     }
 
     /** The member that the caller belongs to, of those that may serve it; null where none may. */
-    public PlacementMember choose(final long caller, final Predicate<PlacementMember> may) {
+    public PlacementMember choose(final long caller, final Predicate<PlacementMember> eligible) {
       PlacementMember best = null;
-      double most = -1;
+      double bestScore = -1;
       for (int index = 0; index < members.length; index++) {
         final double draw = ((mix(hashes[index] ^ caller) >>> 11) + 0.5) / (1L << 53);
         final double score = Math.max(1, members[index].capacity) / -Math.log(draw);
-        if (score > most && may.test(members[index])) {
-          most = score;
+        if (score > bestScore && eligible.test(members[index])) {
+          bestScore = score;
           best = members[index];
         }
       }
--- a/affinity/src/main/java/weldpoint/affinity/WriteDecision.java
+++ b/affinity/src/main/java/weldpoint/affinity/WriteDecision.java
@@ -33,7 +33,7 @@
   }
 
   /** Whether a short wait may mend it. */
-  public boolean passing() {
+  public boolean isTransient() {
     return this == MOVING || this == NO_PLACEMENT || this == NO_LEASE || this == LEAVING;
   }
 }
--- a/affinity/src/test/java/weldpoint/affinity/AffinitySimulation.java
+++ b/affinity/src/test/java/weldpoint/affinity/AffinitySimulation.java
@@ -22,9 +22,9 @@
  */
 final class AffinitySimulation {
   static final String SERVICE = "desk";
-  static final long LEASE = 2000;
-  static final long LONGEST = 600;
-  private static final long BATCH = 100;
+  static final long LEASE_MILLIS = 2000;
+  static final long MAX_WRITE_MILLIS = 600;
+  private static final long BATCH_MILLIS = 100;
 
   /** What is broken on purpose. */
   enum Flaw {
@@ -34,7 +34,7 @@
     DECLINED_ELSEWHERE
   }
 
-  private record Event(long at, long order, Runnable deed) {}
+  private record Event(long at, long sequence, Runnable action) {}
 
   final class Node {
     final String id;
@@ -54,13 +54,13 @@
 
   private final class Proxy {
     final String address;
-    int life;
+    int generation;
     boolean running;
     boolean frozen;
-    boolean cut;
+    boolean partitioned;
     AffinityTable affinity;
-    Registry exchange;
-    final List<Runnable> held = new ArrayList<>();
+    Registry registry;
+    final List<Runnable> deferred = new ArrayList<>();
 
     Proxy(final String address) {
       this.address = address;
@@ -72,7 +72,7 @@
     PlacementCoordinator coordinator;
     long incarnation;
     boolean running;
-    boolean cut;
+    boolean partitioned;
     long confirmedAt = Long.MIN_VALUE / 2;
 
     Registry(final String address) {
@@ -83,54 +83,54 @@
   final Random random;
   final Flaw flaw;
   long now = 100_000;
-  private long order;
+  private long nextSequence;
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(
           (one, other) ->
               one.at != other.at
                   ? Long.compare(one.at, other.at)
-                  : Long.compare(one.order, other.order));
+                  : Long.compare(one.sequence, other.sequence));
   final Map<String, Node> nodes = new LinkedHashMap<>();
-  private final List<Proxy> boards = new ArrayList<>();
-  private final List<Registry> exchanges = new ArrayList<>();
-  private final TreeMap<String, Placement> registers = new TreeMap<>();
-  private PlacementMessages.PlacementOwner keeper = new PlacementMessages.PlacementOwner(0, "", 0);
-  private boolean coreCut;
-  private int lives;
-  private int writes;
-  final List<String> breaches = new ArrayList<>();
+  private final List<Proxy> proxies = new ArrayList<>();
+  private final List<Registry> registries = new ArrayList<>();
+  private final TreeMap<String, Placement> placementRegisters = new TreeMap<>();
+  private PlacementMessages.PlacementOwner owner = new PlacementMessages.PlacementOwner(0, "", 0);
+  private boolean corePartitioned;
+  private int lastId;
+  private int lastWriteId;
+  final List<String> violations = new ArrayList<>();
   private final Map<String, Integer> runs = new HashMap<>();
   private final Map<String, Set<String>> ranAt = new HashMap<>();
   private final Set<String> confirmed = new HashSet<>();
-  private final Map<String, Set<String>> workingFor = new HashMap<>();
+  private final Map<String, Set<String>> nodesWorkingFor = new HashMap<>();
   private final Map<String, String> lastNode = new HashMap<>();
   int confirmedCount;
   int refusedCount;
   int uncertainCount;
   int movedCallers;
-  final Map<WriteDecision, Integer> verdicts = new TreeMap<>();
+  final Map<WriteDecision, Integer> refusalsByDecision = new TreeMap<>();
 
-  AffinitySimulation(final long seed, final Flaw flaw, final int boardCount, final int nodeCount) {
+  AffinitySimulation(final long seed, final Flaw flaw, final int proxyCount, final int nodeCount) {
     this.random = new Random(seed);
     this.flaw = flaw;
     for (int index = 0; index < nodeCount; index++) {
-      join();
+      addNode();
     }
     for (int index = 0; index < 2; index++) {
-      final Registry exchange = new Registry("e" + index);
-      exchanges.add(exchange);
-      start(exchange);
+      final Registry registry = new Registry("e" + index);
+      registries.add(registry);
+      start(registry);
     }
-    for (int index = 0; index < boardCount; index++) {
-      final Proxy board = new Proxy("b" + index);
-      boards.add(board);
-      start(board);
+    for (int index = 0; index < proxyCount; index++) {
+      final Proxy proxy = new Proxy("b" + index);
+      proxies.add(proxy);
+      start(proxy);
     }
-    loop();
+    scheduleCoordinatorTick();
   }
 
-  void after(final long millis, final Runnable deed) {
-    events.add(new Event(now + millis, order++, deed));
+  void after(final long millis, final Runnable action) {
+    events.add(new Event(now + millis, nextSequence++, action));
   }
 
   void run(final long millis) {
@@ -138,13 +138,13 @@
     while (!events.isEmpty() && events.peek().at <= until) {
       final Event event = events.poll();
       now = event.at;
-      event.deed.run();
+      event.action.run();
     }
     now = until;
   }
 
-  Node join() {
-    final Node node = new Node("i-" + ++lives, "10.1.0." + lives % 9);
+  Node addNode() {
+    final Node node = new Node("i-" + ++lastId, "10.1.0." + lastId % 9);
     nodes.put(node.id, node);
     return node;
   }
@@ -156,15 +156,15 @@
         members.add(new PlacementMember(node.id, node.capacity, "a"));
       }
     }
-    return PlacementCoordinator.sorted(members);
+    return PlacementCoordinator.sortedById(members);
   }
 
-  private long mark() {
-    long mark = 0;
-    for (final Placement placement : registers.values()) {
-      mark += placement.serial;
+  private long placementVersion() {
+    long version = 0;
+    for (final Placement placement : placementRegisters.values()) {
+      version += placement.serial;
     }
-    return mark;
+    return version;
   }
 
   private <T> CompletableFuture<StoreMessages.StoreResponse> decide(
@@ -174,7 +174,7 @@
     after(
         2 + random.nextInt(30),
         () -> {
-          if (coreCut || from.cut) {
+          if (corePartitioned || from.partitioned) {
             future.completeExceptionally(new IllegalStateException("no majority"));
             return;
           }
@@ -190,74 +190,74 @@
     return future;
   }
 
-  private void start(final Registry exchange) {
-    exchange.running = true;
-    exchange.incarnation = ++lives;
-    exchange.confirmedAt = Long.MIN_VALUE / 2;
+  private void start(final Registry registry) {
+    registry.running = true;
+    registry.incarnation = ++lastId;
+    registry.confirmedAt = Long.MIN_VALUE / 2;
     final PlacementCoordinator.Writer writer =
         new PlacementCoordinator.Writer() {
           @Override
-          public CompletableFuture<StoreMessages.StoreResponse> keeper(
+          public CompletableFuture<StoreMessages.StoreResponse> writeOwner(
               final PlacementMessages.PlacementOwner next, final long at) {
             return decide(
-                exchange,
+                registry,
                 () -> {
-                  if (next.serial != keeper.serial + 1) {
+                  if (next.serial != owner.serial + 1) {
                     return 412;
                   }
-                  keeper = next;
+                  owner = next;
                   return 200;
                 });
           }
 
           @Override
-          public CompletableFuture<StoreMessages.StoreResponse> placement(
+          public CompletableFuture<StoreMessages.StoreResponse> writePlacement(
               final Placement next, final long at) {
             return decide(
-                exchange,
+                registry,
                 () -> {
-                  final Placement before = registers.get(next.service);
-                  if (next.serial != (before == null ? 0 : before.serial) + 1) {
+                  final Placement previous = placementRegisters.get(next.service);
+                  if (next.serial != (previous == null ? 0 : previous.serial) + 1) {
                     return 412;
                   }
-                  registers.put(next.service, next);
+                  placementRegisters.put(next.service, next);
                   return 200;
                 });
           }
         };
-    exchange.coordinator =
+    registry.coordinator =
         flaw == Flaw.NO_CONFIRMATION
             ? new PlacementCoordinator(
-                exchange.address, exchange.incarnation, LEASE, BATCH, writer) {
+                registry.address, registry.incarnation, LEASE_MILLIS, BATCH_MILLIS, writer) {
               @Override
-              protected boolean settled(final Placement prepared, final long at) {
+              protected boolean isSettled(final Placement prepared, final long at) {
                 return true;
               }
             }
             : new PlacementCoordinator(
-                exchange.address, exchange.incarnation, LEASE, BATCH, writer);
-    poll(exchange, exchange.incarnation);
+                registry.address, registry.incarnation, LEASE_MILLIS, BATCH_MILLIS, writer);
+    pollRegisters(registry, registry.incarnation);
   }
 
-  private void poll(final Registry exchange, final long incarnation) {
+  private void pollRegisters(final Registry registry, final long incarnation) {
     final long asked = now;
     after(
         3 + random.nextInt(20),
         () -> {
-          if (exchange.running
-              && exchange.incarnation == incarnation
-              && !coreCut
-              && !exchange.cut) {
-            final List<Placement> given = new ArrayList<>(registers.values());
-            final PlacementMessages.PlacementOwner named = keeper;
-            final long mark = mark();
+          if (registry.running
+              && registry.incarnation == incarnation
+              && !corePartitioned
+              && !registry.partitioned) {
+            final List<Placement> storedPlacements = new ArrayList<>(placementRegisters.values());
+            final PlacementMessages.PlacementOwner storedOwner = owner;
+            final long version = placementVersion();
             after(
                 3 + random.nextInt(20),
                 () -> {
-                  if (exchange.running && exchange.incarnation == incarnation) {
-                    exchange.confirmedAt = Math.max(exchange.confirmedAt, asked);
-                    if (exchange.coordinator.take(given, named, mark, now)) {
-                      boards.forEach(board -> push(exchange, board));
+                  if (registry.running && registry.incarnation == incarnation) {
+                    registry.confirmedAt = Math.max(registry.confirmedAt, asked);
+                    if (registry.coordinator.update(storedPlacements, storedOwner, version, now)) {
+                      proxies.forEach(proxy -> pushPlacements(registry, proxy));
                     }
                   }
                 });
@@ -266,74 +266,82 @@
     after(
         60 + random.nextInt(200),
         () -> {
-          if (exchange.running && exchange.incarnation == incarnation) {
-            poll(exchange, incarnation);
+          if (registry.running && registry.incarnation == incarnation) {
+            pollRegisters(registry, incarnation);
           }
         });
   }
 
-  private void push(final Registry exchange, final Proxy board) {
-    if (board.running && board.exchange == exchange) {
-      final PlacementMessages.Placements told = exchange.coordinator.placements();
-      final int life = board.life;
+  private void pushPlacements(final Registry registry, final Proxy proxy) {
+    if (proxy.running && proxy.registry == registry) {
+      final PlacementMessages.Placements placements = registry.coordinator.placements();
+      final int generation = proxy.generation;
       after(
-          2 + random.nextInt(8), () -> fromCore(board, life, () -> board.affinity.take(told, now)));
+          2 + random.nextInt(8),
+          () ->
+              deliverFromCore(
+                  proxy, generation, () -> proxy.affinity.updatePlacements(placements, now)));
     }
   }
 
-  private void fromCore(final Proxy board, final int life, final Runnable deed) {
-    if (!board.cut) {
-      toBoard(board, life, deed);
+  private void deliverFromCore(final Proxy proxy, final int generation, final Runnable action) {
+    if (!proxy.partitioned) {
+      deliver(proxy, generation, action);
     }
   }
 
-  private void toBoard(final Proxy board, final int life, final Runnable deed) {
-    if (!board.running || board.life != life) {
+  private void deliver(final Proxy proxy, final int generation, final Runnable action) {
+    if (!proxy.running || proxy.generation != generation) {
       return;
     }
-    if (board.frozen) {
-      board.held.add(() -> toBoard(board, life, deed));
+    if (proxy.frozen) {
+      proxy.deferred.add(() -> deliver(proxy, generation, action));
       return;
     }
-    deed.run();
+    action.run();
   }
 
-  private void start(final Proxy board) {
-    board.running = true;
-    board.frozen = false;
-    board.held.clear();
-    final int life = ++board.life;
-    board.affinity =
-        ties(
-            board,
-            ask -> {
-              final Registry near = board.exchange;
-              if (board.cut || near == null) {
+  private void start(final Proxy proxy) {
+    proxy.running = true;
+    proxy.frozen = false;
+    proxy.deferred.clear();
+    final int generation = ++proxy.generation;
+    proxy.affinity =
+        newAffinityTable(
+            proxy,
+            request -> {
+              final Registry connected = proxy.registry;
+              if (proxy.partitioned || connected == null) {
                 return;
               }
               after(
                   2 + random.nextInt(8),
                   () -> {
-                    if (!near.running) {
+                    if (!connected.running) {
                       return;
                     }
-                    if (near.coordinator.keeps()) {
-                      answer(board, life, near.coordinator.ask(ask, near.confirmedAt, now));
+                    if (connected.coordinator.isOwner()) {
+                      deliverGrant(
+                          proxy,
+                          generation,
+                          connected.coordinator.handleLeaseRequest(
+                              request, connected.confirmedAt, now));
                     } else {
-                      for (final Registry other : exchanges) {
-                        if (other != near
+                      for (final Registry other : registries) {
+                        if (other != connected
                             && other.running
-                            && !other.cut
-                            && !near.cut
-                            && other.address.equals(near.coordinator.keeper())) {
+                            && !other.partitioned
+                            && !connected.partitioned
+                            && other.address.equals(connected.coordinator.owner())) {
                           after(
                               2 + random.nextInt(8),
                               () -> {
                                 if (other.running) {
-                                  answer(
-                                      board,
-                                      life,
-                                      other.coordinator.ask(ask, other.confirmedAt, now));
+                                  deliverGrant(
+                                      proxy,
+                                      generation,
+                                      other.coordinator.handleLeaseRequest(
+                                          request, other.confirmedAt, now));
                                 }
                               });
                         }
@@ -341,63 +349,67 @@
                     }
                   });
             });
-    board.exchange = exchanges.get(random.nextInt(exchanges.size()));
-    tick(board, life);
+    proxy.registry = registries.get(random.nextInt(registries.size()));
+    tick(proxy, generation);
   }
 
-  private AffinityTable ties(
-      final Proxy board, final java.util.function.Consumer<PlacementMessages.LeaseRequest> outlet) {
+  private AffinityTable newAffinityTable(
+      final Proxy proxy,
+      final java.util.function.Consumer<PlacementMessages.LeaseRequest> leaseRequestSender) {
     return flaw != Flaw.NO_LEASE_CHECK
-        ? new AffinityTable(board.address, ++lives, LEASE, outlet)
-        : new AffinityTable(board.address, ++lives, LEASE, outlet) {
+        ? new AffinityTable(proxy.address, ++lastId, LEASE_MILLIS, leaseRequestSender)
+        : new AffinityTable(proxy.address, ++lastId, LEASE_MILLIS, leaseRequestSender) {
           @Override
-          public boolean leased(final long at) {
+          public boolean hasLease(final long at) {
             return true;
           }
         };
   }
 
-  private void answer(final Proxy board, final int life, final PlacementMessages.LeaseGrant grant) {
+  private void deliverGrant(
+      final Proxy proxy, final int generation, final PlacementMessages.LeaseGrant grant) {
     after(
         2 + random.nextInt(8),
-        () -> fromCore(board, life, () -> board.affinity.granted(grant, now)));
+        () -> deliverFromCore(proxy, generation, () -> proxy.affinity.onLeaseGrant(grant, now)));
   }
 
-  private void tick(final Proxy board, final int life) {
+  private void tick(final Proxy proxy, final int generation) {
     after(
         50,
         () -> {
-          if (board.running && board.life == life) {
-            if (!board.frozen) {
-              if (!board.exchange.running || board.exchange.cut || random.nextInt(100) == 0) {
-                board.exchange = exchanges.get(random.nextInt(exchanges.size()));
+          if (proxy.running && proxy.generation == generation) {
+            if (!proxy.frozen) {
+              if (!proxy.registry.running
+                  || proxy.registry.partitioned
+                  || random.nextInt(100) == 0) {
+                proxy.registry = registries.get(random.nextInt(registries.size()));
               }
-              push(board.exchange, board);
-              board.affinity.tick(now);
+              pushPlacements(proxy.registry, proxy);
+              proxy.affinity.tick(now);
             }
-            tick(board, life);
+            tick(proxy, generation);
           }
         });
   }
 
-  private void loop() {
+  private void scheduleCoordinatorTick() {
     after(
         40,
         () -> {
-          for (final Registry exchange : exchanges) {
-            if (exchange.running) {
-              exchange.coordinator.wanted(Map.of(SERVICE, members()), LONGEST);
+          for (final Registry registry : registries) {
+            if (registry.running) {
+              registry.coordinator.desiredMembers(Map.of(SERVICE, members()), MAX_WRITE_MILLIS);
               boolean reachable = false;
-              for (final Registry other : exchanges) {
+              for (final Registry other : registries) {
                 reachable |=
-                    other.address.equals(exchange.coordinator.keeper())
+                    other.address.equals(registry.coordinator.owner())
                         && other.running
-                        && (other == exchange || !other.cut && !exchange.cut);
+                        && (other == registry || !other.partitioned && !registry.partitioned);
               }
-              exchange.coordinator.tick(true, reachable, now - exchange.confirmedAt < 1000, now);
+              registry.coordinator.tick(true, reachable, now - registry.confirmedAt < 1000, now);
             }
           }
-          loop();
+          scheduleCoordinatorTick();
         });
   }
 
@@ -405,55 +417,59 @@
 
   /** A caller asks a switchboard for a write. */
   void write(final String caller) {
-    final Proxy board = boards.get(random.nextInt(boards.size()));
-    if (!board.running) {
+    final Proxy proxy = proxies.get(random.nextInt(proxies.size()));
+    if (!proxy.running) {
       return;
     }
-    final String id = "w" + ++writes;
-    final int life = board.life;
-    after(random.nextInt(5), () -> toBoard(board, life, () -> send(board, life, caller, id, now)));
+    final String id = "w" + ++lastWriteId;
+    final int generation = proxy.generation;
+    after(
+        random.nextInt(5),
+        () -> deliver(proxy, generation, () -> send(proxy, generation, caller, id, now)));
   }
 
   private void send(
-      final Proxy board,
-      final int life,
+      final Proxy proxy,
+      final int generation,
       final String caller,
       final String id,
       final long arrivedAt) {
-    final long hash = Rendezvous.caller(SERVICE, caller);
-    final WriteDecision verdict = board.affinity.decide(SERVICE, hash, member -> true, now);
-    if (verdict != WriteDecision.GO) {
-      if (verdict.passing() && now - arrivedAt < 200) {
-        after(25, () -> toBoard(board, life, () -> send(board, life, caller, id, arrivedAt)));
+    final long hash = Rendezvous.callerHash(SERVICE, caller);
+    final WriteDecision decision = proxy.affinity.decide(SERVICE, hash, member -> true, now);
+    if (decision != WriteDecision.GO) {
+      if (decision.isTransient() && now - arrivedAt < 200) {
+        after(
+            25,
+            () -> deliver(proxy, generation, () -> send(proxy, generation, caller, id, arrivedAt)));
       } else {
-        refused(id, verdict);
+        refused(id, decision);
       }
       return;
     }
-    final Node node = nodes.get(board.affinity.node().id);
-    final long deadline = now + LONGEST;
+    final Node node = nodes.get(proxy.affinity.chosenNode().id);
+    final long deadline = now + MAX_WRITE_MILLIS;
     final AffinityTable.PendingWrite pendingWrite =
-        board.affinity.begin(SERVICE, hash, node.id, member -> true, deadline);
-    arrive(board, life, caller, id, node, pendingWrite, deadline, false);
+        proxy.affinity.beginWrite(SERVICE, hash, node.id, member -> true, deadline);
+    deliverWrite(proxy, generation, caller, id, node, pendingWrite, deadline, false);
   }
 
-  private void refused(final String id, final WriteDecision verdict) {
+  private void refused(final String id, final WriteDecision decision) {
     refusedCount++;
-    verdicts.merge(verdict, 1, Integer::sum);
+    refusalsByDecision.merge(decision, 1, Integer::sum);
     if (runs.getOrDefault(id, 0) > 0) {
-      breaches.add(id + " ran and was refused");
+      violations.add(id + " ran and was refused");
     }
   }
 
-  private void arrive(
-      final Proxy board,
-      final int life,
+  private void deliverWrite(
+      final Proxy proxy,
+      final int generation,
       final String caller,
       final String id,
       final Node node,
       final AffinityTable.PendingWrite pendingWrite,
       final long deadline,
-      final boolean again) {
+      final boolean retried) {
     after(
         1 + random.nextInt(4),
         () -> {
@@ -461,11 +477,11 @@
             after(
                 1,
                 () ->
-                    toBoard(
-                        board,
-                        life,
+                    deliver(
+                        proxy,
+                        generation,
                         () -> {
-                          pendingWrite.ended();
+                          pendingWrite.markEnded();
                           refused(id, WriteDecision.DECLINED);
                         }));
             return;
@@ -475,17 +491,17 @@
             after(
                 1,
                 () ->
-                    toBoard(
-                        board,
-                        life,
+                    deliver(
+                        proxy,
+                        generation,
                         () -> {
-                          pendingWrite.ended();
+                          pendingWrite.markEnded();
                           final List<Node> others = new ArrayList<>(nodes.values());
                           others.removeIf(other -> !other.running || other == node);
-                          if (flaw == Flaw.DECLINED_ELSEWHERE && !again && !others.isEmpty()) {
-                            arrive(
-                                board,
-                                life,
+                          if (flaw == Flaw.DECLINED_ELSEWHERE && !retried && !others.isEmpty()) {
+                            deliverWrite(
+                                proxy,
+                                generation,
                                 caller,
                                 id,
                                 others.get(random.nextInt(others.size())),
@@ -498,27 +514,27 @@
                         }));
             return;
           }
-          work(board, life, caller, id, node, pendingWrite, deadline);
+          execute(proxy, generation, caller, id, node, pendingWrite, deadline);
         });
   }
 
-  private void work(
-      final Proxy board,
-      final int life,
+  private void execute(
+      final Proxy proxy,
+      final int generation,
       final String caller,
       final String id,
       final Node node,
       final AffinityTable.PendingWrite pendingWrite,
       final long deadline) {
     if (runs.merge(id, 1, Integer::sum) > 1) {
-      breaches.add(id + " ran twice");
+      violations.add(id + " ran twice");
     }
     ranAt.computeIfAbsent(id, key -> new HashSet<>()).add(node.id);
     node.working.merge(caller, 1, Integer::sum);
-    final Set<String> at = workingFor.computeIfAbsent(caller, key -> new HashSet<>());
+    final Set<String> at = nodesWorkingFor.computeIfAbsent(caller, key -> new HashSet<>());
     at.add(node.id);
     if (at.size() > 1) {
-      breaches.add("caller " + caller + " has two nodes at work, " + at + ", at " + now);
+      violations.add("caller " + caller + " has two nodes at work, " + at + ", at " + now);
     }
     if (!node.id.equals(lastNode.put(caller, node.id))) {
       movedCallers++;
@@ -530,24 +546,24 @@
         () -> {
           if (node.working.merge(caller, -1, Integer::sum) <= 0) {
             node.working.remove(caller);
-            workingFor.get(caller).remove(node.id);
+            nodesWorkingFor.get(caller).remove(node.id);
           }
           if (!node.running) {
-            after(1, () -> toBoard(board, life, () -> uncertainCount++));
+            after(1, () -> deliver(proxy, generation, () -> uncertainCount++));
             return;
           }
           final boolean lost = random.nextInt(60) == 0;
           after(
               1 + random.nextInt(4),
               () ->
-                  toBoard(
-                      board,
-                      life,
+                  deliver(
+                      proxy,
+                      generation,
                       () -> {
                         if (lost) {
                           uncertainCount++;
                         } else {
-                          pendingWrite.ended();
+                          pendingWrite.markEnded();
                           confirmed.add(id);
                           confirmedCount++;
                         }
@@ -557,69 +573,70 @@
 
   // ---- trouble
 
-  void trouble() {
-    final List<Node> up = new ArrayList<>(nodes.values());
-    up.removeIf(node -> !node.member || node.draining);
-    final Node one = up.isEmpty() ? null : up.get(random.nextInt(up.size()));
-    final Proxy board = boards.get(random.nextInt(boards.size()));
-    final Registry exchange = exchanges.get(random.nextInt(exchanges.size()));
+  void injectFault() {
+    final List<Node> activeNodes = new ArrayList<>(nodes.values());
+    activeNodes.removeIf(node -> !node.member || node.draining);
+    final Node node =
+        activeNodes.isEmpty() ? null : activeNodes.get(random.nextInt(activeNodes.size()));
+    final Proxy proxy = proxies.get(random.nextInt(proxies.size()));
+    final Registry registry = registries.get(random.nextInt(registries.size()));
     switch (random.nextInt(10)) {
-      case 0, 1 -> join();
+      case 0, 1 -> addNode();
       case 2, 3 -> {
-        if (up.size() > 3) {
-          one.draining = true;
+        if (activeNodes.size() > 3) {
+          node.draining = true;
           after(
               1500,
               () -> {
-                one.running = false;
-                one.member = false;
+                node.running = false;
+                node.member = false;
               });
         }
       }
       case 4 -> {
-        if (up.size() > 3) {
-          one.running = false;
-          after(700, () -> one.member = false);
+        if (activeNodes.size() > 3) {
+          node.running = false;
+          after(700, () -> node.member = false);
         }
       }
       case 5 -> {
-        if (one != null) {
-          one.frozen = true;
-          after(1200, () -> one.frozen = false);
+        if (node != null) {
+          node.frozen = true;
+          after(1200, () -> node.frozen = false);
         }
       }
       case 6 -> {
-        board.frozen = true;
+        proxy.frozen = true;
         after(
             500 + random.nextInt(5000),
             () -> {
-              board.frozen = false;
-              final List<Runnable> held = new ArrayList<>(board.held);
-              board.held.clear();
-              held.forEach(Runnable::run);
+              proxy.frozen = false;
+              final List<Runnable> deferred = new ArrayList<>(proxy.deferred);
+              proxy.deferred.clear();
+              deferred.forEach(Runnable::run);
             });
       }
       case 7 -> {
-        board.running = false;
-        after(400 + random.nextInt(2000), () -> start(board));
+        proxy.running = false;
+        after(400 + random.nextInt(2000), () -> start(proxy));
       }
       case 8 -> {
-        board.cut = true;
-        after(1000 + random.nextInt(5000), () -> board.cut = false);
+        proxy.partitioned = true;
+        after(1000 + random.nextInt(5000), () -> proxy.partitioned = false);
       }
       default -> {
         switch (random.nextInt(3)) {
           case 0 -> {
-            coreCut = true;
-            after(1000 + random.nextInt(4000), () -> coreCut = false);
+            corePartitioned = true;
+            after(1000 + random.nextInt(4000), () -> corePartitioned = false);
           }
           case 1 -> {
-            exchange.running = false;
-            after(300 + random.nextInt(3000), () -> start(exchange));
+            registry.running = false;
+            after(300 + random.nextInt(3000), () -> start(registry));
           }
           default -> {
-            exchange.cut = true;
-            after(1000 + random.nextInt(4000), () -> exchange.cut = false);
+            registry.partitioned = true;
+            after(1000 + random.nextInt(4000), () -> registry.partitioned = false);
           }
         }
       }
@@ -627,38 +644,38 @@
   }
 
   /** Cuts every second switchboard off for a while, and changes who the nodes are meanwhile. */
-  void islands() {
-    for (int index = 0; index < boards.size(); index += 2) {
-      final Proxy board = boards.get(index);
-      board.cut = true;
-      after(5000, () -> board.cut = false);
+  void partitionEverySecondProxy() {
+    for (int index = 0; index < proxies.size(); index += 2) {
+      final Proxy proxy = proxies.get(index);
+      proxy.partitioned = true;
+      after(5000, () -> proxy.partitioned = false);
     }
-    join();
-    join();
+    addNode();
+    addNode();
   }
 
   /** What broke, once all is over. */
   List<String> finish() {
     for (final String id : confirmed) {
       if (runs.getOrDefault(id, 0) != 1) {
-        breaches.add(id + " was confirmed and ran " + runs.getOrDefault(id, 0) + " times");
+        violations.add(id + " was confirmed and ran " + runs.getOrDefault(id, 0) + " times");
       }
       if (ranAt.get(id).size() != 1) {
-        breaches.add(id + " ran at " + ranAt.get(id));
+        violations.add(id + " ran at " + ranAt.get(id));
       }
     }
-    return breaches;
+    return violations;
   }
 
   /** The epoch in force. */
   long epoch() {
-    final Placement placement = registers.get(SERVICE);
+    final Placement placement = placementRegisters.get(SERVICE);
     return placement == null ? 0 : placement.epoch;
   }
 
   /** Whether an epoch is prepared and not in force yet. */
   boolean prepared() {
-    final Placement placement = registers.get(SERVICE);
+    final Placement placement = placementRegisters.get(SERVICE);
     return placement != null && placement.prepared;
   }
 }
--- a/affinity/src/test/java/weldpoint/affinity/AffinityTest.java
+++ b/affinity/src/test/java/weldpoint/affinity/AffinityTest.java
@@ -22,28 +22,28 @@
   private static final int CALLERS = 60;
 
   @BeforeClass
-  public void quiet() {
+  public void disableLogging() {
     java.util.logging.Logger.getLogger("").setLevel(java.util.logging.Level.OFF);
   }
 
-  private static void traffic(final AffinitySimulation world) {
+  private static void traffic(final AffinitySimulation simulation) {
     for (int index = 0; index < 3; index++) {
-      world.write("firm-" + world.random.nextInt(CALLERS));
+      simulation.write("firm-" + simulation.random.nextInt(CALLERS));
     }
-    world.after(8, () -> traffic(world));
+    simulation.after(8, () -> traffic(simulation));
   }
 
-  private static AffinitySimulation morning(
+  private static AffinitySimulation runWithFaults(
       final long seed, final AffinitySimulation.Flaw flaw, final int rounds) {
-    final AffinitySimulation world = new AffinitySimulation(seed, flaw, 8, 6);
-    world.run(2000);
-    traffic(world);
+    final AffinitySimulation simulation = new AffinitySimulation(seed, flaw, 8, 6);
+    simulation.run(2000);
+    traffic(simulation);
     for (int round = 0; round < rounds; round++) {
-      world.trouble();
-      world.run(400 + world.random.nextInt(2500));
+      simulation.injectFault();
+      simulation.run(400 + simulation.random.nextInt(2500));
     }
-    world.run(12_000);
-    return world;
+    simulation.run(12_000);
+    return simulation;
   }
 
   @Test
@@ -52,15 +52,15 @@
     int refused = 0;
     long epochs = 0;
     for (long seed = 1; seed <= 120; seed++) {
-      final AffinitySimulation world = morning(seed, AffinitySimulation.Flaw.NONE, 14);
-      final List<String> breaches = world.finish();
+      final AffinitySimulation simulation = runWithFaults(seed, AffinitySimulation.Flaw.NONE, 14);
+      final List<String> violations = simulation.finish();
       assertTrue(
-          breaches.isEmpty(),
-          "seed " + seed + ": " + breaches.subList(0, Math.min(5, breaches.size())));
-      confirmed += world.confirmedCount;
-      refused += world.refusedCount;
-      epochs += world.epoch();
-      assertFalse(world.prepared(), "seed " + seed + ": an epoch was never put in force");
+          violations.isEmpty(),
+          "seed " + seed + ": " + violations.subList(0, Math.min(5, violations.size())));
+      confirmed += simulation.confirmedCount;
+      refused += simulation.refusedCount;
+      epochs += simulation.epoch();
+      assertFalse(simulation.prepared(), "seed " + seed + ": an epoch was never put in force");
     }
     assertTrue(
         confirmed > 120 * 3000,
@@ -68,45 +68,46 @@
     assertTrue(epochs > 120 * 4, "only " + epochs + " epochs");
   }
 
-  private static int caught(final AffinitySimulation.Flaw flaw) {
-    int caught = 0;
+  private static int countDetected(final AffinitySimulation.Flaw flaw) {
+    int detected = 0;
     for (long seed = 1; seed <= 20; seed++) {
-      caught += morning(seed, flaw, 20).finish().isEmpty() ? 0 : 1;
+      detected += runWithFaults(seed, flaw, 20).finish().isEmpty() ? 0 : 1;
     }
-    return caught;
+    return detected;
   }
 
   @Test
-  public void anEpochInForceWithoutConfirmationsIsCaught() {
-    final int caught = caught(AffinitySimulation.Flaw.NO_CONFIRMATION);
-    assertTrue(caught >= 15, "noticed only " + caught + " times of 20");
+  public void anEpochInForceWithoutConfirmationsIsDetected() {
+    final int detected = countDetected(AffinitySimulation.Flaw.NO_CONFIRMATION);
+    assertTrue(detected >= 15, "noticed only " + detected + " times of 20");
   }
 
-  private static List<String> islands(final long seed, final AffinitySimulation.Flaw flaw) {
-    final AffinitySimulation world = new AffinitySimulation(seed, flaw, 8, 4);
-    world.run(2000);
-    traffic(world);
+  private static List<String> runWithPartitions(
+      final long seed, final AffinitySimulation.Flaw flaw) {
+    final AffinitySimulation simulation = new AffinitySimulation(seed, flaw, 8, 4);
+    simulation.run(2000);
+    traffic(simulation);
     for (int round = 0; round < 4; round++) {
-      world.islands();
-      world.run(9000);
+      simulation.partitionEverySecondProxy();
+      simulation.run(9000);
     }
-    return world.finish();
+    return simulation.finish();
   }
 
   @Test
-  public void sendingWithoutALeaseIsCaught() {
-    int caught = 0;
+  public void sendingWithoutALeaseIsDetected() {
+    int detected = 0;
     for (long seed = 1; seed <= 20; seed++) {
-      assertEquals(islands(seed, AffinitySimulation.Flaw.NONE), List.of());
-      caught += islands(seed, AffinitySimulation.Flaw.NO_LEASE_CHECK).isEmpty() ? 0 : 1;
+      assertEquals(runWithPartitions(seed, AffinitySimulation.Flaw.NONE), List.of());
+      detected += runWithPartitions(seed, AffinitySimulation.Flaw.NO_LEASE_CHECK).isEmpty() ? 0 : 1;
     }
-    assertTrue(caught >= 18, "noticed only " + caught + " times of 20");
+    assertTrue(detected >= 18, "noticed only " + detected + " times of 20");
   }
 
   @Test
-  public void aDeclinedWriteSentElsewhereIsCaught() {
-    final int caught = caught(AffinitySimulation.Flaw.DECLINED_ELSEWHERE);
-    assertTrue(caught >= 10, "noticed only " + caught + " times of 20");
+  public void aDeclinedWriteSentElsewhereIsDetected() {
+    final int detected = countDetected(AffinitySimulation.Flaw.DECLINED_ELSEWHERE);
+    assertTrue(detected >= 10, "noticed only " + detected + " times of 20");
   }
 
   private static List<PlacementMember> members(final int count, final int capacity) {
@@ -118,28 +119,28 @@
   }
 
   @Test
-  public void aNewcomerTakesItsShareOnlyAndNobodyElseMoves() {
+  public void aNewMemberTakesOnlyItsShareAndNoOtherCallerMoves() {
     final Rendezvous.Table before = new Rendezvous.Table(members(20, 4));
     final Rendezvous.Table after = new Rendezvous.Table(members(21, 4));
-    final int callers = 100_000;
+    final int callerCount = 100_000;
     int moved = 0;
     final Map<String, Integer> load = new HashMap<>();
-    for (int index = 0; index < callers; index++) {
-      final long caller = Rendezvous.caller("desk", "firm-" + index);
-      final String was = before.choose(caller, member -> true).id;
-      final String is = after.choose(caller, member -> true).id;
-      load.merge(was, 1, Integer::sum);
-      if (!was.equals(is)) {
+    for (int index = 0; index < callerCount; index++) {
+      final long caller = Rendezvous.callerHash("desk", "firm-" + index);
+      final String oldNode = before.choose(caller, member -> true).id;
+      final String newNode = after.choose(caller, member -> true).id;
+      load.merge(oldNode, 1, Integer::sum);
+      if (!oldNode.equals(newNode)) {
         moved++;
-        assertEquals(is, "i-20");
+        assertEquals(newNode, "i-20");
       }
     }
     final double share = 4.0 / (10 * 4 + 10 * 8 + 4);
     assertTrue(
-        Math.abs(moved / (double) callers - share) < 0.1 * share,
-        "moved " + moved + ", its share is " + share * callers);
+        Math.abs(moved / (double) callerCount - share) < 0.1 * share,
+        "moved " + moved + ", its share is " + share * callerCount);
     for (final PlacementMember member : members(20, 4)) {
-      final double ideal = callers * member.capacity / 120.0;
+      final double ideal = callerCount * member.capacity / 120.0;
       assertTrue(
           Math.abs(load.get(member.id) - ideal) < 0.06 * ideal,
           member.id + " has " + load.get(member.id) + " of " + ideal);
@@ -147,42 +148,50 @@
   }
 
   @Test
-  public void aNameThatIsMissingDoubleOrOverlongGivesTheAddressAndIsCounted() {
-    final AffinityKeys callers = new AffinityKeys();
+  public void aMissingRepeatedOrOverlongHeaderFallsBackToTheAddressAndIsCounted() {
+    final AffinityKeys affinityKeys = new AffinityKeys();
     final Affinity rule = new Affinity(Affinity.By.HEADER, "X-Firm", 1000);
-    assertEquals(callers.name(rule, List.of("north"), null, "10.0.0.1"), "hnorth");
-    assertEquals(callers.name(rule, List.of(), null, "10.0.0.1"), "a10.0.0.1");
-    assertEquals(callers.name(rule, List.of("one", "two"), null, "10.0.0.1"), "a10.0.0.1");
-    assertEquals(callers.name(rule, List.of("x".repeat(300)), null, "10.0.0.1"), "a10.0.0.1");
-    assertEquals(callers.unnamed() + callers.several() * 10 + callers.overlong() * 100, 111);
+    assertEquals(affinityKeys.keyFor(rule, List.of("north"), null, "10.0.0.1"), "hnorth");
+    assertEquals(affinityKeys.keyFor(rule, List.of(), null, "10.0.0.1"), "a10.0.0.1");
+    assertEquals(affinityKeys.keyFor(rule, List.of("one", "two"), null, "10.0.0.1"), "a10.0.0.1");
     assertEquals(
-        callers.name(
+        affinityKeys.keyFor(rule, List.of("x".repeat(300)), null, "10.0.0.1"), "a10.0.0.1");
+    assertEquals(
+        affinityKeys.missingHeaders()
+            + affinityKeys.repeatedHeaders() * 10
+            + affinityKeys.overlongHeaders() * 100,
+        111);
+    assertEquals(
+        affinityKeys.keyFor(
             new Affinity(Affinity.By.TENANT, null, 1000), List.of(), "harbour", "10.0.0.1"),
         "tharbour");
     assertEquals(
-        callers.name(new Affinity(Affinity.By.TENANT, null, 1000), List.of(), null, "10.0.0.1"),
+        affinityKeys.keyFor(
+            new Affinity(Affinity.By.TENANT, null, 1000), List.of(), null, "10.0.0.1"),
         "a10.0.0.1");
   }
 
   @Test
-  public void anOlderPlacementAndAnotherLifesLeaseAreNotTaken() {
-    final List<PlacementMessages.LeaseRequest> asks = new ArrayList<>();
-    final AffinityTable affinity = new AffinityTable("b", 7, 2000, asks::add);
-    affinity.take(
+  public void anOlderPlacementAndALeaseOfAnotherIncarnationAreIgnored() {
+    final List<PlacementMessages.LeaseRequest> requests = new ArrayList<>();
+    final AffinityTable affinity = new AffinityTable("b", 7, 2000, requests::add);
+    affinity.updatePlacements(
         new PlacementMessages.Placements(
             5, List.of(new PlacementMessages.Placement("desk", 3, 3, members(2, 4), false, null))),
         1000);
-    affinity.take(
+    affinity.updatePlacements(
         new PlacementMessages.Placements(
             4, List.of(new PlacementMessages.Placement("desk", 4, 4, members(1, 4), false, null))),
         1000);
     assertEquals(affinity.epoch("desk"), 3);
     assertEquals(affinity.decide("desk", 1, member -> true, 1000), WriteDecision.NO_LEASE);
-    affinity.granted(new PlacementMessages.LeaseGrant(asks.get(0).number, "b", 6, 2000), 1010);
-    assertFalse(affinity.leased(1010));
+    affinity.onLeaseGrant(
+        new PlacementMessages.LeaseGrant(requests.get(0).number, "b", 6, 2000), 1010);
+    assertFalse(affinity.hasLease(1010));
     affinity.tick(1300);
-    affinity.granted(
-        new PlacementMessages.LeaseGrant(asks.get(asks.size() - 1).number, "b", 7, 2000), 1310);
+    affinity.onLeaseGrant(
+        new PlacementMessages.LeaseGrant(requests.get(requests.size() - 1).number, "b", 7, 2000),
+        1310);
     assertEquals(affinity.decide("desk", 1, member -> true, 1310), WriteDecision.GO);
     assertEquals(
         affinity.decide("desk", 1, member -> true, 3300),
@@ -193,42 +202,48 @@
   }
 
   @Test
-  public void aKeeperGrantsNothingOnAnOlderMarkNorWithoutAMajority() {
+  public void anOwnerGrantsNoLeaseOnAnOlderVersionOrWithoutAMajority() {
     final PlacementCoordinator coordinator = new PlacementCoordinator("e", 1, 2000, 100, null);
-    coordinator.take(
+    coordinator.update(
         List.of(new PlacementMessages.Placement("desk", 2, 2, members(2, 4), false, null)),
         new PlacementMessages.PlacementOwner(1, "e", 1),
         2,
         1000);
     assertEquals(
-        coordinator.ask(new PlacementMessages.LeaseRequest(1, "b", 1, 1, 1, null), 1000, 1100)
+        coordinator.handleLeaseRequest(
+                new PlacementMessages.LeaseRequest(1, "b", 1, 1, 1, null), 1000, 1100)
             .millis,
         0);
     assertEquals(
-        coordinator.ask(new PlacementMessages.LeaseRequest(2, "b", 1, 2, 2, null), 1000, 1100)
+        coordinator.handleLeaseRequest(
+                new PlacementMessages.LeaseRequest(2, "b", 1, 2, 2, null), 1000, 1100)
             .millis,
         1900);
     assertEquals(
-        coordinator.ask(new PlacementMessages.LeaseRequest(3, "b", 1, 2, 2, null), 1000, 3100)
+        coordinator.handleLeaseRequest(
+                new PlacementMessages.LeaseRequest(3, "b", 1, 2, 2, null), 1000, 3100)
             .millis,
         0);
     final PlacementCoordinator other = new PlacementCoordinator("f", 1, 2000, 100, null);
-    other.take(List.of(), new PlacementMessages.PlacementOwner(1, "e", 1), 2, 1000);
+    other.update(List.of(), new PlacementMessages.PlacementOwner(1, "e", 1), 2, 1000);
     assertEquals(
-        other.ask(new PlacementMessages.LeaseRequest(1, "b", 1, 2, 2, null), 1000, 1100).millis, 0);
+        other.handleLeaseRequest(
+                new PlacementMessages.LeaseRequest(1, "b", 1, 2, 2, null), 1000, 1100)
+            .millis,
+        0);
   }
 
   @Test
-  public void anEpochChangesWithinAFewHundredMillisecondsAtEightyEightSwitchboards() {
-    final AffinitySimulation world =
+  public void anEpochChangesWithinAFewHundredMillisecondsAtEightyEightProxies() {
+    final AffinitySimulation simulation =
         new AffinitySimulation(5, AffinitySimulation.Flaw.NONE, 88, 40);
-    world.run(5000);
-    assertEquals(world.epoch(), 1);
-    world.join();
-    final long began = world.now;
-    while (world.epoch() < 2 && world.now - began < 5000) {
-      world.run(10);
+    simulation.run(5000);
+    assertEquals(simulation.epoch(), 1);
+    simulation.addNode();
+    final long began = simulation.now;
+    while (simulation.epoch() < 2 && simulation.now - began < 5000) {
+      simulation.run(10);
     }
-    assertTrue(world.now - began < 1200, "it took " + (world.now - began) + " ms");
+    assertTrue(simulation.now - began < 1200, "it took " + (simulation.now - began) + " ms");
   }
 }
--- a/proxy/src/main/java/weldpoint/proxy/ProxiedRequest.java
+++ b/proxy/src/main/java/weldpoint/proxy/ProxiedRequest.java
@@ -138,20 +138,20 @@
     double chance = proxyContext.random.nextDouble();
     if (affinity != null) {
       final String name =
-          proxyContext.callers.name(
+          proxyContext.callers.keyFor(
               affinity,
               affinity.header() == null ? List.of() : request.headers().getAll(affinity.header()),
               tenantName(),
               session.address());
-      final long drawn = Rendezvous.caller(route.name, name);
+      final long drawn = Rendezvous.callerHash(route.name, name);
       binding.draw(route.serviceFor(drawn));
       chance = (drawn >>> 11) / (double) (1L << 53);
-      caller = Rendezvous.caller(service().name(), name);
+      caller = Rendezvous.callerHash(service().name(), name);
     }
-    if (!proxyContext.trials.idle() && proxyContext.trials.covers(route.name)) {
+    if (!proxyContext.trials.hasNoTrials() && proxyContext.trials.isUnderTrial(route.name)) {
       final int other =
           routingTable.service(
-              proxyContext.trials.choose(
+              proxyContext.trials.chooseService(
                   route.name,
                   service().name(),
                   request.headers().get(Headers.TRIAL_TOKEN),
@@ -559,11 +559,11 @@
     }
     final WriteDecision verdict = tied();
     if (verdict == WriteDecision.GO) {
-      proxyContext.affinity.count(verdict);
+      proxyContext.affinity.recordDecision(verdict);
       return;
     }
     final long waited = ProxyContext.now() - arrivedAt;
-    if (verdict.passing() && waited < proxyContext.tieWaitMillis && session.open()) {
+    if (verdict.isTransient() && waited < proxyContext.tieWaitMillis && session.open()) {
       proxyContext.loop.schedule(
           this::sendTied,
           Math.min(TIE_PAUSE_MILLIS, proxyContext.tieWaitMillis - waited),
@@ -578,7 +578,7 @@
       return;
     }
     if (proxyContext.affinity != null) {
-      proxyContext.affinity.count(verdict);
+      proxyContext.affinity.recordDecision(verdict);
     }
     if (verdict == WriteDecision.OUTSIDE_HOMES) {
       refuse(RefusalCounts.Reason.OUTSIDE_HOMES, verdict.reason());
@@ -601,13 +601,13 @@
           ? WriteDecision.OUTSIDE_HOMES
           : verdict;
     }
-    final String node = proxyContext.affinity.node().id;
+    final String node = proxyContext.affinity.chosenNode().id;
     final UpstreamPool.Choice choice =
         proxyContext.upstreamPool.pinned(binding, node, affinity.pauseMillis(), now);
     if (choice != UpstreamPool.Choice.CHOSEN) {
       return choice == UpstreamPool.Choice.FULL ? WriteDecision.FULL : WriteDecision.LEAVING;
     }
-    pendingWrite = proxyContext.affinity.begin(service().name(), caller, node, may, cutoff);
+    pendingWrite = proxyContext.affinity.beginWrite(service().name(), caller, node, may, cutoff);
     transmit(proxyContext.upstreamPool.chosen(), now);
     return WriteDecision.GO;
   }
@@ -685,7 +685,7 @@
   private boolean transmit(final Upstream upstream, final long now) {
     if (proxyContext.uncertainWrites != null
         && !route.kind.repeatable()
-        && !proxyContext.uncertainWrites.begin(request.headers().get(Headers.ATTEMPT_ID))) {
+        && !proxyContext.uncertainWrites.tryBegin(request.headers().get(Headers.ATTEMPT_ID))) {
       fail(
           HttpResponseStatus.BAD_GATEWAY,
           "this write was sent before and may have run; ask what became of it");
@@ -712,7 +712,7 @@
     }
     final String attemptId = request.headers().get(Headers.ATTEMPT_ID);
     if (trialled && attemptId != null) {
-      proxyContext.trials.sent(route.name, service().name(), attemptId);
+      proxyContext.trials.recordSent(route.name, service().name(), attemptId);
     }
     final int recorded = draft == null ? -1 : draft.sent(upstream.id(), now);
     final UpstreamPool.Attempt[] self = new UpstreamPool.Attempt[1];
@@ -737,7 +737,7 @@
                     proxyContext.owners, service().name(), fate, head, ProxyContext.now() - now);
               }
               if (pendingWrite != null && end != UpstreamConnection.End.UNCERTAIN) {
-                pendingWrite.ended();
+                pendingWrite.markEnded();
                 proxyContext.affinity.tick(ProxyContext.now());
               }
               if (draft != null) {
@@ -747,15 +747,15 @@
                   && !route.kind.repeatable()
                   && attemptId != null) {
                 if (fate == AttemptOutcome.NOT_RUN) {
-                  proxyContext.uncertainWrites.notRun(attemptId);
+                  proxyContext.uncertainWrites.recordNotExecuted(attemptId);
                 } else {
-                  proxyContext.uncertainWrites.ran(
+                  proxyContext.uncertainWrites.recordExecuted(
                       attemptId, fate == AttemptOutcome.ANSWERED, ProxyContext.now());
                 }
               }
               tell(
                   fate == AttemptOutcome.NOT_RUN
-                      ? TrialTracker.WriteOutcome.UNSENT
+                      ? TrialTracker.WriteOutcome.NOT_EXECUTED
                       : fate == AttemptOutcome.UNCERTAIN
                           ? TrialTracker.WriteOutcome.LOST
                           : TrialTracker.WriteOutcome.CONFIRMED);
@@ -775,7 +775,7 @@
   private void tell(final TrialTracker.WriteOutcome fate) {
     final String attemptId = request.headers().get(Headers.ATTEMPT_ID);
     if (trialled && attemptId != null && !over) {
-      proxyContext.trials.ended(
+      proxyContext.trials.recordEnded(
           route.name,
           service().name(),
           attemptId,
@@ -971,8 +971,8 @@
     if (draft != null) {
       draft.status(response.status().code());
     }
-    if (!proxyContext.trials.idle() && route.kind.repeatable()) {
-      proxyContext.trials.other(service().name(), response.status().code() < 500);
+    if (!proxyContext.trials.hasNoTrials() && route.kind.repeatable()) {
+      proxyContext.trials.recordOtherRequest(service().name(), response.status().code() < 500);
     }
     finish();
     session.answer(response, closeAfter);
@@ -1020,7 +1020,7 @@
       if (running() > 0) {
         tell(TrialTracker.WriteOutcome.LOST);
         if (proxyContext.uncertainWrites != null && !route.kind.repeatable()) {
-          proxyContext.uncertainWrites.ran(
+          proxyContext.uncertainWrites.recordExecuted(
               request.headers().get(Headers.ATTEMPT_ID), false, ProxyContext.now());
         }
       }
@@ -1039,10 +1039,10 @@
         attempt.abandon();
         unproved--;
         if (pendingWrite != null) {
-          pendingWrite.ended();
+          pendingWrite.markEnded();
         }
         if (proxyContext.uncertainWrites != null && !route.kind.repeatable()) {
-          proxyContext.uncertainWrites.notRun(request.headers().get(Headers.ATTEMPT_ID));
+          proxyContext.uncertainWrites.recordNotExecuted(request.headers().get(Headers.ATTEMPT_ID));
         }
       }
     }
@@ -1071,7 +1071,7 @@
 
   private void dropUnheard() {
     if (running() > 0 && proxyContext.uncertainWrites != null) {
-      proxyContext.uncertainWrites.ran(
+      proxyContext.uncertainWrites.recordExecuted(
           request.headers().get(Headers.ATTEMPT_ID), false, ProxyContext.now());
     }
     for (final UpstreamPool.Attempt attempt : attempts) {
--- a/proxy/src/main/java/weldpoint/proxy/ProxyContext.java
+++ b/proxy/src/main/java/weldpoint/proxy/ProxyContext.java
@@ -66,7 +66,7 @@
     this.loop = loop;
     this.random = random;
     this.upstreamPool = new UpstreamPool(loop, settings, random);
-    this.upstreamPool.surplus(trials::surplus);
+    this.upstreamPool.surplus(trials::recordSurplusAnswer);
     this.usual = Affinity.setting("affinity.default", settings.affinityUsual());
     this.tieWaitMillis = settings.affinityWaitMillis();
     this.strict = settings.strictRevocation();
@@ -77,9 +77,10 @@
   /** Takes the orders of a chief; null where none are in force any longer. */
   void ordered(final RegionMessages.LeaderDirective given, final String self) {
     directive = given;
-    uncertainWrites.elsewhere(given == null ? java.util.List.of() : Protocol.list(given.uncertain));
+    uncertainWrites.uncertainElsewhere(
+        given == null ? java.util.List.of() : Protocol.list(given.uncertain));
     upstreamPool.ordered(
-        given == null ? 0 : RegionAssessment.part(given, self),
+        given == null ? 0 : RegionAssessment.budgetShare(given, self),
         given == null
             ? java.util.Set.of()
             : new java.util.HashSet<>(Protocol.list(given.suspects)));
@@ -94,7 +95,7 @@
             refusedWrites,
             served - servedBefore,
             upstreamPool.silent(now),
-            uncertainWrites.unsure(now, UNSURE_MILLIS));
+            uncertainWrites.recentlyUncertain(now, UNSURE_MILLIS));
     seenRepeatables = 0;
     seenWrites = 0;
     refusedWrites = 0;
@@ -138,7 +139,7 @@
       upstreamPool.switchboards(outlook.switchboards(), now);
     }
     if (outlook.trials() != null) {
-      trials.take(outlook.trials(), outlook.trialMark());
+      trials.updateTrials(outlook.trials(), outlook.trialMark());
     }
     upstreamPool.apply(outlook.changes(), now);
     if (outlook.evacuated() != null) {
--- a/proxy/src/main/java/weldpoint/proxy/ProxyDaemon.java
+++ b/proxy/src/main/java/weldpoint/proxy/ProxyDaemon.java
@@ -94,7 +94,7 @@
             settings,
             new Random(incarnation),
             new TrialTracker(settings.address(), incarnation));
-    this.proxyContext.trials.alarm(() -> report(false));
+    this.proxyContext.trials.urgentReportListener(() -> report(false));
     this.stream =
         new RegistryStream(
             trunk,
@@ -181,7 +181,7 @@
                 loop.execute(
                     () -> {
                       ties();
-                      proxyContext.affinity.take(placements, ProxyContext.now());
+                      proxyContext.affinity.updatePlacements(placements, ProxyContext.now());
                     });
               }
 
@@ -195,7 +195,7 @@
                 loop.execute(
                     () -> {
                       if (proxyContext.affinity != null) {
-                        proxyContext.affinity.granted(grant, ProxyContext.now());
+                        proxyContext.affinity.onLeaseGrant(grant, ProxyContext.now());
                       }
                     });
               }
@@ -486,7 +486,7 @@
   }
 
   private void report(final boolean all) {
-    final TrialMessages.TrialReport report = proxyContext.trials.report(all);
+    final TrialMessages.TrialReport report = proxyContext.trials.createReport(all);
     if (report != null) {
       executor.execute(() -> stream.send(report));
     }
--- a/proxy/src/main/java/weldpoint/proxy/RegionLeaderService.java
+++ b/proxy/src/main/java/weldpoint/proxy/RegionLeaderService.java
@@ -63,7 +63,7 @@
                     new Transport.Listener() {
                       @Override
                       public void opened(final Connection connection) {
-                        election().opened(to);
+                        election().connectionOpened(to);
                       }
 
                       @Override
@@ -88,7 +88,7 @@
             ProxyContext.now(),
             new LeaderElection.Environment() {
               @Override
-              public void peers(final List<String> addresses) {
+              public void connectPeers(final List<String> addresses) {
                 connections.keep(addresses);
               }
 
@@ -105,14 +105,14 @@
               }
 
               @Override
-              public RegionMessages.ProxyObservations sight() {
+              public RegionMessages.ProxyObservations takeObservations() {
                 final RegionMessages.ProxyObservations seen = observations;
                 loop.execute(() -> observations = proxyContext.sight(ProxyContext.now()));
                 return seen;
               }
 
               @Override
-              public void ordered(final RegionMessages.LeaderDirective directive) {
+              public void directiveChanged(final RegionMessages.LeaderDirective directive) {
                 loop.execute(() -> proxyContext.ordered(directive, settings.address()));
               }
             });
@@ -128,7 +128,7 @@
     final long now = ProxyContext.now();
     election.tick(now);
     counters = election.counters(now);
-    if (!serves && election.phase() != weldpoint.regionleader.LeaderPhase.CORE) {
+    if (!serves && election.phase() != weldpoint.regionleader.LeaderPhase.CORE_REACHABLE) {
       serves = true;
       serve()
           .addListener(
@@ -176,7 +176,7 @@
   }
 
   void election(final long ageMillis, final long now) {
-    election.core(now - ageMillis, now);
+    election.coreHeard(now - ageMillis, now);
   }
 
   String counters() {
--- a/proxy/src/test/java/weldpoint/proxy/ConfigurationAtSendTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/ConfigurationAtSendTest.java
@@ -298,11 +298,11 @@
     onLoop(
         () -> {
           final AffinityTable ties = proxy.proxyContext().affinity;
-          ties.take(
+          ties.updatePlacements(
               new PlacementMessages.Placements(
                   1, List.of(new PlacementMessages.Placement("s", 1, 1, members, false, null))),
               ProxyContext.now());
-          ties.granted(
+          ties.onLeaseGrant(
               new PlacementMessages.LeaseGrant(1, "127.0.0.1", 1, 4000), ProxyContext.now());
         });
   }
--- a/proxy/src/test/java/weldpoint/proxy/ProxiedRequestTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/ProxiedRequestTest.java
@@ -221,7 +221,7 @@
                       new PlacementMessages.PlacementMember("i-2", 4, "a"));
               final List<PlacementMessages.PlacementMember> next =
                   List.of(new PlacementMessages.PlacementMember("i-9", 4, "a"));
-              proxyContext.affinity.take(
+              proxyContext.affinity.updatePlacements(
                   new PlacementMessages.Placements(
                       1,
                       List.of(
@@ -229,7 +229,7 @@
                               "s", 1, 1, members, moving, moving ? next : null))),
                   ProxyContext.now());
               if (leased) {
-                proxyContext.affinity.granted(
+                proxyContext.affinity.onLeaseGrant(
                     new PlacementMessages.LeaseGrant(number[0], "127.0.0.1", 1, 4000),
                     ProxyContext.now());
               }
--- a/regionleader/src/main/java/weldpoint/regionleader/LeaderElection.java
+++ b/regionleader/src/main/java/weldpoint/regionleader/LeaderElection.java
@@ -26,54 +26,54 @@
  */
 public final class LeaderElection {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
-  private static final long ELECTION_MILLIS = 800;
+  private static final long ELECTION_TIMEOUT_MILLIS = 800;
 
   /** How long to wait and to hold. */
   public record ElectionTimeouts(
-      boolean on, long waitMillis, long tenureMillis, long pulseMillis) {}
+      boolean enabled, long coreSilenceMillis, long leaseMillis, long heartbeatMillis) {}
 
   /** What the core does to the world. */
   public interface Environment {
     /** Makes these the switchboards that lines are kept to; none while the core answers. */
-    void peers(List<String> addresses);
+    void connectPeers(List<String> addresses);
 
     /** Sends to another switchboard; false where there is no line. */
     boolean send(String address, Message message);
 
     /** What this switchboard has seen since it was last asked. */
-    RegionMessages.ProxyObservations sight();
+    RegionMessages.ProxyObservations takeObservations();
 
     /** The orders in force have changed; null where there are none. */
-    void ordered(LeaderDirective directive);
+    void directiveChanged(LeaderDirective directive);
   }
 
   private final String self;
   private final long incarnation;
   private final String region;
-  private final ElectionTimeouts terms;
+  private final ElectionTimeouts timeouts;
   private final Random random;
   private final Environment environment;
-  private final Map<String, LeaderDirectiveAck> heeded = new HashMap<>();
-  private final Map<String, Long> heardOf = new HashMap<>();
-  private final Set<String> backers = new HashSet<>();
+  private final Map<String, LeaderDirectiveAck> acks = new HashMap<>();
+  private final Map<String, Long> ackedHeartbeatAt = new HashMap<>();
+  private final Set<String> grantedVotes = new HashSet<>();
   private Electorate electorate;
-  private LeaderPhase phase = LeaderPhase.CORE;
-  private long coreAt;
-  private long standAt;
+  private LeaderPhase phase = LeaderPhase.CORE_REACHABLE;
+  private long coreHeardAt;
+  private long candidacyAt;
   private long term;
-  private long backedTerm;
-  private String backedFor;
-  private long backedUntil = Long.MIN_VALUE;
-  private String chief;
-  private long chiefTerm;
-  private long chiefMark;
-  private long since;
-  private long orderNumber;
-  private long heedUntil;
-  private long pulsedAt;
-  private long electedAt;
+  private long votedTerm;
+  private String votedFor;
+  private long votedUntil = Long.MIN_VALUE;
+  private String leader;
+  private long leaderTerm;
+  private long leaderElectorateVersion;
+  private long phaseSince;
+  private long directiveNumber;
+  private long leaderLeaseUntil;
+  private long heartbeatSentAt;
+  private long electionStartedAt;
   private LeaderDirective directive;
-  private long refused;
+  private long refusedMessages;
   private long elections;
 
   /** A part that has just heard the core. */
@@ -81,27 +81,27 @@
       final String self,
       final long incarnation,
       final String region,
-      final ElectionTimeouts terms,
+      final ElectionTimeouts timeouts,
       final Random random,
       final long now,
       final Environment environment) {
     this.self = self;
     this.incarnation = incarnation;
     this.region = region;
-    this.terms = terms;
+    this.timeouts = timeouts;
     this.random = random;
     this.environment = environment;
-    this.coreAt = now;
+    this.coreHeardAt = now;
   }
 
   /**
    * Takes who may vote; only a later mark counts, and none is taken over from what a chief says.
    */
-  public void electorate(final Electorate given) {
-    if (given != null
-        && region.equals(given.region)
-        && (electorate == null || given.mark > electorate.mark)) {
-      electorate = given;
+  public void electorate(final Electorate received) {
+    if (received != null
+        && region.equals(received.region)
+        && (electorate == null || received.mark > electorate.mark)) {
+      electorate = received;
     }
   }
 
@@ -109,302 +109,325 @@
    * An exchange has told that it heard of a majority at this time: every chief's order is void from
    * here.
    */
-  public void core(final long confirmedAt, final long now) {
-    coreAt = Math.max(coreAt, confirmedAt);
-    if (phase != LeaderPhase.CORE && now - coreAt < terms.waitMillis) {
-      enter(LeaderPhase.CORE, null, now);
+  public void coreHeard(final long confirmedAt, final long now) {
+    coreHeardAt = Math.max(coreHeardAt, confirmedAt);
+    if (phase != LeaderPhase.CORE_REACHABLE && now - coreHeardAt < timeouts.coreSilenceMillis) {
+      enterPhase(LeaderPhase.CORE_REACHABLE, null, now);
     }
   }
 
-  private boolean elector() {
-    return elector(self, incarnation);
+  private boolean isElector() {
+    return isElector(self, incarnation);
   }
 
-  private boolean elector(final String address, final long life) {
+  private boolean isElector(final String address, final long electorIncarnation) {
     if (electorate != null) {
-      for (final Elector one : Protocol.list(electorate.electors)) {
-        if (one.address.equals(address)) {
-          return one.incarnation == life;
+      for (final Elector elector : Protocol.list(electorate.electors)) {
+        if (elector.address.equals(address)) {
+          return elector.incarnation == electorIncarnation;
         }
       }
     }
     return false;
   }
 
-  private int majority() {
+  private int majoritySize() {
     return Protocol.list(electorate.electors).size() / 2 + 1;
   }
 
-  private List<String> others() {
-    final List<String> list = new ArrayList<>();
-    for (final Elector one : Protocol.list(electorate.electors)) {
-      if (!one.address.equals(self)) {
-        list.add(one.address);
+  private List<String> otherElectors() {
+    final List<String> addresses = new ArrayList<>();
+    for (final Elector elector : Protocol.list(electorate.electors)) {
+      if (!elector.address.equals(self)) {
+        addresses.add(elector.address);
       }
     }
-    return list;
+    return addresses;
   }
 
-  private void enter(final LeaderPhase next, final String who, final long now) {
-    if (next == phase && java.util.Objects.equals(who, chief)) {
+  private void enterPhase(final LeaderPhase nextPhase, final String nextLeader, final long now) {
+    if (nextPhase == phase && java.util.Objects.equals(nextLeader, leader)) {
       return;
     }
     LOGGER.atInfo().log(
         "chief of %s: %s is %s, chief %s, mark %s, term %s, because the core was last heard %s ms ago",
         region,
         self,
-        next,
-        who == null ? "none" : who,
+        nextPhase,
+        nextLeader == null ? "none" : nextLeader,
         electorate == null ? 0 : electorate.mark,
         term,
-        now - coreAt);
-    phase = next;
-    chief = who;
-    since = now;
-    if (!next.ordered() && directive != null) {
+        now - coreHeardAt);
+    phase = nextPhase;
+    leader = nextLeader;
+    phaseSince = now;
+    if (!nextPhase.hasLeader() && directive != null) {
       directive = null;
-      environment.ordered(null);
+      environment.directiveChanged(null);
     }
-    if (next != LeaderPhase.ACTING && next != LeaderPhase.STANDING) {
-      environment.peers(List.of());
+    if (nextPhase != LeaderPhase.LEADER && nextPhase != LeaderPhase.CANDIDATE) {
+      environment.connectPeers(List.of());
     }
-    if (next != LeaderPhase.ACTING) {
-      heeded.clear();
-      heardOf.clear();
+    if (nextPhase != LeaderPhase.LEADER) {
+      acks.clear();
+      ackedHeartbeatAt.clear();
     }
-    if (next == LeaderPhase.ALONE || next == LeaderPhase.CORE) {
-      standAt = Math.max(now, backedUntil) + spread();
+    if (nextPhase == LeaderPhase.NO_LEADER || nextPhase == LeaderPhase.CORE_REACHABLE) {
+      candidacyAt = Math.max(now, votedUntil) + randomDelayMillis();
     }
   }
 
-  private long spread() {
-    return (long) (random.nextDouble() * Math.max(200, terms.waitMillis / 2));
+  private long randomDelayMillis() {
+    return (long) (random.nextDouble() * Math.max(200, timeouts.coreSilenceMillis / 2));
   }
 
   /** Time has passed. */
   public void tick(final long now) {
-    if (!terms.on) {
+    if (!timeouts.enabled) {
       return;
     }
     switch (phase) {
-      case CORE -> {
-        if (now - coreAt >= terms.waitMillis) {
-          enter(LeaderPhase.ALONE, null, now);
+      case CORE_REACHABLE -> {
+        if (now - coreHeardAt >= timeouts.coreSilenceMillis) {
+          enterPhase(LeaderPhase.NO_LEADER, null, now);
         }
       }
-      case ALONE -> {
-        if (now >= standAt && electorate != null && elector() && now >= backedUntil) {
-          stand(now);
+      case NO_LEADER -> {
+        if (now >= candidacyAt && electorate != null && isElector() && now >= votedUntil) {
+          startElection(now);
         }
       }
-      case STANDING -> {
-        if (now - electedAt > ELECTION_MILLIS) {
-          enter(LeaderPhase.ALONE, null, now);
+      case CANDIDATE -> {
+        if (now - electionStartedAt > ELECTION_TIMEOUT_MILLIS) {
+          enterPhase(LeaderPhase.NO_LEADER, null, now);
         }
       }
-      case FOLLOWING -> {
-        if (now >= heedUntil) {
-          enter(LeaderPhase.ALONE, null, now);
+      case FOLLOWER -> {
+        if (now >= leaderLeaseUntil) {
+          enterPhase(LeaderPhase.NO_LEADER, null, now);
         }
       }
-      case ACTING -> {
-        if (now - heardMajorityAt(now) > terms.tenureMillis) {
-          enter(LeaderPhase.ALONE, null, now);
-        } else if (now - pulsedAt >= terms.pulseMillis) {
-          pulse(now);
+      case LEADER -> {
+        if (now - majorityAckedAt(now) > timeouts.leaseMillis) {
+          enterPhase(LeaderPhase.NO_LEADER, null, now);
+        } else if (now - heartbeatSentAt >= timeouts.heartbeatMillis) {
+          sendHeartbeat(now);
         }
       }
       default -> throw new IllegalStateException("no phase " + phase);
     }
   }
 
-  private void stand(final long now) {
+  private void startElection(final long now) {
     elections++;
-    term = Math.max(term, backedTerm) + 1;
-    backedTerm = term;
-    backedFor = self;
-    backedUntil = now + terms.tenureMillis;
-    electedAt = now;
-    backers.clear();
-    backers.add(self);
-    enter(LeaderPhase.STANDING, null, now);
-    environment.peers(others());
-    for (final String other : others()) {
+    term = Math.max(term, votedTerm) + 1;
+    votedTerm = term;
+    votedFor = self;
+    votedUntil = now + timeouts.leaseMillis;
+    electionStartedAt = now;
+    grantedVotes.clear();
+    grantedVotes.add(self);
+    enterPhase(LeaderPhase.CANDIDATE, null, now);
+    environment.connectPeers(otherElectors());
+    for (final String other : otherElectors()) {
       environment.send(
           other, new LeaderVoteRequest(region, electorate.mark, term, self, incarnation));
     }
-    elected(now);
+    becomeLeaderIfElected(now);
   }
 
-  private void elected(final long now) {
-    if (phase == LeaderPhase.STANDING && backers.size() >= majority()) {
-      chiefTerm = term;
-      chiefMark = electorate.mark;
-      orderNumber = 0;
-      enter(LeaderPhase.ACTING, self, now);
-      for (final String one : backers) {
-        heardOf.put(one, electedAt);
+  private void becomeLeaderIfElected(final long now) {
+    if (phase == LeaderPhase.CANDIDATE && grantedVotes.size() >= majoritySize()) {
+      leaderTerm = term;
+      leaderElectorateVersion = electorate.mark;
+      directiveNumber = 0;
+      enterPhase(LeaderPhase.LEADER, self, now);
+      for (final String voter : grantedVotes) {
+        ackedHeartbeatAt.put(voter, electionStartedAt);
       }
-      pulse(now);
+      sendHeartbeat(now);
     }
   }
 
   /** The latest moment at which a pulse left that a majority has heeded. */
-  private long heardMajorityAt(final long now) {
-    final List<Long> times = new ArrayList<>(heardOf.values());
-    times.remove(heardOf.get(self));
+  private long majorityAckedAt(final long now) {
+    final List<Long> times = new ArrayList<>(ackedHeartbeatAt.values());
+    times.remove(ackedHeartbeatAt.get(self));
     times.add(now);
     times.sort(java.util.Comparator.reverseOrder());
-    return times.size() < majority() ? Long.MIN_VALUE / 2 : times.get(majority() - 1);
+    return times.size() < majoritySize() ? Long.MIN_VALUE / 2 : times.get(majoritySize() - 1);
   }
 
-  private void pulse(final long now) {
-    pulsedAt = now;
-    final RegionMessages.ProxyObservations own = environment.sight();
-    final List<RegionMessages.ProxyObservations> sights = new ArrayList<>();
+  private void sendHeartbeat(final long now) {
+    heartbeatSentAt = now;
+    final RegionMessages.ProxyObservations ownObservations = environment.takeObservations();
+    final List<RegionMessages.ProxyObservations> observations = new ArrayList<>();
     final List<String> addresses = new ArrayList<>();
-    sights.add(own);
+    observations.add(ownObservations);
     addresses.add(self);
-    heeded.forEach(
-        (address, one) -> {
-          if (one.observations != null
-              && now - heardOf.getOrDefault(address, Long.MIN_VALUE / 2) < terms.tenureMillis) {
-            sights.add(one.observations);
+    acks.forEach(
+        (address, ack) -> {
+          if (ack.observations != null
+              && now - ackedHeartbeatAt.getOrDefault(address, Long.MIN_VALUE / 2)
+                  < timeouts.leaseMillis) {
+            observations.add(ack.observations);
             addresses.add(address);
           }
         });
     final RegionAssessment assessment =
         RegionAssessment.of(
-            sights, addresses, Protocol.list(electorate.electors).size(), electorate.regionPart);
+            observations,
+            addresses,
+            Protocol.list(electorate.electors).size(),
+            electorate.regionPart);
     directive =
         new LeaderDirective(
             region,
-            chiefMark,
-            chiefTerm,
+            leaderElectorateVersion,
+            leaderTerm,
             self,
             incarnation,
-            ++orderNumber,
+            ++directiveNumber,
             now,
-            assessment.admission(),
+            assessment.admissionRatio(),
             assessment.addresses(),
-            assessment.parts(),
-            assessment.suspects(),
-            assessment.uncertain());
-    environment.ordered(directive);
-    for (final String other : others()) {
+            assessment.budgetShares(),
+            assessment.suspectUpstreams(),
+            assessment.uncertainWrites());
+    environment.directiveChanged(directive);
+    for (final String other : otherElectors()) {
       environment.send(other, directive);
     }
   }
 
   /** There is a line to another switchboard: it hears what the others have heard before. */
-  public void opened(final String address) {
-    if (phase == LeaderPhase.STANDING) {
+  public void connectionOpened(final String address) {
+    if (phase == LeaderPhase.CANDIDATE) {
       environment.send(
           address, new LeaderVoteRequest(region, electorate.mark, term, self, incarnation));
-    } else if (phase == LeaderPhase.ACTING && directive != null) {
+    } else if (phase == LeaderPhase.LEADER && directive != null) {
       environment.send(address, directive);
     }
   }
 
   /** Another switchboard has said something. */
-  public void receive(final String from, final long life, final Message message, final long now) {
+  public void receive(
+      final String from, final long senderIncarnation, final Message message, final long now) {
     if (message instanceof LeaderVoteRequest) {
-      onStand(from, life, (LeaderVoteRequest) message, now);
+      onVoteRequest(from, senderIncarnation, (LeaderVoteRequest) message, now);
     } else if (message instanceof LeaderVoteResponse) {
-      final LeaderVoteResponse backed = (LeaderVoteResponse) message;
-      if (phase == LeaderPhase.STANDING
-          && backed.term == term
-          && backed.mark == electorate.mark
-          && backed.yes
-          && elector(from, life)) {
-        backers.add(from);
-        elected(now);
-      } else if (backed.term > term) {
-        term = backed.term;
+      final LeaderVoteResponse response = (LeaderVoteResponse) message;
+      if (phase == LeaderPhase.CANDIDATE
+          && response.term == term
+          && response.mark == electorate.mark
+          && response.yes
+          && isElector(from, senderIncarnation)) {
+        grantedVotes.add(from);
+        becomeLeaderIfElected(now);
+      } else if (response.term > term) {
+        term = response.term;
       }
     } else if (message instanceof LeaderDirective) {
-      onOrder(from, life, (LeaderDirective) message, now);
+      onDirective(from, senderIncarnation, (LeaderDirective) message, now);
     } else if (message instanceof LeaderDirectiveAck) {
-      final LeaderDirectiveAck one = (LeaderDirectiveAck) message;
-      if (phase == LeaderPhase.ACTING && one.term == chiefTerm && one.mark == chiefMark) {
-        heeded.put(from, one);
-        if (elector(from, life)) {
-          heardOf.merge(from, one.askedAt, Math::max);
+      final LeaderDirectiveAck ack = (LeaderDirectiveAck) message;
+      if (phase == LeaderPhase.LEADER
+          && ack.term == leaderTerm
+          && ack.mark == leaderElectorateVersion) {
+        acks.put(from, ack);
+        if (isElector(from, senderIncarnation)) {
+          ackedHeartbeatAt.merge(from, ack.askedAt, Math::max);
         }
       } else {
-        refused++;
+        refusedMessages++;
       }
     }
   }
 
-  private void onStand(
-      final String from, final long life, final LeaderVoteRequest stand, final long now) {
-    final boolean core = phase == LeaderPhase.CORE;
-    final boolean held =
-        phase == LeaderPhase.ACTING || phase == LeaderPhase.FOLLOWING && now < heedUntil;
-    final boolean same =
-        electorate != null && stand.mark == electorate.mark && region.equals(stand.region);
-    final boolean free =
-        stand.term > backedTerm && now >= backedUntil
-            || stand.term == backedTerm && from.equals(backedFor);
-    final boolean yes =
-        terms.on
-            && !core
-            && !held
-            && same
-            && elector()
-            && elector(from, life)
-            && life == stand.incarnation
-            && free;
-    if (yes) {
-      backedTerm = stand.term;
-      backedFor = from;
-      backedUntil = now + terms.tenureMillis;
-      term = Math.max(term, stand.term);
-      if (phase == LeaderPhase.STANDING) {
-        enter(LeaderPhase.ALONE, null, now);
+  private void onVoteRequest(
+      final String from,
+      final long senderIncarnation,
+      final LeaderVoteRequest request,
+      final long now) {
+    final boolean coreReachable = phase == LeaderPhase.CORE_REACHABLE;
+    final boolean hasLeader =
+        phase == LeaderPhase.LEADER || phase == LeaderPhase.FOLLOWER && now < leaderLeaseUntil;
+    final boolean sameElectorate =
+        electorate != null && request.mark == electorate.mark && region.equals(request.region);
+    final boolean voteAvailable =
+        request.term > votedTerm && now >= votedUntil
+            || request.term == votedTerm && from.equals(votedFor);
+    final boolean granted =
+        timeouts.enabled
+            && !coreReachable
+            && !hasLeader
+            && sameElectorate
+            && isElector()
+            && isElector(from, senderIncarnation)
+            && senderIncarnation == request.incarnation
+            && voteAvailable;
+    if (granted) {
+      votedTerm = request.term;
+      votedFor = from;
+      votedUntil = now + timeouts.leaseMillis;
+      term = Math.max(term, request.term);
+      if (phase == LeaderPhase.CANDIDATE) {
+        enterPhase(LeaderPhase.NO_LEADER, null, now);
       }
-      standAt = now + terms.tenureMillis + spread();
-    } else if (!same || !elector(from, life)) {
-      refused++;
+      candidacyAt = now + timeouts.leaseMillis + randomDelayMillis();
+    } else if (!sameElectorate || !isElector(from, senderIncarnation)) {
+      refusedMessages++;
     }
     environment.send(
         from,
-        new LeaderVoteResponse(region, electorate == null ? 0 : electorate.mark, stand.term, yes));
+        new LeaderVoteResponse(
+            region, electorate == null ? 0 : electorate.mark, request.term, granted));
   }
 
-  private void onOrder(
-      final String from, final long life, final LeaderDirective given, final long now) {
-    final boolean sound =
-        terms.on
-            && region.equals(given.region)
-            && from.equals(given.chief)
-            && life == given.incarnation
+  private void onDirective(
+      final String from,
+      final long senderIncarnation,
+      final LeaderDirective received,
+      final long now) {
+    final boolean valid =
+        timeouts.enabled
+            && region.equals(received.region)
+            && from.equals(received.chief)
+            && senderIncarnation == received.incarnation
             && electorate != null
-            && given.mark >= electorate.mark;
-    final boolean known = sound && (given.mark > electorate.mark || elector(from, life));
-    final boolean later =
-        given.mark > chiefMark
-            || given.mark == chiefMark
-                && (given.term > chiefTerm
-                    || given.term == chiefTerm && from.equals(chief) && given.number > orderNumber)
-            || !phase.ordered() && given.mark == chiefMark && given.term >= chiefTerm;
-    if (phase == LeaderPhase.CORE || !known || !later) {
-      refused++;
+            && received.mark >= electorate.mark;
+    final boolean fromElector =
+        valid && (received.mark > electorate.mark || isElector(from, senderIncarnation));
+    final boolean newer =
+        received.mark > leaderElectorateVersion
+            || received.mark == leaderElectorateVersion
+                && (received.term > leaderTerm
+                    || received.term == leaderTerm
+                        && from.equals(leader)
+                        && received.number > directiveNumber)
+            || !phase.hasLeader()
+                && received.mark == leaderElectorateVersion
+                && received.term >= leaderTerm;
+    if (phase == LeaderPhase.CORE_REACHABLE || !fromElector || !newer) {
+      refusedMessages++;
       return;
     }
-    chiefMark = given.mark;
-    chiefTerm = given.term;
-    orderNumber = given.number;
-    term = Math.max(term, given.term);
-    heedUntil = now + terms.tenureMillis;
-    enter(LeaderPhase.FOLLOWING, from, now);
-    directive = given;
-    environment.ordered(given);
+    leaderElectorateVersion = received.mark;
+    leaderTerm = received.term;
+    directiveNumber = received.number;
+    term = Math.max(term, received.term);
+    leaderLeaseUntil = now + timeouts.leaseMillis;
+    enterPhase(LeaderPhase.FOLLOWER, from, now);
+    directive = received;
+    environment.directiveChanged(received);
     environment.send(
         from,
         new LeaderDirectiveAck(
-            given.mark, given.term, given.number, given.askedAt, environment.sight()));
+            received.mark,
+            received.term,
+            received.number,
+            received.askedAt,
+            environment.takeObservations()));
   }
 
   /** How this switchboard stands. */
@@ -413,8 +436,8 @@
   }
 
   /** The chief it heeds or is; null where there is none. */
-  public String chief() {
-    return chief;
+  public String leader() {
+    return leader;
   }
 
   /** The orders in force; null where there are none. */
@@ -423,13 +446,13 @@
   }
 
   /** The mark and term under which the present chief acts. */
-  public long[] fence() {
-    return new long[] {chiefMark, chiefTerm};
+  public long[] fencingToken() {
+    return new long[] {leaderElectorateVersion, leaderTerm};
   }
 
   /** How many orders and candidacies were refused as stale, foreign or unknown. */
-  public long refused() {
-    return refused;
+  public long refusedMessages() {
+    return refusedMessages;
   }
 
   /** The counters, as one line. */
@@ -437,16 +460,16 @@
     return "chief "
         + phase
         + " "
-        + (chief == null ? "none" : chief)
+        + (leader == null ? "none" : leader)
         + " for "
-        + (now - since)
+        + (now - phaseSince)
         + " ms mark "
-        + chiefMark
+        + leaderElectorateVersion
         + " term "
-        + chiefTerm
+        + leaderTerm
         + " elections "
         + elections
         + " orders refused "
-        + refused;
+        + refusedMessages;
   }
 }
--- a/regionleader/src/main/java/weldpoint/regionleader/LeaderPhase.java
+++ b/regionleader/src/main/java/weldpoint/regionleader/LeaderPhase.java
@@ -3,18 +3,18 @@
 /** How a switchboard stands toward the chief of its region. */
 public enum LeaderPhase {
   /** The core is heard; there is no chief and none is wanted. */
-  CORE,
+  CORE_REACHABLE,
   /** The core is silent; the wait before an election runs, or an election found no majority. */
-  ALONE,
+  NO_LEADER,
   /** It stands for election. */
-  STANDING,
+  CANDIDATE,
   /** It heeds a chief. */
-  FOLLOWING,
+  FOLLOWER,
   /** It is the chief. */
-  ACTING;
+  LEADER;
 
   /** Whether orders of a chief are in force. */
-  public boolean ordered() {
-    return this == FOLLOWING || this == ACTING;
+  public boolean hasLeader() {
+    return this == FOLLOWER || this == LEADER;
   }
 }
--- a/regionleader/src/main/java/weldpoint/regionleader/RegionAssessment.java
+++ b/regionleader/src/main/java/weldpoint/regionleader/RegionAssessment.java
@@ -14,70 +14,73 @@
  * whose fate is unknown.
  */
 public record RegionAssessment(
-    double admission,
+    double admissionRatio,
     List<String> addresses,
-    List<Double> parts,
-    List<String> suspects,
-    List<String> uncertain) {
-  private static final double FULL = 0.9;
-  private static final int MOST_UNCERTAIN = 4000;
+    List<Double> budgetShares,
+    List<String> suspectUpstreams,
+    List<String> uncertainWrites) {
+  private static final double TARGET_UTILIZATION = 0.9;
+  private static final int MAX_UNCERTAIN_WRITES = 4000;
 
   /**
    * Merges sights; regionPart is the region's part of the whole system's budgets when the core was
    * last heard.
    */
   public static RegionAssessment of(
-      final List<ProxyObservations> sights,
+      final List<ProxyObservations> allObservations,
       final List<String> addresses,
-      final int electors,
-      final double regionPart) {
+      final int electorCount,
+      final double regionShare) {
     long demand = 0;
     long writes = 0;
-    long room = 0;
+    long capacity = 0;
     long refusedWrites = 0;
-    final Map<String, Integer> silent = new HashMap<>();
-    final List<String> uncertain = new ArrayList<>();
-    for (final ProxyObservations observations : sights) {
+    final Map<String, Integer> silentReports = new HashMap<>();
+    final List<String> uncertainWrites = new ArrayList<>();
+    for (final ProxyObservations observations : allObservations) {
       demand += observations.repeatables + observations.writes;
       writes += observations.writes;
       refusedWrites += observations.refusedWrites;
-      room += observations.carried;
+      capacity += observations.carried;
       for (final String id : Protocol.list(observations.silent)) {
-        silent.merge(id, 1, Integer::sum);
+        silentReports.merge(id, 1, Integer::sum);
       }
       for (final String id : Protocol.list(observations.uncertain)) {
-        if (uncertain.size() < MOST_UNCERTAIN) {
-          uncertain.add(id);
+        if (uncertainWrites.size() < MAX_UNCERTAIN_WRITES) {
+          uncertainWrites.add(id);
         }
       }
     }
-    final List<String> suspects = new ArrayList<>();
-    silent.forEach(
+    final List<String> suspectUpstreams = new ArrayList<>();
+    silentReports.forEach(
         (id, count) -> {
-          if (count >= 2 || sights.size() == 1) {
-            suspects.add(id);
+          if (count >= 2 || allObservations.size() == 1) {
+            suspectUpstreams.add(id);
           }
         });
     final double repeatables = Math.max(1, demand - writes);
-    final double left = Math.max(0, FULL * room - writes);
-    final double admission = refusedWrites == 0 ? 1 : Math.max(0, Math.min(1, left / repeatables));
-    final List<Double> parts = new ArrayList<>();
-    double sum = 0;
-    for (final ProxyObservations observations : sights) {
-      final double one = 1 + observations.repeatables + observations.writes;
-      parts.add(one);
-      sum += one;
+    final double remainingCapacity = Math.max(0, TARGET_UTILIZATION * capacity - writes);
+    final double admissionRatio =
+        refusedWrites == 0 ? 1 : Math.max(0, Math.min(1, remainingCapacity / repeatables));
+    final List<Double> budgetShares = new ArrayList<>();
+    double totalWeight = 0;
+    for (final ProxyObservations observations : allObservations) {
+      final double weight = 1 + observations.repeatables + observations.writes;
+      budgetShares.add(weight);
+      totalWeight += weight;
     }
-    final double reachable =
-        regionPart * Math.min(1, sights.size() / (double) Math.max(1, electors));
-    for (int index = 0; index < parts.size(); index++) {
-      parts.set(index, reachable * parts.get(index) / sum);
+    final double reachableShare =
+        regionShare * Math.min(1, allObservations.size() / (double) Math.max(1, electorCount));
+    for (int index = 0; index < budgetShares.size(); index++) {
+      budgetShares.set(index, reachableShare * budgetShares.get(index) / totalWeight);
     }
-    return new RegionAssessment(admission, addresses, parts, suspects, uncertain);
+    return new RegionAssessment(
+        admissionRatio, addresses, budgetShares, suspectUpstreams, uncertainWrites);
   }
 
   /** One switchboard's part under an order; 0 where the order gives it none. */
-  public static double part(final RegionMessages.LeaderDirective directive, final String address) {
+  public static double budgetShare(
+      final RegionMessages.LeaderDirective directive, final String address) {
     final int index = Protocol.list(directive.addresses).indexOf(address);
     return index < 0 ? 0 : directive.parts.get(index);
   }
--- a/regionleader/src/main/java/weldpoint/regionleader/UncertainWrites.java
+++ b/regionleader/src/main/java/weldpoint/regionleader/UncertainWrites.java
@@ -13,56 +13,59 @@
  * chief tells of: none of them is sent again. It also says, by kind, what an order lets in.
  */
 public final class UncertainWrites {
-  private static final int MOST = 20_000;
+  private static final int MAX_TRACKED_WRITES = 20_000;
 
-  private final LinkedHashMap<String, Long> uncertain = new LinkedHashMap<>();
-  private final Map<String, Integer> underWay = new HashMap<>();
-  private Set<String> elsewhere = Set.of();
-  private final List<String> fresh = new ArrayList<>();
+  private final LinkedHashMap<String, Long> maybeExecutedAt = new LinkedHashMap<>();
+  private final Map<String, Integer> inFlight = new HashMap<>();
+  private Set<String> uncertainElsewhere = Set.of();
+  private final List<String> unresolvedIds = new ArrayList<>();
 
   /**
    * Takes a write that is about to be sent; false where it is under way or may have run, here or
    * elsewhere.
    */
-  public boolean begin(final String id) {
+  public boolean tryBegin(final String id) {
     if (id == null) {
       return true;
     }
-    if (uncertain.containsKey(id) || elsewhere.contains(id) || underWay.containsKey(id)) {
+    if (maybeExecutedAt.containsKey(id)
+        || uncertainElsewhere.contains(id)
+        || inFlight.containsKey(id)) {
       return false;
     }
-    underWay.put(id, 1);
+    inFlight.put(id, 1);
     return true;
   }
 
   /** The upstream did not run it: it may be sent again. */
-  public void notRun(final String id) {
-    underWay.remove(id);
+  public void recordNotExecuted(final String id) {
+    inFlight.remove(id);
   }
 
   /** It has run, or may have. */
-  public void ran(final String id, final boolean known, final long now) {
+  public void recordExecuted(final String id, final boolean outcomeKnown, final long now) {
     if (id == null) {
       return;
     }
-    underWay.remove(id);
-    uncertain.put(id, now);
-    if (!known) {
-      fresh.add(id);
+    inFlight.remove(id);
+    maybeExecutedAt.put(id, now);
+    if (!outcomeKnown) {
+      unresolvedIds.add(id);
     }
-    if (uncertain.size() > MOST) {
-      uncertain.remove(uncertain.keySet().iterator().next());
+    if (maybeExecutedAt.size() > MAX_TRACKED_WRITES) {
+      maybeExecutedAt.remove(maybeExecutedAt.keySet().iterator().next());
     }
   }
 
   /** Takes the ids that the region's switchboards are unsure of. */
-  public void elsewhere(final List<String> ids) {
-    elsewhere = ids.isEmpty() ? Set.of() : new HashSet<>(ids);
+  public void uncertainElsewhere(final List<String> ids) {
+    uncertainElsewhere = ids.isEmpty() ? Set.of() : new HashSet<>(ids);
   }
 
   /** The ids of unknown fate within so many milliseconds, for the chief. */
-  public List<String> unsure(final long now, final long millis) {
-    fresh.removeIf(id -> now - uncertain.getOrDefault(id, Long.MIN_VALUE / 2) > millis);
-    return new ArrayList<>(fresh);
+  public List<String> recentlyUncertain(final long now, final long windowMillis) {
+    unresolvedIds.removeIf(
+        id -> now - maybeExecutedAt.getOrDefault(id, Long.MIN_VALUE / 2) > windowMillis);
+    return new ArrayList<>(unresolvedIds);
   }
 }
--- a/regionleader/src/test/java/weldpoint/regionleader/LeaderElectionTest.java
+++ b/regionleader/src/test/java/weldpoint/regionleader/LeaderElectionTest.java
@@ -18,105 +18,127 @@
   }
 
   @Test
-  public void nobodySaysAnythingWhileTheCoreAnswers() {
+  public void noMessageIsSentWhileTheCoreAnswers() {
     final SimulatedRegion region = region(1, 7);
     region.run(60_000);
     assertEquals(region.messages, 0);
-    assertTrue(region.acting().isEmpty());
+    assertTrue(region.activeLeaders().isEmpty());
   }
 
   @Test
-  public void aMajorityElectsOneAndTheCoreEndsIt() {
+  public void aMajorityElectsOneLeaderAndTheReturningCoreEndsItsTerm() {
     for (long seed = 0; seed < 60; seed++) {
       final SimulatedRegion region = region(seed, 3 + (int) (seed % 9));
       region.run(2000);
       region.coreUp = false;
       region.run(12_000);
-      assertEquals(region.acting().size(), 1, "seed " + seed);
-      final String chief = region.acting().get(0).address;
-      region.boards.values().forEach(board -> assertEquals(board.election.chief(), chief));
+      assertEquals(region.activeLeaders().size(), 1, "seed " + seed);
+      final String leader = region.activeLeaders().get(0).address;
+      region.proxies.values().forEach(proxy -> assertEquals(proxy.election.leader(), leader));
       region.coreUp = true;
       region.run(200);
-      assertTrue(region.acting().isEmpty(), "seed " + seed);
-      region.boards.values().forEach(board -> assertEquals(board.directive, null));
-      assertTrue(region.breaches.isEmpty(), "seed " + seed + region.breaches);
+      assertTrue(region.activeLeaders().isEmpty(), "seed " + seed);
+      region.proxies.values().forEach(proxy -> assertEquals(proxy.directive, null));
+      assertTrue(region.violations.isEmpty(), "seed " + seed + region.violations);
     }
   }
 
   @Test
-  public void aMinorityHasNoChiefAndARestartedSwitchboardNoVote() {
+  public void aMinorityElectsNoLeaderAndARestartedProxyHasNoVote() {
     final SimulatedRegion region = region(5, 6);
     region.run(1000);
     region.coreUp = false;
-    region.cut = pair -> low(pair[0]) != low(pair[1]);
+    region.partitioned = pair -> isLowAddress(pair[0]) != isLowAddress(pair[1]);
     region.run(15_000);
-    assertTrue(region.acting().isEmpty(), "three of six are no majority");
-    region.cut = pair -> false;
+    assertTrue(region.activeLeaders().isEmpty(), "three of six are no majority");
+    region.partitioned = pair -> false;
     region.run(15_000);
-    assertEquals(region.acting().size(), 1);
+    assertEquals(region.activeLeaders().size(), 1);
     final SimulatedRegion other = region(6, 5);
     other.run(1000);
     other.coreUp = false;
-    final List<SimulatedRegion.Proxy> all = new ArrayList<>(other.boards.values());
+    final List<SimulatedRegion.Proxy> all = new ArrayList<>(other.proxies.values());
     for (int index = 0; index < 3; index++) {
-      all.get(index).boot();
+      all.get(index).restart();
     }
     other.run(15_000);
-    assertTrue(other.acting().isEmpty(), "those in a new life are no electors");
+    assertTrue(other.activeLeaders().isEmpty(), "those in a new life are no electors");
   }
 
-  private static boolean low(final String address) {
+  private static boolean isLowAddress(final String address) {
     return Integer.parseInt(address.substring(address.lastIndexOf('.') + 1)) <= 3;
   }
 
   @Test
-  public void aChiefThatFreezesIsFollowedByAnotherAndFencedWhenItWakes() {
+  public void aFrozenLeaderIsReplacedAndFencedWhenItResumes() {
     for (long seed = 0; seed < 40; seed++) {
       final SimulatedRegion region = region(seed, 7);
       region.run(1000);
       region.coreUp = false;
       region.run(12_000);
-      final SimulatedRegion.Proxy first = region.acting().get(0);
-      final long[] fence = first.election.fence();
+      final SimulatedRegion.Proxy first = region.activeLeaders().get(0);
+      final long[] fencingToken = first.election.fencingToken();
       first.frozen = true;
       region.run(15_000);
-      assertEquals(region.acting().size(), 1, "seed " + seed);
-      final SimulatedRegion.Proxy second = region.acting().get(0);
+      assertEquals(region.activeLeaders().size(), 1, "seed " + seed);
+      final SimulatedRegion.Proxy second = region.activeLeaders().get(0);
       assertNotEquals(second.address, first.address);
-      assertTrue(second.election.fence()[1] > fence[1]);
+      assertTrue(second.election.fencingToken()[1] > fencingToken[1]);
       first.frozen = false;
       region.run(5000);
-      assertEquals(region.acting().size(), 1, "seed " + seed);
-      assertTrue(region.breaches.isEmpty());
+      assertEquals(region.activeLeaders().size(), 1, "seed " + seed);
+      assertTrue(region.violations.isEmpty());
     }
   }
 
   @Test
-  public void staleForeignAndUnknownOrdersAreRefusedAndCounted() {
+  public void staleForeignAndUnknownDirectivesAreRefusedAndCounted() {
     final SimulatedRegion region = region(3, 5);
     region.run(1000);
     region.coreUp = false;
     region.run(12_000);
-    final SimulatedRegion.Proxy chief = region.acting().get(0);
+    final SimulatedRegion.Proxy leader = region.activeLeaders().get(0);
     SimulatedRegion.Proxy found = null;
-    for (final SimulatedRegion.Proxy board : region.boards.values()) {
-      found = board == chief ? found : board;
+    for (final SimulatedRegion.Proxy proxy : region.proxies.values()) {
+      found = proxy == leader ? found : proxy;
     }
     final SimulatedRegion.Proxy follower = found;
-    final long term = chief.election.fence()[1];
-    final LeaderDirective held = follower.election.directive();
-    final long before = follower.election.refused();
+    final long term = leader.election.fencingToken()[1];
+    final LeaderDirective directiveBefore = follower.election.directive();
+    final long refusedBefore = follower.election.refusedMessages();
     follower.election.receive(
-        chief.address,
-        chief.life,
+        leader.address,
+        leader.incarnation,
         new LeaderDirective(
-            "south", 1, term + 1, chief.address, chief.life, 99, 0, 0, null, null, null, null),
+            "south",
+            1,
+            term + 1,
+            leader.address,
+            leader.incarnation,
+            99,
+            0,
+            0,
+            null,
+            null,
+            null,
+            null),
         region.now);
     follower.election.receive(
-        chief.address,
-        chief.life,
+        leader.address,
+        leader.incarnation,
         new LeaderDirective(
-            "north", 0, term + 1, chief.address, chief.life, 99, 0, 0, null, null, null, null),
+            "north",
+            0,
+            term + 1,
+            leader.address,
+            leader.incarnation,
+            99,
+            0,
+            0,
+            null,
+            null,
+            null,
+            null),
         region.now);
     follower.election.receive(
         "10.0.0.99",
@@ -124,14 +146,14 @@
         new LeaderDirective("north", 1, term + 1, "10.0.0.99", 7, 99, 0, 0, null, null, null, null),
         region.now);
     follower.election.receive(
-        chief.address,
-        chief.life + 1000,
+        leader.address,
+        leader.incarnation + 1000,
         new LeaderDirective(
             "north",
             1,
             term + 1,
-            chief.address,
-            chief.life + 1000,
+            leader.address,
+            leader.incarnation + 1000,
             99,
             0,
             0,
@@ -141,25 +163,25 @@
             null),
         region.now);
     follower.election.receive(
-        chief.address,
-        chief.life,
+        leader.address,
+        leader.incarnation,
         new LeaderDirective(
-            "north", 1, term, chief.address, chief.life, 1, 0, 0, null, null, null, null),
+            "north", 1, term, leader.address, leader.incarnation, 1, 0, 0, null, null, null, null),
         region.now);
-    assertEquals(follower.election.directive(), held, "nothing of that is taken");
-    assertEquals(follower.election.refused() - before, 5);
+    assertEquals(follower.election.directive(), directiveBefore, "nothing of that is taken");
+    assertEquals(follower.election.refusedMessages() - refusedBefore, 5);
     follower.election.receive(
         "10.0.0.99", 7, new LeaderVoteRequest("north", 1, term + 9, "10.0.0.99", 7), region.now);
-    assertEquals(follower.election.chief(), chief.address);
+    assertEquals(follower.election.leader(), leader.address);
   }
 
   /**
    * A busy morning with the core cut off: chiefs killed, the region split, restarts, answers lost,
    * more asked than fits.
    */
-  private static SimulatedRegion morning(
-      final long seed, final boolean broken, final boolean twoChiefs) {
-    final SimulatedRegion region = new SimulatedRegion(seed, 9, id -> broken);
+  private static SimulatedRegion runCoreOutage(
+      final long seed, final boolean checkDisabled, final boolean twoLeaders) {
+    final SimulatedRegion region = new SimulatedRegion(seed, 9, id -> checkDisabled);
     region.capacity = 60;
     region.lostAnswers = 0.03;
     region.run(1000);
@@ -177,19 +199,19 @@
     region.run(2000);
     region.coreUp = false;
     region.run(10_000);
-    if (twoChiefs) {
-      region.boards.values().forEach(board -> board.uncertainWrites.elsewhere(List.of()));
-      region.cut = pair -> low(pair[0]) != low(pair[1]);
-      region.elect(2 + seed);
+    if (twoLeaders) {
+      region.proxies.values().forEach(proxy -> proxy.uncertainWrites.uncertainElsewhere(List.of()));
+      region.partitioned = pair -> isLowAddress(pair[0]) != isLowAddress(pair[1]);
+      region.publishElectorate(2 + seed);
     }
-    for (final SimulatedRegion.Proxy chief : region.acting()) {
-      chief.up = false;
-      region.after(4000, chief::boot);
+    for (final SimulatedRegion.Proxy leader : region.activeLeaders()) {
+      leader.up = false;
+      region.after(4000, leader::restart);
     }
     region.run(8000);
-    region.cut = pair -> low(pair[0]) != low(pair[1]);
+    region.partitioned = pair -> isLowAddress(pair[0]) != isLowAddress(pair[1]);
     region.run(6000);
-    region.cut = pair -> false;
+    region.partitioned = pair -> false;
     region.run(10_000);
     region.coreUp = true;
     region.run(12_000);
@@ -197,11 +219,11 @@
   }
 
   @Test
-  public void everyWriteOfABusyMorningWithoutTheCoreArrivesAtMostOnce() {
+  public void everyWriteRunsAtMostOnceDuringACoreOutage() {
     for (long seed = 0; seed < 25; seed++) {
-      final SimulatedRegion region = morning(seed, false, false);
-      assertFalse(region.chiefs.isEmpty(), "seed " + seed + ": a chief acted");
-      assertTrue(region.breaches.isEmpty(), "seed " + seed + region.breaches);
+      final SimulatedRegion region = runCoreOutage(seed, false, false);
+      assertFalse(region.leaderHistory.isEmpty(), "seed " + seed + ": a chief acted");
+      assertTrue(region.violations.isEmpty(), "seed " + seed + region.violations);
       int writes = 0;
       for (final var entry : region.runs.entrySet()) {
         if (entry.getKey().startsWith("write")) {
@@ -220,34 +242,35 @@
   }
 
   @Test
-  public void twoChiefsDoubleNoWriteAndABrokenCheckIsCaught() {
-    int doubled = 0;
+  public void twoLeadersDuplicateNoWriteAndADisabledCheckIsDetected() {
+    int duplicated = 0;
     for (long seed = 0; seed < 8; seed++) {
-      morning(seed, false, true)
+      runCoreOutage(seed, false, true)
           .runs
           .forEach((name, count) -> assertTrue(!name.startsWith("write") || count == 1, name));
-      for (final var entry : morning(seed, true, false).runs.entrySet()) {
-        doubled += entry.getKey().startsWith("write") && entry.getValue() > 1 ? 1 : 0;
+      for (final var entry : runCoreOutage(seed, true, false).runs.entrySet()) {
+        duplicated += entry.getKey().startsWith("write") && entry.getValue() > 1 ? 1 : 0;
       }
     }
-    assertTrue(doubled > 0, "without the check a lost answer doubles a write");
+    assertTrue(duplicated > 0, "without the check a lost answer doubles a write");
   }
 
   @Test
-  public void dutiesLetWritesGoFirstAndNeverDivideMoreThanTheRegionHeld() {
-    final RegionMessages.ProxyObservations crowded =
+  public void assessmentAdmitsWritesFirstAndNeverDividesMoreThanTheRegionsShare() {
+    final RegionMessages.ProxyObservations overloaded =
         new RegionMessages.ProxyObservations(900, 40, 5, 300, List.of("u1"), List.of("w1"));
-    final RegionMessages.ProxyObservations calm =
+    final RegionMessages.ProxyObservations lightlyLoaded =
         new RegionMessages.ProxyObservations(100, 10, 0, 100, List.of("u1", "u2"), null);
     final RegionAssessment assessment =
-        RegionAssessment.of(List.of(crowded, calm), List.of("a", "b"), 3, 0.6);
-    assertEquals(assessment.admission(), (0.9 * 400 - 50) / 1000, 1e-9);
-    assertEquals(assessment.suspects(), List.of("u1"));
-    assertEquals(assessment.uncertain(), List.of("w1"));
-    assertEquals(assessment.parts().stream().mapToDouble(part -> part).sum(), 0.6 * 2 / 3, 1e-9);
-    assertTrue(assessment.parts().get(0) > 5 * assessment.parts().get(1));
+        RegionAssessment.of(List.of(overloaded, lightlyLoaded), List.of("a", "b"), 3, 0.6);
+    assertEquals(assessment.admissionRatio(), (0.9 * 400 - 50) / 1000, 1e-9);
+    assertEquals(assessment.suspectUpstreams(), List.of("u1"));
+    assertEquals(assessment.uncertainWrites(), List.of("w1"));
+    assertEquals(
+        assessment.budgetShares().stream().mapToDouble(share -> share).sum(), 0.6 * 2 / 3, 1e-9);
+    assertTrue(assessment.budgetShares().get(0) > 5 * assessment.budgetShares().get(1));
     assertEquals(
-        RegionAssessment.of(List.of(calm), List.of("b"), 3, 0.6).admission(),
+        RegionAssessment.of(List.of(lightlyLoaded), List.of("b"), 3, 0.6).admissionRatio(),
         1.0,
         "nothing is held back while no write is refused");
   }
--- a/regionleader/src/test/java/weldpoint/regionleader/SimulatedRegion.java
+++ b/regionleader/src/test/java/weldpoint/regionleader/SimulatedRegion.java
@@ -22,15 +22,15 @@
  * that count what they run.
  */
 final class SimulatedRegion {
-  static final LeaderElection.ElectionTimeouts TERMS =
+  static final LeaderElection.ElectionTimeouts TIMEOUTS =
       new LeaderElection.ElectionTimeouts(true, 3000, 2500, 500);
 
-  private record Event(long at, long order, Runnable deed) {}
+  private record Event(long at, long sequence, Runnable action) {}
 
   /** One switchboard of the moment. */
   final class Proxy {
     final String address;
-    long life;
+    long incarnation;
     LeaderElection election;
     UncertainWrites uncertainWrites = new UncertainWrites();
     LeaderDirective directive;
@@ -41,15 +41,15 @@
     long writes;
     long refusedWrites;
     long carried;
-    final Set<String> kept = new HashSet<>();
+    final Set<String> peers = new HashSet<>();
 
     Proxy(final String address) {
       this.address = address;
-      boot();
+      restart();
     }
 
-    void boot() {
-      life = ++lives;
+    void restart() {
+      incarnation = ++lastIncarnation;
       directive = null;
       uncertainWrites = new UncertainWrites();
       inFlight = 0;
@@ -57,16 +57,16 @@
       election =
           new LeaderElection(
               address,
-              life,
+              incarnation,
               "north",
-              TERMS,
+              TIMEOUTS,
               new Random(random.nextLong()),
               now,
               new LeaderElection.Environment() {
                 @Override
-                public void peers(final List<String> addresses) {
-                  kept.clear();
-                  kept.addAll(addresses);
+                public void connectPeers(final List<String> addresses) {
+                  peers.clear();
+                  peers.addAll(addresses);
                 }
 
                 @Override
@@ -76,7 +76,7 @@
                 }
 
                 @Override
-                public RegionMessages.ProxyObservations sight() {
+                public RegionMessages.ProxyObservations takeObservations() {
                   final RegionMessages.ProxyObservations observations =
                       new RegionMessages.ProxyObservations(
                           repeatables,
@@ -84,7 +84,7 @@
                           refusedWrites,
                           carried,
                           null,
-                          uncertainWrites.unsure(now, 30_000));
+                          uncertainWrites.recentlyUncertain(now, 30_000));
                   repeatables = 0;
                   writes = 0;
                   refusedWrites = 0;
@@ -93,86 +93,86 @@
                 }
 
                 @Override
-                public void ordered(final LeaderDirective given) {
-                  directive = given;
-                  uncertainWrites.elsewhere(
-                      given == null ? List.of() : Protocol.list(given.uncertain));
+                public void directiveChanged(final LeaderDirective received) {
+                  directive = received;
+                  uncertainWrites.uncertainElsewhere(
+                      received == null ? List.of() : Protocol.list(received.uncertain));
                 }
               });
     }
   }
 
   final Random random;
-  final Map<String, Proxy> boards = new LinkedHashMap<>();
+  final Map<String, Proxy> proxies = new LinkedHashMap<>();
   final Map<String, Integer> runs = new HashMap<>();
   final Map<String, Integer> confirmed = new HashMap<>();
-  final List<String> breaches = new ArrayList<>();
-  final List<String> chiefs = new ArrayList<>();
+  final List<String> violations = new ArrayList<>();
+  final List<String> leaderHistory = new ArrayList<>();
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(
           (one, other) ->
               one.at != other.at
                   ? Long.compare(one.at, other.at)
-                  : Long.compare(one.order, other.order));
-  private final Predicate<String> onceBroken;
+                  : Long.compare(one.sequence, other.sequence));
+  private final Predicate<String> duplicateCheckDisabled;
   boolean coreUp = true;
-  Predicate<String[]> cut = pair -> false;
+  Predicate<String[]> partitioned = pair -> false;
   double lostAnswers;
   int capacity = 1000;
   int busy;
   long now = 1_000_000;
   long messages;
   long refusedWrites;
-  private long order;
-  private long lives;
+  private long nextSequence;
+  private long lastIncarnation;
 
-  SimulatedRegion(final long seed, final int size, final Predicate<String> onceBroken) {
+  SimulatedRegion(final long seed, final int size, final Predicate<String> duplicateCheckDisabled) {
     this.random = new Random(seed);
-    this.onceBroken = onceBroken;
+    this.duplicateCheckDisabled = duplicateCheckDisabled;
     for (int index = 0; index < size; index++) {
       final String address = "10.0.0." + (index + 1);
-      boards.put(address, new Proxy(address));
+      proxies.put(address, new Proxy(address));
     }
-    elect(1);
+    publishElectorate(1);
   }
 
   /** The core acknowledges who may vote. */
-  void elect(final long mark) {
+  void publishElectorate(final long version) {
     final List<Elector> electors = new ArrayList<>();
-    boards.values().forEach(board -> electors.add(new Elector(board.address, board.life)));
-    final Electorate electorate = new Electorate("north", mark, electors, 0.5);
-    boards.values().forEach(board -> board.election.electorate(electorate));
+    proxies.values().forEach(proxy -> electors.add(new Elector(proxy.address, proxy.incarnation)));
+    final Electorate electorate = new Electorate("north", version, electors, 0.5);
+    proxies.values().forEach(proxy -> proxy.election.electorate(electorate));
   }
 
-  void after(final long millis, final Runnable deed) {
-    events.add(new Event(now + millis, order++, deed));
+  void after(final long millis, final Runnable action) {
+    events.add(new Event(now + millis, nextSequence++, action));
   }
 
   private void post(final Proxy from, final String to, final Message message) {
     messages++;
-    final long life = from.life;
+    final long incarnation = from.incarnation;
     final long delay = 1 + random.nextInt(12);
-    deliver(from.address, life, to, message, delay);
+    deliver(from.address, incarnation, to, message, delay);
     if (random.nextInt(12) == 0) {
-      deliver(from.address, life, to, message, delay + random.nextInt(3000));
+      deliver(from.address, incarnation, to, message, delay + random.nextInt(3000));
     }
   }
 
   private void deliver(
       final String from,
-      final long life,
+      final long incarnation,
       final String to,
       final Message message,
       final long delay) {
     after(
         delay,
         () -> {
-          final Proxy board = boards.get(to);
-          if (board != null && board.up && !cut.test(new String[] {from, to})) {
-            if (board.frozen) {
-              deliver(from, life, to, message, 50);
+          final Proxy proxy = proxies.get(to);
+          if (proxy != null && proxy.up && !partitioned.test(new String[] {from, to})) {
+            if (proxy.frozen) {
+              deliver(from, incarnation, to, message, 50);
             } else {
-              board.election.receive(from, life, message, now);
+              proxy.election.receive(from, incarnation, message, now);
             }
           }
         });
@@ -188,79 +188,83 @@
       while (!events.isEmpty() && events.peek().at <= next) {
         final Event event = events.poll();
         now = Math.max(now, event.at);
-        event.deed.run();
+        event.action.run();
       }
       now = next;
-      for (final Proxy board : boards.values()) {
-        if (board.up && !board.frozen) {
+      for (final Proxy proxy : proxies.values()) {
+        if (proxy.up && !proxy.frozen) {
           if (coreUp) {
-            board.election.core(now, now);
+            proxy.election.coreHeard(now, now);
           }
-          board.election.tick(now);
+          proxy.election.tick(now);
         }
       }
-      look();
+      checkSingleLeader();
     }
   }
 
-  private final Map<String, String> chiefOf = new HashMap<>();
+  private final Map<String, String> leaderByToken = new HashMap<>();
 
-  private void look() {
-    for (final Proxy board : boards.values()) {
-      if (board.up && board.election.phase() == LeaderPhase.ACTING) {
-        final String fence = board.election.fence()[0] + "/" + board.election.fence()[1];
-        final String before = chiefOf.putIfAbsent(fence, board.address + "#" + board.life);
-        if (before != null && !before.equals(board.address + "#" + board.life)) {
-          breaches.add("two chiefs under " + fence + ": " + before + " and " + board.address);
+  private void checkSingleLeader() {
+    for (final Proxy proxy : proxies.values()) {
+      if (proxy.up && proxy.election.phase() == LeaderPhase.LEADER) {
+        final String fencingToken =
+            proxy.election.fencingToken()[0] + "/" + proxy.election.fencingToken()[1];
+        final String previous =
+            leaderByToken.putIfAbsent(fencingToken, proxy.address + "#" + proxy.incarnation);
+        if (previous != null && !previous.equals(proxy.address + "#" + proxy.incarnation)) {
+          violations.add(
+              "two chiefs under " + fencingToken + ": " + previous + " and " + proxy.address);
         }
-        if (chiefs.isEmpty() || !chiefs.get(chiefs.size() - 1).equals(board.address)) {
-          chiefs.add(board.address);
+        if (leaderHistory.isEmpty()
+            || !leaderHistory.get(leaderHistory.size() - 1).equals(proxy.address)) {
+          leaderHistory.add(proxy.address);
         }
       }
     }
   }
 
   /** A client makes a request at a board; it tries again elsewhere only what surely has not run. */
-  void request(final String name, final boolean write, final int tries) {
-    final List<Proxy> all = new ArrayList<>(boards.values());
-    final Proxy board = all.get(random.nextInt(all.size()));
-    if (!board.up || board.frozen) {
-      if (tries > 1) {
-        after(30 + random.nextInt(50), () -> request(name, write, tries - 1));
+  void request(final String name, final boolean write, final int attemptsLeft) {
+    final List<Proxy> all = new ArrayList<>(proxies.values());
+    final Proxy proxy = all.get(random.nextInt(all.size()));
+    if (!proxy.up || proxy.frozen) {
+      if (attemptsLeft > 1) {
+        after(30 + random.nextInt(50), () -> request(name, write, attemptsLeft - 1));
       }
       return;
     }
     if (write) {
-      board.writes++;
+      proxy.writes++;
     } else {
-      board.repeatables++;
+      proxy.repeatables++;
     }
-    final boolean letIn =
-        write || board.directive == null || random.nextDouble() < board.directive.admission;
-    if (!letIn || busy >= capacity + (write ? capacity / 4 : 0)) {
+    final boolean admitted =
+        write || proxy.directive == null || random.nextDouble() < proxy.directive.admission;
+    if (!admitted || busy >= capacity + (write ? capacity / 4 : 0)) {
       if (write) {
         refusedWrites++;
-        board.refusedWrites++;
+        proxy.refusedWrites++;
       }
-      if (tries > 1) {
-        after(100 + random.nextInt(200), () -> request(name, write, tries - 1));
+      if (attemptsLeft > 1) {
+        after(100 + random.nextInt(200), () -> request(name, write, attemptsLeft - 1));
       }
       return;
     }
-    send(board, board.life, name, name + "~" + tries, write, 3);
+    send(proxy, proxy.incarnation, name, name + "~" + attemptsLeft, write, 3);
   }
 
   private void send(
-      final Proxy board,
-      final long life,
+      final Proxy proxy,
+      final long incarnation,
       final String name,
       final String id,
       final boolean write,
-      final int left) {
-    if (left == 0 || !board.up || board.life != life) {
+      final int attemptsLeft) {
+    if (attemptsLeft == 0 || !proxy.up || proxy.incarnation != incarnation) {
       return;
     }
-    if (write && !onceBroken.test(id) && !board.uncertainWrites.begin(id)) {
+    if (write && !duplicateCheckDisabled.test(id) && !proxy.uncertainWrites.tryBegin(id)) {
       return;
     }
     busy++;
@@ -270,26 +274,26 @@
         80 + random.nextInt(120),
         () -> {
           busy--;
-          if (!board.up || board.life != life) {
+          if (!proxy.up || proxy.incarnation != incarnation) {
             return;
           }
-          board.carried++;
+          proxy.carried++;
           if (write) {
-            board.uncertainWrites.ran(id, !lost, now);
+            proxy.uncertainWrites.recordExecuted(id, !lost, now);
           }
           if (!lost) {
             confirmed.merge(write ? name : "lookup", 1, Integer::sum);
           } else {
-            send(board, life, name, id, write, left - 1);
+            send(proxy, incarnation, name, id, write, attemptsLeft - 1);
           }
         });
   }
 
-  List<Proxy> acting() {
+  List<Proxy> activeLeaders() {
     final List<Proxy> list = new ArrayList<>();
-    for (final Proxy board : boards.values()) {
-      if (board.up && !board.frozen && board.election.phase() == LeaderPhase.ACTING) {
-        list.add(board);
+    for (final Proxy proxy : proxies.values()) {
+      if (proxy.up && !proxy.frozen && proxy.election.phase() == LeaderPhase.LEADER) {
+        list.add(proxy);
       }
     }
     return list;
--- a/registry/src/main/java/weldpoint/registry/ControlServer.java
+++ b/registry/src/main/java/weldpoint/registry/ControlServer.java
@@ -686,9 +686,9 @@
 
   ControlReply trial(final TrialMessages.Trial trial) {
     final List<ControlApi.ProxyTrialCounts> boards = new java.util.ArrayList<>();
-    final long[] sum = TrialCounter.none();
+    final long[] sum = TrialCounter.newCounts();
     core.panel()
-        .byBoard(trial)
+        .countsByProxy(trial)
         .forEach(
             (board, counts) -> {
               boards.add(counted(board, trial, counts));
@@ -720,24 +720,24 @@
         board,
         new ControlApi.VersionCounts(
             trial.oldService,
-            TrialCounter.OLD_SENT.in(counts),
-            TrialCounter.OLD_CONFIRMED.in(counts),
-            TrialCounter.OLD_LOST.in(counts),
-            TrialCounter.OLD_DOUBLED.in(counts),
-            TrialCounter.OLD_LATE.in(counts),
-            TrialCounter.OLD_OTHERS.in(counts),
-            TrialCounter.OLD_OTHERS_FAILED.in(counts)),
+            TrialCounter.OLD_SENT.valueIn(counts),
+            TrialCounter.OLD_CONFIRMED.valueIn(counts),
+            TrialCounter.OLD_LOST.valueIn(counts),
+            TrialCounter.OLD_DUPLICATED.valueIn(counts),
+            TrialCounter.OLD_LATE.valueIn(counts),
+            TrialCounter.OLD_OTHER_REQUESTS.valueIn(counts),
+            TrialCounter.OLD_OTHER_REQUESTS_FAILED.valueIn(counts)),
         new ControlApi.VersionCounts(
             trial.newService,
-            TrialCounter.NEW_SENT.in(counts),
-            TrialCounter.NEW_CONFIRMED.in(counts),
-            TrialCounter.NEW_LOST.in(counts),
-            TrialCounter.NEW_DOUBLED.in(counts),
-            TrialCounter.NEW_LATE.in(counts),
-            TrialCounter.NEW_OTHERS.in(counts),
-            TrialCounter.NEW_OTHERS_FAILED.in(counts)),
-        TrialCounter.NEW_REHEARSED.in(counts),
-        TrialCounter.STAGE_CONFIRMED.in(counts));
+            TrialCounter.NEW_SENT.valueIn(counts),
+            TrialCounter.NEW_CONFIRMED.valueIn(counts),
+            TrialCounter.NEW_LOST.valueIn(counts),
+            TrialCounter.NEW_DUPLICATED.valueIn(counts),
+            TrialCounter.NEW_LATE.valueIn(counts),
+            TrialCounter.NEW_OTHER_REQUESTS.valueIn(counts),
+            TrialCounter.NEW_OTHER_REQUESTS_FAILED.valueIn(counts)),
+        TrialCounter.NEW_REHEARSED.valueIn(counts),
+        TrialCounter.STAGE_CONFIRMED.valueIn(counts));
   }
 
   ControlCommand finish(final String id, final ControlApi.LockRequest grip) {
--- a/registry/src/main/java/weldpoint/registry/ControlState.java
+++ b/registry/src/main/java/weldpoint/registry/ControlState.java
@@ -137,7 +137,7 @@
   }
 
   private void takeTrials(final List<TrialMessages.Trial> given) {
-    coordinator.take(given);
+    coordinator.updateTrials(given);
     trials = new ArrayList<>();
     for (final TrialMessages.Trial trial : coordinator.trials()) {
       if (TrialVerdict.of(trial) != TrialVerdict.FINISHED) {
--- a/registry/src/main/java/weldpoint/registry/PlacementService.java
+++ b/registry/src/main/java/weldpoint/registry/PlacementService.java
@@ -49,7 +49,7 @@
   }
 
   long marks() {
-    return coordinator.mark() + keeperSerial;
+    return coordinator.placementVersion() + keeperSerial;
   }
 
   /** Takes what the frames hold; true where switchboards must be told. */
@@ -58,7 +58,7 @@
     if (control.keeper != null) {
       keeperSerial = Math.max(keeperSerial, control.keeper.serial);
     }
-    return coordinator.take(
+    return coordinator.update(
         Protocol.list(control.placements),
         control.keeper,
         control.placements == null ? 0 : control.placementMark,
@@ -132,7 +132,7 @@
         members.add(new PlacementMember(one.id, one.capacity, one.site));
       }
     }
-    wanted.replaceAll((service, members) -> PlacementCoordinator.sorted(members));
-    coordinator.wanted(wanted, longest);
+    wanted.replaceAll((service, members) -> PlacementCoordinator.sortedById(members));
+    coordinator.desiredMembers(wanted, longest);
   }
 }
--- a/registry/src/main/java/weldpoint/registry/RegistryCore.java
+++ b/registry/src/main/java/weldpoint/registry/RegistryCore.java
@@ -231,7 +231,7 @@
                 batchMillis,
                 new PlacementCoordinator.Writer() {
                   @Override
-                  public CompletableFuture<StoreMessages.StoreResponse> keeper(
+                  public CompletableFuture<StoreMessages.StoreResponse> writeOwner(
                       final PlacementMessages.PlacementOwner next, final long now) {
                     return store.call(
                         StoreOperation.KEEPER_WRITE,
@@ -246,7 +246,7 @@
                   }
 
                   @Override
-                  public CompletableFuture<StoreMessages.StoreResponse> placement(
+                  public CompletableFuture<StoreMessages.StoreResponse> writePlacement(
                       final PlacementMessages.Placement next, final long now) {
                     return store.call(
                         StoreOperation.PLACEMENT_WRITE,
@@ -254,7 +254,7 @@
                         null,
                         0,
                         0,
-                        PlacementCoordinator.bytes(next),
+                        PlacementCoordinator.toBytes(next),
                         null,
                         now,
                         900);
@@ -267,11 +267,11 @@
     if (placements == null) {
       return;
     }
-    if (placements.coordinator().keeps()) {
-      environment.board(stream, placements.coordinator().ask(ask, majorityAt, now));
+    if (placements.coordinator().isOwner()) {
+      environment.board(stream, placements.coordinator().handleLeaseRequest(ask, majorityAt, now));
     } else {
       placements.asker(ask.board, stream);
-      environment.member(placements.coordinator().keeper(), ask);
+      environment.member(placements.coordinator().owner(), ask);
     }
   }
 
@@ -689,7 +689,9 @@
       keyClaims.receive(from, message, reply, now);
     } else if (message instanceof PlacementMessages.LeaseRequest && placements != null) {
       reply.accept(
-          placements.coordinator().ask((PlacementMessages.LeaseRequest) message, majorityAt, now));
+          placements
+              .coordinator()
+              .handleLeaseRequest((PlacementMessages.LeaseRequest) message, majorityAt, now));
     } else if (message instanceof PlacementMessages.LeaseGrant && placements != null) {
       placements.granted(
           (PlacementMessages.LeaseGrant) message, proxyStreams::contains, environment::board);
@@ -1172,7 +1174,7 @@
     if (recordingBuffer.state().mark > 0) {
       environment.board(stream, recordingBuffer.state());
     }
-    if (placements != null && placements.coordinator().mark() > 0) {
+    if (placements != null && placements.coordinator().placementVersion() > 0) {
       environment.board(stream, placements.coordinator().placements());
     }
     if (ownership != null && ownership.all() != null && !proxyStreams.announces(stream)) {
@@ -1462,8 +1464,8 @@
                 one.prepared,
                 Protocol.list(one.next).size()));
       }
-      final long[] counts = placements.coordinator().counts();
-      for (int index = 0; placements.coordinator().keeps() && index < counts.length; index++) {
+      final long[] counts = placements.coordinator().decisionCounts();
+      for (int index = 0; placements.coordinator().isOwner() && index < counts.length; index++) {
         writes.add(
             new ControlApi.WriteCount(
                 weldpoint.affinity.WriteDecision.values()[index]
@@ -1486,7 +1488,7 @@
         registrations.size(),
         registrations.suspects().size(),
         daemons,
-        placements == null ? "" : placements.coordinator().keeper(),
+        placements == null ? "" : placements.coordinator().owner(),
         placed,
         writes,
         environment.disk(),
@@ -1557,7 +1559,7 @@
     majority.tick(roster, seeds, connected, contactAt(), now);
     askControl(now);
     if (placements != null && placements.active()) {
-      final String keeper = placements.coordinator().keeper();
+      final String keeper = placements.coordinator().owner();
       placements.tick(
           control.routingTable(),
           registrations.all().values(),
--- a/registry/src/main/java/weldpoint/registry/TrialService.java
+++ b/registry/src/main/java/weldpoint/registry/TrialService.java
@@ -61,7 +61,7 @@
 
   /** A proxy, or another registry that passes it on, tells what was counted in trials. */
   public void report(final TrialMessages.TrialReport report, final long now) {
-    control.coordinator().report(report, now);
+    control.coordinator().recordReport(report, now);
     if (!report.relayed) {
       registry.relay(new TrialMessages.TrialReport(true, report.tallies, report.digests));
     }
@@ -75,7 +75,7 @@
     }
     judgedAt = now;
     for (final TrialMessages.Trial verdict :
-        control.coordinator().verdicts(control.routingTable())) {
+        control.coordinator().requiredUpdates(control.routingTable())) {
       write(verdict, new StoreMessages.ChangeOrigin(Authors.SYSTEM, "", self, null), now);
     }
   }
--- a/scale/src/main/java/weldpoint/scale/SimulatedProxies.java
+++ b/scale/src/main/java/weldpoint/scale/SimulatedProxies.java
@@ -98,14 +98,14 @@
                             settings.affinityLeaseMillis(),
                             stream::send);
                   }
-                  affinity.take(placements, now());
+                  affinity.updatePlacements(placements, now());
                   placed.merge(placements.mark, 1, Integer::sum);
                 }
 
                 @Override
                 public void leased(final PlacementMessages.LeaseGrant grant) {
                   if (affinity != null) {
-                    affinity.granted(grant, now());
+                    affinity.onLeaseGrant(grant, now());
                   }
                 }
 
--- a/simulation/src/test/java/weldpoint/simulation/TrialTest.java
+++ b/simulation/src/test/java/weldpoint/simulation/TrialTest.java
@@ -109,10 +109,12 @@
                     Serializer.deserialize(answer.body, StoredValues.ControlSnapshot.class);
                 if (control.trialMark > marks) {
                   marks = control.trialMark;
-                  coordinator.take(Protocol.list(control.trials));
+                  coordinator.updateTrials(Protocol.list(control.trials));
                   for (int index = 0; index < books.size(); index++) {
                     if (!cut.get(index)) {
-                      books.get(index).take(Protocol.list(control.trials), control.trialMark);
+                      books
+                          .get(index)
+                          .updateTrials(Protocol.list(control.trials), control.trialMark);
                     }
                   }
                 }
@@ -147,16 +149,17 @@
 
     void reports() {
       for (int index = 0; index < books.size(); index++) {
-        final TrialMessages.TrialReport report = books.get(index).report(random.nextInt(5) == 0);
+        final TrialMessages.TrialReport report =
+            books.get(index).createReport(random.nextInt(5) == 0);
         if (report != null && !cut.get(index)) {
           old.add(report);
-          coordinator.report(report, simulation.now());
+          coordinator.recordReport(report, simulation.now());
         }
       }
       if (!old.isEmpty()) {
-        coordinator.report(old.get(random.nextInt(old.size())), simulation.now());
+        coordinator.recordReport(old.get(random.nextInt(old.size())), simulation.now());
       }
-      for (final Trial verdict : coordinator.verdicts(PLAN)) {
+      for (final Trial verdict : coordinator.requiredUpdates(PLAN)) {
         final List<String> running = simulation.running();
         simulation.call(
             running.get(random.nextInt(running.size())),
@@ -176,7 +179,7 @@
       final TrialTracker tracker = books.get(board);
       final String attempt = "a" + attempts++;
       final String service =
-          tracker.choose(
+          tracker.chooseService(
               "book",
               random.nextBoolean() ? "old" : "new",
               rehearsal ? TOKEN : random.nextInt(50) == 0 ? "forged-token" : null,
@@ -184,15 +187,15 @@
       if (service.equals("new") && !rehearsal) {
         exposedWithoutToken++;
       }
-      tracker.sent("book", service, attempt);
+      tracker.recordSent("book", service, attempt);
       final boolean strikes =
           service.equals("new") && fault != Fault.NONE && random.nextInt(oneIn) == 0;
-      tracker.other("new", true);
+      tracker.recordOtherRequest("new", true);
       if (strikes && fault == Fault.LOSES) {
-        tracker.ended("book", service, attempt, TrialTracker.WriteOutcome.LOST, 2000, TARGET);
+        tracker.recordEnded("book", service, attempt, TrialTracker.WriteOutcome.LOST, 2000, TARGET);
         return;
       }
-      tracker.ended(
+      tracker.recordEnded(
           "book",
           service,
           attempt,
@@ -200,12 +203,12 @@
           strikes && fault == Fault.DELAYS ? 900 : random.nextInt(100) == 0 ? 350 : 120,
           TARGET);
       if (strikes && fault == Fault.DOUBLES) {
-        tracker.surplus(attempt);
+        tracker.recordSurplusAnswer(attempt);
       }
       if (strikes && fault == Fault.ELSEWHERE) {
         final TrialTracker other = books.get((board + 1) % books.size());
-        other.sent("book", "new", attempt);
-        other.ended("book", "new", attempt, TrialTracker.WriteOutcome.CONFIRMED, 100, TARGET);
+        other.recordSent("book", "new", attempt);
+        other.recordEnded("book", "new", attempt, TrialTracker.WriteOutcome.CONFIRMED, 100, TARGET);
       }
     }
 
@@ -250,8 +253,8 @@
           Protocol.list(stage.trial().attempts).isEmpty(),
           fault + " seed " + seed + " names no attempt: " + stage.trial().reason);
       for (final TrialTracker tracker : stage.books) {
-        assertTrue(tracker.held("book"));
-        assertEquals(tracker.choose("book", "new", TOKEN, 0), "old");
+        assertTrue(tracker.isHeld("book"));
+        assertEquals(tracker.chooseService("book", "new", TOKEN, 0), "old");
       }
     }
   }
@@ -387,9 +390,9 @@
     }
     stage.simulation.run(5000);
     Collections.shuffle(stage.old, stage.random);
-    stage.old.forEach(report -> stage.coordinator.report(report, stage.simulation.now()));
-    stage.books.get(0).take(List.of(begun), 1);
-    assertEquals(stage.books.get(0).choose("book", "new", TOKEN, 0), "old");
+    stage.old.forEach(report -> stage.coordinator.recordReport(report, stage.simulation.now()));
+    stage.books.get(0).updateTrials(List.of(begun), 1);
+    assertEquals(stage.books.get(0).chooseService("book", "new", TOKEN, 0), "old");
     assertEquals(TrialVerdict.of(stage.trial()), TrialVerdict.HELD);
     assertTrue(stage.write(stage.coordinator.finish("book")));
     assertEquals(TrialVerdict.of(stage.trial()), TrialVerdict.FINISHED);
@@ -404,7 +407,7 @@
     for (int index = 0; index < 200; index++) {
       stage.traffic(true);
     }
-    assertTrue(stage.books.get(0).held("book") && stage.books.get(1).held("book"));
+    assertTrue(stage.books.get(0).isHeld("book") && stage.books.get(1).isHeld("book"));
     stage.cut.set(0, false);
     for (final StateStoreSimulation.Machine machine :
         new ArrayList<>(stage.simulation.machines().values())) {
@@ -427,22 +430,22 @@
     stage.begin(0.005);
     stage.run(20, true);
     stage.reports();
-    final long sent = TrialCounter.NEW_SENT.in(stage.coordinator.sum("book"));
+    final long sent = TrialCounter.NEW_SENT.valueIn(stage.coordinator.totals("book"));
     final List<TrialMessages.TrialReport> again = new ArrayList<>(stage.old);
     Collections.shuffle(again, stage.random);
-    again.forEach(report -> stage.coordinator.report(report, stage.simulation.now()));
-    assertEquals(TrialCounter.NEW_SENT.in(stage.coordinator.sum("book")), sent);
+    again.forEach(report -> stage.coordinator.recordReport(report, stage.simulation.now()));
+    assertEquals(TrialCounter.NEW_SENT.valueIn(stage.coordinator.totals("book")), sent);
   }
 
   @Test
   public void aConfigurationWithoutTheSplitEndsTheTrialAndOneThatKeepsItDoesNot() {
     final Stage stage = new Stage(7, Fault.NONE, 1, 3);
     stage.begin(0.01);
-    assertTrue(stage.coordinator.verdicts(PLAN).isEmpty());
+    assertTrue(stage.coordinator.requiredUpdates(PLAN).isEmpty());
     final RoutingTable without =
         RoutingTable.compile(
             "{\"version\":\"2\",\"listeners\":[],\"pools\":[]}".getBytes(StandardCharsets.UTF_8));
-    final Trial ended = stage.coordinator.verdicts(without).get(0);
+    final Trial ended = stage.coordinator.requiredUpdates(without).get(0);
     assertEquals(TrialVerdict.of(ended), TrialVerdict.FINISHED);
     assertTrue(ended.reason.contains("configuration"), ended.reason);
   }
@@ -477,7 +480,7 @@
     stage.simulation.run(600);
     assertEquals(stage.trial().number, 2);
     assertEquals(TrialVerdict.of(stage.trial()), TrialVerdict.RUNNING);
-    assertEquals(TrialCounter.NEW_SENT.in(stage.coordinator.sum("book")), 0);
+    assertEquals(TrialCounter.NEW_SENT.valueIn(stage.coordinator.totals("book")), 0);
   }
 
   @Test
--- a/trial/src/main/java/weldpoint/trial/Lateness.java
+++ b/trial/src/main/java/weldpoint/trial/Lateness.java
@@ -8,48 +8,51 @@
    * The chance, by Fisher's exact test, of so many late writes or more on the new version if both
    * were alike: late of sent on the new, oldLate of oldSent on the old.
    */
-  public static double chance(
-      final long late, final long sent, final long oldLate, final long oldSent) {
-    final long all = sent + oldSent;
-    final long allLate = late + oldLate;
+  public static double pValue(
+      final long newLate, final long newSent, final long oldLate, final long oldSent) {
+    final long total = newSent + oldSent;
+    final long totalLate = newLate + oldLate;
     double sum = 0;
-    for (long count = late; count <= Math.min(sent, allLate); count++) {
+    for (long count = newLate; count <= Math.min(newSent, totalLate); count++) {
       sum +=
           Math.exp(
-              choose(allLate, count) + choose(all - allLate, sent - count) - choose(all, sent));
+              logBinomial(totalLate, count)
+                  + logBinomial(total - totalLate, newSent - count)
+                  - logBinomial(total, newSent));
     }
     return Math.min(1, sum);
   }
 
   /** Whether that many are too many, at this allowance; an allowance of 0 suffers none at all. */
-  public static boolean tooMany(
-      final long late,
-      final long sent,
+  public static boolean exceedsAllowance(
+      final long newLate,
+      final long newSent,
       final long oldLate,
       final long oldSent,
       final double allowance) {
-    return late > 0 && (allowance <= 0 || chance(late, sent, oldLate, oldSent) < allowance);
+    return newLate > 0
+        && (allowance <= 0 || pValue(newLate, newSent, oldLate, oldSent) < allowance);
   }
 
-  private static double choose(final long of, final long count) {
-    if (count < 0 || count > of) {
+  private static double logBinomial(final long n, final long k) {
+    if (k < 0 || k > n) {
       return Double.NEGATIVE_INFINITY;
     }
-    return factorial(of) - factorial(count) - factorial(of - count);
+    return logFactorial(n) - logFactorial(k) - logFactorial(n - k);
   }
 
-  private static double factorial(final long number) {
-    if (number < 2) {
+  private static double logFactorial(final long n) {
+    if (n < 2) {
       return 0;
     }
-    if (number < 40) {
+    if (n < 40) {
       double sum = 0;
-      for (long factor = 2; factor <= number; factor++) {
+      for (long factor = 2; factor <= n; factor++) {
         sum += Math.log(factor);
       }
       return sum;
     }
-    final double x = number + 1.0;
+    final double x = n + 1.0;
     return (x - 0.5) * Math.log(x)
         - x
         + 0.5 * Math.log(2 * Math.PI)
--- a/trial/src/main/java/weldpoint/trial/TrialCoordinator.java
+++ b/trial/src/main/java/weldpoint/trial/TrialCoordinator.java
@@ -19,32 +19,33 @@
  * the switchboards, so nothing of it is kept.
  */
 public final class TrialCoordinator {
-  private static final long FRESH_MILLIS = 2500;
-  private static final int MOST_DIGESTS = 200_000;
+  private static final long REPORT_FRESHNESS_MILLIS = 2500;
+  private static final int MAX_DIGESTS = 200_000;
 
-  private record ReceivedCounts(TrialCounts tally, long heardAt) {}
+  private record ReceivedCounts(TrialCounts trialCounts, long receivedAt) {}
 
   private final Map<String, Trial> trials = new LinkedHashMap<>();
-  private final Map<String, Map<String, ReceivedCounts>> told = new HashMap<>();
-  private final Map<Long, String> digests = new LinkedHashMap<>();
-  private final List<String> doubles = new ArrayList<>();
-  private String doubledRoute;
+  private final Map<String, Map<String, ReceivedCounts>> countsByRoute = new HashMap<>();
+  private final Map<Long, String> reporterByDigest = new LinkedHashMap<>();
+  private final List<String> duplicateDigests = new ArrayList<>();
+  private String duplicateRoute;
 
   /** Takes the trials as the frame holds them. */
-  public void take(final List<Trial> news) {
-    final Map<String, Trial> next = new LinkedHashMap<>();
-    for (final Trial trial : news) {
-      final Trial before = trials.get(trial.route);
-      next.put(trial.route, before != null && before.serial > trial.serial ? before : trial);
-      if (before == null || before.number != trial.number) {
-        told.remove(trial.route);
-        if (trial.route.equals(doubledRoute)) {
-          doubles.clear();
+  public void updateTrials(final List<Trial> storedTrials) {
+    final Map<String, Trial> updatedTrials = new LinkedHashMap<>();
+    for (final Trial trial : storedTrials) {
+      final Trial previous = trials.get(trial.route);
+      updatedTrials.put(
+          trial.route, previous != null && previous.serial > trial.serial ? previous : trial);
+      if (previous == null || previous.number != trial.number) {
+        countsByRoute.remove(trial.route);
+        if (trial.route.equals(duplicateRoute)) {
+          duplicateDigests.clear();
         }
       }
     }
     trials.clear();
-    trials.putAll(next);
+    trials.putAll(updatedTrials);
   }
 
   /** The trials known here. */
@@ -52,8 +53,8 @@
     return new ArrayList<>(trials.values());
   }
 
-  private static WeldpointException refuse(final String text) {
-    return new WeldpointException(WeldpointException.Kind.INVALID, text);
+  private static WeldpointException invalidRequest(final String message) {
+    return new WeldpointException(WeldpointException.Kind.INVALID, message);
   }
 
   /** Checks an order to begin, against the configuration in force; a trial that may be written. */
@@ -66,48 +67,49 @@
       final int leastWrites,
       final double lateAllowance,
       final RoutingTable routingTable) {
-    final Trial before = trials.get(route);
-    if (before != null && TrialVerdict.of(before) != TrialVerdict.FINISHED) {
+    final Trial previous = trials.get(route);
+    if (previous != null && TrialVerdict.of(previous) != TrialVerdict.FINISHED) {
       throw new WeldpointException(
           WeldpointException.Kind.CONFLICT,
           "route " + route + " is under trial already; finish that one first");
     }
-    final String unfit = unfit(route, oldService, newService, routingTable);
-    if (unfit != null) {
-      throw refuse(unfit);
+    final String mismatch = configurationMismatch(route, oldService, newService, routingTable);
+    if (mismatch != null) {
+      throw invalidRequest(mismatch);
     }
     if (token == null || token.length() < 8) {
-      throw refuse(
+      throw invalidRequest(
           "the rehearsal's token has under 8 characters; give a longer one that only testers know");
     }
     if (stages == null || stages.isEmpty()) {
-      throw refuse("the trial has no stages; give rising shares in per cent, such as 1, 10, 50");
+      throw invalidRequest(
+          "the trial has no stages; give rising shares in per cent, such as 1, 10, 50");
     }
-    int last = 0;
-    for (final Integer stage : stages) {
-      if (stage == null || stage <= last || stage > 100) {
-        throw refuse(
+    int previousShare = 0;
+    for (final Integer share : stages) {
+      if (share == null || share <= previousShare || share > 100) {
+        throw invalidRequest(
             "the shares "
                 + stages
                 + " do not rise from above 0 to at most 100; give rising shares in per cent");
       }
-      last = stage;
+      previousShare = share;
     }
     if (leastWrites < 1 || lateAllowance < 0 || lateAllowance >= 1) {
-      throw refuse(
+      throw invalidRequest(
           "the least writes must be 1 or more, and the allowance for late ones from 0 to below 1");
     }
-    final List<Integer> all = new ArrayList<>();
-    all.add(0);
-    all.addAll(stages);
+    final List<Integer> allStages = new ArrayList<>();
+    allStages.add(0);
+    allStages.addAll(stages);
     return new Trial(
         route,
-        before == null ? 1 : before.number + 1,
-        before == null ? 1 : before.serial + 1,
+        previous == null ? 1 : previous.number + 1,
+        previous == null ? 1 : previous.serial + 1,
         oldService,
         newService,
         token,
-        all,
+        allStages,
         0,
         leastWrites,
         lateAllowance,
@@ -118,25 +120,25 @@
   }
 
   /** Why a trial does not fit a configuration; null where it does. */
-  public static String unfit(
+  public static String configurationMismatch(
       final String route,
       final String oldService,
       final String newService,
       final RoutingTable routingTable) {
-    final Route found = routingTable == null ? null : routingTable.route(route);
-    if (found == null) {
+    final Route configured = routingTable == null ? null : routingTable.route(route);
+    if (configured == null) {
       return "the route " + route + " is not in the configuration in force; name one that is";
     }
-    if (found.kind.repeatable()) {
+    if (configured.kind.repeatable()) {
       return "the route " + route + " is no mutating one; a trial watches writes";
     }
-    boolean old = false;
-    boolean fresh = false;
-    for (final int service : found.services()) {
-      old |= routingTable.services().get(service).name().equals(oldService);
-      fresh |= routingTable.services().get(service).name().equals(newService);
+    boolean hasOld = false;
+    boolean hasNew = false;
+    for (final int serviceIndex : configured.services()) {
+      hasOld |= routingTable.services().get(serviceIndex).name().equals(oldService);
+      hasNew |= routingTable.services().get(serviceIndex).name().equals(newService);
     }
-    if (!old || !fresh || oldService.equals(newService)) {
+    if (!hasOld || !hasNew || oldService.equals(newService)) {
       return "the route "
           + route
           + " has no split between "
@@ -148,10 +150,10 @@
     return null;
   }
 
-  private Trial open(final String route) {
+  private Trial openTrial(final String route) {
     final Trial trial = trials.get(route);
     if (trial == null || TrialVerdict.of(trial) == TrialVerdict.FINISHED) {
-      throw refuse("no trial is under way on route " + route + "; begin one");
+      throw invalidRequest("no trial is under way on route " + route + "; begin one");
     }
     return trial;
   }
@@ -161,58 +163,65 @@
    * reported.
    */
   public Trial advance(
-      final String route, final List<String> live, final boolean settled, final long now) {
-    final Trial trial = open(route);
+      final String route,
+      final List<String> liveProxies,
+      final boolean registrySettled,
+      final long now) {
+    final Trial trial = openTrial(route);
     if (TrialVerdict.of(trial) == TrialVerdict.HELD) {
       throw new WeldpointException(
           WeldpointException.Kind.CONFLICT,
           "the trial is held for good (" + trial.reason + "); finish it and begin another");
     }
     if (trial.stage + 1 >= trial.stages.size()) {
-      throw refuse(
+      throw invalidRequest(
           "the trial is at its last stage; finish it, and move the weights by a configuration");
     }
-    final String missing = undecided(trial, live, settled, now);
+    final String missing = missingEvidence(trial, liveProxies, registrySettled, now);
     if (missing != null) {
       throw new WeldpointException(WeldpointException.Kind.CONFLICT, "undecided: " + missing);
     }
-    return next(trial, trial.stage + 1, TrialVerdict.RUNNING, "", List.of());
+    return updated(trial, trial.stage + 1, TrialVerdict.RUNNING, "", List.of());
   }
 
   /** What evidence is missing at the present stage; null where there is enough. */
-  public String undecided(
-      final Trial trial, final List<String> live, final boolean settled, final long now) {
-    if (!settled) {
+  public String missingEvidence(
+      final Trial trial,
+      final List<String> liveProxies,
+      final boolean registrySettled,
+      final long now) {
+    if (!registrySettled) {
       return "the core is not settled; wait until it is";
     }
-    final Map<String, ReceivedCounts> reports = told.getOrDefault(trial.route, Map.of());
-    long writes = 0;
-    for (final String board : live) {
-      boolean fresh = false;
-      for (final ReceivedCounts one : reports.values()) {
-        final long[] counts = TrialCounter.array(one.tally.counts);
-        fresh |=
-            one.tally.board.equals(board)
-                && now - one.heardAt < FRESH_MILLIS
-                && TrialCounter.STAGE.in(counts) == trial.stage;
+    final Map<String, ReceivedCounts> countsByReporter =
+        countsByRoute.getOrDefault(trial.route, Map.of());
+    long confirmedWrites = 0;
+    for (final String proxyAddress : liveProxies) {
+      boolean reported = false;
+      for (final ReceivedCounts received : countsByReporter.values()) {
+        final long[] counts = TrialCounter.toArray(received.trialCounts.counts);
+        reported |=
+            received.trialCounts.board.equals(proxyAddress)
+                && now - received.receivedAt < REPORT_FRESHNESS_MILLIS
+                && TrialCounter.STAGE.valueIn(counts) == trial.stage;
       }
-      if (!fresh) {
+      if (!reported) {
         return "switchboard "
-            + board
+            + proxyAddress
             + " has not reported on this stage; wait for it or take it away";
       }
     }
-    for (final ReceivedCounts one : reports.values()) {
-      final long[] counts = TrialCounter.array(one.tally.counts);
-      writes +=
-          TrialCounter.STAGE.in(counts) == trial.stage
-              ? TrialCounter.STAGE_CONFIRMED.in(counts)
+    for (final ReceivedCounts received : countsByReporter.values()) {
+      final long[] counts = TrialCounter.toArray(received.trialCounts.counts);
+      confirmedWrites +=
+          TrialCounter.STAGE.valueIn(counts) == trial.stage
+              ? TrialCounter.STAGE_CONFIRMED.valueIn(counts)
               : 0;
     }
-    return writes >= trial.leastWrites
+    return confirmedWrites >= trial.leastWrites
         ? null
         : "only "
-            + writes
+            + confirmedWrites
             + " of "
             + trial.leastWrites
             + " writes were confirmed on the new version at this stage; wait for more";
@@ -220,20 +229,20 @@
 
   /** An order to hold. */
   public Trial hold(final String route, final String reason) {
-    return held(open(route), reason, List.of());
+    return heldTrial(openTrial(route), reason, List.of());
   }
 
   /** An order to finish. */
   public Trial finish(final String route) {
-    return next(
-        open(route),
+    return updated(
+        openTrial(route),
         trials.get(route).stage,
         TrialVerdict.FINISHED,
         trials.get(route).reason,
         trials.get(route).attempts);
   }
 
-  private static Trial next(
+  private static Trial updated(
       final Trial trial,
       final int stage,
       final TrialVerdict verdict,
@@ -256,9 +265,10 @@
         trial.writes);
   }
 
-  private Trial held(final Trial trial, final String reason, final List<String> attempts) {
-    final long[] sum = sum(trial.route);
-    final boolean both = TrialCounter.OLD_LOST.in(sum) > 0 && TrialCounter.NEW_LOST.in(sum) > 0;
+  private Trial heldTrial(final Trial trial, final String reason, final List<String> attempts) {
+    final long[] totals = totals(trial.route);
+    final boolean bothLost =
+        TrialCounter.OLD_LOST.valueIn(totals) > 0 && TrialCounter.NEW_LOST.valueIn(totals) > 0;
     return new Trial(
         trial.route,
         trial.number,
@@ -271,167 +281,180 @@
         trial.leastWrites,
         trial.lateAllowance,
         TrialVerdict.HELD.ordinal(),
-        both
-            ? reason + " (the old version lost writes too: " + TrialCounter.OLD_LOST.in(sum) + ")"
+        bothLost
+            ? reason
+                + " (the old version lost writes too: "
+                + TrialCounter.OLD_LOST.valueIn(totals)
+                + ")"
             : reason,
         attempts,
-        TrialCounter.NEW_SENT.in(sum));
+        TrialCounter.NEW_SENT.valueIn(totals));
   }
 
   /** Takes what a switchboard has counted; reports may come late, twice and in any order. */
-  public void report(final TrialMessages.TrialReport report, final long now) {
-    for (final TrialCounts tally : Protocol.list(report.tallies)) {
-      final Trial trial = trials.get(tally.route);
-      if (trial == null || trial.number != tally.number) {
+  public void recordReport(final TrialMessages.TrialReport report, final long now) {
+    for (final TrialCounts trialCounts : Protocol.list(report.tallies)) {
+      final Trial trial = trials.get(trialCounts.route);
+      if (trial == null || trial.number != trialCounts.number) {
         continue;
       }
-      final Map<String, ReceivedCounts> reports =
-          told.computeIfAbsent(tally.route, route -> new LinkedHashMap<>());
-      final String key = tally.board + "#" + tally.incarnation;
-      final ReceivedCounts before = reports.get(key);
-      reports.put(
-          key, new ReceivedCounts(before == null ? tally : later(before.tally, tally), now));
+      final Map<String, ReceivedCounts> countsByReporter =
+          countsByRoute.computeIfAbsent(trialCounts.route, route -> new LinkedHashMap<>());
+      final String reporter = trialCounts.board + "#" + trialCounts.incarnation;
+      final ReceivedCounts previous = countsByReporter.get(reporter);
+      countsByReporter.put(
+          reporter,
+          new ReceivedCounts(
+              previous == null ? trialCounts : merge(previous.trialCounts, trialCounts), now));
       for (final Long digest : Protocol.list(report.digests)) {
-        final String other = digests.putIfAbsent(digest, key);
-        if (other != null && !other.equals(key)) {
-          doubledRoute = tally.route;
-          doubles.add(Long.toHexString(digest));
+        final String otherReporter = reporterByDigest.putIfAbsent(digest, reporter);
+        if (otherReporter != null && !otherReporter.equals(reporter)) {
+          duplicateRoute = trialCounts.route;
+          duplicateDigests.add(Long.toHexString(digest));
         }
       }
-      while (digests.size() > MOST_DIGESTS) {
-        digests.remove(digests.keySet().iterator().next());
+      while (reporterByDigest.size() > MAX_DIGESTS) {
+        reporterByDigest.remove(reporterByDigest.keySet().iterator().next());
       }
     }
   }
 
-  private static TrialCounts later(final TrialCounts one, final TrialCounts other) {
-    final long[] left = TrialCounter.array(one.counts);
-    final long[] right = TrialCounter.array(other.counts);
-    final boolean sameStage = TrialCounter.STAGE.in(left) == TrialCounter.STAGE.in(right);
-    final boolean laterStage = TrialCounter.STAGE.in(right) > TrialCounter.STAGE.in(left);
-    final long[] most = TrialCounter.none();
-    for (int index = 0; index < most.length; index++) {
-      most[index] = Math.max(left[index], right[index]);
+  private static TrialCounts merge(final TrialCounts first, final TrialCounts second) {
+    final long[] firstCounts = TrialCounter.toArray(first.counts);
+    final long[] secondCounts = TrialCounter.toArray(second.counts);
+    final boolean sameStage =
+        TrialCounter.STAGE.valueIn(firstCounts) == TrialCounter.STAGE.valueIn(secondCounts);
+    final boolean secondAtLaterStage =
+        TrialCounter.STAGE.valueIn(secondCounts) > TrialCounter.STAGE.valueIn(firstCounts);
+    final long[] merged = TrialCounter.newCounts();
+    for (int index = 0; index < merged.length; index++) {
+      merged[index] = Math.max(firstCounts[index], secondCounts[index]);
     }
     if (!sameStage) {
-      most[TrialCounter.STAGE_CONFIRMED.ordinal()] =
-          TrialCounter.STAGE_CONFIRMED.in(laterStage ? right : left);
+      merged[TrialCounter.STAGE_CONFIRMED.ordinal()] =
+          TrialCounter.STAGE_CONFIRMED.valueIn(secondAtLaterStage ? secondCounts : firstCounts);
     }
-    final boolean fuller =
-        Protocol.list(other.attempts).size() >= Protocol.list(one.attempts).size();
-    final TrialCounts held = other.hold != null || one.hold == null && fuller ? other : one;
+    final boolean secondHasNoFewerAttempts =
+        Protocol.list(second.attempts).size() >= Protocol.list(first.attempts).size();
+    final TrialCounts holdSource =
+        second.hold != null || first.hold == null && secondHasNoFewerAttempts ? second : first;
     return new TrialCounts(
-        one.route,
-        one.number,
-        one.board,
-        one.incarnation,
-        TrialCounter.list(most),
-        held.hold,
-        held.attempts);
+        first.route,
+        first.number,
+        first.board,
+        first.incarnation,
+        TrialCounter.toList(merged),
+        holdSource.hold,
+        holdSource.attempts);
   }
 
   /** The counts of a route's trial over all switchboards. */
-  public long[] sum(final String route) {
-    final long[] sum = TrialCounter.none();
-    for (final ReceivedCounts one : told.getOrDefault(route, Map.of()).values()) {
-      final long[] counts = TrialCounter.array(one.tally.counts);
-      for (int index = 0; index < sum.length; index++) {
-        sum[index] += counts[index];
+  public long[] totals(final String route) {
+    final long[] totals = TrialCounter.newCounts();
+    for (final ReceivedCounts received : countsByRoute.getOrDefault(route, Map.of()).values()) {
+      final long[] counts = TrialCounter.toArray(received.trialCounts.counts);
+      for (int index = 0; index < totals.length; index++) {
+        totals[index] += counts[index];
       }
     }
-    return sum;
+    return totals;
   }
 
   /** The trials that have to be held, as they should be written. */
-  public List<Trial> verdicts(final RoutingTable routingTable) {
-    final List<Trial> list = new ArrayList<>();
+  public List<Trial> requiredUpdates(final RoutingTable routingTable) {
+    final List<Trial> updates = new ArrayList<>();
     for (final Trial trial : trials.values()) {
       if (!TrialVerdict.of(trial).open()) {
         continue;
       }
-      final Trial verdict = verdict(trial, routingTable);
-      if (verdict != null) {
-        list.add(verdict);
+      final Trial update = requiredUpdate(trial, routingTable);
+      if (update != null) {
+        updates.add(update);
       }
     }
-    return list;
+    return updates;
   }
 
-  private Trial verdict(final Trial trial, final RoutingTable routingTable) {
-    for (final ReceivedCounts one : told.getOrDefault(trial.route, Map.of()).values()) {
-      if (one.tally.hold != null) {
-        return held(
+  private Trial requiredUpdate(final Trial trial, final RoutingTable routingTable) {
+    for (final ReceivedCounts received :
+        countsByRoute.getOrDefault(trial.route, Map.of()).values()) {
+      if (received.trialCounts.hold != null) {
+        return heldTrial(
             trial,
-            one.tally.hold + " (switchboard " + one.tally.board + ")",
-            Protocol.list(one.tally.attempts));
+            received.trialCounts.hold + " (switchboard " + received.trialCounts.board + ")",
+            Protocol.list(received.trialCounts.attempts));
       }
     }
-    if (trial.route.equals(doubledRoute) && !doubles.isEmpty()) {
-      return held(
+    if (trial.route.equals(duplicateRoute) && !duplicateDigests.isEmpty()) {
+      return heldTrial(
           trial,
           "doubled: one attempt was sent by two switchboards",
-          new ArrayList<>(doubles.subList(0, Math.min(20, doubles.size()))));
+          new ArrayList<>(duplicateDigests.subList(0, Math.min(20, duplicateDigests.size()))));
     }
-    final long[] sum = sum(trial.route);
-    if (TrialCounter.NEW_LOST.in(sum) > 0 || TrialCounter.NEW_DOUBLED.in(sum) > 0) {
-      return held(
+    final long[] totals = totals(trial.route);
+    if (TrialCounter.NEW_LOST.valueIn(totals) > 0
+        || TrialCounter.NEW_DUPLICATED.valueIn(totals) > 0) {
+      return heldTrial(
           trial,
           "lost or doubled: "
-              + TrialCounter.NEW_LOST.in(sum)
+              + TrialCounter.NEW_LOST.valueIn(totals)
               + " and "
-              + TrialCounter.NEW_DOUBLED.in(sum),
+              + TrialCounter.NEW_DUPLICATED.valueIn(totals),
           List.of());
     }
-    if (Lateness.tooMany(
-        TrialCounter.NEW_LATE.in(sum),
-        TrialCounter.NEW_CONFIRMED.in(sum),
-        TrialCounter.OLD_LATE.in(sum),
-        TrialCounter.OLD_CONFIRMED.in(sum),
+    if (Lateness.exceedsAllowance(
+        TrialCounter.NEW_LATE.valueIn(totals),
+        TrialCounter.NEW_CONFIRMED.valueIn(totals),
+        TrialCounter.OLD_LATE.valueIn(totals),
+        TrialCounter.OLD_CONFIRMED.valueIn(totals),
         trial.lateAllowance)) {
-      return held(
+      return heldTrial(
           trial,
           "late: "
-              + TrialCounter.NEW_LATE.in(sum)
+              + TrialCounter.NEW_LATE.valueIn(totals)
               + " of "
-              + TrialCounter.NEW_CONFIRMED.in(sum)
+              + TrialCounter.NEW_CONFIRMED.valueIn(totals)
               + " writes, "
-              + TrialCounter.OLD_LATE.in(sum)
+              + TrialCounter.OLD_LATE.valueIn(totals)
               + " of "
-              + TrialCounter.OLD_CONFIRMED.in(sum)
+              + TrialCounter.OLD_CONFIRMED.valueIn(totals)
               + " on the old version",
           lateAttempts(trial.route));
     }
     if (routingTable != null
-        && unfit(trial.route, trial.oldService, trial.newService, routingTable) != null) {
-      return next(
+        && configurationMismatch(trial.route, trial.oldService, trial.newService, routingTable)
+            != null) {
+      return updated(
           trial,
           trial.stage,
           TrialVerdict.FINISHED,
           "a newer configuration no longer has the split: "
-              + unfit(trial.route, trial.oldService, trial.newService, routingTable),
+              + configurationMismatch(
+                  trial.route, trial.oldService, trial.newService, routingTable),
           List.of());
     }
     return null;
   }
 
   private List<String> lateAttempts(final String route) {
-    final List<String> list = new ArrayList<>();
-    for (final ReceivedCounts one : told.getOrDefault(route, Map.of()).values()) {
-      list.addAll(Protocol.list(one.tally.attempts));
+    final List<String> attempts = new ArrayList<>();
+    for (final ReceivedCounts received : countsByRoute.getOrDefault(route, Map.of()).values()) {
+      attempts.addAll(Protocol.list(received.trialCounts.attempts));
     }
-    return list.size() > 20 ? list.subList(0, 20) : list;
+    return attempts.size() > 20 ? attempts.subList(0, 20) : attempts;
   }
 
   /** What each switchboard has counted in a trial. */
-  public Map<String, long[]> byBoard(final Trial trial) {
-    final Map<String, long[]> map = new LinkedHashMap<>();
-    told.getOrDefault(trial.route, Map.of())
+  public Map<String, long[]> countsByProxy(final Trial trial) {
+    final Map<String, long[]> result = new LinkedHashMap<>();
+    countsByRoute
+        .getOrDefault(trial.route, Map.of())
         .forEach(
-            (key, one) -> {
-              if (one.tally.number == trial.number) {
-                map.put(key, TrialCounter.array(one.tally.counts));
+            (reporter, received) -> {
+              if (received.trialCounts.number == trial.number) {
+                result.put(reporter, TrialCounter.toArray(received.trialCounts.counts));
               }
             });
-    return map;
+    return result;
   }
 }
