--- a/trial/src/main/java/weldpoint/trial/TrialCounter.java
+++ b/trial/src/main/java/weldpoint/trial/TrialCounter.java
@@ -10,39 +10,39 @@
   OLD_SENT,
   OLD_CONFIRMED,
   OLD_LOST,
-  OLD_DOUBLED,
+  OLD_DUPLICATED,
   OLD_LATE,
   NEW_SENT,
   NEW_CONFIRMED,
   NEW_LOST,
-  NEW_DOUBLED,
+  NEW_DUPLICATED,
   NEW_LATE,
   NEW_REHEARSED,
   STAGE_CONFIRMED,
   STAGE,
-  OLD_OTHERS,
-  OLD_OTHERS_FAILED,
-  NEW_OTHERS,
-  NEW_OTHERS_FAILED;
+  OLD_OTHER_REQUESTS,
+  OLD_OTHER_REQUESTS_FAILED,
+  NEW_OTHER_REQUESTS,
+  NEW_OTHER_REQUESTS_FAILED;
 
   private static final int SIZE = values().length;
 
   /** Counts that are all 0. */
-  public static long[] none() {
+  public static long[] newCounts() {
     return new long[SIZE];
   }
 
   /** This count among others. */
-  public long in(final long[] counts) {
+  public long valueIn(final long[] counts) {
     return counts[ordinal()];
   }
 
   /** One more of this. */
-  public void more(final long[] counts) {
+  public void incrementIn(final long[] counts) {
     counts[ordinal()]++;
   }
 
-  static List<Long> list(final long[] counts) {
+  static List<Long> toList(final long[] counts) {
     final List<Long> list = new ArrayList<>(counts.length);
     for (final long count : counts) {
       list.add(count);
@@ -50,8 +50,8 @@
     return list;
   }
 
-  static long[] array(final List<Long> list) {
-    final long[] counts = none();
+  static long[] toArray(final List<Long> list) {
+    final long[] counts = newCounts();
     for (int index = 0; index < Math.min(counts.length, list == null ? 0 : list.size()); index++) {
       counts[index] = list.get(index);
     }
--- a/trial/src/main/java/weldpoint/trial/TrialTracker.java
+++ b/trial/src/main/java/weldpoint/trial/TrialTracker.java
@@ -17,7 +17,7 @@
  * back at once on its own evidence. It knows neither threads nor clocks.
  */
 public final class TrialTracker {
-  private static final int MOST_KEPT = 20_000;
+  private static final int MAX_TRACKED_ATTEMPTS = 20_000;
 
   /** How a write ended. */
   public enum WriteOutcome {
@@ -26,70 +26,70 @@
     /** It was sent, and no clear answer came. */
     LOST,
     /** It surely did not run. */
-    UNSENT,
+    NOT_EXECUTED,
   }
 
   private static final class TrialState {
     Trial trial;
-    final long[] counts = TrialCounter.none();
-    final Map<Long, Boolean> sent = new LinkedHashMap<>();
+    final long[] counts = TrialCounter.newCounts();
+    final Map<Long, Boolean> sentToNew = new LinkedHashMap<>();
     final Set<Long> answered = new HashSet<>();
-    final List<Long> unreported = new ArrayList<>();
-    String hold;
+    final List<Long> unreportedDigests = new ArrayList<>();
+    String holdReason;
     final List<String> attempts = new ArrayList<>();
   }
 
-  private final String board;
+  private final String proxyAddress;
   private final long incarnation;
-  private final Map<String, TrialState> pages = new HashMap<>();
-  private long mark = -1;
-  private Runnable alarm = () -> {};
+  private final Map<String, TrialState> statesByRoute = new HashMap<>();
+  private long registerVersion = -1;
+  private Runnable urgentReportListener = () -> {};
 
   /** A book of the switchboard with this address and incarnation. */
-  public TrialTracker(final String board, final long incarnation) {
-    this.board = board;
+  public TrialTracker(final String proxyAddress, final long incarnation) {
+    this.proxyAddress = proxyAddress;
     this.incarnation = incarnation;
   }
 
   /** Runs this as soon as something has to be reported at once. */
-  public void alarm(final Runnable given) {
-    alarm = given;
+  public void urgentReportListener(final Runnable listener) {
+    urgentReportListener = listener;
   }
 
   /** Takes the trials in force; older ones than those known change nothing. */
-  public void take(final List<Trial> trials, final long given) {
-    if (given <= mark) {
+  public void updateTrials(final List<Trial> trials, final long storedVersion) {
+    if (storedVersion <= registerVersion) {
       return;
     }
-    mark = given;
-    final Set<String> there = new HashSet<>();
+    registerVersion = storedVersion;
+    final Set<String> storedRoutes = new HashSet<>();
     for (final Trial trial : trials) {
-      there.add(trial.route);
-      TrialState page = pages.get(trial.route);
-      if (page == null || page.trial.number != trial.number) {
-        page = new TrialState();
-        pages.put(trial.route, page);
+      storedRoutes.add(trial.route);
+      TrialState state = statesByRoute.get(trial.route);
+      if (state == null || state.trial.number != trial.number) {
+        state = new TrialState();
+        statesByRoute.put(trial.route, state);
       }
-      if (page.trial == null || trial.serial > page.trial.serial) {
-        if (page.trial != null && page.trial.stage != trial.stage) {
-          page.counts[TrialCounter.STAGE_CONFIRMED.ordinal()] = 0;
+      if (state.trial == null || trial.serial > state.trial.serial) {
+        if (state.trial != null && state.trial.stage != trial.stage) {
+          state.counts[TrialCounter.STAGE_CONFIRMED.ordinal()] = 0;
         }
-        page.trial = trial;
-        page.counts[TrialCounter.STAGE.ordinal()] = trial.stage;
+        state.trial = trial;
+        state.counts[TrialCounter.STAGE.ordinal()] = trial.stage;
       }
     }
-    pages.keySet().retainAll(there);
+    statesByRoute.keySet().retainAll(storedRoutes);
   }
 
   /** Whether no trial concerns anything; what is asked otherwise costs nothing then. */
-  public boolean idle() {
-    return pages.isEmpty();
+  public boolean hasNoTrials() {
+    return statesByRoute.isEmpty();
   }
 
   /** Whether a route is under trial. */
-  public boolean covers(final String route) {
-    final TrialState page = pages.get(route);
-    return page != null && TrialVerdict.of(page.trial) != TrialVerdict.FINISHED;
+  public boolean isUnderTrial(final String route) {
+    final TrialState state = statesByRoute.get(route);
+    return state != null && TrialVerdict.of(state.trial) != TrialVerdict.FINISHED;
   }
 
   /**
@@ -97,24 +97,26 @@
    * neither of the two versions; between the two, the stage decides, and the token in the
    * rehearsal.
    */
-  public String choose(
-      final String route, final String chosen, final String token, final double chance) {
-    final TrialState page = pages.get(route);
-    if (page == null) {
-      return chosen;
+  public String chooseService(
+      final String route, final String configuredService, final String token, final double draw) {
+    final TrialState state = statesByRoute.get(route);
+    if (state == null) {
+      return configuredService;
     }
-    final Trial trial = page.trial;
-    if (!covers(route) || !chosen.equals(trial.oldService) && !chosen.equals(trial.newService)) {
-      return chosen;
+    final Trial trial = state.trial;
+    if (!isUnderTrial(route)
+        || !configuredService.equals(trial.oldService)
+            && !configuredService.equals(trial.newService)) {
+      return configuredService;
     }
-    if (page.hold != null || TrialVerdict.of(trial) == TrialVerdict.HELD) {
+    if (state.holdReason != null || TrialVerdict.of(trial) == TrialVerdict.HELD) {
       return trial.oldService;
     }
     if (token != null && !trial.token.isEmpty() && trial.token.equals(token)) {
-      TrialCounter.NEW_REHEARSED.more(page.counts);
+      TrialCounter.NEW_REHEARSED.incrementIn(state.counts);
       return trial.newService;
     }
-    return chance * 100 < Protocol.list(trial.stages).get(trial.stage)
+    return draw * 100 < Protocol.list(trial.stages).get(trial.stage)
         ? trial.newService
         : trial.oldService;
   }
@@ -127,176 +129,180 @@
     return hash ^ hash >>> 29;
   }
 
-  private TrialState page(final String route, final String service) {
-    final TrialState page = covers(route) ? pages.get(route) : null;
-    return page != null
-            && (service.equals(page.trial.newService) || service.equals(page.trial.oldService))
-        ? page
+  private TrialState stateFor(final String route, final String service) {
+    final TrialState state = isUnderTrial(route) ? statesByRoute.get(route) : null;
+    return state != null
+            && (service.equals(state.trial.newService) || service.equals(state.trial.oldService))
+        ? state
         : null;
   }
 
   /** A write goes to one of the two versions. */
-  public void sent(final String route, final String service, final String attempt) {
-    final TrialState page = page(route, service);
-    if (page == null) {
+  public void recordSent(final String route, final String service, final String attempt) {
+    final TrialState state = stateFor(route, service);
+    if (state == null) {
       return;
     }
-    final boolean fresh = service.equals(page.trial.newService);
-    (fresh ? TrialCounter.NEW_SENT : TrialCounter.OLD_SENT).more(page.counts);
+    final boolean toNew = service.equals(state.trial.newService);
+    (toNew ? TrialCounter.NEW_SENT : TrialCounter.OLD_SENT).incrementIn(state.counts);
     final long digest = digest(attempt);
-    final Boolean before = page.sent.put(digest, fresh);
-    if (page.sent.size() > MOST_KEPT) {
-      final Long oldest = page.sent.keySet().iterator().next();
-      page.sent.remove(oldest);
-      page.answered.remove(oldest);
+    final Boolean previous = state.sentToNew.put(digest, toNew);
+    if (state.sentToNew.size() > MAX_TRACKED_ATTEMPTS) {
+      final Long oldest = state.sentToNew.keySet().iterator().next();
+      state.sentToNew.remove(oldest);
+      state.answered.remove(oldest);
     }
-    if (fresh) {
-      page.unreported.add(digest);
+    if (toNew) {
+      state.unreportedDigests.add(digest);
     }
-    if (before != null) {
-      doubled(page, fresh, attempt);
+    if (previous != null) {
+      recordDuplicate(state, toNew, attempt);
     }
   }
 
   /** A write has ended at one of the two versions, after so many milliseconds of the target's. */
-  public void ended(
+  public void recordEnded(
       final String route,
       final String service,
       final String attempt,
-      final WriteOutcome fate,
-      final long took,
-      final long target) {
-    final TrialState page = page(route, service);
-    if (page == null) {
+      final WriteOutcome outcome,
+      final long tookMillis,
+      final long targetMillis) {
+    final TrialState state = stateFor(route, service);
+    if (state == null) {
       return;
     }
-    final boolean fresh = service.equals(page.trial.newService);
-    switch (fate) {
+    final boolean toNew = service.equals(state.trial.newService);
+    switch (outcome) {
       case CONFIRMED -> {
-        (fresh ? TrialCounter.NEW_CONFIRMED : TrialCounter.OLD_CONFIRMED).more(page.counts);
-        page.answered.add(digest(attempt));
-        if (fresh) {
-          TrialCounter.STAGE_CONFIRMED.more(page.counts);
+        (toNew ? TrialCounter.NEW_CONFIRMED : TrialCounter.OLD_CONFIRMED).incrementIn(state.counts);
+        state.answered.add(digest(attempt));
+        if (toNew) {
+          TrialCounter.STAGE_CONFIRMED.incrementIn(state.counts);
         }
-        if (took > target) {
-          (fresh ? TrialCounter.NEW_LATE : TrialCounter.OLD_LATE).more(page.counts);
-          if (fresh) {
-            late(page, attempt);
+        if (tookMillis > targetMillis) {
+          (toNew ? TrialCounter.NEW_LATE : TrialCounter.OLD_LATE).incrementIn(state.counts);
+          if (toNew) {
+            recordLate(state, attempt);
           }
         }
       }
       case LOST -> {
-        (fresh ? TrialCounter.NEW_LOST : TrialCounter.OLD_LOST).more(page.counts);
-        if (fresh) {
-          hold(page, "lost: a write was sent to " + service + " and no clear answer came", attempt);
+        (toNew ? TrialCounter.NEW_LOST : TrialCounter.OLD_LOST).incrementIn(state.counts);
+        if (toNew) {
+          hold(
+              state, "lost: a write was sent to " + service + " and no clear answer came", attempt);
         }
       }
-      default -> page.sent.remove(digest(attempt));
+      default -> state.sentToNew.remove(digest(attempt));
     }
   }
 
   /** An answer came for an attempt that had been answered, or is not the one due. */
-  public void surplus(final String attempt) {
+  public void recordSurplusAnswer(final String attempt) {
     final long digest = digest(attempt);
-    for (final TrialState page : pages.values()) {
-      final Boolean fresh = page.sent.get(digest);
-      if (fresh != null && page.answered.contains(digest)) {
-        doubled(page, fresh, attempt);
+    for (final TrialState state : statesByRoute.values()) {
+      final Boolean toNew = state.sentToNew.get(digest);
+      if (toNew != null && state.answered.contains(digest)) {
+        recordDuplicate(state, toNew, attempt);
       }
     }
   }
 
   /** Counts a request of another kind at a service that is on trial. */
-  public void other(final String service, final boolean good) {
-    for (final TrialState page : pages.values()) {
-      if (service.equals(page.trial.oldService)) {
-        (good ? TrialCounter.OLD_OTHERS : TrialCounter.OLD_OTHERS_FAILED).more(page.counts);
-      } else if (service.equals(page.trial.newService)) {
-        (good ? TrialCounter.NEW_OTHERS : TrialCounter.NEW_OTHERS_FAILED).more(page.counts);
+  public void recordOtherRequest(final String service, final boolean succeeded) {
+    for (final TrialState state : statesByRoute.values()) {
+      if (service.equals(state.trial.oldService)) {
+        (succeeded ? TrialCounter.OLD_OTHER_REQUESTS : TrialCounter.OLD_OTHER_REQUESTS_FAILED)
+            .incrementIn(state.counts);
+      } else if (service.equals(state.trial.newService)) {
+        (succeeded ? TrialCounter.NEW_OTHER_REQUESTS : TrialCounter.NEW_OTHER_REQUESTS_FAILED)
+            .incrementIn(state.counts);
       }
     }
   }
 
-  private void doubled(final TrialState page, final boolean fresh, final String attempt) {
-    (fresh ? TrialCounter.NEW_DOUBLED : TrialCounter.OLD_DOUBLED).more(page.counts);
-    if (fresh) {
-      hold(page, "doubled: one attempt was run or answered more than once", attempt);
+  private void recordDuplicate(final TrialState state, final boolean toNew, final String attempt) {
+    (toNew ? TrialCounter.NEW_DUPLICATED : TrialCounter.OLD_DUPLICATED).incrementIn(state.counts);
+    if (toNew) {
+      hold(state, "doubled: one attempt was run or answered more than once", attempt);
     }
   }
 
-  private void late(final TrialState page, final String attempt) {
-    if (Lateness.tooMany(
-        TrialCounter.NEW_LATE.in(page.counts),
-        TrialCounter.NEW_CONFIRMED.in(page.counts),
-        TrialCounter.OLD_LATE.in(page.counts),
-        TrialCounter.OLD_CONFIRMED.in(page.counts),
-        page.trial.lateAllowance)) {
+  private void recordLate(final TrialState state, final String attempt) {
+    if (Lateness.exceedsAllowance(
+        TrialCounter.NEW_LATE.valueIn(state.counts),
+        TrialCounter.NEW_CONFIRMED.valueIn(state.counts),
+        TrialCounter.OLD_LATE.valueIn(state.counts),
+        TrialCounter.OLD_CONFIRMED.valueIn(state.counts),
+        state.trial.lateAllowance)) {
       hold(
-          page,
+          state,
           "late: "
-              + TrialCounter.NEW_LATE.in(page.counts)
+              + TrialCounter.NEW_LATE.valueIn(state.counts)
               + " of "
-              + TrialCounter.NEW_CONFIRMED.in(page.counts)
+              + TrialCounter.NEW_CONFIRMED.valueIn(state.counts)
               + " writes were late on one switchboard, "
-              + TrialCounter.OLD_LATE.in(page.counts)
+              + TrialCounter.OLD_LATE.valueIn(state.counts)
               + " of "
-              + TrialCounter.OLD_CONFIRMED.in(page.counts)
+              + TrialCounter.OLD_CONFIRMED.valueIn(state.counts)
               + " on the old version",
           attempt);
-    } else if (page.attempts.size() < 20) {
-      page.attempts.add(attempt);
+    } else if (state.attempts.size() < 20) {
+      state.attempts.add(attempt);
     }
   }
 
-  private void hold(final TrialState page, final String reason, final String attempt) {
-    if (page.hold == null) {
-      page.hold = reason;
-      page.attempts.clear();
+  private void hold(final TrialState state, final String reason, final String attempt) {
+    if (state.holdReason == null) {
+      state.holdReason = reason;
+      state.attempts.clear();
     }
-    if (page.attempts.size() < 20) {
-      page.attempts.add(attempt);
+    if (state.attempts.size() < 20) {
+      state.attempts.add(attempt);
     }
-    alarm.run();
+    urgentReportListener.run();
   }
 
   /**
    * What is to be reported; everything ever counted, and the digests since the last report, or all
    * after a new stream.
    */
-  public TrialMessages.TrialReport report(final boolean all) {
-    if (pages.isEmpty()) {
+  public TrialMessages.TrialReport createReport(final boolean full) {
+    if (statesByRoute.isEmpty()) {
       return null;
     }
-    final List<TrialCounts> tallies = new ArrayList<>();
+    final List<TrialCounts> trialCounts = new ArrayList<>();
     final List<Long> digests = new ArrayList<>();
-    for (final TrialState page : pages.values()) {
-      tallies.add(
+    for (final TrialState state : statesByRoute.values()) {
+      trialCounts.add(
           new TrialCounts(
-              page.trial.route,
-              page.trial.number,
-              board,
+              state.trial.route,
+              state.trial.number,
+              proxyAddress,
               incarnation,
-              TrialCounter.list(page.counts),
-              page.hold,
-              new ArrayList<>(page.attempts)));
-      if (all) {
-        page.sent.forEach(
-            (digest, fresh) -> {
-              if (fresh) {
+              TrialCounter.toList(state.counts),
+              state.holdReason,
+              new ArrayList<>(state.attempts)));
+      if (full) {
+        state.sentToNew.forEach(
+            (digest, toNew) -> {
+              if (toNew) {
                 digests.add(digest);
               }
             });
       } else {
-        digests.addAll(page.unreported);
+        digests.addAll(state.unreportedDigests);
       }
-      page.unreported.clear();
+      state.unreportedDigests.clear();
     }
-    return new TrialMessages.TrialReport(false, tallies, digests);
+    return new TrialMessages.TrialReport(false, trialCounts, digests);
   }
 
   /** Whether the new version gets anything from this switchboard, besides the rehearsal. */
-  public boolean held(final String route) {
-    final TrialState page = pages.get(route);
-    return page != null && (page.hold != null || TrialVerdict.of(page.trial) == TrialVerdict.HELD);
+  public boolean isHeld(final String route) {
+    final TrialState state = statesByRoute.get(route);
+    return state != null
+        && (state.holdReason != null || TrialVerdict.of(state.trial) == TrialVerdict.HELD);
   }
 }
