--- a/affinity/src/main/java/weldpoint/affinity/AffinityKeys.java
+++ b/affinity/src/main/java/weldpoint/affinity/AffinityKeys.java
@@ -3,19 +3,23 @@
 import java.util.List;
 import weldpoint.routing.Affinity;
 
-/** By which name a caller is tied. */
+/**
+ * Derives the affinity key of a caller, by which its writes are bound to a node, and counts
+ * requests without a usable header. Used by proxies.
+ */
 public final class AffinityKeys {
   private static final int MAX_KEY_LENGTH = 256;
   private long missingHeaders;
   private long repeatedHeaders;
   private long overlongHeaders;
 
-  /** Nothing counted yet. */
+  /** Creates an instance with all counts 0. */
   public AffinityKeys() {}
 
   /**
-   * The name of a caller: the header's value, the tenant's name or the address; whatever is
-   * missing, double or overlong gives the address, and is counted.
+   * Returns the affinity key of a caller: the header's value, the tenant's name or the address,
+   * each with its own prefix. If the header is missing, repeated or longer than 256 characters, the
+   * address is used and the request is counted; without a tenant the address is used too.
    */
   public String keyFor(
       final Affinity rule, final List<String> header, final String tenant, final String address) {
@@ -36,17 +40,17 @@
     return "a" + address;
   }
 
-  /** Requests whose header was missing. */
+  /** Returns the number of requests whose header was missing or blank. */
   public long missingHeaders() {
     return missingHeaders;
   }
 
-  /** Requests with the header more than once. */
+  /** Returns the number of requests that had the header more than once. */
   public long repeatedHeaders() {
     return repeatedHeaders;
   }
 
-  /** Requests whose header was overlong. */
+  /** Returns the number of requests whose header was longer than 256 characters. */
   public long overlongHeaders() {
     return overlongHeaders;
   }
--- a/affinity/src/main/java/weldpoint/affinity/AffinityTable.java
+++ b/affinity/src/main/java/weldpoint/affinity/AffinityTable.java
@@ -13,14 +13,21 @@
 import weldpoint.transport.Protocol;
 
 /**
- * The switchboard's side: which node a caller belongs to in the placement held, whether a lease
- * still covers it, and which writes are under way. All of it lives on one thread and takes the time
- * from outside.
+ * A proxy's part in affinity: to which node a caller is bound in the known placements, whether a
+ * lease still allows their use, and which bound writes are in flight. A placement lists the nodes
+ * of a service over which callers are distributed. Not thread-safe: a proxy uses it on one thread.
+ * Takes the time in milliseconds from its caller.
  */
 public class AffinityTable {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
+
+  /** By how much earlier than granted the proxy considers its lease expired. */
   private static final long LEASE_MARGIN_MILLIS = 60;
+
+  /** For how long after its deadline a write still counts as in flight. */
   private static final long COMPLETION_GRACE_MILLIS = 100;
+
+  /** Interval between lease requests while no lease is held. */
   private static final long LEASE_RETRY_MILLIS = 200;
 
   private static final class Epoch {
@@ -35,7 +42,7 @@
     }
   }
 
-  /** A write that is under way, or may be. */
+  /** A bound write that is in flight, or may still be. */
   public static final class PendingWrite {
     private final String service;
     private final long caller;
@@ -58,8 +65,8 @@
     }
 
     /**
-     * The write has ended: an answer came, or not a byte was sent. Otherwise it counts until its
-     * deadline.
+     * Marks the write as ended: an answer arrived, or not a single byte was sent. A write that is
+     * not marked counts as in flight until its deadline.
      */
     public void markEnded() {
       ended = true;
@@ -83,7 +90,7 @@
   private long lastRequestAt = Long.MIN_VALUE / 2;
   private long lastRequestNumber;
 
-  /** Nothing is held yet; asks for leases go to the outlet. */
+  /** Creates a table without placements; requests for leases go to {@code leaseRequestSender}. */
   public AffinityTable(
       final String self,
       final long incarnation,
@@ -95,7 +102,10 @@
     this.leaseRequestSender = leaseRequestSender;
   }
 
-  /** Takes placements, unless newer ones are held. */
+  /**
+   * Replaces the placements by newer ones; does nothing if their version is not newer than the
+   * known one.
+   */
   public void updatePlacements(final PlacementMessages.Placements received, final long now) {
     if (received.mark <= placementVersion) {
       return;
@@ -106,19 +116,19 @@
       if (previous == null || placement.serial > previous.placement.serial) {
         epochs.put(placement.service, new Epoch(placement));
         LOGGER.atInfo().log(
-            "placement of %s: epoch %s of %s nodes%s",
+            "updated placement of service %s: epoch %s with %s nodes%s",
             placement.service,
             placement.epoch,
             Protocol.list(placement.members).size(),
             placement.prepared
-                ? ", the next of " + Protocol.list(placement.next).size() + " prepared"
+                ? ", next epoch with " + Protocol.list(placement.next).size() + " nodes prepared"
                 : "");
       }
     }
     tick(now);
   }
 
-  /** A lease was granted, or refused. */
+  /** Handles the answer to a lease request. The lease counts from the time of the request. */
   public void onLeaseGrant(final PlacementMessages.LeaseGrant grant, final long now) {
     final Long requested = requestedAt.remove(grant.number);
     if (requested != null && grant.incarnation == incarnation && grant.millis > 0) {
@@ -126,14 +136,14 @@
     }
   }
 
-  /** Whether the placements held may be used. */
+  /** Returns whether a lease allows the known placements to be used. */
   public boolean hasLease(final long now) {
     return now < leaseUntil;
   }
 
   /**
-   * Where the write of a caller goes now, among the nodes that may serve it. To be asked right
-   * before sending.
+   * Decides whether a caller's write may be sent now, and to which of the eligible nodes. To be
+   * called immediately before sending.
    */
   public WriteDecision decide(
       final String service,
@@ -162,17 +172,17 @@
     return WriteDecision.GO;
   }
 
-  /** The node of the last decision that said go. */
+  /** Returns the node of the last decision, if that was {@code GO}; null otherwise. */
   public PlacementMember chosenNode() {
     return chosenNode;
   }
 
-  /** Counts what became of a write in the end. */
+  /** Counts the final decision on a write. */
   public void recordDecision(final WriteDecision decision) {
     decisionCounts[decision.ordinal()]++;
   }
 
-  /** A write goes to the node now; its upstream gives it up at the deadline. */
+  /** Registers a write that is sent to a node now; its upstream abandons it at the deadline. */
   public PendingWrite beginWrite(
       final String service,
       final long caller,
@@ -185,7 +195,10 @@
     return pendingWrite;
   }
 
-  /** Time has passed, or something ended. */
+  /**
+   * Removes ended writes, updates the settled version and requests a lease if one is due. To be
+   * called regularly and when a write has ended.
+   */
   public void tick(final long now) {
     boolean unsettled = false;
     for (final Iterator<PendingWrite> iterator = pendingWrites.iterator(); iterator.hasNext(); ) {
@@ -235,34 +248,37 @@
             reportedCounts));
   }
 
-  /** The mark of the placements held. */
+  /** Returns the version of the known placements. */
   public long placementVersion() {
     return placementVersion;
   }
 
-  /** The mark up to which everything that had to be finished is. */
+  /**
+   * Returns the placement version up to which no write is in flight that the prepared next epoch
+   * would send to another node.
+   */
   public long settledVersion() {
     return settledVersion;
   }
 
-  /** The epoch held of a service; 0 where there is none. */
+  /** Returns the epoch of a service's known placement; 0 if there is none. */
   public long epoch(final String service) {
     final Epoch epoch = epochs.get(service);
     return epoch == null ? 0 : epoch.placement.epoch;
   }
 
-  /** The counters, as one line. */
+  /** Returns the counters as one line for the log. */
   public String counters(final long now) {
     final StringBuilder text =
         new StringBuilder("placements ")
             .append(epochs.size())
-            .append(" mark ")
+            .append(" version ")
             .append(placementVersion)
-            .append(" settled ")
+            .append(" settled version ")
             .append(settledVersion)
             .append(" lease ")
             .append(Math.max(0, leaseUntil - now))
-            .append(" ms under way ")
+            .append(" ms, in flight ")
             .append(pendingWrites.size());
     for (final WriteDecision decision : WriteDecision.values()) {
       text.append(' ')
--- a/affinity/src/main/java/weldpoint/affinity/PlacementCoordinator.java
+++ b/affinity/src/main/java/weldpoint/affinity/PlacementCoordinator.java
@@ -17,19 +17,29 @@
 import weldpoint.transport.StoreMessages;
 
 /**
- * The exchange's side: one exchange at a time, named by a register, grants leases on placements and
- * changes them in two steps. The next epoch comes in force once every holder of a lease has
- * finished what had to be finished, or its lease and all that it may have sent under it have surely
- * run out.
+ * The registry's part in affinity. One registry at a time, the owner named by a stored register,
+ * grants leases on placements and changes placements in two steps: it prepares the next epoch, then
+ * puts it in force once every lease holder has reported that no write is in flight to callers that
+ * move, or the holder's lease and every write it may have sent under it have certainly expired. Not
+ * thread-safe; takes the time in milliseconds from its caller.
  */
 public class PlacementCoordinator {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
+
+  /**
+   * By how much longer than granted the registry considers a lease, and writes under it, active.
+   */
   private static final long LEASE_MARGIN_MILLIS = 150;
+
+  /** For how long an owner must be unreachable before another registry takes over. */
   private static final long TAKEOVER_DELAY_MILLIS = 1500;
 
-  /** Writes registers, if they still have the serial before. */
+  /**
+   * Writes registers of the state store; a write succeeds only if the register still has the
+   * preceding serial.
+   */
   public interface Writer {
-    /** Writes who keeps placements. */
+    /** Writes which registry owns the placements. */
     CompletableFuture<StoreMessages.StoreResponse> writeOwner(
         PlacementMessages.PlacementOwner next, long now);
 
@@ -49,7 +59,10 @@
   private final long batchMillis;
   private final Writer writer;
   private final Map<String, Placement> placements = new TreeMap<>();
+
+  /** By service, the placement version at which its next epoch was prepared. */
   private final Map<String, Long> preparedVersion = new HashMap<>();
+
   private final Map<String, Long> membersDifferSince = new HashMap<>();
   private final Map<String, LeaseHolder> leaseHolders = new LinkedHashMap<>();
   private Map<String, List<PlacementMember>> desiredMembers = Map.of();
@@ -62,7 +75,7 @@
   private long epochChanges;
   private long staleRequests;
 
-  /** Nothing is known yet. */
+  /** Creates a coordinator that knows no placements and no owner. */
   public PlacementCoordinator(
       final String self,
       final long incarnation,
@@ -76,7 +89,10 @@
     this.writer = writer;
   }
 
-  /** Takes what the frames hold; true where placements are new. */
+  /**
+   * Updates the owner and the placements from the state store; returns true if the placements are
+   * newer than the known ones.
+   */
   public boolean update(
       final List<Placement> storedPlacements,
       final PlacementMessages.PlacementOwner storedOwner,
@@ -88,7 +104,7 @@
       if (isOwner()) {
         ownerSince = now;
         leaseHolders.clear();
-        LOGGER.atInfo().log("exchange %s keeps placements now", self);
+        LOGGER.atInfo().log("registry %s now owns the placements", self);
       }
     }
     if (storedVersion <= placementVersion) {
@@ -111,8 +127,8 @@
   }
 
   /**
-   * Takes among which upstreams the callers of each service should be placed, and how long a tied
-   * write may take.
+   * Sets the nodes over which the callers of each service should be distributed, and the longest
+   * time that a bound write may take, in milliseconds.
    */
   public void desiredMembers(
       final Map<String, List<PlacementMember>> membersByService, final long longestWriteMillis) {
@@ -120,27 +136,31 @@
     maxWriteMillis = longestWriteMillis;
   }
 
-  /** Whether this exchange, in this life, keeps placements. */
+  /** Returns whether this registry, in this incarnation, owns the placements. */
   public boolean isOwner() {
     return owner.address.equals(self) && owner.incarnation == incarnation;
   }
 
-  /** Who keeps placements; empty where nobody does. */
+  /** Returns the address of the owner; empty if there is none. */
   public String owner() {
     return owner.address;
   }
 
-  /** The mark of what is known. */
+  /** Returns the version of the known placements. */
   public long placementVersion() {
     return placementVersion;
   }
 
-  /** All placements, as switchboards are told. */
+  /** Returns all placements as they are sent to proxies. */
   public PlacementMessages.Placements placements() {
     return new PlacementMessages.Placements(placementVersion, new ArrayList<>(placements.values()));
   }
 
-  /** Somebody asks for a lease; a majority confirmed what is known here at the time given. */
+  /**
+   * Answers a lease request. The lease ends {@code leaseMillis} after {@code confirmedAt}, when a
+   * majority last confirmed the state known here; nothing is granted to a proxy with older
+   * placements.
+   */
   public PlacementMessages.LeaseGrant handleLeaseRequest(
       final PlacementMessages.LeaseRequest request, final long confirmedAt, final long now) {
     long millis = 0;
@@ -163,8 +183,9 @@
   }
 
   /**
-   * Time has passed. May take over where nobody keeps; reachable tells whether the keeper can be
-   * reached.
+   * Takes over ownership if there is no reachable owner, and as owner writes the next change of a
+   * placement; to be called regularly. {@code mayOwn} tells whether this registry may take over,
+   * {@code confirmed} whether its state is confirmed by a majority.
    */
   public void tick(
       final boolean mayOwn, final boolean ownerReachable, final boolean confirmed, final long now) {
@@ -236,7 +257,10 @@
     future.whenComplete((response, error) -> writeInFlight = false);
   }
 
-  /** Whether nobody can be sending, or have sent, under the epoch before to callers that move. */
+  /**
+   * Returns whether no proxy can have a write in flight, or still send one, under the previous
+   * epoch for callers that move.
+   */
   protected boolean isSettled(final Placement prepared, final long now) {
     final Long preparedAtVersion = preparedVersion.get(prepared.service);
     if (preparedAtVersion == null
@@ -267,14 +291,14 @@
     return true;
   }
 
-  /** Members in the order in which they are compared. */
+  /** Returns the members sorted by id, the order in which they are compared. */
   public static List<PlacementMember> sortedById(final List<PlacementMember> members) {
     final List<PlacementMember> sorted = new ArrayList<>(members);
     sorted.sort(Comparator.comparing(member -> member.id));
     return sorted;
   }
 
-  /** What the switchboards that hold leases counted, by verdict. */
+  /** Returns the counts of all lease holders, summed by decision. */
   public long[] decisionCounts() {
     final long[] totals = new long[WriteDecision.values().length];
     for (final LeaseHolder holder : leaseHolders.values()) {
@@ -285,23 +309,23 @@
     return totals;
   }
 
-  /** The counters, as one line. */
+  /** Returns the counters as one line for the log. */
   public String counters() {
     return "placements "
         + placements.size()
-        + " mark "
+        + " version "
         + placementVersion
-        + " keeper "
+        + " owner "
         + owner.address
-        + " holders "
+        + " lease holders "
         + leaseHolders.size()
         + " epochs changed "
         + epochChanges
-        + " stale asks "
+        + " stale lease requests "
         + staleRequests;
   }
 
-  /** The bytes of a placement. */
+  /** Serializes a placement. */
   public static byte[] toBytes(final Placement placement) {
     return Serializer.serialize(placement);
   }
--- a/affinity/src/main/java/weldpoint/affinity/Rendezvous.java
+++ b/affinity/src/main/java/weldpoint/affinity/Rendezvous.java
@@ -5,14 +5,15 @@
 import weldpoint.transport.PlacementMessages.PlacementMember;
 
 /**
- * Weighted rendezvous hashing: every member draws a number for a caller, and the highest wins. The
- * same on every switchboard, without a table; whoever joins takes only its share, by capacity, and
- * whoever goes gives up only its own.
+ * Weighted rendezvous hashing: each member gets a score for a caller, and the member with the
+ * highest score is chosen. All proxies choose the same member without shared state. A member that
+ * joins takes over only its share of the callers, in proportion to its capacity; when a member
+ * leaves, only its own callers move.
  */
 public final class Rendezvous {
   private Rendezvous() {}
 
-  /** The hash of a caller of a service. */
+  /** Returns the hash of a caller of a service. */
   public static long callerHash(final String service, final String caller) {
     return mix(hash(service) * 31 + hash(caller));
   }
@@ -32,12 +33,12 @@
     return mixed ^ mixed >>> 31;
   }
 
-  /** The members of a placement, with what a draw needs worked out once. */
+  /** The members of a placement with their precalculated hashes. */
   public static final class Table {
     private final PlacementMember[] members;
     private final long[] hashes;
 
-    /** A table of these members. */
+    /** Creates a table of these members. */
     public Table(final List<PlacementMember> memberList) {
       members = memberList.toArray(new PlacementMember[0]);
       hashes = new long[members.length];
@@ -46,7 +47,9 @@
       }
     }
 
-    /** The member that the caller belongs to, of those that may serve it; null where none may. */
+    /**
+     * Returns the eligible member with the highest score for the caller; null if none is eligible.
+     */
     public PlacementMember choose(final long caller, final Predicate<PlacementMember> eligible) {
       PlacementMember best = null;
       double bestScore = -1;
@@ -61,7 +64,7 @@
       return best;
     }
 
-    /** How many members there are. */
+    /** Returns the number of members. */
     public int size() {
       return members.length;
     }
--- a/affinity/src/main/java/weldpoint/affinity/WriteDecision.java
+++ b/affinity/src/main/java/weldpoint/affinity/WriteDecision.java
@@ -1,25 +1,28 @@
 package weldpoint.affinity;
 
-/** What becomes of a tied write at this moment. */
+/**
+ * The decision on a write that is bound to its caller's node. Names are written out in lower case
+ * in counters, and counts are reported in the order of these constants.
+ */
 public enum WriteDecision {
-  /** Its node is known and may be used. */
+  /** The caller's node is known and may be used. */
   GO(""),
-  /** Its caller moves to another node, and the one it had may still be at work. */
-  MOVING("its caller is moving to another node; come back shortly"),
-  /** No lease on the placement is held. */
-  NO_LEASE("it cannot be told now which node its caller belongs to; come back"),
-  /** Callers of the service have not been placed yet. */
-  NO_PLACEMENT("the callers of its service have not been placed yet; come back shortly"),
-  /** No node may serve it. */
-  NO_NODE("no node may serve its caller now; come back"),
-  /** Its node takes no more. */
-  FULL("its caller's node is full; come back"),
-  /** Its node leaves or is gone, and the next placement is not in force yet. */
-  LEAVING("its caller's node is leaving; come back shortly"),
-  /** Its node declined it. */
-  DECLINED("its caller's node did not take it; come back"),
-  /** No node in its home regions may serve it. */
-  OUTSIDE_HOMES("no node in its home regions may serve its caller now; come back");
+  /** The caller is moving to another node, and its previous node may still be executing a write. */
+  MOVING("the caller is being moved to another node; retry shortly"),
+  /** The proxy holds no lease on the placement. */
+  NO_LEASE("this proxy has no valid lease on the service's placement; retry later"),
+  /** The service has no placement yet. */
+  NO_PLACEMENT("the service has no placement yet; retry shortly"),
+  /** No node is eligible. */
+  NO_NODE("no node may serve the caller now; retry later"),
+  /** The caller's node is at its capacity. */
+  FULL("the caller's node is at its capacity; retry later"),
+  /** The caller's node is leaving or gone, and the next placement is not in force yet. */
+  LEAVING("the caller's node is leaving; retry shortly"),
+  /** The caller's node declined the write. */
+  DECLINED("the caller's node declined the request; retry later"),
+  /** No node in the home regions is eligible. */
+  OUTSIDE_HOMES("no node in the home regions may serve the caller now; retry later");
 
   private final String reason;
 
@@ -27,12 +30,12 @@
     this.reason = reason;
   }
 
-  /** What a client is told. */
+  /** Returns the reason that the client is given; empty for {@code GO}. */
   public String reason() {
     return reason;
   }
 
-  /** Whether a short wait may mend it. */
+  /** Returns whether the write may succeed after a short wait. */
   public boolean isTransient() {
     return this == MOVING || this == NO_PLACEMENT || this == NO_LEASE || this == LEAVING;
   }
--- a/affinity/src/test/java/weldpoint/affinity/AffinitySimulation.java
+++ b/affinity/src/test/java/weldpoint/affinity/AffinitySimulation.java
@@ -17,8 +17,8 @@
 import weldpoint.transport.StoreMessages;
 
 /**
- * A busy morning on a fake clock: switchboards, two exchanges, one register store, nodes and
- * callers, driven by one seed.
+ * Simulates proxies, two registries, one register store, nodes and callers on a simulated clock,
+ * driven by one seed.
  */
 final class AffinitySimulation {
   static final String SERVICE = "desk";
@@ -26,7 +26,7 @@
   static final long MAX_WRITE_MILLIS = 600;
   private static final long BATCH_MILLIS = 100;
 
-  /** What is broken on purpose. */
+  /** A fault put into the code under test, which the checks must detect. */
   enum Flaw {
     NONE,
     NO_CONFIRMATION,
@@ -413,9 +413,9 @@
         });
   }
 
-  // ---- callers
+  // Callers and their writes.
 
-  /** A caller asks a switchboard for a write. */
+  /** A caller sends a write to a random proxy. */
   void write(final String caller) {
     final Proxy proxy = proxies.get(random.nextInt(proxies.size()));
     if (!proxy.running) {
@@ -457,7 +457,7 @@
     refusedCount++;
     refusalsByDecision.merge(decision, 1, Integer::sum);
     if (runs.getOrDefault(id, 0) > 0) {
-      violations.add(id + " ran and was refused");
+      violations.add(id + " was executed and refused");
     }
   }
 
@@ -527,14 +527,15 @@
       final AffinityTable.PendingWrite pendingWrite,
       final long deadline) {
     if (runs.merge(id, 1, Integer::sum) > 1) {
-      violations.add(id + " ran twice");
+      violations.add(id + " was executed twice");
     }
     ranAt.computeIfAbsent(id, key -> new HashSet<>()).add(node.id);
     node.working.merge(caller, 1, Integer::sum);
     final Set<String> at = nodesWorkingFor.computeIfAbsent(caller, key -> new HashSet<>());
     at.add(node.id);
     if (at.size() > 1) {
-      violations.add("caller " + caller + " has two nodes at work, " + at + ", at " + now);
+      violations.add(
+          "caller " + caller + " has writes executing on two nodes, " + at + ", at " + now);
     }
     if (!node.id.equals(lastNode.put(caller, node.id))) {
       movedCallers++;
@@ -571,7 +572,7 @@
         });
   }
 
-  // ---- trouble
+  // Faults and final checks.
 
   void injectFault() {
     final List<Node> activeNodes = new ArrayList<>(nodes.values());
@@ -643,7 +644,7 @@
     }
   }
 
-  /** Cuts every second switchboard off for a while, and changes who the nodes are meanwhile. */
+  /** Disconnects every second proxy from the core for 5 s and adds two nodes meanwhile. */
   void partitionEverySecondProxy() {
     for (int index = 0; index < proxies.size(); index += 2) {
       final Proxy proxy = proxies.get(index);
@@ -654,26 +655,26 @@
     addNode();
   }
 
-  /** What broke, once all is over. */
+  /** Runs the final checks and returns all violations. */
   List<String> finish() {
     for (final String id : confirmed) {
       if (runs.getOrDefault(id, 0) != 1) {
-        violations.add(id + " was confirmed and ran " + runs.getOrDefault(id, 0) + " times");
+        violations.add(id + " was confirmed and executed " + runs.getOrDefault(id, 0) + " times");
       }
       if (ranAt.get(id).size() != 1) {
-        violations.add(id + " ran at " + ranAt.get(id));
+        violations.add(id + " was executed by " + ranAt.get(id));
       }
     }
     return violations;
   }
 
-  /** The epoch in force. */
+  /** Returns the epoch in force. */
   long epoch() {
     final Placement placement = placementRegisters.get(SERVICE);
     return placement == null ? 0 : placement.epoch;
   }
 
-  /** Whether an epoch is prepared and not in force yet. */
+  /** Returns whether an epoch is prepared and not in force yet. */
   boolean prepared() {
     final Placement placement = placementRegisters.get(SERVICE);
     return placement != null && placement.prepared;
--- a/affinity/src/test/java/weldpoint/affinity/AffinityTest.java
+++ b/affinity/src/test/java/weldpoint/affinity/AffinityTest.java
@@ -15,8 +15,8 @@
 import weldpoint.transport.PlacementMessages.PlacementMember;
 
 /**
- * Callers tied to nodes over cutover weekends: nodes and switchboards come, go, freeze and are cut
- * off, the core too.
+ * Checks that bound writes are executed at most once and on one node per caller, while nodes and
+ * proxies join, leave, freeze and lose their connections, and the core does too.
  */
 public final class AffinityTest {
   private static final int CALLERS = 60;
@@ -60,7 +60,8 @@
       confirmed += simulation.confirmedCount;
       refused += simulation.refusedCount;
       epochs += simulation.epoch();
-      assertFalse(simulation.prepared(), "seed " + seed + ": an epoch was never put in force");
+      assertFalse(
+          simulation.prepared(), "seed " + seed + ": a prepared epoch was never put in force");
     }
     assertTrue(
         confirmed > 120 * 3000,
@@ -196,7 +197,7 @@
     assertEquals(
         affinity.decide("desk", 1, member -> true, 3300),
         WriteDecision.NO_LEASE,
-        "a process that slept must not send on waking");
+        "a process that was suspended must not send when it resumes");
     assertEquals(affinity.decide("other", 1, member -> true, 1310), WriteDecision.NO_PLACEMENT);
     assertEquals(affinity.decide("desk", 1, member -> false, 1310), WriteDecision.NO_NODE);
   }
--- a/regionleader/src/main/java/weldpoint/regionleader/LeaderElection.java
+++ b/regionleader/src/main/java/weldpoint/regionleader/LeaderElection.java
@@ -19,31 +19,41 @@
 import weldpoint.transport.RegionMessages.LeaderVoteResponse;
 
 /**
- * A switchboard's part in choosing and heeding its region's chief while the core is silent. A
- * majority of the switchboards that the last acknowledged electorate names, each in the very life
- * it names, elects; the chief acts only while a majority still heeds it. No write depends on there
- * being one chief only. It knows neither threads nor clocks nor sockets.
+ * A proxy's part in electing and following a leader of its region while the core (the registries
+ * and the state store) cannot be reached. The voters are the proxies named by the last acknowledged
+ * electorate, each only in the incarnation named there; a majority of them elects the leader, which
+ * acts only as long as a majority has recently acknowledged its directives. More than one proxy may
+ * consider itself leader for a time: no write depends on there being only one. Used by the proxy's
+ * region leader service, on one thread; takes the time in milliseconds from its caller and sends
+ * through {@link Environment}.
  */
 public final class LeaderElection {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
   private static final long ELECTION_TIMEOUT_MILLIS = 800;
 
-  /** How long to wait and to hold. */
+  /**
+   * Settings of the election: whether it is enabled, how long the core must be unreachable before
+   * an election, how long a leader, a directive or a vote holds without renewal, and how often a
+   * leader sends its directive, all in milliseconds.
+   */
   public record ElectionTimeouts(
       boolean enabled, long coreSilenceMillis, long leaseMillis, long heartbeatMillis) {}
 
-  /** What the core does to the world. */
+  /** What the election needs from the proxy that runs it. */
   public interface Environment {
-    /** Makes these the switchboards that lines are kept to; none while the core answers. */
+    /**
+     * Keeps connections to exactly these proxies; the list is empty unless this proxy is candidate
+     * or leader.
+     */
     void connectPeers(List<String> addresses);
 
-    /** Sends to another switchboard; false where there is no line. */
+    /** Sends to another proxy; false if there is no connection. */
     boolean send(String address, Message message);
 
-    /** What this switchboard has seen since it was last asked. */
+    /** Returns what this proxy has observed since the last call. */
     RegionMessages.ProxyObservations takeObservations();
 
-    /** The orders in force have changed; null where there are none. */
+    /** Called when the directive in force has changed; null if there is none. */
     void directiveChanged(LeaderDirective directive);
   }
 
@@ -54,16 +64,25 @@
   private final Random random;
   private final Environment environment;
   private final Map<String, LeaderDirectiveAck> acks = new HashMap<>();
+
+  /** By proxy, when the latest directive was sent that it has acknowledged. */
   private final Map<String, Long> ackedHeartbeatAt = new HashMap<>();
+
   private final Set<String> grantedVotes = new HashSet<>();
   private Electorate electorate;
   private LeaderPhase phase = LeaderPhase.CORE_REACHABLE;
   private long coreHeardAt;
+
+  /** Earliest time at which this proxy may stand for election. */
   private long candidacyAt;
+
   private long term;
   private long votedTerm;
   private String votedFor;
+
+  /** Until then this proxy votes for no other candidate. */
   private long votedUntil = Long.MIN_VALUE;
+
   private String leader;
   private long leaderTerm;
   private long leaderElectorateVersion;
@@ -76,7 +95,7 @@
   private long refusedMessages;
   private long elections;
 
-  /** A part that has just heard the core. */
+  /** Creates an election that counts the core as reached at {@code now}. */
   public LeaderElection(
       final String self,
       final long incarnation,
@@ -95,7 +114,8 @@
   }
 
   /**
-   * Takes who may vote; only a later mark counts, and none is taken over from what a chief says.
+   * Sets the electorate. Only a later version replaces the known one, and it comes only from the
+   * core, never from a leader's directive.
    */
   public void electorate(final Electorate received) {
     if (received != null
@@ -106,8 +126,8 @@
   }
 
   /**
-   * An exchange has told that it heard of a majority at this time: every chief's order is void from
-   * here.
+   * Records that a registry had confirmation from a majority of the state store at {@code
+   * confirmedAt}. If that is recent enough, every leader's directive is void here from now on.
    */
   public void coreHeard(final long confirmedAt, final long now) {
     coreHeardAt = Math.max(coreHeardAt, confirmedAt);
@@ -150,7 +170,8 @@
       return;
     }
     LOGGER.atInfo().log(
-        "chief of %s: %s is %s, chief %s, mark %s, term %s, because the core was last heard %s ms ago",
+        "leader election in region %s: %s is now %s, leader %s, electorate version %s, term %s;"
+            + " core last reached %s ms ago",
         region,
         self,
         nextPhase,
@@ -181,7 +202,7 @@
     return (long) (random.nextDouble() * Math.max(200, timeouts.coreSilenceMillis / 2));
   }
 
-  /** Time has passed. */
+  /** Advances the election to {@code now}; to be called regularly. */
   public void tick(final long now) {
     if (!timeouts.enabled) {
       return;
@@ -214,7 +235,7 @@
           sendHeartbeat(now);
         }
       }
-      default -> throw new IllegalStateException("no phase " + phase);
+      default -> throw new IllegalStateException("unknown phase " + phase);
     }
   }
 
@@ -249,7 +270,10 @@
     }
   }
 
-  /** The latest moment at which a pulse left that a majority has heeded. */
+  /**
+   * Returns the latest time for which a majority, this proxy included, has acknowledged a directive
+   * sent then or later; a vote counts as of the start of the election.
+   */
   private long majorityAckedAt(final long now) {
     final List<Long> times = new ArrayList<>(ackedHeartbeatAt.values());
     times.remove(ackedHeartbeatAt.get(self));
@@ -300,7 +324,10 @@
     }
   }
 
-  /** There is a line to another switchboard: it hears what the others have heard before. */
+  /**
+   * A connection to another proxy was opened: sends it the vote request or directive that the
+   * others have already received.
+   */
   public void connectionOpened(final String address) {
     if (phase == LeaderPhase.CANDIDATE) {
       environment.send(
@@ -310,7 +337,7 @@
     }
   }
 
-  /** Another switchboard has said something. */
+  /** Handles a message from another proxy. */
   public void receive(
       final String from, final long senderIncarnation, final Message message, final long now) {
     if (message instanceof LeaderVoteRequest) {
@@ -430,46 +457,52 @@
             environment.takeObservations()));
   }
 
-  /** How this switchboard stands. */
+  /** Returns the current phase. */
   public LeaderPhase phase() {
     return phase;
   }
 
-  /** The chief it heeds or is; null where there is none. */
+  /** Returns the address of the leader that this proxy follows or is; null if there is none. */
   public String leader() {
     return leader;
   }
 
-  /** The orders in force; null where there are none. */
+  /** Returns the directive in force; null if there is none. */
   public LeaderDirective directive() {
     return directive;
   }
 
-  /** The mark and term under which the present chief acts. */
+  /**
+   * Returns the electorate version and term under which the present leader acts; a leader with a
+   * higher pair supersedes it.
+   */
   public long[] fencingToken() {
     return new long[] {leaderElectorateVersion, leaderTerm};
   }
 
-  /** How many orders and candidacies were refused as stale, foreign or unknown. */
+  /**
+   * Returns how many directives, acknowledgements and vote requests were refused as stale or as
+   * sent by a proxy outside the electorate.
+   */
   public long refusedMessages() {
     return refusedMessages;
   }
 
-  /** The counters, as one line. */
+  /** Returns the counters as one line for the log. */
   public String counters(final long now) {
-    return "chief "
+    return "region leader "
         + phase
         + " "
         + (leader == null ? "none" : leader)
         + " for "
         + (now - phaseSince)
-        + " ms mark "
+        + " ms, electorate version "
         + leaderElectorateVersion
         + " term "
         + leaderTerm
         + " elections "
         + elections
-        + " orders refused "
+        + " messages refused "
         + refusedMessages;
   }
 }
--- a/regionleader/src/main/java/weldpoint/regionleader/LeaderPhase.java
+++ b/regionleader/src/main/java/weldpoint/regionleader/LeaderPhase.java
@@ -1,19 +1,22 @@
 package weldpoint.regionleader;
 
-/** How a switchboard stands toward the chief of its region. */
+/** A proxy's phase in the election of its region's leader. */
 public enum LeaderPhase {
-  /** The core is heard; there is no chief and none is wanted. */
+  /** The core is reachable; there is no leader and none is needed. */
   CORE_REACHABLE,
-  /** The core is silent; the wait before an election runs, or an election found no majority. */
+  /**
+   * The core is unreachable and no leader is known: the delay before an election is running, or an
+   * election found no majority.
+   */
   NO_LEADER,
-  /** It stands for election. */
+  /** The proxy has requested votes and waits for a majority. */
   CANDIDATE,
-  /** It heeds a chief. */
+  /** The proxy follows another proxy's directives. */
   FOLLOWER,
-  /** It is the chief. */
+  /** The proxy is the leader. */
   LEADER;
 
-  /** Whether orders of a chief are in force. */
+  /** Returns whether a leader's directive is in force. */
   public boolean hasLeader() {
     return this == FOLLOWER || this == LEADER;
   }
--- a/regionleader/src/main/java/weldpoint/regionleader/RegionAssessment.java
+++ b/regionleader/src/main/java/weldpoint/regionleader/RegionAssessment.java
@@ -9,9 +9,9 @@
 import weldpoint.transport.RegionMessages.ProxyObservations;
 
 /**
- * What a chief makes of what its region's switchboards see: one admission for what may be repeated,
- * each one's part of what the region held, the upstreams that several find silent, and the writes
- * whose fate is unknown.
+ * What a leader derives from the observations of its region's proxies: one admission ratio for
+ * repeatable requests, each proxy's share of the budgets that the region had, the upstreams that
+ * several proxies report as silent, and the writes whose outcome is unknown.
  */
 public record RegionAssessment(
     double admissionRatio,
@@ -19,12 +19,15 @@
     List<Double> budgetShares,
     List<String> suspectUpstreams,
     List<String> uncertainWrites) {
+  /** Share of the carried load that may be used; writes are subtracted from it first. */
   private static final double TARGET_UTILIZATION = 0.9;
+
   private static final int MAX_UNCERTAIN_WRITES = 4000;
 
   /**
-   * Merges sights; regionPart is the region's part of the whole system's budgets when the core was
-   * last heard.
+   * Merges the observations; {@code regionShare} is the region's share of the whole system's
+   * budgets when the core was last reached. The region's share is reduced by the proportion of the
+   * {@code electorCount} proxies that have not reported.
    */
   public static RegionAssessment of(
       final List<ProxyObservations> allObservations,
@@ -78,7 +81,7 @@
         admissionRatio, addresses, budgetShares, suspectUpstreams, uncertainWrites);
   }
 
-  /** One switchboard's part under an order; 0 where the order gives it none. */
+  /** Returns a proxy's budget share under a directive; 0 if the directive gives it none. */
   public static double budgetShare(
       final RegionMessages.LeaderDirective directive, final String address) {
     final int index = Protocol.list(directive.addresses).indexOf(address);
--- a/regionleader/src/main/java/weldpoint/regionleader/UncertainWrites.java
+++ b/regionleader/src/main/java/weldpoint/regionleader/UncertainWrites.java
@@ -9,20 +9,25 @@
 import java.util.Set;
 
 /**
- * The writes that one switchboard has sent on and whose fate it does not know, and those that its
- * chief tells of: none of them is sent again. It also says, by kind, what an order lets in.
+ * Keeps the ids of writes that a proxy must not send (again): those in flight here, those that have
+ * or may have been executed, and those whose outcome is unknown elsewhere in the region according
+ * to the leader. Not thread-safe.
  */
 public final class UncertainWrites {
   private static final int MAX_TRACKED_WRITES = 20_000;
 
+  /** By write id, when the write was or may have been executed; oldest first. */
   private final LinkedHashMap<String, Long> maybeExecutedAt = new LinkedHashMap<>();
+
   private final Map<String, Integer> inFlight = new HashMap<>();
   private Set<String> uncertainElsewhere = Set.of();
+
+  /** Ids of the writes in {@code maybeExecutedAt} whose outcome is unknown. */
   private final List<String> unresolvedIds = new ArrayList<>();
 
   /**
-   * Takes a write that is about to be sent; false where it is under way or may have run, here or
-   * elsewhere.
+   * Registers a write that is about to be sent; false if it is in flight, or may have been executed
+   * here or elsewhere, and so must not be sent.
    */
   public boolean tryBegin(final String id) {
     if (id == null) {
@@ -37,12 +42,12 @@
     return true;
   }
 
-  /** The upstream did not run it: it may be sent again. */
+  /** Records that the upstream did not execute the write, so it may be sent again. */
   public void recordNotExecuted(final String id) {
     inFlight.remove(id);
   }
 
-  /** It has run, or may have. */
+  /** Records that the write was executed, or may have been. */
   public void recordExecuted(final String id, final boolean outcomeKnown, final long now) {
     if (id == null) {
       return;
@@ -57,12 +62,15 @@
     }
   }
 
-  /** Takes the ids that the region's switchboards are unsure of. */
+  /** Replaces the ids of the writes whose outcome is unknown elsewhere in the region. */
   public void uncertainElsewhere(final List<String> ids) {
     uncertainElsewhere = ids.isEmpty() ? Set.of() : new HashSet<>(ids);
   }
 
-  /** The ids of unknown fate within so many milliseconds, for the chief. */
+  /**
+   * Returns the ids of writes of the last {@code windowMillis} whose outcome is unknown, to be
+   * reported to the leader.
+   */
   public List<String> recentlyUncertain(final long now, final long windowMillis) {
     unresolvedIds.removeIf(
         id -> now - maybeExecutedAt.getOrDefault(id, Long.MIN_VALUE / 2) > windowMillis);
--- a/regionleader/src/test/java/weldpoint/regionleader/LeaderElectionTest.java
+++ b/regionleader/src/test/java/weldpoint/regionleader/LeaderElectionTest.java
@@ -12,6 +12,7 @@
 import weldpoint.transport.RegionMessages.LeaderDirective;
 import weldpoint.transport.RegionMessages.LeaderVoteRequest;
 
+/** Checks elections, leader leases and at-most-once writes in simulated regions without a core. */
 public class LeaderElectionTest {
   private static SimulatedRegion region(final long seed, final int size) {
     return new SimulatedRegion(seed, size, id -> false);
@@ -50,7 +51,7 @@
     region.coreUp = false;
     region.partitioned = pair -> isLowAddress(pair[0]) != isLowAddress(pair[1]);
     region.run(15_000);
-    assertTrue(region.activeLeaders().isEmpty(), "three of six are no majority");
+    assertTrue(region.activeLeaders().isEmpty(), "three of six proxies are not a majority");
     region.partitioned = pair -> false;
     region.run(15_000);
     assertEquals(region.activeLeaders().size(), 1);
@@ -62,7 +63,7 @@
       all.get(index).restart();
     }
     other.run(15_000);
-    assertTrue(other.activeLeaders().isEmpty(), "those in a new life are no electors");
+    assertTrue(other.activeLeaders().isEmpty(), "restarted proxies are not electors");
   }
 
   private static boolean isLowAddress(final String address) {
@@ -168,7 +169,8 @@
         new LeaderDirective(
             "north", 1, term, leader.address, leader.incarnation, 1, 0, 0, null, null, null, null),
         region.now);
-    assertEquals(follower.election.directive(), directiveBefore, "nothing of that is taken");
+    assertEquals(
+        follower.election.directive(), directiveBefore, "none of these directives is accepted");
     assertEquals(follower.election.refusedMessages() - refusedBefore, 5);
     follower.election.receive(
         "10.0.0.99", 7, new LeaderVoteRequest("north", 1, term + 9, "10.0.0.99", 7), region.now);
@@ -176,8 +178,8 @@
   }
 
   /**
-   * A busy morning with the core cut off: chiefs killed, the region split, restarts, answers lost,
-   * more asked than fits.
+   * Runs a region under load beyond its capacity while the core is unreachable: leaders are killed
+   * and restarted, the region is partitioned, and answers are lost.
    */
   private static SimulatedRegion runCoreOutage(
       final long seed, final boolean checkDisabled, final boolean twoLeaders) {
@@ -222,7 +224,7 @@
   public void everyWriteRunsAtMostOnceDuringACoreOutage() {
     for (long seed = 0; seed < 25; seed++) {
       final SimulatedRegion region = runCoreOutage(seed, false, false);
-      assertFalse(region.leaderHistory.isEmpty(), "seed " + seed + ": a chief acted");
+      assertFalse(region.leaderHistory.isEmpty(), "seed " + seed + ": a leader was elected");
       assertTrue(region.violations.isEmpty(), "seed " + seed + region.violations);
       int writes = 0;
       for (final var entry : region.runs.entrySet()) {
@@ -237,7 +239,8 @@
           assertTrue(region.runs.containsKey(entry.getKey()));
         }
       }
-      assertTrue(writes > 1580, "seed " + seed + ": only " + writes + " of 1600 writes arrived");
+      assertTrue(
+          writes > 1580, "seed " + seed + ": only " + writes + " of 1600 writes were executed");
     }
   }
 
@@ -252,7 +255,7 @@
         duplicated += entry.getKey().startsWith("write") && entry.getValue() > 1 ? 1 : 0;
       }
     }
-    assertTrue(duplicated > 0, "without the check a lost answer doubles a write");
+    assertTrue(duplicated > 0, "without the check, a lost answer leads to a duplicate write");
   }
 
   @Test
@@ -272,6 +275,6 @@
     assertEquals(
         RegionAssessment.of(List.of(lightlyLoaded), List.of("b"), 3, 0.6).admissionRatio(),
         1.0,
-        "nothing is held back while no write is refused");
+        "all requests are admitted while no write is refused");
   }
 }
--- a/regionleader/src/test/java/weldpoint/regionleader/SimulatedRegion.java
+++ b/regionleader/src/test/java/weldpoint/regionleader/SimulatedRegion.java
@@ -18,8 +18,8 @@
 import weldpoint.transport.RegionMessages.LeaderDirective;
 
 /**
- * The switchboards of one region on a fake clock and a fake network, with clients, and upstreams
- * that count what they run.
+ * Simulates the proxies of one region with a simulated clock and network, clients, and upstreams
+ * that count what they execute.
  */
 final class SimulatedRegion {
   static final LeaderElection.ElectionTimeouts TIMEOUTS =
@@ -27,7 +27,7 @@
 
   private record Event(long at, long sequence, Runnable action) {}
 
-  /** One switchboard of the moment. */
+  /** One simulated proxy; a restart gives it a new incarnation. */
   final class Proxy {
     final String address;
     long incarnation;
@@ -136,7 +136,7 @@
     publishElectorate(1);
   }
 
-  /** The core acknowledges who may vote. */
+  /** Publishes an electorate of all proxies in their present incarnations, as the core does. */
   void publishElectorate(final long version) {
     final List<Elector> electors = new ArrayList<>();
     proxies.values().forEach(proxy -> electors.add(new Elector(proxy.address, proxy.incarnation)));
@@ -179,7 +179,8 @@
   }
 
   /**
-   * Lets time pass, with ticks, and looks after every step for two chiefs under one mark and term.
+   * Advances the clock with regular ticks, and checks after every step that no two proxies lead
+   * under the same electorate version and term.
    */
   void run(final long millis) {
     final long until = now + millis;
@@ -214,7 +215,7 @@
             leaderByToken.putIfAbsent(fencingToken, proxy.address + "#" + proxy.incarnation);
         if (previous != null && !previous.equals(proxy.address + "#" + proxy.incarnation)) {
           violations.add(
-              "two chiefs under " + fencingToken + ": " + previous + " and " + proxy.address);
+              "two leaders under " + fencingToken + ": " + previous + " and " + proxy.address);
         }
         if (leaderHistory.isEmpty()
             || !leaderHistory.get(leaderHistory.size() - 1).equals(proxy.address)) {
@@ -224,7 +225,10 @@
     }
   }
 
-  /** A client makes a request at a board; it tries again elsewhere only what surely has not run. */
+  /**
+   * A client sends a request to a random proxy; it retries at another only what has certainly not
+   * been executed.
+   */
   void request(final String name, final boolean write, final int attemptsLeft) {
     final List<Proxy> all = new ArrayList<>(proxies.values());
     final Proxy proxy = all.get(random.nextInt(all.size()));
--- a/trial/src/main/java/weldpoint/trial/Lateness.java
+++ b/trial/src/main/java/weldpoint/trial/Lateness.java
@@ -1,12 +1,16 @@
 package weldpoint.trial;
 
-/** Whether the new version is late more often than the old route's own rate explains. */
+/**
+ * Tests statistically whether the new version answers late more often than the old version does.
+ * Used by proxies on their own counts and by the registry on the counts of all proxies.
+ */
 public final class Lateness {
   private Lateness() {}
 
   /**
-   * The chance, by Fisher's exact test, of so many late writes or more on the new version if both
-   * were alike: late of sent on the new, oldLate of oldSent on the old.
+   * Returns the one-sided p-value of Fisher's exact test: the probability of {@code newLate} or
+   * more late writes among the {@code newSent} writes of the new version if both versions were
+   * equally often late, given {@code oldLate} late writes among {@code oldSent} on the old version.
    */
   public static double pValue(
       final long newLate, final long newSent, final long oldLate, final long oldSent) {
@@ -23,7 +27,10 @@
     return Math.min(1, sum);
   }
 
-  /** Whether that many are too many, at this allowance; an allowance of 0 suffers none at all. */
+  /**
+   * Returns whether the new version has more late writes than {@code allowance}, the significance
+   * level of the test, permits. An allowance of 0 permits no late write at all.
+   */
   public static boolean exceedsAllowance(
       final long newLate,
       final long newSent,
--- a/trial/src/main/java/weldpoint/trial/TrialCoordinator.java
+++ b/trial/src/main/java/weldpoint/trial/TrialCoordinator.java
@@ -14,23 +14,35 @@
 import weldpoint.transport.TrialMessages.TrialCounts;
 
 /**
- * An exchange's side of trials: it checks orders, gathers what switchboards have counted, and says
- * when a trial has to be held. Everything it knows besides the trials themselves is told again by
- * the switchboards, so nothing of it is kept.
+ * The registry's part in trials (staged rollouts of a route's new version): it validates operators'
+ * requests, sums the counts that proxies report, and decides when a trial must be held, that is,
+ * when the new version must get no more traffic. Only the trials themselves are stored; the counts
+ * are reported again by the proxies, so they are kept in memory only. Not thread-safe; takes the
+ * time in milliseconds from its caller.
  */
 public final class TrialCoordinator {
+  /** A proxy whose last report is older than this has not reported on the stage. */
   private static final long REPORT_FRESHNESS_MILLIS = 2500;
+
   private static final int MAX_DIGESTS = 200_000;
 
   private record ReceivedCounts(TrialCounts trialCounts, long receivedAt) {}
 
   private final Map<String, Trial> trials = new LinkedHashMap<>();
   private final Map<String, Map<String, ReceivedCounts>> countsByRoute = new HashMap<>();
+
+  /** By attempt digest, the reporter (proxy address and incarnation) that sent it, oldest first. */
   private final Map<Long, String> reporterByDigest = new LinkedHashMap<>();
+
+  /** Digests of attempts that were sent by more than one proxy, on {@code duplicateRoute}. */
   private final List<String> duplicateDigests = new ArrayList<>();
+
   private String duplicateRoute;
 
-  /** Takes the trials as the frame holds them. */
+  /**
+   * Replaces the known trials by those read from the state store; of two copies of a trial, the one
+   * with the higher serial wins.
+   */
   public void updateTrials(final List<Trial> storedTrials) {
     final Map<String, Trial> updatedTrials = new LinkedHashMap<>();
     for (final Trial trial : storedTrials) {
@@ -48,7 +60,7 @@
     trials.putAll(updatedTrials);
   }
 
-  /** The trials known here. */
+  /** Returns a copy of the list of known trials. */
   public List<Trial> trials() {
     return new ArrayList<>(trials.values());
   }
@@ -57,7 +69,12 @@
     return new WeldpointException(WeldpointException.Kind.INVALID, message);
   }
 
-  /** Checks an order to begin, against the configuration in force; a trial that may be written. */
+  /**
+   * Validates a request to begin a trial against the configuration in force and returns the trial
+   * to be written. The stages are percentages of the traffic; a stage of 0 % (the rehearsal, which
+   * only requests with the token reach) is put before them. Throws {@code WeldpointException} if
+   * the request is invalid or a trial of the route is open.
+   */
   public Trial begin(
       final String route,
       final String oldService,
@@ -71,7 +88,7 @@
     if (previous != null && TrialVerdict.of(previous) != TrialVerdict.FINISHED) {
       throw new WeldpointException(
           WeldpointException.Kind.CONFLICT,
-          "route " + route + " is under trial already; finish that one first");
+          "route " + route + " already has an open trial; finish that trial first");
     }
     final String mismatch = configurationMismatch(route, oldService, newService, routingTable);
     if (mismatch != null) {
@@ -79,25 +96,24 @@
     }
     if (token == null || token.length() < 8) {
       throw invalidRequest(
-          "the rehearsal's token has under 8 characters; give a longer one that only testers know");
+          "the rehearsal token has fewer than 8 characters; give a longer, secret one");
     }
     if (stages == null || stages.isEmpty()) {
-      throw invalidRequest(
-          "the trial has no stages; give rising shares in per cent, such as 1, 10, 50");
+      throw invalidRequest("the trial has no stages; give rising percentages, such as 1, 10, 50");
     }
     int previousShare = 0;
     for (final Integer share : stages) {
       if (share == null || share <= previousShare || share > 100) {
         throw invalidRequest(
-            "the shares "
+            "the stages "
                 + stages
-                + " do not rise from above 0 to at most 100; give rising shares in per cent");
+                + " do not rise from above 0 to at most 100; give rising percentages");
       }
       previousShare = share;
     }
     if (leastWrites < 1 || lateAllowance < 0 || lateAllowance >= 1) {
       throw invalidRequest(
-          "the least writes must be 1 or more, and the allowance for late ones from 0 to below 1");
+          "least-writes must be at least 1, and late-allowance at least 0 and below 1");
     }
     final List<Integer> allStages = new ArrayList<>();
     allStages.add(0);
@@ -119,7 +135,7 @@
         0);
   }
 
-  /** Why a trial does not fit a configuration; null where it does. */
+  /** Returns why a trial does not match the configuration; null if it does. */
   public static String configurationMismatch(
       final String route,
       final String oldService,
@@ -127,10 +143,10 @@
       final RoutingTable routingTable) {
     final Route configured = routingTable == null ? null : routingTable.route(route);
     if (configured == null) {
-      return "the route " + route + " is not in the configuration in force; name one that is";
+      return "route " + route + " is not in the configuration in force; name one that is";
     }
     if (configured.kind.repeatable()) {
-      return "the route " + route + " is no mutating one; a trial watches writes";
+      return "route " + route + " is no mutating one; a trial needs a route that carries writes";
     }
     boolean hasOld = false;
     boolean hasNew = false;
@@ -139,13 +155,13 @@
       hasNew |= routingTable.services().get(serviceIndex).name().equals(newService);
     }
     if (!hasOld || !hasNew || oldService.equals(newService)) {
-      return "the route "
+      return "route "
           + route
           + " has no split between "
           + oldService
           + " and "
           + newService
-          + "; send a configuration with one first";
+          + "; replace the configuration by one with this split first";
     }
     return null;
   }
@@ -153,14 +169,14 @@
   private Trial openTrial(final String route) {
     final Trial trial = trials.get(route);
     if (trial == null || TrialVerdict.of(trial) == TrialVerdict.FINISHED) {
-      throw invalidRequest("no trial is under way on route " + route + "; begin one");
+      throw invalidRequest("route " + route + " has no open trial; begin one");
     }
     return trial;
   }
 
   /**
-   * Checks an order to go on to the next stage; live names the switchboards that should have
-   * reported.
+   * Validates a request to advance to the next stage and returns the trial to be written; {@code
+   * liveProxies} lists the addresses of the proxies that must have reported on the present stage.
    */
   public Trial advance(
       final String route,
@@ -171,27 +187,30 @@
     if (TrialVerdict.of(trial) == TrialVerdict.HELD) {
       throw new WeldpointException(
           WeldpointException.Kind.CONFLICT,
-          "the trial is held for good (" + trial.reason + "); finish it and begin another");
+          "the trial is held and cannot be resumed ("
+              + trial.reason
+              + "); finish it and begin a new one");
     }
     if (trial.stage + 1 >= trial.stages.size()) {
       throw invalidRequest(
-          "the trial is at its last stage; finish it, and move the weights by a configuration");
+          "the trial is at its last stage; finish it, then change the weights of the split");
     }
     final String missing = missingEvidence(trial, liveProxies, registrySettled, now);
     if (missing != null) {
-      throw new WeldpointException(WeldpointException.Kind.CONFLICT, "undecided: " + missing);
+      throw new WeldpointException(
+          WeldpointException.Kind.CONFLICT, "not enough evidence to advance: " + missing);
     }
     return updated(trial, trial.stage + 1, TrialVerdict.RUNNING, "", List.of());
   }
 
-  /** What evidence is missing at the present stage; null where there is enough. */
+  /** Returns which evidence is missing at the present stage; null if there is enough. */
   public String missingEvidence(
       final Trial trial,
       final List<String> liveProxies,
       final boolean registrySettled,
       final long now) {
     if (!registrySettled) {
-      return "the core is not settled; wait until it is";
+      return "the registry has not settled yet; retry when it has";
     }
     final Map<String, ReceivedCounts> countsByReporter =
         countsByRoute.getOrDefault(trial.route, Map.of());
@@ -206,9 +225,9 @@
                 && TrialCounter.STAGE.valueIn(counts) == trial.stage;
       }
       if (!reported) {
-        return "switchboard "
+        return "proxy "
             + proxyAddress
-            + " has not reported on this stage; wait for it or take it away";
+            + " has not reported on this stage; wait for it or remove it";
       }
     }
     for (final ReceivedCounts received : countsByReporter.values()) {
@@ -224,15 +243,15 @@
             + confirmedWrites
             + " of "
             + trial.leastWrites
-            + " writes were confirmed on the new version at this stage; wait for more";
+            + " required writes were confirmed on the new version at this stage; wait for more";
   }
 
-  /** An order to hold. */
+  /** Returns the trial as held by an operator's request, to be written. */
   public Trial hold(final String route, final String reason) {
     return heldTrial(openTrial(route), reason, List.of());
   }
 
-  /** An order to finish. */
+  /** Returns the trial as finished by an operator's request, to be written. */
   public Trial finish(final String route) {
     return updated(
         openTrial(route),
@@ -283,7 +302,7 @@
         TrialVerdict.HELD.ordinal(),
         bothLost
             ? reason
-                + " (the old version lost writes too: "
+                + " (writes to the old version were lost too: "
                 + TrialCounter.OLD_LOST.valueIn(totals)
                 + ")"
             : reason,
@@ -291,7 +310,7 @@
         TrialCounter.NEW_SENT.valueIn(totals));
   }
 
-  /** Takes what a switchboard has counted; reports may come late, twice and in any order. */
+  /** Records what a proxy has counted. Reports may arrive late, more than once and in any order. */
   public void recordReport(final TrialMessages.TrialReport report, final long now) {
     for (final TrialCounts trialCounts : Protocol.list(report.tallies)) {
       final Trial trial = trials.get(trialCounts.route);
@@ -348,7 +367,7 @@
         holdSource.attempts);
   }
 
-  /** The counts of a route's trial over all switchboards. */
+  /** Returns the counts of a route's trial, summed over all proxies. */
   public long[] totals(final String route) {
     final long[] totals = TrialCounter.newCounts();
     for (final ReceivedCounts received : countsByRoute.getOrDefault(route, Map.of()).values()) {
@@ -360,7 +379,9 @@
     return totals;
   }
 
-  /** The trials that have to be held, as they should be written. */
+  /**
+   * Returns the trials that must be held or finished, in the state in which they must be written.
+   */
   public List<Trial> requiredUpdates(final RoutingTable routingTable) {
     final List<Trial> updates = new ArrayList<>();
     for (final Trial trial : trials.values()) {
@@ -381,14 +402,14 @@
       if (received.trialCounts.hold != null) {
         return heldTrial(
             trial,
-            received.trialCounts.hold + " (switchboard " + received.trialCounts.board + ")",
+            received.trialCounts.hold + " (reported by proxy " + received.trialCounts.board + ")",
             Protocol.list(received.trialCounts.attempts));
       }
     }
     if (trial.route.equals(duplicateRoute) && !duplicateDigests.isEmpty()) {
       return heldTrial(
           trial,
-          "doubled: one attempt was sent by two switchboards",
+          "duplicated: one attempt was sent by two proxies",
           new ArrayList<>(duplicateDigests.subList(0, Math.min(20, duplicateDigests.size()))));
     }
     final long[] totals = totals(trial.route);
@@ -396,7 +417,7 @@
         || TrialCounter.NEW_DUPLICATED.valueIn(totals) > 0) {
       return heldTrial(
           trial,
-          "lost or doubled: "
+          "lost or duplicated: "
               + TrialCounter.NEW_LOST.valueIn(totals)
               + " and "
               + TrialCounter.NEW_DUPLICATED.valueIn(totals),
@@ -428,7 +449,7 @@
           trial,
           trial.stage,
           TrialVerdict.FINISHED,
-          "a newer configuration no longer has the split: "
+          "a newer configuration no longer contains the split: "
               + configurationMismatch(
                   trial.route, trial.oldService, trial.newService, routingTable),
           List.of());
@@ -444,7 +465,7 @@
     return attempts.size() > 20 ? attempts.subList(0, 20) : attempts;
   }
 
-  /** What each switchboard has counted in a trial. */
+  /** Returns the counts of a trial by reporter (proxy address and incarnation). */
   public Map<String, long[]> countsByProxy(final Trial trial) {
     final Map<String, long[]> result = new LinkedHashMap<>();
     countsByRoute
--- a/trial/src/main/java/weldpoint/trial/TrialCounter.java
+++ b/trial/src/main/java/weldpoint/trial/TrialCounter.java
@@ -4,7 +4,9 @@
 import java.util.List;
 
 /**
- * What is counted for each version of a route under trial, writes apart from all other requests.
+ * The counters that a proxy keeps for each version of a route under trial; writes are counted apart
+ * from all other requests. Counts are reported as a list in the order of these constants, so that
+ * order must not change.
  */
 public enum TrialCounter {
   OLD_SENT,
@@ -27,17 +29,17 @@
 
   private static final int SIZE = values().length;
 
-  /** Counts that are all 0. */
+  /** Returns a new array of counts, all 0. */
   public static long[] newCounts() {
     return new long[SIZE];
   }
 
-  /** This count among others. */
+  /** Returns the value of this counter in {@code counts}. */
   public long valueIn(final long[] counts) {
     return counts[ordinal()];
   }
 
-  /** One more of this. */
+  /** Increments this counter in {@code counts}. */
   public void incrementIn(final long[] counts) {
     counts[ordinal()]++;
   }
--- a/trial/src/main/java/weldpoint/trial/TrialTracker.java
+++ b/trial/src/main/java/weldpoint/trial/TrialTracker.java
@@ -13,29 +13,38 @@
 import weldpoint.transport.TrialMessages.TrialCounts;
 
 /**
- * A switchboard's side of trials: which version a request goes to, what became of it, and holding
- * back at once on its own evidence. It knows neither threads nor clocks.
+ * A proxy's part in trials (staged rollouts of a route's new version): it chooses the version that
+ * a request goes to, counts the outcomes, and stops sending to the new version as soon as its own
+ * counts require it. It starts no threads, takes no locks and reads no clock.
  */
 public final class TrialTracker {
   private static final int MAX_TRACKED_ATTEMPTS = 20_000;
 
-  /** How a write ended. */
+  /** The outcome of a write. */
   public enum WriteOutcome {
-    /** The upstream answered clearly. */
+    /** The upstream gave a definite answer. */
     CONFIRMED,
-    /** It was sent, and no clear answer came. */
+    /** The write was sent, but no definite answer arrived. */
     LOST,
-    /** It surely did not run. */
+    /** The write was certainly not executed. */
     NOT_EXECUTED,
   }
 
   private static final class TrialState {
     Trial trial;
     final long[] counts = TrialCounter.newCounts();
+
+    /** By attempt digest, whether the write went to the new version; oldest first. */
     final Map<Long, Boolean> sentToNew = new LinkedHashMap<>();
+
+    /** Digests of attempts in {@code sentToNew} that were confirmed. */
     final Set<Long> answered = new HashSet<>();
+
     final List<Long> unreportedDigests = new ArrayList<>();
+
+    /** Why this proxy holds the trial on its own counts; null if it does not. */
     String holdReason;
+
     final List<String> attempts = new ArrayList<>();
   }
 
@@ -45,18 +54,21 @@
   private long registerVersion = -1;
   private Runnable urgentReportListener = () -> {};
 
-  /** A book of the switchboard with this address and incarnation. */
+  /** Creates a tracker for the proxy with this address and incarnation. */
   public TrialTracker(final String proxyAddress, final long incarnation) {
     this.proxyAddress = proxyAddress;
     this.incarnation = incarnation;
   }
 
-  /** Runs this as soon as something has to be reported at once. */
+  /** Sets the callback that is run whenever something must be reported at once. */
   public void urgentReportListener(final Runnable listener) {
     urgentReportListener = listener;
   }
 
-  /** Takes the trials in force; older ones than those known change nothing. */
+  /**
+   * Replaces the trials by those stored under {@code storedVersion}; does nothing if that version
+   * is not newer than the known one.
+   */
   public void updateTrials(final List<Trial> trials, final long storedVersion) {
     if (storedVersion <= registerVersion) {
       return;
@@ -81,21 +93,24 @@
     statesByRoute.keySet().retainAll(storedRoutes);
   }
 
-  /** Whether no trial concerns anything; what is asked otherwise costs nothing then. */
+  /**
+   * Returns whether there is no trial at all; callers check this first to save the cost of the
+   * other methods.
+   */
   public boolean hasNoTrials() {
     return statesByRoute.isEmpty();
   }
 
-  /** Whether a route is under trial. */
+  /** Returns whether a route has a trial that is not finished. */
   public boolean isUnderTrial(final String route) {
     final TrialState state = statesByRoute.get(route);
     return state != null && TrialVerdict.of(state.trial) != TrialVerdict.FINISHED;
   }
 
   /**
-   * The service for a request on a route under trial. The spec's own choice stands where it is
-   * neither of the two versions; between the two, the stage decides, and the token in the
-   * rehearsal.
+   * Returns the service for a request on a route. The configuration's own choice stands if it is
+   * neither of the trial's two versions; between the two, the share of the present stage decides,
+   * and in the rehearsal the token. {@code draw} is a random number from 0 to below 1.
    */
   public String chooseService(
       final String route, final String configuredService, final String token, final double draw) {
@@ -129,6 +144,9 @@
     return hash ^ hash >>> 29;
   }
 
+  /**
+   * Returns the trial's state if the route is under trial and the service is one of its versions.
+   */
   private TrialState stateFor(final String route, final String service) {
     final TrialState state = isUnderTrial(route) ? statesByRoute.get(route) : null;
     return state != null
@@ -137,7 +155,7 @@
         : null;
   }
 
-  /** A write goes to one of the two versions. */
+  /** Records that a write is sent to one of the two versions. */
   public void recordSent(final String route, final String service, final String attempt) {
     final TrialState state = stateFor(route, service);
     if (state == null) {
@@ -160,7 +178,10 @@
     }
   }
 
-  /** A write has ended at one of the two versions, after so many milliseconds of the target's. */
+  /**
+   * Records the outcome of a write at one of the two versions. A confirmed write that took longer
+   * than {@code targetMillis}, the route's latency target, counts as late.
+   */
   public void recordEnded(
       final String route,
       final String service,
@@ -191,14 +212,19 @@
         (toNew ? TrialCounter.NEW_LOST : TrialCounter.OLD_LOST).incrementIn(state.counts);
         if (toNew) {
           hold(
-              state, "lost: a write was sent to " + service + " and no clear answer came", attempt);
+              state,
+              "lost: a write was sent to " + service + " and no definite answer arrived",
+              attempt);
         }
       }
       default -> state.sentToNew.remove(digest(attempt));
     }
   }
 
-  /** An answer came for an attempt that had been answered, or is not the one due. */
+  /**
+   * Records an answer that was not expected: the attempt had been answered before, or it was not
+   * the one whose answer was due.
+   */
   public void recordSurplusAnswer(final String attempt) {
     final long digest = digest(attempt);
     for (final TrialState state : statesByRoute.values()) {
@@ -209,7 +235,7 @@
     }
   }
 
-  /** Counts a request of another kind at a service that is on trial. */
+  /** Counts a request that is not a write, at a service that is part of a trial. */
   public void recordOtherRequest(final String service, final boolean succeeded) {
     for (final TrialState state : statesByRoute.values()) {
       if (service.equals(state.trial.oldService)) {
@@ -225,7 +251,7 @@
   private void recordDuplicate(final TrialState state, final boolean toNew, final String attempt) {
     (toNew ? TrialCounter.NEW_DUPLICATED : TrialCounter.OLD_DUPLICATED).incrementIn(state.counts);
     if (toNew) {
-      hold(state, "doubled: one attempt was run or answered more than once", attempt);
+      hold(state, "duplicated: one attempt was executed or answered more than once", attempt);
     }
   }
 
@@ -242,7 +268,7 @@
               + TrialCounter.NEW_LATE.valueIn(state.counts)
               + " of "
               + TrialCounter.NEW_CONFIRMED.valueIn(state.counts)
-              + " writes were late on one switchboard, "
+              + " writes were late at one proxy, "
               + TrialCounter.OLD_LATE.valueIn(state.counts)
               + " of "
               + TrialCounter.OLD_CONFIRMED.valueIn(state.counts)
@@ -265,8 +291,9 @@
   }
 
   /**
-   * What is to be reported; everything ever counted, and the digests since the last report, or all
-   * after a new stream.
+   * Creates the next report; null if there is no trial. It contains all counts since the trial
+   * began, and the digests of the attempts since the last report, or all of them if {@code full}
+   * (after a new connection).
    */
   public TrialMessages.TrialReport createReport(final boolean full) {
     if (statesByRoute.isEmpty()) {
@@ -299,7 +326,10 @@
     return new TrialMessages.TrialReport(false, trialCounts, digests);
   }
 
-  /** Whether the new version gets anything from this switchboard, besides the rehearsal. */
+  /**
+   * Returns whether the trial of this route is held, so that the new version gets no requests from
+   * this proxy.
+   */
   public boolean isHeld(final String route) {
     final TrialState state = statesByRoute.get(route);
     return state != null
--- a/trial/src/main/java/weldpoint/trial/TrialVerdict.java
+++ b/trial/src/main/java/weldpoint/trial/TrialVerdict.java
@@ -2,13 +2,18 @@
 
 import weldpoint.transport.TrialMessages.Trial;
 
-/** Where a trial stands. */
+/**
+ * The status of a trial. Trials are stored with the ordinal, so the order of the constants must not
+ * change.
+ */
 public enum TrialVerdict {
-  /** Under way. */
+  /** The trial is open and may advance. */
   RUNNING(true),
-  /** Held back for good: the new version gets nothing. */
+  /** The trial is held and cannot be resumed; the new version gets no requests. */
   HELD(false),
-  /** Finished by the operator or by a configuration that changed the route. */
+  /**
+   * The trial was finished by an operator, or by a configuration that no longer contains the split.
+   */
   FINISHED(false);
 
   private static final TrialVerdict[] ALL = values();
@@ -18,12 +23,12 @@
     this.open = open;
   }
 
-  /** Whether the trial may still move. */
+  /** Returns whether the trial can still advance. */
   public boolean open() {
     return open;
   }
 
-  /** The verdict of a trial. */
+  /** Returns the status of a trial. */
   public static TrialVerdict of(final Trial trial) {
     return ALL[trial.verdict];
   }
--- a/trial/src/test/java/weldpoint/trial/LatenessTest.java
+++ b/trial/src/test/java/weldpoint/trial/LatenessTest.java
@@ -6,7 +6,7 @@
 
 import org.testng.annotations.Test;
 
-/** The exact test against cases worked by hand. */
+/** Checks the test for lateness against p-values calculated by hand. */
 public final class LatenessTest {
   @Test
   public void pValueMatchesFishersExactTest() {
