--- a/trial/src/main/java/weldpoint/trial/TrialCoordinator.java
+++ b/trial/src/main/java/weldpoint/trial/TrialCoordinator.java
@@ -71,9 +71,9 @@
 
   /**
    * Validates a request to begin a trial against the configuration in force and returns the trial
-   * to be written. The stages are percentages of the traffic; a stage of 0 % (the rehearsal, which
-   * only requests with the token reach) is put before them. Throws {@code WeldpointException} if
-   * the request is invalid or a trial of the route is open.
+   * to be written. The stages are percentages of the traffic; a stage of 0 % (the rehearsal, in
+   * which only requests with the token reach the new version) is put before them. Throws {@code
+   * WeldpointException} if the request is invalid or a trial of the route is open.
    */
   public Trial begin(
       final String route,
--- a/trial/src/main/java/weldpoint/trial/TrialTracker.java
+++ b/trial/src/main/java/weldpoint/trial/TrialTracker.java
@@ -109,8 +109,9 @@
 
   /**
    * Returns the service for a request on a route. The configuration's own choice stands if it is
-   * neither of the trial's two versions; between the two, the share of the present stage decides,
-   * and in the rehearsal the token. {@code draw} is a random number from 0 to below 1.
+   * neither of the trial's two versions. Between the two, a held trial always gives the old
+   * version, a request with the trial's token gets the new one, and for all others the share of the
+   * present stage decides. {@code draw} is a random number from 0 to below 1.
    */
   public String chooseService(
       final String route, final String configuredService, final String token, final double draw) {
