--- a/affinity/src/test/java/weldpoint/affinity/AffinitySimulation.java
+++ b/affinity/src/test/java/weldpoint/affinity/AffinitySimulation.java
@@ -44,7 +44,7 @@
     boolean draining;
     boolean running = true;
     boolean frozen;
-    final Map<String, Integer> working = new HashMap<>();
+    final Map<String, Integer> executing = new HashMap<>();
 
     Node(final String id, final String address) {
       this.id = id;
@@ -102,7 +102,7 @@
   private final Map<String, Integer> runs = new HashMap<>();
   private final Map<String, Set<String>> ranAt = new HashMap<>();
   private final Set<String> confirmed = new HashSet<>();
-  private final Map<String, Set<String>> nodesWorkingFor = new HashMap<>();
+  private final Map<String, Set<String>> executingNodes = new HashMap<>();
   private final Map<String, String> lastNode = new HashMap<>();
   int confirmedCount;
   int refusedCount;
@@ -486,7 +486,7 @@
                         }));
             return;
           }
-          final int busy = node.working.values().stream().mapToInt(Integer::intValue).sum();
+          final int busy = node.executing.values().stream().mapToInt(Integer::intValue).sum();
           if (busy >= node.capacity * 2 || node.frozen) {
             after(
                 1,
@@ -530,8 +530,8 @@
       violations.add(id + " was executed twice");
     }
     ranAt.computeIfAbsent(id, key -> new HashSet<>()).add(node.id);
-    node.working.merge(caller, 1, Integer::sum);
-    final Set<String> at = nodesWorkingFor.computeIfAbsent(caller, key -> new HashSet<>());
+    node.executing.merge(caller, 1, Integer::sum);
+    final Set<String> at = executingNodes.computeIfAbsent(caller, key -> new HashSet<>());
     at.add(node.id);
     if (at.size() > 1) {
       violations.add(
@@ -545,9 +545,9 @@
     after(
         took,
         () -> {
-          if (node.working.merge(caller, -1, Integer::sum) <= 0) {
-            node.working.remove(caller);
-            nodesWorkingFor.get(caller).remove(node.id);
+          if (node.executing.merge(caller, -1, Integer::sum) <= 0) {
+            node.executing.remove(caller);
+            executingNodes.get(caller).remove(node.id);
           }
           if (!node.running) {
             after(1, () -> deliver(proxy, generation, () -> uncertainCount++));
--- a/trial/src/main/java/weldpoint/trial/TrialCoordinator.java
+++ b/trial/src/main/java/weldpoint/trial/TrialCoordinator.java
@@ -264,7 +264,7 @@
   private static Trial updated(
       final Trial trial,
       final int stage,
-      final TrialVerdict verdict,
+      final TrialVerdict status,
       final String reason,
       final List<String> attempts) {
     return new Trial(
@@ -278,7 +278,7 @@
         stage,
         trial.leastWrites,
         trial.lateAllowance,
-        verdict.ordinal(),
+        status.ordinal(),
         reason,
         attempts,
         trial.writes);
