--- a/cache/src/main/java/weldpoint/cache/CacheDaemon.java
+++ b/cache/src/main/java/weldpoint/cache/CacheDaemon.java
@@ -28,7 +28,11 @@
 import weldpoint.transport.TrialMessages;
 import weldpoint.upstream.UpstreamPool;
 
-/** The shared cache as a process: copies and reads on one thread, control state on another. */
+/**
+ * The shared cache as a process. The cached objects and the fetches from origins live on the event
+ * loop thread; the connection to the registry and the state received over it live on the executor
+ * thread.
+ */
 public final class CacheDaemon implements Daemon {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
   private static final long TICK_MILLIS = 100;
@@ -45,7 +49,7 @@
   private final RegistryClient registry;
   private final RegistryStream stream;
 
-  /** A cache for these settings; nothing runs yet. */
+  /** Creates a cache daemon; it does nothing before {@link #start}. */
   public CacheDaemon(final Settings settings) {
     this.settings = settings;
     final long incarnation = RandomIds.next();
@@ -111,17 +115,17 @@
         final Map<RegistryMessages.Registration, Boolean> changes,
         final Set<String> evacuated,
         final Set<String> suspects,
-        final int switchboards) {
-      final List<UpstreamPool.Change> list = new ArrayList<>();
+        final int proxyCount) {
+      final List<UpstreamPool.Change> upstreamChanges = new ArrayList<>();
       changes.forEach(
-          (registration, open) -> list.add(new UpstreamPool.Change(registration, open)));
+          (registration, open) -> upstreamChanges.add(new UpstreamPool.Change(registration, open)));
       loop.execute(
           () -> {
             if (routingTable != null) {
-              cache.take(routingTable);
+              cache.updateRoutingTable(routingTable);
               upstreamPool.configuration(routingTable);
             }
-            upstreamPool.apply(list, now());
+            upstreamPool.apply(upstreamChanges, now());
             if (evacuated != null) {
               upstreamPool.evacuated(evacuated, now());
             }
@@ -132,21 +136,22 @@
     }
 
     @Override
-    public void trials(final List<TrialMessages.Trial> trials, final long mark) {
-      // an announcer carries no writes and takes no part in trials
+    public void trials(final List<TrialMessages.Trial> trials, final long version) {
+      // Cache daemons carry no writes, so trials of configurations do not involve them.
     }
 
     @Override
     public void purges(final CacheMessages.Purges purges) {
-      loop.execute(() -> cache.purged(purges));
+      loop.execute(() -> cache.updatePurges(purges));
     }
 
     @Override
-    public void reached(final long ageMillis, final int boards, final List<String> announcers) {
+    public void reached(
+        final long ageMillis, final int proxyCount, final List<String> cacheDaemons) {
       loop.execute(
           () -> {
-            cache.reached(ageMillis, now());
-            fetcher.announcers(announcers.size());
+            cache.majorityConfirmed(ageMillis, now());
+            fetcher.cacheDaemonCount(cacheDaemons.size());
           });
     }
 
@@ -157,7 +162,9 @@
 
     @Override
     public void admitted() {
-      LOGGER.atInfo().log("announcer %s has a view", settings.name());
+      LOGGER.atInfo().log(
+          "cache daemon %s is connected to the registry and has received its state",
+          settings.name());
     }
   }
 
@@ -178,7 +185,7 @@
           @Override
           public void messageReceived(final Connection connection, final Message message) {
             if (message instanceof CacheMessages.CacheReadRequest) {
-              cache.ask((CacheMessages.CacheReadRequest) message, connection::send, now());
+              cache.handleRead((CacheMessages.CacheReadRequest) message, connection::send, now());
             }
           }
         });
@@ -195,16 +202,16 @@
     loop.scheduleAtFixedRate(
         () ->
             LOGGER.atInfo().log(
-                "counters: %s read %s held %s %s",
-                cache.counters(), fetcher.sent, fetcher.held, permits.counters()),
+                "counters: %s fetch requests %s queue time-outs %s %s",
+                cache.counters(), fetcher.requestsSent, fetcher.queueTimeouts, permits.counters()),
         COUNTERS_MILLIS,
         COUNTERS_MILLIS,
         TimeUnit.MILLISECONDS);
   }
 
   @Override
-  public void reload(final Settings news) {
-    executor.execute(() -> registry.seeds(news.seeds()));
+  public void reload(final Settings newSettings) {
+    executor.execute(() -> registry.seeds(newSettings.seeds()));
   }
 
   @Override
@@ -212,7 +219,7 @@
     executor.execute(() -> registry.leave(now()));
     try {
       Thread.sleep(Math.min(1500, Math.max(300, settings.graceMillis() - 1000)));
-    } catch (final InterruptedException ended) {
+    } catch (final InterruptedException interrupted) {
       Thread.currentThread().interrupt();
     }
   }
--- a/cache/src/main/java/weldpoint/cache/CacheStore.java
+++ b/cache/src/main/java/weldpoint/cache/CacheStore.java
@@ -9,56 +9,60 @@
 import java.util.function.Predicate;
 
 /**
- * Copies, found by key, by place and by label; those used longest ago leave when the bytes run out.
+ * In-memory store of cached objects, indexed by key, by host and path, and by label (the cache tags
+ * in {@code Weldpoint-Labels}). When it exceeds its size in bytes, the least recently used objects
+ * are evicted. Used by {@link SharedCache} only, which is confined to one thread.
  */
 final class CacheStore {
-  private final long mostBytes;
-  private final LinkedHashMap<String, CachedObject> copies = new LinkedHashMap<>(64, 0.75f, true);
-  private final Map<String, Set<String>> places = new HashMap<>();
-  private final Map<String, Set<String>> labels = new HashMap<>();
+  private final long maxBytes;
+  private final LinkedHashMap<String, CachedObject> objects = new LinkedHashMap<>(64, 0.75f, true);
+  private final Map<String, Set<String>> keysByHostAndPath = new HashMap<>();
+  private final Map<String, Set<String>> keysByLabel = new HashMap<>();
   private long bytes;
 
-  CacheStore(final long mostBytes) {
-    this.mostBytes = mostBytes;
+  CacheStore(final long maxBytes) {
+    this.maxBytes = maxBytes;
   }
 
   CachedObject get(final String key) {
-    return copies.get(key);
+    return objects.get(key);
   }
 
   void put(final CachedObject object) {
     remove(object.key);
-    if (object.bytes() > mostBytes) {
+    if (object.bytes() > maxBytes) {
       return;
     }
-    copies.put(object.key, object);
+    objects.put(object.key, object);
     bytes += object.bytes();
-    places.computeIfAbsent(object.place, place -> new HashSet<>()).add(object.key);
+    keysByHostAndPath
+        .computeIfAbsent(object.hostAndPath, hostAndPath -> new HashSet<>())
+        .add(object.key);
     for (final String label : object.labels) {
-      labels.computeIfAbsent(label, name -> new HashSet<>()).add(object.key);
+      keysByLabel.computeIfAbsent(label, name -> new HashSet<>()).add(object.key);
     }
-    final Iterator<CachedObject> oldest =
+    final Iterator<CachedObject> leastRecentlyUsed =
         new java.util.ArrayList<>(
-                bytes > mostBytes ? copies.values() : java.util.List.<CachedObject>of())
+                bytes > maxBytes ? objects.values() : java.util.List.<CachedObject>of())
             .iterator();
-    while (bytes > mostBytes && oldest.hasNext()) {
-      remove(oldest.next().key);
+    while (bytes > maxBytes && leastRecentlyUsed.hasNext()) {
+      remove(leastRecentlyUsed.next().key);
     }
   }
 
   void remove(final String key) {
-    final CachedObject object = copies.remove(key);
+    final CachedObject object = objects.remove(key);
     if (object == null) {
       return;
     }
     bytes -= object.bytes();
-    forget(places, object.place, key);
+    removeFromIndex(keysByHostAndPath, object.hostAndPath, key);
     for (final String label : object.labels) {
-      forget(labels, label, key);
+      removeFromIndex(keysByLabel, label, key);
     }
   }
 
-  private static void forget(
+  private static void removeFromIndex(
       final Map<String, Set<String>> index, final String name, final String key) {
     final Set<String> keys = index.get(name);
     if (keys != null && keys.remove(key) && keys.isEmpty()) {
@@ -66,9 +70,13 @@
     }
   }
 
-  /** Removes what a purge names. */
-  void purge(final String place, final String label) {
-    final Set<String> keys = place != null ? places.get(place) : labels.get(label);
+  /**
+   * Removes the objects that a purge names: those with this host and path, or, where that is null,
+   * those with this label.
+   */
+  void purge(final String hostAndPath, final String label) {
+    final Set<String> keys =
+        hostAndPath != null ? keysByHostAndPath.get(hostAndPath) : keysByLabel.get(label);
     if (keys != null) {
       for (final String key : new java.util.ArrayList<>(keys)) {
         remove(key);
@@ -76,9 +84,9 @@
     }
   }
 
-  /** Removes all copies of which something holds. */
+  /** Removes all objects that match the condition. */
   void removeIf(final Predicate<CachedObject> condition) {
-    for (final CachedObject object : new java.util.ArrayList<>(copies.values())) {
+    for (final CachedObject object : new java.util.ArrayList<>(objects.values())) {
       if (condition.test(object)) {
         remove(object.key);
       }
@@ -86,14 +94,14 @@
   }
 
   void clear() {
-    copies.clear();
-    places.clear();
-    labels.clear();
+    objects.clear();
+    keysByHostAndPath.clear();
+    keysByLabel.clear();
     bytes = 0;
   }
 
   int size() {
-    return copies.size();
+    return objects.size();
   }
 
   long bytes() {
--- a/cache/src/main/java/weldpoint/cache/OriginFetcher.java
+++ b/cache/src/main/java/weldpoint/cache/OriginFetcher.java
@@ -30,30 +30,30 @@
 import weldpoint.upstream.UpstreamPool;
 
 /**
- * Reads objects from origins, within the part of their rate that this announcer may use. All of it
- * lives on the traffic thread.
+ * Fetches objects from origins, within the share of each origin's rate limit that this cache daemon
+ * may use. Used by {@link SharedCache}; confined to the event loop thread.
  */
 final class OriginFetcher implements SharedCache.Environment {
-  private static final long STEP_MILLIS = 25;
-  private static final long ASK_PAUSE_MILLIS = 90;
-  private static final int MOST_ASKED = 8;
-  private static final long LOT_MILLIS = 200;
-  private static final long MOST_HELD_MILLIS = 2500;
-  private static final double HELD_PART = 0.4;
-  private static final long MARGIN_MILLIS = 40;
-  private static final int MOST_TRIES = 3;
+  private static final long QUEUE_POLL_MILLIS = 25;
+  private static final long PERMIT_RETRY_MILLIS = 90;
+  private static final int MAX_PERMITS_PER_REQUEST = 8;
+  private static final long PERMIT_LIFETIME_MILLIS = 200;
+  private static final long MAX_QUEUED_MILLIS = 2500;
+  private static final double MAX_QUEUED_FRACTION = 0.4;
+  private static final long DEADLINE_MARGIN_MILLIS = 40;
+  private static final int MAX_ATTEMPTS = 3;
 
   private final EventLoopGroup loop;
   private final Settings settings;
   private final UpstreamPool upstreamPool;
   private final PermitPool permits;
   private final Random random;
-  private final Map<String, SlidingWindowCounter> counters = new HashMap<>();
-  private final Map<String, FetchQueue> waitings = new HashMap<>();
-  private final long openedAt = now();
-  private int announcers;
-  long sent;
-  long held;
+  private final Map<String, SlidingWindowCounter> localPermitCounters = new HashMap<>();
+  private final Map<String, FetchQueue> fetchQueues = new HashMap<>();
+  private final long createdAt = now();
+  private int cacheDaemonCount;
+  long requestsSent;
+  long queueTimeouts;
 
   OriginFetcher(
       final EventLoopGroup loop,
@@ -72,9 +72,12 @@
     return System.nanoTime() / 1_000_000;
   }
 
-  /** Takes how many announcers share what need not be asked for; the most ever seen counts. */
-  void announcers(final int count) {
-    announcers = Math.max(announcers, count);
+  /**
+   * Sets how many cache daemons divide the part of an origin's rate that is spent without permits
+   * from the registry. The largest number ever seen counts.
+   */
+  void cacheDaemonCount(final int count) {
+    cacheDaemonCount = Math.max(cacheDaemonCount, count);
   }
 
   @Override
@@ -83,15 +86,16 @@
       final String host,
       final String target,
       final String etag,
-      final IntSupplier weight,
-      final long cutoff,
-      final Consumer<SharedCache.FetchResult> done) {
-    new OriginFetch(binding, host, target, etag, weight, cutoff, done).permit();
+      final IntSupplier waiterCount,
+      final long deadline,
+      final Consumer<SharedCache.FetchResult> onResult) {
+    new OriginFetch(binding, host, target, etag, waiterCount, deadline, onResult)
+        .sendWhenPermitted();
   }
 
-  private boolean own(final RoutingTable.Service service, final long now) {
+  private boolean takeLocalPermit(final RoutingTable.Service service, final long now) {
     final long window = settings.originWindowMillis() + RateLimit.ORIGIN_TRANSIT_MILLIS;
-    if (announcers == 0 || !settings.firstStart() && now - openedAt < window) {
+    if (cacheDaemonCount == 0 || !settings.firstStart() && now - createdAt < window) {
       return false;
     }
     final double limit =
@@ -100,217 +104,225 @@
             * settings.originWindowMillis()
             / 1000.0
             * settings.originOvershoot()
-            / announcers;
-    return counters
+            / cacheDaemonCount;
+    return localPermitCounters
             .computeIfAbsent(service.name(), name -> new SlidingWindowCounter(window))
             .take(1, limit, now)
         > 0;
   }
 
-  /** Reads that wait until the origin may be asked again: those that most wait for go first. */
+  /**
+   * Fetches of one service that wait for a permit to send to its origin. The most urgent one is
+   * sent first: the one with the most waiting reads, divided by one plus the priority number of its
+   * route.
+   */
   private final class FetchQueue {
     private final RoutingTable.Service service;
-    private final List<OriginFetch> reads = new ArrayList<>();
-    private int lot;
-    private long lotAt;
-    private boolean asking;
-    private long askAt;
-    private boolean stepping;
+    private final List<OriginFetch> pending = new ArrayList<>();
+    private int permitsLeft;
+    private long permitsGrantedAt;
+    private boolean permitRequestPending;
+    private long nextPermitRequestAt;
+    private boolean pollScheduled;
 
     private FetchQueue(final RoutingTable.Service service) {
       this.service = service;
     }
 
-    private void add(final OriginFetch read) {
-      reads.add(read);
-      run();
+    private void add(final OriginFetch fetch) {
+      pending.add(fetch);
+      process();
     }
 
-    private void run() {
+    private void process() {
       final long now = now();
-      reads.removeIf(read -> read.over);
-      while (!reads.isEmpty() && take(now)) {
-        OriginFetch best = reads.get(0);
-        for (final OriginFetch read : reads) {
-          if (read.urgency() >= best.urgency()) {
-            best = read;
+      pending.removeIf(fetch -> fetch.completed);
+      while (!pending.isEmpty() && takePermit(now)) {
+        OriginFetch mostUrgent = pending.get(0);
+        for (final OriginFetch fetch : pending) {
+          if (fetch.urgency() >= mostUrgent.urgency()) {
+            mostUrgent = fetch;
           }
         }
-        reads.remove(best);
-        best.send();
+        pending.remove(mostUrgent);
+        mostUrgent.send();
       }
-      for (final OriginFetch read : new ArrayList<>(reads)) {
-        if (now - read.waitsSince
-                > Math.min(MOST_HELD_MILLIS, (long) (HELD_PART * (read.cutoff - read.waitsSince)))
-            || now >= read.cutoff) {
-          reads.remove(read);
-          held++;
-          if (read.running() == 0) {
-            read.end(new SharedCache.FetchResult(503, null, null));
+      for (final OriginFetch fetch : new ArrayList<>(pending)) {
+        if (now - fetch.startedAt
+                > Math.min(
+                    MAX_QUEUED_MILLIS,
+                    (long) (MAX_QUEUED_FRACTION * (fetch.deadline - fetch.startedAt)))
+            || now >= fetch.deadline) {
+          pending.remove(fetch);
+          queueTimeouts++;
+          if (fetch.runningAttempts() == 0) {
+            fetch.complete(new SharedCache.FetchResult(503, null, null));
           }
         }
       }
-      if (reads.isEmpty()) {
+      if (pending.isEmpty()) {
         return;
       }
-      if (!asking && now >= askAt) {
-        asking = true;
+      if (!permitRequestPending && now >= nextPermitRequestAt) {
+        permitRequestPending = true;
         permits.ask(
             RateLimit.ORIGIN.permit(service.name()),
-            Math.min(MOST_ASKED, reads.size()),
+            Math.min(MAX_PERMITS_PER_REQUEST, pending.size()),
             (granted, version, confirmedAt) -> {
-              asking = false;
-              askAt = now() + (granted == 0 ? ASK_PAUSE_MILLIS : 0);
-              lot = granted;
-              lotAt = now();
-              run();
+              permitRequestPending = false;
+              nextPermitRequestAt = now() + (granted == 0 ? PERMIT_RETRY_MILLIS : 0);
+              permitsLeft = granted;
+              permitsGrantedAt = now();
+              process();
             },
             now);
       }
-      if (!stepping) {
-        stepping = true;
+      if (!pollScheduled) {
+        pollScheduled = true;
         loop.schedule(
             () -> {
-              stepping = false;
-              run();
+              pollScheduled = false;
+              process();
             },
-            STEP_MILLIS,
+            QUEUE_POLL_MILLIS,
             TimeUnit.MILLISECONDS);
       }
     }
 
-    private boolean take(final long now) {
-      if (lot > 0 && now - lotAt < LOT_MILLIS) {
-        lot--;
+    private boolean takePermit(final long now) {
+      if (permitsLeft > 0 && now - permitsGrantedAt < PERMIT_LIFETIME_MILLIS) {
+        permitsLeft--;
         return true;
       }
-      lot = 0;
-      return own(service, now);
+      permitsLeft = 0;
+      return takeLocalPermit(service, now);
     }
   }
 
   private final class OriginFetch {
-    private final IntSupplier weight;
-    private final long waitsSince = now();
+    private final IntSupplier waiterCount;
+    private final long startedAt = now();
     private final RouteBinding binding;
     private final RoutingTable.Service service;
     private final Route route;
     private final String host;
     private final String target;
     private final String etag;
-    private final long cutoff;
-    private final Consumer<SharedCache.FetchResult> done;
-    private final List<Upstream> tried = new ArrayList<>();
+    private final long deadline;
+    private final Consumer<SharedCache.FetchResult> onResult;
+    private final List<Upstream> triedUpstreams = new ArrayList<>();
     private final List<UpstreamPool.Attempt> attempts = new ArrayList<>();
-    private int tries;
-    private boolean over;
+    private int attemptCount;
+    private boolean completed;
 
     private OriginFetch(
         final RouteBinding binding,
         final String host,
         final String target,
         final String etag,
-        final IntSupplier weight,
-        final long cutoff,
-        final Consumer<SharedCache.FetchResult> done) {
-      this.weight = weight;
+        final IntSupplier waiterCount,
+        final long deadline,
+        final Consumer<SharedCache.FetchResult> onResult) {
+      this.waiterCount = waiterCount;
       this.binding = binding;
       this.service = binding.service();
       this.route = binding.route();
       this.host = host;
       this.target = target;
       this.etag = etag;
-      this.cutoff = cutoff - MARGIN_MILLIS;
-      this.done = done;
+      this.deadline = deadline - DEADLINE_MARGIN_MILLIS;
+      this.onResult = onResult;
     }
 
     /**
-     * How many upstreams one read may be sent to: no more than the route allows for the request
-     * that caused it.
+     * How many upstreams one fetch may be sent to: no more than the route allows for the request
+     * that caused the fetch.
      */
-    private int most() {
-      return Math.min(MOST_TRIES, route.maxAttempts);
+    private int maxAttempts() {
+      return Math.min(MAX_ATTEMPTS, route.maxAttempts);
     }
 
-    private void permit() {
+    private void sendWhenPermitted() {
       final long now = now();
-      if (over) {
+      if (completed) {
         return;
       }
-      if (now >= cutoff || tries >= most()) {
-        end(new SharedCache.FetchResult(503, null, null));
+      if (now >= deadline || attemptCount >= maxAttempts()) {
+        complete(new SharedCache.FetchResult(503, null, null));
         return;
       }
       if (service.ratePerSecond() <= 0) {
         send();
         return;
       }
-      waitings.computeIfAbsent(service.name(), name -> new FetchQueue(service)).add(this);
+      fetchQueues.computeIfAbsent(service.name(), name -> new FetchQueue(service)).add(this);
     }
 
     private double urgency() {
-      return (1.0 + weight.getAsInt()) / (1 + Math.max(0, route.priority));
+      return (1.0 + waiterCount.getAsInt()) / (1 + Math.max(0, route.priority));
     }
 
     private void send() {
       final long now = now();
-      if (over) {
+      if (completed) {
         return;
       }
-      if (upstreamPool.choose(binding, tried, now) != UpstreamPool.Choice.CHOSEN) {
-        if (running() == 0) {
-          end(new SharedCache.FetchResult(503, null, null));
+      if (upstreamPool.choose(binding, triedUpstreams, now) != UpstreamPool.Choice.CHOSEN) {
+        if (runningAttempts() == 0) {
+          complete(new SharedCache.FetchResult(503, null, null));
         }
         return;
       }
       final Upstream upstream = upstreamPool.chosen();
-      tried.add(upstream);
-      tries++;
-      sent++;
+      triedUpstreams.add(upstream);
+      attemptCount++;
+      requestsSent++;
       final DefaultFullHttpRequest request =
           new DefaultFullHttpRequest(
               HttpVersion.HTTP_1_1, HttpMethod.GET, target, Unpooled.EMPTY_BUFFER);
-      final String id = String.format("%016x", random.nextLong());
+      final String attemptId = String.format("%016x", random.nextLong());
       request
           .headers()
           .set(HttpHeaderNames.HOST, host)
-          .set(Headers.ATTEMPT_ID, id)
-          .set(Headers.DEADLINE, Math.max(1, cutoff - now))
+          .set(Headers.ATTEMPT_ID, attemptId)
+          .set(Headers.DEADLINE, Math.max(1, deadline - now))
           .set(Headers.TARGET, upstream.id());
       if (etag != null) {
         request.headers().set(HttpHeaderNames.IF_NONE_MATCH, etag);
       }
-      attempts.add(upstreamPool.send(upstream, binding, request, id, now, cutoff, this::ended));
-      final long patience =
-          Math.min(cutoff - now, Math.max(100, (long) (0.6 * route.targetMillis)));
+      attempts.add(
+          upstreamPool.send(
+              upstream, binding, request, attemptId, now, deadline, this::attemptEnded));
+      final long hedgeDelayMillis =
+          Math.min(deadline - now, Math.max(100, (long) (0.6 * route.targetMillis)));
       loop.schedule(
           () -> {
-            if (!over
-                && running() > 0
-                && now() + MARGIN_MILLIS < cutoff
-                && tries < Math.min(2, most())
-                && !crowded()) {
-              permit();
+            if (!completed
+                && runningAttempts() > 0
+                && now() + DEADLINE_MARGIN_MILLIS < deadline
+                && attemptCount < Math.min(2, maxAttempts())
+                && !othersQueued()) {
+              sendWhenPermitted();
             }
           },
-          patience,
+          hedgeDelayMillis,
           TimeUnit.MILLISECONDS);
       loop.schedule(
           () -> {
-            if (!over && now() >= cutoff) {
-              end(new SharedCache.FetchResult(503, null, null));
+            if (!completed && now() >= deadline) {
+              complete(new SharedCache.FetchResult(503, null, null));
             }
           },
-          Math.max(1, cutoff - now),
+          Math.max(1, deadline - now),
           TimeUnit.MILLISECONDS);
     }
 
-    private boolean crowded() {
-      final FetchQueue waiting = waitings.get(service.name());
-      return waiting != null && !waiting.reads.isEmpty();
+    private boolean othersQueued() {
+      final FetchQueue queue = fetchQueues.get(service.name());
+      return queue != null && !queue.pending.isEmpty();
     }
 
-    private int running() {
+    private int runningAttempts() {
       int count = 0;
       for (final UpstreamPool.Attempt attempt : attempts) {
         count += attempt.running() ? 1 : 0;
@@ -318,53 +330,53 @@
       return count;
     }
 
-    private void ended(
+    private void attemptEnded(
         final UpstreamConnection.End end, final HttpResponse head, final ByteBuf body) {
       final byte[] bytes = new byte[body == null ? 0 : body.readableBytes()];
       if (body != null) {
         body.readBytes(bytes);
         body.release();
       }
-      if (over) {
+      if (completed) {
         return;
       }
       if (end == UpstreamConnection.End.UNSENT) {
-        tries--;
+        attemptCount--;
       }
       final int status = head == null ? 0 : head.status().code();
-      final boolean sound =
+      final boolean usable =
           AttemptOutcome.of(end, head) == AttemptOutcome.ANSWERED
               && !head.headers().contains(HttpHeaderNames.CONTENT_ENCODING)
               && (status == 200 && head.headers().contains(Headers.SEAL)
                   || status == 304 && etag != null
                   || status >= 400 && status < 500 && status != 421 && status != 429);
-      if (sound) {
+      if (usable) {
         final List<String> headers = new ArrayList<>();
-        final io.netty.handler.codec.http.HttpHeaders kept =
+        final io.netty.handler.codec.http.HttpHeaders forwardedHeaders =
             new io.netty.handler.codec.http.DefaultHttpHeaders(false);
-        Headers.copy(head.headers(), kept);
-        kept.remove(Headers.ATTEMPT_ID);
-        kept.remove(Headers.LOAD);
-        kept.forEach(
+        Headers.copy(head.headers(), forwardedHeaders);
+        forwardedHeaders.remove(Headers.ATTEMPT_ID);
+        forwardedHeaders.remove(Headers.LOAD);
+        forwardedHeaders.forEach(
             entry -> {
               headers.add(entry.getKey());
               headers.add(entry.getValue());
             });
-        end(new SharedCache.FetchResult(status, headers, bytes));
-      } else if (running() == 0) {
-        permit();
+        complete(new SharedCache.FetchResult(status, headers, bytes));
+      } else if (runningAttempts() == 0) {
+        sendWhenPermitted();
       }
     }
 
-    private void end(final SharedCache.FetchResult fetched) {
-      if (over) {
+    private void complete(final SharedCache.FetchResult result) {
+      if (completed) {
         return;
       }
-      over = true;
+      completed = true;
       for (final UpstreamPool.Attempt attempt : attempts) {
         attempt.abandon();
       }
-      done.accept(fetched);
+      onResult.accept(result);
     }
   }
 }
--- a/cache/src/main/java/weldpoint/cache/SharedCache.java
+++ b/cache/src/main/java/weldpoint/cache/SharedCache.java
@@ -16,18 +16,26 @@
 import weldpoint.transport.Protocol;
 
 /**
- * The shared cache: one fetch per object at a time, copies no older than their route allows, and
- * nothing that a known purge names. Objects of routes with home regions are neither fetched nor
- * kept nor given, wherever this node stands. It knows neither threads nor clocks nor sockets.
+ * The shared cache. Concurrent reads of one object share one fetch, no object is served beyond the
+ * TTL of its route, and none that a known purge names. Objects of routes with home regions are
+ * neither fetched nor stored nor served, in whichever region this node runs.
+ *
+ * <p>Used by {@link CacheDaemon} on its event loop thread; not thread-safe. It has no threads,
+ * clocks or sockets of its own: the caller passes the current time, in milliseconds, and fetches go
+ * through {@link Environment}.
  */
 public class SharedCache {
-  /** What came of a fetch. */
+  /** The result of a fetch from an origin. */
   public static final class FetchResult {
     final int status;
     final List<String> headers;
     final byte[] body;
 
-    /** Status 0 means that nothing was learned, 503 that the origin's limit stands in the way. */
+    /**
+     * Creates a result. Status 0 means that no response was received, 503 that the fetch failed,
+     * for example since the origin's rate limit did not permit it in time. The headers alternate
+     * between names and values.
+     */
     public FetchResult(final int status, final List<String> headers, final byte[] body) {
       this.status = status;
       this.headers = headers;
@@ -35,33 +43,36 @@
     }
   }
 
-  /** What the core does to the world. */
+  /** Sends the fetches of the cache; {@link OriginFetcher} outside of tests. */
   public interface Environment {
     /**
-     * Reads an object, with its tag where a copy is at hand; weight tells how many wait for it;
-     * whoever is given hears exactly once.
+     * Fetches an object, as a revalidation where an entity tag is given. The waiter count tells how
+     * many reads wait for the result at the time of the call; the callback is called exactly once.
      */
     void fetch(
         RouteBinding binding,
         String host,
         String target,
         String etag,
-        IntSupplier weight,
-        long cutoff,
-        Consumer<FetchResult> done);
+        IntSupplier waiterCount,
+        long deadline,
+        Consumer<FetchResult> onResult);
   }
 
   private record Waiter(
-      CacheReadRequest request, Consumer<CacheReadResponse> reply, long mark, long cutoff) {}
+      CacheReadRequest request,
+      Consumer<CacheReadResponse> reply,
+      long purgeSequence,
+      long deadline) {}
 
   private static final class Fetch {
     final RouteBinding binding;
     final CacheReadRequest request;
     final String key;
-    final String place;
+    final String hostAndPath;
     final long startedAt;
-    final long mark;
-    final CachedObject before;
+    final long purgeSequence;
+    final CachedObject staleObject;
     final List<Waiter> waiters = new ArrayList<>();
 
     Fetch(
@@ -69,127 +80,137 @@
         final CacheReadRequest request,
         final String key,
         final long startedAt,
-        final long mark,
-        final CachedObject before) {
+        final long purgeSequence,
+        final CachedObject staleObject) {
       this.binding = binding;
       this.request = request;
       this.key = key;
-      this.place = place(request.host, request.target);
+      this.hostAndPath = hostAndPath(request.host, request.target);
       this.startedAt = startedAt;
-      this.mark = mark;
-      this.before = before;
+      this.purgeSequence = purgeSequence;
+      this.staleObject = staleObject;
     }
   }
 
   private final Environment environment;
-  private final CacheStore shelf;
-  private static final long HEARD_MILLIS = 1000;
+  private final CacheStore store;
+  private static final long REGISTRY_CONTACT_MILLIS = 1000;
 
-  private final long firmMillis;
-  private final long trustMillis;
+  private final long disconnectedTrustMillis;
+  private final long connectedTrustMillis;
   private final Map<String, Fetch> fetches = new HashMap<>();
   private RoutingTable routingTable;
   private List<CacheMessages.Purge> purges = List.of();
-  private long floor;
-  private long mark;
-  private long knownAt;
-  private long heardAt;
+  private long purgeLogFloor;
+  private long purgeSequence;
+  private long purgesKnownAt;
+  private long registryHeardAt;
   private long hits;
   private long misses;
-  private long renewals;
+  private long revalidations;
 
   /**
-   * A cache of so many bytes. It trusts its knowledge of purges for firmMillis after a majority was
-   * last heard of; while an exchange still speaks to it and has no majority itself, when no purge
-   * can be acknowledged either, for trustMillis.
+   * Creates an empty cache of at most maxBytes. It serves objects for disconnectedTrustMillis after
+   * the last time at which a majority of the registry is known to have been reached, since it may
+   * miss purges after that. While a registry node still reports to this cache but has no majority
+   * itself, it does so for connectedTrustMillis: without a majority no purge can be acknowledged
+   * either.
    */
   public SharedCache(
-      final long mostBytes,
-      final long firmMillis,
-      final long trustMillis,
+      final long maxBytes,
+      final long disconnectedTrustMillis,
+      final long connectedTrustMillis,
       final long now,
       final Environment environment) {
-    this.firmMillis = firmMillis;
+    this.disconnectedTrustMillis = disconnectedTrustMillis;
     this.environment = environment;
-    this.shelf = new CacheStore(mostBytes);
-    this.trustMillis = trustMillis;
-    this.knownAt = now - trustMillis;
-    this.heardAt = now - HEARD_MILLIS;
+    this.store = new CacheStore(maxBytes);
+    this.connectedTrustMillis = connectedTrustMillis;
+    this.purgesKnownAt = now - connectedTrustMillis;
+    this.registryHeardAt = now - REGISTRY_CONTACT_MILLIS;
   }
 
-  /** Takes a configuration; copies whose routes have got home regions are dropped. */
-  public void take(final RoutingTable given) {
-    routingTable = given;
-    if (given.all().stream().anyMatch(route -> route.homes.length > 0)) {
-      shelf.removeIf(object -> bind(object.service, object.host, object.target) == null);
+  /** Applies a configuration and drops the objects whose routes now have home regions. */
+  public void updateRoutingTable(final RoutingTable newRoutingTable) {
+    routingTable = newRoutingTable;
+    if (newRoutingTable.all().stream().anyMatch(route -> route.homes.length > 0)) {
+      store.removeIf(object -> bindCacheable(object.service, object.host, object.target) == null);
     }
   }
 
-  /** A majority was heard of that long ago: all purges from before are known. */
-  public void reached(final long ageMillis, final long now) {
-    knownAt = Math.max(knownAt, now - ageMillis);
-    heardAt = now;
+  /**
+   * Records a report of the registry that it last reached a majority ageMillis ago: all purges
+   * acknowledged before then are known here.
+   */
+  public void majorityConfirmed(final long ageMillis, final long now) {
+    purgesKnownAt = Math.max(purgesKnownAt, now - ageMillis);
+    registryHeardAt = now;
   }
 
-  private boolean trusts(final long now) {
-    return now - knownAt < firmMillis
-        || now - heardAt < HEARD_MILLIS && now - knownAt < trustMillis;
+  private boolean purgesCurrent(final long now) {
+    return now - purgesKnownAt < disconnectedTrustMillis
+        || now - registryHeardAt < REGISTRY_CONTACT_MILLIS
+            && now - purgesKnownAt < connectedTrustMillis;
   }
 
-  /** Takes purges: copies and fetches they name are void; with a gap in them, all are. */
-  public void purged(final CacheMessages.Purges given) {
-    if (given.mark <= mark) {
+  /**
+   * Applies purges. Objects and running fetches that they name are invalid; if purges between the
+   * last known one and the first in the list are missing, all are.
+   */
+  public void updatePurges(final CacheMessages.Purges update) {
+    if (update.mark <= purgeSequence) {
       return;
     }
-    final boolean gap = given.floor > mark;
-    for (final CacheMessages.Purge purge : Protocol.list(given.purges)) {
-      if (purge.serial > mark) {
-        shelf.purge(purge.tag == null ? place(purge.host, purge.path) : null, purge.tag);
+    final boolean gap = update.floor > purgeSequence;
+    for (final CacheMessages.Purge purge : Protocol.list(update.purges)) {
+      if (purge.serial > purgeSequence) {
+        store.purge(purge.tag == null ? hostAndPath(purge.host, purge.path) : null, purge.tag);
       }
     }
     if (gap) {
-      shelf.clear();
+      store.clear();
     }
-    purges = Protocol.list(given.purges);
-    floor = given.floor;
-    mark = given.mark;
+    purges = Protocol.list(update.purges);
+    purgeLogFloor = update.floor;
+    purgeSequence = update.mark;
   }
 
-  private static String place(final String host, final String target) {
+  private static String hostAndPath(final String host, final String target) {
     final int query = target.indexOf('?');
     final int colon = host.lastIndexOf(':');
     return (colon > 0 ? host.substring(0, colon) : host).toLowerCase(Locale.ROOT)
         + (query < 0 ? target : target.substring(0, query));
   }
 
-  /** A switchboard asks for an object; it hears exactly once. */
-  public void ask(
+  /** Handles the read of an object by a proxy; replies exactly once. */
+  public void handleRead(
       final CacheReadRequest request, final Consumer<CacheReadResponse> reply, final long now) {
-    serve(new Waiter(request, reply, mark, now + request.waitMillis), now);
+    serveOrFetch(new Waiter(request, reply, purgeSequence, now + request.waitMillis), now);
   }
 
-  private void serve(final Waiter waiter, final long now) {
+  private void serveOrFetch(final Waiter waiter, final long now) {
     final CacheReadRequest request = waiter.request;
-    final RouteBinding binding = bind(request.service, request.host, request.target);
-    if (binding == null || !trusts(now)) {
+    final RouteBinding binding = bindCacheable(request.service, request.host, request.target);
+    if (binding == null || !purgesCurrent(now)) {
       waiter.reply.accept(new CacheReadResponse(request.number, 0, null, null));
       return;
     }
     final String key =
         request.service + ' ' + request.host.toLowerCase(Locale.ROOT) + request.target;
-    final CachedObject object = shelf.get(key);
-    if (object != null && now - object.startedAt < binding.route().cacheMillis) {
+    final CachedObject object = store.get(key);
+    if (object != null && now - object.fetchStartedAt < binding.route().cacheMillis) {
       hits++;
-      waiter.reply.accept(answer(request, object));
+      waiter.reply.accept(okResponse(request, object));
       return;
     }
-    final Fetch running = fetches.get(key);
-    if (running != null && named(running.mark, running.place, List.of()) == 0) {
-      running.waiters.add(waiter);
+    final Fetch runningFetch = fetches.get(key);
+    if (runningFetch != null
+        && firstPurgeAfter(runningFetch.purgeSequence, runningFetch.hostAndPath, List.of()) == 0) {
+      runningFetch.waiters.add(waiter);
       return;
     }
     misses++;
-    final Fetch fetch = new Fetch(binding, request, key, now, mark, object);
+    final Fetch fetch = new Fetch(binding, request, key, now, purgeSequence, object);
     fetch.waiters.add(waiter);
     fetches.put(key, fetch);
     environment.fetch(
@@ -198,22 +219,27 @@
         request.target,
         object == null ? null : object.etag,
         fetch.waiters::size,
-        waiter.cutoff,
-        fetched -> fetched(fetch, fetched));
+        waiter.deadline,
+        result -> fetchCompleted(fetch, result));
   }
 
-  /** The purges that a fetch knew; all later ones may name what it brings. */
-  long knownAtStart(final long markAtStart) {
-    return markAtStart;
+  /**
+   * Returns the purge sequence against which the result of a fetch is checked: the one at its
+   * start, since every later purge may name the content that it returns. Tests override this to
+   * show that a sequence read later lets purged content through.
+   */
+  long purgeSequenceForFetch(final long sequenceAtStart) {
+    return sequenceAtStart;
   }
 
-  /** The purges known now. */
-  final long mark() {
-    return mark;
+  /** Returns the sequence number of the last known purge. */
+  final long purgeSequence() {
+    return purgeSequence;
   }
 
-  /** What the configuration says of an object; null where no copy of it may be kept. */
-  private RouteBinding bind(final String serviceName, final String host, final String target) {
+  /** Returns the routing of an object under the current configuration; null if not cacheable. */
+  private RouteBinding bindCacheable(
+      final String serviceName, final String host, final String target) {
     final int service = routingTable == null ? -1 : routingTable.service(serviceName);
     if (service < 0) {
       return null;
@@ -230,24 +256,27 @@
     return binding;
   }
 
-  private static CacheReadResponse answer(
+  private static CacheReadResponse okResponse(
       final CacheReadRequest request, final CachedObject object) {
     return new CacheReadResponse(request.number, 200, object.headers, object.body);
   }
 
   /**
-   * The first purge above a mark that names a place or one of the labels, or that is not known; 0
-   * where there is none.
+   * Returns the first purge after a sequence number that names this host and path or one of the
+   * labels, or that is missing from the list of known purges; 0 if there is none.
    */
-  private long named(final long above, final String place, final List<String> labels) {
-    if (above < floor) {
-      return above + 1;
+  private long firstPurgeAfter(
+      final long sequence, final String hostAndPath, final List<String> labels) {
+    if (sequence < purgeLogFloor) {
+      return sequence + 1;
     }
     long first = 0;
-    for (int index = purges.size() - 1; index >= 0 && purges.get(index).serial > above; index--) {
+    for (int index = purges.size() - 1;
+        index >= 0 && purges.get(index).serial > sequence;
+        index--) {
       final CacheMessages.Purge purge = purges.get(index);
       if (purge.tag == null
-          ? place(purge.host, purge.path).equals(place)
+          ? hostAndPath(purge.host, purge.path).equals(hostAndPath)
           : labels.contains(purge.tag)) {
         first = purge.serial;
       }
@@ -255,7 +284,7 @@
     return first;
   }
 
-  private void fetched(final Fetch fetch, final FetchResult fetched) {
+  private void fetchCompleted(final Fetch fetch, final FetchResult result) {
     if (fetches.get(fetch.key) == fetch) {
       fetches.remove(fetch.key);
     }
@@ -266,37 +295,40 @@
       return;
     }
     CachedObject object = null;
-    if (fetched.status == 304 && fetch.before != null) {
-      final String tag = header(fetched.headers, "etag");
-      if (tag == null || tag.equals(fetch.before.etag)) {
-        object = fetch.before.renewed(fetch.startedAt, fetch.mark);
-        renewals++;
+    if (result.status == 304 && fetch.staleObject != null) {
+      final String newEtag = header(result.headers, "etag");
+      if (newEtag == null || newEtag.equals(fetch.staleObject.etag)) {
+        object = fetch.staleObject.revalidated(fetch.startedAt, fetch.purgeSequence);
+        revalidations++;
       }
-    } else if (fetched.status == 200) {
-      final String labels = header(fetched.headers, "weldpoint-labels");
+    } else if (result.status == 200) {
+      final String labels = header(result.headers, "weldpoint-labels");
       object =
           new CachedObject(
               fetch.key,
               fetch.request.service,
               fetch.request.host,
               fetch.request.target,
-              fetch.place,
-              fetched.headers,
-              fetched.body,
-              header(fetched.headers, "etag"),
+              fetch.hostAndPath,
+              result.headers,
+              result.body,
+              header(result.headers, "etag"),
               labels == null ? List.of() : List.of(labels.strip().split("\\s+")),
               fetch.startedAt,
-              fetch.mark);
+              fetch.purgeSequence);
     }
-    final long voidedBy =
-        object == null ? 0 : named(knownAtStart(fetch.mark), fetch.place, object.labels);
+    final long invalidatingPurge =
+        object == null
+            ? 0
+            : firstPurgeAfter(
+                purgeSequenceForFetch(fetch.purgeSequence), fetch.hostAndPath, object.labels);
     if (object != null
         && object.etag != null
         && header(object.headers, "weldpoint-labels") != null
-        && voidedBy == 0) {
-      final CachedObject present = shelf.get(fetch.key);
-      if (present == null || present.startedAt <= object.startedAt) {
-        shelf.put(object);
+        && invalidatingPurge == 0) {
+      final CachedObject storedObject = store.get(fetch.key);
+      if (storedObject == null || storedObject.fetchStartedAt <= object.fetchStartedAt) {
+        store.put(object);
       }
     }
     for (final Waiter waiter : fetch.waiters) {
@@ -304,11 +336,11 @@
         waiter.reply.accept(
             new CacheReadResponse(
                 waiter.request.number,
-                fetched.status == 304 ? 503 : fetched.status,
-                fetched.headers,
-                fetched.body));
-      } else if (waiter.mark < voidedBy || voidedBy == 0) {
-        waiter.reply.accept(answer(waiter.request, object));
+                result.status == 304 ? 503 : result.status,
+                result.headers,
+                result.body));
+      } else if (waiter.purgeSequence < invalidatingPurge || invalidatingPurge == 0) {
+        waiter.reply.accept(okResponse(waiter.request, object));
       } else {
         waiter.reply.accept(new CacheReadResponse(waiter.request.number, 503, null, null));
       }
@@ -324,24 +356,24 @@
     return null;
   }
 
-  /** How many copies there are. */
-  public int copies() {
-    return shelf.size();
+  /** Returns the number of stored objects. */
+  public int objectCount() {
+    return store.size();
   }
 
-  /** The counters, as one line. */
+  /** Returns the counters as one line for the log. */
   public String counters() {
-    return "copies "
-        + shelf.size()
+    return "objects "
+        + store.size()
         + " bytes "
-        + shelf.bytes()
+        + store.bytes()
         + " hits "
         + hits
         + " misses "
         + misses
-        + " renewed "
-        + renewals
-        + " purges "
-        + mark;
+        + " revalidated "
+        + revalidations
+        + " purge sequence "
+        + purgeSequence;
   }
 }
--- a/cache/src/test/java/weldpoint/cache/OriginFetcherTest.java
+++ b/cache/src/test/java/weldpoint/cache/OriginFetcherTest.java
@@ -25,17 +25,17 @@
 import weldpoint.transport.RegistryMessages.Registration;
 import weldpoint.upstream.UpstreamPool;
 
-/** Reads for copies: no read goes to more upstreams than the route allows, whatever they do. */
+/** No fetch is sent to more upstreams than its route allows, however the upstreams respond. */
 public final class OriginFetcherTest {
   private final EventLoopGroup loop = new NioEventLoopGroup(1);
 
   @AfterClass
-  public void end() {
+  public void closeEventLoop() {
     loop.shutdownGracefully();
   }
 
   @DataProvider
-  public Object[][] attempts() {
+  public Object[][] attemptCases() {
     return new Object[][] {
       {1, "", 503},
       {2, "", 503},
@@ -47,14 +47,14 @@
     };
   }
 
-  @Test(dataProvider = "attempts")
-  public void aReadKeepsToTheRoutesAttemptsAndNeedsNoEcho(
-      final int most, final String answer, final int expected)
+  @Test(dataProvider = "attemptCases")
+  public void fetchStaysWithinMaxAttemptsAndNeedsNoAttemptIdEcho(
+      final int maxAttempts, final String response, final int expectedStatus)
       throws IOException,
           InterruptedException,
           java.util.concurrent.ExecutionException,
           java.util.concurrent.TimeoutException {
-    final AtomicInteger arrivals = new AtomicInteger();
+    final AtomicInteger requestCount = new AtomicInteger();
     final List<UpstreamPool.Change> changes = new ArrayList<>();
     final List<ServerSocket> servers = new ArrayList<>();
     for (int index = 0; index < 6; index++) {
@@ -74,7 +74,7 @@
                   0,
                   0),
               true));
-      final Thread thread = new Thread(() -> serve(server, arrivals, answer));
+      final Thread thread = new Thread(() -> serve(server, requestCount, response));
       thread.setDaemon(true);
       thread.start();
     }
@@ -84,7 +84,7 @@
     final RoutingTable routingTable =
         RoutingTable.compile(
             ("{\"version\":\"1\",\"listeners\":[{\"host\":\"h\",\"rules\":[{\"name\":\"r\",\"routeKind\":\"idempotent\",\"targetLatencyMs\":100,\"match\":{\"pathPrefix\":\"/\"},\"action\":{\"service\":\"s\",\"timeoutMs\":1500,\"maxAttempts\":"
-                    + most
+                    + maxAttempts
                     + "}}]}],\"pools\":[{\"name\":\"s\"}]}")
                 .getBytes(StandardCharsets.UTF_8));
     final UpstreamPool upstreamPool = new UpstreamPool(loop, settings, new Random(1));
@@ -104,30 +104,32 @@
               null,
               () -> 1,
               System.nanoTime() / 1_000_000 + 1500,
-              fetched -> status.complete(fetched.status));
+              result -> status.complete(result.status));
         });
-    assertEquals(status.get(8, TimeUnit.SECONDS).intValue(), expected);
+    assertEquals(status.get(8, TimeUnit.SECONDS).intValue(), expectedStatus);
     assertEquals(
-        arrivals.get(),
-        expected == 200 ? 1 : answer == null ? Math.min(2, most) : Math.min(3, most));
+        requestCount.get(),
+        expectedStatus == 200
+            ? 1
+            : response == null ? Math.min(2, maxAttempts) : Math.min(3, maxAttempts));
     for (final ServerSocket server : servers) {
       server.close();
     }
   }
 
   private static void serve(
-      final ServerSocket server, final AtomicInteger arrivals, final String answer) {
+      final ServerSocket server, final AtomicInteger requestCount, final String response) {
     while (true) {
       try {
         final Socket socket = server.accept();
         if (socket.getInputStream().read() >= 0) {
-          arrivals.incrementAndGet();
-          if (answer != null) {
-            socket.getOutputStream().write(answer.getBytes(StandardCharsets.UTF_8));
+          requestCount.incrementAndGet();
+          if (response != null) {
+            socket.getOutputStream().write(response.getBytes(StandardCharsets.UTF_8));
             socket.close();
           }
         }
-      } catch (final IOException ended) {
+      } catch (final IOException closed) {
         return;
       }
     }
--- a/cache/src/test/java/weldpoint/cache/SharedCacheTest.java
+++ b/cache/src/test/java/weldpoint/cache/SharedCacheTest.java
@@ -21,73 +21,74 @@
 
 public class SharedCacheTest {
   private static final long TTL = 10_000;
-  private static final String SPEC =
+  private static final String CONFIGURATION =
       "{\"version\":\"1\",\"listeners\":[{\"host\":\"quay.example\",\"rules\":[{\"name\":\"r\",\"routeKind\":\"cacheable\",\"targetLatencyMs\":300,\"cacheTtlS\":10,\"match\":{\"pathPrefix\":\"/a/\"},\"action\":{\"service\":\"media\",\"timeoutMs\":3000,\"maxAttempts\":2}}]}],\"pools\":[{\"name\":\"media\",\"ratePerS\":50}]}";
 
-  private record Event(long at, long order, Runnable deed) {}
+  private record Event(long at, long order, Runnable action) {}
 
   /**
-   * An origin whose objects change, a cache before it, and a model that knows when which version
-   * held.
+   * A randomized run of a cache in front of an origin whose objects change, checked against a model
+   * that knows from when until when each version of an object was current.
    */
-  private static final class Trial implements SharedCache.Environment {
+  private static final class RandomizedRun implements SharedCache.Environment {
     private final Random random;
-    private final boolean lateMark;
+    private final boolean readSequenceAtEnd;
     private final PriorityQueue<Event> events =
         new PriorityQueue<>(
-            (one, other) ->
-                one.at != other.at
-                    ? Long.compare(one.at, other.at)
-                    : Long.compare(one.order, other.order));
-    private final List<List<Long>> since = new ArrayList<>();
+            (first, second) ->
+                first.at != second.at
+                    ? Long.compare(first.at, second.at)
+                    : Long.compare(first.order, second.order));
+    private final List<List<Long>> versionTimes = new ArrayList<>();
     private final List<Purge> purges = new ArrayList<>();
-    private final long[] knownPurgedTo = new long[6];
+    private final long[] purgedUntil = new long[6];
     private long now = 1_000_000;
     private long order;
     private SharedCache cache;
-    private long life;
-    private long told;
-    int breaches;
+    private long incarnation;
+    private long deliveredPurges;
+    int staleAnswers;
     int answers;
     int fetches;
 
-    Trial(final long seed, final boolean lateMark) {
+    RandomizedRun(final long seed, final boolean readSequenceAtEnd) {
       this.random = new Random(seed);
-      this.lateMark = lateMark;
+      this.readSequenceAtEnd = readSequenceAtEnd;
       for (int object = 0; object < 6; object++) {
-        since.add(new ArrayList<>(List.of(now)));
+        versionTimes.add(new ArrayList<>(List.of(now)));
       }
       restart();
     }
 
     private void restart() {
-      life++;
-      told = 0;
+      incarnation++;
+      deliveredPurges = 0;
       cache =
-          lateMark
+          readSequenceAtEnd
               ? new SharedCache(100_000, 60_000, 60_000, now, this) {
                 @Override
-                long knownAtStart(final long markAtStart) {
-                  return mark();
+                long purgeSequenceForFetch(final long sequenceAtStart) {
+                  return purgeSequence();
                 }
               }
               : new SharedCache(100_000, 60_000, 60_000, now, this);
-      cache.take(RoutingTable.compile(SPEC.getBytes(StandardCharsets.UTF_8)));
-      cache.reached(0, now);
-      tell();
+      cache.updateRoutingTable(
+          RoutingTable.compile(CONFIGURATION.getBytes(StandardCharsets.UTF_8)));
+      cache.majorityConfirmed(0, now);
+      deliverPurges();
     }
 
-    private void tell() {
+    private void deliverPurges() {
       final List<Purge> list =
           new ArrayList<>(purges.subList(Math.max(0, purges.size() - 4), purges.size()));
-      cache.purged(
+      cache.updatePurges(
           new CacheMessages.Purges(
               list.isEmpty() ? 0 : list.get(0).serial - 1, purges.size(), list));
-      told = purges.size();
+      deliveredPurges = purges.size();
     }
 
-    private void after(final long millis, final Runnable deed) {
-      events.add(new Event(now + millis, order++, deed));
+    private void schedule(final long millis, final Runnable action) {
+      events.add(new Event(now + millis, order++, action));
     }
 
     @Override
@@ -96,30 +97,30 @@
         final String host,
         final String target,
         final String etag,
-        final IntSupplier weight,
-        final long cutoff,
-        final Consumer<SharedCache.FetchResult> done) {
+        final IntSupplier waiterCount,
+        final long deadline,
+        final Consumer<SharedCache.FetchResult> onResult) {
       fetches++;
-      final long mine = life;
+      final long fetchIncarnation = incarnation;
       final int object = Integer.parseInt(target.substring(3));
-      after(
+      schedule(
           random.nextInt(800),
           () -> {
-            final int version = since.get(object).size();
-            final int fate = random.nextInt(20);
-            after(
+            final int version = versionTimes.get(object).size();
+            final int failureDraw = random.nextInt(20);
+            schedule(
                 random.nextInt(1500),
                 () -> {
-                  if (mine != life) {
+                  if (fetchIncarnation != incarnation) {
                     return;
                   }
-                  if (fate == 0) {
-                    done.accept(new SharedCache.FetchResult(503, null, null));
+                  if (failureDraw == 0) {
+                    onResult.accept(new SharedCache.FetchResult(503, null, null));
                   } else if (("\"" + version + "\"").equals(etag)) {
-                    done.accept(
+                    onResult.accept(
                         new SharedCache.FetchResult(304, List.of("ETag", etag), new byte[0]));
                   } else {
-                    done.accept(
+                    onResult.accept(
                         new SharedCache.FetchResult(
                             200,
                             List.of(
@@ -133,11 +134,11 @@
           });
     }
 
-    private void ask() {
+    private void sendRead() {
       final int object = random.nextInt(6);
       final long askedAt = now;
-      final long purgedTo = knownPurgedTo[object];
-      cache.ask(
+      final long purgedUntilAtRequest = purgedUntil[object];
+      cache.handleRead(
           new CacheReadRequest(order, "media", "quay.example", "/a/" + object, 3000),
           response -> {
             if (response.status != 200) {
@@ -145,11 +146,13 @@
             }
             answers++;
             final int version = Integer.parseInt(new String(response.body, StandardCharsets.UTF_8));
-            final List<Long> history = since.get(object);
+            final List<Long> objectVersionTimes = versionTimes.get(object);
             final long replacedAt =
-                version < history.size() ? history.get(version) : Long.MAX_VALUE;
-            if (replacedAt < purgedTo || now - replacedAt > TTL) {
-              breaches++;
+                version < objectVersionTimes.size()
+                    ? objectVersionTimes.get(version)
+                    : Long.MAX_VALUE;
+            if (replacedAt < purgedUntilAtRequest || now - replacedAt > TTL) {
+              staleAnswers++;
             }
             assertTrue(askedAt <= now);
           },
@@ -162,16 +165,16 @@
         while (!events.isEmpty() && events.peek().at <= next) {
           final Event event = events.poll();
           now = event.at;
-          event.deed.run();
+          event.action.run();
         }
         now = next;
-        cache.reached(0, now);
-        final int what = random.nextInt(100);
-        if (what < 70) {
-          ask();
-        } else if (what < 85) {
-          since.get(random.nextInt(6)).add(now);
-        } else if (what < 95) {
+        cache.majorityConfirmed(0, now);
+        final int operation = random.nextInt(100);
+        if (operation < 70) {
+          sendRead();
+        } else if (operation < 85) {
+          versionTimes.get(random.nextInt(6)).add(now);
+        } else if (operation < 95) {
           final int object = random.nextInt(6);
           final boolean label = random.nextBoolean();
           purges.add(
@@ -181,61 +184,61 @@
                   label ? null : "/a/" + object,
                   label ? "t" + object % 2 : null));
           if (random.nextInt(4) > 0) {
-            tell();
-            settle();
+            deliverPurges();
+            recordAcknowledgedPurges();
           }
-        } else if (what < 97) {
+        } else if (operation < 97) {
           restart();
-          settle();
+          recordAcknowledgedPurges();
         }
       }
     }
 
-    private void settle() {
-      for (final Purge purge : purges.subList(0, (int) told)) {
+    private void recordAcknowledgedPurges() {
+      for (final Purge purge : purges.subList(0, (int) deliveredPurges)) {
         for (int object = 0; object < 6; object++) {
           if (purge.tag == null
               ? purge.path.equals("/a/" + object)
               : purge.tag.equals("t" + object % 2)) {
-            knownPurgedTo[object] = purge.serial > settled ? now : knownPurgedTo[object];
+            purgedUntil[object] = purge.serial > acknowledgedPurges ? now : purgedUntil[object];
           }
         }
       }
-      settled = told;
+      acknowledgedPurges = deliveredPurges;
     }
 
-    private long settled;
+    private long acknowledgedPurges;
   }
 
   @Test
-  public void noCopyOutlivesItsTimeOrAPurgeInAnyOrder() {
+  public void noObjectIsServedBeyondItsTtlOrAfterAnAcknowledgedPurge() {
     int answers = 0;
     int fetches = 0;
     for (long seed = 0; seed < 300; seed++) {
-      final Trial trial = new Trial(seed, false);
-      trial.run(600);
-      assertEquals(trial.breaches, 0, "seed " + seed);
-      answers += trial.answers;
-      fetches += trial.fetches;
+      final RandomizedRun run = new RandomizedRun(seed, false);
+      run.run(600);
+      assertEquals(run.staleAnswers, 0, "seed " + seed);
+      answers += run.answers;
+      fetches += run.fetches;
     }
     assertTrue(
         answers > 2 * fetches,
-        "copies are used: " + answers + " answers of " + fetches + " fetches");
+        "cached objects are reused: " + answers + " answers of " + fetches + " fetches");
   }
 
   @Test
-  public void aMarkTakenAtTheEndOfAFetchIsCaught() {
-    int breaches = 0;
+  public void readingThePurgeSequenceWhenAFetchEndsIsDetected() {
+    int staleAnswers = 0;
     for (long seed = 0; seed < 100; seed++) {
-      final Trial trial = new Trial(seed, true);
-      trial.run(600);
-      breaches += trial.breaches;
+      final RandomizedRun run = new RandomizedRun(seed, true);
+      run.run(600);
+      staleAnswers += run.staleAnswers;
     }
-    assertTrue(breaches > 0);
+    assertTrue(staleAnswers > 0);
   }
 
   @Test
-  public void oneFetchServesAllWhoWaitAndAFailureFailsOnlyThem() {
+  public void concurrentReadsShareOneFetchAndItsFailure() {
     final List<Consumer<SharedCache.FetchResult>> fetches = new ArrayList<>();
     final SharedCache cache =
         new SharedCache(
@@ -243,30 +246,34 @@
             1700,
             5000,
             0,
-            (binding, host, target, etag, weight, cutoff, done) -> fetches.add(done));
-    cache.take(RoutingTable.compile(SPEC.getBytes(StandardCharsets.UTF_8)));
-    cache.reached(0, 0);
+            (binding, host, target, etag, waiterCount, deadline, onResult) ->
+                fetches.add(onResult));
+    cache.updateRoutingTable(RoutingTable.compile(CONFIGURATION.getBytes(StandardCharsets.UTF_8)));
+    cache.majorityConfirmed(0, 0);
     final List<CacheReadResponse> answers = new ArrayList<>();
     for (int index = 0; index < 3; index++) {
-      cache.ask(
+      cache.handleRead(
           new CacheReadRequest(index, "media", "quay.example", "/a/x", 1000), answers::add, 10);
     }
     assertEquals(fetches.size(), 1);
     fetches.get(0).accept(new SharedCache.FetchResult(503, null, null));
     assertEquals(answers.size(), 3);
-    cache.ask(new CacheReadRequest(9, "media", "quay.example", "/a/x", 1000), answers::add, 20);
+    cache.handleRead(
+        new CacheReadRequest(9, "media", "quay.example", "/a/x", 1000), answers::add, 20);
     fetches.get(1).accept(new SharedCache.FetchResult(200, List.of("ETag", "e"), new byte[] {1}));
     assertEquals(answers.get(3).status, 200);
-    assertEquals(cache.copies(), 0, "an answer without labels is given and not kept");
-    cache.ask(new CacheReadRequest(10, "media", "quay.example", "/b/x", 1000), answers::add, 30);
-    cache.ask(new CacheReadRequest(11, "media", "quay.example", "/a/x", 1000), answers::add, 6000);
-    assertEquals(answers.get(4).status, 0, "no such route");
+    assertEquals(cache.objectCount(), 0, "a response without labels is served but not stored");
+    cache.handleRead(
+        new CacheReadRequest(10, "media", "quay.example", "/b/x", 1000), answers::add, 30);
+    cache.handleRead(
+        new CacheReadRequest(11, "media", "quay.example", "/a/x", 1000), answers::add, 6000);
+    assertEquals(answers.get(4).status, 0, "no route matches");
     assertEquals(answers.get(5).status, 0, "purges may have been missed");
     assertNotNull(cache.counters());
   }
 
   @Test
-  public void copiesAreWithheldWhenNobodySpeaksAndForALittleLongerWhileAnExchangeDoes() {
+  public void objectsAreWithheldOncePurgeKnowledgeIsTooOldAndLaterWhileARegistryAnswers() {
     final List<Consumer<SharedCache.FetchResult>> fetches = new ArrayList<>();
     final SharedCache cache =
         new SharedCache(
@@ -274,11 +281,12 @@
             1700,
             9000,
             0,
-            (binding, host, target, etag, weight, cutoff, done) -> fetches.add(done));
-    cache.take(RoutingTable.compile(SPEC.getBytes(StandardCharsets.UTF_8)));
-    cache.reached(200, 1000);
+            (binding, host, target, etag, waiterCount, deadline, onResult) ->
+                fetches.add(onResult));
+    cache.updateRoutingTable(RoutingTable.compile(CONFIGURATION.getBytes(StandardCharsets.UTF_8)));
+    cache.majorityConfirmed(200, 1000);
     final List<Integer> statuses = new ArrayList<>();
-    cache.ask(
+    cache.handleRead(
         new CacheReadRequest(1, "media", "quay.example", "/a/x", 1000),
         response -> statuses.add(response.status),
         1000);
@@ -287,37 +295,41 @@
         .accept(
             new SharedCache.FetchResult(
                 200, List.of("ETag", "e", "Weldpoint-Labels", "all"), new byte[] {1}));
-    cache.ask(
+    cache.handleRead(
         new CacheReadRequest(2, "media", "quay.example", "/a/x", 1000),
         response -> statuses.add(response.status),
         2400);
-    cache.ask(
+    cache.handleRead(
         new CacheReadRequest(3, "media", "quay.example", "/a/x", 1000),
         response -> statuses.add(response.status),
         2600);
-    cache.reached(4000, 4800);
-    cache.ask(
+    cache.majorityConfirmed(4000, 4800);
+    cache.handleRead(
         new CacheReadRequest(4, "media", "quay.example", "/a/x", 1000),
         response -> statuses.add(response.status),
         5000);
-    cache.reached(9100, 9900);
-    cache.ask(
+    cache.majorityConfirmed(9100, 9900);
+    cache.handleRead(
         new CacheReadRequest(5, "media", "quay.example", "/a/x", 1000),
         response -> statuses.add(response.status),
         9900);
     assertEquals(statuses, List.of(200, 200, 0, 200, 0));
   }
 
-  private static RoutingTable homed() {
+  private static RoutingTable homedRoutingTable() {
     return RoutingTable.compile(
-        SPEC.replace("\"version\":\"1\"", "\"version\":\"2\"")
+        CONFIGURATION
+            .replace("\"version\":\"1\"", "\"version\":\"2\"")
             .replace("\"timeoutMs\"", "\"homeRegions\":[\"north\"],\"timeoutMs\"")
             .getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Guards against HOME: copies taken, or under way, before homes came were kept and given. */
+  /**
+   * Guards against a fault in which objects that were stored, or being fetched, before their route
+   * got home regions were kept and served.
+   */
   @Test
-  public void noCopyIsKeptOrGivenOnceItsRouteHasHomes() {
+  public void noObjectIsCachedOrServedOnceItsRouteHasHomeRegions() {
     final List<Consumer<SharedCache.FetchResult>> fetches = new ArrayList<>();
     final SharedCache cache =
         new SharedCache(
@@ -325,31 +337,35 @@
             60_000,
             60_000,
             0,
-            (binding, host, target, etag, weight, cutoff, done) -> fetches.add(done));
-    cache.take(RoutingTable.compile(SPEC.getBytes(StandardCharsets.UTF_8)));
-    cache.reached(0, 0);
+            (binding, host, target, etag, waiterCount, deadline, onResult) ->
+                fetches.add(onResult));
+    cache.updateRoutingTable(RoutingTable.compile(CONFIGURATION.getBytes(StandardCharsets.UTF_8)));
+    cache.majorityConfirmed(0, 0);
     final List<Integer> statuses = new ArrayList<>();
-    final SharedCache.FetchResult whole =
+    final SharedCache.FetchResult complete =
         new SharedCache.FetchResult(
             200, List.of("ETag", "e", "Weldpoint-Labels", "all"), new byte[] {1});
-    cache.ask(ask(1, "/a/x"), response -> statuses.add(response.status), 10);
-    fetches.get(0).accept(whole);
-    cache.ask(ask(2, "/a/y"), response -> statuses.add(response.status), 20);
-    assertEquals(cache.copies(), 1);
-    cache.take(homed());
-    assertEquals(cache.copies(), 0, "a copy taken before");
-    fetches.get(1).accept(whole);
-    cache.ask(ask(3, "/a/x"), response -> statuses.add(response.status), 30);
-    assertEquals(cache.copies(), 0, "a fetch that was under way");
-    assertEquals(fetches.size(), 2, "nothing is fetched any more");
+    cache.handleRead(readRequest(1, "/a/x"), response -> statuses.add(response.status), 10);
+    fetches.get(0).accept(complete);
+    cache.handleRead(readRequest(2, "/a/y"), response -> statuses.add(response.status), 20);
+    assertEquals(cache.objectCount(), 1);
+    cache.updateRoutingTable(homedRoutingTable());
+    assertEquals(cache.objectCount(), 0, "an object stored before the change");
+    fetches.get(1).accept(complete);
+    cache.handleRead(readRequest(3, "/a/x"), response -> statuses.add(response.status), 30);
+    assertEquals(cache.objectCount(), 0, "a fetch that was running during the change");
+    assertEquals(fetches.size(), 2, "no further fetch");
     assertEquals(statuses, List.of(200, 0, 0));
   }
 
-  /** Guards against fetches that were thrown away since a configuration with tenants came. */
+  /**
+   * Guards against a fault in which running fetches were discarded when a configuration with
+   * tenants was applied.
+   */
   @Test
-  public void aFetchGoesOnWhenAConfigurationComesThatDoesNotConcernIt() {
+  public void unrelatedConfigurationChangeKeepsRunningFetch() {
     final String tenants = "\"tenants\":[{\"name\":\"t\",\"apiKeys\":[\"k\"]}],\"listeners\"";
-    final String before = SPEC.replace("\"listeners\"", tenants);
+    final String configuration = CONFIGURATION.replace("\"listeners\"", tenants);
     final List<Consumer<SharedCache.FetchResult>> fetches = new ArrayList<>();
     final SharedCache cache =
         new SharedCache(
@@ -357,14 +373,15 @@
             60_000,
             60_000,
             0,
-            (binding, host, target, etag, weight, cutoff, done) -> fetches.add(done));
-    cache.take(RoutingTable.compile(before.getBytes(StandardCharsets.UTF_8)));
-    cache.reached(0, 0);
+            (binding, host, target, etag, waiterCount, deadline, onResult) ->
+                fetches.add(onResult));
+    cache.updateRoutingTable(RoutingTable.compile(configuration.getBytes(StandardCharsets.UTF_8)));
+    cache.majorityConfirmed(0, 0);
     final List<Integer> statuses = new ArrayList<>();
-    cache.ask(ask(1, "/a/x"), response -> statuses.add(response.status), 10);
-    cache.take(
+    cache.handleRead(readRequest(1, "/a/x"), response -> statuses.add(response.status), 10);
+    cache.updateRoutingTable(
         RoutingTable.compile(
-            before
+            configuration
                 .replace("\"version\":\"1\"", "\"version\":\"2\"")
                 .getBytes(StandardCharsets.UTF_8)));
     fetches
@@ -373,10 +390,10 @@
             new SharedCache.FetchResult(
                 200, List.of("ETag", "e", "Weldpoint-Labels", "all"), new byte[] {1}));
     assertEquals(statuses, List.of(200));
-    assertEquals(cache.copies(), 1);
+    assertEquals(cache.objectCount(), 1);
   }
 
-  private static CacheReadRequest ask(final long number, final String target) {
+  private static CacheReadRequest readRequest(final long number, final String target) {
     return new CacheReadRequest(number, "media", "quay.example", target, 1000);
   }
 }
