--- a/cli/src/main/java/weldpoint/cli/RecordCommand.java
+++ b/cli/src/main/java/weldpoint/cli/RecordCommand.java
@@ -201,7 +201,11 @@
     writer.add(end);
     out.printf(
         "recorded %d calls, dropped %d, clocks agree within %d ms, not ended: %s, exchanges not heard at the end: %s%n",
-        end.notes, end.dropped, end.clockError, end.silent, missed.keySet());
-    return end.dropped == 0 && end.silent.isEmpty() ? 0 : 1;
+        end.requestCount,
+        end.droppedCount,
+        end.clockErrorMillis,
+        end.silentProxies,
+        missed.keySet());
+    return end.droppedCount == 0 && end.silentProxies.isEmpty() ? 0 : 1;
   }
 }
--- a/cli/src/main/java/weldpoint/cli/ReplayCommand.java
+++ b/cli/src/main/java/weldpoint/cli/ReplayCommand.java
@@ -68,11 +68,12 @@
                   Compression::inflate)
               .run();
       if (options.has(json)) {
-        out.println(Jsonb.builder().build().type(ReportDocument.class).toJson(verdict.document()));
+        out.println(
+            Jsonb.builder().build().type(ReportDocument.class).toJson(verdict.toDocument()));
       } else {
         verdict.print(out);
       }
-      return verdict.code();
+      return verdict.exitCode();
     } catch (final OptionException problem) {
       problems.println("weldpoint: " + problem.getMessage());
       parser.printHelpOn(problems);
--- a/replay/src/main/java/weldpoint/replay/CallOutcome.java
+++ b/replay/src/main/java/weldpoint/replay/CallOutcome.java
@@ -1,8 +1,8 @@
 package weldpoint.replay;
 
-/** What became of one call in one world. */
+/** The outcome of one call in one simulation. Filled in by {@link ReplaySimulator}. */
 final class CallOutcome {
-  /** How it ended. */
+  /** How the call ended; the names appear in the report. */
   enum End {
     SERVED,
     REFUSED,
@@ -13,7 +13,7 @@
   End end;
   String service;
   String region = "";
-  int sent;
-  int ran;
-  long total;
+  int attemptCount;
+  int executionCount;
+  long totalMillis;
 }
--- a/replay/src/main/java/weldpoint/replay/RecordedCall.java
+++ b/replay/src/main/java/weldpoint/replay/RecordedCall.java
@@ -5,37 +5,46 @@
 import weldpoint.upstream.AttemptOutcome;
 
 /**
- * One recorded call on the day's common clock, with what the recording tells of the work it makes.
+ * One recorded call, its time converted to the common clock of the recording, with the service time
+ * that the recorded attempts imply. The simulator gives each attempt of the call this service time.
  */
 final class RecordedCall {
-  final RequestRecord note;
-  final String board;
+  final RequestRecord request;
+  final String proxy;
   final long at;
-  final long work;
+  final long serviceTimeMillis;
   final boolean answerLost;
 
-  RecordedCall(final RequestRecord note, final String board, final long offset, final long usual) {
-    this.note = note;
-    this.board = board;
-    this.at = note.at + offset;
-    long answered = -1;
+  RecordedCall(
+      final RequestRecord request,
+      final String proxy,
+      final long clockOffsetMillis,
+      final long defaultServiceTimeMillis) {
+    this.request = request;
+    this.proxy = proxy;
+    this.at = request.at + clockOffsetMillis;
+    long answeredMillis = -1;
     boolean lost = false;
-    for (int index = 0; note.ends != null && index < note.ends.size(); index++) {
-      final int end = note.ends.get(index);
-      if (end == AttemptOutcome.ANSWERED.ordinal() && answered < 0) {
-        answered = note.took.get(index);
+    for (int index = 0; request.ends != null && index < request.ends.size(); index++) {
+      final int outcome = request.ends.get(index);
+      if (outcome == AttemptOutcome.ANSWERED.ordinal() && answeredMillis < 0) {
+        answeredMillis = request.took.get(index);
       }
-      lost |= end == AttemptOutcome.UNCERTAIN.ordinal() && answered < 0;
-      if (end == AttemptOutcome.UNCERTAIN.ordinal() && answered < 0) {
-        answered = note.took.get(index);
+      lost |= outcome == AttemptOutcome.UNCERTAIN.ordinal() && answeredMillis < 0;
+      if (outcome == AttemptOutcome.UNCERTAIN.ordinal() && answeredMillis < 0) {
+        answeredMillis = request.took.get(index);
       }
     }
-    this.work =
-        answered >= 0 ? answered : note.ends == null || note.ends.isEmpty() ? usual : note.waits;
+    this.serviceTimeMillis =
+        answeredMillis >= 0
+            ? answeredMillis
+            : request.ends == null || request.ends.isEmpty()
+                ? defaultServiceTimeMillis
+                : request.waits;
     this.answerLost = lost;
   }
 
-  boolean write() {
-    return !RouteKind.values()[note.kind].repeatable();
+  boolean isWrite() {
+    return !RouteKind.values()[request.kind].repeatable();
   }
 }
--- a/replay/src/main/java/weldpoint/replay/RecordingFile.java
+++ b/replay/src/main/java/weldpoint/replay/RecordingFile.java
@@ -22,8 +22,9 @@
 import weldpoint.transport.RegistryMessages.Registration;
 
 /**
- * A recorded day on disk: compressed, each part delimited, with an end that says how much there
- * must be.
+ * The file format of a recording: gzip, a first line that names the version, then length-delimited
+ * parts, each after a byte for its kind, and a trailer with the expected number of requests.
+ * Written by the command {@code weldpoint record}, read by {@link Replay}.
  */
 public final class RecordingFile {
   private static final byte[] MAGIC = "weldpoint day 1\n".getBytes(StandardCharsets.UTF_8);
@@ -31,61 +32,68 @@
   private RecordingFile() {}
 
   /**
-   * What was in force from a moment on; what did not change is null. Clocks are those of whoever
-   * collected the day.
+   * The control state in force from a time on; what did not change is null. The time is that of the
+   * clock of the process that collected the recording.
    */
   public static final class ControlSnapshot {
     public final long at;
-    public final byte[] spec;
+    public final byte[] configuration;
     public final List<Registration> registrations;
-    public final List<String> evacuated;
+    public final List<String> evacuatedSites;
 
     public ControlSnapshot(
         final long at,
-        final byte[] spec,
+        final byte[] configuration,
         final List<Registration> registrations,
-        final List<String> evacuated) {
+        final List<String> evacuatedSites) {
       this.at = at;
-      this.spec = spec;
+      this.configuration = configuration;
       this.registrations = registrations;
-      this.evacuated = evacuated;
+      this.evacuatedSites = evacuatedSites;
     }
   }
 
-  /** A reel, with what must be added to its clock to get the collector's. */
+  /**
+   * A batch of recorded requests of one proxy, with the milliseconds to add to the proxy's clock to
+   * get the collector's.
+   */
   public static final class TimedBatch {
-    public final long offset;
+    public final long clockOffsetMillis;
     public final RecordingBatch batch;
 
-    public TimedBatch(final long offset, final RecordingBatch batch) {
-      this.offset = offset;
+    public TimedBatch(final long clockOffsetMillis, final RecordingBatch batch) {
+      this.clockOffsetMillis = clockOffsetMillis;
       this.batch = batch;
     }
   }
 
   /**
-   * The end of a whole recording: how many notes it holds, how many were dropped, and how well
-   * clocks agree.
+   * The end of a complete recording: how many requests it holds, how many were dropped, how far
+   * clocks may differ, and which proxies did not report.
    */
   public static final class Trailer {
-    public final long notes;
-    public final long dropped;
-    public final long clockError;
-    public final List<String> silent;
+    public final long requestCount;
+    public final long droppedCount;
+    public final long clockErrorMillis;
+    public final List<String> silentProxies;
 
     public Trailer(
-        final long notes, final long dropped, final long clockError, final List<String> silent) {
-      this.notes = notes;
-      this.dropped = dropped;
-      this.clockError = clockError;
-      this.silent = silent;
+        final long requestCount,
+        final long droppedCount,
+        final long clockErrorMillis,
+        final List<String> silentProxies) {
+      this.requestCount = requestCount;
+      this.droppedCount = droppedCount;
+      this.clockErrorMillis = clockErrorMillis;
+      this.silentProxies = silentProxies;
     }
   }
 
+  // Written as its ordinal, so the order of the constants is part of the file format.
   private enum Kind {
     CONTROL(ControlSnapshot.class),
-    TURN(TimedBatch.class),
-    END(Trailer.class);
+    BATCH(TimedBatch.class),
+    TRAILER(Trailer.class);
 
     private final Class<?> type;
 
@@ -94,18 +102,18 @@
     }
   }
 
-  /** Writes a day. */
+  /** Writes a recording; used by one thread. */
   public static final class Writer implements Closeable {
     private final OutputStream out;
     private final LinkedBuffer buffer = LinkedBuffer.allocate(4096);
 
-    /** Begins a file. */
+    /** Creates the file and writes its first line. */
     public Writer(final Path path) throws IOException {
       out = new BufferedOutputStream(new GZIPOutputStream(Files.newOutputStream(path), 1 << 16));
       out.write(MAGIC);
     }
 
-    /** Adds a part. */
+    /** Appends a part: a control snapshot, a batch or the trailer. */
     @SuppressWarnings("unchecked")
     public <T> void add(final T part) throws IOException {
       for (final Kind kind : Kind.values()) {
@@ -124,13 +132,13 @@
     }
   }
 
-  /** Reads a day, part by part. */
+  /** Reads a recording, part by part; used by one thread. */
   public static final class Reader implements Closeable {
     private final InputStream in;
     private final Path path;
     private boolean ended;
 
-    /** Opens a file. */
+    /** Opens a file and checks its first line. */
     public Reader(final Path path) {
       this.path = path;
       try {
@@ -139,19 +147,22 @@
         if (!java.util.Arrays.equals(magic, MAGIC)) {
           throw new WeldpointException(
               WeldpointException.Kind.UNREADABLE,
-              path + " is no recorded day of this version; record it anew with this release");
+              path + " is not a recording of this version; record it again with this release");
         }
-      } catch (final IOException problem) {
+      } catch (final IOException cause) {
         throw new WeldpointException(
             WeldpointException.Kind.UNREADABLE,
             path
-                + " cannot be read as a recorded day ("
-                + problem.getMessage()
-                + "); name a file that weldpoint record wrote");
+                + " cannot be read as a recording ("
+                + cause.getMessage()
+                + "); name a file written by weldpoint record");
       }
     }
 
-    /** The next part: a Control, a Turn or the End; null after the end. */
+    /**
+     * Returns the next part: a {@link ControlSnapshot}, a {@link TimedBatch} or the {@link
+     * Trailer}; null after the trailer.
+     */
     public Object next() {
       if (ended) {
         return null;
@@ -159,26 +170,22 @@
       try {
         final int kind = in.read();
         if (kind < 0) {
-          throw new EOFException("no end");
+          throw new EOFException("no trailer");
         }
         if (kind >= Kind.values().length) {
-          throw new IOException("an unknown part " + kind);
+          throw new IOException("unknown kind of part " + kind);
         }
         final Object part = part(Kind.values()[kind].type);
         ended = part instanceof Trailer;
         return part;
-      } catch (final EOFException cut) {
+      } catch (final EOFException truncated) {
         throw new WeldpointException(
             WeldpointException.Kind.UNREADABLE,
-            path
-                + " is cut short; end the recording before the file is copied, or record the day anew");
+            path + " is truncated; end the recording before copying the file, or record again");
       } catch (final IOException | RuntimeException damaged) {
         throw new WeldpointException(
             WeldpointException.Kind.UNREADABLE,
-            path
-                + " is damaged ("
-                + damaged.getMessage()
-                + "); copy it again, or record the day anew");
+            path + " is damaged (" + damaged.getMessage() + "); copy it again, or record again");
       }
     }
 
--- a/replay/src/main/java/weldpoint/replay/Replay.java
+++ b/replay/src/main/java/weldpoint/replay/Replay.java
@@ -18,315 +18,339 @@
 import weldpoint.transport.RecordingMessages;
 
 /**
- * Plays a recorded day under its own and under proposed settings, and compares the two call by
- * call.
+ * Simulates recorded traffic under the recorded and under a proposed configuration, and compares
+ * the two simulations call by call. Used by the command {@code weldpoint replay}, on one thread.
+ *
+ * <p>A first pass simulates the recorded configuration alone and compares the simulated with the
+ * recorded response times; if the error of any route exceeds the allowed one, the replay fails. The
+ * second pass simulates both configurations side by side.
  */
 public final class Replay {
-  private static final long SORT_MILLIS = 20_000;
-  private static final long LEAST_ERROR_MILLIS = 20;
-  private static final double SEEN = 0.95;
-  private static final int MOST_LISTED = 100_000;
+  private static final long REORDER_WINDOW_MILLIS = 20_000;
+  private static final long MIN_MODEL_ERROR_MILLIS = 20;
+  private static final double MODEL_ERROR_QUANTILE = 0.95;
+  private static final int MAX_LISTED_WRITES = 100_000;
 
-  /** Inflates a stored configuration. */
+  /** Decompresses a recorded configuration. */
   public interface Inflater {
-    /** The configuration as it was sent, from its stored form. */
+    /** Returns the configuration as it was submitted, from its compressed form. */
     byte[] inflate(byte[] stored);
   }
 
-  private final Path day;
-  private final RoutingTable proposed;
-  private final String extra;
+  private final Path recording;
+  private final RoutingTable proposedRouting;
+  private final String extraSettings;
   private final Inflater inflater;
-  private final long tolerance;
+  private final long maxModelErrorMillis;
 
-  /** A replay of a day through this configuration, with these further settings. */
+  /**
+   * Creates a replay of the recording in this file. The extra settings, lines of the settings file,
+   * apply to the proposed configuration only; maxModelErrorMillis is the largest allowed difference
+   * between recorded and simulated response times.
+   */
   public Replay(
-      final Path day,
-      final RoutingTable proposed,
-      final String extra,
-      final long tolerance,
+      final Path recording,
+      final RoutingTable proposedRouting,
+      final String extraSettings,
+      final long maxModelErrorMillis,
       final Inflater inflater) {
-    this.day = day;
-    this.proposed = proposed;
-    this.extra = extra;
-    this.tolerance = tolerance;
+    this.recording = recording;
+    this.proposedRouting = proposedRouting;
+    this.extraSettings = extraSettings;
+    this.maxModelErrorMillis = maxModelErrorMillis;
     this.inflater = inflater;
   }
 
-  private static final class Span {
-    private final Errors errors = new Errors();
+  private static final class PassTotals {
+    private final ErrorHistogram modelErrors = new ErrorHistogram();
     private long calls;
-    private long ended;
-    private RecordingFile.Trailer end;
+    private long completed;
+    private RecordingFile.Trailer trailer;
   }
 
-  /** Plays the day and judges it. */
+  /**
+   * Runs both passes and returns the comparison.
+   *
+   * @throws WeldpointException if the recording is incomplete or damaged, the model misses the
+   *     recorded times by too much, or the proposed configuration uses affinity
+   */
   public ReplayComparison run() throws IOException {
-    if (proposed.all().stream().anyMatch(route -> route.affinity != null)) {
+    if (proposedRouting.all().stream().anyMatch(route -> route.affinity != null)) {
       throw new WeldpointException(
           WeldpointException.Kind.INVALID,
-          "the proposed configuration ties callers to nodes, and a recorded day does not hold who called; leave affinity out, or try it on a route by a trial");
+          "the proposed configuration uses affinity, and a recording does not hold who called; leave affinity out, or test it on one route with a trial");
     }
-    final Span first = new Span();
-    pass(
-        first,
+    final PassTotals baselineTotals = new PassTotals();
+    runPass(
+        baselineTotals,
         true,
-        (call, own, other) -> {
-          if (own.end == CallOutcome.End.SERVED
-              && call.note.status >= 200
-              && call.note.status < 300) {
-            first.errors.add(call.note.route, Math.abs(own.total - call.note.total));
+        (call, baselineOutcome, proposedOutcome) -> {
+          if (baselineOutcome.end == CallOutcome.End.SERVED
+              && call.request.status >= 200
+              && call.request.status < 300) {
+            baselineTotals.modelErrors.add(
+                call.request.route, Math.abs(baselineOutcome.totalMillis - call.request.total));
           }
         });
-    final Map<String, Long> errors = new TreeMap<>();
-    first
-        .errors
-        .worst(SEEN)
-        .forEach((route, error) -> errors.put(route, Math.max(LEAST_ERROR_MILLIS, error)));
-    for (final Map.Entry<String, Long> entry : errors.entrySet()) {
-      if (entry.getValue() > tolerance) {
+    final Map<String, Long> modelErrors = new TreeMap<>();
+    baselineTotals
+        .modelErrors
+        .quantiles(MODEL_ERROR_QUANTILE)
+        .forEach((route, error) -> modelErrors.put(route, Math.max(MIN_MODEL_ERROR_MILLIS, error)));
+    for (final Map.Entry<String, Long> entry : modelErrors.entrySet()) {
+      if (entry.getValue() > maxModelErrorMillis) {
         throw new WeldpointException(
             WeldpointException.Kind.INVALID,
-            "the model misses the recorded times of route "
+            "the simulated response times of route "
                 + entry.getKey()
-                + " by "
+                + " differ from the recorded ones by "
                 + entry.getValue()
                 + " ms, more than "
-                + tolerance
-                + "; record a day with fewer breakdowns, or allow more with --error-ms");
+                + maxModelErrorMillis
+                + " ms; record a time with fewer failures, or allow more with --error-ms");
       }
     }
-    final ReplayComparison verdict = new ReplayComparison(errors, first.end.clockError);
-    final Span second = new Span();
-    pass(
-        second,
+    final ReplayComparison comparison =
+        new ReplayComparison(modelErrors, baselineTotals.trailer.clockErrorMillis);
+    final PassTotals comparisonTotals = new PassTotals();
+    runPass(
+        comparisonTotals,
         false,
-        (call, own, other) ->
-            verdict.add(
+        (call, baselineOutcome, proposedOutcome) ->
+            comparison.add(
                 call,
-                own,
-                other,
-                errors.getOrDefault(call.note.route, LEAST_ERROR_MILLIS),
-                MOST_LISTED));
-    if (second.calls != first.end.notes || second.ended != second.calls) {
+                baselineOutcome,
+                proposedOutcome,
+                modelErrors.getOrDefault(call.request.route, MIN_MODEL_ERROR_MILLIS),
+                MAX_LISTED_WRITES));
+    if (comparisonTotals.calls != baselineTotals.trailer.requestCount
+        || comparisonTotals.completed != comparisonTotals.calls) {
       throw new WeldpointException(
           WeldpointException.Kind.UNREADABLE,
           "of "
-              + first.end.notes
+              + baselineTotals.trailer.requestCount
               + " recorded calls "
-              + second.ended
-              + " were accounted for; record the day anew");
+              + comparisonTotals.completed
+              + " completed in the simulation; record again");
     }
-    return verdict;
+    return comparison;
   }
 
-  private interface Compared {
-    void ended(RecordedCall call, CallOutcome own, CallOutcome other);
+  private interface CallListener {
+    void callCompleted(RecordedCall call, CallOutcome baselineOutcome, CallOutcome proposedOutcome);
   }
 
   private final class Pass {
     private final EventLoopGroup loop;
-    private final Span span;
-    private final ReplaySimulator own;
-    private final ReplaySimulator other;
-    private final Compared compared;
-    private final PriorityQueue<Object[]> waiting =
+    private final PassTotals totals;
+    private final ReplaySimulator baseline;
+    private final ReplaySimulator proposal;
+    private final CallListener listener;
+    private final PriorityQueue<Object[]> reorderBuffer =
         new PriorityQueue<>(
-            (one, two) ->
-                one[0].equals(two[0])
-                    ? Long.compare((long) one[1], (long) two[1])
-                    : Long.compare((long) one[0], (long) two[0]));
+            (first, second) ->
+                first[0].equals(second[0])
+                    ? Long.compare((long) first[1], (long) second[1])
+                    : Long.compare((long) first[0], (long) second[0]));
     private final Map<String, String> sites = new LinkedHashMap<>();
-    private final Map<String, long[]> serials = new HashMap<>();
-    private final Set<String> open = new HashSet<>();
-    private final Map<String, Double> usual = new HashMap<>();
-    private long latest = Long.MIN_VALUE / 2;
+    private final Map<String, long[]> lastSerials = new HashMap<>();
+    private final Set<String> openRecordings = new HashSet<>();
+    private final Map<String, Double> meanServiceTimes = new HashMap<>();
+    private long latestAt = Long.MIN_VALUE / 2;
     private long order;
     private long playedTo = Long.MIN_VALUE / 2;
 
     private Pass(
-        final EventLoopGroup loop, final Span span, final boolean alone, final Compared compared) {
+        final EventLoopGroup loop,
+        final PassTotals totals,
+        final boolean baselineOnly,
+        final CallListener listener) {
       this.loop = loop;
-      this.span = span;
-      this.own = new ReplaySimulator(loop, "", 7);
-      this.other = alone ? null : new ReplaySimulator(loop, extra, 7);
-      this.compared = compared;
-      if (other != null) {
-        other.routingTable(proposed);
+      this.totals = totals;
+      this.baseline = new ReplaySimulator(loop, "", 7);
+      this.proposal = baselineOnly ? null : new ReplaySimulator(loop, extraSettings, 7);
+      this.listener = listener;
+      if (proposal != null) {
+        proposal.routingTable(proposedRouting);
       }
     }
 
-    private void take(final Object part) {
+    private void accept(final Object part) {
       if (part instanceof RecordingFile.ControlSnapshot) {
         final RecordingFile.ControlSnapshot control = (RecordingFile.ControlSnapshot) part;
-        add(control.at, control);
+        enqueue(control.at, control);
       } else if (part instanceof RecordingFile.TimedBatch) {
-        turn((RecordingFile.TimedBatch) part);
+        addBatch((RecordingFile.TimedBatch) part);
       } else {
-        span.end = (RecordingFile.Trailer) part;
-        if (span.end.dropped > 0 || !Protocol.list(span.end.silent).isEmpty() || !open.isEmpty()) {
+        totals.trailer = (RecordingFile.Trailer) part;
+        if (totals.trailer.droppedCount > 0
+            || !Protocol.list(totals.trailer.silentProxies).isEmpty()
+            || !openRecordings.isEmpty()) {
           throw new WeldpointException(
               WeldpointException.Kind.INVALID,
               "the recording has gaps: "
-                  + span.end.dropped
-                  + " calls dropped, silent switchboards "
-                  + Protocol.list(span.end.silent)
-                  + ", not ended "
-                  + open
-                  + "; record the day anew");
+                  + totals.trailer.droppedCount
+                  + " calls dropped, proxies that did not report "
+                  + Protocol.list(totals.trailer.silentProxies)
+                  + ", proxies without a last batch "
+                  + openRecordings
+                  + "; record again");
         }
       }
     }
 
-    private void turn(final RecordingFile.TimedBatch turn) {
-      final RecordingMessages.RecordingBatch batch = turn.batch;
-      final String life = batch.board + "#" + batch.incarnation;
+    private void addBatch(final RecordingFile.TimedBatch timedBatch) {
+      final RecordingMessages.RecordingBatch batch = timedBatch.batch;
+      final String proxyInstance = batch.board + "#" + batch.incarnation;
       if (batch.dropped > 0) {
         throw new WeldpointException(
             WeldpointException.Kind.INVALID,
-            "switchboard "
+            "proxy "
                 + batch.board
-                + " had to drop "
+                + " dropped "
                 + batch.dropped
-                + " calls; record a shorter or calmer day");
+                + " calls; record a shorter time or less traffic");
       }
       if (sites.putIfAbsent(batch.site, batch.region) == null) {
         sites.put(batch.site, batch.region);
       }
       if (batch.last) {
-        open.remove(life);
+        openRecordings.remove(proxyInstance);
       } else {
-        open.add(life);
+        openRecordings.add(proxyInstance);
       }
-      own.board(batch.board, batch.site, batch.region, sites);
-      if (other != null) {
-        other.board(batch.board, batch.site, batch.region, sites);
+      baseline.addProxy(batch.board, batch.site, batch.region, sites);
+      if (proposal != null) {
+        proposal.addProxy(batch.board, batch.site, batch.region, sites);
       }
-      final long[] serial = serials.computeIfAbsent(life, name -> new long[1]);
-      for (final RecordingMessages.RequestRecord note : Protocol.list(batch.notes)) {
-        if (note.serial != serial[0] + 1) {
+      final long[] lastSerial = lastSerials.computeIfAbsent(proxyInstance, name -> new long[1]);
+      for (final RecordingMessages.RequestRecord request : Protocol.list(batch.notes)) {
+        if (request.serial != lastSerial[0] + 1) {
           throw new WeldpointException(
               WeldpointException.Kind.INVALID,
               "the recording of "
                   + batch.board
-                  + " lacks the calls between "
-                  + serial[0]
+                  + " lacks calls between numbers "
+                  + lastSerial[0]
                   + " and "
-                  + note.serial
-                  + "; record the day anew");
+                  + request.serial
+                  + "; record again");
         }
-        serial[0] = note.serial;
+        lastSerial[0] = request.serial;
         final RecordedCall call =
             new RecordedCall(
-                note,
+                request,
                 batch.board,
-                turn.offset,
-                usual.getOrDefault(note.service, 100.0).longValue());
-        if (call.work > 0 && note.status >= 200 && note.status < 300) {
-          usual.merge(
-              note.service, (double) call.work, (before, now) -> before * 0.99 + now * 0.01);
+                timedBatch.clockOffsetMillis,
+                meanServiceTimes.getOrDefault(request.service, 100.0).longValue());
+        if (call.serviceTimeMillis > 0 && request.status >= 200 && request.status < 300) {
+          meanServiceTimes.merge(
+              request.service,
+              (double) call.serviceTimeMillis,
+              (mean, sample) -> mean * 0.99 + sample * 0.01);
         }
-        add(call.at, call);
+        enqueue(call.at, call);
       }
-      advance(latest - SORT_MILLIS);
+      advance(latestAt - REORDER_WINDOW_MILLIS);
     }
 
-    private void add(final long at, final Object what) {
+    private void enqueue(final long at, final Object event) {
       if (at < playedTo) {
         throw new WeldpointException(
             WeldpointException.Kind.INVALID,
             "the recording is more than "
-                + SORT_MILLIS
-                + " ms out of order; record the day anew, with fewer exchanges out of reach");
+                + REORDER_WINDOW_MILLIS
+                + " ms out of order; record again, with all registry nodes reachable");
       }
-      latest = Math.max(latest, at);
-      waiting.add(new Object[] {at, order++, what});
+      latestAt = Math.max(latestAt, at);
+      reorderBuffer.add(new Object[] {at, order++, event});
     }
 
     private void advance(final long until) {
       playedTo = until;
-      while (!waiting.isEmpty() && (long) waiting.peek()[0] <= until) {
-        final Object[] next = waiting.poll();
+      while (!reorderBuffer.isEmpty() && (long) reorderBuffer.peek()[0] <= until) {
+        final Object[] next = reorderBuffer.poll();
         final long at = (long) next[0];
-        own.until(at);
-        if (other != null) {
-          other.until(at);
+        baseline.advanceTo(at);
+        if (proposal != null) {
+          proposal.advanceTo(at);
         }
         if (next[2] instanceof RecordingFile.ControlSnapshot) {
-          control((RecordingFile.ControlSnapshot) next[2]);
+          applyControl((RecordingFile.ControlSnapshot) next[2]);
         } else {
-          call((RecordedCall) next[2]);
+          play((RecordedCall) next[2]);
         }
       }
     }
 
-    private void control(final RecordingFile.ControlSnapshot control) {
-      if (control.spec != null) {
-        own.routingTable(RoutingTable.compile(inflater.inflate(control.spec)));
+    private void applyControl(final RecordingFile.ControlSnapshot snapshot) {
+      if (snapshot.configuration != null) {
+        baseline.routingTable(RoutingTable.compile(inflater.inflate(snapshot.configuration)));
       }
-      own.control(control.registrations, control.evacuated);
-      if (other != null) {
-        other.control(control.registrations, control.evacuated);
+      baseline.applyControl(snapshot.registrations, snapshot.evacuatedSites);
+      if (proposal != null) {
+        proposal.applyControl(snapshot.registrations, snapshot.evacuatedSites);
       }
     }
 
-    private void call(final RecordedCall call) {
-      span.calls++;
-      final CallOutcome[] both = new CallOutcome[2];
-      final Consumer<Integer> ended =
-          which -> {
-            if (both[0] != null && (other == null || both[1] != null)) {
-              span.ended++;
-              compared.ended(call, both[0], both[1]);
+    private void play(final RecordedCall call) {
+      totals.calls++;
+      final CallOutcome[] outcomes = new CallOutcome[2];
+      final Consumer<Integer> onOutcome =
+          ignored -> {
+            if (outcomes[0] != null && (proposal == null || outcomes[1] != null)) {
+              totals.completed++;
+              listener.callCompleted(call, outcomes[0], outcomes[1]);
             }
           };
-      own.play(
+      baseline.play(
           call,
           outcome -> {
-            both[0] = outcome;
-            ended.accept(0);
+            outcomes[0] = outcome;
+            onOutcome.accept(0);
           });
-      if (other != null) {
-        other.play(
+      if (proposal != null) {
+        proposal.play(
             call,
             outcome -> {
-              both[1] = outcome;
-              ended.accept(1);
+              outcomes[1] = outcome;
+              onOutcome.accept(1);
             });
       }
     }
 
     private void finish() {
       advance(Long.MAX_VALUE);
-      own.finish();
-      if (other != null) {
-        other.finish();
+      baseline.runToCompletion();
+      if (proposal != null) {
+        proposal.runToCompletion();
       }
     }
   }
 
-  private void pass(final Span span, final boolean alone, final Compared compared)
+  private void runPass(
+      final PassTotals totals, final boolean baselineOnly, final CallListener listener)
       throws IOException {
     final EventLoopGroup loop = new NioEventLoopGroup(1);
-    try (RecordingFile.Reader reader = new RecordingFile.Reader(day)) {
-      final Pass pass = new Pass(loop, span, alone, compared);
+    try (RecordingFile.Reader reader = new RecordingFile.Reader(recording)) {
+      final Pass pass = new Pass(loop, totals, baselineOnly, listener);
       for (Object part = reader.next(); part != null; part = reader.next()) {
-        pass.take(part);
+        pass.accept(part);
       }
       pass.finish();
-      if (span.end.notes != span.calls) {
+      if (totals.trailer.requestCount != totals.calls) {
         throw new WeldpointException(
             WeldpointException.Kind.UNREADABLE,
             "the recording holds "
-                + span.calls
-                + " calls and says "
-                + span.end.notes
-                + "; record the day anew");
+                + totals.calls
+                + " calls, but its trailer says "
+                + totals.trailer.requestCount
+                + "; record again");
       }
-      if (span.calls == 0) {
+      if (totals.calls == 0) {
         throw new WeldpointException(
             WeldpointException.Kind.INVALID,
-            "the recording holds no calls; record a day with traffic");
+            "the recording holds no calls; record while there is traffic");
       }
     } finally {
       loop.shutdownGracefully(0, 0, java.util.concurrent.TimeUnit.MILLISECONDS);
@@ -334,33 +358,35 @@
   }
 
   /**
-   * The differences between recorded and modelled times, by route: a histogram, since a day has
-   * millions.
+   * The differences between recorded and simulated response times, by route. Kept as histograms
+   * with buckets of 1 ms, since a recording may hold millions of calls.
    */
-  private static final class Errors {
-    private static final int MOST = 20_000;
-    private final Map<String, int[]> counts = new TreeMap<>();
+  private static final class ErrorHistogram {
+    private static final int MAX_MILLIS = 20_000;
+    private final Map<String, int[]> countsByRoute = new TreeMap<>();
 
     private void add(final String route, final long error) {
-      counts.computeIfAbsent(route, name -> new int[MOST + 1])[(int) Math.min(MOST, error)]++;
+      countsByRoute
+          .computeIfAbsent(route, name -> new int[MAX_MILLIS + 1])[
+          (int) Math.min(MAX_MILLIS, error)]++;
     }
 
-    private Map<String, Long> worst(final double share) {
-      final Map<String, Long> worst = new TreeMap<>();
-      counts.forEach(
+    private Map<String, Long> quantiles(final double fraction) {
+      final Map<String, Long> millisByRoute = new TreeMap<>();
+      countsByRoute.forEach(
           (route, histogram) -> {
-            long all = 0;
+            long total = 0;
             for (final int count : histogram) {
-              all += count;
+              total += count;
             }
-            long sum = 0;
-            int at = 0;
-            while (at < MOST && sum + histogram[at] < share * all) {
-              sum += histogram[at++];
+            long cumulative = 0;
+            int millis = 0;
+            while (millis < MAX_MILLIS && cumulative + histogram[millis] < fraction * total) {
+              cumulative += histogram[millis++];
             }
-            worst.put(route, (long) at);
+            millisByRoute.put(route, (long) millis);
           });
-      return worst;
+      return millisByRoute;
     }
   }
 }
--- a/replay/src/main/java/weldpoint/replay/ReplayComparison.java
+++ b/replay/src/main/java/weldpoint/replay/ReplayComparison.java
@@ -7,21 +7,24 @@
 import java.util.TreeMap;
 import weldpoint.routing.RouteKind;
 
-/** What a replay found: writes one by one, other calls in sums. */
+/**
+ * The result of a replay: each write for which something would change, and totals by route for all
+ * other calls. Filled in by {@link Replay}, printed by the command {@code weldpoint replay}.
+ */
 public final class ReplayComparison {
-  /** What proposed settings would do to a call. */
+  /** How the proposed configuration would change a call; the names appear in the report. */
   public enum Change {
     /** Another service or region would serve it. */
     ELSEWHERE(false),
-    /** It would wait longer, by more than the model's error. */
+    /** Its response would take longer, by more than the model's error. */
     LONGER(true),
     /** It would be sent to more upstreams than before. */
     SENT_TWICE(true),
-    /** More than one upstream would run it. */
+    /** More upstreams than before, and more than one, would execute it. */
     RUN_TWICE(true),
-    /** Its answer would be lost. */
+    /** Its response would be lost; an upstream may have executed it. */
     LOST(true),
-    /** It would be refused. */
+    /** It would be refused without being executed. */
     REFUSED(true),
     /** No route would match it. */
     UNROUTED(true);
@@ -32,76 +35,76 @@
       this.harms = harms;
     }
 
-    /** Whether a write is harmed by it. */
+    /** Returns whether this change harms a write. */
     public boolean harms() {
       return harms;
     }
   }
 
-  /** One write and what would change for it. */
+  /** One write with its changes; times in milliseconds. */
   public record ChangedWrite(
-      String id,
-      String board,
+      String attemptId,
+      String proxy,
       String route,
       long at,
       List<Change> changes,
-      String before,
-      String after,
-      long waitedBefore,
-      long waitedAfter) {}
+      String baselineOutcome,
+      String proposedOutcome,
+      long baselineMillis,
+      long proposedMillis) {}
 
-  /** Calls of one route at one switchboard's site, other than writes. */
-  public static final class Sum {
+  /** Totals of the calls of one route and kind, other than writes; times in milliseconds. */
+  public static final class RouteTotals {
     long calls;
     long longer;
     long refused;
     long elsewhere;
     long lost;
-    long before;
-    long after;
+    long baselineMillis;
+    long proposedMillis;
   }
 
-  private final Map<String, Long> errors;
-  private final long clockError;
-  private final List<ChangedWrite> lines = new ArrayList<>();
+  private final Map<String, Long> modelErrors;
+  private final long clockErrorMillis;
+  private final List<ChangedWrite> changedWrites = new ArrayList<>();
   private final Map<Change, Long> writeCounts = new TreeMap<>();
-  private final Map<String, Sum> sums = new TreeMap<>();
+  private final Map<String, RouteTotals> totalsByRoute = new TreeMap<>();
   private long writes;
-  private long writesOnce;
+  private long writesRunOnce;
   private long others;
-  private long harmed;
-  private long unlisted;
-  private long unrouted;
+  private long writesHarmed;
+  private long writesNotListed;
+  private long othersUnrouted;
 
-  ReplayComparison(final Map<String, Long> errors, final long clockError) {
-    this.errors = errors;
-    this.clockError = clockError;
+  ReplayComparison(final Map<String, Long> modelErrors, final long clockErrorMillis) {
+    this.modelErrors = modelErrors;
+    this.clockErrorMillis = clockErrorMillis;
   }
 
   private static List<Change> changes(
-      final CallOutcome own, final CallOutcome other, final long error) {
+      final CallOutcome baseline, final CallOutcome proposed, final long modelErrorMillis) {
     final List<Change> changes = new ArrayList<>(2);
-    if (other.end == CallOutcome.End.UNROUTED && own.end != CallOutcome.End.UNROUTED) {
+    if (proposed.end == CallOutcome.End.UNROUTED && baseline.end != CallOutcome.End.UNROUTED) {
       changes.add(Change.UNROUTED);
-    } else if (other.end == CallOutcome.End.REFUSED && own.end != CallOutcome.End.REFUSED) {
+    } else if (proposed.end == CallOutcome.End.REFUSED && baseline.end != CallOutcome.End.REFUSED) {
       changes.add(Change.REFUSED);
-    } else if (other.end == CallOutcome.End.LOST && own.end != CallOutcome.End.LOST) {
+    } else if (proposed.end == CallOutcome.End.LOST && baseline.end != CallOutcome.End.LOST) {
       changes.add(Change.LOST);
-    } else if (own.end == CallOutcome.End.SERVED
-        && other.end == CallOutcome.End.SERVED
-        && other.total > own.total + error) {
+    } else if (baseline.end == CallOutcome.End.SERVED
+        && proposed.end == CallOutcome.End.SERVED
+        && proposed.totalMillis > baseline.totalMillis + modelErrorMillis) {
       changes.add(Change.LONGER);
     }
-    if (other.sent > Math.max(1, own.sent)) {
+    if (proposed.attemptCount > Math.max(1, baseline.attemptCount)) {
       changes.add(Change.SENT_TWICE);
     }
-    if (other.ran > Math.max(1, own.ran)) {
+    if (proposed.executionCount > Math.max(1, baseline.executionCount)) {
       changes.add(Change.RUN_TWICE);
     }
-    if (own.service != null
-        && other.service != null
-        && (!own.service.equals(other.service)
-            || !own.region.equals(other.region) && own.end == other.end)) {
+    if (baseline.service != null
+        && proposed.service != null
+        && (!baseline.service.equals(proposed.service)
+            || !baseline.region.equals(proposed.region) && baseline.end == proposed.end)) {
       changes.add(Change.ELSEWHERE);
     }
     return changes;
@@ -109,32 +112,32 @@
 
   void add(
       final RecordedCall call,
-      final CallOutcome own,
-      final CallOutcome other,
-      final long error,
-      final int most) {
-    final List<Change> changes = changes(own, other, error);
-    if (!call.write()) {
+      final CallOutcome baseline,
+      final CallOutcome proposed,
+      final long modelErrorMillis,
+      final int maxListed) {
+    final List<Change> changes = changes(baseline, proposed, modelErrorMillis);
+    if (!call.isWrite()) {
       others++;
-      final Sum sum =
-          sums.computeIfAbsent(
-              call.note.route
+      final RouteTotals totals =
+          totalsByRoute.computeIfAbsent(
+              call.request.route
                   + " ("
-                  + RouteKind.values()[call.note.kind].name().toLowerCase(java.util.Locale.ROOT)
+                  + RouteKind.values()[call.request.kind].name().toLowerCase(java.util.Locale.ROOT)
                   + ")",
-              name -> new Sum());
-      sum.calls++;
-      sum.before += own.total;
-      sum.after += other.total;
-      sum.longer += changes.contains(Change.LONGER) ? 1 : 0;
-      sum.refused += changes.contains(Change.REFUSED) ? 1 : 0;
-      unrouted += changes.contains(Change.UNROUTED) ? 1 : 0;
-      sum.lost += changes.contains(Change.LOST) ? 1 : 0;
-      sum.elsewhere += changes.contains(Change.ELSEWHERE) ? 1 : 0;
+              name -> new RouteTotals());
+      totals.calls++;
+      totals.baselineMillis += baseline.totalMillis;
+      totals.proposedMillis += proposed.totalMillis;
+      totals.longer += changes.contains(Change.LONGER) ? 1 : 0;
+      totals.refused += changes.contains(Change.REFUSED) ? 1 : 0;
+      othersUnrouted += changes.contains(Change.UNROUTED) ? 1 : 0;
+      totals.lost += changes.contains(Change.LOST) ? 1 : 0;
+      totals.elsewhere += changes.contains(Change.ELSEWHERE) ? 1 : 0;
       return;
     }
     writes++;
-    writesOnce += other.ran == 1 ? 1 : 0;
+    writesRunOnce += proposed.executionCount == 1 ? 1 : 0;
     if (changes.isEmpty()) {
       return;
     }
@@ -143,136 +146,152 @@
       writeCounts.merge(change, 1L, Long::sum);
       harms |= change.harms();
     }
-    harmed += harms ? 1 : 0;
-    if (lines.size() < most) {
-      lines.add(
+    writesHarmed += harms ? 1 : 0;
+    if (changedWrites.size() < maxListed) {
+      changedWrites.add(
           new ChangedWrite(
-              call.note.id,
-              call.board,
-              call.note.route,
+              call.request.id,
+              call.proxy,
+              call.request.route,
               call.at,
               changes,
-              own.service + " in " + own.region + ", " + own.end,
-              other.service + " in " + other.region + ", " + other.end,
-              own.total,
-              other.total));
+              baseline.service + " in " + baseline.region + ", " + baseline.end,
+              proposed.service + " in " + proposed.region + ", " + proposed.end,
+              baseline.totalMillis,
+              proposed.totalMillis));
     } else {
-      unlisted++;
+      writesNotListed++;
     }
   }
 
   /**
-   * 0 where nothing once-only is harmed and only what may be repeated waits longer, otherwise 1; a
-   * route that was used and is gone is never passed over.
+   * Returns the exit code of the command: 0 if no write is harmed and other calls at most take
+   * longer or fail, otherwise 1. A call whose route is gone always gives 1.
    */
-  public int code() {
-    return harmed == 0 && unrouted == 0 ? 0 : 1;
+  public int exitCode() {
+    return writesHarmed == 0 && othersUnrouted == 0 ? 0 : 1;
   }
 
-  /** The writes for which something would change. */
-  public List<ChangedWrite> lines() {
-    return lines;
+  /** Returns the writes for which something would change, up to the limit of the list. */
+  public List<ChangedWrite> changedWrites() {
+    return changedWrites;
   }
 
-  /** How many writes the day holds, each accounted for once. */
+  /** Returns the number of writes in the recording, each counted once. */
   public long writes() {
     return writes;
   }
 
-  /** How many calls of the other kinds. */
+  /** Returns the number of calls other than writes. */
   public long others() {
     return others;
   }
 
-  /** How many of the other calls would wait longer or be refused. */
-  public long waiting() {
-    return sums.values().stream().mapToLong(sum -> sum.longer + sum.refused + sum.lost).sum();
+  /** Returns how many of the other calls would take longer, be refused or be lost. */
+  public long othersDegraded() {
+    return totalsByRoute.values().stream()
+        .mapToLong(totals -> totals.longer + totals.refused + totals.lost)
+        .sum();
   }
 
-  /** The model's error by route, in milliseconds. */
-  public Map<String, Long> errors() {
-    return errors;
+  /** Returns the error of the model by route, in milliseconds. */
+  public Map<String, Long> modelErrors() {
+    return modelErrors;
   }
 
-  /** The report as text. */
+  /** Prints the report as text. */
   public void print(final PrintStream out) {
     out.printf(
         "calls %d: writes %d, others %d; clocks of switchboards agree within %d ms%n",
-        writes + others, writes, others, clockError);
-    errors.forEach(
+        writes + others, writes, others, clockErrorMillis);
+    modelErrors.forEach(
         (route, error) ->
             out.printf("model error of route %s: %d ms (19 of 20 calls)%n", route, error));
-    out.printf("writes that exactly one upstream would run: %d of %d%n", writesOnce, writes);
+    out.printf("writes that exactly one upstream would run: %d of %d%n", writesRunOnce, writes);
     for (final Change change : Change.values()) {
       out.printf(
           "writes %-10s %d%n",
           change.name().toLowerCase(java.util.Locale.ROOT), writeCounts.getOrDefault(change, 0L));
     }
-    for (final ChangedWrite line : lines) {
+    for (final ChangedWrite write : changedWrites) {
       out.printf(
           "  %s at %s on %s: %s; before %s after %d ms, proposed %s after %d ms%n",
-          line.id,
-          line.board,
-          line.route,
-          line.changes,
-          line.before,
-          line.waitedBefore,
-          line.after,
-          line.waitedAfter);
+          write.attemptId,
+          write.proxy,
+          write.route,
+          write.changes,
+          write.baselineOutcome,
+          write.baselineMillis,
+          write.proposedOutcome,
+          write.proposedMillis);
     }
-    if (unlisted > 0) {
-      out.printf("  and %d more writes%n", unlisted);
+    if (writesNotListed > 0) {
+      out.printf("  and %d more writes%n", writesNotListed);
     }
-    sums.forEach(
-        (route, sum) ->
+    totalsByRoute.forEach(
+        (route, totals) ->
             out.printf(
                 "%s: %d calls, longer %d, refused %d, lost %d, elsewhere %d; mean %d ms before, %d ms proposed%n",
                 route,
-                sum.calls,
-                sum.longer,
-                sum.refused,
-                sum.lost,
-                sum.elsewhere,
-                sum.before / sum.calls,
-                sum.after / sum.calls));
-    if (unrouted > 0) {
+                totals.calls,
+                totals.longer,
+                totals.refused,
+                totals.lost,
+                totals.elsewhere,
+                totals.baselineMillis / totals.calls,
+                totals.proposedMillis / totals.calls));
+    if (othersUnrouted > 0) {
       out.printf(
           "the configuration lacks routes that %d lookups or downloads used; add them, or tell their callers%n",
-          unrouted);
+          othersUnrouted);
     }
     out.println(
-        harmed > 0
-            ? "verdict: " + harmed + " writes would be harmed"
-            : waiting() > 0
+        writesHarmed > 0
+            ? "verdict: " + writesHarmed + " writes would be harmed"
+            : othersDegraded() > 0
                 ? "verdict: no write is harmed; only lookups and downloads wait"
                 : "verdict: no write is harmed");
   }
 
-  /** The report for machines. */
-  public ReportDocument document() {
-    final List<ReportDocument.Write> list = new ArrayList<>();
-    for (final ChangedWrite line : lines) {
-      final List<String> names = new ArrayList<>();
-      line.changes.forEach(change -> names.add(change.name()));
-      list.add(
+  /** Returns the report for output as JSON. */
+  public ReportDocument toDocument() {
+    final List<ReportDocument.Write> changed = new ArrayList<>();
+    for (final ChangedWrite write : changedWrites) {
+      final List<String> changeNames = new ArrayList<>();
+      write.changes.forEach(change -> changeNames.add(change.name()));
+      changed.add(
           new ReportDocument.Write(
-              line.id,
-              line.board,
-              line.route,
-              line.at,
-              names,
-              line.before,
-              line.after,
-              line.waitedBefore,
-              line.waitedAfter));
+              write.attemptId,
+              write.proxy,
+              write.route,
+              write.at,
+              changeNames,
+              write.baselineOutcome,
+              write.proposedOutcome,
+              write.baselineMillis,
+              write.proposedMillis));
     }
-    final List<ReportDocument.Other> rest = new ArrayList<>();
-    sums.forEach(
-        (route, sum) ->
-            rest.add(
+    final List<ReportDocument.Other> otherRoutes = new ArrayList<>();
+    totalsByRoute.forEach(
+        (route, totals) ->
+            otherRoutes.add(
                 new ReportDocument.Other(
-                    route, sum.calls, sum.longer, sum.refused, sum.lost, sum.elsewhere)));
+                    route,
+                    totals.calls,
+                    totals.longer,
+                    totals.refused,
+                    totals.lost,
+                    totals.elsewhere)));
     return new ReportDocument(
-        writes, writesOnce, others, harmed, unlisted, unrouted, clockError, errors, list, rest);
+        writes,
+        writesRunOnce,
+        others,
+        writesHarmed,
+        writesNotListed,
+        othersUnrouted,
+        clockErrorMillis,
+        modelErrors,
+        changed,
+        otherRoutes);
   }
 }
--- a/replay/src/main/java/weldpoint/replay/ReplaySimulator.java
+++ b/replay/src/main/java/weldpoint/replay/ReplaySimulator.java
@@ -25,88 +25,96 @@
 import weldpoint.upstream.UpstreamPool;
 
 /**
- * A fleet of the day's size on the day's clock under one configuration: the daemons' own plan,
- * choice of upstreams, budgets and rules for further tries, before scripted upstreams whose work
- * the recording tells.
+ * Discrete-event simulation of the recorded proxies under one configuration, on the clock of the
+ * recording. Routing, choice of upstreams, retry budgets and retry rules are the code that proxies
+ * run; the upstreams are models whose service times come from the recording. Used by {@link
+ * Replay}; not thread-safe.
  */
 final class ReplaySimulator {
-  private static final long MARGIN_MILLIS = 15;
-  private static final int QUEUE = 2;
+  private static final long DEADLINE_MARGIN_MILLIS = 15;
+  private static final int QUEUE_PER_SLOT = 2;
 
-  private record Event(long at, long order, Runnable deed) {}
+  private record Event(long at, long order, Runnable action) {}
 
-  private static final class Model {
+  private static final class UpstreamModel {
     final int slots;
-    final PriorityQueue<Long> free = new PriorityQueue<>();
-    int present;
+    final PriorityQueue<Long> slotFreeTimes = new PriorityQueue<>();
+    int inFlight;
 
-    Model(final int slots) {
+    UpstreamModel(final int slots) {
       this.slots = Math.max(1, slots);
       for (int index = 0; index < this.slots; index++) {
-        free.add(0L);
+        slotFreeTimes.add(0L);
       }
     }
   }
 
   private final EventLoopGroup loop;
-  private final String extra;
+  private final String extraSettings;
   private final long seed;
-  private final Map<String, UpstreamPool> boards = new HashMap<>();
-  private final Map<String, Settings> boots = new HashMap<>();
-  private final Map<String, Random> chances = new HashMap<>();
-  private final Map<String, Model> models = new HashMap<>();
+  private final Map<String, UpstreamPool> upstreamPools = new HashMap<>();
+  private final Map<String, Settings> proxySettings = new HashMap<>();
+  private final Map<String, Random> randoms = new HashMap<>();
+  private final Map<String, UpstreamModel> upstreamModels = new HashMap<>();
   private final Map<String, Registration> registrations = new HashMap<>();
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(
-          (one, other) ->
-              one.at != other.at
-                  ? Long.compare(one.at, other.at)
-                  : Long.compare(one.order, other.order));
-  private List<String> evacuated = List.of();
+          (first, second) ->
+              first.at != second.at
+                  ? Long.compare(first.at, second.at)
+                  : Long.compare(first.order, second.order));
+  private List<String> evacuatedSites = List.of();
   private RoutingTable routingTable;
   private long now = Long.MIN_VALUE / 2;
   private long order;
 
-  ReplaySimulator(final EventLoopGroup loop, final String extra, final long seed) {
+  ReplaySimulator(final EventLoopGroup loop, final String extraSettings, final long seed) {
     this.loop = loop;
-    this.extra = extra;
+    this.extraSettings = extraSettings;
     this.seed = seed;
   }
 
-  void routingTable(final RoutingTable given) {
-    routingTable = given;
+  void routingTable(final RoutingTable newRoutingTable) {
+    routingTable = newRoutingTable;
   }
 
-  void control(final List<Registration> changes, final List<String> sites) {
-    final List<UpstreamPool.Change> list = new ArrayList<>();
+  void applyControl(final List<Registration> changes, final List<String> newEvacuatedSites) {
+    final List<UpstreamPool.Change> upstreamChanges = new ArrayList<>();
     for (final Registration registration : changes == null ? List.<Registration>of() : changes) {
       registrations.put(registration.id, registration);
       final boolean open = registration.stage == 0 && !registration.service.isEmpty();
       if (open) {
-        models.computeIfAbsent(registration.id, id -> new Model(registration.capacity));
+        upstreamModels.computeIfAbsent(
+            registration.id, id -> new UpstreamModel(registration.capacity));
       }
-      list.add(new UpstreamPool.Change(registration, open));
+      upstreamChanges.add(new UpstreamPool.Change(registration, open));
     }
-    boards.values().forEach(upstreamPool -> upstreamPool.apply(list, now));
-    if (sites != null) {
-      evacuated = sites;
-      boards.values().forEach(upstreamPool -> upstreamPool.evacuated(new HashSet<>(sites), now));
+    upstreamPools.values().forEach(upstreamPool -> upstreamPool.apply(upstreamChanges, now));
+    if (newEvacuatedSites != null) {
+      evacuatedSites = newEvacuatedSites;
+      upstreamPools
+          .values()
+          .forEach(upstreamPool -> upstreamPool.evacuated(new HashSet<>(newEvacuatedSites), now));
     }
   }
 
-  /** Adds a switchboard of the day. */
-  void board(
+  /** Adds a proxy of the recording, unless it is known already. */
+  void addProxy(
       final String address,
       final String site,
       final String region,
       final Map<String, String> sites) {
-    if (boards.containsKey(address)) {
+    if (upstreamPools.containsKey(address)) {
       return;
     }
-    final StringBuilder places = new StringBuilder();
+    final StringBuilder siteList = new StringBuilder();
     sites.forEach(
-        (place, home) ->
-            places.append(places.length() == 0 ? "" : ",").append(place).append(':').append(home));
+        (siteName, regionName) ->
+            siteList
+                .append(siteList.length() == 0 ? "" : ",")
+                .append(siteName)
+                .append(':')
+                .append(regionName));
     final Settings settings =
         Settings.parse(
             "station.name = replay\nstation.address = "
@@ -118,99 +126,100 @@
                 + "\ntrunk.ports = 7000,7015\ntrunk.seeds = "
                 + address
                 + ":7000\nsites = "
-                + places
+                + siteList
                 + "\n"
-                + extra);
-    final Random chance = new Random(seed);
-    final UpstreamPool upstreamPool = new UpstreamPool(loop, settings, chance);
-    boots.put(address, settings);
-    chances.put(address, chance);
-    boards.put(address, upstreamPool);
-    final List<UpstreamPool.Change> list = new ArrayList<>();
+                + extraSettings);
+    final Random random = new Random(seed);
+    final UpstreamPool upstreamPool = new UpstreamPool(loop, settings, random);
+    proxySettings.put(address, settings);
+    randoms.put(address, random);
+    upstreamPools.put(address, upstreamPool);
+    final List<UpstreamPool.Change> upstreamChanges = new ArrayList<>();
     registrations
         .values()
         .forEach(
             registration -> {
               if (registration.stage == 0 && !registration.service.isEmpty()) {
-                list.add(new UpstreamPool.Change(registration, true));
+                upstreamChanges.add(new UpstreamPool.Change(registration, true));
               }
             });
-    upstreamPool.apply(list, now);
-    upstreamPool.evacuated(new HashSet<>(evacuated), now);
-    boards.values().forEach(one -> one.switchboards(boards.size()));
+    upstreamPool.apply(upstreamChanges, now);
+    upstreamPool.evacuated(new HashSet<>(evacuatedSites), now);
+    upstreamPools.values().forEach(pool -> pool.switchboards(upstreamPools.size()));
   }
 
-  /** Lets the day go on until then. */
-  void until(final long time) {
+  /** Runs all events up to this time and advances the clock to it. */
+  void advanceTo(final long time) {
     while (!events.isEmpty() && events.peek().at <= time) {
       final Event event = events.poll();
       now = event.at;
-      event.deed.run();
+      event.action.run();
     }
     now = Math.max(now, time);
   }
 
-  /** Lets everything end that is under way. */
-  void finish() {
+  /** Runs the simulation until no events are left. */
+  void runToCompletion() {
     while (!events.isEmpty()) {
-      until(events.peek().at);
+      advanceTo(events.peek().at);
     }
   }
 
-  private void after(final long millis, final Runnable deed) {
-    events.add(new Event(now + Math.max(0, millis), order++, deed));
+  private void schedule(final long millis, final Runnable action) {
+    events.add(new Event(now + Math.max(0, millis), order++, action));
   }
 
-  /** Plays a call; whoever is given hears of its outcome exactly once. */
-  void play(final RecordedCall call, final Consumer<CallOutcome> done) {
-    new Course(call, done).start();
+  /** Starts a call at the current time; the callback receives its outcome exactly once. */
+  void play(final RecordedCall call, final Consumer<CallOutcome> onComplete) {
+    new SimulatedCall(call, onComplete).start();
   }
 
-  private final class Course {
+  private final class SimulatedCall {
     private final RecordedCall call;
-    private final Consumer<CallOutcome> done;
+    private final Consumer<CallOutcome> onComplete;
     private final CallOutcome outcome = new CallOutcome();
-    private final List<Upstream> tried = new ArrayList<>();
+    private final List<Upstream> triedUpstreams = new ArrayList<>();
     private final List<UpstreamPool.Attempt> attempts = new ArrayList<>();
     private final UpstreamPool upstreamPool;
     private RouteBinding binding;
     private Route route;
     private RoutingTable.Service service;
-    private long cutoff;
-    private boolean uncertain;
+    private long deadline;
+    private boolean maybeExecuted;
     private boolean hedged;
-    private boolean over;
+    private boolean completed;
 
-    private Course(final RecordedCall call, final Consumer<CallOutcome> done) {
+    private SimulatedCall(final RecordedCall call, final Consumer<CallOutcome> onComplete) {
       this.call = call;
-      this.done = done;
-      this.upstreamPool = boards.get(call.board);
+      this.onComplete = onComplete;
+      this.upstreamPool = upstreamPools.get(call.proxy);
     }
 
     private void start() {
-      final Random chance = chances.get(call.board);
-      chance.setSeed(call.note.id.hashCode() * 0x9e3779b97f4a7c15L + seed);
-      binding = new RouteBinding(call.note.host, call.note.target, chance.nextDouble());
+      final Random random = randoms.get(call.proxy);
+      random.setSeed(call.request.id.hashCode() * 0x9e3779b97f4a7c15L + seed);
+      binding = new RouteBinding(call.request.host, call.request.target, random.nextDouble());
       if (!routingTable.interpret(binding)) {
-        end(CallOutcome.End.UNROUTED);
+        complete(CallOutcome.End.UNROUTED);
         return;
       }
       route = binding.route();
       service = binding.service();
       outcome.service = service.name();
-      cutoff =
+      deadline =
           now
               + Math.max(
                   1,
-                  Math.min(call.note.waits + MARGIN_MILLIS, route.timeoutMillis) - MARGIN_MILLIS);
+                  Math.min(call.request.waits + DEADLINE_MARGIN_MILLIS, route.timeoutMillis)
+                      - DEADLINE_MARGIN_MILLIS);
       upstreamPool.budget(service.name()).request(now);
-      after(cutoff - now, this::giveUp);
-      if (!attempt(false)) {
-        end(CallOutcome.End.REFUSED);
+      schedule(deadline - now, this::timeOut);
+      if (!sendAttempt(false)) {
+        complete(CallOutcome.End.REFUSED);
       }
     }
 
-    private int running() {
+    private int runningAttempts() {
       int count = 0;
       for (final UpstreamPool.Attempt attempt : attempts) {
         count += attempt.running() ? 1 : 0;
@@ -218,121 +227,128 @@
       return count;
     }
 
-    private boolean attempt(final boolean further) {
-      return attempt(further, false);
+    private boolean sendAttempt(final boolean isRetry) {
+      return sendAttempt(isRetry, false);
     }
 
-    private boolean attempt(final boolean further, final boolean beside) {
-      if (further && !RetryPolicy.fits(route, outcome.sent, now, cutoff)) {
+    private boolean sendAttempt(final boolean isRetry, final boolean isHedge) {
+      if (isRetry && !RetryPolicy.fits(route, outcome.attemptCount, now, deadline)) {
         return false;
       }
-      chances.get(call.board).setSeed(call.note.id.hashCode() * 31L + outcome.sent + seed);
-      if (upstreamPool.choose(binding, tried, now) != UpstreamPool.Choice.CHOSEN
-          || beside && !upstreamPool.roomy(now)
-          || outcome.sent > 0 && !upstreamPool.repeat(service.name(), now)) {
+      randoms
+          .get(call.proxy)
+          .setSeed(call.request.id.hashCode() * 31L + outcome.attemptCount + seed);
+      if (upstreamPool.choose(binding, triedUpstreams, now) != UpstreamPool.Choice.CHOSEN
+          || isHedge && !upstreamPool.roomy(now)
+          || outcome.attemptCount > 0 && !upstreamPool.repeat(service.name(), now)) {
         return false;
       }
       final Upstream upstream = upstreamPool.chosen();
-      tried.add(upstream);
-      final boolean first = outcome.sent++ == 0;
+      triedUpstreams.add(upstream);
+      final boolean isFirst = outcome.attemptCount++ == 0;
       final UpstreamPool.Attempt attempt = upstreamPool.begin(upstream, now);
       attempts.add(attempt);
-      reach(upstream, attempt, first);
-      if (!hedged && RetryPolicy.hedges(route, outcome.sent)) {
+      arrive(upstream, attempt, isFirst);
+      if (!hedged && RetryPolicy.hedges(route, outcome.attemptCount)) {
         hedged = true;
-        after(
+        schedule(
             RetryPolicy.hedgeMillis(route),
             () -> {
-              if (!over && running() == 1) {
-                attempt(true, true);
+              if (!completed && runningAttempts() == 1) {
+                sendAttempt(true, true);
               }
             });
       }
       return true;
     }
 
-    private void reach(
-        final Upstream upstream, final UpstreamPool.Attempt attempt, final boolean first) {
-      final Model model = models.get(upstream.id());
-      if (model.present >= model.slots * (1 + QUEUE)) {
-        after(1, () -> answered(upstream, attempt, model, UpstreamConnection.End.ANSWERED, false));
+    private void arrive(
+        final Upstream upstream, final UpstreamPool.Attempt attempt, final boolean isFirst) {
+      final UpstreamModel model = upstreamModels.get(upstream.id());
+      if (model.inFlight >= model.slots * (1 + QUEUE_PER_SLOT)) {
+        schedule(
+            1,
+            () -> attemptEnded(upstream, attempt, model, UpstreamConnection.End.ANSWERED, false));
         return;
       }
-      model.present++;
-      outcome.ran++;
-      final long begins = Math.max(now, model.free.poll());
-      final long ends = begins + Math.max(1, call.work);
-      model.free.add(ends);
-      after(
-          ends - now,
+      model.inFlight++;
+      outcome.executionCount++;
+      final long startsAt = Math.max(now, model.slotFreeTimes.poll());
+      final long endsAt = startsAt + Math.max(1, call.serviceTimeMillis);
+      model.slotFreeTimes.add(endsAt);
+      schedule(
+          endsAt - now,
           () -> {
-            model.present--;
-            answered(
+            model.inFlight--;
+            attemptEnded(
                 upstream,
                 attempt,
                 model,
-                first && call.answerLost
+                isFirst && call.answerLost
                     ? UpstreamConnection.End.UNCERTAIN
                     : UpstreamConnection.End.ANSWERED,
                 true);
           });
     }
 
-    private void answered(
+    private void attemptEnded(
         final Upstream upstream,
         final UpstreamPool.Attempt attempt,
-        final Model model,
+        final UpstreamModel model,
         final UpstreamConnection.End end,
-        final boolean ran) {
+        final boolean executed) {
       if (!attempt.running()) {
         return;
       }
       final HttpResponse head =
           new DefaultHttpResponse(
               HttpVersion.HTTP_1_1,
-              ran ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
+              executed ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
               false);
       head.headers()
           .set(
               Headers.LOAD,
-              Math.min(model.present, model.slots)
+              Math.min(model.inFlight, model.slots)
                   + ","
-                  + Math.max(0, model.present - model.slots)
+                  + Math.max(0, model.inFlight - model.slots)
                   + ","
                   + model.slots);
-      if (!ran) {
+      if (!executed) {
         head.headers().set(Headers.NOT_EXECUTED, "1");
       }
       upstreamPool.conclude(attempt, end, head, now);
-      if (over) {
+      if (completed) {
         return;
       }
-      if (end == UpstreamConnection.End.ANSWERED && ran) {
-        outcome.region = boots.get(call.board).sites().getOrDefault(upstream.site(), "");
-        end(CallOutcome.End.SERVED);
+      if (end == UpstreamConnection.End.ANSWERED && executed) {
+        outcome.region = proxySettings.get(call.proxy).sites().getOrDefault(upstream.site(), "");
+        complete(CallOutcome.End.SERVED);
         return;
       }
-      uncertain |= ran;
-      if (RetryPolicy.mayGoOn(route, uncertain) && attempt(true) || running() > 0) {
+      maybeExecuted |= executed;
+      if (RetryPolicy.mayGoOn(route, maybeExecuted) && sendAttempt(true) || runningAttempts() > 0) {
         return;
       }
-      end(uncertain ? CallOutcome.End.LOST : CallOutcome.End.REFUSED);
+      complete(maybeExecuted ? CallOutcome.End.LOST : CallOutcome.End.REFUSED);
     }
 
-    private void giveUp() {
-      if (!over) {
-        end(uncertain || running() > 0 ? CallOutcome.End.LOST : CallOutcome.End.REFUSED);
+    private void timeOut() {
+      if (!completed) {
+        complete(
+            maybeExecuted || runningAttempts() > 0
+                ? CallOutcome.End.LOST
+                : CallOutcome.End.REFUSED);
       }
     }
 
-    private void end(final CallOutcome.End end) {
-      over = true;
-      outcome.end = end;
-      outcome.total = now - call.at;
+    private void complete(final CallOutcome.End result) {
+      completed = true;
+      outcome.end = result;
+      outcome.totalMillis = now - call.at;
       for (final UpstreamPool.Attempt attempt : attempts) {
         attempt.abandon(now);
       }
-      done.accept(outcome);
+      onComplete.accept(outcome);
     }
   }
 }
--- a/replay/src/main/java/weldpoint/replay/ReportDocument.java
+++ b/replay/src/main/java/weldpoint/replay/ReportDocument.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** A replay's report for machines. */
+/**
+ * The JSON form of the report of a replay; component names are part of the output. Times and errors
+ * are in milliseconds.
+ */
 @Json
 public record ReportDocument(
     long writes,
@@ -17,7 +20,7 @@
     Map<String, Long> modelErrorMs,
     List<Write> writesChanged,
     List<Other> otherRoutes) {
-  /** One write for which something would change. */
+  /** One write that the proposed configuration would change. */
   @Json
   public record Write(
       String attemptId,
@@ -30,7 +33,7 @@
       long beforeMs,
       long proposedMs) {}
 
-  /** The other calls of one route. */
+  /** Totals of the calls of one route, other than writes. */
   @Json
   public record Other(
       String route, long calls, long longer, long refused, long lost, long elsewhere) {}
--- a/replay/src/test/java/weldpoint/replay/RecordingGenerator.java
+++ b/replay/src/test/java/weldpoint/replay/RecordingGenerator.java
@@ -14,59 +14,60 @@
 import weldpoint.transport.RegistryMessages.Registration;
 
 /**
- * Makes recorded days by a plain rule of its own: a call takes its work, sometimes an answer is
- * lost.
+ * Generates recordings by a simple model independent of the simulator: each call takes its service
+ * time, and the responses of some writes are lost.
  */
 final class RecordingGenerator {
-  static final String CONFIRM = "r-confirm";
-  static final String LOOKUP = "r-lookup";
+  static final String WRITE_ROUTE = "r-confirm";
+  static final String READ_ROUTE = "r-lookup";
   private static final int UPSTREAMS = 20;
 
-  final List<String> lost = new ArrayList<>();
-  final List<String> slow = new ArrayList<>();
-  final Map<String, String> paths = new HashMap<>();
+  final List<String> lostAnswerIds = new ArrayList<>();
+  final List<String> slowWriteIds = new ArrayList<>();
+  final Map<String, String> targetsById = new HashMap<>();
   int writes;
   long calls;
-  long skip = -1;
-  long misnumber = -1;
-  boolean endless;
-  boolean silent;
-  long droppedNotes;
+  long skippedSlice = -1;
+  long wrongTrailerCount = -1;
+  boolean omitTrailer;
+  boolean omitLastBatch;
+  long droppedRequests;
 
-  static String spec(
+  static String configuration(
       final long version,
-      final String confirmKind,
-      final int lookupAttempts,
-      final long confirmTarget,
-      final String lookupService,
-      final String extra) {
+      final String writeKind,
+      final int readMaxAttempts,
+      final long writeTargetMillis,
+      final String readService,
+      final String extraRule) {
     return "{\"version\":\""
         + Long.toHexString(version)
         + "\",\"listeners\":[{\"host\":\"hall.example\",\"rules\":["
         + "{\"name\":\""
-        + CONFIRM
+        + WRITE_ROUTE
         + "\",\"routeKind\":\""
-        + confirmKind
+        + writeKind
         + "\",\"targetLatencyMs\":"
-        + confirmTarget
+        + writeTargetMillis
         + ",\"priority\":1,\"match\":{\"pathPrefix\":\"/confirm/\"},\"action\":{\"service\":\"desk\",\"timeoutMs\":4000,\"maxAttempts\":2}},"
-        + extra
+        + extraRule
         + "{\"name\":\""
-        + LOOKUP
+        + READ_ROUTE
         + "\",\"routeKind\":\"idempotent\",\"targetLatencyMs\":800,\"priority\":2,\"match\":{\"pathPrefix\":\"/lookup/\"},\"action\":{\"service\":\""
-        + lookupService
+        + readService
         + "\",\"timeoutMs\":3000,\"maxAttempts\":"
-        + lookupAttempts
+        + readMaxAttempts
         + "}}"
         + "]}],\"pools\":[{\"name\":\"desk\",\"maxConns\":100},{\"name\":\"other\",\"maxConns\":100},{\"name\":\"small\",\"maxConns\":100}]}";
   }
 
-  static byte[] bytes(final String spec) {
-    return spec.getBytes(StandardCharsets.UTF_8);
+  static byte[] utf8(final String text) {
+    return text.getBytes(StandardCharsets.UTF_8);
   }
 
-  /** A day of so many hours over so many switchboards, with rushes. */
-  void write(final Path path, final long seed, final int boards, final int hours, final int perHour)
+  /** Writes a recording of this many hours and proxies, with three times the load in peak hours. */
+  void write(
+      final Path path, final long seed, final int proxyCount, final int hours, final int perHour)
       throws IOException {
     final Random random = new Random(seed);
     try (RecordingFile.Writer writer = new RecordingFile.Writer(path)) {
@@ -100,14 +101,14 @@
       upstreams.add(new Registration("s0", "small", "10.9.2.1:80", "port", "v1", 2, 0, 1, 0, 0));
       writer.add(
           new RecordingFile.ControlSnapshot(
-              0, bytes(spec(1, "mutating", 2, 1000, "desk", "")), upstreams, List.of()));
-      final long[] serials = new long[boards];
+              0, utf8(configuration(1, "mutating", 2, 1000, "desk", "")), upstreams, List.of()));
+      final long[] serials = new long[proxyCount];
       for (int slice = 0; slice < hours * 360; slice++) {
-        final boolean rush = slice / 360 % 12 == 7;
-        final int count = perHour / 360 * (rush ? 3 : 1);
-        final List<List<RequestRecord>> notes = new ArrayList<>();
-        for (int board = 0; board < boards; board++) {
-          notes.add(new ArrayList<>());
+        final boolean peakHour = slice / 360 % 12 == 7;
+        final int count = perHour / 360 * (peakHour ? 3 : 1);
+        final List<List<RequestRecord>> requestsByProxy = new ArrayList<>();
+        for (int proxy = 0; proxy < proxyCount; proxy++) {
+          requestsByProxy.add(new ArrayList<>());
         }
         final List<Long> times = new ArrayList<>();
         for (int index = 0; index < count; index++) {
@@ -115,69 +116,72 @@
         }
         times.sort(null);
         for (final long at : times) {
-          final int board = random.nextInt(boards);
-          notes.get(board).add(note(random, at - 1000L * board, ++serials[board]));
+          final int proxy = random.nextInt(proxyCount);
+          requestsByProxy.get(proxy).add(request(random, at - 1000L * proxy, ++serials[proxy]));
         }
-        for (int board = 0; board < boards; board++) {
-          final List<RequestRecord> list = notes.get(board);
-          if (skip >= 0 && board == 1 && slice == skip && !list.isEmpty()) {
+        for (int proxy = 0; proxy < proxyCount; proxy++) {
+          final List<RequestRecord> list = requestsByProxy.get(proxy);
+          if (skippedSlice >= 0 && proxy == 1 && slice == skippedSlice && !list.isEmpty()) {
             list.remove(0);
           }
-          final boolean last = slice == hours * 360 - 1 && !(silent && board == 0);
+          final boolean last = slice == hours * 360 - 1 && !(omitLastBatch && proxy == 0);
           writer.add(
               new RecordingFile.TimedBatch(
-                  1000L * board,
+                  1000L * proxy,
                   new RecordingBatch(
-                      "10.0.0." + (board + 1),
-                      board % 2 == 0 ? "port" : "couva",
-                      board % 2 == 0 ? "north" : "south",
+                      "10.0.0." + (proxy + 1),
+                      proxy % 2 == 0 ? "port" : "couva",
+                      proxy % 2 == 0 ? "north" : "south",
                       5,
                       slice * 10_000L,
-                      droppedNotes,
+                      droppedRequests,
                       last,
                       list)));
         }
       }
-      if (!endless) {
-        writer.add(new RecordingFile.Trailer(calls + (misnumber >= 0 ? 1 : 0), 0, 3, null));
+      if (!omitTrailer) {
+        writer.add(new RecordingFile.Trailer(calls + (wrongTrailerCount >= 0 ? 1 : 0), 0, 3, null));
       }
     }
   }
 
-  private RequestRecord note(final Random random, final long at, final long serial) {
-    final boolean write = random.nextInt(10) < 3;
+  private RequestRecord request(final Random random, final long at, final long serial) {
+    final boolean isWrite = random.nextInt(10) < 3;
     final String id = String.format("%016x", ++calls * 0x9e3779b97f4a7c15L);
-    long work = 60 + random.nextInt(200);
+    long serviceTimeMillis = 60 + random.nextInt(200);
     boolean answerLost = false;
-    if (write) {
+    if (isWrite) {
       writes++;
       if (random.nextInt(500) == 0) {
         answerLost = true;
-        lost.add(id);
+        lostAnswerIds.add(id);
       } else if (random.nextInt(300) == 0) {
-        work = 700 + random.nextInt(200);
-        slow.add(id);
+        serviceTimeMillis = 700 + random.nextInt(200);
+        slowWriteIds.add(id);
       }
     }
     final String target =
-        (write ? "/confirm/" : "/lookup/") + (random.nextInt(50) == 0 ? "vip/" : "") + "x" + calls;
-    paths.put(id, target);
+        (isWrite ? "/confirm/" : "/lookup/")
+            + (random.nextInt(50) == 0 ? "vip/" : "")
+            + "x"
+            + calls;
+    targetsById.put(id, target);
     return new RequestRecord(
         serial,
         at,
         id,
         "hall.example",
         target,
-        write ? CONFIRM : LOOKUP,
-        (write ? RouteKind.MUTATING : RouteKind.IDEMPOTENT).ordinal(),
+        isWrite ? WRITE_ROUTE : READ_ROUTE,
+        (isWrite ? RouteKind.MUTATING : RouteKind.IDEMPOTENT).ordinal(),
         "desk",
-        write ? 4000 : 3000,
+        isWrite ? 4000 : 3000,
         0,
         List.of("u1"),
         List.of(0L),
-        List.of(work),
+        List.of(serviceTimeMillis),
         List.of(answerLost ? 3 : 1),
-        work,
+        serviceTimeMillis,
         answerLost ? 502 : 200);
   }
 }
--- a/replay/src/test/java/weldpoint/replay/ReplayTest.java
+++ b/replay/src/test/java/weldpoint/replay/ReplayTest.java
@@ -19,20 +19,20 @@
 import weldpoint.routing.RoutingTable;
 
 public class ReplayTest {
-  private static final int BOARDS = 6;
+  private static final int PROXIES = 6;
   private Path folder;
-  private Path day;
-  private final RecordingGenerator maker = new RecordingGenerator();
+  private Path recording;
+  private final RecordingGenerator generator = new RecordingGenerator();
 
   @BeforeClass
-  public void record() throws IOException {
+  public void writeRecording() throws IOException {
     folder = Files.createTempDirectory("weldpoint-replay");
-    day = folder.resolve("day");
-    maker.write(day, 11, BOARDS, 24, 1800);
+    recording = folder.resolve("recording");
+    generator.write(recording, 11, PROXIES, 24, 1800);
   }
 
   @AfterClass
-  public void clear() throws IOException {
+  public void deleteFiles() throws IOException {
     try (var files = Files.list(folder)) {
       for (final Path file : (Iterable<Path>) files::iterator) {
         Files.delete(file);
@@ -41,195 +41,210 @@
     Files.delete(folder);
   }
 
-  private static ReplayComparison replay(final Path day, final String spec) throws IOException {
+  private static ReplayComparison replay(final Path path, final String configuration)
+      throws IOException {
     return new Replay(
-            day, RoutingTable.compile(RecordingGenerator.bytes(spec)), "", 500, stored -> stored)
+            path,
+            RoutingTable.compile(RecordingGenerator.utf8(configuration)),
+            "",
+            500,
+            stored -> stored)
         .run();
   }
 
-  private static Set<String> ids(
-      final ReplayComparison verdict, final ReplayComparison.Change change) {
+  private static Set<String> changedWriteIds(
+      final ReplayComparison comparison, final ReplayComparison.Change change) {
     final Set<String> ids = new TreeSet<>();
-    verdict
-        .lines()
+    comparison
+        .changedWrites()
         .forEach(
-            line -> {
-              if (line.changes().contains(change)) {
-                ids.add(line.id());
+            write -> {
+              if (write.changes().contains(change)) {
+                ids.add(write.attemptId());
               }
             });
     return ids;
   }
 
   @Test
-  public void theDaysOwnSettingsChangeNothingAndEveryWriteIsCountedOnce() throws IOException {
-    final ReplayComparison verdict =
-        replay(day, RecordingGenerator.spec(2, "mutating", 2, 1000, "desk", ""));
-    assertEquals(verdict.lines(), List.of());
-    assertEquals(verdict.code(), 0);
-    assertEquals(verdict.writes(), maker.writes);
-    assertEquals(verdict.writes() + verdict.others(), maker.calls);
-    assertEquals(verdict.waiting(), 0);
-    verdict.errors().forEach((route, error) -> assertTrue(error <= 20, route + " " + error));
+  public void recordedConfigurationChangesNothingAndCountsEveryWriteOnce() throws IOException {
+    final ReplayComparison comparison =
+        replay(recording, RecordingGenerator.configuration(2, "mutating", 2, 1000, "desk", ""));
+    assertEquals(comparison.changedWrites(), List.of());
+    assertEquals(comparison.exitCode(), 0);
+    assertEquals(comparison.writes(), generator.writes);
+    assertEquals(comparison.writes() + comparison.others(), generator.calls);
+    assertEquals(comparison.othersDegraded(), 0);
+    comparison
+        .modelErrors()
+        .forEach((route, error) -> assertTrue(error <= 20, route + " " + error));
   }
 
   @Test
-  public void aWriteRouteDeclaredRepeatableDoublesExactlyTheSlowAndTheLost() throws IOException {
-    final ReplayComparison verdict =
-        replay(day, RecordingGenerator.spec(2, "idempotent", 2, 1000, "desk", ""));
-    final Set<String> expected = new TreeSet<>(maker.lost);
-    expected.addAll(maker.slow);
-    assertEquals(verdict.code(), 1);
-    assertEquals(ids(verdict, ReplayComparison.Change.RUN_TWICE), expected);
-    assertEquals(ids(verdict, ReplayComparison.Change.SENT_TWICE), expected);
+  public void idempotentWriteRouteRepeatsExactlySlowAndLostWrites() throws IOException {
+    final ReplayComparison comparison =
+        replay(recording, RecordingGenerator.configuration(2, "idempotent", 2, 1000, "desk", ""));
+    final Set<String> expected = new TreeSet<>(generator.lostAnswerIds);
+    expected.addAll(generator.slowWriteIds);
+    assertEquals(comparison.exitCode(), 1);
+    assertEquals(changedWriteIds(comparison, ReplayComparison.Change.RUN_TWICE), expected);
+    assertEquals(changedWriteIds(comparison, ReplayComparison.Change.SENT_TWICE), expected);
   }
 
   @Test
-  public void movedUnroutedAndWaitingWritesAreNamedExactly() throws IOException {
-    final Set<String> vip = new TreeSet<>();
-    maker.paths.forEach(
+  public void movedTimedOutAndUnroutedWritesAreListedExactly() throws IOException {
+    final Set<String> vipIds = new TreeSet<>();
+    generator.targetsById.forEach(
         (id, target) -> {
           if (target.startsWith("/confirm/vip/")) {
-            vip.add(id);
+            vipIds.add(id);
           }
         });
     final String rule =
         "{\"name\":\"r-vip\",\"routeKind\":\"mutating\",\"targetLatencyMs\":1000,\"match\":{\"pathPrefix\":\"/confirm/vip/\"},\"action\":{\"service\":\"%s\",\"timeoutMs\":4000,\"maxAttempts\":2}},";
     final ReplayComparison moved =
         replay(
-            day,
-            RecordingGenerator.spec(2, "mutating", 2, 1000, "desk", String.format(rule, "other")));
-    assertEquals(ids(moved, ReplayComparison.Change.ELSEWHERE), vip);
-    assertEquals(moved.code(), 0, "to go elsewhere is shown, and harms nothing");
-    final ReplayComparison cutShort =
+            recording,
+            RecordingGenerator.configuration(
+                2, "mutating", 2, 1000, "desk", String.format(rule, "other")));
+    assertEquals(changedWriteIds(moved, ReplayComparison.Change.ELSEWHERE), vipIds);
+    assertEquals(moved.exitCode(), 0, "a move to another service is listed but harms no write");
+    final ReplayComparison shortTimeout =
         replay(
-            day,
-            RecordingGenerator.spec(
+            recording,
+            RecordingGenerator.configuration(
                 2,
                 "mutating",
                 2,
                 1000,
                 "desk",
                 String.format(rule, "desk").replace("4000", "500")));
-    final Set<String> lateVip = new TreeSet<>(vip);
-    lateVip.retainAll(new HashSet<>(maker.slow));
-    assertEquals(ids(cutShort, ReplayComparison.Change.LOST), lateVip);
+    final Set<String> slowVipIds = new TreeSet<>(vipIds);
+    slowVipIds.retainAll(new HashSet<>(generator.slowWriteIds));
+    assertEquals(changedWriteIds(shortTimeout, ReplayComparison.Change.LOST), slowVipIds);
     final ReplayComparison unrouted =
         replay(
-            day,
-            RecordingGenerator.spec(2, "mutating", 2, 1000, "desk", "")
+            recording,
+            RecordingGenerator.configuration(2, "mutating", 2, 1000, "desk", "")
                 .replace("/confirm/", "/confirm/vip/"));
-    final Set<String> left = new TreeSet<>();
-    maker.paths.forEach(
+    final Set<String> unroutedIds = new TreeSet<>();
+    generator.targetsById.forEach(
         (id, target) -> {
-          if (target.startsWith("/confirm/") && !vip.contains(id)) {
-            left.add(id);
+          if (target.startsWith("/confirm/") && !vipIds.contains(id)) {
+            unroutedIds.add(id);
           }
         });
-    assertEquals(ids(unrouted, ReplayComparison.Change.UNROUTED), left);
-    assertEquals(unrouted.code(), 1);
-    final ReplayComparison gone =
+    assertEquals(changedWriteIds(unrouted, ReplayComparison.Change.UNROUTED), unroutedIds);
+    assertEquals(unrouted.exitCode(), 1);
+    final ReplayComparison readRouteRemoved =
         replay(
-            day,
-            RecordingGenerator.spec(2, "mutating", 2, 1000, "desk", "")
+            recording,
+            RecordingGenerator.configuration(2, "mutating", 2, 1000, "desk", "")
                 .replace("/lookup/", "/look/"));
-    assertEquals(gone.code(), 1, "a route that lookups used and that is gone is no clean verdict");
+    assertEquals(
+        readRouteRemoved.exitCode(), 1, "the removal of a route that reads used must not pass");
     assertFalse(
-        gone.lines().stream()
-            .anyMatch(line -> line.changes().stream().anyMatch(ReplayComparison.Change::harms)));
+        readRouteRemoved.changedWrites().stream()
+            .anyMatch(write -> write.changes().stream().anyMatch(ReplayComparison.Change::harms)));
   }
 
   @Test
-  public void whereOnlyLookupsWaitItPassesAndSaysSo() throws IOException {
-    final ReplayComparison verdict =
-        replay(day, RecordingGenerator.spec(2, "mutating", 1, 1000, "small", ""));
-    assertEquals(verdict.code(), 0);
+  public void slowerReadsAlonePassAndAreReported() throws IOException {
+    final ReplayComparison comparison =
+        replay(recording, RecordingGenerator.configuration(2, "mutating", 1, 1000, "small", ""));
+    assertEquals(comparison.exitCode(), 0);
     assertTrue(
-        verdict.waiting() > 20, "one small upstream makes lookups wait: " + verdict.waiting());
+        comparison.othersDegraded() > 20,
+        "reads queue at a single small upstream: " + comparison.othersDegraded());
     assertFalse(
-        verdict.lines().stream()
-            .anyMatch(line -> line.changes().stream().anyMatch(ReplayComparison.Change::harms)));
+        comparison.changedWrites().stream()
+            .anyMatch(write -> write.changes().stream().anyMatch(ReplayComparison.Change::harms)));
     final java.io.ByteArrayOutputStream text = new java.io.ByteArrayOutputStream();
-    verdict.print(new java.io.PrintStream(text));
+    comparison.print(new java.io.PrintStream(text));
     assertTrue(text.toString().contains("only lookups and downloads wait"), text.toString());
   }
 
   @Test
-  public void thePredictionMeetsTheDeed() throws IOException {
-    final RecordingGenerator deed = new RecordingGenerator();
-    final Path done = folder.resolve("deed");
-    deed.write(done, 11, BOARDS, 24, 1800);
-    final String proposed = RecordingGenerator.spec(2, "idempotent", 2, 1000, "desk", "");
-    final Set<String> predicted = ids(replay(day, proposed), ReplayComparison.Change.RUN_TWICE);
-    final Set<String> happened = new TreeSet<>();
-    try (RecordingFile.Reader reader = new RecordingFile.Reader(done)) {
+  public void predictedRepeatsMatchSimulatedRun() throws IOException {
+    final RecordingGenerator actualGenerator = new RecordingGenerator();
+    final Path actualRecording = folder.resolve("actual");
+    actualGenerator.write(actualRecording, 11, PROXIES, 24, 1800);
+    final String proposed = RecordingGenerator.configuration(2, "idempotent", 2, 1000, "desk", "");
+    final Set<String> predicted =
+        changedWriteIds(replay(recording, proposed), ReplayComparison.Change.RUN_TWICE);
+    final Set<String> actual = new TreeSet<>();
+    try (RecordingFile.Reader reader = new RecordingFile.Reader(actualRecording)) {
       final var loop = new io.netty.channel.nio.NioEventLoopGroup(1);
-      final ReplaySimulator fleet = new ReplaySimulator(loop, "", 99);
-      fleet.routingTable(RoutingTable.compile(RecordingGenerator.bytes(proposed)));
+      final ReplaySimulator simulator = new ReplaySimulator(loop, "", 99);
+      simulator.routingTable(RoutingTable.compile(RecordingGenerator.utf8(proposed)));
       for (Object part = reader.next(); part != null; part = reader.next()) {
         if (part instanceof RecordingFile.ControlSnapshot) {
-          fleet.control(((RecordingFile.ControlSnapshot) part).registrations, null);
+          simulator.applyControl(((RecordingFile.ControlSnapshot) part).registrations, null);
         } else if (part instanceof RecordingFile.TimedBatch) {
-          final RecordingFile.TimedBatch turn = (RecordingFile.TimedBatch) part;
-          fleet.board(
-              turn.batch.board,
-              turn.batch.site,
-              turn.batch.region,
+          final RecordingFile.TimedBatch timedBatch = (RecordingFile.TimedBatch) part;
+          simulator.addProxy(
+              timedBatch.batch.board,
+              timedBatch.batch.site,
+              timedBatch.batch.region,
               java.util.Map.of("port", "north", "couva", "south"));
-          for (final var note : weldpoint.transport.Protocol.list(turn.batch.notes)) {
-            final RecordedCall call = new RecordedCall(note, turn.batch.board, turn.offset, 100);
-            fleet.until(call.at);
-            fleet.play(
+          for (final var request : weldpoint.transport.Protocol.list(timedBatch.batch.notes)) {
+            final RecordedCall call =
+                new RecordedCall(
+                    request, timedBatch.batch.board, timedBatch.clockOffsetMillis, 100);
+            simulator.advanceTo(call.at);
+            simulator.play(
                 call,
                 outcome -> {
-                  if (call.write() && outcome.ran > 1) {
-                    happened.add(note.id);
+                  if (call.isWrite() && outcome.executionCount > 1) {
+                    actual.add(request.id);
                   }
                 });
           }
         }
       }
-      fleet.finish();
+      simulator.runToCompletion();
       loop.shutdownGracefully(0, 0, java.util.concurrent.TimeUnit.MILLISECONDS);
     }
-    assertEquals(predicted, happened);
+    assertEquals(predicted, actual);
   }
 
-  private Path bad(final java.util.function.Consumer<RecordingGenerator> fault) throws IOException {
-    final RecordingGenerator broken = new RecordingGenerator();
-    fault.accept(broken);
+  private Path writeFaultyRecording(final java.util.function.Consumer<RecordingGenerator> fault)
+      throws IOException {
+    final RecordingGenerator faulty = new RecordingGenerator();
+    fault.accept(faulty);
     final Path path = folder.resolve("bad-" + System.nanoTime());
-    broken.write(path, 3, 3, 1, 3600);
+    faulty.write(path, 3, 3, 1, 3600);
     return path;
   }
 
   @Test
-  public void partialRecordingsAreNeverJudged() throws IOException {
-    final String spec = RecordingGenerator.spec(2, "mutating", 2, 1000, "desk", "");
+  public void incompleteRecordingsAreRejected() throws IOException {
+    final String configuration =
+        RecordingGenerator.configuration(2, "mutating", 2, 1000, "desk", "");
     for (final Path path :
         List.of(
-            bad(one -> one.skip = 30),
-            bad(one -> one.misnumber = 1),
-            bad(one -> one.endless = true),
-            bad(one -> one.silent = true),
-            bad(one -> one.droppedNotes = 4))) {
-      assertThrows(WeldpointException.class, () -> replay(path, spec));
+            writeFaultyRecording(faulty -> faulty.skippedSlice = 30),
+            writeFaultyRecording(faulty -> faulty.wrongTrailerCount = 1),
+            writeFaultyRecording(faulty -> faulty.omitTrailer = true),
+            writeFaultyRecording(faulty -> faulty.omitLastBatch = true),
+            writeFaultyRecording(faulty -> faulty.droppedRequests = 4))) {
+      assertThrows(WeldpointException.class, () -> replay(path, configuration));
     }
-    final Path cut = folder.resolve("cut");
-    final byte[] whole = Files.readAllBytes(day);
-    Files.write(cut, java.util.Arrays.copyOf(whole, whole.length / 2));
-    assertThrows(WeldpointException.class, () -> replay(cut, spec));
+    final Path corrupt = folder.resolve("cut");
+    final byte[] whole = Files.readAllBytes(recording);
+    Files.write(corrupt, java.util.Arrays.copyOf(whole, whole.length / 2));
+    assertThrows(WeldpointException.class, () -> replay(corrupt, configuration));
     final byte[] damaged = whole.clone();
     damaged[whole.length / 2] ^= 0x55;
-    Files.write(cut, damaged);
-    assertThrows(WeldpointException.class, () -> replay(cut, spec));
-    Files.write(cut, new byte[] {1, 2, 3});
-    assertThrows(WeldpointException.class, () -> replay(cut, spec));
+    Files.write(corrupt, damaged);
+    assertThrows(WeldpointException.class, () -> replay(corrupt, configuration));
+    Files.write(corrupt, new byte[] {1, 2, 3});
+    assertThrows(WeldpointException.class, () -> replay(corrupt, configuration));
   }
 
   @Test
-  public void aRuleThatTiesCallersIsNeverJudgedWithoutThem() {
-    final weldpoint.routing.RoutingTable tied =
+  public void configurationWithAffinityIsRejected() {
+    final weldpoint.routing.RoutingTable withAffinity =
         weldpoint.routing.RoutingTable.compile(
             ("{\"version\":\"1\",\"listeners\":[{\"host\":\"h\",\"rules\":[{\"name\":\"w\",\"routeKind\":\"mutating\",\"match\":{\"pathPrefix\":\"/\"},"
                     + "\"action\":{\"service\":\"s\",\"timeoutMs\":2000,\"maxAttempts\":1,\"affinity\":{\"by\":\"address\"}}}]}],\"pools\":[{\"name\":\"s\"}]}")
@@ -238,7 +253,12 @@
         org.testng.Assert.expectThrows(
             weldpoint.common.WeldpointException.class,
             () ->
-                new Replay(java.nio.file.Path.of("no-such-day"), tied, "", 100, bytes -> bytes)
+                new Replay(
+                        java.nio.file.Path.of("no-such-recording"),
+                        withAffinity,
+                        "",
+                        100,
+                        bytes -> bytes)
                     .run());
     org.testng.Assert.assertTrue(
         exception.getMessage().contains("does not hold who called"), exception.getMessage());
