--- a/cli/src/main/java/weldpoint/cli/ControlClient.java
+++ b/cli/src/main/java/weldpoint/cli/ControlClient.java
@@ -14,12 +14,12 @@
 
 /** Calls the control interface of one of several exchanges: the first that gives a clear answer. */
 final class ControlClient {
-  private static final Duration PATIENCE = Duration.ofSeconds(3);
+  private static final Duration TIMEOUT = Duration.ofSeconds(3);
 
   private final List<String> addresses;
   private final String author;
   private final HttpClient client =
-      HttpClient.newBuilder().connectTimeout(PATIENCE).version(HttpClient.Version.HTTP_1_1).build();
+      HttpClient.newBuilder().connectTimeout(TIMEOUT).version(HttpClient.Version.HTTP_1_1).build();
 
   ControlClient(final List<String> addresses) {
     this(addresses, null);
@@ -32,12 +32,12 @@
   }
 
   /** Who an operator's command speaks for where no author is named: the user who runs it. */
-  static String user() {
+  static String currentUser() {
     return System.getProperty("user.name", "");
   }
 
   private HttpRequest request(
-      final String address, final String rpc, final String of, final String body) {
+      final String address, final String rpc, final String target, final String body) {
     final HttpRequest.Builder builder =
         HttpRequest.newBuilder(
                 URI.create(
@@ -46,8 +46,8 @@
                         + "/api/rpc?call="
                         + rpc
                         + "&of="
-                        + URLEncoder.encode(of, StandardCharsets.UTF_8)))
-            .timeout(PATIENCE);
+                        + URLEncoder.encode(target, StandardCharsets.UTF_8)))
+            .timeout(TIMEOUT);
     if (author != null) {
       builder.header(Authors.HEADER, Authors.check(author, 1));
     }
@@ -55,38 +55,39 @@
   }
 
   /** The bytes of a good answer. */
-  byte[] bytes(final String rpc, final String of) throws InterruptedException {
-    String last = "no address was given";
+  byte[] callForBytes(final String rpc, final String target) throws InterruptedException {
+    String lastError = "no address was given";
     for (final String address : addresses) {
       try {
         final HttpResponse<byte[]> response =
             client.send(
                 HttpRequest.newBuilder(
-                        URI.create("http://" + address + "/api/rpc?call=" + rpc + "&of=" + of))
-                    .timeout(PATIENCE)
+                        URI.create("http://" + address + "/api/rpc?call=" + rpc + "&of=" + target))
+                    .timeout(TIMEOUT)
                     .POST(HttpRequest.BodyPublishers.noBody())
                     .build(),
                 HttpResponse.BodyHandlers.ofByteArray());
         if (response.statusCode() == 200) {
           return response.body();
         }
-        last = address + " answered " + response.statusCode();
-      } catch (final IOException | IllegalArgumentException problem) {
-        last = address + ": " + problem;
+        lastError = address + " answered " + response.statusCode();
+      } catch (final IOException | IllegalArgumentException exception) {
+        lastError = address + ": " + exception;
       }
     }
     throw new WeldpointException(
         WeldpointException.Kind.OUT_OF_REACH,
-        "no exchange answered (" + last + "); check --control");
+        "no exchange answered (" + lastError + "); check --control");
   }
 
   /** The body of a good answer; anything else is a failure that names the remedy. */
-  String call(final String rpc, final String of, final String body) throws InterruptedException {
-    String last = "no address was given";
+  String call(final String rpc, final String target, final String body)
+      throws InterruptedException {
+    String lastError = "no address was given";
     for (final String address : addresses) {
       try {
         final HttpResponse<String> response =
-            client.send(request(address, rpc, of, body), HttpResponse.BodyHandlers.ofString());
+            client.send(request(address, rpc, target, body), HttpResponse.BodyHandlers.ofString());
         if (response.statusCode() == 200) {
           return response.body();
         }
@@ -97,13 +98,15 @@
                   : WeldpointException.Kind.INVALID,
               response.body());
         }
-        last = address + " answered " + response.statusCode() + " " + response.body();
-      } catch (final IOException | IllegalArgumentException problem) {
-        last = address + ": " + problem;
+        lastError = address + " answered " + response.statusCode() + " " + response.body();
+      } catch (final IOException | IllegalArgumentException exception) {
+        lastError = address + ": " + exception;
       }
     }
     throw new WeldpointException(
         WeldpointException.Kind.OUT_OF_REACH,
-        "no exchange answered (" + last + "); check --control, or that the core has its majority");
+        "no exchange answered ("
+            + lastError
+            + "); check --control, or that the core has its majority");
   }
 }
--- a/cli/src/main/java/weldpoint/cli/Demo.java
+++ b/cli/src/main/java/weldpoint/cli/Demo.java
@@ -39,7 +39,7 @@
  */
 final class Demo {
   private static final String HOST = "127.0.0.1";
-  private static final long PATIENCE_MILLIS = 15_000;
+  private static final long AWAIT_TIMEOUT_MILLIS = 15_000;
 
   private static final int FIRMS = 9;
 
@@ -58,7 +58,7 @@
     }
   }
 
-  private Settings boot(final int trunk) {
+  private Settings settings(final int transportPort) {
     return Settings.parse(
         "station.name = demo\nstation.address = "
             + HOST
@@ -77,9 +77,9 @@
             + ":"
             + ports[2]
             + "\ntrunk.ports = "
-            + trunk
+            + transportPort
             + ","
-            + (trunk + 1)
+            + (transportPort + 1)
             + "\ntrunk.seeds = "
             + HOST
             + ":"
@@ -88,50 +88,51 @@
   }
 
   /** Starts everything, sends a configuration, a beat and some requests; prints what came back. */
-  int run(final boolean stay) throws IOException, InterruptedException {
-    final int trunk = 20_000 + new java.security.SecureRandom().nextInt(20_000);
-    final Settings settings = boot(trunk);
+  int run(final boolean keepRunning) throws IOException, InterruptedException {
+    final int transportPort = 20_000 + new java.security.SecureRandom().nextInt(20_000);
+    final Settings settings = settings(transportPort);
     new StateStoreDaemon(settings).start();
     new RegistryDaemon(settings).start();
     new ProxyDaemon(settings).start();
-    standIn(ports[3], 0);
+    startUpstream(ports[3], 0);
     final String spec =
         "{\"version\":\"00000001\",\"limits\":{\"maxHeaderBytes\":16384,\"maxBodyBytes\":1048576,\"headerTimeoutMs\":3000,\"idleTimeoutMs\":15000},\"listeners\":[{\"host\":\"demo.example\",\"rules\":["
             + "{\"name\":\"look\",\"routeKind\":\"idempotent\",\"targetLatencyMs\":300,\"priority\":2,\"match\":{\"pathPrefix\":\"/look/\"},\"action\":{\"service\":\"desk\",\"timeoutMs\":2000,\"maxAttempts\":2,\"homeRegions\":[]}},"
             + "{\"name\":\"book\",\"routeKind\":\"mutating\",\"targetLatencyMs\":300,\"priority\":1,\"match\":{\"pathPrefix\":\"/book/\"},\"action\":{\"split\":[{\"service\":\"desk\",\"weight\":1}],\"timeoutMs\":2000,\"maxAttempts\":2,\"homeRegions\":[\"home\"]}}]}],"
             + "\"pools\":[{\"name\":\"desk\",\"healthPath\":\"/health\",\"maxConns\":100,\"protocol\":\"h1\",\"tls\":false,\"warmupS\":3.0,\"warmupPerS\":12.0}]}";
-    until(200, ports[2], "POST", "/api/rpc?call=configuration.replace", spec);
-    beat(1, "ready");
-    until(200, ports[1], "GET", "/api/readiness", "");
+    awaitStatus(200, ports[2], "POST", "/api/rpc?call=configuration.replace", spec);
+    sendHeartbeat(1, "ready");
+    awaitStatus(200, ports[1], "GET", "/api/readiness", "");
     for (int index = 0; index < 5; index++) {
-      until(200, ports[0], "GET", "/look/" + index, "");
-      until(200, ports[0], "POST", "/book/" + index, "a booking");
+      awaitStatus(200, ports[0], "GET", "/look/" + index, "");
+      awaitStatus(200, ports[0], "POST", "/book/" + index, "a booking");
     }
-    until(200, ports[2], "GET", "/api/resolution?name=demo.example&region=home&zone=here", "");
-    until(
+    awaitStatus(
+        200, ports[2], "GET", "/api/resolution?name=demo.example&region=home&zone=here", "");
+    awaitStatus(
         200,
         ports[2],
         "POST",
         "/api/rpc?call=locks.begin&of=l",
         "{\"owner\":\"me\",\"holdMs\":3000}");
-    until(
+    awaitStatus(
         200,
         ports[2],
         "POST",
         "/api/rpc?call=locks.finish&of=l",
         "{\"owner\":\"me\",\"fenceNumber\":1}");
-    until(200, ports[2], "POST", "/api/numbers/n", "{}");
-    until(
+    awaitStatus(200, ports[2], "POST", "/api/numbers/n", "{}");
+    awaitStatus(
         200,
         ports[2],
         "POST",
         "/api/rpc?call=cells.replace&of=g.k",
         "{\"value\":\"v\",\"enabled\":0}");
-    until(200, ports[2], "POST", "/api/rpc?call=cells.read&of=g.k", "");
-    until(200, ports[2], "GET", "/api/watch/g.?after=0&waitMs=10", "");
-    until(200, ports[2], "POST", "/api/rpc?call=evacuation.begin&of=there", "");
-    until(200, ports[2], "POST", "/api/rpc?call=configuration.read", "");
-    until(
+    awaitStatus(200, ports[2], "POST", "/api/rpc?call=cells.read&of=g.k", "");
+    awaitStatus(200, ports[2], "GET", "/api/watch/g.?after=0&waitMs=10", "");
+    awaitStatus(200, ports[2], "POST", "/api/rpc?call=evacuation.begin&of=there", "");
+    awaitStatus(200, ports[2], "POST", "/api/rpc?call=configuration.read", "");
+    awaitStatus(
         200,
         ports[2],
         "POST",
@@ -144,8 +145,8 @@
     System.out.println("$ weldpoint history --reach 3 --at " + HOST + ":" + ports[2]);
     new HistoryCommand()
         .run(new String[] {"--reach", "3", "--at", HOST + ":" + ports[2]}, System.out, System.out);
-    beat(2, "draining");
-    until(200, ports[2], "POST", "/api/rpc?call=instances.deregister&of=i-1", "");
+    sendHeartbeat(2, "draining");
+    awaitStatus(200, ports[2], "POST", "/api/rpc?call=instances.deregister&of=i-1", "");
     System.out.println(
         "the demonstration went well; clients at "
             + HOST
@@ -155,8 +156,8 @@
             + HOST
             + ":"
             + ports[2]);
-    if (stay) {
-      beat(3, "ready");
+    if (keepRunning) {
+      sendHeartbeat(3, "ready");
       Thread.currentThread().join();
     }
     return 0;
@@ -167,15 +168,15 @@
    * is held in the rehearsal.
    */
   int trial() throws IOException, InterruptedException {
-    final Settings settings = boot(20_000 + (int) (weldpoint.common.RandomIds.next() % 20_000));
+    final Settings settings = settings(20_000 + (int) (weldpoint.common.RandomIds.next() % 20_000));
     new StateStoreDaemon(settings).start();
     new RegistryDaemon(settings).start();
     new ProxyDaemon(settings).start();
-    standIn(ports[3], 0);
-    standIn(ports[4], 4);
+    startUpstream(ports[3], 0);
+    startUpstream(ports[4], 4);
     final String split =
         "\"split\":[{\"service\":\"desk-1\",\"weight\":100},{\"service\":\"desk-2\",\"weight\":0}],\"timeoutMs\":2000,\"maxAttempts\":2";
-    until(
+    awaitStatus(
         200,
         ports[2],
         "POST",
@@ -189,7 +190,7 @@
             + "}}]}],"
             + "\"pools\":[{\"name\":\"desk-1\"},{\"name\":\"desk-2\"}]}");
     for (int version = 1; version <= 2; version++) {
-      until(
+      awaitStatus(
           200,
           ports[2],
           "POST",
@@ -204,7 +205,7 @@
               + version
               + "\",\"capacity\":8,\"state\":\"ready\",\"warmupLeftMs\":0,\"callSeq\":1}");
     }
-    until(200, ports[1], "GET", "/api/readiness", "");
+    awaitStatus(200, ports[1], "GET", "/api/readiness", "");
     final String control = HOST + ":" + ports[2];
     new TrialCommand()
         .run(
@@ -227,19 +228,19 @@
             System.out);
     Thread.sleep(500);
     for (int index = 0; index < 40; index++) {
-      exchange(ports[0], "GET", "/look/" + index, "");
-      exchange(ports[0], "POST", "/book/" + index, "a household's booking");
-      exchange(
+      request(ports[0], "GET", "/look/" + index, "");
+      request(ports[0], "POST", "/book/" + index, "a household's booking");
+      request(
           ports[0],
           "POST",
           "/book/r" + index + "\r\nWeldpoint-Trial-Token: rehearsal-token",
           "a tester's booking");
     }
     Thread.sleep(2500);
-    final int code = order("status", "book", "--control", control);
-    order("advance", "book", "--control", control);
-    order("finish", "book", "--control", control);
-    order(
+    final int exitCode = runTrialCommand("status", "book", "--control", control);
+    runTrialCommand("advance", "book", "--control", control);
+    runTrialCommand("finish", "book", "--control", control);
+    runTrialCommand(
         "begin",
         "book",
         "--control",
@@ -254,7 +255,7 @@
         "5,100",
         "--least-writes",
         "1");
-    order(
+    runTrialCommand(
         "begin",
         "book",
         "--control",
@@ -268,19 +269,19 @@
         "--stages",
         "5,100");
     Thread.sleep(500);
-    order("advance", "book", "--control", control);
-    exchange(
+    runTrialCommand("advance", "book", "--control", control);
+    request(
         ports[0], "POST", "/book/r1\r\nWeldpoint-Trial-Token: another-token", "a tester's booking");
     Thread.sleep(1500);
-    order("advance", "book", "--control", control);
-    order("hold", "book", "--control", control, "--reason", "seen enough");
-    order("status", "book", "--control", control, "--json");
-    order("finish", "book", "--control", control);
+    runTrialCommand("advance", "book", "--control", control);
+    runTrialCommand("hold", "book", "--control", control, "--reason", "seen enough");
+    runTrialCommand("status", "book", "--control", control, "--json");
+    runTrialCommand("finish", "book", "--control", control);
     System.out.println(
-        code == 3
+        exitCode == 3
             ? "the fault was caught in the rehearsal; no booking without the token went to the new version"
             : "the fault was not caught");
-    return code == 3 ? 0 : 1;
+    return exitCode == 3 ? 0 : 1;
   }
 
   /**
@@ -288,75 +289,77 @@
    * node after each.
    */
   int affinity() throws IOException, InterruptedException {
-    final Settings settings = boot(20_000 + (int) (weldpoint.common.RandomIds.next() % 20_000));
+    final Settings settings = settings(20_000 + (int) (weldpoint.common.RandomIds.next() % 20_000));
     new StateStoreDaemon(settings).start();
     new RegistryDaemon(settings).start();
     new ProxyDaemon(settings).start();
     for (int node = 1; node <= 3; node++) {
-      standIn(ports[2 + node], 0);
+      startUpstream(ports[2 + node], 0);
     }
-    until(
+    awaitStatus(
         200,
         ports[2],
         "POST",
         "/api/rpc?call=configuration.replace\r\nWeldpoint-Author: dispatch lead",
         "{\"version\":\"00000001\",\"listeners\":[{\"host\":\"demo.example\",\"rules\":["
             + "{\"name\":\"book\",\"routeKind\":\"mutating\",\"targetLatencyMs\":300,\"match\":{\"pathPrefix\":\"/book/\"},\"action\":{\"service\":\"desk\",\"timeoutMs\":1000,\"maxAttempts\":1,\"affinity\":{\"by\":\"header\",\"header\":\"X-Firm\"}}}]}],\"pools\":[{\"name\":\"desk\"}]}");
-    node(1, "ready");
-    node(2, "ready");
-    final Thread beats = new Thread(this::beatOn, "beats");
-    beats.setDaemon(true);
-    beats.start();
-    until(200, ports[1], "GET", "/api/readiness", "");
-    final String[] first = nodes("two nodes");
-    node(3, "ready");
-    final String[] joined = nodes("a third has joined");
-    node(1, "draining");
-    final String[] left = nodes("the first is leaving");
+    setNodeState(1, "ready");
+    setNodeState(2, "ready");
+    final Thread heartbeats = new Thread(this::sendHeartbeats, "beats");
+    heartbeats.setDaemon(true);
+    heartbeats.start();
+    awaitStatus(200, ports[1], "GET", "/api/readiness", "");
+    final String[] initial = awaitNodePerFirm("two nodes");
+    setNodeState(3, "ready");
+    final String[] afterJoin = awaitNodePerFirm("a third has joined");
+    setNodeState(1, "draining");
+    final String[] afterLeave = awaitNodePerFirm("the first is leaving");
     System.out.println("$ weldpoint status --control " + HOST + ":" + ports[2]);
     new StatusCommand().run(new String[] {"--control", HOST + ":" + ports[2]}, System.out);
-    boolean good = true;
+    boolean onlyNecessaryMoves = true;
     int moved = 0;
     for (int firm = 0; firm < FIRMS; firm++) {
-      moved += first[firm].equals(joined[firm]) ? 0 : 1;
-      good &= first[firm].equals(joined[firm]) || joined[firm].equals("node-3");
-      good &= joined[firm].equals(left[firm]) || joined[firm].equals("node-1");
+      moved += initial[firm].equals(afterJoin[firm]) ? 0 : 1;
+      onlyNecessaryMoves &=
+          initial[firm].equals(afterJoin[firm]) || afterJoin[firm].equals("node-3");
+      onlyNecessaryMoves &=
+          afterJoin[firm].equals(afterLeave[firm]) || afterJoin[firm].equals("node-1");
     }
     System.out.println(
-        good
+        onlyNecessaryMoves
             ? moved
                 + " of "
                 + FIRMS
                 + " firms moved to the newcomer, and only the first node's firms moved when it left"
             : "a firm moved that had no need to");
-    return good ? 0 : 1;
+    return onlyNecessaryMoves ? 0 : 1;
   }
 
-  private final String[] states = new String[4];
-  private int beats;
+  private final String[] nodeStates = new String[4];
+  private int heartbeatSequence;
 
   /** Lets all nodes beat each second, as upstreams do. */
-  private void beatOn() {
+  private void sendHeartbeats() {
     try {
       while (true) {
         Thread.sleep(1000);
         for (int number = 1; number <= 3; number++) {
-          final String state = states[number];
+          final String state = nodeStates[number];
           if (state != null) {
-            exchange(
+            request(
                 ports[2],
                 "POST",
                 "/api/rpc?call=instances.heartbeat&of=node-" + number,
-                beatBody(number, state));
+                heartbeatBody(number, state));
           }
         }
       }
-    } catch (final IOException | InterruptedException ended) {
+    } catch (final IOException | InterruptedException exception) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private synchronized String beatBody(final int number, final String state) {
+  private synchronized String heartbeatBody(final int number, final String state) {
     return "{\"service\":\"desk\",\"address\":\""
         + HOST
         + ":"
@@ -364,30 +367,31 @@
         + "\",\"zone\":\"here\",\"version\":\"v1\",\"capacity\":8,\"state\":\""
         + state
         + "\",\"warmupLeftMs\":0,\"callSeq\":"
-        + ++beats
+        + ++heartbeatSequence
         + "}";
   }
 
-  private void node(final int number, final String state) throws IOException, InterruptedException {
-    states[number] = state;
-    until(
+  private void setNodeState(final int number, final String state)
+      throws IOException, InterruptedException {
+    nodeStates[number] = state;
+    awaitStatus(
         200,
         ports[2],
         "POST",
         "/api/rpc?call=instances.heartbeat&of=node-" + number,
-        beatBody(number, state));
+        heartbeatBody(number, state));
   }
 
-  private String[] nodes(final String when) throws IOException, InterruptedException {
+  private String[] awaitNodePerFirm(final String phase) throws IOException, InterruptedException {
     Thread.sleep(2500);
     final String[] nodes = new String[FIRMS];
-    System.out.println(when + ":");
+    System.out.println(phase + ":");
     for (int firm = 0; firm < FIRMS; firm++) {
-      for (int tries = 0; tries < 50 && nodes[firm] == null; tries++) {
-        final String answer =
-            exchange(ports[0], "POST", "/book/" + firm + "\r\nX-Firm: firm-" + firm, "a booking");
+      for (int attempt = 0; attempt < 50 && nodes[firm] == null; attempt++) {
+        final String response =
+            request(ports[0], "POST", "/book/" + firm + "\r\nX-Firm: firm-" + firm, "a booking");
         for (int number = 1; number <= 3; number++) {
-          if (answer.startsWith("HTTP/1.1 200") && answer.endsWith(" " + ports[2 + number])) {
+          if (response.startsWith("HTTP/1.1 200") && response.endsWith(" " + ports[2 + number])) {
             nodes[firm] = "node-" + number;
           }
         }
@@ -405,19 +409,19 @@
     return nodes;
   }
 
-  private static int order(final String... words) throws InterruptedException {
-    System.out.println("$ weldpoint trial " + String.join(" ", words));
+  private static int runTrialCommand(final String... arguments) throws InterruptedException {
+    System.out.println("$ weldpoint trial " + String.join(" ", arguments));
     try {
-      return new TrialCommand().run(words, System.out);
+      return new TrialCommand().run(arguments, System.out);
     } catch (final WeldpointException exception) {
       System.out.println("refused: " + exception.getMessage());
       return 1;
     }
   }
 
-  private void beat(final int sequence, final String state)
+  private void sendHeartbeat(final int sequence, final String state)
       throws IOException, InterruptedException {
-    until(
+    awaitStatus(
         200,
         ports[2],
         "POST",
@@ -433,8 +437,9 @@
             + "}");
   }
 
-  private static void standIn(final int port, final int losesOneIn) throws InterruptedException {
-    final int[] count = new int[1];
+  private static void startUpstream(final int port, final int dropEveryNthPost)
+      throws InterruptedException {
+    final int[] posts = new int[1];
     final EventLoopGroup loop = new NioEventLoopGroup(1);
     new ServerBootstrap()
         .group(loop)
@@ -452,9 +457,9 @@
                           @Override
                           protected void channelRead0(
                               final ChannelHandlerContext context, final FullHttpRequest request) {
-                            if (losesOneIn > 0
+                            if (dropEveryNthPost > 0
                                 && request.method().name().equals("POST")
-                                && ++count[0] % losesOneIn == 0) {
+                                && ++posts[0] % dropEveryNthPost == 0) {
                               context.close();
                               return;
                             }
@@ -471,9 +476,9 @@
                                     response.content().readableBytes())
                                 .set(Headers.SEAL, "demo")
                                 .set(Headers.LOAD, "0,0,8");
-                            final String id = request.headers().get(Headers.ATTEMPT_ID);
-                            if (id != null) {
-                              response.headers().set(Headers.ATTEMPT_ID, id);
+                            final String attemptId = request.headers().get(Headers.ATTEMPT_ID);
+                            if (attemptId != null) {
+                              response.headers().set(Headers.ATTEMPT_ID, attemptId);
                             }
                             context.writeAndFlush(response);
                           }
@@ -484,19 +489,23 @@
         .sync();
   }
 
-  private void until(
-      final int wanted, final int port, final String method, final String path, final String body)
+  private void awaitStatus(
+      final int expectedStatus,
+      final int port,
+      final String method,
+      final String path,
+      final String body)
       throws IOException, InterruptedException {
-    final long cutoff = System.nanoTime() + PATIENCE_MILLIS * 1_000_000;
-    String answer = "";
-    while (System.nanoTime() < cutoff) {
+    final long deadline = System.nanoTime() + AWAIT_TIMEOUT_MILLIS * 1_000_000;
+    String response = "";
+    while (System.nanoTime() < deadline) {
       try {
-        answer = exchange(port, method, path, body);
-      } catch (final IOException problem) {
-        answer = "- " + problem.getMessage();
+        response = request(port, method, path, body);
+      } catch (final IOException exception) {
+        response = "- " + exception.getMessage();
       }
-      if (answer.startsWith("HTTP/1.1 " + wanted)) {
-        System.out.println(method + " " + path + " -> " + answer.lines().findFirst().orElse(""));
+      if (response.startsWith("HTTP/1.1 " + expectedStatus)) {
+        System.out.println(method + " " + path + " -> " + response.lines().findFirst().orElse(""));
         return;
       }
       Thread.sleep(100);
@@ -504,15 +513,15 @@
     throw new WeldpointException(
         WeldpointException.Kind.OUT_OF_REACH,
         "the demonstration got no "
-            + wanted
+            + expectedStatus
             + " for "
             + path
             + " but: "
-            + answer.lines().findFirst().orElse("nothing")
+            + response.lines().findFirst().orElse("nothing")
             + "; see the log above");
   }
 
-  private static String exchange(
+  private static String request(
       final int port, final String method, final String path, final String body)
       throws IOException {
     try (Socket socket = new Socket()) {
@@ -520,15 +529,15 @@
       socket.setSoTimeout(2000);
       final byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
       final OutputStream out = socket.getOutputStream();
-      final int at = path.indexOf("\r\n");
-      final String target = at < 0 ? path : path.substring(0, at);
-      final String extra = at < 0 ? "" : path.substring(at + 2) + "\r\n";
+      final int headerStart = path.indexOf("\r\n");
+      final String target = headerStart < 0 ? path : path.substring(0, headerStart);
+      final String extraHeader = headerStart < 0 ? "" : path.substring(headerStart + 2) + "\r\n";
       out.write(
           (method
                   + " "
                   + target
                   + " HTTP/1.1\r\nHost: demo.example\r\n"
-                  + extra
+                  + extraHeader
                   + "Weldpoint-Attempt-Id: "
                   + Long.toHexString(System.nanoTime())
                   + "\r\nWeldpoint-Deadline-Ms: 2000\r\nConnection: close\r\nContent-Length: "
--- a/cli/src/main/java/weldpoint/cli/HistoryCommand.java
+++ b/cli/src/main/java/weldpoint/cli/HistoryCommand.java
@@ -17,16 +17,16 @@
  */
 final class HistoryCommand {
   /** The exit code for a history that could not be confirmed to be complete. */
-  static final int INCOMPLETE = 3;
+  static final int EXIT_INCOMPLETE = 3;
 
   private static final Jsonb JSON = Jsonb.builder().build();
   private static final JsonType<ControlApi.HistoryQuery> QUERY =
       JSON.type(ControlApi.HistoryQuery.class);
-  private static final JsonType<ControlApi.HistoryResponse> ANSWER =
+  private static final JsonType<ControlApi.HistoryResponse> RESPONSE =
       JSON.type(ControlApi.HistoryResponse.class);
   private static final JsonType<ControlApi.ReachResponse> REACH =
       JSON.type(ControlApi.ReachResponse.class);
-  private static final int SHOWN_DIGITS = 12;
+  private static final int DIGEST_PREFIX_LENGTH = 12;
 
   private final OptionParser parser = new OptionParser();
   private final OptionSpec<String> control =
@@ -58,35 +58,33 @@
   private final OptionSpec<Void> json =
       parser.accepts("json", "prints JSON, the same bytes from any replica");
 
-  int run(final String[] words, final PrintStream out, final PrintStream problems)
+  int run(final String[] arguments, final PrintStream out, final PrintStream err)
       throws InterruptedException {
-    final OptionSet options = parser.parse(words);
+    final OptionSet options = parser.parse(arguments);
     if (!options.nonOptionArguments().isEmpty() || options.has(control) == options.has(at)) {
       throw new WeldpointException(
           WeldpointException.Kind.USAGE,
           "history takes either --control HOST:PORT,... or --at HOST:PORT, and no further words");
     }
-    final ControlClient caller =
+    final ControlClient client =
         new ControlClient(
             options.has(at) ? List.of(options.valueOf(at)) : options.valuesOf(control));
-    return options.has(reach)
-        ? reach(caller, options, out, problems)
-        : list(caller, options, out, problems);
+    return options.has(reach) ? reach(client, options, out, err) : list(client, options, out, err);
   }
 
   private int list(
-      final ControlClient caller,
+      final ControlClient client,
       final OptionSet options,
       final PrintStream out,
-      final PrintStream problems)
+      final PrintStream err)
       throws InterruptedException {
     final List<ControlApi.HistoryEntry> entries = new ArrayList<>();
     Long next = options.valueOf(from);
-    ControlApi.HistoryResponse answer;
+    ControlApi.HistoryResponse response;
     do {
-      answer =
-          ANSWER.fromJson(
-              caller.call(
+      response =
+          RESPONSE.fromJson(
+              client.call(
                   "history.read",
                   "",
                   QUERY.toJson(
@@ -98,59 +96,62 @@
                           options.valueOf(route),
                           options.valueOf(author),
                           null))));
-      entries.addAll(answer.entries());
-      next = answer.next();
-    } while (answer.complete() && answer.next() > 0);
+      entries.addAll(response.entries());
+      next = response.next();
+    } while (response.complete() && response.next() > 0);
     if (options.has(json)) {
       out.println(
-          ANSWER.toJson(
+          RESPONSE.toJson(
               new ControlApi.HistoryResponse(
-                  answer.complete(),
-                  answer.problem(),
-                  answer.first(),
-                  answer.through(),
-                  answer.digest(),
-                  answer.next(),
+                  response.complete(),
+                  response.problem(),
+                  response.first(),
+                  response.through(),
+                  response.digest(),
+                  response.next(),
                   entries)));
     } else {
       entries.forEach(entry -> print(entry, out));
       out.printf(
           "%d entries shown; the history goes from %d to %d, digest %s%n",
-          entries.size(), answer.first(), answer.through(), shorten(answer.digest()));
+          entries.size(), response.first(), response.through(), abbreviate(response.digest()));
     }
-    return verdict(answer.complete(), answer.problem(), problems);
+    return exitCode(response.complete(), response.problem(), err);
   }
 
-  private static int verdict(
-      final boolean complete, final String problem, final PrintStream problems) {
+  private static int exitCode(final boolean complete, final String problem, final PrintStream err) {
     if (!complete) {
-      problems.println("weldpoint: NOT COMPLETE: " + problem);
-      return INCOMPLETE;
+      err.println("weldpoint: NOT COMPLETE: " + problem);
+      return EXIT_INCOMPLETE;
     }
     return 0;
   }
 
   private int reach(
-      final ControlClient caller,
+      final ControlClient client,
       final OptionSet options,
       final PrintStream out,
-      final PrintStream problems)
+      final PrintStream err)
       throws InterruptedException {
-    final String text = caller.call("history.reach", options.valueOf(reach).toString(), "");
-    final ControlApi.ReachResponse answer = REACH.fromJson(text);
+    final String text = client.call("history.reach", options.valueOf(reach).toString(), "");
+    final ControlApi.ReachResponse response = REACH.fromJson(text);
     if (options.has(json)) {
       out.println(text);
     } else {
-      print(answer.change(), out);
-      answer
+      print(response.change(), out);
+      response
           .daemons()
           .forEach(
-              one ->
+              daemon ->
                   out.printf(
                       "  %-12s %-16s %-9s %-26s %s%n",
-                      one.program(), one.address(), one.state(), one.since(), one.note()));
+                      daemon.program(),
+                      daemon.address(),
+                      daemon.state(),
+                      daemon.since(),
+                      daemon.note()));
     }
-    return verdict(answer.complete(), answer.problem(), problems);
+    return exitCode(response.complete(), response.problem(), err);
   }
 
   private static void print(final ControlApi.HistoryEntry entry, final PrintStream out) {
@@ -166,8 +167,8 @@
         "    from %s, taken by %s; digest %s after %s%n",
         entry.caller().isEmpty() ? "the system" : entry.caller(),
         entry.taker(),
-        shorten(entry.digest()),
-        entry.previous().isEmpty() ? "nothing" : shorten(entry.previous()));
+        abbreviate(entry.digest()),
+        entry.previous().isEmpty() ? "nothing" : abbreviate(entry.previous()));
     if (entry.added() + entry.removed() + entry.changed() > 0) {
       out.printf(
           "    %d added, %d removed, %d changed; %d of them carry writes; configuration %s -> %s%n",
@@ -175,15 +176,15 @@
           entry.removed(),
           entry.changed(),
           entry.writeRoutes(),
-          shorten(entry.before()),
-          shorten(entry.after()));
+          abbreviate(entry.before()),
+          abbreviate(entry.after()));
     }
     entry.changes().forEach(change -> out.println("    " + change));
   }
 
-  private static String shorten(final String digest) {
-    return digest.length() <= SHOWN_DIGITS
+  private static String abbreviate(final String digest) {
+    return digest.length() <= DIGEST_PREFIX_LENGTH
         ? digest.isEmpty() ? "none" : digest
-        : digest.substring(0, SHOWN_DIGITS);
+        : digest.substring(0, DIGEST_PREFIX_LENGTH);
   }
 }
--- a/cli/src/main/java/weldpoint/cli/RecordCommand.java
+++ b/cli/src/main/java/weldpoint/cli/RecordCommand.java
@@ -25,9 +25,9 @@
  * the recording ends.
  */
 final class RecordCommand {
-  private static final long PAUSE_MILLIS = 1000;
-  private static final long SETTLE_MILLIS = 4000;
-  private static final long MOST_SETTLE_MILLIS = 30_000;
+  private static final long POLL_INTERVAL_MILLIS = 1000;
+  private static final long MIN_SETTLE_MILLIS = 4000;
+  private static final long MAX_SETTLE_MILLIS = 30_000;
 
   private enum Action {
     BEGIN,
@@ -53,13 +53,13 @@
   /** Follows one recording. */
   static final class Collector {
     private final RecordingFile.Writer writer;
-    private final Map<String, Long> offsets = new HashMap<>();
-    private final Map<String, Integer> known = new LinkedHashMap<>();
-    private final Set<String> open = new HashSet<>();
-    private final Map<String, Long> droppedBy = new HashMap<>();
+    private final Map<String, Long> clockOffsets = new HashMap<>();
+    private final Map<String, Integer> registrationStages = new LinkedHashMap<>();
+    private final Set<String> unfinished = new HashSet<>();
+    private final Map<String, Long> droppedByRegistry = new HashMap<>();
     private long version;
     private List<String> evacuated = List.of();
-    private long notes;
+    private long recordedCalls;
     private long clockError;
 
     Collector(final RecordingFile.Writer writer) {
@@ -68,63 +68,64 @@
 
     /** Adds what one exchange gave to a question asked then and answered now. */
     void add(
-        final String exchange,
-        final RecordingBuffer.Collection drained,
-        final long asked,
-        final long now)
+        final String registry,
+        final RecordingBuffer.Collection collection,
+        final long requestedAt,
+        final long receivedAt)
         throws IOException {
-      droppedBy.put(exchange, drained.dropped);
+      droppedByRegistry.put(registry, collection.dropped);
       final List<RegistryMessages.Registration> changes = new ArrayList<>();
       for (final RegistryMessages.Registration registration :
-          Protocol.list(drained.registrations)) {
-        final Integer before = known.put(registration.id, registration.stage);
-        if (before == null ? registration.stage == 0 : before != registration.stage) {
+          Protocol.list(collection.registrations)) {
+        final Integer previousStage = registrationStages.put(registration.id, registration.stage);
+        if (previousStage == null ? registration.stage == 0 : previousStage != registration.stage) {
           changes.add(registration);
         }
       }
-      final boolean spec = drained.version > version && drained.spec != null;
-      final List<String> sites = Protocol.list(drained.evacuated);
-      if (spec || !changes.isEmpty() || !sites.equals(evacuated)) {
-        version = Math.max(version, drained.version);
+      final boolean newSpec = collection.version > version && collection.spec != null;
+      final List<String> evacuatedSites = Protocol.list(collection.evacuated);
+      if (newSpec || !changes.isEmpty() || !evacuatedSites.equals(evacuated)) {
+        version = Math.max(version, collection.version);
         writer.add(
             new RecordingFile.ControlSnapshot(
-                asked,
-                spec ? drained.spec : null,
+                requestedAt,
+                newSpec ? collection.spec : null,
                 changes,
-                sites.equals(evacuated) ? null : sites));
-        evacuated = sites;
+                evacuatedSites.equals(evacuated) ? null : evacuatedSites));
+        evacuated = evacuatedSites;
       }
-      for (final RecordingBuffer.CollectedBatch kept : Protocol.list(drained.reels)) {
-        final String life = kept.batch.board + "#" + kept.batch.incarnation;
-        final long offset = asked - kept.ageMillis - kept.batch.sentAt;
-        offsets.merge(life, offset, Math::min);
-        clockError = Math.max(clockError, now - asked);
-        notes += Protocol.list(kept.batch.notes).size();
-        if (kept.batch.last) {
-          open.remove(life);
+      for (final RecordingBuffer.CollectedBatch collected : Protocol.list(collection.reels)) {
+        final String proxyRun = collected.batch.board + "#" + collected.batch.incarnation;
+        final long offset = requestedAt - collected.ageMillis - collected.batch.sentAt;
+        clockOffsets.merge(proxyRun, offset, Math::min);
+        clockError = Math.max(clockError, receivedAt - requestedAt);
+        recordedCalls += Protocol.list(collected.batch.notes).size();
+        if (collected.batch.last) {
+          unfinished.remove(proxyRun);
         } else {
-          open.add(life);
+          unfinished.add(proxyRun);
         }
-        writer.add(new RecordingFile.TimedBatch(offsets.get(life), kept.batch));
+        writer.add(new RecordingFile.TimedBatch(clockOffsets.get(proxyRun), collected.batch));
       }
     }
 
     /** Whether every switchboard that was heard has said that its reel is its last. */
     boolean complete() {
-      return open.isEmpty();
+      return unfinished.isEmpty();
     }
 
-    RecordingFile.Trailer end() {
+    RecordingFile.Trailer trailer() {
       return new RecordingFile.Trailer(
-          notes,
-          droppedBy.values().stream().mapToLong(count -> count).sum(),
+          recordedCalls,
+          droppedByRegistry.values().stream().mapToLong(count -> count).sum(),
           clockError,
-          new ArrayList<>(open));
+          new ArrayList<>(unfinished));
     }
   }
 
-  int run(final String[] words, final PrintStream out) throws IOException, InterruptedException {
-    final OptionSet options = parser.parse(words);
+  int run(final String[] arguments, final PrintStream out)
+      throws IOException, InterruptedException {
+    final OptionSet options = parser.parse(arguments);
     final List<?> names = options.nonOptionArguments();
     final Action action;
     try {
@@ -137,9 +138,9 @@
           "record takes one action: record begin|status|end --control HOST:PORT,...");
     }
     final List<String> addresses = options.valuesOf(control);
-    final ControlClient caller = new ControlClient(addresses);
+    final ControlClient client = new ControlClient(addresses);
     if (action == Action.STATUS || action == Action.END) {
-      out.println(caller.call(action == Action.END ? "record.end" : "record.status", "all", ""));
+      out.println(client.call(action == Action.END ? "record.end" : "record.status", "all", ""));
       return 0;
     }
     if (!options.has(file)) {
@@ -147,61 +148,63 @@
           WeldpointException.Kind.USAGE,
           "record begin needs --file FILE, where the day is to be written");
     }
-    out.println(caller.call("record.begin", "all", ""));
+    out.println(client.call("record.begin", "all", ""));
     try (RecordingFile.Writer writer = new RecordingFile.Writer(Path.of(options.valueOf(file)))) {
-      return collect(options, addresses, caller, writer, out);
+      return collect(options, addresses, client, writer, out);
     }
   }
 
   private int collect(
       final OptionSet options,
       final List<String> addresses,
-      final ControlClient caller,
+      final ControlClient client,
       final RecordingFile.Writer writer,
       final PrintStream out)
       throws IOException, InterruptedException {
     final Collector collector = new Collector(writer);
-    final long begun = System.nanoTime() / 1_000_000;
-    boolean ordered = false;
+    final long startedAt = System.nanoTime() / 1_000_000;
+    boolean endRequested = false;
     long endedAt = 0;
-    final Map<String, Long> missed = new HashMap<>();
+    final Map<String, Long> missedPolls = new HashMap<>();
     while (true) {
-      Thread.sleep(PAUSE_MILLIS);
-      boolean on = false;
-      boolean heard = false;
+      Thread.sleep(POLL_INTERVAL_MILLIS);
+      boolean recording = false;
+      boolean reached = false;
       for (final String address : addresses) {
-        final long asked = System.nanoTime() / 1_000_000;
+        final long requestedAt = System.nanoTime() / 1_000_000;
         try {
-          final RecordingBuffer.Collection drained =
+          final RecordingBuffer.Collection collection =
               Serializer.deserialize(
-                  new ControlClient(List.of(address)).bytes("record.drain", "all"),
+                  new ControlClient(List.of(address)).callForBytes("record.drain", "all"),
                   RecordingBuffer.Collection.class);
-          collector.add(address, drained, asked, System.nanoTime() / 1_000_000);
-          on |= drained.on;
-          heard = true;
-          missed.remove(address);
-        } catch (final WeldpointException silent) {
-          missed.merge(address, 1L, Long::sum);
+          collector.add(address, collection, requestedAt, System.nanoTime() / 1_000_000);
+          recording |= collection.on;
+          reached = true;
+          missedPolls.remove(address);
+        } catch (final WeldpointException unreachable) {
+          missedPolls.merge(address, 1L, Long::sum);
         }
       }
       final long now = System.nanoTime() / 1_000_000;
-      if (!ordered && options.has(seconds) && now - begun > 1000 * options.valueOf(seconds)) {
-        caller.call("record.end", "all", "");
-        ordered = true;
+      if (!endRequested
+          && options.has(seconds)
+          && now - startedAt > 1000 * options.valueOf(seconds)) {
+        client.call("record.end", "all", "");
+        endRequested = true;
       }
-      if (heard && !on && now - begun > SETTLE_MILLIS) {
+      if (reached && !recording && now - startedAt > MIN_SETTLE_MILLIS) {
         endedAt = endedAt == 0 ? now : endedAt;
-        if (now - endedAt > SETTLE_MILLIS && collector.complete()
-            || now - endedAt > MOST_SETTLE_MILLIS) {
+        if (now - endedAt > MIN_SETTLE_MILLIS && collector.complete()
+            || now - endedAt > MAX_SETTLE_MILLIS) {
           break;
         }
       }
     }
-    final RecordingFile.Trailer end = collector.end();
-    writer.add(end);
+    final RecordingFile.Trailer trailer = collector.trailer();
+    writer.add(trailer);
     out.printf(
         "recorded %d calls, dropped %d, clocks agree within %d ms, not ended: %s, exchanges not heard at the end: %s%n",
-        end.notes, end.dropped, end.clockError, end.silent, missed.keySet());
-    return end.dropped == 0 && end.silent.isEmpty() ? 0 : 1;
+        trailer.notes, trailer.dropped, trailer.clockError, trailer.silent, missedPolls.keySet());
+    return trailer.dropped == 0 && trailer.silent.isEmpty() ? 0 : 1;
   }
 }
--- a/cli/src/main/java/weldpoint/cli/ReplayCommand.java
+++ b/cli/src/main/java/weldpoint/cli/ReplayCommand.java
@@ -23,8 +23,8 @@
  * with 2.
  */
 final class ReplayCommand {
-  private static final int CANNOT_JUDGE = 2;
-  private static final String BASE =
+  private static final int EXIT_CANNOT_JUDGE = 2;
+  private static final String BASE_SETTINGS =
       "station.name = replay\nstation.address = 10.0.0.1\nstation.site = a\nstation.region = a\ntrunk.ports = 7000,7015\ntrunk.seeds = 10.0.0.1:7000\n";
 
   private final OptionParser parser = new OptionParser();
@@ -32,7 +32,7 @@
       parser.accepts("spec", "the proposed configuration").withRequiredArg().required();
   private final OptionSpec<String> settings =
       parser.accepts("settings", "proposed settings, as name = value lines").withRequiredArg();
-  private final OptionSpec<Long> error =
+  private final OptionSpec<Long> maxModelError =
       parser
           .accepts("error-ms", "the largest model error to judge by")
           .withRequiredArg()
@@ -40,46 +40,47 @@
           .defaultsTo(250L);
   private final OptionSpec<Void> json = parser.accepts("json", "prints JSON");
 
-  int run(final String[] words, final PrintStream out, final PrintStream problems)
+  int run(final String[] arguments, final PrintStream out, final PrintStream err)
       throws IOException {
     try {
-      final OptionSet options = parser.parse(words);
+      final OptionSet options = parser.parse(arguments);
       final List<?> names = options.nonOptionArguments();
       if (names.size() != 1) {
         throw new WeldpointException(
             WeldpointException.Kind.USAGE,
             "replay takes one recorded day: replay DAY --spec FILE [--settings FILE] [--error-ms N] [--json]");
       }
-      final Path proposed = Path.of(options.valueOf(spec));
-      if (!Files.isReadable(proposed)) {
+      final Path specFile = Path.of(options.valueOf(spec));
+      if (!Files.isReadable(specFile)) {
         throw new WeldpointException(
             WeldpointException.Kind.UNREADABLE,
-            "the configuration " + proposed + " cannot be read; name a readable file");
+            "the configuration " + specFile + " cannot be read; name a readable file");
       }
-      final String extra =
+      final String extraSettings =
           options.has(settings) ? Files.readString(Path.of(options.valueOf(settings))) : "";
-      Settings.parse(BASE + extra);
-      final ReplayComparison verdict =
+      Settings.parse(BASE_SETTINGS + extraSettings);
+      final ReplayComparison comparison =
           new Replay(
                   Path.of(names.get(0).toString()),
-                  RoutingTable.compile(Files.readAllBytes(proposed)),
-                  extra,
-                  options.valueOf(error),
+                  RoutingTable.compile(Files.readAllBytes(specFile)),
+                  extraSettings,
+                  options.valueOf(maxModelError),
                   Compression::inflate)
               .run();
       if (options.has(json)) {
-        out.println(Jsonb.builder().build().type(ReportDocument.class).toJson(verdict.document()));
+        out.println(
+            Jsonb.builder().build().type(ReportDocument.class).toJson(comparison.document()));
       } else {
-        verdict.print(out);
+        comparison.print(out);
       }
-      return verdict.code();
-    } catch (final OptionException problem) {
-      problems.println("weldpoint: " + problem.getMessage());
-      parser.printHelpOn(problems);
-      return CANNOT_JUDGE;
-    } catch (final WeldpointException | IOException problem) {
-      problems.println("weldpoint: cannot be judged: " + problem.getMessage());
-      return CANNOT_JUDGE;
+      return comparison.code();
+    } catch (final OptionException exception) {
+      err.println("weldpoint: " + exception.getMessage());
+      parser.printHelpOn(err);
+      return EXIT_CANNOT_JUDGE;
+    } catch (final WeldpointException | IOException exception) {
+      err.println("weldpoint: cannot be judged: " + exception.getMessage());
+      return EXIT_CANNOT_JUDGE;
     }
   }
 }
--- a/cli/src/main/java/weldpoint/cli/StatusCommand.java
+++ b/cli/src/main/java/weldpoint/cli/StatusCommand.java
@@ -17,7 +17,7 @@
 final class StatusCommand {
   private static final JsonType<ControlApi.StatusResponse> STATUS =
       Jsonb.builder().build().type(ControlApi.StatusResponse.class);
-  private static final int CUT_OFF = 3;
+  private static final int EXIT_NO_MAJORITY = 3;
 
   private final OptionParser parser = new OptionParser();
   private final OptionSpec<String> control =
@@ -28,47 +28,47 @@
           .required();
   private final OptionSpec<Void> json = parser.accepts("json", "prints JSON");
 
-  int run(final String[] words, final PrintStream out) throws InterruptedException {
-    final OptionSet options = parser.parse(words);
+  int run(final String[] arguments, final PrintStream out) throws InterruptedException {
+    final OptionSet options = parser.parse(arguments);
     if (!options.nonOptionArguments().isEmpty()) {
       throw new WeldpointException(
           WeldpointException.Kind.USAGE,
           "status takes --control HOST:PORT,... and no further words");
     }
     final String text = new ControlClient(options.valuesOf(control)).call("status.read", "", "");
-    final ControlApi.StatusResponse answer = STATUS.fromJson(text);
+    final ControlApi.StatusResponse response = STATUS.fromJson(text);
     if (options.has(json)) {
       out.println(text);
     } else {
-      print(answer, out);
+      print(response, out);
     }
-    return answer.settled() ? 0 : CUT_OFF;
+    return response.settled() ? 0 : EXIT_NO_MAJORITY;
   }
 
-  private static void print(final ControlApi.StatusResponse answer, final PrintStream out) {
+  private static void print(final ControlApi.StatusResponse response, final PrintStream out) {
     out.printf(
         "exchange %s: a majority was heard of %s; configuration %s, evacuated %s%n",
-        answer.exchange(),
-        answer.settled() ? answer.majorityAgeMs() + " ms ago" : "too long ago or never",
-        answer.version(),
-        answer.evacuated());
-    out.printf("roster %d: %s%n", answer.roster(), answer.voters());
-    out.printf("store of %s: %s%n", answer.exchange(), answer.disk());
+        response.exchange(),
+        response.settled() ? response.majorityAgeMs() + " ms ago" : "too long ago or never",
+        response.version(),
+        response.evacuated());
+    out.printf("roster %d: %s%n", response.roster(), response.voters());
+    out.printf("store of %s: %s%n", response.exchange(), response.disk());
     out.printf(
-        "upstreams: %d registered, %d of them silent%n", answer.upstreams(), answer.suspects());
-    answer
+        "upstreams: %d registered, %d of them silent%n", response.upstreams(), response.suspects());
+    response
         .daemons()
         .forEach(
-            one ->
+            entry ->
                 out.printf(
                     "  %-12s %-16s configuration %-9s mark %-6d heard of %s%n",
-                    one.program(),
-                    one.address(),
-                    one.version(),
-                    one.mark(),
-                    one.heardMs() < 0 ? "never" : one.heardMs() + " ms ago"));
+                    entry.program(),
+                    entry.address(),
+                    entry.version(),
+                    entry.mark(),
+                    entry.heardMs() < 0 ? "never" : entry.heardMs() + " ms ago"));
     for (final ControlApi.KeyRangeStatus range :
-        answer.keys() == null ? List.<ControlApi.KeyRangeStatus>of() : answer.keys()) {
+        response.keys() == null ? List.<ControlApi.KeyRangeStatus>of() : response.keys()) {
       out.printf(
           "keys %d-%d of %s: %s by %s, fence %d, assigned by %s%n",
           range.first(),
@@ -79,21 +79,22 @@
           range.fence(),
           range.assigner());
     }
-    if (!answer.placements().isEmpty()) {
-      out.printf("placements kept by %s%n", answer.keeper().isEmpty() ? "nobody" : answer.keeper());
-      answer
+    if (!response.placements().isEmpty()) {
+      out.printf(
+          "placements kept by %s%n", response.keeper().isEmpty() ? "nobody" : response.keeper());
+      response
           .placements()
           .forEach(
-              one ->
+              entry ->
                   out.printf(
                       "  %s: epoch %d of %d nodes%s%n",
-                      one.service(),
-                      one.epoch(),
-                      one.nodes(),
-                      one.prepared() ? ", the next of " + one.nextNodes() + " prepared" : ""));
-      answer
+                      entry.service(),
+                      entry.epoch(),
+                      entry.nodes(),
+                      entry.prepared() ? ", the next of " + entry.nextNodes() + " prepared" : ""));
+      response
           .writes()
-          .forEach(one -> out.printf("  tied writes %s: %d%n", one.outcome(), one.count()));
+          .forEach(entry -> out.printf("  tied writes %s: %d%n", entry.outcome(), entry.count()));
     }
   }
 }
--- a/cli/src/main/java/weldpoint/cli/TrialCommand.java
+++ b/cli/src/main/java/weldpoint/cli/TrialCommand.java
@@ -18,9 +18,9 @@
   private static final Jsonb JSON = Jsonb.builder().build();
   private static final JsonType<ControlApi.TrialStatus> STATUS =
       JSON.type(ControlApi.TrialStatus.class);
-  private static final JsonType<ControlApi.TrialRequest> ORDER =
+  private static final JsonType<ControlApi.TrialRequest> REQUEST =
       JSON.type(ControlApi.TrialRequest.class);
-  private static final int HELD = 3;
+  private static final int EXIT_HELD = 3;
 
   private enum Action {
     BEGIN,
@@ -37,9 +37,9 @@
           .withRequiredArg()
           .withValuesSeparatedBy(',')
           .required();
-  private final OptionSpec<String> old =
+  private final OptionSpec<String> oldService =
       parser.accepts("old", "the service of the old version").withRequiredArg();
-  private final OptionSpec<String> fresh =
+  private final OptionSpec<String> newService =
       parser.accepts("new", "the service of the new version").withRequiredArg();
   private final OptionSpec<String> token =
       parser.accepts("token", "what testers send as Weldpoint-Trial-Token").withRequiredArg();
@@ -49,13 +49,13 @@
           .withRequiredArg()
           .ofType(Integer.class)
           .withValuesSeparatedBy(',');
-  private final OptionSpec<Integer> least =
+  private final OptionSpec<Integer> leastWrites =
       parser
           .accepts("least-writes", "writes to be confirmed at each stage")
           .withRequiredArg()
           .ofType(Integer.class)
           .defaultsTo(30);
-  private final OptionSpec<Double> allowance =
+  private final OptionSpec<Double> lateAllowance =
       parser
           .accepts(
               "late-allowance",
@@ -72,11 +72,11 @@
       parser
           .accepts("author", "who wants it; the user's name by default")
           .withRequiredArg()
-          .defaultsTo(ControlClient.user());
+          .defaultsTo(ControlClient.currentUser());
   private final OptionSpec<Void> json = parser.accepts("json", "prints JSON");
 
-  int run(final String[] words, final PrintStream out) throws InterruptedException {
-    final OptionSet options = parser.parse(words);
+  int run(final String[] arguments, final PrintStream out) throws InterruptedException {
+    final OptionSet options = parser.parse(arguments);
     final List<?> names = options.nonOptionArguments();
     if (names.size() != 2) {
       throw new WeldpointException(
@@ -96,22 +96,22 @@
     final String body =
         switch (action) {
           case BEGIN ->
-              ORDER.toJson(
+              REQUEST.toJson(
                   new ControlApi.TrialRequest(
-                      options.valueOf(old),
-                      options.valueOf(fresh),
+                      options.valueOf(oldService),
+                      options.valueOf(newService),
                       options.valueOf(token),
                       shares,
-                      options.valueOf(least).doubleValue(),
-                      options.valueOf(allowance),
+                      options.valueOf(leastWrites).doubleValue(),
+                      options.valueOf(lateAllowance),
                       null));
           case HOLD ->
-              ORDER.toJson(
+              REQUEST.toJson(
                   new ControlApi.TrialRequest(
                       null, null, null, null, null, null, options.valueOf(reason)));
           default -> "";
         };
-    final String answer =
+    final String response =
         new ControlClient(
                 options.valuesOf(control), action == Action.STATUS ? null : options.valueOf(author))
             .call(
@@ -119,11 +119,13 @@
                 names.get(1).toString(),
                 body);
     if (options.has(json)) {
-      out.println(answer);
+      out.println(response);
     } else {
-      print(STATUS.fromJson(answer), out);
+      print(STATUS.fromJson(response), out);
     }
-    return "HELD".equals(STATUS.fromJson(answer).verdict()) && action == Action.STATUS ? HELD : 0;
+    return "HELD".equals(STATUS.fromJson(response).verdict()) && action == Action.STATUS
+        ? EXIT_HELD
+        : 0;
   }
 
   static void print(final ControlApi.TrialStatus status, final PrintStream out) {
@@ -151,30 +153,30 @@
     out.printf(
         "%-28s %-10s %8s %9s %6s %7s %6s | %s%n",
         "", "version", "sent", "confirmed", "lost", "doubled", "late", "other requests (failed)");
-    row(status.total(), out);
-    status.switchboards().forEach(one -> row(one, out));
+    printProxy(status.total(), out);
+    status.switchboards().forEach(proxy -> printProxy(proxy, out));
   }
 
-  private static void row(final ControlApi.ProxyTrialCounts one, final PrintStream out) {
-    side(one.switchboard(), "old", one.oldVersion(), out);
-    side("", "new", one.newVersion(), out);
+  private static void printProxy(final ControlApi.ProxyTrialCounts proxy, final PrintStream out) {
+    printVersion(proxy.switchboard(), "old", proxy.oldVersion(), out);
+    printVersion("", "new", proxy.newVersion(), out);
   }
 
-  private static void side(
+  private static void printVersion(
       final String name,
       final String version,
-      final ControlApi.VersionCounts side,
+      final ControlApi.VersionCounts counts,
       final PrintStream out) {
     out.printf(
         "%-28s %-10s %8d %9d %6d %7d %6d | %d (%d)%n",
         name,
         version,
-        side.sent(),
-        side.confirmed(),
-        side.lost(),
-        side.doubled(),
-        side.late(),
-        side.others() + side.othersFailed(),
-        side.othersFailed());
+        counts.sent(),
+        counts.confirmed(),
+        counts.lost(),
+        counts.doubled(),
+        counts.late(),
+        counts.others() + counts.othersFailed(),
+        counts.othersFailed());
   }
 }
--- a/cli/src/main/java/weldpoint/cli/Weldpoint.java
+++ b/cli/src/main/java/weldpoint/cli/Weldpoint.java
@@ -29,40 +29,40 @@
 public final class Weldpoint {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
   private static final String VERSION = "0.1.0";
-  private static final int BAD_USAGE = 2;
-  private static final long SETTINGS_MILLIS = 2000;
+  private static final int EXIT_USAGE = 2;
+  private static final long SETTINGS_POLL_MILLIS = 2000;
 
   /** The commands. */
   private enum Command {
     SWITCHBOARD("runs the proxy on an edge machine") {
       @Override
       int run(final OptionSet options) throws IOException, InterruptedException {
-        return stay(new ProxyDaemon(boot("switchboard")));
+        return runDaemon(new ProxyDaemon(loadSettings("switchboard")));
       }
     },
     EXCHANGE("runs the registry on a core machine") {
       @Override
       int run(final OptionSet options) throws IOException, InterruptedException {
-        return stay(new RegistryDaemon(boot("exchange")));
+        return runDaemon(new RegistryDaemon(loadSettings("exchange")));
       }
     },
     FRAME("runs the store on a core machine") {
       @Override
       int run(final OptionSet options) throws IOException, InterruptedException {
-        return stay(new StateStoreDaemon(boot("frame")));
+        return runDaemon(new StateStoreDaemon(loadSettings("frame")));
       }
     },
     ANNOUNCER("runs the shared cache of content deliveries") {
       @Override
       int run(final OptionSet options) throws IOException, InterruptedException {
-        return stay(new CacheDaemon(boot("announcer")));
+        return runDaemon(new CacheDaemon(loadSettings("announcer")));
       }
     },
     TRIAL(
         "tries a route's new version: trial begin|status|advance|hold|finish ROUTE --control HOST:PORT") {
       @Override
-      int run(final String[] words) throws InterruptedException {
-        return new TrialCommand().run(words, System.out);
+      int run(final String[] arguments) throws InterruptedException {
+        return new TrialCommand().run(arguments, System.out);
       }
 
       @Override
@@ -73,8 +73,8 @@
     STATUS(
         "shows the core, all daemons and placements as one exchange knows them: status --control HOST:PORT,...; 3 where it has no majority") {
       @Override
-      int run(final String[] words) throws InterruptedException {
-        return new StatusCommand().run(words, System.out);
+      int run(final String[] arguments) throws InterruptedException {
+        return new StatusCommand().run(arguments, System.out);
       }
 
       @Override
@@ -85,8 +85,8 @@
     HISTORY(
         "shows the changes of routing, from any replica: history --control HOST:PORT,... [--since --until --route --author --json] or --reach N; 3 not confirmed to be complete") {
       @Override
-      int run(final String[] words) throws InterruptedException {
-        return new HistoryCommand().run(words, System.out, System.err);
+      int run(final String[] arguments) throws InterruptedException {
+        return new HistoryCommand().run(arguments, System.out, System.err);
       }
 
       @Override
@@ -97,8 +97,8 @@
     RECORD(
         "records what all switchboards carry: record begin|status|end --control HOST:PORT,... --file FILE") {
       @Override
-      int run(final String[] words) throws IOException, InterruptedException {
-        return new RecordCommand().run(words, System.out);
+      int run(final String[] arguments) throws IOException, InterruptedException {
+        return new RecordCommand().run(arguments, System.out);
       }
 
       @Override
@@ -109,8 +109,8 @@
     SCALE(
         "measures on this machine how each role grows with the fleet: scale [--series NAME] [--sizes N,N,N] [--seconds N]") {
       @Override
-      int run(final String[] words) throws IOException, InterruptedException {
-        return new ScaleCommand().run(words, System.out);
+      int run(final String[] arguments) throws IOException, InterruptedException {
+        return new ScaleCommand().run(arguments, System.out);
       }
 
       @Override
@@ -121,8 +121,8 @@
     REPLAY(
         "plays a recorded day through proposed settings: replay DAY --spec FILE; 0 no write is harmed, 1 one is, 2 it cannot be judged") {
       @Override
-      int run(final String[] words) throws IOException {
-        return new ReplayCommand().run(words, System.out, System.err);
+      int run(final String[] arguments) throws IOException {
+        return new ReplayCommand().run(arguments, System.out, System.err);
       }
 
       @Override
@@ -135,7 +135,7 @@
       @Override
       int run(final OptionSet options) throws IOException, InterruptedException {
         Logging.start("demo");
-        quiet();
+        configureNetty();
         return options.nonOptionArguments().contains("affinity")
             ? new Demo().affinity()
             : options.nonOptionArguments().contains("trial")
@@ -146,16 +146,16 @@
     CHECK("checks files without starting anything: check settings FILE, check spec FILE") {
       @Override
       int run(final OptionSet options) throws IOException {
-        final List<?> words = options.nonOptionArguments();
-        if (words.size() != 2) {
+        final List<?> arguments = options.nonOptionArguments();
+        if (arguments.size() != 2) {
           throw new WeldpointException(
               WeldpointException.Kind.USAGE,
               "check takes what to check and a file: check settings FILE, or check spec FILE");
         }
-        final Path file = Path.of(words.get(1).toString());
-        if (words.get(0).equals("settings")) {
+        final Path file = Path.of(arguments.get(1).toString());
+        if (arguments.get(0).equals("settings")) {
           Settings.load(file);
-        } else if (words.get(0).equals("spec")) {
+        } else if (arguments.get(0).equals("spec")) {
           if (!Files.isReadable(file)) {
             throw new WeldpointException(
                 WeldpointException.Kind.UNREADABLE,
@@ -171,11 +171,11 @@
                   + routingTable.services().size()
                   + " services");
           HomeRegionWarnings.of(routingTable, regions())
-              .forEach(text -> System.out.println("warning: " + text));
+              .forEach(warning -> System.out.println("warning: " + warning));
         } else {
           throw new WeldpointException(
               WeldpointException.Kind.USAGE,
-              "'" + words.get(0) + "' cannot be checked; check settings or spec");
+              "'" + arguments.get(0) + "' cannot be checked; check settings or spec");
         }
         System.out.println("good");
         return 0;
@@ -196,8 +196,8 @@
       this.help = help;
     }
 
-    int run(final String[] words) throws IOException, InterruptedException {
-      return run(new OptionParser().parse(words));
+    int run(final String[] arguments) throws IOException, InterruptedException {
+      return run(new OptionParser().parse(arguments));
     }
 
     abstract int run(OptionSet options) throws IOException, InterruptedException;
@@ -205,7 +205,7 @@
 
   private Weldpoint() {}
 
-  private static void quiet() {
+  private static void configureNetty() {
     InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
     System.setProperty("io.netty.machineId", "00:00:00:00:00:00:00:01");
     System.setProperty("io.netty.processId", "1");
@@ -216,33 +216,33 @@
     System.setProperty("io.netty.tryReflectionSetAccessible", "false");
   }
 
-  private static Settings boot(final String program) {
+  private static Settings loadSettings(final String program) {
     Logging.start(program);
-    quiet();
+    configureNetty();
     return Settings.load();
   }
 
-  private static int stay(final Daemon program) throws IOException, InterruptedException {
-    program.start();
-    final Runnable again =
+  private static int runDaemon(final Daemon daemon) throws IOException, InterruptedException {
+    daemon.start();
+    final Runnable reload =
         () -> {
           try {
-            program.reload(Settings.load());
+            daemon.reload(Settings.load());
             LOGGER.atInfo().log("the settings were read again");
           } catch (final WeldpointException exception) {
             LOGGER.atWarning().log(
                 "the settings were not taken, the old ones stay: %s", exception.getMessage());
           }
         };
-    sun.misc.Signal.handle(new sun.misc.Signal("HUP"), signal -> again.run());
-    Runtime.getRuntime().addShutdownHook(new Thread(program::stop, "stop"));
-    long seen = Settings.changedAt();
+    sun.misc.Signal.handle(new sun.misc.Signal("HUP"), signal -> reload.run());
+    Runtime.getRuntime().addShutdownHook(new Thread(daemon::stop, "stop"));
+    long appliedChange = Settings.changedAt();
     while (true) {
-      Thread.sleep(SETTINGS_MILLIS);
-      final long changed = Settings.changedAt();
-      if (changed != seen) {
-        seen = changed;
-        again.run();
+      Thread.sleep(SETTINGS_POLL_MILLIS);
+      final long latestChange = Settings.changedAt();
+      if (latestChange != appliedChange) {
+        appliedChange = latestChange;
+        reload.run();
       }
     }
   }
@@ -263,9 +263,9 @@
 
   /** Runs a command and ends with its exit code. */
   public static void main(final String[] arguments) {
-    final int code = execute(arguments);
-    if (code >= 0) {
-      System.exit(code);
+    final int exitCode = execute(arguments);
+    if (exitCode >= 0) {
+      System.exit(exitCode);
     }
   }
 
@@ -290,17 +290,17 @@
                   ? "no command was given\n"
                   : "the command '" + arguments[0] + "' is unknown\n")
               + usage());
-      return BAD_USAGE;
+      return EXIT_USAGE;
     } catch (final OptionException problem) {
       System.err.print(problem.getMessage() + "\n" + usage());
-      return BAD_USAGE;
+      return EXIT_USAGE;
     } catch (final WeldpointException exception) {
       System.err.println("weldpoint: " + exception.getMessage());
-      return exception.kind() == WeldpointException.Kind.USAGE ? BAD_USAGE : 1;
+      return exception.kind() == WeldpointException.Kind.USAGE ? EXIT_USAGE : 1;
     } catch (final IOException problem) {
       System.err.println("weldpoint: " + problem.getMessage());
       return 1;
-    } catch (final InterruptedException ended) {
+    } catch (final InterruptedException interrupted) {
       Thread.currentThread().interrupt();
       return 1;
     }
--- a/cli/src/test/java/weldpoint/cli/WeldpointTest.java
+++ b/cli/src/test/java/weldpoint/cli/WeldpointTest.java
@@ -14,16 +14,16 @@
 
 /** The command line tells what was wrong, and its exit code too. */
 public final class WeldpointTest {
-  private static String[] run(final String... words) {
+  private static String[] run(final String... arguments) {
     final PrintStream out = System.out;
     final PrintStream err = System.err;
-    final ByteArrayOutputStream taken = new ByteArrayOutputStream();
-    final PrintStream both = new PrintStream(taken, true, StandardCharsets.UTF_8);
-    System.setOut(both);
-    System.setErr(both);
+    final ByteArrayOutputStream captured = new ByteArrayOutputStream();
+    final PrintStream capture = new PrintStream(captured, true, StandardCharsets.UTF_8);
+    System.setOut(capture);
+    System.setErr(capture);
     try {
-      final int code = Weldpoint.execute(words);
-      return new String[] {Integer.toString(code), taken.toString(StandardCharsets.UTF_8)};
+      final int code = Weldpoint.execute(arguments);
+      return new String[] {Integer.toString(code), captured.toString(StandardCharsets.UTF_8)};
     } finally {
       System.setOut(out);
       System.setErr(err);
@@ -31,7 +31,7 @@
   }
 
   @DataProvider
-  public Object[][] calls() {
+  public Object[][] invocations() {
     return new Object[][] {
       {new String[] {}, 2, "usage"},
       {new String[] {"fly"}, 2, "'fly' is unknown"},
@@ -67,25 +67,26 @@
   }
 
   @Test(dataProvider = "calls")
-  public void codeAndTextFitTheCall(final String[] words, final int code, final String text) {
-    final String[] result = run(words);
-    assertEquals(Integer.parseInt(result[0]), code, result[1]);
-    assertTrue(result[1].contains(text), result[1]);
+  public void exitCodeAndOutputMatchTheInvocation(
+      final String[] arguments, final int expectedCode, final String expectedText) {
+    final String[] result = run(arguments);
+    assertEquals(Integer.parseInt(result[0]), expectedCode, result[1]);
+    assertTrue(result[1].contains(expectedText), result[1]);
   }
 
   @Test
-  public void aSettingsFileIsCheckedWithoutStartingAnything() throws IOException {
+  public void checkSettingsReportsAnInvalidValueAndAcceptsAValidFile() throws IOException {
     final Path file = Files.createTempFile("weldpoint", ".conf");
     Files.writeString(
         file,
         "station.name = one\nstation.address = 10.0.0.1\nstation.site = a\nstation.region = r\nstation.voter = maybe\ntrunk.ports = 1,2\ntrunk.seeds = 10.0.0.1:80\n");
-    final String[] bad = run("check", "settings", file.toString());
-    assertEquals(bad[0], "1");
+    final String[] invalid = run("check", "settings", file.toString());
+    assertEquals(invalid[0], "1");
     assertTrue(
-        bad[1].contains("station.voter")
-            && bad[1].contains("maybe")
-            && bad[1].contains("give true or false"),
-        bad[1]);
+        invalid[1].contains("station.voter")
+            && invalid[1].contains("maybe")
+            && invalid[1].contains("give true or false"),
+        invalid[1]);
     Files.writeString(file, Files.readString(file).replace("maybe", "true"));
     assertEquals(run("check", "settings", file.toString())[0], "0");
     Files.delete(file);
--- a/cli/src/test/java/weldpoint/scale/ScaleTest.java
+++ b/cli/src/test/java/weldpoint/scale/ScaleTest.java
@@ -20,23 +20,23 @@
  */
 public final class ScaleTest {
   @Test
-  public void aLineIsFoundAndWhatItLeavesOverIsTold() {
+  public void fitReturnsLineAndResiduals() {
     final LinearFit exact = LinearFit.of(new double[] {10, 40, 160}, new double[] {25, 85, 325});
     assertEquals(exact.slope(), 2, 1e-9);
-    assertEquals(exact.fixed(), 5, 1e-9);
-    assertEquals(exact.worst(), 0, 1e-9);
-    assertEquals(exact.explained(), 1, 1e-9);
-    assertEquals(exact.at(16_000), 32_005, 1e-6);
-    assertEquals(exact.beyond(16_000), 100, 1e-9);
+    assertEquals(exact.intercept(), 5, 1e-9);
+    assertEquals(exact.maxResidual(), 0, 1e-9);
+    assertEquals(exact.rSquared(), 1, 1e-9);
+    assertEquals(exact.predict(16_000), 32_005, 1e-6);
+    assertEquals(exact.extrapolationFactor(16_000), 100, 1e-9);
     final LinearFit noisy = LinearFit.of(new double[] {1, 2, 3, 4}, new double[] {2, 1, 4, 3});
     assertEquals(noisy.slope(), 0.6, 1e-9);
-    assertEquals(noisy.fixed(), 1, 1e-9);
-    assertEquals(noisy.worst(), 1.2, 1e-9);
-    assertEquals(noisy.explained(), 0.36, 1e-9);
+    assertEquals(noisy.intercept(), 1, 1e-9);
+    assertEquals(noisy.maxResidual(), 1.2, 1e-9);
+    assertEquals(noisy.rSquared(), 0.36, 1e-9);
   }
 
   @Test
-  public void tooFewOrTooNearSizesGiveNoSlope() {
+  public void fitRejectsTooFewOrTooCloseSizes() {
     assertTrue(
         expectThrows(
                 WeldpointException.class,
@@ -52,7 +52,7 @@
   }
 
   @DataProvider
-  public Object[][] senseless() {
+  public Object[][] invalidSizes() {
     return new Object[][] {
       {new FleetSize(0, 1, 1, 1, 1, 1, 0, 0, false), "makes no sense"},
       {new FleetSize(1, 1, 1, 1, 2, 1, 0, 0, false), "makes no sense"},
@@ -63,15 +63,15 @@
   }
 
   @Test(dataProvider = "senseless")
-  public void sizesBeyondTheMachineOrWithoutSenseAreRefusedBeforeAnythingStarts(
+  public void invalidOrTooLargeSizesAreRejectedBeforeAnythingStarts(
       final FleetSize sizes, final String reason) {
-    final WeldpointException exception = expectThrows(WeldpointException.class, sizes::checked);
+    final WeldpointException exception = expectThrows(WeldpointException.class, sizes::validated);
     assertEquals(exception.kind(), WeldpointException.Kind.USAGE);
     assertTrue(exception.getMessage().contains(reason), exception.getMessage());
   }
 
   @DataProvider
-  public Object[][] badCalls() {
+  public Object[][] invalidArguments() {
     return new Object[][] {
       {new String[] {"--series", "moons"}, "cannot be varied"},
       {new String[] {"--sizes", "1,4,16"}, "belong to one series"},
@@ -84,29 +84,31 @@
   }
 
   @Test(dataProvider = "badCalls")
-  public void aCallThatMakesNoSenseEndsWithItsRemedy(final String[] words, final String reason) {
+  public void invalidArgumentsAreRejectedWithTheRemedy(
+      final String[] arguments, final String reason) {
     final WeldpointException exception =
         expectThrows(
             WeldpointException.class,
-            () -> new ScaleCommand().run(words, new PrintStream(new ByteArrayOutputStream())));
+            () -> new ScaleCommand().run(arguments, new PrintStream(new ByteArrayOutputStream())));
     assertEquals(exception.kind(), WeldpointException.Kind.USAGE);
     assertTrue(exception.getMessage().contains(reason), exception.getMessage());
   }
 
   @Test
-  public void aTinyFleetIsMeasuredAndEndsAllThatItStarted()
-      throws IOException, InterruptedException {
-    final long before = ProcessHandle.current().children().filter(ProcessHandle::isAlive).count();
-    final Map<String, Double> figures;
+  public void smallFleetIsMeasuredAndAllProcessesEnd() throws IOException, InterruptedException {
+    final long childrenBefore =
+        ProcessHandle.current().children().filter(ProcessHandle::isAlive).count();
+    final Map<String, Double> results;
     try (ScaleRun run = new ScaleRun(new FleetSize(1, 3, 1, 5, 1, 2, 0.5, 0, false), freePorts())) {
-      figures = run.measure(3, 6);
+      results = run.measure(3, 6);
     }
-    assertTrue(figures.get("hollow bytes-in/s") > 0, figures.toString());
-    assertTrue(figures.get("exchange cpu-ms/s") > 0, figures.toString());
-    assertTrue(figures.get("frame memory-mb") > 10, figures.toString());
-    assertTrue(figures.get("beats/s") > 1, figures.toString());
-    assertTrue(figures.get("acknowledged-ms") > 0, figures.toString());
-    assertEquals(ProcessHandle.current().children().filter(ProcessHandle::isAlive).count(), before);
+    assertTrue(results.get("hollow bytes-in/s") > 0, results.toString());
+    assertTrue(results.get("exchange cpu-ms/s") > 0, results.toString());
+    assertTrue(results.get("frame memory-mb") > 10, results.toString());
+    assertTrue(results.get("beats/s") > 1, results.toString());
+    assertTrue(results.get("acknowledged-ms") > 0, results.toString());
+    assertEquals(
+        ProcessHandle.current().children().filter(ProcessHandle::isAlive).count(), childrenBefore);
   }
 
   /**
--- a/scale/src/main/java/weldpoint/scale/HistoryMeasurement.java
+++ b/scale/src/main/java/weldpoint/scale/HistoryMeasurement.java
@@ -30,11 +30,12 @@
     return store;
   }
 
-  private static long cpu() {
+  private static long threadCpuMillis() {
     return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() / 1_000_000;
   }
 
-  private static void lasting(final AuditLog log, final long entries) throws InterruptedException {
+  private static void awaitDurable(final AuditLog log, final long entries)
+      throws InterruptedException {
     while (log.durable() < entries) {
       Thread.sleep(5);
     }
@@ -45,7 +46,7 @@
     final AuditLog full = new AuditLog("full", store(folder.resolve("full"), entries), () -> {});
     String digest = AuditEntry.NO_DIGEST;
     long bytes = 0;
-    final long built = cpu();
+    final long buildStart = threadCpuMillis();
     for (int sequence = 1; sequence <= entries; sequence++) {
       final byte[] entry =
           new AuditEntry.Draft(ChangeKind.CONFIGURATION, "")
@@ -60,47 +61,49 @@
       bytes += entry.length;
       full.offer(entry);
     }
-    lasting(full, entries);
-    final long told = cpu();
+    awaitDurable(full, entries);
+    final long buildEnd = threadCpuMillis();
     final AuditLog empty = new AuditLog("empty", store(folder.resolve("empty"), entries), () -> {});
-    final long[] wire = new long[2];
+    final long[] traffic = new long[2];
     final ArrayDeque<Runnable> queue = new ArrayDeque<>();
     final AuditReplica[] replicas = new AuditReplica[2];
-    final long began = System.nanoTime();
+    final long transferStart = System.nanoTime();
     replicas[0] = new AuditReplica(full, (to, message) -> {}, new Random(1));
     replicas[1] =
         new AuditReplica(
             empty,
-            (to, message) -> queue.add(() -> pass(replicas, 0, message, queue, wire)),
+            (to, message) -> queue.add(() -> deliver(replicas, 0, message, queue, traffic)),
             new Random(1));
     replicas[1].tick(List.of("full"), 10_000);
     while (!queue.isEmpty()) {
       queue.poll().run();
     }
-    lasting(empty, entries);
-    final double seconds = (System.nanoTime() - began) / 1e9;
+    awaitDurable(empty, entries);
+    final double seconds = (System.nanoTime() - transferStart) / 1e9;
     final Map<String, Double> result = new LinkedHashMap<>();
     result.put("bytes of entries", (double) bytes);
-    result.put("cpu-ms to make and store", (double) (told - built));
-    result.put("cpu-ms to give and take", (double) (cpu() - told));
+    result.put("cpu-ms to make and store", (double) (buildEnd - buildStart));
+    result.put("cpu-ms to give and take", (double) (threadCpuMillis() - buildEnd));
     result.put("seconds until an empty replica has them", seconds);
-    result.put("bytes on the wire for that", (double) wire[1]);
-    result.put("messages for that", (double) wire[0]);
+    result.put("bytes on the wire for that", (double) traffic[1]);
+    result.put("messages for that", (double) traffic[0]);
     try (java.util.stream.Stream<Path> files = Files.walk(folder)) {
       files.sorted(java.util.Comparator.reverseOrder()).forEach(file -> file.toFile().delete());
     }
     return result;
   }
 
-  private static void pass(
+  private static void deliver(
       final AuditReplica[] replicas,
       final int to,
       final weldpoint.transport.Message message,
       final ArrayDeque<Runnable> queue,
-      final long[] wire) {
-    wire[0]++;
-    wire[1] += Serializer.serialize(message).length;
+      final long[] traffic) {
+    traffic[0]++;
+    traffic[1] += Serializer.serialize(message).length;
     replicas[to].receive(
-        "peer", message, answer -> queue.add(() -> pass(replicas, 1 - to, answer, queue, wire)));
+        "peer",
+        message,
+        answer -> queue.add(() -> deliver(replicas, 1 - to, answer, queue, traffic)));
   }
 }
--- a/scale/src/main/java/weldpoint/scale/LinearFit.java
+++ b/scale/src/main/java/weldpoint/scale/LinearFit.java
@@ -5,71 +5,77 @@
 /** A straight line through points by least squares, with what it leaves over. */
 public record LinearFit(
     double slope,
-    double fixed,
-    double worst,
-    double explained,
-    double from,
-    double to,
+    double intercept,
+    double maxResidual,
+    double rSquared,
+    double minSize,
+    double maxSize,
     int points) {
-  private static final int LEAST_POINTS = 3;
-  private static final double LEAST_SPAN = 4;
+  private static final int MIN_POINTS = 3;
+  private static final double MIN_SIZE_RATIO = 4;
 
   /** The line through these points; fails where they are too few or too near each other. */
   public static LinearFit of(final double[] sizes, final double[] values) {
-    if (sizes.length != values.length || sizes.length < LEAST_POINTS) {
+    if (sizes.length != values.length || sizes.length < MIN_POINTS) {
       throw new WeldpointException(
           WeldpointException.Kind.INVALID,
-          sizes.length + " points give no slope; measure at least " + LEAST_POINTS + " sizes");
+          sizes.length + " points give no slope; measure at least " + MIN_POINTS + " sizes");
     }
-    double least = Double.MAX_VALUE;
-    double most = 0;
+    double smallest = Double.MAX_VALUE;
+    double largest = 0;
     double meanSize = 0;
     double meanValue = 0;
     for (int index = 0; index < sizes.length; index++) {
-      least = Math.min(least, sizes[index]);
-      most = Math.max(most, sizes[index]);
+      smallest = Math.min(smallest, sizes[index]);
+      largest = Math.max(largest, sizes[index]);
       meanSize += sizes[index] / sizes.length;
       meanValue += values[index] / sizes.length;
     }
-    if (!(least >= 0) || most < LEAST_SPAN * Math.max(1e-9, least)) {
+    if (!(smallest >= 0) || largest < MIN_SIZE_RATIO * Math.max(1e-9, smallest)) {
       throw new WeldpointException(
           WeldpointException.Kind.INVALID,
           "sizes from "
-              + least
+              + smallest
               + " to "
-              + most
+              + largest
               + " lie too near each other; let the largest be "
-              + LEAST_SPAN
+              + MIN_SIZE_RATIO
               + " times the smallest");
     }
-    double product = 0;
-    double square = 0;
-    double total = 0;
+    double covariance = 0;
+    double sizeVariance = 0;
+    double valueVariance = 0;
     for (int index = 0; index < sizes.length; index++) {
-      product += (sizes[index] - meanSize) * (values[index] - meanValue);
-      square += (sizes[index] - meanSize) * (sizes[index] - meanSize);
-      total += (values[index] - meanValue) * (values[index] - meanValue);
+      covariance += (sizes[index] - meanSize) * (values[index] - meanValue);
+      sizeVariance += (sizes[index] - meanSize) * (sizes[index] - meanSize);
+      valueVariance += (values[index] - meanValue) * (values[index] - meanValue);
     }
-    final double slope = product / square;
-    final double fixed = meanValue - slope * meanSize;
-    double worst = 0;
-    double left = 0;
+    final double slope = covariance / sizeVariance;
+    final double intercept = meanValue - slope * meanSize;
+    double maxResidual = 0;
+    double residualSquares = 0;
     for (int index = 0; index < sizes.length; index++) {
-      final double rest = values[index] - slope * sizes[index] - fixed;
-      worst = Math.max(worst, Math.abs(rest));
-      left += rest * rest;
+      final double residual = values[index] - slope * sizes[index] - intercept;
+      maxResidual = Math.max(maxResidual, Math.abs(residual));
+      residualSquares += residual * residual;
     }
     return new LinearFit(
-        slope, fixed, worst, total == 0 ? 1 : 1 - left / total, least, most, sizes.length);
+        slope,
+        intercept,
+        maxResidual,
+        valueVariance == 0 ? 1 : 1 - residualSquares / valueVariance,
+        smallest,
+        largest,
+        sizes.length);
   }
 
   /** What the line gives at a size. */
-  public double at(final double size) {
-    return slope * size + fixed;
+  public double predict(final double size) {
+    return slope * size + intercept;
   }
 
   /** How many times beyond the largest measured size that is. */
-  public double beyond(final double size) {
-    return size / to;
+  public double extrapolationFactor(final double size) {
+    return size / maxSize;
   }
 }
--- a/scale/src/main/java/weldpoint/scale/MeasuredProcess.java
+++ b/scale/src/main/java/weldpoint/scale/MeasuredProcess.java
@@ -15,7 +15,7 @@
 
 /** One real daemon as a process of its own, with what it counts of itself. */
 final class MeasuredProcess {
-  private static final Pattern TRUNK =
+  private static final Pattern TRAFFIC_COUNTERS =
       Pattern.compile("trunk-in (\\d+) (\\d+) trunk-out (\\d+) (\\d+)");
 
   /** What a process has used and passed since its start. */
@@ -30,13 +30,13 @@
 
   final String program;
   private final Process process;
-  private volatile Sample counted;
-  private volatile String last = "";
+  private volatile Sample latestSample;
+  private volatile String lastLine = "";
 
   MeasuredProcess(final String program, final Path settings, final int heapMegabytes)
       throws IOException {
     this.program = program;
-    final List<String> words =
+    final List<String> command =
         new ArrayList<>(
             List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -53,37 +53,37 @@
                 System.getProperty("java.class.path"),
                 "weldpoint.cli.Weldpoint",
                 program));
-    final ProcessBuilder builder = new ProcessBuilder(words).redirectErrorStream(true);
+    final ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
     builder.environment().put(Settings.VARIABLE, settings.toString());
     process = builder.start();
-    final Thread reader = new Thread(this::read, "reads-" + program);
+    final Thread reader = new Thread(this::readOutput, "reads-" + program);
     reader.setDaemon(true);
     reader.start();
   }
 
-  private void read() {
+  private void readOutput() {
     try (BufferedReader lines =
         new BufferedReader(
             new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
       String line = lines.readLine();
       while (line != null) {
-        last = line;
-        final Matcher trunk = TRUNK.matcher(line);
-        if (trunk.find()) {
-          counted =
+        lastLine = line;
+        final Matcher counters = TRAFFIC_COUNTERS.matcher(line);
+        if (counters.find()) {
+          latestSample =
               new Sample(
                   System.nanoTime(),
                   cpuMillis(),
-                  memory(),
-                  Long.parseLong(trunk.group(1)),
-                  Long.parseLong(trunk.group(2)),
-                  Long.parseLong(trunk.group(3)),
-                  Long.parseLong(trunk.group(4)));
+                  residentKilobytes(),
+                  Long.parseLong(counters.group(1)),
+                  Long.parseLong(counters.group(2)),
+                  Long.parseLong(counters.group(3)),
+                  Long.parseLong(counters.group(4)));
         }
         line = lines.readLine();
       }
-    } catch (final IOException ended) {
-      last = "its output ended: " + ended.getMessage();
+    } catch (final IOException exception) {
+      lastLine = "its output ended: " + exception.getMessage();
     }
   }
 
@@ -96,14 +96,14 @@
         .orElse(0L);
   }
 
-  private long memory() {
+  private long residentKilobytes() {
     try {
       for (final String line : Files.readAllLines(Path.of("/proc/" + process.pid() + "/status"))) {
         if (line.startsWith("VmRSS:")) {
           return Long.parseLong(line.replaceAll("[^0-9]", ""));
         }
       }
-    } catch (final IOException gone) {
+    } catch (final IOException exited) {
       return 0;
     }
     return 0;
@@ -119,13 +119,13 @@
               + " has ended by itself with code "
               + process.exitValue()
               + " ("
-              + last
+              + lastLine
               + "); the run gives no slope");
     }
-    return counted;
+    return latestSample;
   }
 
-  void end() {
+  void terminate() {
     process.destroy();
   }
 
@@ -133,7 +133,7 @@
     process.destroyForcibly();
   }
 
-  boolean alive() {
+  boolean isAlive() {
     return process.isAlive();
   }
 }
--- a/scale/src/main/java/weldpoint/scale/ScaleCommand.java
+++ b/scale/src/main/java/weldpoint/scale/ScaleCommand.java
@@ -20,7 +20,7 @@
   private final OptionParser parser = new OptionParser();
   private final OptionSpec<String> series =
       parser
-          .accepts("series", "what to vary: " + names() + "; all by default")
+          .accepts("series", "what to vary: " + seriesNames() + "; all by default")
           .withRequiredArg()
           .withValuesSeparatedBy(',');
   private final OptionSpec<Double> sizes =
@@ -52,7 +52,7 @@
   /** Reads its own options. */
   public ScaleCommand() {}
 
-  private static String names() {
+  private static String seriesNames() {
     final List<String> names = new ArrayList<>();
     for (final Series one : Series.values()) {
       names.add(one.name().toLowerCase(Locale.ROOT));
@@ -61,10 +61,10 @@
   }
 
   /** Runs; 0 once all was measured, 1 where a run failed. */
-  public int run(final String[] words, final PrintStream out)
+  public int run(final String[] arguments, final PrintStream out)
       throws IOException, InterruptedException {
     java.util.logging.Logger.getLogger("").setLevel(java.util.logging.Level.SEVERE);
-    final OptionSet options = parser.parse(words);
+    final OptionSet options = parser.parse(arguments);
     final List<Series> chosen = new ArrayList<>();
     for (final String name : options.valuesOf(series)) {
       try {
@@ -72,7 +72,7 @@
       } catch (final IllegalArgumentException unknown) {
         throw new WeldpointException(
             WeldpointException.Kind.USAGE,
-            "'" + name + "' cannot be varied; choose among " + names());
+            "'" + name + "' cannot be varied; choose among " + seriesNames());
       }
     }
     if (chosen.isEmpty()) {
@@ -82,32 +82,32 @@
       throw new WeldpointException(
           WeldpointException.Kind.USAGE, "sizes belong to one series; name it with --series");
     }
-    final int span = options.valueOf(seconds);
-    final int first = options.valueOf(port);
-    final int before = options.valueOf(warmup);
-    if (span < 3
-        || span > 120
-        || before < 2
-        || before > 120
-        || first < 1024
-        || first > 65_000
+    final int measureSeconds = options.valueOf(seconds);
+    final int firstPort = options.valueOf(port);
+    final int warmupSeconds = options.valueOf(warmup);
+    if (measureSeconds < 3
+        || measureSeconds > 120
+        || warmupSeconds < 2
+        || warmupSeconds > 120
+        || firstPort < 1024
+        || firstPort > 65_000
         || !options.nonOptionArguments().isEmpty()) {
       throw new WeldpointException(
           WeldpointException.Kind.USAGE,
           "scale takes --seconds from 3 to 120, --warmup from 2 to 120 and --port from 1024 to 65000, and no further words");
     }
     for (final Series one : chosen) {
-      for (final double size : options.has(sizes) ? options.valuesOf(sizes) : one.usual()) {
-        one.sizes(size).checked();
+      for (final double size : options.has(sizes) ? options.valuesOf(sizes) : one.defaultSizes()) {
+        one.fleetSize(size).validated();
       }
     }
     for (final Series one : chosen) {
       measure(
           one,
-          options.has(sizes) ? options.valuesOf(sizes) : one.usual(),
-          before,
-          span,
-          first,
+          options.has(sizes) ? options.valuesOf(sizes) : one.defaultSizes(),
+          warmupSeconds,
+          measureSeconds,
+          firstPort,
           out);
     }
     return 0;
@@ -122,15 +122,15 @@
       final PrintStream out)
       throws IOException, InterruptedException {
     final List<Map<String, Double>> results = new ArrayList<>();
-    int shift = 0;
+    int runIndex = 0;
     for (final double size : sizes) {
-      final Map<String, Double> alone = series.alone(size);
-      if (alone != null) {
-        results.add(alone);
+      final Map<String, Double> inProcess = series.measureInProcess(size);
+      if (inProcess != null) {
+        results.add(inProcess);
         continue;
       }
-      try (ScaleRun run = new ScaleRun(series.sizes(size), port + 20 * (shift++ % 50))) {
-        final Thread ends =
+      try (ScaleRun run = new ScaleRun(series.fleetSize(size), port + 20 * (runIndex++ % 50))) {
+        final Thread shutdownHook =
             new Thread(
                 () -> {
                   out.println(
@@ -139,11 +139,11 @@
                           + " are partial and give no slope");
                   run.close();
                 });
-        Runtime.getRuntime().addShutdownHook(ends);
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
         try {
           results.add(run.measure(warmup, seconds));
         } finally {
-          Runtime.getRuntime().removeShutdownHook(ends);
+          Runtime.getRuntime().removeShutdownHook(shutdownHook);
         }
       }
     }
@@ -164,11 +164,11 @@
         "fixed",
         "worst rest",
         "explained");
-    final double[] at = sizes.stream().mapToDouble(Double::doubleValue).toArray();
+    final double[] sizeValues = sizes.stream().mapToDouble(Double::doubleValue).toArray();
     for (final String name : names) {
       final double[] values =
           results.stream().mapToDouble(one -> one.getOrDefault(name, 0.0)).toArray();
-      final LinearFit fit = LinearFit.of(at, values);
+      final LinearFit fit = LinearFit.of(sizeValues, values);
       final StringBuilder points = new StringBuilder();
       for (final double value : values) {
         points.append(String.format(Locale.ROOT, "%12.2f", value));
@@ -179,9 +179,9 @@
           name,
           points,
           fit.slope(),
-          fit.fixed(),
-          fit.worst(),
-          fit.explained());
+          fit.intercept(),
+          fit.maxResidual(),
+          fit.rSquared());
     }
   }
 }
--- a/scale/src/main/java/weldpoint/scale/ScaleRun.java
+++ b/scale/src/main/java/weldpoint/scale/ScaleRun.java
@@ -24,13 +24,13 @@
  * ones, for a bounded time.
  */
 final class ScaleRun implements AutoCloseable {
-  private static final int COUNTERS_MILLIS = 1000;
-  private static final long START_SECONDS = 60;
-  private static final double MOST_APART = 0.25;
-  private static final int BEAT_MILLIS = 1500;
+  private static final int COUNTER_LOG_INTERVAL_MILLIS = 1000;
+  private static final long STARTUP_TIMEOUT_SECONDS = 60;
+  private static final double MAX_RELATIVE_DIFFERENCE = 0.25;
+  private static final int HEARTBEAT_INTERVAL_MILLIS = 1500;
 
-  private final FleetSize sizes;
-  private final int ports;
+  private final FleetSize fleet;
+  private final int basePort;
   private final Path folder;
   private final List<MeasuredProcess> children = new ArrayList<>();
   private final HttpClient client =
@@ -38,7 +38,7 @@
           .version(HttpClient.Version.HTTP_1_1)
           .connectTimeout(Duration.ofSeconds(2))
           .build();
-  private final ScheduledExecutorService clock =
+  private final ScheduledExecutorService heartbeatScheduler =
       Executors.newScheduledThreadPool(
           1,
           task -> {
@@ -46,71 +46,71 @@
             thread.setDaemon(true);
             return thread;
           });
-  private final AtomicLong beats = new AtomicLong();
-  private final AtomicLong beatsFailed = new AtomicLong();
-  private SimulatedProxies hollows;
+  private final AtomicLong heartbeatsAcknowledged = new AtomicLong();
+  private final AtomicLong heartbeatsFailed = new AtomicLong();
+  private SimulatedProxies simulatedProxies;
   private long version;
   private int nextUpstream;
 
-  ScaleRun(final FleetSize sizes, final int ports) throws IOException {
-    this.sizes = sizes.checked();
-    this.ports = ports;
+  ScaleRun(final FleetSize fleet, final int basePort) throws IOException {
+    this.fleet = fleet.validated();
+    this.basePort = basePort;
     this.folder = Files.createTempDirectory("weldpoint-scale");
   }
 
-  private static String core(final int index) {
+  private static String coreAddress(final int index) {
     return "127.8.0." + (1 + index);
   }
 
-  private static String place(final int index) {
+  private static String zone(final int index) {
     return "zone-" + index % 4;
   }
 
-  private String settings(final String address, final String place, final String extra) {
+  private String settings(final String address, final String zone, final String extra) {
     final StringBuilder seeds = new StringBuilder();
-    for (int index = 0; index < Math.min(3, sizes.cores()); index++) {
-      seeds.append(index == 0 ? "" : ",").append(core(index)).append(":").append(ports);
+    for (int index = 0; index < Math.min(3, fleet.cores()); index++) {
+      seeds.append(index == 0 ? "" : ",").append(coreAddress(index)).append(":").append(basePort);
     }
     return "station.name = "
         + address
         + "\nstation.address = "
         + address
         + "\nstation.site = "
-        + place
+        + zone
         + "\nstation.region = "
-        + region(place)
+        + region(zone)
         + "\nstation.voter = true\nstation.first-start = true\ntrunk.ports = "
-        + (ports + 1)
+        + (basePort + 1)
         + ","
-        + (ports + 10)
+        + (basePort + 10)
         + "\ntrunk.seeds = "
         + seeds
         + "\nsites = zone-0:north,zone-1:north,zone-2:south,zone-3:south\nbeat.every-ms = "
-        + BEAT_MILLIS
+        + HEARTBEAT_INTERVAL_MILLIS
         + "\nlog.counters-ms = "
-        + COUNTERS_MILLIS
+        + COUNTER_LOG_INTERVAL_MILLIS
         + "\n"
         + extra;
   }
 
-  private static String region(final String place) {
-    return place.equals("zone-0") || place.equals("zone-1") ? "north" : "south";
+  private static String region(final String zone) {
+    return zone.equals("zone-0") || zone.equals("zone-1") ? "north" : "south";
   }
 
   private void start(
       final String program,
       final String address,
-      final String place,
+      final String zone,
       final String extra,
-      final int heap)
+      final int heapMegabytes)
       throws IOException {
     final Path file = folder.resolve(program + "-" + address);
-    Files.writeString(file, settings(address, place, extra));
-    children.add(new MeasuredProcess(program, file, heap));
+    Files.writeString(file, settings(address, zone, extra));
+    children.add(new MeasuredProcess(program, file, heapMegabytes));
   }
 
-  private String control(final int index) {
-    return "http://" + core(index % sizes.cores()) + ":" + ports + "/api/rpc?call=";
+  private String controlUrl(final int index) {
+    return "http://" + coreAddress(index % fleet.cores()) + ":" + basePort + "/api/rpc?call=";
   }
 
   private int post(final String url, final String body) throws InterruptedException {
@@ -123,14 +123,14 @@
                   .build(),
               HttpResponse.BodyHandlers.discarding())
           .statusCode();
-    } catch (final IOException problem) {
+    } catch (final IOException exception) {
       return 0;
     }
   }
 
-  private String spec() {
+  private String configuration() {
     final StringBuilder rules = new StringBuilder();
-    for (int index = 0; index < sizes.routes(); index++) {
+    for (int index = 0; index < fleet.routes(); index++) {
       rules
           .append(index == 0 ? "" : ",")
           .append("{\"name\":\"route-")
@@ -140,15 +140,15 @@
           .append("\",\"targetLatencyMs\":300,\"priority\":1,\"match\":{\"pathPrefix\":\"/p")
           .append(index)
           .append("/\"},\"action\":{\"service\":\"service-")
-          .append(index % sizes.services())
+          .append(index % fleet.services())
           .append("\",\"timeoutMs\":")
           .append(2000 + version % 1000)
           .append(",\"maxAttempts\":2")
-          .append(sizes.tied() && index % 3 == 0 ? ",\"affinity\":{\"by\":\"address\"}" : "")
+          .append(fleet.affinity() && index % 3 == 0 ? ",\"affinity\":{\"by\":\"address\"}" : "")
           .append("}}");
     }
     final StringBuilder pools = new StringBuilder();
-    for (int index = 0; index < sizes.services(); index++) {
+    for (int index = 0; index < fleet.services(); index++) {
       pools
           .append(index == 0 ? "" : ",")
           .append("{\"name\":\"service-")
@@ -157,7 +157,7 @@
               "\",\"healthPath\":\"/health\",\"maxConns\":100,\"warmupS\":3.0,\"warmupPerS\":12.0}");
     }
     final StringBuilder tenants = new StringBuilder();
-    for (int index = 0; index < sizes.tenants(); index++) {
+    for (int index = 0; index < fleet.tenants(); index++) {
       tenants
           .append(index == 0 ? "" : ",")
           .append("{\"name\":\"tenant-")
@@ -177,28 +177,28 @@
         + "]}";
   }
 
-  private long change() throws InterruptedException {
+  private long replaceConfiguration() throws InterruptedException {
     version++;
-    final String body = spec();
-    final long began = System.nanoTime();
-    for (int tries = 0; tries < 200; tries++) {
-      if (post(control(tries) + "configuration.replace", body) == 200) {
-        return (System.nanoTime() - began) / 1_000_000;
+    final String body = configuration();
+    final long startNanos = System.nanoTime();
+    for (int attempt = 0; attempt < 200; attempt++) {
+      if (post(controlUrl(attempt) + "configuration.replace", body) == 200) {
+        return (System.nanoTime() - startNanos) / 1_000_000;
       }
       Thread.sleep(100);
     }
     throw new WeldpointException(
         WeldpointException.Kind.OUT_OF_REACH,
         "no configuration was acknowledged in "
-            + START_SECONDS
+            + STARTUP_TIMEOUT_SECONDS
             + " s; run it on a machine with less load");
   }
 
-  private void beat() {
-    final int index = nextUpstream++ % sizes.upstreams();
+  private void sendHeartbeat() {
+    final int index = nextUpstream++ % fleet.upstreams();
     final String body =
         "{\"service\":\"service-"
-            + index % sizes.services()
+            + index % fleet.services()
             + "\",\"address\":\"10."
             + index / 60_000
             + "."
@@ -206,20 +206,23 @@
             + "."
             + (1 + index % 250)
             + ":8080\",\"zone\":\""
-            + place(index)
+            + zone(index)
             + "\",\"version\":\"v1\",\"capacity\":4,\"state\":\"ready\",\"warmupLeftMs\":0,\"callSeq\":"
-            + (1 + nextUpstream / sizes.upstreams())
+            + (1 + nextUpstream / fleet.upstreams())
             + "}";
     client
         .sendAsync(
-            HttpRequest.newBuilder(URI.create(control(index) + "instances.heartbeat&of=i-" + index))
+            HttpRequest.newBuilder(
+                    URI.create(controlUrl(index) + "instances.heartbeat&of=i-" + index))
                 .timeout(Duration.ofSeconds(2))
                 .POST(HttpRequest.BodyPublishers.ofString(body))
                 .build(),
             HttpResponse.BodyHandlers.discarding())
         .whenComplete(
-            (answer, problem) ->
-                (problem == null && answer.statusCode() == 200 ? beats : beatsFailed)
+            (response, problem) ->
+                (problem == null && response.statusCode() == 200
+                        ? heartbeatsAcknowledged
+                        : heartbeatsFailed)
                     .incrementAndGet());
   }
 
@@ -229,64 +232,67 @@
    */
   Map<String, Double> measure(final int warmup, final int seconds)
       throws IOException, InterruptedException {
-    final List<Settings> places = new ArrayList<>();
-    for (int index = 0; index < sizes.cores(); index++) {
-      final String address = core(index);
-      final String disk = "station.folder = " + folder.resolve("disk-" + address) + "\n";
-      start("frame", address, place(index), disk, 64);
+    final List<Settings> zoneSettings = new ArrayList<>();
+    for (int index = 0; index < fleet.cores(); index++) {
+      final String address = coreAddress(index);
+      final String folderSetting = "station.folder = " + folder.resolve("disk-" + address) + "\n";
+      start("frame", address, zone(index), folderSetting, 64);
       start(
           "exchange",
           address,
-          place(index),
-          disk + "listen.control = " + address + ":" + ports + "\n",
+          zone(index),
+          folderSetting + "listen.control = " + address + ":" + basePort + "\n",
           96);
     }
-    for (int index = 0; index < sizes.realBoards(); index++) {
+    for (int index = 0; index < fleet.realProxies(); index++) {
       final String address = "127.7.0." + (1 + index);
       start(
           "switchboard",
           address,
-          place(index),
+          zone(index),
           "listen.traffic = "
               + address
               + ":"
-              + ports
+              + basePort
               + "\nlisten.readiness = "
               + address
               + ":"
-              + (ports + 12)
+              + (basePort + 12)
               + "\n",
           128);
     }
     for (int index = 0; index < 4; index++) {
-      places.add(Settings.parse(settings("127.0.0.1", place(index), "")));
+      zoneSettings.add(Settings.parse(settings("127.0.0.1", zone(index), "")));
     }
-    change();
-    final long everyNanos = (long) (BEAT_MILLIS * 1e6 / sizes.upstreams());
-    clock.scheduleAtFixedRate(this::beat, 0, Math.max(20_000, everyNanos), TimeUnit.NANOSECONDS);
-    hollows = new SimulatedProxies(places, sizes.boards());
-    final long cutoff = System.nanoTime() + TimeUnit.SECONDS.toNanos(START_SECONDS);
-    while (hollows.admitted() < sizes.boards() || beats.get() < sizes.upstreams() || !counted()) {
-      if (System.nanoTime() > cutoff) {
+    replaceConfiguration();
+    final long heartbeatSpacingNanos = (long) (HEARTBEAT_INTERVAL_MILLIS * 1e6 / fleet.upstreams());
+    heartbeatScheduler.scheduleAtFixedRate(
+        this::sendHeartbeat, 0, Math.max(20_000, heartbeatSpacingNanos), TimeUnit.NANOSECONDS);
+    simulatedProxies = new SimulatedProxies(zoneSettings, fleet.proxies());
+    final long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(STARTUP_TIMEOUT_SECONDS);
+    while (simulatedProxies.admissions() < fleet.proxies()
+        || heartbeatsAcknowledged.get() < fleet.upstreams()
+        || !allSampled()) {
+      if (System.nanoTime() > deadline) {
         throw new WeldpointException(
             WeldpointException.Kind.OUT_OF_REACH,
             "after "
-                + START_SECONDS
+                + STARTUP_TIMEOUT_SECONDS
                 + " s "
-                + hollows.admitted()
+                + simulatedProxies.admissions()
                 + " of "
-                + sizes.boards()
+                + fleet.proxies()
                 + " switchboards had a view and "
-                + beats.get()
+                + heartbeatsAcknowledged.get()
                 + " beats were acknowledged; measure a smaller size or on a machine with less load");
       }
       Thread.sleep(100);
     }
     Thread.sleep(1000L * warmup);
-    return window(seconds);
+    return measureWindow(seconds);
   }
 
-  private boolean counted() {
+  private boolean allSampled() {
     for (final MeasuredProcess child : children) {
       if (child.sample() == null) {
         return false;
@@ -295,56 +301,56 @@
     return true;
   }
 
-  private Map<String, Double> window(final int seconds) throws InterruptedException {
+  private Map<String, Double> measureWindow(final int seconds) throws InterruptedException {
     final List<MeasuredProcess.Sample> before = new ArrayList<>();
     children.forEach(child -> before.add(child.sample()));
-    final long[] hollowBefore = hollows.in();
-    final long beatsBefore = beats.get();
-    final long began = System.nanoTime();
-    long acknowledged = 0;
+    final long[] simulatedBefore = simulatedProxies.trafficTotals();
+    final long heartbeatsBefore = heartbeatsAcknowledged.get();
+    final long startNanos = System.nanoTime();
+    long acknowledgedMillis = 0;
     long changes = 0;
-    long spread = 0;
-    long returns = 0;
-    while (System.nanoTime() - began < TimeUnit.SECONDS.toNanos(seconds)) {
-      final double passed = (System.nanoTime() - began) / 1e9;
-      if (changes < passed * sizes.changesPerSecond()) {
+    long propagationMillis = 0;
+    long restarts = 0;
+    while (System.nanoTime() - startNanos < TimeUnit.SECONDS.toNanos(seconds)) {
+      final double elapsed = (System.nanoTime() - startNanos) / 1e9;
+      if (changes < elapsed * fleet.changesPerSecond()) {
         changes++;
-        acknowledged += change();
-        final long sent = System.nanoTime();
-        while (hollows.have(version) < sizes.boards()
-            && System.nanoTime() - sent < 5_000_000_000L) {
+        acknowledgedMillis += replaceConfiguration();
+        final long acknowledgedAt = System.nanoTime();
+        while (simulatedProxies.versionReceipts(version) < fleet.proxies()
+            && System.nanoTime() - acknowledgedAt < 5_000_000_000L) {
           Thread.sleep(2);
         }
-        spread += (System.nanoTime() - sent) / 1_000_000;
-      } else if (returns < passed * sizes.returnsPerSecond()) {
-        returns++;
-        hollows.restartOne();
+        propagationMillis += (System.nanoTime() - acknowledgedAt) / 1_000_000;
+      } else if (restarts < elapsed * fleet.restartsPerSecond()) {
+        restarts++;
+        simulatedProxies.restartOne();
       } else {
         Thread.sleep(5);
       }
     }
-    Thread.sleep(COUNTERS_MILLIS + 200);
-    final long[] hollowAfter = hollows.in();
-    final double hollowSeconds = (System.nanoTime() - began) / 1e9;
+    Thread.sleep(COUNTER_LOG_INTERVAL_MILLIS + 200);
+    final long[] simulatedAfter = simulatedProxies.trafficTotals();
+    final double elapsedSeconds = (System.nanoTime() - startNanos) / 1e9;
     final Map<String, double[]> sums = new LinkedHashMap<>();
     final Map<String, Integer> counts = new LinkedHashMap<>();
     for (int index = 0; index < children.size(); index++) {
       final MeasuredProcess child = children.get(index);
-      final MeasuredProcess.Sample one = before.get(index);
-      final MeasuredProcess.Sample two = child.sample();
-      final double span = (two.atNanos() - one.atNanos()) / 1e9;
+      final MeasuredProcess.Sample earlier = before.get(index);
+      final MeasuredProcess.Sample later = child.sample();
+      final double spanSeconds = (later.atNanos() - earlier.atNanos()) / 1e9;
       final double[] values = {
-        (two.cpuMillis() - one.cpuMillis()) / span,
-        two.memoryKilobytes() / 1024.0,
-        (two.messagesIn() - one.messagesIn()) / span,
-        (two.bytesIn() - one.bytesIn()) / span,
-        (two.messagesOut() - one.messagesOut()) / span,
-        (two.bytesOut() - one.bytesOut()) / span
+        (later.cpuMillis() - earlier.cpuMillis()) / spanSeconds,
+        later.memoryKilobytes() / 1024.0,
+        (later.messagesIn() - earlier.messagesIn()) / spanSeconds,
+        (later.bytesIn() - earlier.bytesIn()) / spanSeconds,
+        (later.messagesOut() - earlier.messagesOut()) / spanSeconds,
+        (later.bytesOut() - earlier.bytesOut()) / spanSeconds
       };
       final double[] sum =
           sums.computeIfAbsent(child.program, program -> new double[values.length]);
-      for (int place = 0; place < values.length; place++) {
-        sum[place] += values[place];
+      for (int column = 0; column < values.length; column++) {
+        sum[column] += values[column];
       }
       counts.merge(child.program, 1, Integer::sum);
     }
@@ -354,42 +360,43 @@
     };
     sums.forEach(
         (program, sum) -> {
-          for (int place = 0; place < names.length; place++) {
-            result.put(program + " " + names[place], sum[place] / counts.get(program));
+          for (int column = 0; column < names.length; column++) {
+            result.put(program + " " + names[column], sum[column] / counts.get(program));
           }
         });
-    result.put("beats/s", (beats.get() - beatsBefore) / hollowSeconds);
-    result.put("beats failed", (double) beatsFailed.get());
-    result.put("changes/s", changes / hollowSeconds);
-    result.put("returns/s", returns / hollowSeconds);
+    result.put("beats/s", (heartbeatsAcknowledged.get() - heartbeatsBefore) / elapsedSeconds);
+    result.put("beats failed", (double) heartbeatsFailed.get());
+    result.put("changes/s", changes / elapsedSeconds);
+    result.put("returns/s", restarts / elapsedSeconds);
     if (changes > 0) {
-      result.put("acknowledged-ms", acknowledged / (double) changes);
-      result.put("everywhere-ms", spread / (double) changes);
+      result.put("acknowledged-ms", acknowledgedMillis / (double) changes);
+      result.put("everywhere-ms", propagationMillis / (double) changes);
     }
-    if (sizes.boards() > 0) {
+    if (fleet.proxies() > 0) {
       result.put(
           "hollow messages-in/s",
-          (hollowAfter[0] - hollowBefore[0]) / hollowSeconds / sizes.boards());
+          (simulatedAfter[0] - simulatedBefore[0]) / elapsedSeconds / fleet.proxies());
       result.put(
-          "hollow bytes-in/s", (hollowAfter[1] - hollowBefore[1]) / hollowSeconds / sizes.boards());
-      if (sizes.returnsPerSecond() == 0) {
-        alike("messages-in/s", result);
-        alike("bytes-in/s", result);
+          "hollow bytes-in/s",
+          (simulatedAfter[1] - simulatedBefore[1]) / elapsedSeconds / fleet.proxies());
+      if (fleet.restartsPerSecond() == 0) {
+        requireSimilar("messages-in/s", result);
+        requireSimilar("bytes-in/s", result);
       }
     }
     return result;
   }
 
-  private static void alike(final String measure, final Map<String, Double> result) {
-    final double hollow = result.get("hollow " + measure);
+  private static void requireSimilar(final String measure, final Map<String, Double> result) {
+    final double simulated = result.get("hollow " + measure);
     final double real = result.get("switchboard " + measure);
-    if (Math.abs(hollow - real) > MOST_APART * real) {
+    if (Math.abs(simulated - real) > MAX_RELATIVE_DIFFERENCE * real) {
       throw new WeldpointException(
           WeldpointException.Kind.INVALID,
           String.format(
               java.util.Locale.ROOT,
               "a hollow switchboard has %.1f %s and a real one %.1f; the run gives no slope",
-              hollow,
+              simulated,
               measure,
               real));
     }
@@ -397,22 +404,24 @@
 
   @Override
   public void close() {
-    clock.shutdownNow();
-    if (hollows != null) {
-      hollows.end();
+    heartbeatScheduler.shutdownNow();
+    if (simulatedProxies != null) {
+      simulatedProxies.shutdown();
     }
-    children.forEach(MeasuredProcess::end);
+    children.forEach(MeasuredProcess::terminate);
     try {
-      for (int wait = 0; wait < 60 && children.stream().anyMatch(MeasuredProcess::alive); wait++) {
+      for (int wait = 0;
+          wait < 60 && children.stream().anyMatch(MeasuredProcess::isAlive);
+          wait++) {
         Thread.sleep(50);
       }
-    } catch (final InterruptedException ended) {
+    } catch (final InterruptedException exception) {
       Thread.currentThread().interrupt();
     }
     children.forEach(MeasuredProcess::kill);
     try (java.util.stream.Stream<Path> files = Files.walk(folder)) {
       files.sorted(java.util.Comparator.reverseOrder()).forEach(file -> file.toFile().delete());
-    } catch (final IOException left) {
+    } catch (final IOException exception) {
       folder.toFile().deleteOnExit();
     }
   }
--- a/scale/src/main/java/weldpoint/scale/Series.java
+++ b/scale/src/main/java/weldpoint/scale/Series.java
@@ -10,96 +10,97 @@
   /** Switchboards that stream from the exchanges. */
   BOARDS(new double[] {40, 120, 360}) {
     @Override
-    FleetSize sizes(final double size) {
+    FleetSize fleetSize(final double size) {
       return new FleetSize(3, (int) size, 1, 60, 3, 12, 0, 0, false);
     }
   },
   /** Registered upstreams, each of which beats. */
   UPSTREAMS(new double[] {100, 400, 1600}) {
     @Override
-    FleetSize sizes(final double size) {
+    FleetSize fleetSize(final double size) {
       return new FleetSize(3, 12, 1, (int) size, 10, 12, 0, 0, false);
     }
   },
   /** Core machines, and so exchanges among whom history and ages are reconciled. */
   CORES(new double[] {3, 6, 12}) {
     @Override
-    FleetSize sizes(final double size) {
+    FleetSize fleetSize(final double size) {
       return new FleetSize((int) size, 24, 1, 200, 5, 12, 0, 0, false);
     }
   },
   /** Routes in the configuration, with one change each two seconds. */
   ROUTES(new double[] {20, 200, 1000}) {
     @Override
-    FleetSize sizes(final double size) {
+    FleetSize fleetSize(final double size) {
       return new FleetSize(3, 24, 1, 60, 5, (int) size, 0.5, 0, false);
     }
   },
   /** Services, with ten upstreams and one route each. */
   SERVICES(new double[] {5, 25, 125}) {
     @Override
-    FleetSize sizes(final double size) {
+    FleetSize fleetSize(final double size) {
       return new FleetSize(3, 12, 1, (int) size * 10, (int) size, (int) size, 0, 0, false);
     }
   },
   /** Tenants with one key each. */
   TENANTS(new double[] {500, 2000, 8000}) {
     @Override
-    FleetSize sizes(final double size) {
+    FleetSize fleetSize(final double size) {
       return new FleetSize(3, 4, 1, 20, 2, 6, 0, 0, false, (int) size);
     }
   },
   /** Changes of the configuration a second. */
   CHANGES(new double[] {0.25, 1, 4}) {
     @Override
-    FleetSize sizes(final double size) {
+    FleetSize fleetSize(final double size) {
       return new FleetSize(3, 48, 1, 60, 3, 12, size, 0, false);
     }
   },
   /** Switchboards that restart a second. */
   RETURNS(new double[] {1, 4, 16}) {
     @Override
-    FleetSize sizes(final double size) {
+    FleetSize fleetSize(final double size) {
       return new FleetSize(3, 96, 1, 200, 5, 12, 0, size, false);
     }
   },
   /** Switchboards that hold leases on placements. */
   LEASES(new double[] {20, 60, 240}) {
     @Override
-    FleetSize sizes(final double size) {
+    FleetSize fleetSize(final double size) {
       return new FleetSize(3, (int) size, 1, 60, 3, 12, 0, 0, true);
     }
   },
   /** Entries of the history, without any process beside. */
   HISTORY(new double[] {5000, 20_000, 80_000}) {
     @Override
-    FleetSize sizes(final double size) {
+    FleetSize fleetSize(final double size) {
       return new FleetSize(1, 0, 1, 1, 1, 1, 0, 0, false);
     }
 
     @Override
-    Map<String, Double> alone(final double size) throws IOException, InterruptedException {
+    Map<String, Double> measureInProcess(final double size)
+        throws IOException, InterruptedException {
       return HistoryMeasurement.measure((int) Math.min(1_000_000, size));
     }
   };
 
-  private final double[] usual;
+  private final double[] defaultSizes;
 
-  Series(final double[] usual) {
-    this.usual = usual;
+  Series(final double[] defaultSizes) {
+    this.defaultSizes = defaultSizes;
   }
 
-  abstract FleetSize sizes(double size);
+  abstract FleetSize fleetSize(double size);
 
   /** What is measured without processes; null where processes are needed. */
-  Map<String, Double> alone(final double size) throws IOException, InterruptedException {
+  Map<String, Double> measureInProcess(final double size) throws IOException, InterruptedException {
     return null;
   }
 
   /** The sizes measured unless others are named. */
-  public List<Double> usual() {
+  public List<Double> defaultSizes() {
     final List<Double> list = new ArrayList<>();
-    for (final double size : usual) {
+    for (final double size : defaultSizes) {
       list.add(size);
     }
     return list;
--- a/scale/src/main/java/weldpoint/scale/SimulatedProxies.java
+++ b/scale/src/main/java/weldpoint/scale/SimulatedProxies.java
@@ -41,9 +41,9 @@
     private SimulatedProxy(final Settings settings, final int index, final long incarnation) {
       transport =
           new Transport(
-              loop,
+              eventLoop,
               new Protocol.Hello(Serializer.PROTOCOL, "switchboard", address(index), incarnation));
-      stream = new RegistryStream(transport, desk, settings, () -> {});
+      stream = new RegistryStream(transport, executor, settings, () -> {});
       final RegistryMessages.DaemonEntry self =
           new RegistryMessages.DaemonEntry(
               address(index),
@@ -77,11 +77,11 @@
                     final Set<String> suspects,
                     final int switchboards) {
                   if (routingTable != null || evacuated != null) {
-                    desk.execute(
+                    executor.execute(
                         () -> registry().inForce(registry().version(), registry().mark(), now()));
                   }
                   if (routingTable != null) {
-                    versions.merge(routingTable.version(), 1, Integer::sum);
+                    receiptsByVersion.merge(routingTable.version(), 1, Integer::sum);
                   }
                 }
 
@@ -99,7 +99,7 @@
                             stream::send);
                   }
                   affinity.take(placements, now());
-                  placed.merge(placements.mark, 1, Integer::sum);
+                  placementReceipts.merge(placements.mark, 1, Integer::sum);
                 }
 
                 @Override
@@ -111,7 +111,7 @@
 
                 @Override
                 public void admitted() {
-                  admitted.incrementAndGet();
+                  admissions.incrementAndGet();
                 }
               });
       stream.registry(registry);
@@ -130,35 +130,39 @@
     }
   }
 
-  private final EventLoopGroup loop = new NioEventLoopGroup(1);
-  private final ExecutorService desk =
+  private final EventLoopGroup eventLoop = new NioEventLoopGroup(1);
+  private final ExecutorService executor =
       Executors.newSingleThreadExecutor(
           task -> {
             final Thread thread = new Thread(task, "hollow");
             thread.setDaemon(true);
             return thread;
           });
-  private final List<SimulatedProxy> hollows = new ArrayList<>();
-  private final List<Settings> boots;
-  private final AtomicLong admitted = new AtomicLong();
-  private final Map<Long, Integer> versions = new java.util.concurrent.ConcurrentHashMap<>();
-  private final Map<Long, Integer> placed = new java.util.concurrent.ConcurrentHashMap<>();
+  private final List<SimulatedProxy> proxies = new ArrayList<>();
+  private final List<Settings> zoneSettings;
+  private final AtomicLong admissions = new AtomicLong();
+  private final Map<Long, Integer> receiptsByVersion =
+      new java.util.concurrent.ConcurrentHashMap<>();
+  private final Map<Long, Integer> placementReceipts =
+      new java.util.concurrent.ConcurrentHashMap<>();
   private long incarnations = 1000;
-  private int next;
-  private long gone;
-  private long goneMessages;
+  private int nextRestart;
+  private long closedBytesIn;
+  private long closedMessagesIn;
 
   /** So many switchboards, spread over these places. */
-  SimulatedProxies(final List<Settings> boots, final int count) {
-    this.boots = boots;
-    desk.execute(
+  SimulatedProxies(final List<Settings> zoneSettings, final int count) {
+    this.zoneSettings = zoneSettings;
+    executor.execute(
         () -> {
           for (int index = 0; index < count; index++) {
-            hollows.add(new SimulatedProxy(boots.get(index % boots.size()), index, ++incarnations));
+            proxies.add(
+                new SimulatedProxy(
+                    zoneSettings.get(index % zoneSettings.size()), index, ++incarnations));
           }
         });
-    loop.scheduleAtFixedRate(
-        () -> desk.execute(() -> hollows.forEach(SimulatedProxy::tick)),
+    eventLoop.scheduleAtFixedRate(
+        () -> executor.execute(() -> proxies.forEach(SimulatedProxy::tick)),
         TICK_MILLIS,
         TICK_MILLIS,
         TimeUnit.MILLISECONDS);
@@ -174,44 +178,46 @@
 
   /** Ends one and starts it again as a new life, as a restart does. */
   void restartOne() {
-    desk.execute(
+    executor.execute(
         () -> {
-          if (!hollows.isEmpty()) {
-            final int index = next++ % hollows.size();
-            final SimulatedProxy before = hollows.get(index);
-            gone += before.transport.trafficCounters().bytesIn();
-            goneMessages += before.transport.trafficCounters().messagesIn();
-            before.stream.close();
-            hollows.set(
-                index, new SimulatedProxy(boots.get(index % boots.size()), index, ++incarnations));
+          if (!proxies.isEmpty()) {
+            final int index = nextRestart++ % proxies.size();
+            final SimulatedProxy previous = proxies.get(index);
+            closedBytesIn += previous.transport.trafficCounters().bytesIn();
+            closedMessagesIn += previous.transport.trafficCounters().messagesIn();
+            previous.stream.close();
+            proxies.set(
+                index,
+                new SimulatedProxy(
+                    zoneSettings.get(index % zoneSettings.size()), index, ++incarnations));
           }
         });
   }
 
   /** How many views were given in all. */
-  long admitted() {
-    return admitted.get();
+  long admissions() {
+    return admissions.get();
   }
 
   /** How many have this version in force. */
-  int have(final long version) {
-    return versions.getOrDefault(version, 0);
+  int versionReceipts(final long version) {
+    return receiptsByVersion.getOrDefault(version, 0);
   }
 
   /** How many have placements of this mark or a later one. */
-  int placed(final long mark) {
-    return placed.getOrDefault(mark, 0);
+  int placementReceipts(final long mark) {
+    return placementReceipts.getOrDefault(mark, 0);
   }
 
   /** Messages and bytes that came to all. */
-  long[] in() {
+  long[] trafficTotals() {
     final java.util.concurrent.CompletableFuture<long[]> future =
         new java.util.concurrent.CompletableFuture<>();
-    desk.execute(
+    executor.execute(
         () -> {
-          final long[] sums = {goneMessages, gone, 0, 0};
-          for (final SimulatedProxy one : hollows) {
-            final TrafficCounters trafficCounters = one.transport.trafficCounters();
+          final long[] sums = {closedMessagesIn, closedBytesIn, 0, 0};
+          for (final SimulatedProxy proxy : proxies) {
+            final TrafficCounters trafficCounters = proxy.transport.trafficCounters();
             sums[0] += trafficCounters.messagesIn();
             sums[1] += trafficCounters.bytesIn();
             sums[2] += trafficCounters.messagesOut();
@@ -222,21 +228,22 @@
     return future.join();
   }
 
-  void end() {
+  void shutdown() {
     final java.util.concurrent.CountDownLatch closed = new java.util.concurrent.CountDownLatch(1);
-    desk.execute(
+    executor.execute(
         () -> {
-          hollows.forEach(one -> one.stream.close());
-          hollows.clear();
+          proxies.forEach(proxy -> proxy.stream.close());
+          proxies.clear();
           closed.countDown();
         });
     try {
       closed.await(2, TimeUnit.SECONDS);
-    } catch (final InterruptedException ended) {
+    } catch (final InterruptedException exception) {
       Thread.currentThread().interrupt();
     }
-    loop.shutdownGracefully(0, 200, TimeUnit.MILLISECONDS)
+    eventLoop
+        .shutdownGracefully(0, 200, TimeUnit.MILLISECONDS)
         .awaitUninterruptibly(3, TimeUnit.SECONDS);
-    desk.shutdown();
+    executor.shutdown();
   }
 }
