--- a/cli/src/main/java/weldpoint/cli/ControlClient.java
+++ b/cli/src/main/java/weldpoint/cli/ControlClient.java
@@ -12,7 +12,10 @@
 import weldpoint.audit.Authors;
 import weldpoint.common.WeldpointException;
 
-/** Calls the control interface of one of several exchanges: the first that gives a clear answer. */
+/**
+ * Blocking client of the registry's control API, used by the commands. Tries the addresses in order
+ * until one gives a definite response.
+ */
 final class ControlClient {
   private static final Duration TIMEOUT = Duration.ofSeconds(3);
 
@@ -25,13 +28,17 @@
     this(addresses, null);
   }
 
-  /** Calls in somebody's name; null where nothing is changed. */
+  /**
+   * Creates a client whose calls carry the author in a header; null for calls that change nothing.
+   */
   ControlClient(final List<String> addresses, final String author) {
     this.addresses = addresses;
     this.author = author;
   }
 
-  /** Who an operator's command speaks for where no author is named: the user who runs it. */
+  /**
+   * Returns the default author of an operator's change: the name of the user who runs the command.
+   */
   static String currentUser() {
     return System.getProperty("user.name", "");
   }
@@ -54,9 +61,12 @@
     return builder.POST(HttpRequest.BodyPublishers.ofString(body)).build();
   }
 
-  /** The bytes of a good answer. */
+  /**
+   * Returns the body of the first 200 response; sends neither body nor author. Throws {@link
+   * WeldpointException} of kind OUT_OF_REACH if no address gives one.
+   */
   byte[] callForBytes(final String rpc, final String target) throws InterruptedException {
-    String lastError = "no address was given";
+    String lastError = "no address given";
     for (final String address : addresses) {
       try {
         final HttpResponse<byte[]> response =
@@ -80,10 +90,14 @@
         "no exchange answered (" + lastError + "); check --control");
   }
 
-  /** The body of a good answer; anything else is a failure that names the remedy. */
+  /**
+   * Returns the body of the first 200 response. A status below 500 ends the search with the
+   * response body as the error (409 as CONFLICT, others as INVALID); after a status of 500 or more
+   * or an I/O error the next address is tried.
+   */
   String call(final String rpc, final String target, final String body)
       throws InterruptedException {
-    String lastError = "no address was given";
+    String lastError = "no address given";
     for (final String address : addresses) {
       try {
         final HttpResponse<String> response =
--- a/cli/src/main/java/weldpoint/cli/Demo.java
+++ b/cli/src/main/java/weldpoint/cli/Demo.java
@@ -34,8 +34,9 @@
 import weldpoint.upstream.Headers;
 
 /**
- * The whole system in one process on the loopback address, with a stand-in upstream: for trying it
- * out.
+ * Runs the state store, the registry and a proxy in one process on the loopback address, with
+ * built-in upstreams, so that the system can be tried without any set-up. Ports by index: 0 client
+ * traffic, 1 readiness, 2 control, 3 to 5 upstreams.
  */
 final class Demo {
   private static final String HOST = "127.0.0.1";
@@ -87,7 +88,10 @@
             + "\nsites = here:home\n");
   }
 
-  /** Starts everything, sends a configuration, a beat and some requests; prints what came back. */
+  /**
+   * Starts everything, sends a configuration, a heartbeat and some requests, and prints the
+   * responses.
+   */
   int run(final boolean keepRunning) throws IOException, InterruptedException {
     final int transportPort = 20_000 + new java.security.SecureRandom().nextInt(20_000);
     final Settings settings = settings(transportPort);
@@ -148,11 +152,11 @@
     sendHeartbeat(2, "draining");
     awaitStatus(200, ports[2], "POST", "/api/rpc?call=instances.deregister&of=i-1", "");
     System.out.println(
-        "the demonstration went well; clients at "
+        "demo finished successfully; send client traffic to "
             + HOST
             + ":"
             + ports[0]
-            + ", control at "
+            + ", control calls to "
             + HOST
             + ":"
             + ports[2]);
@@ -164,8 +168,8 @@
   }
 
   /**
-   * Shows a trial: the new version of a route loses one write in four while lookups are well, and
-   * is held in the rehearsal.
+   * Shows a trial whose new version loses one write in four while lookups succeed, and is held in
+   * the rehearsal.
    */
   int trial() throws IOException, InterruptedException {
     final Settings settings = settings(20_000 + (int) (weldpoint.common.RandomIds.next() % 20_000));
@@ -279,14 +283,14 @@
     runTrialCommand("finish", "book", "--control", control);
     System.out.println(
         exitCode == 3
-            ? "the fault was caught in the rehearsal; no booking without the token went to the new version"
-            : "the fault was not caught");
+            ? "the faulty version was detected in the rehearsal; no booking without the token reached it"
+            : "the faulty version was not detected");
     return exitCode == 3 ? 0 : 1;
   }
 
   /**
-   * Shows affinity: firms tied to nodes, one node that joins and one that leaves, and each firm's
-   * node after each.
+   * Shows affinity: binds each firm to a node, lets one node join and another leave, and prints the
+   * node of each firm after each step.
    */
   int affinity() throws IOException, InterruptedException {
     final Settings settings = settings(20_000 + (int) (weldpoint.common.RandomIds.next() % 20_000));
@@ -305,15 +309,15 @@
             + "{\"name\":\"book\",\"routeKind\":\"mutating\",\"targetLatencyMs\":300,\"match\":{\"pathPrefix\":\"/book/\"},\"action\":{\"service\":\"desk\",\"timeoutMs\":1000,\"maxAttempts\":1,\"affinity\":{\"by\":\"header\",\"header\":\"X-Firm\"}}}]}],\"pools\":[{\"name\":\"desk\"}]}");
     setNodeState(1, "ready");
     setNodeState(2, "ready");
-    final Thread heartbeats = new Thread(this::sendHeartbeats, "beats");
+    final Thread heartbeats = new Thread(this::sendHeartbeats, "heartbeats");
     heartbeats.setDaemon(true);
     heartbeats.start();
     awaitStatus(200, ports[1], "GET", "/api/readiness", "");
     final String[] initial = awaitNodePerFirm("two nodes");
     setNodeState(3, "ready");
-    final String[] afterJoin = awaitNodePerFirm("a third has joined");
+    final String[] afterJoin = awaitNodePerFirm("after node-3 joined");
     setNodeState(1, "draining");
-    final String[] afterLeave = awaitNodePerFirm("the first is leaving");
+    final String[] afterLeave = awaitNodePerFirm("while node-1 is draining");
     System.out.println("$ weldpoint status --control " + HOST + ":" + ports[2]);
     new StatusCommand().run(new String[] {"--control", HOST + ":" + ports[2]}, System.out);
     boolean onlyNecessaryMoves = true;
@@ -330,15 +334,15 @@
             ? moved
                 + " of "
                 + FIRMS
-                + " firms moved to the newcomer, and only the first node's firms moved when it left"
-            : "a firm moved that had no need to");
+                + " firms moved to the node that joined, and only the firms of node-1 moved when it drained"
+            : "a firm moved although its node was still available");
     return onlyNecessaryMoves ? 0 : 1;
   }
 
   private final String[] nodeStates = new String[4];
   private int heartbeatSequence;
 
-  /** Lets all nodes beat each second, as upstreams do. */
+  /** Sends a heartbeat for each node every second, as upstreams do. */
   private void sendHeartbeats() {
     try {
       while (true) {
@@ -382,6 +386,7 @@
         heartbeatBody(number, state));
   }
 
+  /** Lets the change take effect, then returns and prints the node that serves each firm. */
   private String[] awaitNodePerFirm(final String phase) throws IOException, InterruptedException {
     Thread.sleep(2500);
     final String[] nodes = new String[FIRMS];
@@ -403,7 +408,7 @@
       if (nodes[firm] == null) {
         throw new WeldpointException(
             WeldpointException.Kind.OUT_OF_REACH,
-            "no booking of firm-" + firm + " was taken within 5 s; see the log above");
+            "no booking of firm-" + firm + " succeeded within 5 s; see the log above");
       }
     }
     return nodes;
@@ -437,6 +442,11 @@
             + "}");
   }
 
+  /**
+   * Starts an upstream that answers each request with its port.
+   *
+   * @param dropEveryNthPost closes the connection instead of answering every n-th POST; 0 for none
+   */
   private static void startUpstream(final int port, final int dropEveryNthPost)
       throws InterruptedException {
     final int[] posts = new int[1];
@@ -468,7 +478,7 @@
                                     HttpVersion.HTTP_1_1,
                                     HttpResponseStatus.OK,
                                     Unpooled.copiedBuffer(
-                                        "stand-in at " + port, StandardCharsets.UTF_8));
+                                        "demo upstream at " + port, StandardCharsets.UTF_8));
                             response
                                 .headers()
                                 .set(
@@ -489,6 +499,7 @@
         .sync();
   }
 
+  /** Repeats a request until it returns the expected status; fails after 15 s. */
   private void awaitStatus(
       final int expectedStatus,
       final int port,
@@ -512,15 +523,16 @@
     }
     throw new WeldpointException(
         WeldpointException.Kind.OUT_OF_REACH,
-        "the demonstration got no "
+        "the demo expected status "
             + expectedStatus
             + " for "
             + path
-            + " but: "
+            + " but got: "
             + response.lines().findFirst().orElse("nothing")
             + "; see the log above");
   }
 
+  /** Sends one HTTP request; the path may carry an extra header after a line break. */
   private static String request(
       final int port, final String method, final String path, final String body)
       throws IOException {
--- a/cli/src/main/java/weldpoint/cli/HistoryCommand.java
+++ b/cli/src/main/java/weldpoint/cli/HistoryCommand.java
@@ -12,11 +12,11 @@
 import weldpoint.registry.ControlApi;
 
 /**
- * weldpoint history: the changes of routing, in their order, as any replica gives them; or which
- * daemons had one in force.
+ * The history command: lists the routing changes in order, as any replica returns them, or shows
+ * which daemons have applied one of them.
  */
 final class HistoryCommand {
-  /** The exit code for a history that could not be confirmed to be complete. */
+  /** Exit code if the history could not be confirmed to be complete. */
   static final int EXIT_INCOMPLETE = 3;
 
   private static final Jsonb JSON = Jsonb.builder().build();
@@ -35,24 +35,25 @@
           .withRequiredArg()
           .withValuesSeparatedBy(',');
   private final OptionSpec<String> at =
-      parser.accepts("at", "the control address of the one replica to ask").withRequiredArg();
+      parser.accepts("at", "control address of the only replica to ask").withRequiredArg();
   private final OptionSpec<Long> from =
-      parser.accepts("from", "the first entry").withRequiredArg().ofType(Long.class);
+      parser.accepts("from", "number of the first entry").withRequiredArg().ofType(Long.class);
   private final OptionSpec<Long> to =
-      parser.accepts("to", "the last entry").withRequiredArg().ofType(Long.class);
+      parser.accepts("to", "number of the last entry").withRequiredArg().ofType(Long.class);
   private final OptionSpec<String> since =
       parser
-          .accepts("since", "only entries recorded at this time or later, as 2026-01-31T08:00:00Z")
+          .accepts(
+              "since", "only entries recorded at or after this time, such as 2026-01-31T08:00:00Z")
           .withRequiredArg();
   private final OptionSpec<String> until =
-      parser.accepts("until", "only entries recorded at this time or before").withRequiredArg();
+      parser.accepts("until", "only entries recorded at or before this time").withRequiredArg();
   private final OptionSpec<String> route =
       parser.accepts("route", "only changes of this route, service or zone").withRequiredArg();
   private final OptionSpec<String> author =
-      parser.accepts("author", "only changes of this author").withRequiredArg();
+      parser.accepts("author", "only changes by this author").withRequiredArg();
   private final OptionSpec<Long> reach =
       parser
-          .accepts("reach", "shows which daemons had this change in force")
+          .accepts("reach", "shows which daemons have applied the change with this number")
           .withRequiredArg()
           .ofType(Long.class);
   private final OptionSpec<Void> json =
@@ -64,7 +65,7 @@
     if (!options.nonOptionArguments().isEmpty() || options.has(control) == options.has(at)) {
       throw new WeldpointException(
           WeldpointException.Kind.USAGE,
-          "history takes either --control HOST:PORT,... or --at HOST:PORT, and no further words");
+          "history takes either --control HOST:PORT,... or --at HOST:PORT, and no further arguments");
     }
     final ControlClient client =
         new ControlClient(
--- a/cli/src/main/java/weldpoint/cli/RecordCommand.java
+++ b/cli/src/main/java/weldpoint/cli/RecordCommand.java
@@ -21,8 +21,8 @@
 import weldpoint.transport.Serializer;
 
 /**
- * weldpoint record: has all switchboards record, and collects what they recorded into a file until
- * the recording ends.
+ * The record command: makes all proxies record their requests, polls every registry for the
+ * recorded batches and writes them to a file until the recording ends.
  */
 final class RecordCommand {
   private static final long POLL_INTERVAL_MILLIS = 1000;
@@ -43,14 +43,17 @@
           .withValuesSeparatedBy(',')
           .required();
   private final OptionSpec<String> file =
-      parser.accepts("file", "where the day is written").withRequiredArg();
+      parser.accepts("file", "file to write the recording to").withRequiredArg();
   private final OptionSpec<Long> seconds =
       parser
-          .accepts("seconds", "ends the recording after so long")
+          .accepts("seconds", "ends the recording after this many seconds")
           .withRequiredArg()
           .ofType(Long.class);
 
-  /** Follows one recording. */
+  /**
+   * Turns what the registries return for one recording into entries of the file. Used by one
+   * thread.
+   */
   static final class Collector {
     private final RecordingFile.Writer writer;
     private final Map<String, Long> clockOffsets = new HashMap<>();
@@ -66,7 +69,10 @@
       this.writer = writer;
     }
 
-    /** Adds what one exchange gave to a question asked then and answered now. */
+    /**
+     * Adds the response of one registry. The times of request and response, in milliseconds of this
+     * process's monotonic clock, give the offset to the proxy's clock and its error.
+     */
     void add(
         final String registry,
         final RecordingBuffer.Collection collection,
@@ -109,11 +115,12 @@
       }
     }
 
-    /** Whether every switchboard that was heard has said that its reel is its last. */
+    /** Returns whether every proxy that sent a batch has also sent the batch marked as its last. */
     boolean complete() {
       return unfinished.isEmpty();
     }
 
+    /** Returns the last entry of the file; names the proxies whose last batch is missing. */
     RecordingFile.Trailer trailer() {
       return new RecordingFile.Trailer(
           recordedCalls,
@@ -135,7 +142,7 @@
     } catch (final IllegalArgumentException unknown) {
       throw new WeldpointException(
           WeldpointException.Kind.USAGE,
-          "record takes one action: record begin|status|end --control HOST:PORT,...");
+          "record takes exactly one action: record begin|status|end --control HOST:PORT,...");
     }
     final List<String> addresses = options.valuesOf(control);
     final ControlClient client = new ControlClient(addresses);
@@ -146,7 +153,7 @@
     if (!options.has(file)) {
       throw new WeldpointException(
           WeldpointException.Kind.USAGE,
-          "record begin needs --file FILE, where the day is to be written");
+          "record begin needs --file FILE, the file to write the recording to");
     }
     out.println(client.call("record.begin", "all", ""));
     try (RecordingFile.Writer writer = new RecordingFile.Writer(Path.of(options.valueOf(file)))) {
@@ -154,6 +161,12 @@
     }
   }
 
+  /**
+   * Polls all registries until they report that the recording is off and every proxy has sent its
+   * last batch, at least MIN_SETTLE_MILLIS and at most MAX_SETTLE_MILLIS after the end.
+   *
+   * @return 0 if the recording is complete, 1 if calls were dropped or last batches are missing
+   */
   private int collect(
       final OptionSet options,
       final List<String> addresses,
--- a/cli/src/main/java/weldpoint/cli/ReplayCommand.java
+++ b/cli/src/main/java/weldpoint/cli/ReplayCommand.java
@@ -19,8 +19,8 @@
 import weldpoint.transport.Compression;
 
 /**
- * weldpoint replay: plays a recorded day through proposed settings; whatever it cannot judge ends
- * with 2.
+ * The replay command: replays a recording against a proposed configuration and proposed settings.
+ * Exits with 2 whenever it cannot judge the outcome.
  */
 final class ReplayCommand {
   private static final int EXIT_CANNOT_JUDGE = 2;
@@ -29,12 +29,14 @@
 
   private final OptionParser parser = new OptionParser();
   private final OptionSpec<String> spec =
-      parser.accepts("spec", "the proposed configuration").withRequiredArg().required();
+      parser.accepts("spec", "file with the proposed configuration").withRequiredArg().required();
   private final OptionSpec<String> settings =
-      parser.accepts("settings", "proposed settings, as name = value lines").withRequiredArg();
+      parser
+          .accepts("settings", "file with proposed settings, one name = value a line")
+          .withRequiredArg();
   private final OptionSpec<Long> maxModelError =
       parser
-          .accepts("error-ms", "the largest model error to judge by")
+          .accepts("error-ms", "largest model error to judge with, in milliseconds")
           .withRequiredArg()
           .ofType(Long.class)
           .defaultsTo(250L);
@@ -48,7 +50,7 @@
       if (names.size() != 1) {
         throw new WeldpointException(
             WeldpointException.Kind.USAGE,
-            "replay takes one recorded day: replay DAY --spec FILE [--settings FILE] [--error-ms N] [--json]");
+            "replay takes one recording: replay RECORDING --spec FILE [--settings FILE] [--error-ms N] [--json]");
       }
       final Path specFile = Path.of(options.valueOf(spec));
       if (!Files.isReadable(specFile)) {
--- a/cli/src/main/java/weldpoint/cli/StatusCommand.java
+++ b/cli/src/main/java/weldpoint/cli/StatusCommand.java
@@ -11,8 +11,9 @@
 import weldpoint.registry.ControlApi;
 
 /**
- * weldpoint status: what one exchange knows of the core, of all daemons, and of callers tied to
- * nodes.
+ * The status command: shows what one registry knows of the core machines, the daemons, the key
+ * ranges and the placements that bind callers to nodes. Exits with 3 if that registry has not heard
+ * from a majority recently.
  */
 final class StatusCommand {
   private static final JsonType<ControlApi.StatusResponse> STATUS =
@@ -33,7 +34,7 @@
     if (!options.nonOptionArguments().isEmpty()) {
       throw new WeldpointException(
           WeldpointException.Kind.USAGE,
-          "status takes --control HOST:PORT,... and no further words");
+          "status takes --control HOST:PORT,... and no further arguments");
     }
     final String text = new ControlClient(options.valuesOf(control)).call("status.read", "", "");
     final ControlApi.StatusResponse response = STATUS.fromJson(text);
--- a/cli/src/main/java/weldpoint/cli/TrialCommand.java
+++ b/cli/src/main/java/weldpoint/cli/TrialCommand.java
@@ -12,7 +12,8 @@
 import weldpoint.registry.ControlApi;
 
 /**
- * weldpoint trial: begins, shows, moves on, holds and finishes the trial of a route's new version.
+ * The trial command: begins, shows, advances, holds and finishes the staged rollout of a new
+ * version on a route. Exits with 3 if the status action finds the trial held.
  */
 final class TrialCommand {
   private static final Jsonb JSON = Jsonb.builder().build();
@@ -38,20 +39,22 @@
           .withValuesSeparatedBy(',')
           .required();
   private final OptionSpec<String> oldService =
-      parser.accepts("old", "the service of the old version").withRequiredArg();
+      parser.accepts("old", "service that runs the old version").withRequiredArg();
   private final OptionSpec<String> newService =
-      parser.accepts("new", "the service of the new version").withRequiredArg();
+      parser.accepts("new", "service that runs the new version").withRequiredArg();
   private final OptionSpec<String> token =
-      parser.accepts("token", "what testers send as Weldpoint-Trial-Token").withRequiredArg();
+      parser
+          .accepts("token", "value of the Weldpoint-Trial-Token header that testers send")
+          .withRequiredArg();
   private final OptionSpec<Integer> stages =
       parser
-          .accepts("stages", "rising shares in per cent")
+          .accepts("stages", "increasing shares of traffic for the new version, in per cent")
           .withRequiredArg()
           .ofType(Integer.class)
           .withValuesSeparatedBy(',');
   private final OptionSpec<Integer> leastWrites =
       parser
-          .accepts("least-writes", "writes to be confirmed at each stage")
+          .accepts("least-writes", "confirmed writes required before the next stage")
           .withRequiredArg()
           .ofType(Integer.class)
           .defaultsTo(30);
@@ -59,18 +62,18 @@
       parser
           .accepts(
               "late-allowance",
-              "held if the chance of so many late writes is below this; 0 holds at the first")
+              "holds the trial if the probability of so many late writes by chance is below this; 0 holds at the first late write")
           .withRequiredArg()
           .ofType(Double.class)
           .defaultsTo(0.01);
   private final OptionSpec<String> reason =
       parser
-          .accepts("reason", "why it is held")
+          .accepts("reason", "reason for the hold")
           .withRequiredArg()
           .defaultsTo("held by an operator");
   private final OptionSpec<String> author =
       parser
-          .accepts("author", "who wants it; the user's name by default")
+          .accepts("author", "author of the change; by default the user who runs the command")
           .withRequiredArg()
           .defaultsTo(ControlClient.currentUser());
   private final OptionSpec<Void> json = parser.accepts("json", "prints JSON");
@@ -89,7 +92,9 @@
     } catch (final IllegalArgumentException unknown) {
       throw new WeldpointException(
           WeldpointException.Kind.USAGE,
-          "trial cannot '" + names.get(0) + "'; it can begin, status, advance, hold and finish");
+          "trial cannot '"
+              + names.get(0)
+              + "'; the actions are begin, status, advance, hold and finish");
     }
     final List<Double> shares = new ArrayList<>();
     options.valuesOf(stages).forEach(share -> shares.add(share.doubleValue()));
--- a/cli/src/main/java/weldpoint/cli/Weldpoint.java
+++ b/cli/src/main/java/weldpoint/cli/Weldpoint.java
@@ -25,14 +25,20 @@
 import weldpoint.scale.ScaleCommand;
 import weldpoint.statestore.StateStoreDaemon;
 
-/** The command line. */
+/**
+ * Entry point of the command line: selects the command by its name, runs it and maps failures to
+ * exit codes: 1 for a failure, 2 for wrong usage; some commands add codes of their own.
+ */
 public final class Weldpoint {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
   private static final String VERSION = "0.1.0";
   private static final int EXIT_USAGE = 2;
   private static final long SETTINGS_POLL_MILLIS = 2000;
 
-  /** The commands. */
+  /**
+   * The commands, in the order of the usage text. The name in lower case is what the operator
+   * types, the string is the help text.
+   */
   private enum Command {
     SWITCHBOARD("runs the proxy on an edge machine") {
       @Override
@@ -46,20 +52,20 @@
         return runDaemon(new RegistryDaemon(loadSettings("exchange")));
       }
     },
-    FRAME("runs the store on a core machine") {
+    FRAME("runs a replica of the state store on a core machine") {
       @Override
       int run(final OptionSet options) throws IOException, InterruptedException {
         return runDaemon(new StateStoreDaemon(loadSettings("frame")));
       }
     },
-    ANNOUNCER("runs the shared cache of content deliveries") {
+    ANNOUNCER("runs the shared content cache") {
       @Override
       int run(final OptionSet options) throws IOException, InterruptedException {
         return runDaemon(new CacheDaemon(loadSettings("announcer")));
       }
     },
     TRIAL(
-        "tries a route's new version: trial begin|status|advance|hold|finish ROUTE --control HOST:PORT") {
+        "rolls out a new version of a route in stages: trial begin|status|advance|hold|finish ROUTE --control HOST:PORT") {
       @Override
       int run(final String[] arguments) throws InterruptedException {
         return new TrialCommand().run(arguments, System.out);
@@ -67,11 +73,11 @@
 
       @Override
       int run(final OptionSet options) {
-        throw new IllegalStateException("trial reads its own options");
+        throw new IllegalStateException("trial parses its own options");
       }
     },
     STATUS(
-        "shows the core, all daemons and placements as one exchange knows them: status --control HOST:PORT,...; 3 where it has no majority") {
+        "shows core machines, daemons and placements as one exchange sees them: status --control HOST:PORT,...; exits with 3 if that exchange has no majority") {
       @Override
       int run(final String[] arguments) throws InterruptedException {
         return new StatusCommand().run(arguments, System.out);
@@ -79,11 +85,11 @@
 
       @Override
       int run(final OptionSet options) {
-        throw new IllegalStateException("status reads its own options");
+        throw new IllegalStateException("status parses its own options");
       }
     },
     HISTORY(
-        "shows the changes of routing, from any replica: history --control HOST:PORT,... [--since --until --route --author --json] or --reach N; 3 not confirmed to be complete") {
+        "shows the history of routing changes, from any replica: history --control HOST:PORT,... [--since --until --route --author --json] or --reach N; exits with 3 if the history is not confirmed to be complete") {
       @Override
       int run(final String[] arguments) throws InterruptedException {
         return new HistoryCommand().run(arguments, System.out, System.err);
@@ -91,11 +97,11 @@
 
       @Override
       int run(final OptionSet options) {
-        throw new IllegalStateException("history reads its own options");
+        throw new IllegalStateException("history parses its own options");
       }
     },
     RECORD(
-        "records what all switchboards carry: record begin|status|end --control HOST:PORT,... --file FILE") {
+        "records the requests of all switchboards to a file: record begin|status|end --control HOST:PORT,... --file FILE") {
       @Override
       int run(final String[] arguments) throws IOException, InterruptedException {
         return new RecordCommand().run(arguments, System.out);
@@ -103,11 +109,11 @@
 
       @Override
       int run(final OptionSet options) {
-        throw new IllegalStateException("record reads its own options");
+        throw new IllegalStateException("record parses its own options");
       }
     },
     SCALE(
-        "measures on this machine how each role grows with the fleet: scale [--series NAME] [--sizes N,N,N] [--seconds N]") {
+        "measures on this machine how the load of each program grows with the fleet: scale [--series NAME] [--sizes N,N,N] [--seconds N]") {
       @Override
       int run(final String[] arguments) throws IOException, InterruptedException {
         return new ScaleCommand().run(arguments, System.out);
@@ -115,11 +121,11 @@
 
       @Override
       int run(final OptionSet options) {
-        throw new IllegalStateException("scale reads its own options");
+        throw new IllegalStateException("scale parses its own options");
       }
     },
     REPLAY(
-        "plays a recorded day through proposed settings: replay DAY --spec FILE; 0 no write is harmed, 1 one is, 2 it cannot be judged") {
+        "replays a recording against a proposed configuration: replay RECORDING --spec FILE; exits with 0 if no write is harmed, 1 if one is, 2 if it cannot be judged") {
       @Override
       int run(final String[] arguments) throws IOException {
         return new ReplayCommand().run(arguments, System.out, System.err);
@@ -127,11 +133,11 @@
 
       @Override
       int run(final OptionSet options) {
-        throw new IllegalStateException("replay reads its own options");
+        throw new IllegalStateException("replay parses its own options");
       }
     },
     DEMO(
-        "runs everything in one process on the loopback address; demo once ends by itself, demo trial shows a trial that catches a fault, demo affinity callers tied to nodes that come and go") {
+        "runs all programs in one process on the loopback address; demo once exits when done, demo trial shows a trial that detects a faulty version, demo affinity shows callers bound to nodes while nodes join and leave") {
       @Override
       int run(final OptionSet options) throws IOException, InterruptedException {
         Logging.start("demo");
@@ -143,14 +149,14 @@
                 : new Demo().run(!options.nonOptionArguments().contains("once"));
       }
     },
-    CHECK("checks files without starting anything: check settings FILE, check spec FILE") {
+    CHECK("validates a file without starting anything: check settings FILE, check spec FILE") {
       @Override
       int run(final OptionSet options) throws IOException {
         final List<?> arguments = options.nonOptionArguments();
         if (arguments.size() != 2) {
           throw new WeldpointException(
               WeldpointException.Kind.USAGE,
-              "check takes what to check and a file: check settings FILE, or check spec FILE");
+              "check takes the kind of file and a file: check settings FILE, or check spec FILE");
         }
         final Path file = Path.of(arguments.get(1).toString());
         if (arguments.get(0).equals("settings")) {
@@ -205,6 +211,10 @@
 
   private Weldpoint() {}
 
+  /**
+   * Sets Netty up for a small process: logging through java.util.logging, fixed machine and process
+   * ids, one event loop thread and unpooled heap buffers.
+   */
   private static void configureNetty() {
     InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
     System.setProperty("io.netty.machineId", "00:00:00:00:00:00:00:01");
@@ -222,16 +232,21 @@
     return Settings.load();
   }
 
+  /**
+   * Starts the daemon and never returns: reloads its settings on SIGHUP and when the settings file
+   * changes, and stops it in a shutdown hook.
+   */
   private static int runDaemon(final Daemon daemon) throws IOException, InterruptedException {
     daemon.start();
     final Runnable reload =
         () -> {
           try {
             daemon.reload(Settings.load());
-            LOGGER.atInfo().log("the settings were read again");
+            LOGGER.atInfo().log("settings reloaded");
           } catch (final WeldpointException exception) {
             LOGGER.atWarning().log(
-                "the settings were not taken, the old ones stay: %s", exception.getMessage());
+                "settings not reloaded, the previous ones stay in effect: %s",
+                exception.getMessage());
           }
         };
     sun.misc.Signal.handle(new sun.misc.Signal("HUP"), signal -> reload.run());
@@ -255,13 +270,13 @@
               "  %-12s %s%n", command.name().toLowerCase(java.util.Locale.ROOT), command.help));
     }
     return text.append(
-            "  --help       shows this\n  --version    shows the version\nsettings are read from the file that ")
+            "  --help       shows this text\n  --version    shows the version\nsettings are read from the file that ")
         .append(Settings.VARIABLE)
         .append(" names\n")
         .toString();
   }
 
-  /** Runs a command and ends with its exit code. */
+  /** Runs the command that the arguments name and exits with its code. */
   public static void main(final String[] arguments) {
     final int exitCode = execute(arguments);
     if (exitCode >= 0) {
@@ -269,6 +284,7 @@
     }
   }
 
+  /** Runs the command that the arguments name and returns its exit code. */
   static int execute(final String[] arguments) {
     try {
       if (arguments.length > 0 && arguments[0].equals("--help")) {
@@ -287,18 +303,18 @@
       }
       System.err.print(
           (arguments.length == 0
-                  ? "no command was given\n"
+                  ? "no command given\n"
                   : "the command '" + arguments[0] + "' is unknown\n")
               + usage());
       return EXIT_USAGE;
-    } catch (final OptionException problem) {
-      System.err.print(problem.getMessage() + "\n" + usage());
+    } catch (final OptionException exception) {
+      System.err.print(exception.getMessage() + "\n" + usage());
       return EXIT_USAGE;
     } catch (final WeldpointException exception) {
       System.err.println("weldpoint: " + exception.getMessage());
       return exception.kind() == WeldpointException.Kind.USAGE ? EXIT_USAGE : 1;
-    } catch (final IOException problem) {
-      System.err.println("weldpoint: " + problem.getMessage());
+    } catch (final IOException exception) {
+      System.err.println("weldpoint: " + exception.getMessage());
       return 1;
     } catch (final InterruptedException interrupted) {
       Thread.currentThread().interrupt();
--- a/cli/src/test/java/weldpoint/cli/WeldpointTest.java
+++ b/cli/src/test/java/weldpoint/cli/WeldpointTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The command line tells what was wrong, and its exit code too. */
+/** Checks that wrong invocations are reported by message and exit code. */
 public final class WeldpointTest {
   private static String[] run(final String... arguments) {
     final PrintStream out = System.out;
@@ -66,7 +66,7 @@
     };
   }
 
-  @Test(dataProvider = "calls")
+  @Test(dataProvider = "invocations")
   public void exitCodeAndOutputMatchTheInvocation(
       final String[] arguments, final int expectedCode, final String expectedText) {
     final String[] result = run(arguments);
--- a/cli/src/test/java/weldpoint/scale/ScaleTest.java
+++ b/cli/src/test/java/weldpoint/scale/ScaleTest.java
@@ -15,8 +15,8 @@
 import weldpoint.common.WeldpointException;
 
 /**
- * The fit of slopes against known data, refused sizes, and a tiny run of real and hollow processes
- * end to end.
+ * Checks the line fit against known data, the rejection of invalid sizes and arguments, and a small
+ * end-to-end run with real and simulated proxies.
  */
 public final class ScaleTest {
   @Test
@@ -48,21 +48,21 @@
                 WeldpointException.class,
                 () -> LinearFit.of(new double[] {10, 20, 30}, new double[] {1, 2, 3}))
             .getMessage()
-            .contains("too near"));
+            .contains("too close"));
   }
 
   @DataProvider
   public Object[][] invalidSizes() {
     return new Object[][] {
-      {new FleetSize(0, 1, 1, 1, 1, 1, 0, 0, false), "makes no sense"},
-      {new FleetSize(1, 1, 1, 1, 2, 1, 0, 0, false), "makes no sense"},
-      {new FleetSize(1, 1, 1, 1, 1, 1, -1, 0, false), "makes no sense"},
+      {new FleetSize(0, 1, 1, 1, 1, 1, 0, 0, false), "is invalid"},
+      {new FleetSize(1, 1, 1, 1, 2, 1, 0, 0, false), "is invalid"},
+      {new FleetSize(1, 1, 1, 1, 1, 1, -1, 0, false), "is invalid"},
       {new FleetSize(40, 1, 150, 1, 1, 1, 0, 0, false), "too many"},
       {new FleetSize(3, 100_000_000, 1, 1, 1, 1, 0, 0, false), "half of this machine's memory"},
     };
   }
 
-  @Test(dataProvider = "senseless")
+  @Test(dataProvider = "invalidSizes")
   public void invalidOrTooLargeSizesAreRejectedBeforeAnythingStarts(
       final FleetSize sizes, final String reason) {
     final WeldpointException exception = expectThrows(WeldpointException.class, sizes::validated);
@@ -83,7 +83,7 @@
     };
   }
 
-  @Test(dataProvider = "badCalls")
+  @Test(dataProvider = "invalidArguments")
   public void invalidArgumentsAreRejectedWithTheRemedy(
       final String[] arguments, final String reason) {
     final WeldpointException exception =
@@ -112,8 +112,8 @@
   }
 
   /**
-   * The first of twenty ports in a row that nothing listens at on the loopback addresses that the
-   * run takes.
+   * Returns the first of twenty consecutive ports that are free on the loopback addresses of the
+   * run.
    */
   private static int freePorts() throws IOException {
     for (int first = 22_500; first < 32_000; first += 20) {
--- a/scale/src/main/java/weldpoint/scale/FleetSize.java
+++ b/scale/src/main/java/weldpoint/scale/FleetSize.java
@@ -5,7 +5,10 @@
 import java.nio.file.Path;
 import weldpoint.common.WeldpointException;
 
-/** The size of one run. */
+/**
+ * The size of the fleet in one scale run: core machines, proxies simulated in this process and
+ * proxies run as processes, and what is configured and changed while measuring. Immutable.
+ */
 public record FleetSize(
     int cores,
     int proxies,
@@ -21,7 +24,7 @@
   private static final long PROCESS_BYTES = 130L << 20;
   private static final long SIMULATED_PROXY_BYTES = 400L << 10;
 
-  /** A size without tenants. */
+  /** Creates a size without tenants. */
   public FleetSize(
       final int cores,
       final int proxies,
@@ -45,7 +48,11 @@
         0);
   }
 
-  /** This size, checked against what the machine has. */
+  /**
+   * Returns this size if it is valid. Throws {@link WeldpointException} of kind USAGE if a value is
+   * out of range, if it needs more than 200 processes, or if its estimated memory exceeds half of
+   * the machine's.
+   */
   public FleetSize validated() {
     if (cores < 1
         || cores > 40
@@ -65,7 +72,7 @@
           WeldpointException.Kind.USAGE,
           "the size "
               + this
-              + " makes no sense; give 1 to 40 cores, at least one real switchboard, upstream, service and route, no more services than upstreams, and up to 20 changes and 200 returns a second");
+              + " is invalid; give 1 to 40 cores, at least one real switchboard, upstream, service and route, no more services than upstreams, and up to 20 changes and 200 restarts a second");
     }
     if (processes() > MAX_PROCESSES) {
       throw new WeldpointException(
@@ -73,7 +80,7 @@
           processes()
               + " processes are too many for one machine; keep to "
               + MAX_PROCESSES
-              + ", with more hollow switchboards and fewer real ones");
+              + ", with more simulated switchboards and fewer real ones");
     }
     final long halfOfMemory = totalMemoryBytes() / 2;
     if (estimatedBytes() > halfOfMemory) {
@@ -109,6 +116,6 @@
     }
     throw new WeldpointException(
         WeldpointException.Kind.UNREADABLE,
-        "/proc/meminfo does not tell the memory; run this on Linux");
+        "/proc/meminfo has no MemTotal line; run this on Linux");
   }
 }
--- a/scale/src/main/java/weldpoint/scale/HistoryMeasurement.java
+++ b/scale/src/main/java/weldpoint/scale/HistoryMeasurement.java
@@ -17,8 +17,8 @@
 import weldpoint.transport.Serializer;
 
 /**
- * The history alone: what entries take on disk and in memory, and what it costs an empty replica to
- * have them.
+ * Measures the audit log in this process, without any daemon: the size of the entries, the
+ * processor time to write them, and the cost of bringing an empty replica up to date.
  */
 final class HistoryMeasurement {
   private HistoryMeasurement() {}
@@ -41,6 +41,7 @@
     }
   }
 
+  /** Returns the results by name for a log with this many entries. */
   static Map<String, Double> measure(final int entries) throws IOException, InterruptedException {
     final Path folder = Files.createTempDirectory("weldpoint-history");
     final AuditLog full = new AuditLog("full", store(folder.resolve("full"), entries), () -> {});
@@ -93,6 +94,7 @@
     return result;
   }
 
+  /** Counts the message (traffic[0] messages, traffic[1] bytes) and delivers it to a replica. */
   private static void deliver(
       final AuditReplica[] replicas,
       final int to,
--- a/scale/src/main/java/weldpoint/scale/LinearFit.java
+++ b/scale/src/main/java/weldpoint/scale/LinearFit.java
@@ -2,7 +2,10 @@
 
 import weldpoint.common.WeldpointException;
 
-/** A straight line through points by least squares, with what it leaves over. */
+/**
+ * Least-squares line through measured points, with its largest residual and R squared. Used by the
+ * scale command; immutable.
+ */
 public record LinearFit(
     double slope,
     double intercept,
@@ -14,12 +17,18 @@
   private static final int MIN_POINTS = 3;
   private static final double MIN_SIZE_RATIO = 4;
 
-  /** The line through these points; fails where they are too few or too near each other. */
+  /**
+   * Fits a line. Throws {@link WeldpointException} of kind INVALID for fewer than 3 points or if
+   * the largest size is less than 4 times the smallest.
+   */
   public static LinearFit of(final double[] sizes, final double[] values) {
     if (sizes.length != values.length || sizes.length < MIN_POINTS) {
       throw new WeldpointException(
           WeldpointException.Kind.INVALID,
-          sizes.length + " points give no slope; measure at least " + MIN_POINTS + " sizes");
+          sizes.length
+              + " points are too few for a fit; measure at least "
+              + MIN_POINTS
+              + " sizes");
     }
     double smallest = Double.MAX_VALUE;
     double largest = 0;
@@ -38,19 +47,19 @@
               + smallest
               + " to "
               + largest
-              + " lie too near each other; let the largest be "
+              + " are too close together; the largest must be at least "
               + MIN_SIZE_RATIO
               + " times the smallest");
     }
-    double covariance = 0;
-    double sizeVariance = 0;
-    double valueVariance = 0;
+    double crossDeviations = 0;
+    double sizeDeviations = 0;
+    double valueDeviations = 0;
     for (int index = 0; index < sizes.length; index++) {
-      covariance += (sizes[index] - meanSize) * (values[index] - meanValue);
-      sizeVariance += (sizes[index] - meanSize) * (sizes[index] - meanSize);
-      valueVariance += (values[index] - meanValue) * (values[index] - meanValue);
+      crossDeviations += (sizes[index] - meanSize) * (values[index] - meanValue);
+      sizeDeviations += (sizes[index] - meanSize) * (sizes[index] - meanSize);
+      valueDeviations += (values[index] - meanValue) * (values[index] - meanValue);
     }
-    final double slope = covariance / sizeVariance;
+    final double slope = crossDeviations / sizeDeviations;
     final double intercept = meanValue - slope * meanSize;
     double maxResidual = 0;
     double residualSquares = 0;
@@ -63,18 +72,20 @@
         slope,
         intercept,
         maxResidual,
-        valueVariance == 0 ? 1 : 1 - residualSquares / valueVariance,
+        valueDeviations == 0 ? 1 : 1 - residualSquares / valueDeviations,
         smallest,
         largest,
         sizes.length);
   }
 
-  /** What the line gives at a size. */
+  /** Returns the value of the line at a size. */
   public double predict(final double size) {
     return slope * size + intercept;
   }
 
-  /** How many times beyond the largest measured size that is. */
+  /**
+   * Returns a size as a multiple of the largest measured size: how far a prediction extrapolates.
+   */
   public double extrapolationFactor(final double size) {
     return size / maxSize;
   }
--- a/scale/src/main/java/weldpoint/scale/MeasuredProcess.java
+++ b/scale/src/main/java/weldpoint/scale/MeasuredProcess.java
@@ -13,12 +13,15 @@
 import weldpoint.common.Settings;
 import weldpoint.common.WeldpointException;
 
-/** One real daemon as a process of its own, with what it counts of itself. */
+/**
+ * A daemon in a process of its own. A reader thread takes a sample whenever the daemon logs its
+ * traffic counters.
+ */
 final class MeasuredProcess {
   private static final Pattern TRAFFIC_COUNTERS =
       Pattern.compile("trunk-in (\\d+) (\\d+) trunk-out (\\d+) (\\d+)");
 
-  /** What a process has used and passed since its start. */
+  /** Totals of a process since its start, with its present resident memory. */
   record Sample(
       long atNanos,
       long cpuMillis,
@@ -56,7 +59,7 @@
     final ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
     builder.environment().put(Settings.VARIABLE, settings.toString());
     process = builder.start();
-    final Thread reader = new Thread(this::readOutput, "reads-" + program);
+    final Thread reader = new Thread(this::readOutput, "output-" + program);
     reader.setDaemon(true);
     reader.start();
   }
@@ -83,7 +86,7 @@
         line = lines.readLine();
       }
     } catch (final IOException exception) {
-      lastLine = "its output ended: " + exception.getMessage();
+      lastLine = "reading its output failed: " + exception.getMessage();
     }
   }
 
@@ -109,18 +112,21 @@
     return 0;
   }
 
-  /** What the process last counted; fails where it has died. */
+  /**
+   * Returns the latest sample, null before the first. Throws {@link WeldpointException} of kind
+   * OUT_OF_REACH if the process has exited.
+   */
   Sample sample() {
     if (!process.isAlive()) {
       throw new WeldpointException(
           WeldpointException.Kind.OUT_OF_REACH,
           "a "
               + program
-              + " has ended by itself with code "
+              + " has exited unexpectedly with code "
               + process.exitValue()
               + " ("
               + lastLine
-              + "); the run gives no slope");
+              + "); the run cannot be used");
     }
     return latestSample;
   }
--- a/scale/src/main/java/weldpoint/scale/ScaleCommand.java
+++ b/scale/src/main/java/weldpoint/scale/ScaleCommand.java
@@ -13,8 +13,8 @@
 import weldpoint.common.WeldpointException;
 
 /**
- * weldpoint scale: measures how state, messages and processor time of each role grow with the size
- * of the fleet.
+ * The scale command: measures on one machine how memory, messages and processor time of each
+ * program grow with the size of the fleet, and fits a line to each measure.
  */
 public final class ScaleCommand {
   private final OptionParser parser = new OptionParser();
@@ -26,19 +26,20 @@
   private final OptionSpec<Double> sizes =
       parser
           .accepts(
-              "sizes", "sizes of one series, at least three, the largest four times the smallest")
+              "sizes",
+              "sizes of one series: at least three, the largest at least four times the smallest")
           .withRequiredArg()
           .ofType(Double.class)
           .withValuesSeparatedBy(',');
   private final OptionSpec<Integer> seconds =
       parser
-          .accepts("seconds", "how long each size is measured, 3 to 120")
+          .accepts("seconds", "seconds that each size is measured, 3 to 120")
           .withRequiredArg()
           .ofType(Integer.class)
           .defaultsTo(10);
   private final OptionSpec<Integer> warmup =
       parser
-          .accepts("warmup", "how many seconds each size runs before it is measured, 2 to 120")
+          .accepts("warmup", "seconds that each size runs before it is measured, 2 to 120")
           .withRequiredArg()
           .ofType(Integer.class)
           .defaultsTo(11);
@@ -49,18 +50,21 @@
           .ofType(Integer.class)
           .defaultsTo(21_000);
 
-  /** Reads its own options. */
+  /** Creates the command with its option parser. */
   public ScaleCommand() {}
 
   private static String seriesNames() {
     final List<String> names = new ArrayList<>();
-    for (final Series one : Series.values()) {
-      names.add(one.name().toLowerCase(Locale.ROOT));
+    for (final Series varied : Series.values()) {
+      names.add(varied.name().toLowerCase(Locale.ROOT));
     }
     return String.join(", ", names);
   }
 
-  /** Runs; 0 once all was measured, 1 where a run failed. */
+  /**
+   * Parses the arguments, runs all chosen series and returns 0. Throws {@link WeldpointException}
+   * for wrong usage or a failed run.
+   */
   public int run(final String[] arguments, final PrintStream out)
       throws IOException, InterruptedException {
     java.util.logging.Logger.getLogger("").setLevel(java.util.logging.Level.SEVERE);
@@ -72,7 +76,7 @@
       } catch (final IllegalArgumentException unknown) {
         throw new WeldpointException(
             WeldpointException.Kind.USAGE,
-            "'" + name + "' cannot be varied; choose among " + seriesNames());
+            "'" + name + "' cannot be varied; choose one of " + seriesNames());
       }
     }
     if (chosen.isEmpty()) {
@@ -94,17 +98,18 @@
         || !options.nonOptionArguments().isEmpty()) {
       throw new WeldpointException(
           WeldpointException.Kind.USAGE,
-          "scale takes --seconds from 3 to 120, --warmup from 2 to 120 and --port from 1024 to 65000, and no further words");
+          "scale takes --seconds from 3 to 120, --warmup from 2 to 120 and --port from 1024 to 65000, and no further arguments");
     }
-    for (final Series one : chosen) {
-      for (final double size : options.has(sizes) ? options.valuesOf(sizes) : one.defaultSizes()) {
-        one.fleetSize(size).validated();
+    for (final Series varied : chosen) {
+      for (final double size :
+          options.has(sizes) ? options.valuesOf(sizes) : varied.defaultSizes()) {
+        varied.fleetSize(size).validated();
       }
     }
-    for (final Series one : chosen) {
+    for (final Series varied : chosen) {
       measure(
-          one,
-          options.has(sizes) ? options.valuesOf(sizes) : one.defaultSizes(),
+          varied,
+          options.has(sizes) ? options.valuesOf(sizes) : varied.defaultSizes(),
           warmupSeconds,
           measureSeconds,
           firstPort,
@@ -134,9 +139,9 @@
             new Thread(
                 () -> {
                   out.println(
-                      "interrupted: the figures of "
+                      "interrupted: the results of "
                           + series.name().toLowerCase(Locale.ROOT)
-                          + " are partial and give no slope");
+                          + " are partial and are not fitted");
                   run.close();
                 });
         Runtime.getRuntime().addShutdownHook(shutdownHook);
@@ -148,7 +153,7 @@
       }
     }
     final TreeSet<String> names = new TreeSet<>();
-    results.forEach(one -> names.addAll(one.keySet()));
+    results.forEach(result -> names.addAll(result.keySet()));
     out.printf(
         Locale.ROOT,
         "%n%s: %s, %d s each%n",
@@ -167,7 +172,7 @@
     final double[] sizeValues = sizes.stream().mapToDouble(Double::doubleValue).toArray();
     for (final String name : names) {
       final double[] values =
-          results.stream().mapToDouble(one -> one.getOrDefault(name, 0.0)).toArray();
+          results.stream().mapToDouble(result -> result.getOrDefault(name, 0.0)).toArray();
       final LinearFit fit = LinearFit.of(sizeValues, values);
       final StringBuilder points = new StringBuilder();
       for (final double value : values) {
--- a/scale/src/main/java/weldpoint/scale/ScaleRun.java
+++ b/scale/src/main/java/weldpoint/scale/ScaleRun.java
@@ -20,8 +20,9 @@
 import weldpoint.common.WeldpointException;
 
 /**
- * One size: real frames, exchanges and switchboards as processes on loopback addresses, with hollow
- * ones, for a bounded time.
+ * Measures one fleet size: runs state store replicas, registries and some proxies as processes on
+ * loopback addresses, simulates the other proxies and the heartbeats of upstreams in this process,
+ * and stops all of it on close.
  */
 final class ScaleRun implements AutoCloseable {
   private static final int COUNTER_LOG_INTERVAL_MILLIS = 1000;
@@ -177,6 +178,7 @@
         + "]}";
   }
 
+  /** Sends a configuration with the next version; returns the milliseconds until acknowledged. */
   private long replaceConfiguration() throws InterruptedException {
     version++;
     final String body = configuration();
@@ -194,6 +196,7 @@
             + " s; run it on a machine with less load");
   }
 
+  /** Sends the heartbeat of the next upstream in turn, without waiting for the response. */
   private void sendHeartbeat() {
     final int index = nextUpstream++ % fleet.upstreams();
     final String body =
@@ -227,8 +230,10 @@
   }
 
   /**
-   * Starts everything, lets it run so many seconds, and gives what each role used in that time, by
-   * "role measure".
+   * Starts everything, waits until it is complete and has run for the warm-up, and returns what an
+   * average process of each program used in the measured seconds. Keys are the program and the
+   * measure, such as "exchange cpu-ms/s". Keys that begin with "hollow" are the average of a
+   * simulated proxy, "beats" are heartbeats of upstreams and "returns" are proxy restarts.
    */
   Map<String, Double> measure(final int warmup, final int seconds)
       throws IOException, InterruptedException {
@@ -282,9 +287,9 @@
                 + simulatedProxies.admissions()
                 + " of "
                 + fleet.proxies()
-                + " switchboards had a view and "
+                + " switchboards were admitted and "
                 + heartbeatsAcknowledged.get()
-                + " beats were acknowledged; measure a smaller size or on a machine with less load");
+                + " heartbeats were acknowledged; measure a smaller size or on a machine with less load");
       }
       Thread.sleep(100);
     }
@@ -387,6 +392,10 @@
     return result;
   }
 
+  /**
+   * Fails if a simulated proxy receives over 25% more or less than a real one: the simulation would
+   * not be representative.
+   */
   private static void requireSimilar(final String measure, final Map<String, Double> result) {
     final double simulated = result.get("hollow " + measure);
     final double real = result.get("switchboard " + measure);
@@ -395,7 +404,7 @@
           WeldpointException.Kind.INVALID,
           String.format(
               java.util.Locale.ROOT,
-              "a hollow switchboard has %.1f %s and a real one %.1f; the run gives no slope",
+              "a simulated switchboard has %.1f %s and a real one %.1f; they differ too much to use the run",
               simulated,
               measure,
               real));
--- a/scale/src/main/java/weldpoint/scale/SimulatedProxies.java
+++ b/scale/src/main/java/weldpoint/scale/SimulatedProxies.java
@@ -26,8 +26,9 @@
 import weldpoint.transport.TrialMessages;
 
 /**
- * Switchboards without traffic, many to this process: each has its own link, stream and line, the
- * very code of a real one.
+ * Many proxies without client traffic in this process. Each has its own transport, registry stream
+ * and registry client, the same classes as a real proxy. All of them run on one executor thread and
+ * one event loop.
  */
 final class SimulatedProxies {
   private static final long TICK_MILLIS = 100;
@@ -134,7 +135,7 @@
   private final ExecutorService executor =
       Executors.newSingleThreadExecutor(
           task -> {
-            final Thread thread = new Thread(task, "hollow");
+            final Thread thread = new Thread(task, "simulated-proxies");
             thread.setDaemon(true);
             return thread;
           });
@@ -150,7 +151,7 @@
   private long closedBytesIn;
   private long closedMessagesIn;
 
-  /** So many switchboards, spread over these places. */
+  /** Starts the given number of proxies, spread evenly over the zones of the settings. */
   SimulatedProxies(final List<Settings> zoneSettings, final int count) {
     this.zoneSettings = zoneSettings;
     executor.execute(
@@ -176,7 +177,9 @@
     return System.nanoTime() / 1_000_000;
   }
 
-  /** Ends one and starts it again as a new life, as a restart does. */
+  /**
+   * Closes the next proxy in turn and starts it again with a new incarnation, as a restart does.
+   */
   void restartOne() {
     executor.execute(
         () -> {
@@ -194,22 +197,31 @@
         });
   }
 
-  /** How many views were given in all. */
+  /** Returns how often a proxy was admitted by a registry; a restarted proxy counts again. */
   long admissions() {
     return admissions.get();
   }
 
-  /** How many have this version in force. */
+  /**
+   * Returns how often a proxy has received this configuration version; a restarted proxy counts
+   * again.
+   */
   int versionReceipts(final long version) {
     return receiptsByVersion.getOrDefault(version, 0);
   }
 
-  /** How many have placements of this mark or a later one. */
+  /**
+   * Returns how often a proxy has received the placements with exactly this mark, the number that
+   * rises with each change of placements.
+   */
   int placementReceipts(final long mark) {
     return placementReceipts.getOrDefault(mark, 0);
   }
 
-  /** Messages and bytes that came to all. */
+  /**
+   * Returns the totals of all proxies: messages in, bytes in, messages out and bytes out. Only the
+   * inbound totals include proxies that were closed by a restart.
+   */
   long[] trafficTotals() {
     final java.util.concurrent.CompletableFuture<long[]> future =
         new java.util.concurrent.CompletableFuture<>();
