--- a/soak/src/main/java/weldpoint/soak/DaemonProcess.java
+++ b/soak/src/main/java/weldpoint/soak/DaemonProcess.java
@@ -19,8 +19,8 @@
  * started again. Signals go to this process by its id and to no other.
  */
 final class DaemonProcess {
-  private static final int KEPT_LINES = 8000;
-  private static final long TERMINATION_SECONDS = 12;
+  private static final int MAX_OUTPUT_LINES = 8000;
+  private static final long TERMINATION_TIMEOUT_SECONDS = 12;
 
   private final String program;
   private final String name;
@@ -29,8 +29,8 @@
   private Process process;
   private boolean paused;
   private int starts;
-  private boolean over;
-  private final List<Long> disturbedAt = new ArrayList<>();
+  private boolean shutdown;
+  private final List<Long> disruptionTimes = new ArrayList<>();
 
   DaemonProcess(final String program, final String name, final Path settings) {
     this.program = program;
@@ -45,7 +45,7 @@
 
   /** Starts the process; the settings file is read anew. */
   synchronized void start() {
-    if (over) {
+    if (shutdown) {
       return;
     }
     final List<String> command =
@@ -67,39 +67,39 @@
     builder.environment().put(Logging.LEVEL_VARIABLE, "FINE");
     try {
       process = builder.start();
-    } catch (final IOException problem) {
-      throw new UncheckedIOException("cannot start " + name(), problem);
+    } catch (final IOException e) {
+      throw new UncheckedIOException("cannot start " + name(), e);
     }
     paused = false;
     starts++;
     final Process started = process;
-    final Thread reader = new Thread(() -> read(started), "output-" + name());
+    final Thread reader = new Thread(() -> readOutput(started), "output-" + name());
     reader.setDaemon(true);
     reader.start();
   }
 
   /** Starts the process where it does not run. */
   synchronized void startIfDown() {
-    if (!alive()) {
+    if (!isAlive()) {
       start();
     }
   }
 
-  private void read(final Process from) {
-    try (BufferedReader lines =
-        new BufferedReader(new InputStreamReader(from.getInputStream(), StandardCharsets.UTF_8))) {
-      for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-        keep(line);
+  private void readOutput(final Process source) {
+    try (BufferedReader reader =
+        new BufferedReader(new InputStreamReader(source.getInputStream(), StandardCharsets.UTF_8))) {
+      for (String line = reader.readLine(); line != null; line = reader.readLine()) {
+        appendOutput(line);
       }
-    } catch (final IOException ended) {
-      keep("output ended: " + ended.getMessage());
+    } catch (final IOException e) {
+      appendOutput("output ended: " + e.getMessage());
     }
   }
 
-  private void keep(final String line) {
+  private void appendOutput(final String line) {
     synchronized (output) {
       output.add(line);
-      if (output.size() > KEPT_LINES) {
+      if (output.size() > MAX_OUTPUT_LINES) {
         output.poll();
       }
     }
@@ -115,15 +115,15 @@
   /** Ends the process at once, as a crash does. */
   synchronized void kill() {
     if (process != null) {
-      disturbed();
+      disruptedBetween();
       process.destroyForcibly();
-      await();
+      awaitExit();
     }
   }
 
   /** Ends the process at once; it is not started again. */
-  synchronized void endForGood() {
-    over = true;
+  synchronized void shutdownNow() {
+    shutdown = true;
     resume();
     kill();
   }
@@ -135,17 +135,17 @@
     }
     resume();
     process.destroy();
-    if (!await()) {
-      disturbed();
+    if (!awaitExit()) {
+      disruptedBetween();
       process.destroyForcibly();
-      await();
+      awaitExit();
     }
   }
 
-  private boolean await() {
+  private boolean awaitExit() {
     try {
-      return process.waitFor(TERMINATION_SECONDS, TimeUnit.SECONDS);
-    } catch (final InterruptedException stopped) {
+      return process.waitFor(TERMINATION_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+    } catch (final InterruptedException e) {
       Thread.currentThread().interrupt();
       return false;
     }
@@ -153,55 +153,55 @@
 
   /** Freezes the process (SIGSTOP). */
   synchronized void pause() {
-    if (alive() && !paused) {
+    if (isAlive() && !paused) {
       paused = true;
-      disturbed();
+      disruptedBetween();
       signal("-STOP");
     }
   }
 
   /** Lets a frozen process go on (SIGCONT). */
   synchronized void resume() {
-    if (paused && alive()) {
+    if (paused && isAlive()) {
       signal("-CONT");
-      disturbed();
+      disruptedBetween();
     }
     paused = false;
   }
 
   /** Tells the process that its settings file has changed (SIGHUP). */
   synchronized void reload() {
-    if (alive()) {
+    if (isAlive()) {
       signal("-HUP");
     }
   }
 
-  private void disturbed() {
-    synchronized (disturbedAt) {
-      disturbedAt.add(Clock.millis());
+  private void disruptedBetween() {
+    synchronized (disruptionTimes) {
+      disruptionTimes.add(Clock.millis());
     }
   }
 
   /**
    * Whether the process was killed, frozen or woken in a span, in milliseconds of the steady clock.
    */
-  boolean disturbed(final long from, final long to) {
-    synchronized (disturbedAt) {
-      return disturbedAt.stream().anyMatch(at -> at >= from && at <= to);
+  boolean disruptedBetween(final long from, final long to) {
+    synchronized (disruptionTimes) {
+      return disruptionTimes.stream().anyMatch(at -> at >= from && at <= to);
     }
   }
 
   private void signal(final String signal) {
     try {
       new ProcessBuilder("kill", signal, Long.toString(process.pid())).start().waitFor();
-    } catch (final IOException problem) {
-      throw new UncheckedIOException("cannot signal " + name(), problem);
-    } catch (final InterruptedException stopped) {
+    } catch (final IOException e) {
+      throw new UncheckedIOException("cannot signal " + name(), e);
+    } catch (final InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  synchronized boolean alive() {
+  synchronized boolean isAlive() {
     return process != null && process.isAlive();
   }
 
--- a/soak/src/main/java/weldpoint/soak/Fault.java
+++ b/soak/src/main/java/weldpoint/soak/Fault.java
@@ -59,122 +59,122 @@
   /** One trouble that is in force. */
   interface ActiveFault {
     /** Takes the trouble back. */
-    void end();
+    void revert();
   }
 
-  private static final int DELAY_MILLIS = 150;
+  private static final int LINK_DELAY_MILLIS = 150;
 
   /** Less than a call's longest life and the setting ownership.late-ms together. */
   private static final int STALL_MILLIS = 1500;
 
-  private static final double DOUBLED_ANSWERS = 0.5;
-  private static final double TURNED_AWAY = 0.4;
+  private static final double DUPLICATED_RESPONSE_SHARE = 0.5;
+  private static final double REJECTED_SHARE_WHEN_FULL = 0.4;
 
   /** The share of requests that an upstream which holds keys turns away without any trouble. */
-  static final double USUALLY_TURNED_AWAY = 0.25;
+  static final double BASELINE_REJECTED_SHARE = 0.25;
 
-  private static final int[] IDLE_MILLIS = {400, 1000, 15_000};
+  private static final int[] IDLE_TIMEOUTS_MILLIS = {400, 1000, 15_000};
 
   /** Brings it about at a place that is drawn. */
-  ActiveFault begin(final LocalFleet fleet, final Random random) {
+  ActiveFault inject(final LocalFleet fleet, final Random random) {
     return switch (this) {
-      case PROXY_KILL -> killed(List.of(drawn(fleet.proxies(), random)));
-      case PROXY_RESTART -> terminated(drawn(fleet.proxies(), random));
-      case PROXY_FREEZE -> frozen(drawn(fleet.proxies(), random));
-      case REGISTRY_KILL -> killed(List.of(drawn(fleet.registries(), random)));
-      case REGISTRY_FREEZE -> frozen(drawn(fleet.registries(), random));
-      case STORE_KILL -> killed(List.of(drawn(fleet.stores(), random)));
-      case STORE_FREEZE -> frozen(drawn(fleet.stores(), random));
+      case PROXY_KILL -> kill(List.of(pick(fleet.proxies(), random)));
+      case PROXY_RESTART -> terminate(pick(fleet.proxies(), random));
+      case PROXY_FREEZE -> freeze(pick(fleet.proxies(), random));
+      case REGISTRY_KILL -> kill(List.of(pick(fleet.registries(), random)));
+      case REGISTRY_FREEZE -> freeze(pick(fleet.registries(), random));
+      case STORE_KILL -> kill(List.of(pick(fleet.stores(), random)));
+      case STORE_FREEZE -> freeze(pick(fleet.stores(), random));
       case MACHINE_KILL -> {
         final int machine = random.nextInt(fleet.stores().size());
-        yield killed(List.of(fleet.registries().get(machine), fleet.stores().get(machine)));
+        yield kill(List.of(fleet.registries().get(machine), fleet.stores().get(machine)));
       }
-      case ALL_REGISTRIES_KILL -> killed(fleet.registries());
+      case ALL_REGISTRIES_KILL -> kill(fleet.registries());
       case UPSTREAM_CUT -> {
-        final TcpRelay relay = drawn(fleet.relays(), random);
-        relay.cut(true);
-        yield () -> relay.cut(false);
+        final TcpRelay relay = pick(fleet.upstreamRelays(), random);
+        relay.blocked(true);
+        yield () -> relay.blocked(false);
       }
       case UPSTREAM_DELAY -> {
-        final TcpRelay relay = drawn(fleet.relays(), random);
-        relay.delayMillis(DELAY_MILLIS);
+        final TcpRelay relay = pick(fleet.upstreamRelays(), random);
+        relay.delayMillis(LINK_DELAY_MILLIS);
         yield () -> relay.delayMillis(0);
       }
       case ANSWERS_LOST -> {
-        final TcpRelay relay = drawn(fleet.relays(), random);
-        relay.dropAnswers(true);
-        yield () -> relay.dropAnswers(false);
+        final TcpRelay relay = pick(fleet.upstreamRelays(), random);
+        relay.closeOnResponse(true);
+        yield () -> relay.closeOnResponse(false);
       }
       case CORE_LINKS_CUT -> {
-        final List<TcpRelay> relays = machineRelays(fleet, random);
-        relays.forEach(relay -> relay.cut(true));
-        yield () -> relays.forEach(relay -> relay.cut(false));
+        final List<TcpRelay> relays = coreMachineRelays(fleet, random);
+        relays.forEach(relay -> relay.blocked(true));
+        yield () -> relays.forEach(relay -> relay.blocked(false));
       }
       case CORE_LINKS_DELAY -> {
-        final List<TcpRelay> relays = machineRelays(fleet, random);
-        relays.forEach(relay -> relay.delayMillis(DELAY_MILLIS));
+        final List<TcpRelay> relays = coreMachineRelays(fleet, random);
+        relays.forEach(relay -> relay.delayMillis(LINK_DELAY_MILLIS));
         yield () -> relays.forEach(relay -> relay.delayMillis(0));
       }
       case HOLDER_CUT -> {
-        if (fleet.keyRelays().isEmpty()) {
+        if (fleet.keyHolderRelays().isEmpty()) {
           yield () -> {};
         }
-        final TcpRelay relay = drawn(fleet.keyRelays(), random);
-        relay.cut(true);
-        yield () -> relay.cut(false);
+        final TcpRelay relay = pick(fleet.keyHolderRelays(), random);
+        relay.blocked(true);
+        yield () -> relay.blocked(false);
       }
       case HOLDER_DRAIN -> {
-        if (fleet.keyRelays().isEmpty()) {
+        if (fleet.keyHolderRelays().isEmpty()) {
           yield () -> {};
         }
-        final int holder = random.nextInt(fleet.keyRelays().size());
-        fleet.drain(holder);
-        yield () -> fleet.beginLife(holder);
+        final int leaseHolder = random.nextInt(fleet.keyHolderRelays().size());
+        fleet.drainKeyHolder(leaseHolder);
+        yield () -> fleet.restartKeyHolder(leaseHolder);
       }
       case ROLLING_RESTART -> {
-        final Thread restarts = new Thread(() -> restartAll(fleet), "rolling-restart");
+        final Thread restarts = new Thread(() -> restartAllProxies(fleet), "rolling-restart");
         restarts.setDaemon(true);
         restarts.start();
         yield () -> join(restarts);
       }
       case CONFIGURATION -> {
         fleet.sendNextConfiguration(
-            IDLE_MILLIS[random.nextInt(IDLE_MILLIS.length)], HomeRegions.drawn(random));
+            IDLE_TIMEOUTS_MILLIS[random.nextInt(IDLE_TIMEOUTS_MILLIS.length)], HomeRegions.pick(random));
         yield () -> {};
       }
-      case SECOND_COPIES -> doubled(List.of(drawn(fleet.upstreams(), random)));
-      case HOLDER_SECOND_COPIES -> doubled(fleet.keyHolders());
+      case SECOND_COPIES -> duplicateResponses(List.of(pick(fleet.upstreams(), random)));
+      case HOLDER_SECOND_COPIES -> duplicateResponses(fleet.keyHolders());
       case HOLDER_FULL -> {
         if (fleet.keyHolders().isEmpty()) {
           yield () -> {};
         }
-        final RecordingUpstream holder = drawn(fleet.keyHolders(), random);
-        holder.full(TURNED_AWAY);
-        yield () -> holder.full(USUALLY_TURNED_AWAY);
+        final RecordingUpstream leaseHolder = pick(fleet.keyHolders(), random);
+        leaseHolder.rejectedShare(REJECTED_SHARE_WHEN_FULL);
+        yield () -> leaseHolder.rejectedShare(BASELINE_REJECTED_SHARE);
       }
       case HOLDER_STALL -> {
         if (!fleet.keyHolders().isEmpty()) {
-          drawn(fleet.keyHolders(), random).stall(STALL_MILLIS);
+          pick(fleet.keyHolders(), random).stall(STALL_MILLIS);
         }
         yield () -> {};
       }
       case PROXY_RELOAD -> {
-        drawn(fleet.proxies(), random).reload();
+        pick(fleet.proxies(), random).reload();
         yield () -> {};
       }
       case LATE_FIRST_BEAT -> {
-        fleet.lateFirstBeat(random);
+        fleet.sendLateFirstHeartbeat(random);
         yield () -> {};
       }
     };
   }
 
-  private static List<TcpRelay> machineRelays(final LocalFleet fleet, final Random random) {
+  private static List<TcpRelay> coreMachineRelays(final LocalFleet fleet, final Random random) {
     final int machine = random.nextInt(fleet.stores().size());
     return fleet.coreRelays().subList(2 * machine, 2 * machine + 2);
   }
 
-  private static void restartAll(final LocalFleet fleet) {
+  private static void restartAllProxies(final LocalFleet fleet) {
     for (final DaemonProcess proxy : fleet.proxies()) {
       proxy.terminate();
       proxy.startIfDown();
@@ -184,31 +184,31 @@
   private static void join(final Thread thread) {
     try {
       thread.join();
-    } catch (final InterruptedException stopped) {
+    } catch (final InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private static <T> T drawn(final List<T> those, final Random random) {
-    return those.get(random.nextInt(those.size()));
+  private static <T> T pick(final List<T> candidates, final Random random) {
+    return candidates.get(random.nextInt(candidates.size()));
   }
 
-  private static ActiveFault doubled(final List<RecordingUpstream> upstreams) {
-    upstreams.forEach(upstream -> upstream.secondCopies(DOUBLED_ANSWERS));
-    return () -> upstreams.forEach(upstream -> upstream.secondCopies(0));
+  private static ActiveFault duplicateResponses(final List<RecordingUpstream> upstreams) {
+    upstreams.forEach(upstream -> upstream.duplicatedResponseShare(DUPLICATED_RESPONSE_SHARE));
+    return () -> upstreams.forEach(upstream -> upstream.duplicatedResponseShare(0));
   }
 
-  private static ActiveFault killed(final List<DaemonProcess> processes) {
+  private static ActiveFault kill(final List<DaemonProcess> processes) {
     processes.forEach(DaemonProcess::kill);
     return () -> processes.forEach(DaemonProcess::startIfDown);
   }
 
-  private static ActiveFault terminated(final DaemonProcess process) {
+  private static ActiveFault terminate(final DaemonProcess process) {
     process.terminate();
     return process::startIfDown;
   }
 
-  private static ActiveFault frozen(final DaemonProcess process) {
+  private static ActiveFault freeze(final DaemonProcess process) {
     process.pause();
     return process::resume;
   }
--- a/soak/src/main/java/weldpoint/soak/GrantedKeys.java
+++ b/soak/src/main/java/weldpoint/soak/GrantedKeys.java
@@ -10,57 +10,57 @@
  */
 final class GrantedKeys {
   /** How many keys there are. */
-  static final int KEYS = 65_536;
+  static final int KEY_COUNT = 65_536;
 
-  private static final int ACCEPTED = 200;
-  private static final int OVERTAKEN = 409;
-  private static final int MALFORMED = 400;
+  private static final int STATUS_OK = 200;
+  private static final int STATUS_STALE_FENCE = 409;
+  private static final int STATUS_BAD_REQUEST = 400;
 
-  private static final int MOST_SHOWN = 12;
+  private static final int MAX_EVENTS_SHOWN = 12;
 
   /**
    * A call that came: when its first byte was read and when it was counted, in milliseconds of the
    * steady clock.
    */
-  private record Event(String kind, int first, int last, long fence, long readAt, long countedAt) {
+  private record Event(String kind, int firstKey, int lastKey, long fence, long readAt, long appliedAt) {
     @Override
     public String toString() {
       return kind
           + " of keys "
-          + first
+          + firstKey
           + "-"
-          + last
+          + lastKey
           + " fence "
           + fence
           + " read at "
           + readAt
           + " counted at "
-          + countedAt;
+          + appliedAt;
     }
   }
 
   private final List<Event> events = new ArrayList<>();
-  private volatile String instance;
-  private final double slowness;
-  private final ExclusiveHolderChecker judge;
-  private final long[] until = new long[KEYS];
-  private final long[] fences = new long[KEYS];
-  private final int[] running = new int[KEYS];
+  private volatile String instanceId;
+  private final double clockFactor;
+  private final ExclusiveHolderChecker checker;
+  private final long[] expiresAt = new long[KEY_COUNT];
+  private final long[] fences = new long[KEY_COUNT];
+  private final int[] runningRequests = new int[KEY_COUNT];
 
   /**
    * Nothing is held yet.
    *
    * @param slowness how much longer than told a grant holds, as a factor
    */
-  GrantedKeys(final String instance, final double slowness, final ExclusiveHolderChecker judge) {
-    this.instance = instance;
-    this.slowness = slowness;
-    this.judge = judge;
-    judge.join(this);
+  GrantedKeys(final String instanceId, final double clockFactor, final ExclusiveHolderChecker checker) {
+    this.instanceId = instanceId;
+    this.clockFactor = clockFactor;
+    this.checker = checker;
+    checker.register(this);
   }
 
-  String instance() {
-    return instance;
+  String instanceId() {
+    return instanceId;
   }
 
   /**
@@ -69,41 +69,41 @@
    * @param readAt when the first byte of the call was read
    */
   synchronized int grant(
-      final int first, final int last, final long fence, final long holdMillis, final long readAt) {
-    final int status = grant(first, last, fence, holdMillis);
-    events.add(new Event("grant " + status, first, last, fence, readAt, Clock.millis()));
+      final int firstKey, final int lastKey, final long fence, final long holdMillis, final long readAt) {
+    final int status = grant(firstKey, lastKey, fence, holdMillis);
+    events.add(new Event("grant " + status, firstKey, lastKey, fence, readAt, Clock.millis()));
     return status;
   }
 
-  private int grant(final int first, final int last, final long fence, final long holdMillis) {
-    if (first < 0 || last >= KEYS || first > last || holdMillis <= 0) {
-      return MALFORMED;
+  private int grant(final int firstKey, final int lastKey, final long fence, final long holdMillis) {
+    if (firstKey < 0 || lastKey >= KEY_COUNT || firstKey > lastKey || holdMillis <= 0) {
+      return STATUS_BAD_REQUEST;
     }
-    for (int key = first; key <= last; key++) {
+    for (int key = firstKey; key <= lastKey; key++) {
       if (fences[key] > fence) {
-        return OVERTAKEN;
+        return STATUS_STALE_FENCE;
       }
     }
-    final long end = Clock.millis() + (long) (holdMillis * slowness);
-    for (int key = first; key <= last; key++) {
+    final long expiry = Clock.millis() + (long) (holdMillis * clockFactor);
+    for (int key = firstKey; key <= lastKey; key++) {
       fences[key] = fence;
-      until[key] = end;
+      expiresAt[key] = expiry;
     }
-    return ACCEPTED;
+    return STATUS_OK;
   }
 
   /** Stops new work on these keys, waits for what is under way, and gives the handover's token. */
-  synchronized String release(final int first, final int last, final long fence, final long readAt)
+  synchronized String release(final int firstKey, final int lastKey, final long fence, final long readAt)
       throws InterruptedException {
-    events.add(new Event("release", first, last, fence, readAt, Clock.millis()));
-    for (int key = first; key <= last; key++) {
-      until[key] = 0;
+    events.add(new Event("release", firstKey, lastKey, fence, readAt, Clock.millis()));
+    for (int key = firstKey; key <= lastKey; key++) {
+      expiresAt[key] = 0;
       fences[key] = Math.max(fences[key], fence);
     }
-    while (busy(first, last)) {
+    while (hasRunningRequests(firstKey, lastKey)) {
       wait();
     }
-    events.add(new Event("released", first, last, fence, readAt, Clock.millis()));
+    events.add(new Event("released", firstKey, lastKey, fence, readAt, Clock.millis()));
     return UUID.randomUUID().toString();
   }
 
@@ -111,15 +111,15 @@
   private List<String> history(final int key) {
     final List<String> all =
         events.stream()
-            .filter(event -> event.first <= key && key <= event.last)
-            .map(event -> instance + " " + event)
+            .filter(event -> event.firstKey <= key && key <= event.lastKey)
+            .map(event -> instanceId + " " + event)
             .toList();
-    return all.subList(Math.max(0, all.size() - MOST_SHOWN), all.size());
+    return all.subList(Math.max(0, all.size() - MAX_EVENTS_SHOWN), all.size());
   }
 
-  private boolean busy(final int first, final int last) {
-    for (int key = first; key <= last; key++) {
-      if (running[key] > 0) {
+  private boolean hasRunningRequests(final int firstKey, final int lastKey) {
+    for (int key = firstKey; key <= lastKey; key++) {
+      if (runningRequests[key] > 0) {
         return true;
       }
     }
@@ -127,35 +127,35 @@
   }
 
   /** Begins work on a key, if it is held; whether anybody else holds it is judged with that. */
-  boolean begin(final int key) {
-    synchronized (judge) {
+  boolean tryBegin(final int key) {
+    synchronized (checker) {
       final long now = Clock.millis();
       if (!holds(key, now)) {
         return false;
       }
-      running[key]++;
-      judge.began(this, key, now);
+      runningRequests[key]++;
+      checker.checkExclusive(this, key, now);
       return true;
     }
   }
 
   /** Work on a key has ended. */
-  void end(final int key) {
-    synchronized (judge) {
-      running[key]--;
-      judge.notifyAll();
+  void finish(final int key) {
+    synchronized (checker) {
+      runningRequests[key]--;
+      checker.notifyAll();
     }
   }
 
   private boolean holds(final int key, final long now) {
-    return key >= 0 && key < KEYS && now < until[key];
+    return key >= 0 && key < KEY_COUNT && now < expiresAt[key];
   }
 
   /** The process ends with all that it held, and another life begins, which holds nothing. */
-  void beginLife(final String id) {
-    synchronized (judge) {
-      instance = id;
-      java.util.Arrays.fill(until, 0);
+  void restartAs(final String newInstanceId) {
+    synchronized (checker) {
+      instanceId = newInstanceId;
+      java.util.Arrays.fill(expiresAt, 0);
       java.util.Arrays.fill(fences, 0);
     }
   }
@@ -166,42 +166,42 @@
    * with what the others hold at that very moment, however busy the machine is.
    */
   static final class ExclusiveHolderChecker {
-    private final List<GrantedKeys> all = new ArrayList<>();
-    private final List<String> broken = new ArrayList<>();
+    private final List<GrantedKeys> holders = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
 
-    private synchronized void join(final GrantedKeys one) {
-      all.add(one);
+    private synchronized void register(final GrantedKeys holder) {
+      holders.add(holder);
     }
 
-    private void began(final GrantedKeys one, final int key, final long now) {
-      for (final GrantedKeys other : all) {
-        if (other != one && other.holds(key, now)) {
-          broken.add(now + " two holders: " + evidence(key, one, other));
+    private void checkExclusive(final GrantedKeys holder, final int key, final long now) {
+      for (final GrantedKeys other : holders) {
+        if (other != holder && other.holds(key, now)) {
+          violations.add(now + " two holders: " + describeConflict(key, holder, other));
         }
       }
     }
 
-    private static String evidence(final int key, final GrantedKeys one, final GrantedKeys other) {
+    private static String describeConflict(final int key, final GrantedKeys holder, final GrantedKeys other) {
       final List<String> lines = new ArrayList<>();
       lines.add(
           "key "
               + key
               + " is held by "
-              + one.instance
+              + holder.instanceId
               + " until "
-              + one.until[key]
+              + holder.expiresAt[key]
               + " and by "
-              + other.instance
+              + other.instanceId
               + " until "
-              + other.until[key]);
-      lines.addAll(one.history(key));
+              + other.expiresAt[key]);
+      lines.addAll(holder.history(key));
       lines.addAll(other.history(key));
       return String.join("\n    ", lines);
     }
 
     /** What was seen. */
-    synchronized List<String> broken() {
-      return new ArrayList<>(broken);
+    synchronized List<String> violations() {
+      return new ArrayList<>(violations);
     }
   }
 }
--- a/soak/src/main/java/weldpoint/soak/HomeRegions.java
+++ b/soak/src/main/java/weldpoint/soak/HomeRegions.java
@@ -11,36 +11,36 @@
  */
 record HomeRegions(List<String> route, List<String> tenant) {
   /** The region of two zones of three. */
-  static final String NEAR = "home";
+  static final String MAIN_REGION = "home";
 
   /** The region of the third zone. */
-  static final String FAR = "away";
+  static final String REMOTE_REGION = "away";
 
   /** No homes. */
-  static final HomeRegions NONE = new HomeRegions(List.of(), List.of());
+  static final HomeRegions UNRESTRICTED = new HomeRegions(List.of(), List.of());
 
-  private static final List<List<String>> CHOICES =
-      List.of(List.of(), List.of(NEAR), List.of(FAR), List.of(NEAR, FAR));
+  private static final List<List<String>> REGION_LISTS =
+      List.of(List.of(), List.of(MAIN_REGION), List.of(REMOTE_REGION), List.of(MAIN_REGION, REMOTE_REGION));
 
   /** Homes that are drawn. */
-  static HomeRegions drawn(final Random random) {
+  static HomeRegions pick(final Random random) {
     return new HomeRegions(
-        CHOICES.get(random.nextInt(CHOICES.size())), CHOICES.get(random.nextInt(CHOICES.size())));
+        REGION_LISTS.get(random.nextInt(REGION_LISTS.size())), REGION_LISTS.get(random.nextInt(REGION_LISTS.size())));
   }
 
   /** The region of the zone of this number. */
-  static String region(final int zone) {
-    return zone == 2 ? FAR : NEAR;
+  static String regionOfZone(final int zone) {
+    return zone == 2 ? REMOTE_REGION : MAIN_REGION;
   }
 
   /** Whether both allow a region. */
-  boolean allow(final String region) {
+  boolean allows(final String region) {
     return (route.isEmpty() || route.contains(region))
         && (tenant.isEmpty() || tenant.contains(region));
   }
 
   /** Regions as JSON. */
-  static String json(final List<String> regions) {
+  static String toJson(final List<String> regions) {
     return regions.isEmpty() ? "[]" : "[\"" + String.join("\",\"", regions) + "\"]";
   }
 
@@ -51,5 +51,5 @@
    * @param sentAt when it was sent first, in milliseconds of the steady clock
    * @param acknowledgedAt when it was acknowledged; {@link Long#MAX_VALUE} where it was not
    */
-  record Change(int version, HomeRegions homes, long sentAt, long acknowledgedAt) {}
+  record Change(int version, HomeRegions homeRegions, long sentAt, long acknowledgedAt) {}
 }
--- a/soak/src/main/java/weldpoint/soak/HttpCaller.java
+++ b/soak/src/main/java/weldpoint/soak/HttpCaller.java
@@ -10,7 +10,7 @@
 
 /** A client that sends one request over a connection of its own and never sends it again. */
 final class HttpCaller {
-  private static final int CONNECT_MILLIS = 1000;
+  private static final int CONNECT_TIMEOUT_MILLIS = 1000;
 
   private HttpCaller() {}
 
@@ -27,7 +27,7 @@
       socket.connect(
           new InetSocketAddress(
               address.substring(0, colon), Integer.parseInt(address.substring(colon + 1))),
-          CONNECT_MILLIS);
+          CONNECT_TIMEOUT_MILLIS);
       socket.setSoTimeout(timeoutMillis);
       final byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
       final StringBuilder head = new StringBuilder();
@@ -38,7 +38,7 @@
       socket.getOutputStream().write(bytes);
       socket.getOutputStream().flush();
       return read(socket.getInputStream());
-    } catch (final IOException unanswered) {
+    } catch (final IOException e) {
       return ClientReply.NONE;
     }
   }
--- a/soak/src/main/java/weldpoint/soak/LocalFleet.java
+++ b/soak/src/main/java/weldpoint/soak/LocalFleet.java
@@ -31,36 +31,36 @@
   static final String READ_PATH = "/look/";
 
   /** A route to the service that is divided by key. */
-  static final String SHELF_PATH = "/shelf/";
+  static final String PARTITIONED_READ_PATH = "/shelf/";
 
   /** A route to the divided service whose requests run at most once. */
-  static final String SHELF_WRITE_PATH = "/stock/";
+  static final String PARTITIONED_WRITE_PATH = "/stock/";
 
   /** A route whose home regions change. */
-  static final String HOMED_PATH = "/deed/";
+  static final String REGION_BOUND_PATH = "/deed/";
 
   /** A route of large answers. */
-  static final String SHEET_PATH = "/sheet/";
+  static final String LARGE_DOWNLOAD_PATH = "/sheet/";
 
   /** The service that is divided by key. */
-  static final String SHELF = "shelf";
+  static final String PARTITIONED_SERVICE = "shelf";
 
-  private static final double SLOW_CLOCK = 1.02;
+  private static final double SLOW_CLOCK_FACTOR = 1.02;
   private static final int ZONES = 3;
 
   /** The upstreams' service. */
   static final String SERVICE = "desk";
 
-  private static final long START_MILLIS = 60_000;
-  private static final long PAUSE_MILLIS = 100;
-  private static final int BEAT_MILLIS = 1000;
-  private static final int CALL_MILLIS = 2000;
-  private static final int TRAFFIC_PORT = 0;
-  private static final int CONTROL_PORT = 0;
-  private static final int REGISTRY_PORT = 1;
-  private static final int STORE_PORT = 2;
-  private static final int READINESS_PORT = 12;
-  private static final int METRICS_PORT = 13;
+  private static final long START_TIMEOUT_MILLIS = 60_000;
+  private static final long POLL_INTERVAL_MILLIS = 100;
+  private static final int HEARTBEAT_INTERVAL_MILLIS = 1000;
+  private static final int CALL_TIMEOUT_MILLIS = 2000;
+  private static final int TRAFFIC_PORT_OFFSET = 0;
+  private static final int CONTROL_PORT_OFFSET = 0;
+  private static final int REGISTRY_PORT_OFFSET = 1;
+  private static final int STORE_PORT_OFFSET = 2;
+  private static final int READINESS_PORT_OFFSET = 12;
+  private static final int METRICS_PORT_OFFSET = 13;
 
   /**
    * How large a fleet is.
@@ -77,7 +77,7 @@
   }
 
   private final Size size;
-  private final int port;
+  private final int basePort;
   private final Path folder;
   private final RecordingUpstream.Records records =
       new RecordingUpstream.Records(new ConcurrentLinkedQueue<>(), new ConcurrentHashMap<>());
@@ -85,73 +85,73 @@
   private final List<DaemonProcess> registries = new ArrayList<>();
   private final List<DaemonProcess> proxies = new ArrayList<>();
   private final List<RecordingUpstream> upstreams = new ArrayList<>();
-  private final List<TcpRelay> relays = new ArrayList<>();
+  private final List<TcpRelay> upstreamRelays = new ArrayList<>();
   private final List<RecordingUpstream> keyHolders = new ArrayList<>();
   private final List<TcpRelay> coreRelays = new ArrayList<>();
-  private final List<TcpRelay> keyRelays = new ArrayList<>();
-  private final GrantedKeys.ExclusiveHolderChecker holderJudge =
+  private final List<TcpRelay> keyHolderRelays = new ArrayList<>();
+  private final GrantedKeys.ExclusiveHolderChecker holderChecker =
       new GrantedKeys.ExclusiveHolderChecker();
-  private final Map<Integer, Integer> lives = new ConcurrentHashMap<>();
-  private final java.util.concurrent.atomic.AtomicInteger versions =
+  private final Map<Integer, Integer> incarnations = new ConcurrentHashMap<>();
+  private final java.util.concurrent.atomic.AtomicInteger lastVersion =
       new java.util.concurrent.atomic.AtomicInteger(1);
   private final java.util.Set<Integer> draining = ConcurrentHashMap.newKeySet();
-  private final ConcurrentLinkedQueue<HomeRegions.Change> homeChanges =
+  private final ConcurrentLinkedQueue<HomeRegions.Change> homeRegionChanges =
       new ConcurrentLinkedQueue<>(
-          List.of(new HomeRegions.Change(1, HomeRegions.NONE, Long.MIN_VALUE, Long.MIN_VALUE)));
-  private final AtomicLong beats = new AtomicLong();
-  private final AtomicLong calls = new AtomicLong();
-  private final ScheduledExecutorService clock =
-      Executors.newScheduledThreadPool(3, LocalFleet::daemon);
+          List.of(new HomeRegions.Change(1, HomeRegions.UNRESTRICTED, Long.MIN_VALUE, Long.MIN_VALUE)));
+  private final AtomicLong heartbeatCount = new AtomicLong();
+  private final AtomicLong attemptCount = new AtomicLong();
+  private final ScheduledExecutorService scheduler =
+      Executors.newScheduledThreadPool(3, LocalFleet::daemonThread);
 
   LocalFleet(final Size size, final long seed) throws IOException {
     this.size = size;
-    this.port = 20_000 + new Random(seed ^ System.nanoTime()).nextInt(1000) * 20;
+    this.basePort = 20_000 + new Random(seed ^ System.nanoTime()).nextInt(1000) * 20;
     this.folder = Files.createTempDirectory("weldpoint-soak");
     for (int index = 0; index < size.cores(); index++) {
-      final String address = core(index);
-      final String bound = "127.9.11." + (1 + index);
-      final String disk =
+      final String address = coreHost(index);
+      final String boundHost = "127.9.11." + (1 + index);
+      final String coreSettings =
           "station.folder = "
               + folder.resolve("disk-" + index)
               + "\nstation.bind = "
-              + bound
+              + boundHost
               + "\n";
-      coreRelays.add(coreRelay(address, bound, REGISTRY_PORT));
-      coreRelays.add(coreRelay(address, bound, STORE_PORT));
-      stores.add(process("frame", address, index, disk));
+      coreRelays.add(coreRelay(address, boundHost, REGISTRY_PORT_OFFSET));
+      coreRelays.add(coreRelay(address, boundHost, STORE_PORT_OFFSET));
+      stores.add(newProcess("frame", address, index, coreSettings));
       registries.add(
-          process(
+          newProcess(
               "exchange",
               address,
               index,
-              disk + "listen.control = " + address + ":" + (port + CONTROL_PORT) + "\n"));
+              coreSettings + "listen.control = " + address + ":" + (basePort + CONTROL_PORT_OFFSET) + "\n"));
     }
     for (int index = 0; index < size.proxies(); index++) {
       proxies.add(
-          process(
+          newProcess(
               "switchboard",
               proxyHost(index),
               index,
               "listen.traffic = "
-                  + proxy(index)
+                  + proxyAddress(index)
                   + "\nlisten.readiness = "
-                  + readiness(index)
+                  + readinessAddress(index)
                   + "\n"));
     }
     for (int index = 0; index < size.upstreams(); index++) {
       final String host = "127.9.4." + (1 + index);
-      upstreams.add(new RecordingUpstream("i-" + index, host, port, records, seed * 31 + index));
-      relays.add(new TcpRelay("127.9.3." + (1 + index), port, new InetSocketAddress(host, port)));
+      upstreams.add(new RecordingUpstream("i-" + index, host, basePort, records, seed * 31 + index));
+      upstreamRelays.add(new TcpRelay("127.9.3." + (1 + index), basePort, new InetSocketAddress(host, basePort)));
     }
     keyHolders(seed);
   }
 
   /** Bytes from any daemon to an inner port of a core machine pass through it. */
-  private TcpRelay coreRelay(final String told, final String bound, final int offset)
+  private TcpRelay coreRelay(final String advertisedHost, final String boundHost, final int offset)
       throws IOException {
     final TcpRelay relay =
-        new TcpRelay(told, port + offset, new InetSocketAddress(bound, port + offset));
-    relay.loseHeld(true);
+        new TcpRelay(advertisedHost, basePort + offset, new InetSocketAddress(boundHost, basePort + offset));
+    relay.closeAfterBlock(true);
     return relay;
   }
 
@@ -164,13 +164,13 @@
     for (int index = 0; index < size.keyHolders(); index++) {
       final String host = "127.9.6." + (1 + index);
       final GrantedKeys keys =
-          new GrantedKeys("k-" + index, index % 2 == 0 ? SLOW_CLOCK : 1, holderJudge);
+          new GrantedKeys("k-" + index, index % 2 == 0 ? SLOW_CLOCK_FACTOR : 1, holderChecker);
       keyHolders.add(
-          new RecordingUpstream("k-" + index, host, port, records, seed * 37 + index, keys));
+          new RecordingUpstream("k-" + index, host, basePort, records, seed * 37 + index, keys));
       final TcpRelay relay =
-          new TcpRelay("127.9.5." + (1 + index), port, new InetSocketAddress(host, port));
-      relay.loseHeld(true);
-      keyRelays.add(relay);
+          new TcpRelay("127.9.5." + (1 + index), basePort, new InetSocketAddress(host, basePort));
+      relay.closeAfterBlock(true);
+      keyHolderRelays.add(relay);
     }
   }
 
@@ -180,31 +180,31 @@
   }
 
   /** The relays before them. */
-  List<TcpRelay> keyRelays() {
-    return keyRelays;
+  List<TcpRelay> keyHolderRelays() {
+    return keyHolderRelays;
   }
 
   /** What was seen of two upstreams that held one key. */
-  List<String> twoHolders() {
-    return holderJudge.broken();
+  List<String> holderConflicts() {
+    return holderChecker.violations();
   }
 
   /** A holder of keys tells from now on that it leaves. */
-  void drain(final int keyHolder) {
+  void drainKeyHolder(final int keyHolder) {
     draining.add(keyHolder);
-    beatHolder(keyHolder);
+    sendKeyHolderHeartbeat(keyHolder);
   }
 
   /** A holder of keys ends, and another life of it begins at its address. */
-  void beginLife(final int keyHolder) {
-    final int life = lives.merge(keyHolder, 1, Integer::sum);
-    keyHolders.get(keyHolder).beginLife(holderId(keyHolder, life));
+  void restartKeyHolder(final int keyHolder) {
+    final int incarnation = incarnations.merge(keyHolder, 1, Integer::sum);
+    keyHolders.get(keyHolder).restartAs(keyHolderId(keyHolder, incarnation));
     draining.remove(keyHolder);
-    beatHolder(keyHolder);
+    sendKeyHolderHeartbeat(keyHolder);
   }
 
-  private static String holderId(final int keyHolder, final int life) {
-    return "k-" + keyHolder + (life == 0 ? "" : "-" + life);
+  private static String keyHolderId(final int keyHolder, final int incarnation) {
+    return "k-" + keyHolder + (incarnation == 0 ? "" : "-" + incarnation);
   }
 
   /**
@@ -212,62 +212,62 @@
    *
    * @param idleMillis how long a connection of a client may rest
    */
-  void sendNextConfiguration(final int idleMillis, final HomeRegions homes) {
-    final int version = versions.incrementAndGet();
+  void sendNextConfiguration(final int idleTimeoutMillis, final HomeRegions homeRegions) {
+    final int version = lastVersion.incrementAndGet();
     final long sentAt = Clock.millis();
-    homeChanges.add(new HomeRegions.Change(version, homes, sentAt, Long.MAX_VALUE));
-    clock.execute(
+    homeRegionChanges.add(new HomeRegions.Change(version, homeRegions, sentAt, Long.MAX_VALUE));
+    scheduler.execute(
         () -> {
-          final String body = Workload.configuration(version, idleMillis, homes);
-          if (control(version, "configuration.replace", body).status() == 200) {
-            homeChanges.add(new HomeRegions.Change(version, homes, sentAt, Clock.millis()));
+          final String body = Workload.configuration(version, idleTimeoutMillis, homeRegions);
+          if (callRegistry(version, "configuration.replace", body).status() == 200) {
+            homeRegionChanges.add(new HomeRegions.Change(version, homeRegions, sentAt, Clock.millis()));
           }
         });
   }
 
   /** The configurations that were sent; one that was acknowledged stands twice. */
-  List<HomeRegions.Change> homeChanges() {
-    return new ArrayList<>(homeChanges);
+  List<HomeRegions.Change> homeRegionChanges() {
+    return new ArrayList<>(homeRegionChanges);
   }
 
   /** The region of a stand-in upstream that is not divided by key. */
   static String regionOf(final String instance) {
-    return HomeRegions.region(
+    return HomeRegions.regionOfZone(
         Integer.parseInt(instance.substring(instance.indexOf('-') + 1)) % ZONES);
   }
 
   /** The first beat of a life that has ended comes from the address of a drawn upstream. */
-  void lateFirstBeat(final Random random) {
-    final String id = "late-" + beats.incrementAndGet();
+  void sendLateFirstHeartbeat(final Random random) {
+    final String id = "late-" + heartbeatCount.incrementAndGet();
     final int registry = random.nextInt(size.cores());
     final int index = random.nextInt(size.upstreams() + size.keyHolders());
     if (index < size.upstreams()) {
-      clock.execute(() -> beat(registry, id, SERVICE, "127.9.3." + (1 + index), index, "ready", 1));
+      scheduler.execute(() -> sendHeartbeat(registry, id, SERVICE, "127.9.3." + (1 + index), index, "ready", 1));
     } else {
-      final int holder = index - size.upstreams();
-      clock.execute(() -> beat(registry, id, SHELF, "127.9.5." + (1 + holder), holder, "ready", 1));
+      final int keyHolder = index - size.upstreams();
+      scheduler.execute(() -> sendHeartbeat(registry, id, PARTITIONED_SERVICE, "127.9.5." + (1 + keyHolder), keyHolder, "ready", 1));
     }
   }
 
-  private int beatHolder(final int index) {
-    final long number = beats.incrementAndGet();
-    return beat(
-        (int) (number % size.cores()),
-        holderId(index, lives.getOrDefault(index, 0)),
-        SHELF,
+  private int sendKeyHolderHeartbeat(final int index) {
+    final long sequence = heartbeatCount.incrementAndGet();
+    return sendHeartbeat(
+        (int) (sequence % size.cores()),
+        keyHolderId(index, incarnations.getOrDefault(index, 0)),
+        PARTITIONED_SERVICE,
         "127.9.5." + (1 + index),
         index,
         draining.contains(index) ? "draining" : "ready",
-        number);
+        sequence);
   }
 
-  private static Thread daemon(final Runnable task) {
+  private static Thread daemonThread(final Runnable task) {
     final Thread thread = new Thread(task, "fleet");
     thread.setDaemon(true);
     return thread;
   }
 
-  private static String core(final int index) {
+  private static String coreHost(final int index) {
     return "127.9.1." + (1 + index);
   }
 
@@ -276,24 +276,24 @@
   }
 
   /** The address at which a proxy takes requests. */
-  String proxy(final int index) {
-    return proxyHost(index) + ":" + (port + TRAFFIC_PORT);
+  String proxyAddress(final int index) {
+    return proxyHost(index) + ":" + (basePort + TRAFFIC_PORT_OFFSET);
   }
 
-  private String readiness(final int index) {
-    return proxyHost(index) + ":" + (port + READINESS_PORT);
+  private String readinessAddress(final int index) {
+    return proxyHost(index) + ":" + (basePort + READINESS_PORT_OFFSET);
   }
 
   /** The address at which a registry takes control calls. */
-  String control(final int index) {
-    return core(index % size.cores()) + ":" + (port + CONTROL_PORT);
+  String callRegistry(final int index) {
+    return coreHost(index % size.cores()) + ":" + (basePort + CONTROL_PORT_OFFSET);
   }
 
-  private DaemonProcess process(
-      final String program, final String address, final int index, final String extra) {
+  private DaemonProcess newProcess(
+      final String program, final String address, final int index, final String extraSettings) {
     final StringBuilder seeds = new StringBuilder();
     for (int core = 0; core < Math.min(3, size.cores()); core++) {
-      seeds.append(core == 0 ? "" : ",").append(control(core));
+      seeds.append(core == 0 ? "" : ",").append(callRegistry(core));
     }
     final String settings =
         "station.name = "
@@ -303,33 +303,33 @@
             + "\nstation.site = zone-"
             + index % ZONES
             + "\nstation.region = "
-            + HomeRegions.region(index % ZONES)
+            + HomeRegions.regionOfZone(index % ZONES)
             + "\nstation.voter = true\nstation.first-start = true\n"
             + "trunk.ports = "
-            + (port + 1)
+            + (basePort + 1)
             + ","
-            + (port + 10)
+            + (basePort + 10)
             + "\ntrunk.seeds = "
             + seeds
             + "\nsites = zone-0:home,zone-1:home,zone-2:away\nbeat.every-ms = "
-            + BEAT_MILLIS
+            + HEARTBEAT_INTERVAL_MILLIS
             + "\nbound.quota-window-s = 5\nbound.quota-overshoot = 0.1\n"
             + "bound.quota-tolerance = 20\nstation.link-mbps = 20\nmetrics.port = "
-            + (port + METRICS_PORT)
+            + (basePort + METRICS_PORT_OFFSET)
             + "\n"
-            + extra;
+            + extraSettings;
     try {
       final Path file = folder.resolve(program + "-" + index);
       Files.writeString(file, settings);
       return new DaemonProcess(program, address, file);
-    } catch (final IOException problem) {
-      throw new UncheckedIOException("cannot write settings", problem);
+    } catch (final IOException e) {
+      throw new UncheckedIOException("cannot write settings", e);
     }
   }
 
   /** Kills the processes of an interrupted run. */
   private void killAll() {
-    all().forEach(DaemonProcess::endForGood);
+    daemons().forEach(DaemonProcess::shutdownNow);
   }
 
   /** Starts all processes, gives them a configuration and waits until all proxies are ready. */
@@ -338,101 +338,101 @@
     stores.forEach(DaemonProcess::start);
     registries.forEach(DaemonProcess::start);
     proxies.forEach(DaemonProcess::start);
-    final long deadline = Clock.millis() + START_MILLIS;
+    final long deadline = Clock.millis() + START_TIMEOUT_MILLIS;
     replaceConfiguration(configuration, deadline);
     for (int index = 0; index < size.upstreams(); index++) {
-      while (beat(index) != 200) {
-        pause(deadline, "no beat of upstream " + index + " was acknowledged");
+      while (sendHeartbeat(index) != 200) {
+        pauseUntil(deadline, "no beat of upstream " + index + " was acknowledged");
       }
     }
     for (int index = 0; index < size.keyHolders(); index++) {
-      while (beatHolder(index) != 200) {
-        pause(deadline, "no beat of key holder " + index + " was acknowledged");
+      while (sendKeyHolderHeartbeat(index) != 200) {
+        pauseUntil(deadline, "no beat of key holder " + index + " was acknowledged");
       }
     }
-    clock.scheduleAtFixedRate(this::beatAll, BEAT_MILLIS, BEAT_MILLIS, TimeUnit.MILLISECONDS);
+    scheduler.scheduleAtFixedRate(this::sendHeartbeats, HEARTBEAT_INTERVAL_MILLIS, HEARTBEAT_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     for (int index = 0; index < size.proxies(); index++) {
-      while (!ready(index)) {
-        pause(deadline, "proxy " + index + " is not ready");
+      while (!isReady(index)) {
+        pauseUntil(deadline, "proxy " + index + " is not ready");
       }
     }
-    Thread.sleep(BEAT_MILLIS);
+    Thread.sleep(HEARTBEAT_INTERVAL_MILLIS);
   }
 
-  private void pause(final long deadline, final String problem) throws InterruptedException {
+  private void pauseUntil(final long deadline, final String problem) throws InterruptedException {
     if (Clock.millis() > deadline) {
-      throw new IllegalStateException(problem + " after " + START_MILLIS + " ms");
+      throw new IllegalStateException(problem + " after " + START_TIMEOUT_MILLIS + " ms");
     }
-    Thread.sleep(PAUSE_MILLIS);
+    Thread.sleep(POLL_INTERVAL_MILLIS);
   }
 
   /** Sends a configuration until it is acknowledged. */
   void replaceConfiguration(final String configuration, final long deadline)
       throws InterruptedException {
-    for (int tries = 0; ; tries++) {
-      if (control(tries, "configuration.replace", configuration).status() == 200) {
+    for (int attempt = 0; ; attempt++) {
+      if (callRegistry(attempt, "configuration.replace", configuration).status() == 200) {
         return;
       }
-      pause(deadline, "no configuration was acknowledged");
+      pauseUntil(deadline, "no configuration was acknowledged");
     }
   }
 
   /** The figures of a registry as Prometheus text; empty where it does not answer. */
-  String registryFigures(final int registry) {
-    return figures(core(registry) + ":" + (port + METRICS_PORT + 1));
+  String registryMetrics(final int registry) {
+    return fetchMetrics(coreHost(registry) + ":" + (basePort + METRICS_PORT_OFFSET + 1));
   }
 
   /** The figures of a proxy as Prometheus text; empty where it does not answer. */
-  String proxyFigures(final int proxy) {
-    return figures(proxyHost(proxy) + ":" + (port + METRICS_PORT));
+  String proxyMetrics(final int proxy) {
+    return fetchMetrics(proxyHost(proxy) + ":" + (basePort + METRICS_PORT_OFFSET));
   }
 
-  private static String figures(final String address) {
-    return HttpCaller.call(address, "GET", "/metrics", Map.of("Host", address), "", CALL_MILLIS)
+  private static String fetchMetrics(final String address) {
+    return HttpCaller.call(address, "GET", "/metrics", Map.of("Host", address), "", CALL_TIMEOUT_MILLIS)
         .body();
   }
 
   /** Makes one call of the control interface. */
-  ClientReply control(final int registry, final String call, final String body) {
+  ClientReply callRegistry(final int registry, final String call, final String body) {
     return HttpCaller.call(
-        control(registry),
+        callRegistry(registry),
         "POST",
         "/api/rpc?call=" + call,
-        Map.of("Host", control(registry)),
+        Map.of("Host", callRegistry(registry)),
         body,
-        CALL_MILLIS);
+        CALL_TIMEOUT_MILLIS);
   }
 
-  private void beatAll() {
+  private void sendHeartbeats() {
     for (int index = 0; index < size.upstreams(); index++) {
-      beat(index);
+      sendHeartbeat(index);
     }
     for (int index = 0; index < size.keyHolders(); index++) {
-      beatHolder(index);
+      sendKeyHolderHeartbeat(index);
     }
   }
 
-  private int beat(final int index) {
-    final long number = beats.incrementAndGet();
-    return beat(
-        (int) (number % size.cores()),
+  private int sendHeartbeat(final int index) {
+    final long sequence = heartbeatCount.incrementAndGet();
+    return sendHeartbeat(
+        (int) (sequence % size.cores()),
         "i-" + index,
         SERVICE,
         "127.9.3." + (1 + index),
         index,
         "ready",
-        number);
+        sequence);
   }
 
-  private int beat(
+  private int sendHeartbeat(
       final int registry,
       final String instance,
       final String service,
       final String host,
       final int index,
       final String state,
-      final long number) {
-    return control(
+      final long sequence) {
+    return callRegistry(
             registry,
             "instances.heartbeat&of=" + instance,
             "{\"service\":\""
@@ -440,32 +440,32 @@
                 + "\",\"address\":\""
                 + host
                 + ":"
-                + port
+                + basePort
                 + "\",\"zone\":\"zone-"
                 + index % ZONES
                 + "\",\"version\":\"v1\",\"capacity\":64,\"state\":\""
                 + state
                 + "\",\"warmupLeftMs\":0,\"callSeq\":"
-                + number
+                + sequence
                 + "}")
         .status();
   }
 
-  private boolean ready(final int index) {
+  private boolean isReady(final int index) {
     return HttpCaller.call(
-                readiness(index),
+                readinessAddress(index),
                 "GET",
                 "/api/readiness",
-                Map.of("Host", readiness(index)),
+                Map.of("Host", readinessAddress(index)),
                 "",
-                CALL_MILLIS)
+                CALL_TIMEOUT_MILLIS)
             .status()
         == 200;
   }
 
   /** An attempt id that no other request of this fleet bears. */
   String attemptId() {
-    return String.format("%016x", calls.incrementAndGet());
+    return String.format("%016x", attemptCount.incrementAndGet());
   }
 
   /** Sends a request to a proxy; {@code key} and {@code apiKey} may be empty. */
@@ -487,20 +487,20 @@
       headers.put("Authorization", "Bearer " + apiKey);
     }
     return HttpCaller.call(
-        proxy(proxy), "POST", path, headers, "a booking", deadlineMillis + CALL_MILLIS);
+        proxyAddress(proxy), "POST", path, headers, "a booking", deadlineMillis + CALL_TIMEOUT_MILLIS);
   }
 
   /** Sends a request for a key of the divided service to a proxy. */
-  ClientReply shelfRequest(final int proxy, final String attemptId, final String shardKey) {
-    return shelfCall(proxy, "GET", SHELF_PATH, attemptId, shardKey);
+  ClientReply partitionedRead(final int proxy, final String attemptId, final String shardKey) {
+    return partitionedCall(proxy, "GET", PARTITIONED_READ_PATH, attemptId, shardKey);
   }
 
   /** Sends a request that changes a key of the divided service, and may run at most once. */
-  ClientReply shelfWrite(final int proxy, final String attemptId, final String shardKey) {
-    return shelfCall(proxy, "POST", SHELF_WRITE_PATH, attemptId, shardKey);
+  ClientReply partitionedWrite(final int proxy, final String attemptId, final String shardKey) {
+    return partitionedCall(proxy, "POST", PARTITIONED_WRITE_PATH, attemptId, shardKey);
   }
 
-  private ClientReply shelfCall(
+  private ClientReply partitionedCall(
       final int proxy,
       final String method,
       final String path,
@@ -509,12 +509,12 @@
     final Map<String, String> headers = new java.util.LinkedHashMap<>();
     headers.put("Host", HOST);
     headers.put("Weldpoint-Attempt-Id", attemptId);
-    headers.put("Weldpoint-Deadline-Ms", Integer.toString(CALL_MILLIS));
+    headers.put("Weldpoint-Deadline-Ms", Integer.toString(CALL_TIMEOUT_MILLIS));
     headers.put("Authorization", "Bearer key-f");
     if (!shardKey.isEmpty()) {
       headers.put("Weldpoint-Shard-Key", shardKey);
     }
-    return HttpCaller.call(proxy(proxy), method, path + "1", headers, "", 2 * CALL_MILLIS);
+    return HttpCaller.call(proxyAddress(proxy), method, path + "1", headers, "", 2 * CALL_TIMEOUT_MILLIS);
   }
 
   /** All runs that the upstreams noted so far. */
@@ -523,8 +523,8 @@
   }
 
   /** When the answer to a request was written whole by its upstream, by attempt id. */
-  Map<String, Long> answered() {
-    return records.answered();
+  Map<String, Long> responseTimes() {
+    return records.responseTimes();
   }
 
   List<DaemonProcess> stores() {
@@ -543,16 +543,16 @@
     return upstreams;
   }
 
-  List<TcpRelay> relays() {
-    return relays;
+  List<TcpRelay> upstreamRelays() {
+    return upstreamRelays;
   }
 
   /** All daemons. */
-  List<DaemonProcess> all() {
-    final List<DaemonProcess> all = new ArrayList<>(stores);
-    all.addAll(registries);
-    all.addAll(proxies);
-    return all;
+  List<DaemonProcess> daemons() {
+    final List<DaemonProcess> daemons = new ArrayList<>(stores);
+    daemons.addAll(registries);
+    daemons.addAll(proxies);
+    return daemons;
   }
 
   Size size() {
@@ -561,28 +561,28 @@
 
   @Override
   public void close() {
-    clock.shutdownNow();
+    scheduler.shutdownNow();
     killAll();
     upstreams.forEach(RecordingUpstream::close);
     keyHolders.forEach(RecordingUpstream::close);
-    relays.addAll(keyRelays);
-    relays.addAll(coreRelays);
-    for (final TcpRelay relay : relays) {
+    upstreamRelays.addAll(keyHolderRelays);
+    upstreamRelays.addAll(coreRelays);
+    for (final TcpRelay relay : upstreamRelays) {
       try {
         relay.close();
-      } catch (final IOException alreadyClosed) {
+      } catch (final IOException e) {
         // nothing is left to do
       }
     }
-    delete(folder);
+    deleteRecursively(folder);
   }
 
-  private static void delete(final Path folder) {
+  private static void deleteRecursively(final Path folder) {
     try (java.util.stream.Stream<Path> files = Files.walk(folder)) {
       for (final Path file : files.sorted(java.util.Comparator.reverseOrder()).toList()) {
         Files.deleteIfExists(file);
       }
-    } catch (final IOException left) {
+    } catch (final IOException e) {
       // a temporary folder that cannot be removed is left to the system
     }
   }
--- a/soak/src/main/java/weldpoint/soak/RecordingUpstream.java
+++ b/soak/src/main/java/weldpoint/soak/RecordingUpstream.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import weldpoint.soak.UpstreamServer.Answer;
+import weldpoint.soak.UpstreamServer.Response;
 import weldpoint.soak.UpstreamServer.Request;
 
 /**
@@ -19,19 +19,19 @@
  * a share of its requests away, loses a share of its answers, and gives a share of them twice.
  */
 final class RecordingUpstream implements AutoCloseable, UpstreamServer.Handler {
-  private static final byte[] EMPTY = new byte[0];
-  private static final Pattern SIZE = Pattern.compile("[?&]size=(\\d{1,7})");
+  private static final byte[] EMPTY_BODY = new byte[0];
+  private static final Pattern SIZE_PARAMETER = Pattern.compile("[?&]size=(\\d{1,7})");
 
-  private volatile String instance;
+  private volatile String instanceId;
   private final UpstreamServer server;
   private final Records records;
   private final Random random;
   private final GrantedKeys heldKeys;
-  private final AtomicLong grants = new AtomicLong();
-  private final AtomicLong turnedAway = new AtomicLong();
-  private volatile int workMillis = 20;
-  private volatile double lostAnswers;
-  private volatile double full;
+  private final AtomicLong grantCalls = new AtomicLong();
+  private final AtomicLong keyNotHeldRejections = new AtomicLong();
+  private volatile int processingMillis = 20;
+  private volatile double droppedResponseShare;
+  private volatile double rejectedShare;
 
   /**
    * What all upstreams of a fleet note.
@@ -39,21 +39,21 @@
    * @param runs requests that began to run
    * @param answered when a run's answer was written whole, by attempt id
    */
-  record Records(ConcurrentLinkedQueue<UpstreamRun> runs, Map<String, Long> answered) {}
+  record Records(ConcurrentLinkedQueue<UpstreamRun> runs, Map<String, Long> responseTimes) {}
 
   RecordingUpstream(
-      final String instance,
+      final String instanceId,
       final String host,
       final int port,
       final Records records,
       final long seed)
       throws IOException {
-    this(instance, host, port, records, seed, null);
+    this(instanceId, host, port, records, seed, null);
   }
 
   /** An upstream of a divided service, which runs only what it holds the key of. */
   RecordingUpstream(
-      final String instance,
+      final String instanceId,
       final String host,
       final int port,
       final Records records,
@@ -61,7 +61,7 @@
       final GrantedKeys heldKeys)
       throws IOException {
     this.heldKeys = heldKeys;
-    this.instance = instance;
+    this.instanceId = instanceId;
     this.records = records;
     this.random = new Random(seed);
     this.server =
@@ -69,23 +69,23 @@
   }
 
   /** Sets how long a request takes, in milliseconds. */
-  void workMillis(final int millis) {
-    workMillis = millis;
+  void processingMillis(final int millis) {
+    processingMillis = millis;
   }
 
   /** Sets the share (0 to 1) of runs whose connection is closed in place of an answer. */
-  void lostAnswers(final double share) {
-    lostAnswers = share;
+  void droppedResponseShare(final double share) {
+    droppedResponseShare = share;
   }
 
   /** Sets the share (0 to 1) of requests that are turned away for want of a free slot. */
-  void full(final double share) {
-    full = share;
+  void rejectedShare(final double share) {
+    rejectedShare = share;
   }
 
   /** Sets the share (0 to 1) of answers that come twice. */
-  void secondCopies(final double share) {
-    server.secondCopies(share);
+  void duplicatedResponseShare(final double share) {
+    server.duplicatedResponseShare(share);
   }
 
   /** The process stands still for so many milliseconds, and then goes on with what it has read. */
@@ -94,89 +94,89 @@
   }
 
   /** The process ends with all that it holds, and another life begins at its address. */
-  void beginLife(final String id) {
-    instance = id;
+  void restartAs(final String newInstanceId) {
+    instanceId = newInstanceId;
     if (heldKeys != null) {
-      heldKeys.beginLife(id);
+      heldKeys.restartAs(newInstanceId);
     }
   }
 
   /** How many grants came, whatever was answered. */
-  long grants() {
-    return grants.get();
+  long grantCalls() {
+    return grantCalls.get();
   }
 
   /** How many requests were turned away since their key was not held. */
-  long turnedAway() {
-    return turnedAway.get();
+  long keyNotHeldRejections() {
+    return keyNotHeldRejections.get();
   }
 
-  private static long field(final String body, final String name) {
+  private static long jsonNumber(final String body, final String name) {
     final Matcher matcher = Pattern.compile("\"" + name + "\":(\\d+)").matcher(body);
     return matcher.find() ? Long.parseLong(matcher.group(1)) : -1;
   }
 
-  private static Answer answer(final int status) {
-    return new Answer(status, Map.of(), EMPTY);
+  private static Response emptyResponse(final int status) {
+    return new Response(status, Map.of(), EMPTY_BODY);
   }
 
   /** Answers the calls by which keys are given and taken. */
-  private Answer keyCall(final Request request) {
-    final int first = (int) field(request.body(), "source");
-    final int last = (int) field(request.body(), "targetVersion");
-    final long fence = field(request.body(), "fenceNumber");
+  private Response handleKeyCall(final Request request) {
+    final int firstKey = (int) jsonNumber(request.body(), "source");
+    final int lastKey = (int) jsonNumber(request.body(), "targetVersion");
+    final long fence = jsonNumber(request.body(), "fenceNumber");
     if (request.path().equals("/api/grant")) {
-      grants.incrementAndGet();
-      return answer(
-          heldKeys.grant(first, last, fence, field(request.body(), "holdMs"), request.readAt()));
+      grantCalls.incrementAndGet();
+      return emptyResponse(
+          heldKeys.grant(firstKey, lastKey, fence, jsonNumber(request.body(), "holdMs"), request.readAt()));
     }
     try {
-      final String transfer = heldKeys.release(first, last, fence, request.readAt());
-      return new Answer(200, Map.of("Weldpoint-Duty-Transfer", transfer), EMPTY);
-    } catch (final InterruptedException stopped) {
+      final String handoverToken = heldKeys.release(firstKey, lastKey, fence, request.readAt());
+      return new Response(200, Map.of("Weldpoint-Duty-Transfer", handoverToken), EMPTY_BODY);
+    } catch (final InterruptedException e) {
       Thread.currentThread().interrupt();
       return null;
     }
   }
 
   @Override
-  public Answer handle(final Request request) {
+  public Response handle(final Request request) {
     final String path = request.path();
     final String target = request.header("Weldpoint-Target-Instance");
-    if (path.equals("/api/grant") && !target.isEmpty() && !target.equals(instance)) {
-      return answer(421);
+    if (path.equals("/api/grant") && !target.isEmpty() && !target.equals(instanceId)) {
+      return emptyResponse(421);
     }
     if (heldKeys != null && (path.equals("/api/grant") || path.equals("/api/release"))) {
-      return keyCall(request);
+      return handleKeyCall(request);
     }
     if (path.equals("/health")) {
-      return new Answer(200, Map.of("Weldpoint-Instance-Id", instance), EMPTY);
+      return new Response(200, Map.of("Weldpoint-Instance-Id", instanceId), EMPTY_BODY);
     }
-    if (!target.isEmpty() && !target.equals(instance)) {
-      return turnAway(request, 421);
+    if (!target.isEmpty() && !target.equals(instanceId)) {
+      return reject(request, 421);
     }
-    if (drawn(full)) {
-      return turnAway(request, 503);
+    if (chance(rejectedShare)) {
+      return reject(request, 503);
     }
     final int shardKey = heldKeys == null ? -1 : shardKey(request);
-    if (heldKeys != null && !heldKeys.begin(shardKey)) {
-      turnedAway.incrementAndGet();
-      return turnAway(request, 421);
+    if (heldKeys != null && !heldKeys.tryBegin(shardKey)) {
+      keyNotHeldRejections.incrementAndGet();
+      return reject(request, 421);
     }
     try {
-      return run(request);
+      return execute(request);
     } finally {
       if (heldKeys != null) {
-        heldKeys.end(shardKey);
+        heldKeys.finish(shardKey);
       }
     }
   }
 
-  private static Answer turnAway(final Request request, final int status) {
+  private static Response reject(final Request request, final int status) {
     final Map<String, String> headers = new LinkedHashMap<>();
     headers.put("Weldpoint-Not-Executed", "1");
     headers.put("Weldpoint-Attempt-Id", request.header("Weldpoint-Attempt-Id"));
-    return new Answer(status, headers, EMPTY);
+    return new Response(status, headers, EMPTY_BODY);
   }
 
   private static int shardKey(final Request request) {
@@ -184,51 +184,51 @@
     return text.matches("\\d{1,5}") ? Integer.parseInt(text) : -1;
   }
 
-  private Answer run(final Request request) {
+  private Response execute(final Request request) {
     final String attemptId = request.header("Weldpoint-Attempt-Id");
     records
         .runs()
         .add(
             new UpstreamRun(
-                instance,
+                instanceId,
                 attemptId,
                 request.header("Idempotency-Key"),
                 request.header("Weldpoint-Tenant"),
                 Clock.millis()));
-    work();
-    if (drawn(lostAnswers)) {
+    simulateProcessing();
+    if (chance(droppedResponseShare)) {
       return null;
     }
     final Map<String, String> headers = new LinkedHashMap<>();
-    headers.put("Weldpoint-Instance-Id", instance);
+    headers.put("Weldpoint-Instance-Id", instanceId);
     headers.put("Weldpoint-Attempt-Id", attemptId);
-    headers.put("Weldpoint-Server-Seal", instance + "." + attemptId);
-    return new Answer(200, headers, body(request));
+    headers.put("Weldpoint-Server-Seal", instanceId + "." + attemptId);
+    return new Response(200, headers, responseBody(request));
   }
 
-  private byte[] body(final Request request) {
-    final Matcher size = SIZE.matcher(request.target());
+  private byte[] responseBody(final Request request) {
+    final Matcher size = SIZE_PARAMETER.matcher(request.target());
     return size.find()
         ? new byte[Integer.parseInt(size.group(1))]
-        : ("done by " + instance).getBytes(StandardCharsets.UTF_8);
+        : ("done by " + instanceId).getBytes(StandardCharsets.UTF_8);
   }
 
   @Override
-  public void answered(final Request request, final Answer answer) {
-    if (answer.status() == 200) {
-      records.answered().put(request.header("Weldpoint-Attempt-Id"), Clock.millis());
+  public void responseSent(final Request request, final Response response) {
+    if (response.status() == 200) {
+      records.responseTimes().put(request.header("Weldpoint-Attempt-Id"), Clock.millis());
     }
   }
 
-  private void work() {
+  private void simulateProcessing() {
     try {
-      TimeUnit.MILLISECONDS.sleep(workMillis);
-    } catch (final InterruptedException stopped) {
+      TimeUnit.MILLISECONDS.sleep(processingMillis);
+    } catch (final InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private boolean drawn(final double share) {
+  private boolean chance(final double share) {
     synchronized (random) {
       return random.nextDouble() < share;
     }
--- a/soak/src/main/java/weldpoint/soak/SlowReader.java
+++ b/soak/src/main/java/weldpoint/soak/SlowReader.java
@@ -17,76 +17,76 @@
  */
 final class SlowReader {
   /** How long it waits for an answer. */
-  static final int DEADLINE_MILLIS = 2500;
+  static final int TIMEOUT_MILLIS = 2500;
 
   private static final int RECEIVE_BUFFER_BYTES = 8 << 10;
-  private static final int PIECE_BYTES = 16 << 10;
-  private static final int MOST_PIECES = 40;
-  private static final int PIECE_PAUSE_MILLIS = 25;
-  private static final int MOST_REST_MILLIS = 500;
-  private static final int CONNECT_MILLIS = 1000;
-  private static final int REFUSED_PAUSE_MILLIS = 100;
+  private static final int CHUNK_BYTES = 16 << 10;
+  private static final int MAX_CHUNKS = 40;
+  private static final int CHUNK_INTERVAL_MILLIS = 25;
+  private static final int MAX_THINK_TIME_MILLIS = 500;
+  private static final int CONNECT_TIMEOUT_MILLIS = 1000;
+  private static final int RECONNECT_DELAY_MILLIS = 100;
 
   private final LocalFleet fleet;
   private final Random random;
-  private final Collection<LargeDownload> pulls;
-  private final BooleanSupplier over;
+  private final Collection<LargeDownload> downloads;
+  private final BooleanSupplier stopped;
 
   SlowReader(
       final LocalFleet fleet,
       final long seed,
-      final Collection<LargeDownload> pulls,
-      final BooleanSupplier over) {
+      final Collection<LargeDownload> downloads,
+      final BooleanSupplier stopped) {
     this.fleet = fleet;
     this.random = new Random(seed);
-    this.pulls = pulls;
-    this.over = over;
+    this.downloads = downloads;
+    this.stopped = stopped;
   }
 
   /** Asks for answers, over one connection after the other, until all is over. */
   void run() {
-    while (!over.getAsBoolean()) {
+    while (!stopped.getAsBoolean()) {
       final int proxy = random.nextInt(fleet.size().proxies());
       try (Socket socket = new Socket()) {
         socket.setReceiveBufferSize(RECEIVE_BUFFER_BYTES);
-        final String address = fleet.proxy(proxy);
+        final String address = fleet.proxyAddress(proxy);
         final int colon = address.lastIndexOf(':');
         socket.connect(
             new InetSocketAddress(
                 address.substring(0, colon), Integer.parseInt(address.substring(colon + 1))),
-            CONNECT_MILLIS);
-        socket.setSoTimeout(DEADLINE_MILLIS);
-        final InputStream in = new BufferedInputStream(socket.getInputStream(), PIECE_BYTES);
-        while (!over.getAsBoolean() && pull(socket, in, proxy)) {
-          Thread.sleep(random.nextInt(MOST_REST_MILLIS));
+            CONNECT_TIMEOUT_MILLIS);
+        socket.setSoTimeout(TIMEOUT_MILLIS);
+        final InputStream in = new BufferedInputStream(socket.getInputStream(), CHUNK_BYTES);
+        while (!stopped.getAsBoolean() && download(socket, in, proxy)) {
+          Thread.sleep(random.nextInt(MAX_THINK_TIME_MILLIS));
         }
-      } catch (final IOException unreachable) {
-        pause();
-      } catch (final InterruptedException stopped) {
+      } catch (final IOException e) {
+        pauseBeforeReconnect();
+      } catch (final InterruptedException e) {
         Thread.currentThread().interrupt();
         return;
       }
     }
   }
 
-  private static void pause() {
+  private static void pauseBeforeReconnect() {
     try {
-      Thread.sleep(REFUSED_PAUSE_MILLIS);
-    } catch (final InterruptedException stopped) {
+      Thread.sleep(RECONNECT_DELAY_MILLIS);
+    } catch (final InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
   /** Asks for one answer; false where the connection cannot be used again. */
-  private boolean pull(final Socket socket, final InputStream in, final int proxy)
+  private boolean download(final Socket socket, final InputStream in, final int proxy)
       throws IOException {
     final String attemptId = fleet.attemptId();
-    final int bytes = PIECE_BYTES * (1 + random.nextInt(MOST_PIECES));
+    final int bytes = CHUNK_BYTES * (1 + random.nextInt(MAX_CHUNKS));
     socket
         .getOutputStream()
         .write(
             ("GET "
-                    + LocalFleet.SHEET_PATH
+                    + LocalFleet.LARGE_DOWNLOAD_PATH
                     + "1?size="
                     + bytes
                     + " HTTP/1.1\r\nHost: "
@@ -94,27 +94,27 @@
                     + "\r\nWeldpoint-Attempt-Id: "
                     + attemptId
                     + "\r\nWeldpoint-Deadline-Ms: "
-                    + DEADLINE_MILLIS
+                    + TIMEOUT_MILLIS
                     + "\r\nAuthorization: Bearer "
-                    + Workload.FREE
+                    + Workload.UNLIMITED_API_KEY
                     + "\r\n\r\n")
                 .getBytes(StandardCharsets.ISO_8859_1));
     final long sentAt = Clock.millis();
-    boolean whole = false;
-    boolean keeps = false;
+    boolean complete = false;
+    boolean keepAlive = false;
     try {
-      final String head = head(in);
-      whole = body(in, length(head), sentAt);
-      keeps = whole && !head.contains("\r\nconnection: close");
-    } catch (final IOException ended) {
-      whole = false;
+      final String head = readHead(in);
+      complete = readBody(in, contentLength(head), sentAt);
+      keepAlive = complete && !head.contains("\r\nconnection: close");
+    } catch (final IOException e) {
+      complete = false;
     }
-    pulls.add(new LargeDownload(attemptId, proxy, sentAt, Clock.millis(), whole));
-    return keeps;
+    downloads.add(new LargeDownload(attemptId, proxy, sentAt, Clock.millis(), complete));
+    return keepAlive;
   }
 
   /** Reads the head of an answer, in lower case. */
-  private static String head(final InputStream in) throws IOException {
+  private static String readHead(final InputStream in) throws IOException {
     final StringBuilder head = new StringBuilder();
     while (head.length() < 4 || !head.substring(head.length() - 4).equals("\r\n\r\n")) {
       final int next = in.read();
@@ -126,33 +126,33 @@
     return head.toString().toLowerCase(Locale.ROOT);
   }
 
-  private static int length(final String head) throws IOException {
+  private static int contentLength(final String head) throws IOException {
     final String name = "\r\ncontent-length: ";
-    final int at = head.indexOf(name);
-    if (at < 0) {
+    final int start = head.indexOf(name);
+    if (start < 0) {
       throw new IOException("an answer without a length: " + head);
     }
-    final int from = at + name.length();
+    final int from = start + name.length();
     return Integer.parseInt(head.substring(from, head.indexOf('\r', from)));
   }
 
   /** Takes the body as its link lets it through; false where it does not come whole in time. */
-  private static boolean body(final InputStream in, final int length, final long sentAt)
+  private static boolean readBody(final InputStream in, final int length, final long sentAt)
       throws IOException {
-    final byte[] piece = new byte[PIECE_BYTES];
-    int left = length;
-    while (left > 0) {
-      if (Clock.millis() - sentAt >= DEADLINE_MILLIS) {
+    final byte[] chunk = new byte[CHUNK_BYTES];
+    int remaining = length;
+    while (remaining > 0) {
+      if (Clock.millis() - sentAt >= TIMEOUT_MILLIS) {
         return false;
       }
-      final int count = in.read(piece, 0, Math.min(left, piece.length));
+      final int count = in.read(chunk, 0, Math.min(remaining, chunk.length));
       if (count < 0) {
         return false;
       }
-      left -= count;
+      remaining -= count;
       try {
-        Thread.sleep(PIECE_PAUSE_MILLIS * count / PIECE_BYTES);
-      } catch (final InterruptedException stopped) {
+        Thread.sleep(CHUNK_INTERVAL_MILLIS * count / CHUNK_BYTES);
+      } catch (final InterruptedException e) {
         Thread.currentThread().interrupt();
       }
     }
--- a/soak/src/main/java/weldpoint/soak/SoakCommand.java
+++ b/soak/src/main/java/weldpoint/soak/SoakCommand.java
@@ -57,8 +57,8 @@
     final OptionSet options;
     try {
       options = parser.parse(arguments);
-    } catch (final OptionException problem) {
-      System.err.println(problem.getMessage());
+    } catch (final OptionException e) {
+      System.err.println(e.getMessage());
       parser.printHelpOn(System.err);
       System.exit(2);
       return;
@@ -70,29 +70,29 @@
     final LocalFleet.Size size =
         new LocalFleet.Size(
             options.valueOf(cores), options.valueOf(proxies), 3, options.valueOf(keyHolders));
-    final long troubledMillis = 1000L * options.valueOf(seconds);
-    final boolean good = play(options.valueOf(seed), options.valueOf(runs), size, troubledMillis);
-    System.exit(good ? 0 : 1);
+    final long faultPhaseMillis = 1000L * options.valueOf(seconds);
+    final boolean passed = runSeeds(options.valueOf(seed), options.valueOf(runs), size, faultPhaseMillis);
+    System.exit(passed ? 0 : 1);
   }
 
-  private static boolean play(
-      final long first, final int runs, final LocalFleet.Size size, final long troubledMillis)
+  private static boolean runSeeds(
+      final long firstSeed, final int runs, final LocalFleet.Size size, final long faultPhaseMillis)
       throws IOException, InterruptedException {
-    boolean good = true;
-    for (long seed = first; seed < first + runs; seed++) {
-      final SoakRun.Verdict verdict = new SoakRun(seed, size, troubledMillis).play();
-      System.out.println(text(verdict));
-      good &= verdict.broken().isEmpty();
+    boolean passed = true;
+    for (long seed = firstSeed; seed < firstSeed + runs; seed++) {
+      final SoakRun.Verdict verdict = new SoakRun(seed, size, faultPhaseMillis).run();
+      System.out.println(format(verdict));
+      passed &= verdict.violations().isEmpty();
     }
-    return good;
+    return passed;
   }
 
   /** A verdict in one line, with the evidence below where something was broken. */
-  static String text(final SoakRun.Verdict verdict) {
-    final List<String> broken = verdict.broken();
+  static String format(final SoakRun.Verdict verdict) {
+    final List<String> violations = verdict.violations();
     return "seed "
         + verdict.seed()
-        + (broken.isEmpty() ? " good" : " BROKEN")
+        + (violations.isEmpty() ? " good" : " BROKEN")
         + ": calls "
         + verdict.calls()
         + " served "
@@ -100,21 +100,21 @@
         + " keyed runs "
         + verdict.keyedRuns()
         + " most in a window "
-        + verdict.mostInWindow()
+        + verdict.maxRunsInWindow()
         + " of "
-        + SoakRun.ALLOWED
+        + SoakRun.MAX_RUNS_IN_WINDOW
         + " fetched "
-        + verdict.fetched()
+        + verdict.partitionedReadsServed()
         + " of "
-        + verdict.fetches()
+        + verdict.partitionedReads()
         + " pulled "
-        + verdict.pulled()
+        + verdict.completeDownloads()
         + " of "
-        + verdict.pulls()
+        + verdict.downloads()
         + " homed runs "
-        + verdict.homedRuns()
+        + verdict.regionBoundRuns()
         + " troubles "
-        + verdict.troubles()
-        + (broken.isEmpty() ? "" : "\n  " + String.join("\n  ", broken));
+        + verdict.faults()
+        + (violations.isEmpty() ? "" : "\n  " + String.join("\n  ", violations));
   }
 }
--- a/soak/src/main/java/weldpoint/soak/SoakRun.java
+++ b/soak/src/main/java/weldpoint/soak/SoakRun.java
@@ -15,24 +15,24 @@
  */
 final class SoakRun {
   private static final int CLIENTS = 6;
-  private static final int MOST_AT_ONCE = 3;
-  private static final int LEAST_LASTING_MILLIS = 300;
-  private static final int MOST_LASTING_MILLIS = 4000;
-  private static final int MOST_BETWEEN_MILLIS = 1500;
-  private static final long CALM_MILLIS = 4000;
-  private static final long STEP_MILLIS = 20;
-  private static final long KEY_SPAN_MILLIS = 60_000;
-  private static final long CONTACT_MILLIS = 4000;
+  private static final int MAX_ACTIVE_FAULTS = 3;
+  private static final int MIN_FAULT_MILLIS = 300;
+  private static final int MAX_FAULT_MILLIS = 4000;
+  private static final int MAX_FAULT_INTERVAL_MILLIS = 1500;
+  private static final long RECOVERY_MILLIS = 4000;
+  private static final long POLL_INTERVAL_MILLIS = 20;
+  private static final long KEY_WINDOW_MILLIS = 60_000;
+  private static final long CONTACT_BOUND_MILLIS = 4000;
   private static final long QUOTA_WINDOW_MILLIS = 5000;
-  private static final long CONFIGURATION_MILLIS = 3000;
-  private static final long BETWEEN_CHANGES_MILLIS = 1500;
-  private static final int CALM_CHANGES = 2;
-  private static final int IDLE_MILLIS = 15_000;
+  private static final long CONFIGURATION_BOUND_MILLIS = 3000;
+  private static final long CHANGE_INTERVAL_MILLIS = 1500;
+  private static final int CHANGES_AFTER_RECOVERY = 2;
+  private static final int IDLE_TIMEOUT_MILLIS = 15_000;
 
   /** The most runs of the limited tenant in a window, by the users' rule. */
-  static final int ALLOWED = (int) ((Workload.RATE * 5 + Workload.BURST) * 1.1 + 20);
+  static final int MAX_RUNS_IN_WINDOW = (int) ((Workload.LIMIT_PER_SECOND * 5 + Workload.LIMIT_BURST) * 1.1 + 20);
 
-  private record TimedFault(long until, Fault fault, Fault.ActiveFault inForce) {}
+  private record TimedFault(long endsAt, Fault fault, Fault.ActiveFault active) {}
 
   /**
    * What a soak found.
@@ -53,150 +53,150 @@
    */
   record Verdict(
       long seed,
-      List<String> broken,
-      Map<Fault, Integer> troubles,
+      List<String> violations,
+      Map<Fault, Integer> faults,
       int calls,
       int served,
       int keyedRuns,
-      int mostInWindow,
-      int fetches,
-      int fetched,
-      int twoHolders,
-      int pulls,
-      int pulled,
-      int homedRuns) {}
+      int maxRunsInWindow,
+      int partitionedReads,
+      int partitionedReadsServed,
+      int holderConflicts,
+      int downloads,
+      int completeDownloads,
+      int regionBoundRuns) {}
 
   private final long seed;
   private final LocalFleet.Size size;
-  private final long troubledMillis;
+  private final long faultPhaseMillis;
   private final Random random;
-  private final Map<Fault, Integer> counts = new EnumMap<>(Fault.class);
-  private final List<String> notes = new ArrayList<>();
-  private long calmSince;
+  private final Map<Fault, Integer> faultCounts = new EnumMap<>(Fault.class);
+  private final List<String> faultLog = new ArrayList<>();
+  private long recoveredAt;
 
-  SoakRun(final long seed, final LocalFleet.Size size, final long troubledMillis) {
+  SoakRun(final long seed, final LocalFleet.Size size, final long faultPhaseMillis) {
     this.seed = seed;
     this.size = size;
-    this.troubledMillis = troubledMillis;
+    this.faultPhaseMillis = faultPhaseMillis;
     this.random = new Random(seed);
   }
 
   /** Plays it. */
-  Verdict play() throws IOException, InterruptedException {
+  Verdict run() throws IOException, InterruptedException {
     try (LocalFleet fleet = new LocalFleet(size, seed)) {
       fleet.start(Workload.configuration());
-      fleet.keyHolders().forEach(holder -> holder.full(Fault.USUALLY_TURNED_AWAY));
+      fleet.keyHolders().forEach(keyHolder -> keyHolder.rejectedShare(Fault.BASELINE_REJECTED_SHARE));
       final Workload workload = new Workload(fleet);
       workload.start(CLIENTS, seed);
-      trouble(fleet);
-      Thread.sleep(CALM_MILLIS);
-      changeHomes(fleet);
-      workload.end();
-      return judge(fleet, workload);
+      injectFaults(fleet);
+      Thread.sleep(RECOVERY_MILLIS);
+      changeHomeRegions(fleet);
+      workload.stop();
+      return check(fleet, workload);
     }
   }
 
   /** Changes homes in the calm, when a change must be in force within the bound. */
-  private void changeHomes(final LocalFleet fleet) throws InterruptedException {
-    calmSince = Clock.millis();
-    for (int change = 0; change < CALM_CHANGES; change++) {
-      fleet.sendNextConfiguration(IDLE_MILLIS, HomeRegions.drawn(random));
-      Thread.sleep(CONFIGURATION_MILLIS + BETWEEN_CHANGES_MILLIS);
+  private void changeHomeRegions(final LocalFleet fleet) throws InterruptedException {
+    recoveredAt = Clock.millis();
+    for (int change = 0; change < CHANGES_AFTER_RECOVERY; change++) {
+      fleet.sendNextConfiguration(IDLE_TIMEOUT_MILLIS, HomeRegions.pick(random));
+      Thread.sleep(CONFIGURATION_BOUND_MILLIS + CHANGE_INTERVAL_MILLIS);
     }
   }
 
-  private void trouble(final LocalFleet fleet) throws InterruptedException {
-    final PriorityQueue<TimedFault> lasting =
-        new PriorityQueue<>(Comparator.comparingLong(TimedFault::until));
-    final long began = Clock.millis();
-    long next = began;
-    while (Clock.millis() - began < troubledMillis) {
+  private void injectFaults(final LocalFleet fleet) throws InterruptedException {
+    final PriorityQueue<TimedFault> activeFaults =
+        new PriorityQueue<>(Comparator.comparingLong(TimedFault::endsAt));
+    final long startedAt = Clock.millis();
+    long nextFaultAt = startedAt;
+    while (Clock.millis() - startedAt < faultPhaseMillis) {
       final long now = Clock.millis();
-      while (!lasting.isEmpty() && lasting.peek().until() <= now) {
-        lasting.poll().inForce().end();
+      while (!activeFaults.isEmpty() && activeFaults.peek().endsAt() <= now) {
+        activeFaults.poll().active().revert();
       }
-      if (now >= next && lasting.size() < MOST_AT_ONCE) {
+      if (now >= nextFaultAt && activeFaults.size() < MAX_ACTIVE_FAULTS) {
         final Fault fault = Fault.values()[random.nextInt(Fault.values().length)];
-        final int millis =
-            LEAST_LASTING_MILLIS + random.nextInt(MOST_LASTING_MILLIS - LEAST_LASTING_MILLIS);
-        next = now + random.nextInt(MOST_BETWEEN_MILLIS);
-        counts.merge(fault, 1, Integer::sum);
-        notes.add(now + " " + fault + " for " + millis + " ms");
-        lasting.add(new TimedFault(now + millis, fault, fault.begin(fleet, random)));
+        final int durationMillis =
+            MIN_FAULT_MILLIS + random.nextInt(MAX_FAULT_MILLIS - MIN_FAULT_MILLIS);
+        nextFaultAt = now + random.nextInt(MAX_FAULT_INTERVAL_MILLIS);
+        faultCounts.merge(fault, 1, Integer::sum);
+        faultLog.add(now + " " + fault + " for " + durationMillis + " ms");
+        activeFaults.add(new TimedFault(now + durationMillis, fault, fault.inject(fleet, random)));
       }
-      Thread.sleep(STEP_MILLIS);
+      Thread.sleep(POLL_INTERVAL_MILLIS);
     }
-    lasting.forEach(one -> one.inForce().end());
-    fleet.all().forEach(DaemonProcess::resume);
-    fleet.all().forEach(DaemonProcess::startIfDown);
+    activeFaults.forEach(timedFault -> timedFault.active().revert());
+    fleet.daemons().forEach(DaemonProcess::resume);
+    fleet.daemons().forEach(DaemonProcess::startIfDown);
   }
 
   /** What a registry told of its calls to holders of keys. */
-  private static List<String> keyCalls(final DaemonProcess registry) {
+  private static List<String> keyAssignmentLines(final DaemonProcess registry) {
     return registry.output().stream()
         .filter(line -> line.contains(" keys ") || line.contains("assigns the keys"))
         .map(line -> registry.name() + ": " + line)
         .toList();
   }
 
-  private Verdict judge(final LocalFleet fleet, final Workload workload) {
+  private Verdict check(final LocalFleet fleet, final Workload workload) {
     final List<UpstreamRun> runs = fleet.runs();
     final List<ClientCall> calls = workload.calls();
-    final List<String> broken = new ArrayList<>(SoakChecker.doubledKeys(runs, KEY_SPAN_MILLIS));
-    broken.addAll(SoakChecker.brokenPromises(calls, runs));
-    broken.addAll(SoakChecker.strangeAnswers(calls, runs));
-    broken.addAll(SoakChecker.doubledRequests(calls, runs));
-    final List<LargeDownload> pulls = workload.pulls();
-    broken.addAll(
-        SoakChecker.cutAnswers(
-            pulls,
-            fleet.answered(),
-            (proxy, from, to) -> fleet.proxies().get(proxy).disturbed(from, to),
-            SlowReader.DEADLINE_MILLIS,
-            CONTACT_MILLIS));
-    final List<UpstreamRun> homed =
+    final List<String> violations = new ArrayList<>(SoakChecker.duplicateKeyRuns(runs, KEY_WINDOW_MILLIS));
+    violations.addAll(SoakChecker.refusedButRun(calls, runs));
+    violations.addAll(SoakChecker.inconsistentResponses(calls, runs));
+    violations.addAll(SoakChecker.duplicateRequestRuns(calls, runs));
+    final List<LargeDownload> downloads = workload.downloads();
+    violations.addAll(
+        SoakChecker.truncatedResponses(
+            downloads,
+            fleet.responseTimes(),
+            (proxy, from, to) -> fleet.proxies().get(proxy).disruptedBetween(from, to),
+            SlowReader.TIMEOUT_MILLIS,
+            CONTACT_BOUND_MILLIS));
+    final List<UpstreamRun> regionBoundRuns =
         runs.stream()
-            .filter(run -> run.tenant().equals(Workload.HOMED_TENANT))
-            .filter(run -> run.startedAt() >= calmSince)
+            .filter(run -> run.tenant().equals(Workload.REGION_BOUND_TENANT))
+            .filter(run -> run.startedAt() >= recoveredAt)
             .toList();
-    broken.addAll(
-        SoakChecker.outsideHomes(
-            homed, fleet.homeChanges(), LocalFleet::regionOf, CONFIGURATION_MILLIS));
-    broken.addAll(fleet.twoHolders());
-    if (!fleet.twoHolders().isEmpty()) {
-      fleet.registries().forEach(registry -> broken.addAll(keyCalls(registry)));
+    violations.addAll(
+        SoakChecker.runsOutsideHomeRegions(
+            regionBoundRuns, fleet.homeRegionChanges(), LocalFleet::regionOf, CONFIGURATION_BOUND_MILLIS));
+    violations.addAll(fleet.holderConflicts());
+    if (!fleet.holderConflicts().isEmpty()) {
+      fleet.registries().forEach(registry -> violations.addAll(keyAssignmentLines(registry)));
     }
-    final int most = SoakChecker.mostInWindow(runs, Workload.LIMITED_TENANT, QUOTA_WINDOW_MILLIS);
-    if (most > ALLOWED) {
-      broken.add(most + " runs of the limited tenant in a window, allowed " + ALLOWED);
+    final int maxRuns = SoakChecker.maxRunsInWindow(runs, Workload.LIMITED_TENANT, QUOTA_WINDOW_MILLIS);
+    if (maxRuns > MAX_RUNS_IN_WINDOW) {
+      violations.add(maxRuns + " runs of the limited tenant in a window, allowed " + MAX_RUNS_IN_WINDOW);
     }
     fleet
-        .all()
+        .daemons()
         .forEach(
             process ->
                 process.output().stream()
                     .filter(line -> line.contains("invariant broken"))
-                    .forEach(line -> broken.add(process.name() + ": " + line)));
-    if (!broken.isEmpty()) {
-      broken.addAll(notes);
+                    .forEach(line -> violations.add(process.name() + ": " + line)));
+    if (!violations.isEmpty()) {
+      violations.addAll(faultLog);
     }
     final int served = (int) calls.stream().filter(call -> call.reply().status() == 200).count();
-    final int keyed = (int) runs.stream().filter(run -> !run.key().isEmpty()).count();
-    final List<ClientReply> replies = workload.fetched();
-    final int fetched = (int) replies.stream().filter(reply -> reply.status() == 200).count();
+    final int keyedRuns = (int) runs.stream().filter(run -> !run.key().isEmpty()).count();
+    final List<ClientReply> partitionedReads = workload.partitionedReads();
+    final int partitionedReadsServed = (int) partitionedReads.stream().filter(reply -> reply.status() == 200).count();
     return new Verdict(
         seed,
-        broken,
-        counts,
+        violations,
+        faultCounts,
         calls.size(),
         served,
-        keyed,
-        most,
-        replies.size(),
-        fetched,
-        fleet.twoHolders().size(),
-        pulls.size(),
-        (int) pulls.stream().filter(LargeDownload::whole).count(),
-        homed.size());
+        keyedRuns,
+        maxRuns,
+        partitionedReads.size(),
+        partitionedReadsServed,
+        fleet.holderConflicts().size(),
+        downloads.size(),
+        (int) downloads.stream().filter(LargeDownload::whole).count(),
+        regionBoundRuns.size());
   }
 }
--- a/soak/src/main/java/weldpoint/soak/TcpRelay.java
+++ b/soak/src/main/java/weldpoint/soak/TcpRelay.java
@@ -17,15 +17,15 @@
  */
 final class TcpRelay implements Closeable {
   private static final int BUFFER_BYTES = 16 << 10;
-  private static final long HOLD_STEP_MILLIS = 5;
+  private static final long BLOCK_POLL_MILLIS = 5;
 
   private final ServerSocket server;
   private final InetSocketAddress target;
   private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
-  private volatile boolean cut;
-  private volatile boolean answersDropped;
+  private volatile boolean blocked;
+  private volatile boolean closeOnResponse;
   private volatile int delayMillis;
-  private volatile boolean heldLost;
+  private volatile boolean closeAfterBlock;
   private volatile boolean closed;
 
   TcpRelay(final String host, final int port, final InetSocketAddress target) throws IOException {
@@ -41,23 +41,23 @@
   }
 
   /** Holds all bytes up, both ways, until it is joined again; nothing is lost. */
-  void cut(final boolean given) {
-    cut = given;
+  void blocked(final boolean enabled) {
+    blocked = enabled;
   }
 
   /** From now on a cut breaks off the connections whose bytes it held up: those bytes are lost. */
-  void loseHeld(final boolean given) {
-    heldLost = given;
+  void closeAfterBlock(final boolean enabled) {
+    closeAfterBlock = enabled;
   }
 
   /** Breaks a connection off when an answer comes back over it. */
-  void dropAnswers(final boolean given) {
-    answersDropped = given;
+  void closeOnResponse(final boolean enabled) {
+    closeOnResponse = enabled;
   }
 
   /** Delays each piece by so many milliseconds, both ways. */
-  void delayMillis(final int given) {
-    delayMillis = given;
+  void delayMillis(final int millis) {
+    delayMillis = millis;
   }
 
   private void accept() {
@@ -68,7 +68,7 @@
         sockets.add(client);
         sockets.add(upstream);
         start(() -> connect(client, upstream), "relay-out");
-      } catch (final IOException ended) {
+      } catch (final IOException e) {
         return;
       }
     }
@@ -81,55 +81,55 @@
       upstream.setTcpNoDelay(true);
       start(() -> pump(upstream, client, true), "relay-back");
       pump(client, upstream, false);
-    } catch (final IOException refused) {
-      end(client);
-      end(upstream);
+    } catch (final IOException e) {
+      closeSocket(client);
+      closeSocket(upstream);
     }
   }
 
-  private void pump(final Socket from, final Socket to, final boolean answers) {
+  private void pump(final Socket from, final Socket to, final boolean fromUpstream) {
     final byte[] buffer = new byte[BUFFER_BYTES];
     try {
       final InputStream in = from.getInputStream();
       final OutputStream out = to.getOutputStream();
       for (int count = in.read(buffer); count > 0; count = in.read(buffer)) {
-        final boolean held = hold();
-        if (answers && answersDropped || held && heldLost) {
+        final boolean wasBlocked = delayOrBlock();
+        if (fromUpstream && closeOnResponse || wasBlocked && closeAfterBlock) {
           break;
         }
         out.write(buffer, 0, count);
         out.flush();
       }
-    } catch (final IOException ended) {
+    } catch (final IOException e) {
       // both sides are ended below
     } finally {
-      end(from);
-      end(to);
+      closeSocket(from);
+      closeSocket(to);
     }
   }
 
   /** Waits while bytes are held up; true where a cut held them. */
-  private boolean hold() {
-    boolean held = false;
+  private boolean delayOrBlock() {
+    boolean wasBlocked = false;
     try {
       if (delayMillis > 0) {
         Thread.sleep(delayMillis);
       }
-      while (cut && !closed) {
-        held = true;
-        Thread.sleep(HOLD_STEP_MILLIS);
+      while (blocked && !closed) {
+        wasBlocked = true;
+        Thread.sleep(BLOCK_POLL_MILLIS);
       }
-    } catch (final InterruptedException stopped) {
+    } catch (final InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    return held;
+    return wasBlocked;
   }
 
-  private void end(final Socket socket) {
+  private void closeSocket(final Socket socket) {
     sockets.remove(socket);
     try {
       socket.close();
-    } catch (final IOException alreadyClosed) {
+    } catch (final IOException e) {
       // nothing is left to do
     }
   }
@@ -138,6 +138,6 @@
   public void close() throws IOException {
     closed = true;
     server.close();
-    sockets.forEach(this::end);
+    sockets.forEach(this::closeSocket);
   }
 }
--- a/soak/src/main/java/weldpoint/soak/UpstreamServer.java
+++ b/soak/src/main/java/weldpoint/soak/UpstreamServer.java
@@ -41,25 +41,25 @@
   }
 
   /** An answer. */
-  record Answer(int status, Map<String, String> headers, byte[] body) {}
+  record Response(int status, Map<String, String> headers, byte[] body) {}
 
   /** Works on requests. */
   interface Handler {
     /** The answer; null where the connection ends without one. */
-    Answer handle(Request request);
+    Response handle(Request request);
 
     /** An answer to this request has been written whole. */
-    void answered(Request request, Answer answer);
+    void responseSent(Request request, Response response);
   }
 
   private static final int BACKLOG = 256;
-  private static final int LATE_COPY_MILLIS = 5;
+  private static final int LATE_DUPLICATE_DELAY_MILLIS = 5;
 
   private final ServerSocket server;
   private final Handler handler;
   private final Random random;
   private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
-  private volatile double secondCopies;
+  private volatile double duplicatedResponseShare;
   private volatile long stalledUntil;
 
   UpstreamServer(final InetSocketAddress address, final Handler handler, final Random random)
@@ -71,8 +71,8 @@
   }
 
   /** Sets the share (0 to 1) of answers that come twice. */
-  void secondCopies(final double share) {
-    secondCopies = share;
+  void duplicatedResponseShare(final double share) {
+    duplicatedResponseShare = share;
   }
 
   /** From now on nothing that was read is looked at for so many milliseconds. */
@@ -80,10 +80,10 @@
     stalledUntil = Clock.millis() + millis;
   }
 
-  private void awaitStall() throws InterruptedException {
-    for (long left = stalledUntil - Clock.millis(); left > 0; ) {
-      Thread.sleep(left);
-      left = stalledUntil - Clock.millis();
+  private void awaitStallEnd() throws InterruptedException {
+    for (long remaining = stalledUntil - Clock.millis(); remaining > 0; ) {
+      Thread.sleep(remaining);
+      remaining = stalledUntil - Clock.millis();
     }
   }
 
@@ -99,7 +99,7 @@
         final Socket socket = server.accept();
         sockets.add(socket);
         start(() -> serve(socket));
-      } catch (final IOException ended) {
+      } catch (final IOException e) {
         return;
       }
     }
@@ -110,53 +110,53 @@
       socket.setTcpNoDelay(true);
       final InputStream in = new BufferedInputStream(socket.getInputStream());
       final OutputStream out = socket.getOutputStream();
-      byte[] late = null;
-      for (Request request = read(in); request != null; request = read(in)) {
-        if (late != null) {
-          Thread.sleep(LATE_COPY_MILLIS);
-          out.write(late);
-          late = null;
+      byte[] lateDuplicate = null;
+      for (Request request = readRequest(in); request != null; request = readRequest(in)) {
+        if (lateDuplicate != null) {
+          Thread.sleep(LATE_DUPLICATE_DELAY_MILLIS);
+          out.write(lateDuplicate);
+          lateDuplicate = null;
         }
-        awaitStall();
-        final Answer answer = handler.handle(request);
-        if (answer == null) {
+        awaitStallEnd();
+        final Response response = handler.handle(request);
+        if (response == null) {
           return;
         }
-        final byte[] bytes = bytes(answer);
+        final byte[] bytes = encode(response);
         out.write(bytes);
-        handler.answered(request, answer);
-        if (drawn(secondCopies)) {
-          if (drawn(0.5)) {
+        handler.responseSent(request, response);
+        if (chance(duplicatedResponseShare)) {
+          if (chance(0.5)) {
             out.write(bytes);
           } else {
-            late = bytes;
+            lateDuplicate = bytes;
           }
         }
       }
-    } catch (final IOException ended) {
+    } catch (final IOException e) {
       // the connection is over
-    } catch (final InterruptedException stopped) {
+    } catch (final InterruptedException interrupted) {
       Thread.currentThread().interrupt();
     } finally {
       sockets.remove(socket);
     }
   }
 
-  private boolean drawn(final double share) {
+  private boolean chance(final double share) {
     synchronized (random) {
       return random.nextDouble() < share;
     }
   }
 
   /** Reads one request whose body has a length or none; null where the connection has ended. */
-  private static Request read(final InputStream in) throws IOException {
-    final String first = line(in);
-    if (first == null) {
+  private static Request readRequest(final InputStream in) throws IOException {
+    final String requestLine = readLine(in);
+    if (requestLine == null) {
       return null;
     }
     final long readAt = Clock.millis();
     final Map<String, String> headers = new LinkedHashMap<>();
-    for (String line = line(in); line != null && !line.isEmpty(); line = line(in)) {
+    for (String line = readLine(in); line != null && !line.isEmpty(); line = readLine(in)) {
       final int colon = line.indexOf(':');
       headers.put(
           line.substring(0, colon).toLowerCase(Locale.ROOT), line.substring(colon + 1).strip());
@@ -164,10 +164,10 @@
     final int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
     final byte[] body = in.readNBytes(length);
     return new Request(
-        first.split(" ")[1], headers, new String(body, StandardCharsets.UTF_8), readAt);
+        requestLine.split(" ")[1], headers, new String(body, StandardCharsets.UTF_8), readAt);
   }
 
-  private static String line(final InputStream in) throws IOException {
+  private static String readLine(final InputStream in) throws IOException {
     final ByteArrayOutputStream line = new ByteArrayOutputStream();
     for (int next = in.read(); next >= 0; next = in.read()) {
       if (next == '\n') {
@@ -178,14 +178,14 @@
     return null;
   }
 
-  private static byte[] bytes(final Answer answer) {
-    final StringBuilder head = new StringBuilder("HTTP/1.1 " + answer.status + " Answer\r\n");
-    answer.headers.forEach(
+  private static byte[] encode(final Response response) {
+    final StringBuilder head = new StringBuilder("HTTP/1.1 " + response.status + " Answer\r\n");
+    response.headers.forEach(
         (name, value) -> head.append(name).append(": ").append(value).append("\r\n"));
-    head.append("Content-Length: ").append(answer.body.length).append("\r\n\r\n");
+    head.append("Content-Length: ").append(response.body.length).append("\r\n\r\n");
     final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     bytes.writeBytes(head.toString().getBytes(StandardCharsets.ISO_8859_1));
-    bytes.writeBytes(answer.body);
+    bytes.writeBytes(response.body);
     return bytes.toByteArray();
   }
 
@@ -196,7 +196,7 @@
       for (final Socket socket : sockets) {
         socket.close();
       }
-    } catch (final IOException alreadyClosed) {
+    } catch (final IOException e) {
       // nothing is left to do
     }
   }
--- a/soak/src/main/java/weldpoint/soak/Workload.java
+++ b/soak/src/main/java/weldpoint/soak/Workload.java
@@ -11,47 +11,47 @@
  */
 final class Workload {
   /** The key of the tenant without a limit. */
-  static final String FREE = "key-f";
+  static final String UNLIMITED_API_KEY = "key-f";
 
   /** The key of the tenant with a limit. */
-  static final String LIMITED = "key-l";
+  static final String LIMITED_API_KEY = "key-l";
 
   /** The tenant with a limit. */
   static final String LIMITED_TENANT = "limited";
 
   /** Permits a second that the limited tenant has. */
-  static final int RATE = 20;
+  static final int LIMIT_PER_SECOND = 20;
 
   /** Permits that the limited tenant may save up. */
-  static final int BURST = 20;
+  static final int LIMIT_BURST = 20;
 
   private static final int DEADLINE_MILLIS = 1500;
-  private static final int IDLE_MILLIS = 15_000;
-  private static final int MOST_PRESSES = 4;
-  private static final int MOST_PAUSE_MILLIS = 2500;
+  private static final int IDLE_TIMEOUT_MILLIS = 15_000;
+  private static final int MAX_SENDS_PER_KEY = 4;
+  private static final int MAX_WRITE_PAUSE_MILLIS = 2500;
   private static final int HOT_KEYS = 200;
-  private static final int READ_PAUSE_MILLIS = 60;
+  private static final int MAX_PAUSE_MILLIS = 60;
 
   private final LocalFleet fleet;
   private final ConcurrentLinkedQueue<ClientCall> calls = new ConcurrentLinkedQueue<>();
-  private final ConcurrentLinkedQueue<ClientReply> fetched = new ConcurrentLinkedQueue<>();
-  private final ConcurrentLinkedQueue<LargeDownload> pulls = new ConcurrentLinkedQueue<>();
+  private final ConcurrentLinkedQueue<ClientReply> partitionedReads = new ConcurrentLinkedQueue<>();
+  private final ConcurrentLinkedQueue<LargeDownload> downloads = new ConcurrentLinkedQueue<>();
   private final List<Thread> threads = new ArrayList<>();
-  private volatile boolean over;
+  private volatile boolean stopped;
 
   Workload(final LocalFleet fleet) {
     this.fleet = fleet;
   }
 
   /** The key of the tenant whose home regions change. */
-  static final String HOMED = "key-h";
+  static final String REGION_BOUND_API_KEY = "key-h";
 
   /** The tenant whose home regions change. */
-  static final String HOMED_TENANT = "homed";
+  static final String REGION_BOUND_TENANT = "homed";
 
   /** The configuration that the workload needs. */
   static String configuration() {
-    return configuration(1, IDLE_MILLIS, HomeRegions.NONE);
+    return configuration(1, IDLE_TIMEOUT_MILLIS, HomeRegions.UNRESTRICTED);
   }
 
   /**
@@ -59,25 +59,25 @@
    *
    * @param idleMillis how long a connection of a client may rest
    */
-  static String configuration(final int version, final int idleMillis, final HomeRegions homes) {
+  static String configuration(final int version, final int idleTimeoutMillis, final HomeRegions homeRegions) {
     final String action = "\"action\":{\"service\":\"desk\",\"timeoutMs\":1500,\"maxAttempts\":2}";
     return "{\"version\":\""
         + String.format("%08x", version)
         + "\",\"limits\":{\"maxHeaderBytes\":16384,\"maxBodyBytes\":1048576,\"headerTimeoutMs\":3000,"
         + "\"idleTimeoutMs\":"
-        + idleMillis
+        + idleTimeoutMillis
         + "},\"tenants\":[{\"name\":\""
         + LIMITED_TENANT
         + "\",\"apiKeys\":[\"key-l\"],\"ratePerS\":"
-        + RATE
+        + LIMIT_PER_SECOND
         + ",\"burst\":"
-        + BURST
+        + LIMIT_BURST
         + "},{\"name\":\"free\",\"apiKeys\":[\"key-f\"]},{\"name\":\""
-        + HOMED_TENANT
+        + REGION_BOUND_TENANT
         + "\",\"homeRegions\":"
-        + HomeRegions.json(homes.tenant())
+        + HomeRegions.toJson(homeRegions.tenant())
         + ",\"apiKeys\":[\""
-        + HOMED
+        + REGION_BOUND_API_KEY
         + "\"]}],\"listeners\":[{\"host\":\""
         + LocalFleet.HOST
         + "\",\"rules\":[{\"name\":\"look\",\"routeKind\":\"idempotent\",\"targetLatencyMs\":300,"
@@ -92,21 +92,21 @@
         + action
         + "},{\"name\":\"deed\",\"routeKind\":\"mutating\",\"targetLatencyMs\":300,"
         + "\"match\":{\"pathPrefix\":\""
-        + LocalFleet.HOMED_PATH
+        + LocalFleet.REGION_BOUND_PATH
         + "\"},\"action\":{\"service\":\"desk\",\"homeRegions\":"
-        + HomeRegions.json(homes.route())
+        + HomeRegions.toJson(homeRegions.route())
         + ",\"timeoutMs\":1500,\"maxAttempts\":3}"
         + "},{\"name\":\"shelf\",\"routeKind\":\"egress\",\"targetLatencyMs\":1000,"
         + "\"match\":{\"pathPrefix\":\""
-        + LocalFleet.SHELF_PATH
+        + LocalFleet.PARTITIONED_READ_PATH
         + "\"},\"action\":{\"service\":\"shelf\",\"timeoutMs\":1500,\"maxAttempts\":2}"
         + "},{\"name\":\"stock\",\"routeKind\":\"mutating\",\"targetLatencyMs\":1000,"
         + "\"match\":{\"pathPrefix\":\""
-        + LocalFleet.SHELF_WRITE_PATH
+        + LocalFleet.PARTITIONED_WRITE_PATH
         + "\"},\"action\":{\"service\":\"shelf\",\"timeoutMs\":1500,\"maxAttempts\":2}"
         + "},{\"name\":\"sheet\",\"routeKind\":\"egress\",\"targetLatencyMs\":1000,"
         + "\"match\":{\"pathPrefix\":\""
-        + LocalFleet.SHEET_PATH
+        + LocalFleet.LARGE_DOWNLOAD_PATH
         + "\"},\"action\":{\"service\":\"desk\",\"timeoutMs\":2500,\"maxAttempts\":2}"
         + "}]}],\"pools\":[{\"name\":\"desk\",\"healthPath\":\"/health\",\"maxConns\":200},"
         + "{\"name\":\"shelf\",\"healthPath\":\"/health\",\"maxConns\":200,"
@@ -116,52 +116,52 @@
   /** Starts so many clients of each kind. */
   void start(final int clients, final long seed) {
     for (int client = 0; client < clients; client++) {
-      final long own = seed * 1000 + client;
-      thread(() -> write(own));
-      thread(() -> read(own));
-      thread(() -> deed(own));
-      thread(() -> new SlowReader(fleet, own ^ 0x510, pulls, () -> over).run());
+      final long clientSeed = seed * 1000 + client;
+      startThread(() -> sendKeyedWrites(clientSeed));
+      startThread(() -> sendReads(clientSeed));
+      startThread(() -> sendRegionBoundWrites(clientSeed));
+      startThread(() -> new SlowReader(fleet, clientSeed ^ 0x510, downloads, () -> stopped).run());
       if (fleet.size().keyHolders() > 0) {
-        thread(() -> fetch(own));
-        thread(() -> change(own));
+        startThread(() -> sendPartitionedReads(clientSeed));
+        startThread(() -> sendPartitionedWrites(clientSeed));
       }
     }
   }
 
-  private void thread(final Runnable task) {
+  private void startThread(final Runnable task) {
     final Thread thread = new Thread(task, "client");
     thread.setDaemon(true);
     thread.start();
     threads.add(thread);
   }
 
-  private void write(final long seed) {
+  private void sendKeyedWrites(final long seed) {
     final Random random = new Random(seed);
-    for (int order = 0; !over; order++) {
+    for (int order = 0; !stopped; order++) {
       final String key = "order-" + seed + "-" + order;
-      final int presses = 1 + random.nextInt(MOST_PRESSES);
-      for (int press = 0; press < presses && !over; press++) {
+      final int sends = 1 + random.nextInt(MAX_SENDS_PER_KEY);
+      for (int send = 0; send < sends && !stopped; send++) {
         if (random.nextInt(3) == 0) {
-          thread(() -> call(random.nextInt(fleet.size().proxies()), key));
+          startThread(() -> sendKeyedWrite(random.nextInt(fleet.size().proxies()), key));
         } else {
-          call(random.nextInt(fleet.size().proxies()), key);
+          sendKeyedWrite(random.nextInt(fleet.size().proxies()), key);
         }
-        pause(random.nextInt(1 + random.nextInt(MOST_PAUSE_MILLIS)));
+        pause(random.nextInt(1 + random.nextInt(MAX_WRITE_PAUSE_MILLIS)));
       }
     }
   }
 
-  private void call(final int proxy, final String key) {
+  private void sendKeyedWrite(final int proxy, final String key) {
     final String attemptId = fleet.attemptId();
     final long sentAt = Clock.millis();
     final ClientReply reply =
-        fleet.request(proxy, LocalFleet.WRITE_PATH + "1", attemptId, key, FREE, DEADLINE_MILLIS);
+        fleet.request(proxy, LocalFleet.WRITE_PATH + "1", attemptId, key, UNLIMITED_API_KEY, DEADLINE_MILLIS);
     calls.add(new ClientCall(attemptId, key, false, sentAt, reply));
   }
 
-  private void read(final long seed) {
+  private void sendReads(final long seed) {
     final Random random = new Random(~seed);
-    while (!over) {
+    while (!stopped) {
       final String attemptId = fleet.attemptId();
       final long sentAt = Clock.millis();
       final ClientReply reply =
@@ -170,83 +170,83 @@
               LocalFleet.READ_PATH + "1",
               attemptId,
               "",
-              LIMITED,
+              LIMITED_API_KEY,
               DEADLINE_MILLIS);
       calls.add(new ClientCall(attemptId, "", true, sentAt, reply));
-      pause(random.nextInt(READ_PAUSE_MILLIS));
+      pause(random.nextInt(MAX_PAUSE_MILLIS));
     }
   }
 
   /** Writes for the tenant whose home regions change. */
-  private void deed(final long seed) {
+  private void sendRegionBoundWrites(final long seed) {
     final Random random = new Random(seed ^ 0xdeed);
-    while (!over) {
+    while (!stopped) {
       final String attemptId = fleet.attemptId();
       final long sentAt = Clock.millis();
       final ClientReply reply =
           fleet.request(
               random.nextInt(fleet.size().proxies()),
-              LocalFleet.HOMED_PATH + "1",
+              LocalFleet.REGION_BOUND_PATH + "1",
               attemptId,
               "",
-              HOMED,
+              REGION_BOUND_API_KEY,
               DEADLINE_MILLIS);
       calls.add(new ClientCall(attemptId, "", false, sentAt, reply));
-      pause(random.nextInt(READ_PAUSE_MILLIS));
+      pause(random.nextInt(MAX_PAUSE_MILLIS));
     }
   }
 
   /** Asks for keys of the divided service, some of them much more often than others. */
-  private void fetch(final long seed) {
+  private void sendPartitionedReads(final long seed) {
     final Random random = new Random(seed ^ 0x5eed);
-    while (!over) {
+    while (!stopped) {
       final int key =
-          random.nextInt(3) == 0 ? random.nextInt(HOT_KEYS) : random.nextInt(GrantedKeys.KEYS);
+          random.nextInt(3) == 0 ? random.nextInt(HOT_KEYS) : random.nextInt(GrantedKeys.KEY_COUNT);
       final ClientReply reply =
-          fleet.shelfRequest(
+          fleet.partitionedRead(
               random.nextInt(fleet.size().proxies()), fleet.attemptId(), Integer.toString(key));
-      fetched.add(reply);
-      pause(random.nextInt(READ_PAUSE_MILLIS));
+      partitionedReads.add(reply);
+      pause(random.nextInt(MAX_PAUSE_MILLIS));
     }
   }
 
   /** Changes keys of the divided service, most of them in a few ranges. */
-  private void change(final long seed) {
+  private void sendPartitionedWrites(final long seed) {
     final Random random = new Random(seed ^ 0xcaf);
-    while (!over) {
+    while (!stopped) {
       final String attemptId = fleet.attemptId();
       final long sentAt = Clock.millis();
       final ClientReply reply =
-          fleet.shelfWrite(
+          fleet.partitionedWrite(
               random.nextInt(fleet.size().proxies()),
               attemptId,
-              Integer.toString(random.nextInt(GrantedKeys.KEYS)));
+              Integer.toString(random.nextInt(GrantedKeys.KEY_COUNT)));
       calls.add(new ClientCall(attemptId, "", false, sentAt, reply));
-      pause(random.nextInt(READ_PAUSE_MILLIS));
+      pause(random.nextInt(MAX_PAUSE_MILLIS));
     }
   }
 
   /** What slow clients of large answers had. */
-  List<LargeDownload> pulls() {
-    return new ArrayList<>(pulls);
+  List<LargeDownload> downloads() {
+    return new ArrayList<>(downloads);
   }
 
   /** What clients of the divided service heard. */
-  List<ClientReply> fetched() {
-    return new ArrayList<>(fetched);
+  List<ClientReply> partitionedReads() {
+    return new ArrayList<>(partitionedReads);
   }
 
   private void pause(final int millis) {
     try {
       Thread.sleep(millis);
-    } catch (final InterruptedException stopped) {
+    } catch (final InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
   /** Ends all clients and waits for their last answers. */
-  void end() throws InterruptedException {
-    over = true;
+  void stop() throws InterruptedException {
+    stopped = true;
     for (final Thread thread : new ArrayList<>(threads)) {
       thread.join(2L * DEADLINE_MILLIS + 3000);
     }
--- a/soak/src/test/java/weldpoint/soak/DividedServiceTest.java
+++ b/soak/src/test/java/weldpoint/soak/DividedServiceTest.java
@@ -16,7 +16,7 @@
 public final class DividedServiceTest {
   private static final int REQUESTS = 60;
   private static final int KEY_STEP = 1091;
-  private static final long PATIENCE_MILLIS = 10_000;
+  private static final long TIMEOUT_MILLIS = 10_000;
 
   private LocalFleet fleet;
 
@@ -28,12 +28,12 @@
   }
 
   @AfterClass(alwaysRun = true)
-  public void end() {
+  public void stop() {
     fleet.close();
   }
 
   private void awaitServed() throws InterruptedException {
-    final long deadline = Clock.millis() + PATIENCE_MILLIS;
+    final long deadline = Clock.millis() + TIMEOUT_MILLIS;
     while (Clock.millis() < deadline && served(4) < 4) {
       Thread.sleep(100);
     }
@@ -42,35 +42,35 @@
   private int served(final int requests) {
     int served = 0;
     for (int index = 0; index < requests; index++) {
-      final String key = Integer.toString(index * KEY_STEP % GrantedKeys.KEYS);
-      served += fleet.shelfRequest(index % 2, fleet.attemptId(), key).status() == 200 ? 1 : 0;
+      final String key = Integer.toString(index * KEY_STEP % GrantedKeys.KEY_COUNT);
+      served += fleet.partitionedRead(index % 2, fleet.attemptId(), key).status() == 200 ? 1 : 0;
     }
     return served;
   }
 
   @Test
-  public void aDividedServiceIsServedForEveryKey() {
+  public void aPartitionedServiceServesEveryKey() {
     assertEquals(served(REQUESTS), REQUESTS);
-    assertEquals(fleet.twoHolders(), List.of());
+    assertEquals(fleet.holderConflicts(), List.of());
   }
 
   @Test
-  public void aRequestWithoutAProperKeyIsTurnedAwayWithAReason() {
-    for (final String bad : List.of("", "65536", "-1", "abc")) {
-      final ClientReply reply = fleet.shelfRequest(0, fleet.attemptId(), bad);
+  public void aRequestWithoutAValidKeyIsRejectedWithAReason() {
+    for (final String invalidKey : List.of("", "65536", "-1", "abc")) {
+      final ClientReply reply = fleet.partitionedRead(0, fleet.attemptId(), invalidKey);
       assertEquals(reply.status(), 400, reply.toString());
       assertTrue(reply.body().contains("Weldpoint-Shard-Key"), reply.toString());
     }
   }
 
   @Test(dependsOnMethods = "aDividedServiceIsServedForEveryKey")
-  public void anUpstreamThatLeavesGivesItsKeysUpAtOnce() throws InterruptedException {
-    fleet.drain(0);
+  public void aDrainingUpstreamReleasesItsKeysAtOnce() throws InterruptedException {
+    fleet.drainKeyHolder(0);
     Thread.sleep(2000);
     final long ranBefore = runsOf("k-0");
     assertEquals(served(REQUESTS), REQUESTS);
     assertEquals(runsOf("k-0"), ranBefore, "nothing runs there any more");
-    assertEquals(fleet.twoHolders(), List.of());
+    assertEquals(fleet.holderConflicts(), List.of());
   }
 
   private long runsOf(final String instance) {
@@ -78,25 +78,25 @@
   }
 
   @Test(dependsOnMethods = "anUpstreamThatLeavesGivesItsKeysUpAtOnce")
-  public void theKeysOfAnUpstreamThatFallsSilentPassToOthers() throws InterruptedException {
-    fleet.keyRelays().get(1).cut(true);
-    final long deadline = Clock.millis() + 2 * PATIENCE_MILLIS;
+  public void theKeysOfAnUnreachableUpstreamAreReassigned() throws InterruptedException {
+    fleet.keyHolderRelays().get(1).blocked(true);
+    final long deadline = Clock.millis() + 2 * TIMEOUT_MILLIS;
     int served = 0;
     while (Clock.millis() < deadline && served < REQUESTS) {
       Thread.sleep(500);
       served = served(REQUESTS);
     }
     assertEquals(served, REQUESTS);
-    assertEquals(fleet.twoHolders(), List.of());
+    assertEquals(fleet.holderConflicts(), List.of());
   }
 
   @Test(dependsOnMethods = "theKeysOfAnUpstreamThatFallsSilentPassToOthers")
   public void anotherRegistryTakesOverFromOneThatIsKilled() throws InterruptedException {
     fleet.registries().forEach(DaemonProcess::kill);
     fleet.registries().forEach(DaemonProcess::start);
-    Thread.sleep(PATIENCE_MILLIS);
+    Thread.sleep(TIMEOUT_MILLIS);
     awaitServed();
     assertEquals(served(REQUESTS), REQUESTS);
-    assertEquals(fleet.twoHolders(), List.of());
+    assertEquals(fleet.holderConflicts(), List.of());
   }
 }
--- a/soak/src/test/java/weldpoint/soak/FleetBoundsTest.java
+++ b/soak/src/test/java/weldpoint/soak/FleetBoundsTest.java
@@ -17,9 +17,9 @@
  * on loopback, without any trouble.
  */
 public final class FleetBoundsTest {
-  private static final int RATE = Workload.RATE;
+  private static final int LIMIT_PER_SECOND = Workload.LIMIT_PER_SECOND;
   private static final int WINDOW_MILLIS = 5000;
-  private static final int ALLOWED = SoakRun.ALLOWED;
+  private static final int MAX_RUNS_IN_WINDOW = SoakRun.MAX_RUNS_IN_WINDOW;
   private static final int DEADLINE_MILLIS = 2000;
 
   private LocalFleet fleet;
@@ -31,36 +31,36 @@
   }
 
   @AfterClass(alwaysRun = true)
-  public void end() {
+  public void stop() {
     fleet.close();
   }
 
-  private ClientReply book(final int proxy, final String key) {
+  private ClientReply write(final int proxy, final String key) {
     return fleet.request(
         proxy, LocalFleet.WRITE_PATH + "1", fleet.attemptId(), key, "key-f", DEADLINE_MILLIS);
   }
 
   @Test
   public void aKeyThatHasRunDoesNotRunAgainThroughAnotherProxy() {
-    final ClientReply first = book(0, "move-1");
+    final ClientReply first = write(0, "move-1");
     assertEquals(first.status(), 200, first.toString());
-    book(1, "move-1");
+    write(1, "move-1");
     final List<UpstreamRun> runs =
         fleet.runs().stream().filter(run -> run.key().equals("move-1")).toList();
     assertEquals(runs.size(), 1, runs.toString());
   }
 
   @Test
-  public void aRepeatGetsTheFirstOnesAnswerThroughEveryProxy() {
-    final ClientReply first = book(0, "move-2");
+  public void aRepeatGetsTheFirstResponseThroughEveryProxy() {
+    final ClientReply first = write(0, "move-2");
     assertEquals(first.status(), 200, first.toString());
-    assertEquals(book(0, "move-2"), first);
-    assertEquals(book(1, "move-2"), first);
+    assertEquals(write(0, "move-2"), first);
+    assertEquals(write(1, "move-2"), first);
   }
 
   @Test
-  public void aKeyIsOneTenantsAndOneRequests() {
-    final ClientReply first = book(0, "move-3");
+  public void aKeyBelongsToOneTenantAndOneRequest() {
+    final ClientReply first = write(0, "move-3");
     assertEquals(first.status(), 200, first.toString());
     final String path = LocalFleet.WRITE_PATH + "2";
     final int proxy = 1;
@@ -75,19 +75,19 @@
   }
 
   @Test
-  public void aRepeatWaitsForARequestThatIsStillAtWork() throws Exception {
-    fleet.upstreams().forEach(upstream -> upstream.workMillis(600));
+  public void aRepeatWaitsForARunningRequest() throws Exception {
+    fleet.upstreams().forEach(upstream -> upstream.processingMillis(600));
     try {
       final java.util.concurrent.CompletableFuture<ClientReply> first =
-          java.util.concurrent.CompletableFuture.supplyAsync(() -> book(0, "move-4"));
+          java.util.concurrent.CompletableFuture.supplyAsync(() -> write(0, "move-4"));
       Thread.sleep(200);
-      final ClientReply second = book(1, "move-4");
+      final ClientReply second = write(1, "move-4");
       assertEquals(second.status(), 200, second.toString());
       assertEquals(second, first.get());
     } finally {
-      fleet.upstreams().forEach(upstream -> upstream.workMillis(20));
+      fleet.upstreams().forEach(upstream -> upstream.processingMillis(20));
     }
-    assertEquals(SoakChecker.doubledKeys(fleet.runs(), 60_000), List.of());
+    assertEquals(SoakChecker.duplicateKeyRuns(fleet.runs(), 60_000), List.of());
   }
 
   @Test
@@ -111,8 +111,8 @@
     }
     callers.shutdown();
     assertTrue(callers.awaitTermination(30, TimeUnit.SECONDS));
-    final int most = SoakChecker.mostInWindow(fleet.runs(), "limited", WINDOW_MILLIS);
-    assertTrue(most <= ALLOWED, most + " runs in a window, allowed " + ALLOWED);
-    assertTrue(most >= RATE * 5, "only " + most + " runs in a window, owed " + RATE * 5);
+    final int maxRuns = SoakChecker.maxRunsInWindow(fleet.runs(), "limited", WINDOW_MILLIS);
+    assertTrue(maxRuns <= MAX_RUNS_IN_WINDOW, maxRuns + " runs in a window, allowed " + MAX_RUNS_IN_WINDOW);
+    assertTrue(maxRuns >= LIMIT_PER_SECOND * 5, "only " + maxRuns + " runs in a window, owed " + LIMIT_PER_SECOND * 5);
   }
 }
--- a/soak/src/test/java/weldpoint/soak/SoakTest.java
+++ b/soak/src/test/java/weldpoint/soak/SoakTest.java
@@ -10,23 +10,23 @@
 
 /** The soak in short, and that its judge sees what it must see. */
 public final class SoakTest {
-  private static final long TROUBLED_MILLIS = 15_000;
+  private static final long FAULT_PHASE_MILLIS = 15_000;
 
   @Test
-  public void aShortSoakBreaksNothing() throws IOException, InterruptedException {
+  public void aShortSoakFindsNoViolation() throws IOException, InterruptedException {
     final SoakRun.Verdict verdict =
-        new SoakRun(7, new LocalFleet.Size(3, 2, 3, 4), TROUBLED_MILLIS).play();
-    System.out.println(SoakCommand.text(verdict));
-    assertEquals(verdict.broken(), List.of());
+        new SoakRun(7, new LocalFleet.Size(3, 2, 3, 4), FAULT_PHASE_MILLIS).run();
+    System.out.println(SoakCommand.format(verdict));
+    assertEquals(verdict.violations(), List.of());
     assertTrue(verdict.keyedRuns() > 10, "writes were made: " + verdict.keyedRuns());
     assertTrue(verdict.served() > verdict.calls() / 10, "something was served");
-    assertTrue(verdict.fetched() > verdict.fetches() / 10, "the divided service was served");
-    assertTrue(verdict.pulled() > verdict.pulls() / 10, "large answers came");
-    assertTrue(verdict.homedRuns() > 10, "homes were judged: " + verdict.homedRuns());
+    assertTrue(verdict.partitionedReadsServed() > verdict.partitionedReads() / 10, "the divided service was served");
+    assertTrue(verdict.completeDownloads() > verdict.downloads() / 10, "large answers came");
+    assertTrue(verdict.regionBoundRuns() > 10, "homes were judged: " + verdict.regionBoundRuns());
   }
 
-  private static UpstreamRun run(final String attemptId, final String key, final long at) {
-    return new UpstreamRun("i-1", attemptId, key, "limited", at);
+  private static UpstreamRun run(final String attemptId, final String key, final long startedAt) {
+    return new UpstreamRun("i-1", attemptId, key, "limited", startedAt);
   }
 
   private static ClientCall call(
@@ -35,86 +35,86 @@
   }
 
   @Test
-  public void theJudgeSeesDoubledKeys() {
+  public void theCheckerReportsDuplicateKeyRuns() {
     final List<UpstreamRun> runs = List.of(run("1", "k", 0), run("2", "k", 59_999));
-    assertEquals(SoakChecker.doubledKeys(runs, 60_000).size(), 1);
-    assertEquals(SoakChecker.doubledKeys(runs, 59_000), List.of());
+    assertEquals(SoakChecker.duplicateKeyRuns(runs, 60_000).size(), 1);
+    assertEquals(SoakChecker.duplicateKeyRuns(runs, 59_000), List.of());
   }
 
   @Test
-  public void theJudgeSeesRefusalsThatRanAndAnswersOfNoRun() {
+  public void theCheckerReportsRefusedRequestsThatRanAndResponsesOfNoRun() {
     final List<UpstreamRun> runs = List.of(run("1", "k", 0));
-    assertEquals(SoakChecker.brokenPromises(List.of(call("1", "k", 503, "")), runs).size(), 1);
-    assertEquals(SoakChecker.brokenPromises(List.of(call("1", "k", 502, "")), runs), List.of());
+    assertEquals(SoakChecker.refusedButRun(List.of(call("1", "k", 503, "")), runs).size(), 1);
+    assertEquals(SoakChecker.refusedButRun(List.of(call("1", "k", 502, "")), runs), List.of());
     assertEquals(
-        SoakChecker.strangeAnswers(List.of(call("1", "k", 200, "i-1.1")), runs), List.of());
-    assertEquals(SoakChecker.strangeAnswers(List.of(call("2", "k", 200, "i-1.2")), runs).size(), 1);
+        SoakChecker.inconsistentResponses(List.of(call("1", "k", 200, "i-1.1")), runs), List.of());
+    assertEquals(SoakChecker.inconsistentResponses(List.of(call("2", "k", 200, "i-1.2")), runs).size(), 1);
     assertEquals(
-        SoakChecker.strangeAnswers(
+        SoakChecker.inconsistentResponses(
                 List.of(call("1", "k", 200, "i-1.1"), call("2", "k", 200, "i-1.x")), runs)
             .size(),
         2);
   }
 
   @Test
-  public void theJudgeSeesAnswersThatWereCutWithoutACause() {
-    final Map<String, Long> answered = Map.of("1", 500L);
-    final List<LargeDownload> cut = List.of(new LargeDownload("1", 0, 400, 900, false));
-    assertEquals(cuts(cut, answered, 5000).size(), 1);
-    assertEquals(cuts(cut, Map.of(), 5000), List.of(), "no upstream had answered");
-    assertEquals(cuts(cut, answered, 600), List.of(), "the proxy was killed");
-    assertEquals(cuts(cut, answered, -3000), List.of(), "the proxy was frozen shortly before");
-    assertEquals(cuts(cut, answered, -4000).size(), 1, "the proxy was frozen long before");
+  public void theCheckerReportsResponsesTruncatedWithoutAFault() {
+    final Map<String, Long> responseTimes = Map.of("1", 500L);
+    final List<LargeDownload> truncated = List.of(new LargeDownload("1", 0, 400, 900, false));
+    assertEquals(truncatedResponses(truncated, responseTimes, 5000).size(), 1);
+    assertEquals(truncatedResponses(truncated, Map.of(), 5000), List.of(), "no upstream had answered");
+    assertEquals(truncatedResponses(truncated, responseTimes, 600), List.of(), "the proxy was killed");
+    assertEquals(truncatedResponses(truncated, responseTimes, -3000), List.of(), "the proxy was frozen shortly before");
+    assertEquals(truncatedResponses(truncated, responseTimes, -4000).size(), 1, "the proxy was frozen long before");
     assertEquals(
-        cuts(List.of(new LargeDownload("1", 0, 400, 2900, false)), answered, 5000),
+        truncatedResponses(List.of(new LargeDownload("1", 0, 400, 2900, false)), responseTimes, 5000),
         List.of(),
         "its time was over");
     assertEquals(
-        cuts(List.of(new LargeDownload("1", 0, 400, 900, true)), answered, 5000), List.of());
+        truncatedResponses(List.of(new LargeDownload("1", 0, 400, 900, true)), responseTimes, 5000), List.of());
   }
 
-  private static List<String> cuts(
-      final List<LargeDownload> pulls, final Map<String, Long> answered, final long disturbedAt) {
-    return SoakChecker.cutAnswers(
-        pulls,
-        answered,
-        (proxy, from, to) -> disturbedAt >= from && disturbedAt <= to,
-        SlowReader.DEADLINE_MILLIS,
+  private static List<String> truncatedResponses(
+      final List<LargeDownload> downloads, final Map<String, Long> responseTimes, final long disruptedAt) {
+    return SoakChecker.truncatedResponses(
+        downloads,
+        responseTimes,
+        (proxy, from, to) -> disruptedAt >= from && disruptedAt <= to,
+        SlowReader.TIMEOUT_MILLIS,
         4000);
   }
 
   @Test
-  public void theJudgeSeesRequestsThatRanTwice() {
+  public void theCheckerReportsRequestsThatRanTwice() {
     final List<UpstreamRun> runs = List.of(run("1", "", 0), run("1", "", 10));
-    assertEquals(SoakChecker.doubledRequests(List.of(call("1", "", 200, "")), runs).size(), 1);
-    assertEquals(SoakChecker.doubledRequests(List.of(call("2", "", 200, "")), runs), List.of());
+    assertEquals(SoakChecker.duplicateRequestRuns(List.of(call("1", "", 200, "")), runs).size(), 1);
+    assertEquals(SoakChecker.duplicateRequestRuns(List.of(call("2", "", 200, "")), runs), List.of());
   }
 
   @Test
-  public void theJudgeSeesRunsOutsideOfTheHomesInForce() {
-    final HomeRegions near = new HomeRegions(List.of(), List.of(HomeRegions.NEAR));
+  public void theCheckerReportsRunsOutsideTheHomeRegionsInForce() {
+    final HomeRegions mainRegionOnly = new HomeRegions(List.of(), List.of(HomeRegions.MAIN_REGION));
     final List<HomeRegions.Change> changes =
         List.of(
-            new HomeRegions.Change(1, HomeRegions.NONE, 0, 0),
-            new HomeRegions.Change(2, near, 10_000, Long.MAX_VALUE),
-            new HomeRegions.Change(2, near, 10_000, 10_100));
-    assertEquals(outside(changes, "i-2", 13_200).size(), 1);
-    assertEquals(outside(changes, "i-2", 13_000), List.of(), "the bound is not over");
-    assertEquals(outside(changes, "i-1", 13_200), List.of(), "in its homes");
-    assertEquals(outside(changes.subList(0, 2), "i-2", 13_200), List.of(), "not acknowledged");
+            new HomeRegions.Change(1, HomeRegions.UNRESTRICTED, 0, 0),
+            new HomeRegions.Change(2, mainRegionOnly, 10_000, Long.MAX_VALUE),
+            new HomeRegions.Change(2, mainRegionOnly, 10_000, 10_100));
+    assertEquals(runsOutsideHomeRegions(changes, "i-2", 13_200).size(), 1);
+    assertEquals(runsOutsideHomeRegions(changes, "i-2", 13_000), List.of(), "the bound is not over");
+    assertEquals(runsOutsideHomeRegions(changes, "i-1", 13_200), List.of(), "in its homes");
+    assertEquals(runsOutsideHomeRegions(changes.subList(0, 2), "i-2", 13_200), List.of(), "not acknowledged");
   }
 
-  private static List<String> outside(
-      final List<HomeRegions.Change> changes, final String instance, final long at) {
-    final UpstreamRun run = new UpstreamRun(instance, "1", "", Workload.HOMED_TENANT, at);
-    return SoakChecker.outsideHomes(List.of(run), changes, LocalFleet::regionOf, 3000);
+  private static List<String> runsOutsideHomeRegions(
+      final List<HomeRegions.Change> changes, final String instance, final long startedAt) {
+    final UpstreamRun run = new UpstreamRun(instance, "1", "", Workload.REGION_BOUND_TENANT, startedAt);
+    return SoakChecker.runsOutsideHomeRegions(List.of(run), changes, LocalFleet::regionOf, 3000);
   }
 
   @Test
-  public void theJudgeCountsWindowsThatSlide() {
+  public void theCheckerCountsSlidingWindows() {
     final List<UpstreamRun> runs =
         List.of(run("1", "", 0), run("2", "", 4000), run("3", "", 4999), run("4", "", 5000));
-    assertEquals(SoakChecker.mostInWindow(runs, "limited", 5000), 3);
-    assertEquals(SoakChecker.mostInWindow(runs, "another", 5000), 0);
+    assertEquals(SoakChecker.maxRunsInWindow(runs, "limited", 5000), 3);
+    assertEquals(SoakChecker.maxRunsInWindow(runs, "another", 5000), 0);
   }
 }
