--- a/soak/src/main/java/weldpoint/soak/ClientCall.java
+++ b/soak/src/main/java/weldpoint/soak/ClientCall.java
@@ -1,13 +1,13 @@
 package weldpoint.soak;
 
 /**
- * One request that a client sent, and what it heard.
+ * One request of a client, with its response.
  *
- * @param attemptId the request's {@code Weldpoint-Attempt-Id}
- * @param key its idempotency key; empty where it bears none
- * @param repeatable whether it may run more than once
- * @param sentAt when it was sent, in milliseconds of the steady clock
- * @param reply what the client heard
+ * @param attemptId {@code Weldpoint-Attempt-Id} of the request
+ * @param key idempotency key; empty if the request has none
+ * @param repeatable whether upstreams may execute the request more than once
+ * @param sentAt when the request was sent, in milliseconds of {@link Clock}
+ * @param reply the response that the client received
  */
 record ClientCall(
     String attemptId, String key, boolean repeatable, long sentAt, ClientReply reply) {}
--- a/soak/src/main/java/weldpoint/soak/ClientReply.java
+++ b/soak/src/main/java/weldpoint/soak/ClientReply.java
@@ -1,13 +1,14 @@
 package weldpoint.soak;
 
 /**
- * What a client heard.
+ * The response that a client received.
  *
- * @param status the status; 0 where no complete answer came
- * @param seal the upstream's seal; empty where the answer bears none
+ * @param status HTTP status; 0 if no complete response arrived
+ * @param seal value of the header {@code Weldpoint-Server-Seal}, by which the upstream names the
+ *     execution that produced the response; empty if the response has none
  * @param body the body as text
  */
 record ClientReply(int status, String seal, String body) {
-  /** No complete answer. */
+  /** Stands for a request without a complete response. */
   static final ClientReply NONE = new ClientReply(0, "", "");
 }
--- a/soak/src/main/java/weldpoint/soak/Clock.java
+++ b/soak/src/main/java/weldpoint/soak/Clock.java
@@ -1,10 +1,10 @@
 package weldpoint.soak;
 
-/** The steady clock that all of a soak's records share. */
+/** The monotonic clock of all times that a soak records. */
 final class Clock {
   private Clock() {}
 
-  /** Milliseconds since an arbitrary moment of this process. */
+  /** Returns milliseconds since an arbitrary origin that is fixed for this process. */
   static long millis() {
     return System.nanoTime() / 1_000_000;
   }
--- a/soak/src/main/java/weldpoint/soak/DaemonProcess.java
+++ b/soak/src/main/java/weldpoint/soak/DaemonProcess.java
@@ -15,8 +15,9 @@
 import weldpoint.common.Settings;
 
 /**
- * One weldpoint daemon as an operating system process that can be killed, paused, resumed and
- * started again. Signals go to this process by its id and to no other.
+ * One weldpoint daemon, run as an operating system process that can be killed, paused, resumed and
+ * restarted. Signals are sent by process id, so no other process receives them. Used by the thread
+ * that injects faults and by the threads of running faults; all state changes are synchronized.
  */
 final class DaemonProcess {
   private static final int MAX_OUTPUT_LINES = 8000;
@@ -38,12 +39,12 @@
     this.settings = settings;
   }
 
-  /** The daemon's program and machine, for reports. */
+  /** Returns {@code program@host}, as used in reports. */
   String name() {
     return program + "@" + name;
   }
 
-  /** Starts the process; the settings file is read anew. */
+  /** Starts the process, which reads the settings file again; does nothing after a shutdown. */
   synchronized void start() {
     if (shutdown) {
       return;
@@ -68,7 +69,7 @@
     try {
       process = builder.start();
     } catch (final IOException e) {
-      throw new UncheckedIOException("cannot start " + name(), e);
+      throw new UncheckedIOException("cannot start daemon " + name(), e);
     }
     paused = false;
     starts++;
@@ -78,7 +79,7 @@
     reader.start();
   }
 
-  /** Starts the process where it does not run. */
+  /** Starts the process if it is not running. */
   synchronized void startIfDown() {
     if (!isAlive()) {
       start();
@@ -87,12 +88,13 @@
 
   private void readOutput(final Process source) {
     try (BufferedReader reader =
-        new BufferedReader(new InputStreamReader(source.getInputStream(), StandardCharsets.UTF_8))) {
+        new BufferedReader(
+            new InputStreamReader(source.getInputStream(), StandardCharsets.UTF_8))) {
       for (String line = reader.readLine(); line != null; line = reader.readLine()) {
         appendOutput(line);
       }
     } catch (final IOException e) {
-      appendOutput("output ended: " + e.getMessage());
+      appendOutput("reading the process output failed: " + e.getMessage());
     }
   }
 
@@ -105,30 +107,30 @@
     }
   }
 
-  /** The last lines that the process wrote, oldest first. */
+  /** Returns the last lines of the process's output, oldest first. */
   List<String> output() {
     synchronized (output) {
       return new ArrayList<>(output);
     }
   }
 
-  /** Ends the process at once, as a crash does. */
+  /** Kills the process without giving it time to shut down, like a crash. */
   synchronized void kill() {
     if (process != null) {
-      disruptedBetween();
+      recordDisruption();
       process.destroyForcibly();
       awaitExit();
     }
   }
 
-  /** Ends the process at once; it is not started again. */
+  /** Kills the process and prevents further starts. */
   synchronized void shutdownNow() {
     shutdown = true;
     resume();
     kill();
   }
 
-  /** Asks the process to end in order, and ends it at once if it does not. */
+  /** Requests an orderly shutdown (SIGTERM), and kills the process if it does not exit in time. */
   synchronized void terminate() {
     if (process == null) {
       return;
@@ -136,7 +138,7 @@
     resume();
     process.destroy();
     if (!awaitExit()) {
-      disruptedBetween();
+      recordDisruption();
       process.destroyForcibly();
       awaitExit();
     }
@@ -155,35 +157,36 @@
   synchronized void pause() {
     if (isAlive() && !paused) {
       paused = true;
-      disruptedBetween();
+      recordDisruption();
       signal("-STOP");
     }
   }
 
-  /** Lets a frozen process go on (SIGCONT). */
+  /** Resumes a frozen process (SIGCONT). */
   synchronized void resume() {
     if (paused && isAlive()) {
       signal("-CONT");
-      disruptedBetween();
+      recordDisruption();
     }
     paused = false;
   }
 
-  /** Tells the process that its settings file has changed (SIGHUP). */
+  /** Makes the process reload its settings file (SIGHUP). */
   synchronized void reload() {
     if (isAlive()) {
       signal("-HUP");
     }
   }
 
-  private void disruptedBetween() {
+  private void recordDisruption() {
     synchronized (disruptionTimes) {
       disruptionTimes.add(Clock.millis());
     }
   }
 
   /**
-   * Whether the process was killed, frozen or woken in a span, in milliseconds of the steady clock.
+   * Returns whether the process was killed, frozen or resumed between two times, both inclusive and
+   * in milliseconds of {@link Clock}.
    */
   boolean disruptedBetween(final long from, final long to) {
     synchronized (disruptionTimes) {
@@ -195,7 +198,7 @@
     try {
       new ProcessBuilder("kill", signal, Long.toString(process.pid())).start().waitFor();
     } catch (final IOException e) {
-      throw new UncheckedIOException("cannot signal " + name(), e);
+      throw new UncheckedIOException("cannot send a signal to daemon " + name(), e);
     } catch (final InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -205,7 +208,7 @@
     return process != null && process.isAlive();
   }
 
-  /** How often the process was started. */
+  /** Returns how many times the process has been started. */
   synchronized int starts() {
     return starts;
   }
--- a/soak/src/main/java/weldpoint/soak/Fault.java
+++ b/soak/src/main/java/weldpoint/soak/Fault.java
@@ -3,79 +3,91 @@
 import java.util.List;
 import java.util.Random;
 
-/** A trouble that a soak brings about and takes back. */
+/**
+ * The kinds of fault that a soak injects and later reverts. The names of the constants are printed
+ * in the line that {@link SoakCommand} prints for each seed.
+ */
 enum Fault {
-  /** A proxy is killed and started again. */
+  /** Kills a proxy, and starts it again when reverted. */
   PROXY_KILL,
-  /** A proxy is asked to end and started again. */
+  /** Shuts a proxy down in order (SIGTERM), and starts it again when reverted. */
   PROXY_RESTART,
-  /** A proxy is frozen. */
+  /** Freezes a proxy (SIGSTOP). */
   PROXY_FREEZE,
-  /** A registry is killed and started again. */
+  /** Kills a registry, and starts it again when reverted. */
   REGISTRY_KILL,
-  /** A registry is frozen. */
+  /** Freezes a registry (SIGSTOP). */
   REGISTRY_FREEZE,
-  /** A state store is killed and started again. */
+  /** Kills a state store, and starts it again when reverted. */
   STORE_KILL,
-  /** A state store is frozen. */
+  /** Freezes a state store (SIGSTOP). */
   STORE_FREEZE,
-  /** A core machine's registry and state store are killed together. */
+  /** Kills the registry and the state store of one core machine. */
   MACHINE_KILL,
-  /** All registries are killed at once. */
+  /** Kills all registries. */
   ALL_REGISTRIES_KILL,
-  /** The bytes between proxies and an upstream are held up. */
+  /** Holds back all bytes between the proxies and one upstream; none are lost. */
   UPSTREAM_CUT,
-  /** The bytes between proxies and an upstream are late. */
+  /** Delays the bytes between the proxies and one upstream. */
   UPSTREAM_DELAY,
-  /** An upstream's answers are lost on their way. */
+  /** Closes connections to one upstream when a response comes back over them. */
   ANSWERS_LOST,
-  /** What other daemons send to a core machine is held up, and lost with its connections. */
+  /**
+   * Holds back what other daemons send to a core machine; the bytes held back are lost, since their
+   * connections are closed afterwards.
+   */
   CORE_LINKS_CUT,
-  /** What other daemons send to a core machine is late. */
+  /** Delays the bytes between other daemons and one core machine. */
   CORE_LINKS_DELAY,
-  /** An upstream that holds keys cannot be reached. */
+  /** Makes an upstream of the partitioned service unreachable. */
   HOLDER_CUT,
-  /** An upstream that holds keys leaves in order, and comes back. */
+  /** Drains an upstream of the partitioned service, and restarts it when reverted. */
   HOLDER_DRAIN,
-  /** All proxies are asked to end, one after the other, and started again. */
+  /** Restarts all proxies one after the other (SIGTERM and start). */
   ROLLING_RESTART,
-  /** A configuration is sent, with other idle times and other home regions. */
+  /** Sends a new configuration with another idle timeout and other home regions. */
   CONFIGURATION,
-  /** An upstream gives a share of its answers twice, at once or late. */
+  /** Makes an upstream send a share of its responses twice, immediately or late. */
   SECOND_COPIES,
-  /** All upstreams that hold keys give a share of their answers twice, at once or late. */
+  /**
+   * Makes all upstreams of the partitioned service send a share of their responses twice,
+   * immediately or late.
+   */
   HOLDER_SECOND_COPIES,
-  /** An upstream that holds keys turns a share of its requests away, since it is full. */
+  /** Makes an upstream of the partitioned service reject a share of its requests as full. */
   HOLDER_FULL,
   /**
-   * An upstream that holds keys stands still, and then reads the calls that have come meanwhile.
+   * Stalls an upstream of the partitioned service, which then handles the calls that arrived
+   * meanwhile.
    */
   HOLDER_STALL,
-  /** A proxy is told that its settings have changed. */
+  /** Makes a proxy reload its settings (SIGHUP). */
   PROXY_RELOAD,
-  /** The first beat of a life that has ended comes late, from an upstream's address. */
+  /**
+   * Sends the delayed first heartbeat of an instance that has ended, from an upstream's address.
+   */
   LATE_FIRST_BEAT;
 
-  /** One trouble that is in force. */
+  /** A fault that has been injected. */
   interface ActiveFault {
-    /** Takes the trouble back. */
+    /** Reverts the fault. */
     void revert();
   }
 
   private static final int LINK_DELAY_MILLIS = 150;
 
-  /** Less than a call's longest life and the setting ownership.late-ms together. */
+  /** Less than a call's longest lifetime plus the setting {@code ownership.late-ms}. */
   private static final int STALL_MILLIS = 1500;
 
   private static final double DUPLICATED_RESPONSE_SHARE = 0.5;
   private static final double REJECTED_SHARE_WHEN_FULL = 0.4;
 
-  /** The share of requests that an upstream which holds keys turns away without any trouble. */
+  /** Share of requests that an upstream of the partitioned service rejects without any fault. */
   static final double BASELINE_REJECTED_SHARE = 0.25;
 
   private static final int[] IDLE_TIMEOUTS_MILLIS = {400, 1000, 15_000};
 
-  /** Brings it about at a place that is drawn. */
+  /** Injects the fault into a randomly chosen part of the fleet. */
   ActiveFault inject(final LocalFleet fleet, final Random random) {
     return switch (this) {
       case PROXY_KILL -> kill(List.of(pick(fleet.proxies(), random)));
@@ -139,7 +151,8 @@
       }
       case CONFIGURATION -> {
         fleet.sendNextConfiguration(
-            IDLE_TIMEOUTS_MILLIS[random.nextInt(IDLE_TIMEOUTS_MILLIS.length)], HomeRegions.pick(random));
+            IDLE_TIMEOUTS_MILLIS[random.nextInt(IDLE_TIMEOUTS_MILLIS.length)],
+            HomeRegions.pick(random));
         yield () -> {};
       }
       case SECOND_COPIES -> duplicateResponses(List.of(pick(fleet.upstreams(), random)));
--- a/soak/src/main/java/weldpoint/soak/GrantedKeys.java
+++ b/soak/src/main/java/weldpoint/soak/GrantedKeys.java
@@ -5,11 +5,12 @@
 import java.util.UUID;
 
 /**
- * The keys that one stand-in upstream holds: grants with rising fences that run out by a clock of
- * its own, which may be slow, and releases that wait for the work under way.
+ * The leases on keys that one stand-in upstream holds. Grants carry rising fences and expire by the
+ * upstream's own clock, which may run slowly; a release waits for the running requests on its keys.
+ * Grants, releases and requests come from the connection threads of {@link UpstreamServer}.
  */
 final class GrantedKeys {
-  /** How many keys there are. */
+  /** Number of keys of the partitioned service: valid keys are 0 to 65,535. */
   static final int KEY_COUNT = 65_536;
 
   private static final int STATUS_OK = 200;
@@ -19,10 +20,11 @@
   private static final int MAX_EVENTS_SHOWN = 12;
 
   /**
-   * A call that came: when its first byte was read and when it was counted, in milliseconds of the
-   * steady clock.
+   * A grant or release call, with the times when its first line was read and when it was applied,
+   * in milliseconds of {@link Clock}.
    */
-  private record Event(String kind, int firstKey, int lastKey, long fence, long readAt, long appliedAt) {
+  private record Event(
+      String kind, int firstKey, int lastKey, long fence, long readAt, long appliedAt) {
     @Override
     public String toString() {
       return kind
@@ -34,7 +36,7 @@
           + fence
           + " read at "
           + readAt
-          + " counted at "
+          + " applied at "
           + appliedAt;
     }
   }
@@ -48,11 +50,12 @@
   private final int[] runningRequests = new int[KEY_COUNT];
 
   /**
-   * Nothing is held yet.
+   * Creates an upstream's leases, initially none.
    *
-   * @param slowness how much longer than told a grant holds, as a factor
+   * @param clockFactor how many times as long as granted a lease lasts; above 1 for a slow clock
    */
-  GrantedKeys(final String instanceId, final double clockFactor, final ExclusiveHolderChecker checker) {
+  GrantedKeys(
+      final String instanceId, final double clockFactor, final ExclusiveHolderChecker checker) {
     this.instanceId = instanceId;
     this.clockFactor = clockFactor;
     this.checker = checker;
@@ -64,18 +67,23 @@
   }
 
   /**
-   * Takes a grant; the status to answer with.
+   * Applies a grant and returns the HTTP status of the response.
    *
-   * @param readAt when the first byte of the call was read
+   * @param readAt when the first line of the call was read
    */
   synchronized int grant(
-      final int firstKey, final int lastKey, final long fence, final long holdMillis, final long readAt) {
+      final int firstKey,
+      final int lastKey,
+      final long fence,
+      final long holdMillis,
+      final long readAt) {
     final int status = grant(firstKey, lastKey, fence, holdMillis);
     events.add(new Event("grant " + status, firstKey, lastKey, fence, readAt, Clock.millis()));
     return status;
   }
 
-  private int grant(final int firstKey, final int lastKey, final long fence, final long holdMillis) {
+  private int grant(
+      final int firstKey, final int lastKey, final long fence, final long holdMillis) {
     if (firstKey < 0 || lastKey >= KEY_COUNT || firstKey > lastKey || holdMillis <= 0) {
       return STATUS_BAD_REQUEST;
     }
@@ -92,8 +100,12 @@
     return STATUS_OK;
   }
 
-  /** Stops new work on these keys, waits for what is under way, and gives the handover's token. */
-  synchronized String release(final int firstKey, final int lastKey, final long fence, final long readAt)
+  /**
+   * Ends the leases on these keys, waits for the running requests on them and returns a new
+   * handover token.
+   */
+  synchronized String release(
+      final int firstKey, final int lastKey, final long fence, final long readAt)
       throws InterruptedException {
     events.add(new Event("release", firstKey, lastKey, fence, readAt, Clock.millis()));
     for (int key = firstKey; key <= lastKey; key++) {
@@ -107,7 +119,7 @@
     return UUID.randomUUID().toString();
   }
 
-  /** What came of a key here, oldest first, for evidence. */
+  /** Returns the last grants and releases of a key, oldest first, as evidence of a conflict. */
   private List<String> history(final int key) {
     final List<String> all =
         events.stream()
@@ -126,7 +138,10 @@
     return false;
   }
 
-  /** Begins work on a key, if it is held; whether anybody else holds it is judged with that. */
+  /**
+   * Begins a request on a key if this upstream holds its lease, and checks in the same step that no
+   * other upstream holds it.
+   */
   boolean tryBegin(final int key) {
     synchronized (checker) {
       final long now = Clock.millis();
@@ -139,7 +154,7 @@
     }
   }
 
-  /** Work on a key has ended. */
+  /** Marks a request on a key as finished. */
   void finish(final int key) {
     synchronized (checker) {
       runningRequests[key]--;
@@ -151,7 +166,7 @@
     return key >= 0 && key < KEY_COUNT && now < expiresAt[key];
   }
 
-  /** The process ends with all that it held, and another life begins, which holds nothing. */
+  /** Simulates a restart of the upstream under a new instance id: all its leases are lost. */
   void restartAs(final String newInstanceId) {
     synchronized (checker) {
       instanceId = newInstanceId;
@@ -161,9 +176,10 @@
   }
 
   /**
-   * Sees to it that no two upstreams of one fleet begin work on a key while both hold it. Whatever
-   * changes what an upstream holds does so under the judge's lock, so that a beginning is compared
-   * with what the others hold at that very moment, however busy the machine is.
+   * Checks that no two upstreams of one fleet hold the lease on a key when a request on it begins.
+   * Requests begin and finish and upstreams restart under the checker's lock, so that the beginning
+   * of a request is compared with what the other upstreams hold at that moment, however busy the
+   * machine is. Grants and releases hold the lock of their own upstream.
    */
   static final class ExclusiveHolderChecker {
     private final List<GrantedKeys> holders = new ArrayList<>();
@@ -176,12 +192,14 @@
     private void checkExclusive(final GrantedKeys holder, final int key, final long now) {
       for (final GrantedKeys other : holders) {
         if (other != holder && other.holds(key, now)) {
-          violations.add(now + " two holders: " + describeConflict(key, holder, other));
+          violations.add(
+              now + " two lease holders of one key: " + describeConflict(key, holder, other));
         }
       }
     }
 
-    private static String describeConflict(final int key, final GrantedKeys holder, final GrantedKeys other) {
+    private static String describeConflict(
+        final int key, final GrantedKeys holder, final GrantedKeys other) {
       final List<String> lines = new ArrayList<>();
       lines.add(
           "key "
@@ -199,7 +217,7 @@
       return String.join("\n    ", lines);
     }
 
-    /** What was seen. */
+    /** Returns the conflicts found so far, with evidence. */
     synchronized List<String> violations() {
       return new ArrayList<>(violations);
     }
--- a/soak/src/main/java/weldpoint/soak/HttpCaller.java
+++ b/soak/src/main/java/weldpoint/soak/HttpCaller.java
@@ -8,13 +8,16 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** A client that sends one request over a connection of its own and never sends it again. */
+/** An HTTP/1.1 client that opens a connection for each request and never retries. */
 final class HttpCaller {
   private static final int CONNECT_TIMEOUT_MILLIS = 1000;
 
   private HttpCaller() {}
 
-  /** Sends one request; {@link ClientReply#NONE} where no whole answer came in time. */
+  /**
+   * Sends one request and returns the response, or {@link ClientReply#NONE} if no complete response
+   * arrives in time.
+   */
   static ClientReply call(
       final String address,
       final String method,
--- a/soak/src/main/java/weldpoint/soak/LargeDownload.java
+++ b/soak/src/main/java/weldpoint/soak/LargeDownload.java
@@ -1,12 +1,12 @@
 package weldpoint.soak;
 
 /**
- * One large answer that a slow client asked for.
+ * One download of a large response by a slow client.
  *
- * @param attemptId the request's {@code Weldpoint-Attempt-Id}
- * @param proxy the proxy that took the request
- * @param sentAt when its last byte was sent, in milliseconds of the steady clock
- * @param endedAt when its answer was whole, or its connection ended, or the client gave up
- * @param whole whether a complete answer came
+ * @param attemptId {@code Weldpoint-Attempt-Id} of the request
+ * @param proxy index of the proxy that received the request
+ * @param sentAt when the last byte of the request was sent, in milliseconds of {@link Clock}
+ * @param endedAt when the response was complete, the connection ended or the client gave up
+ * @param whole whether the complete response arrived
  */
 record LargeDownload(String attemptId, int proxy, long sentAt, long endedAt, boolean whole) {}
--- a/soak/src/main/java/weldpoint/soak/LocalFleet.java
+++ b/soak/src/main/java/weldpoint/soak/LocalFleet.java
@@ -18,37 +18,39 @@
 
 /**
  * Real state stores, registries and proxies as processes on loopback addresses, with stand-in
- * upstreams that beat as upstreams do.
+ * upstreams in this process, on whose behalf it sends heartbeats to the registries. Each upstream
+ * and each core machine is reached through a {@link TcpRelay}, which can block or delay its
+ * traffic.
  */
 final class LocalFleet implements AutoCloseable {
-  /** The host that the configuration's routes are listed under. */
+  /** Host name of the listener in the configuration. */
   static final String HOST = "soak.example";
 
-  /** A route whose requests run at most once. */
+  /** Path of a route whose requests run at most once. */
   static final String WRITE_PATH = "/book/";
 
-  /** A route whose requests may run more than once. */
+  /** Path of a route whose requests are idempotent, so they may run more than once. */
   static final String READ_PATH = "/look/";
 
-  /** A route to the service that is divided by key. */
+  /** Path of a route for reads from the partitioned service. */
   static final String PARTITIONED_READ_PATH = "/shelf/";
 
-  /** A route to the divided service whose requests run at most once. */
+  /** Path of a route for writes to the partitioned service, which run at most once. */
   static final String PARTITIONED_WRITE_PATH = "/stock/";
 
-  /** A route whose home regions change. */
+  /** Path of a route whose home regions change during the soak; its requests run at most once. */
   static final String REGION_BOUND_PATH = "/deed/";
 
-  /** A route of large answers. */
+  /** Path of a route with large responses. */
   static final String LARGE_DOWNLOAD_PATH = "/sheet/";
 
-  /** The service that is divided by key. */
+  /** The service whose keys are partitioned among its upstreams by leases. */
   static final String PARTITIONED_SERVICE = "shelf";
 
   private static final double SLOW_CLOCK_FACTOR = 1.02;
   private static final int ZONES = 3;
 
-  /** The upstreams' service. */
+  /** The service of the upstreams without partitioned keys. */
   static final String SERVICE = "desk";
 
   private static final long START_TIMEOUT_MILLIS = 60_000;
@@ -63,12 +65,12 @@
   private static final int METRICS_PORT_OFFSET = 13;
 
   /**
-   * How large a fleet is.
+   * The size of a fleet.
    *
-   * @param cores machines with a state store and a registry
-   * @param proxies machines with a proxy
-   * @param upstreams stand-in upstreams
-   * @param keyHolders stand-in upstreams of a service that is divided by key
+   * @param cores number of machines with a state store and a registry
+   * @param proxies number of machines with a proxy
+   * @param upstreams number of stand-in upstreams of the service that is not partitioned
+   * @param keyHolders number of stand-in upstreams of the partitioned service
    */
   record Size(int cores, int proxies, int upstreams, int keyHolders) {
     Size(final int cores, final int proxies, final int upstreams) {
@@ -97,7 +99,8 @@
   private final java.util.Set<Integer> draining = ConcurrentHashMap.newKeySet();
   private final ConcurrentLinkedQueue<HomeRegions.Change> homeRegionChanges =
       new ConcurrentLinkedQueue<>(
-          List.of(new HomeRegions.Change(1, HomeRegions.UNRESTRICTED, Long.MIN_VALUE, Long.MIN_VALUE)));
+          List.of(
+              new HomeRegions.Change(1, HomeRegions.UNRESTRICTED, Long.MIN_VALUE, Long.MIN_VALUE)));
   private final AtomicLong heartbeatCount = new AtomicLong();
   private final AtomicLong attemptCount = new AtomicLong();
   private final ScheduledExecutorService scheduler =
@@ -124,7 +127,12 @@
               "exchange",
               address,
               index,
-              coreSettings + "listen.control = " + address + ":" + (basePort + CONTROL_PORT_OFFSET) + "\n"));
+              coreSettings
+                  + "listen.control = "
+                  + address
+                  + ":"
+                  + (basePort + CONTROL_PORT_OFFSET)
+                  + "\n"));
     }
     for (int index = 0; index < size.proxies(); index++) {
       proxies.add(
@@ -140,27 +148,36 @@
     }
     for (int index = 0; index < size.upstreams(); index++) {
       final String host = "127.9.4." + (1 + index);
-      upstreams.add(new RecordingUpstream("i-" + index, host, basePort, records, seed * 31 + index));
-      upstreamRelays.add(new TcpRelay("127.9.3." + (1 + index), basePort, new InetSocketAddress(host, basePort)));
+      upstreams.add(
+          new RecordingUpstream("i-" + index, host, basePort, records, seed * 31 + index));
+      upstreamRelays.add(
+          new TcpRelay("127.9.3." + (1 + index), basePort, new InetSocketAddress(host, basePort)));
     }
-    keyHolders(seed);
+    startKeyHolders(seed);
   }
 
-  /** Bytes from any daemon to an inner port of a core machine pass through it. */
+  /**
+   * Starts a relay that carries all traffic from daemons to a port for inner messages of a core
+   * machine. Bytes that it held back while blocked are lost.
+   */
   private TcpRelay coreRelay(final String advertisedHost, final String boundHost, final int offset)
       throws IOException {
     final TcpRelay relay =
-        new TcpRelay(advertisedHost, basePort + offset, new InetSocketAddress(boundHost, basePort + offset));
+        new TcpRelay(
+            advertisedHost, basePort + offset, new InetSocketAddress(boundHost, basePort + offset));
     relay.closeAfterBlock(true);
     return relay;
   }
 
-  /** The relays before the inner ports of core machines: two for each machine, in their order. */
+  /**
+   * Returns the relays in front of the core machines' ports for inner messages: two for each
+   * machine (registry, state store), in the order of the machines.
+   */
   List<TcpRelay> coreRelays() {
     return coreRelays;
   }
 
-  private void keyHolders(final long seed) throws IOException {
+  private void startKeyHolders(final long seed) throws IOException {
     for (int index = 0; index < size.keyHolders(); index++) {
       final String host = "127.9.6." + (1 + index);
       final GrantedKeys keys =
@@ -174,28 +191,31 @@
     }
   }
 
-  /** The stand-in upstreams of the service that is divided by key. */
+  /** Returns the stand-in upstreams of the partitioned service. */
   List<RecordingUpstream> keyHolders() {
     return keyHolders;
   }
 
-  /** The relays before them. */
+  /** Returns the relays in front of the upstreams of the partitioned service, in their order. */
   List<TcpRelay> keyHolderRelays() {
     return keyHolderRelays;
   }
 
-  /** What was seen of two upstreams that held one key. */
+  /** Returns the cases found in which two upstreams held the lease on one key, with evidence. */
   List<String> holderConflicts() {
     return holderChecker.violations();
   }
 
-  /** A holder of keys tells from now on that it leaves. */
+  /** Makes an upstream of the partitioned service report the state "draining" from now on. */
   void drainKeyHolder(final int keyHolder) {
     draining.add(keyHolder);
     sendKeyHolderHeartbeat(keyHolder);
   }
 
-  /** A holder of keys ends, and another life of it begins at its address. */
+  /**
+   * Simulates a restart of an upstream of the partitioned service: its leases are lost, and a new
+   * incarnation with another instance id appears at its address.
+   */
   void restartKeyHolder(final int keyHolder) {
     final int incarnation = incarnations.merge(keyHolder, 1, Integer::sum);
     keyHolders.get(keyHolder).restartAs(keyHolderId(keyHolder, incarnation));
@@ -208,9 +228,9 @@
   }
 
   /**
-   * Sends the workload's configuration under the next version, without waiting for the answer.
+   * Sends the workload's configuration under the next version, without waiting for the response.
    *
-   * @param idleMillis how long a connection of a client may rest
+   * @param idleTimeoutMillis idle timeout of client connections
    */
   void sendNextConfiguration(final int idleTimeoutMillis, final HomeRegions homeRegions) {
     final int version = lastVersion.incrementAndGet();
@@ -220,32 +240,49 @@
         () -> {
           final String body = Workload.configuration(version, idleTimeoutMillis, homeRegions);
           if (callRegistry(version, "configuration.replace", body).status() == 200) {
-            homeRegionChanges.add(new HomeRegions.Change(version, homeRegions, sentAt, Clock.millis()));
+            homeRegionChanges.add(
+                new HomeRegions.Change(version, homeRegions, sentAt, Clock.millis()));
           }
         });
   }
 
-  /** The configurations that were sent; one that was acknowledged stands twice. */
+  /**
+   * Returns the configurations that were sent. One that was acknowledged is listed twice: as sent,
+   * and with the time of its acknowledgement.
+   */
   List<HomeRegions.Change> homeRegionChanges() {
     return new ArrayList<>(homeRegionChanges);
   }
 
-  /** The region of a stand-in upstream that is not divided by key. */
+  /** Returns the region of a stand-in upstream of the service that is not partitioned. */
   static String regionOf(final String instance) {
     return HomeRegions.regionOfZone(
         Integer.parseInt(instance.substring(instance.indexOf('-') + 1)) % ZONES);
   }
 
-  /** The first beat of a life that has ended comes from the address of a drawn upstream. */
+  /**
+   * Sends the delayed first heartbeat of an instance that has ended, from the address of a randomly
+   * chosen upstream.
+   */
   void sendLateFirstHeartbeat(final Random random) {
     final String id = "late-" + heartbeatCount.incrementAndGet();
     final int registry = random.nextInt(size.cores());
     final int index = random.nextInt(size.upstreams() + size.keyHolders());
     if (index < size.upstreams()) {
-      scheduler.execute(() -> sendHeartbeat(registry, id, SERVICE, "127.9.3." + (1 + index), index, "ready", 1));
+      scheduler.execute(
+          () -> sendHeartbeat(registry, id, SERVICE, "127.9.3." + (1 + index), index, "ready", 1));
     } else {
       final int keyHolder = index - size.upstreams();
-      scheduler.execute(() -> sendHeartbeat(registry, id, PARTITIONED_SERVICE, "127.9.5." + (1 + keyHolder), keyHolder, "ready", 1));
+      scheduler.execute(
+          () ->
+              sendHeartbeat(
+                  registry,
+                  id,
+                  PARTITIONED_SERVICE,
+                  "127.9.5." + (1 + keyHolder),
+                  keyHolder,
+                  "ready",
+                  1));
     }
   }
 
@@ -275,7 +312,7 @@
     return "127.9.2." + (1 + index);
   }
 
-  /** The address at which a proxy takes requests. */
+  /** Returns the address at which a proxy accepts client requests. */
   String proxyAddress(final int index) {
     return proxyHost(index) + ":" + (basePort + TRAFFIC_PORT_OFFSET);
   }
@@ -284,8 +321,8 @@
     return proxyHost(index) + ":" + (basePort + READINESS_PORT_OFFSET);
   }
 
-  /** The address at which a registry takes control calls. */
-  String callRegistry(final int index) {
+  /** Returns the address at which a registry accepts control calls. */
+  String controlAddress(final int index) {
     return coreHost(index % size.cores()) + ":" + (basePort + CONTROL_PORT_OFFSET);
   }
 
@@ -293,7 +330,7 @@
       final String program, final String address, final int index, final String extraSettings) {
     final StringBuilder seeds = new StringBuilder();
     for (int core = 0; core < Math.min(3, size.cores()); core++) {
-      seeds.append(core == 0 ? "" : ",").append(callRegistry(core));
+      seeds.append(core == 0 ? "" : ",").append(controlAddress(core));
     }
     final String settings =
         "station.name = "
@@ -323,18 +360,21 @@
       Files.writeString(file, settings);
       return new DaemonProcess(program, address, file);
     } catch (final IOException e) {
-      throw new UncheckedIOException("cannot write settings", e);
+      throw new UncheckedIOException("cannot write the settings file of a daemon", e);
     }
   }
 
-  /** Kills the processes of an interrupted run. */
+  /** Kills all daemons; also run by the shutdown hook, so that an interrupted soak leaves none. */
   private void killAll() {
     daemons().forEach(DaemonProcess::shutdownNow);
   }
 
-  /** Starts all processes, gives them a configuration and waits until all proxies are ready. */
+  /**
+   * Starts all daemons, sends them a configuration and waits until all upstreams' heartbeats are
+   * acknowledged and all proxies are ready.
+   */
   void start(final String configuration) throws InterruptedException {
-    Runtime.getRuntime().addShutdownHook(new Thread(this::killAll, "ends-fleet"));
+    Runtime.getRuntime().addShutdownHook(new Thread(this::killAll, "kill-fleet"));
     stores.forEach(DaemonProcess::start);
     registries.forEach(DaemonProcess::start);
     proxies.forEach(DaemonProcess::start);
@@ -342,15 +382,19 @@
     replaceConfiguration(configuration, deadline);
     for (int index = 0; index < size.upstreams(); index++) {
       while (sendHeartbeat(index) != 200) {
-        pauseUntil(deadline, "no beat of upstream " + index + " was acknowledged");
+        pauseUntil(deadline, "no heartbeat of upstream " + index + " was acknowledged");
       }
     }
     for (int index = 0; index < size.keyHolders(); index++) {
       while (sendKeyHolderHeartbeat(index) != 200) {
-        pauseUntil(deadline, "no beat of key holder " + index + " was acknowledged");
+        pauseUntil(deadline, "no heartbeat of key holder " + index + " was acknowledged");
       }
     }
-    scheduler.scheduleAtFixedRate(this::sendHeartbeats, HEARTBEAT_INTERVAL_MILLIS, HEARTBEAT_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+    scheduler.scheduleAtFixedRate(
+        this::sendHeartbeats,
+        HEARTBEAT_INTERVAL_MILLIS,
+        HEARTBEAT_INTERVAL_MILLIS,
+        TimeUnit.MILLISECONDS);
     for (int index = 0; index < size.proxies(); index++) {
       while (!isReady(index)) {
         pauseUntil(deadline, "proxy " + index + " is not ready");
@@ -366,39 +410,40 @@
     Thread.sleep(POLL_INTERVAL_MILLIS);
   }
 
-  /** Sends a configuration until it is acknowledged. */
+  /** Sends a configuration to one registry after the other until one acknowledges it. */
   void replaceConfiguration(final String configuration, final long deadline)
       throws InterruptedException {
     for (int attempt = 0; ; attempt++) {
       if (callRegistry(attempt, "configuration.replace", configuration).status() == 200) {
         return;
       }
-      pauseUntil(deadline, "no configuration was acknowledged");
+      pauseUntil(deadline, "the configuration was not acknowledged");
     }
   }
 
-  /** The figures of a registry as Prometheus text; empty where it does not answer. */
+  /** Returns a registry's metrics as Prometheus text; empty if it does not respond. */
   String registryMetrics(final int registry) {
     return fetchMetrics(coreHost(registry) + ":" + (basePort + METRICS_PORT_OFFSET + 1));
   }
 
-  /** The figures of a proxy as Prometheus text; empty where it does not answer. */
+  /** Returns a proxy's metrics as Prometheus text; empty if it does not respond. */
   String proxyMetrics(final int proxy) {
     return fetchMetrics(proxyHost(proxy) + ":" + (basePort + METRICS_PORT_OFFSET));
   }
 
   private static String fetchMetrics(final String address) {
-    return HttpCaller.call(address, "GET", "/metrics", Map.of("Host", address), "", CALL_TIMEOUT_MILLIS)
+    return HttpCaller.call(
+            address, "GET", "/metrics", Map.of("Host", address), "", CALL_TIMEOUT_MILLIS)
         .body();
   }
 
-  /** Makes one call of the control interface. */
+  /** Sends one control call to a registry. */
   ClientReply callRegistry(final int registry, final String call, final String body) {
     return HttpCaller.call(
-        callRegistry(registry),
+        controlAddress(registry),
         "POST",
         "/api/rpc?call=" + call,
-        Map.of("Host", callRegistry(registry)),
+        Map.of("Host", controlAddress(registry)),
         body,
         CALL_TIMEOUT_MILLIS);
   }
@@ -463,12 +508,12 @@
         == 200;
   }
 
-  /** An attempt id that no other request of this fleet bears. */
+  /** Returns an attempt id that is unique among the requests to this fleet. */
   String attemptId() {
     return String.format("%016x", attemptCount.incrementAndGet());
   }
 
-  /** Sends a request to a proxy; {@code key} and {@code apiKey} may be empty. */
+  /** Sends a request to a proxy; the idempotency key and the API key may be empty. */
   ClientReply request(
       final int proxy,
       final String path,
@@ -487,15 +532,20 @@
       headers.put("Authorization", "Bearer " + apiKey);
     }
     return HttpCaller.call(
-        proxyAddress(proxy), "POST", path, headers, "a booking", deadlineMillis + CALL_TIMEOUT_MILLIS);
+        proxyAddress(proxy),
+        "POST",
+        path,
+        headers,
+        "a booking",
+        deadlineMillis + CALL_TIMEOUT_MILLIS);
   }
 
-  /** Sends a request for a key of the divided service to a proxy. */
+  /** Reads a key of the partitioned service through a proxy. */
   ClientReply partitionedRead(final int proxy, final String attemptId, final String shardKey) {
     return partitionedCall(proxy, "GET", PARTITIONED_READ_PATH, attemptId, shardKey);
   }
 
-  /** Sends a request that changes a key of the divided service, and may run at most once. */
+  /** Writes a key of the partitioned service through a proxy; the write runs at most once. */
   ClientReply partitionedWrite(final int proxy, final String attemptId, final String shardKey) {
     return partitionedCall(proxy, "POST", PARTITIONED_WRITE_PATH, attemptId, shardKey);
   }
@@ -514,15 +564,16 @@
     if (!shardKey.isEmpty()) {
       headers.put("Weldpoint-Shard-Key", shardKey);
     }
-    return HttpCaller.call(proxyAddress(proxy), method, path + "1", headers, "", 2 * CALL_TIMEOUT_MILLIS);
+    return HttpCaller.call(
+        proxyAddress(proxy), method, path + "1", headers, "", 2 * CALL_TIMEOUT_MILLIS);
   }
 
-  /** All runs that the upstreams noted so far. */
+  /** Returns all executions of requests that the upstreams have recorded so far. */
   List<UpstreamRun> runs() {
     return new ArrayList<>(records.runs());
   }
 
-  /** When the answer to a request was written whole by its upstream, by attempt id. */
+  /** Returns when an upstream had written the complete response to a request, by attempt id. */
   Map<String, Long> responseTimes() {
     return records.responseTimes();
   }
@@ -547,7 +598,7 @@
     return upstreamRelays;
   }
 
-  /** All daemons. */
+  /** Returns all daemons: state stores, registries and proxies. */
   List<DaemonProcess> daemons() {
     final List<DaemonProcess> daemons = new ArrayList<>(stores);
     daemons.addAll(registries);
@@ -571,7 +622,7 @@
       try {
         relay.close();
       } catch (final IOException e) {
-        // nothing is left to do
+        // the listening socket is gone in any case
       }
     }
     deleteRecursively(folder);
@@ -583,7 +634,7 @@
         Files.deleteIfExists(file);
       }
     } catch (final IOException e) {
-      // a temporary folder that cannot be removed is left to the system
+      // a temporary folder that cannot be removed is left to the operating system
     }
   }
 }
--- a/soak/src/main/java/weldpoint/soak/RecordingUpstream.java
+++ b/soak/src/main/java/weldpoint/soak/RecordingUpstream.java
@@ -11,12 +11,13 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import weldpoint.soak.UpstreamServer.Response;
 import weldpoint.soak.UpstreamServer.Request;
+import weldpoint.soak.UpstreamServer.Response;
 
 /**
- * A stand-in upstream that notes each request that it runs, works for a while and answers. It turns
- * a share of its requests away, loses a share of its answers, and gives a share of them twice.
+ * A stand-in upstream that records each request it executes, simulates processing time and
+ * responds. It can reject a share of its requests, drop a share of its responses and send a share
+ * of them twice. The handler runs in the connection threads of {@link UpstreamServer}.
  */
 final class RecordingUpstream implements AutoCloseable, UpstreamServer.Handler {
   private static final byte[] EMPTY_BODY = new byte[0];
@@ -34,10 +35,10 @@
   private volatile double rejectedShare;
 
   /**
-   * What all upstreams of a fleet note.
+   * The records that all upstreams of a fleet share.
    *
-   * @param runs requests that began to run
-   * @param answered when a run's answer was written whole, by attempt id
+   * @param runs executions of requests, recorded as they begin
+   * @param responseTimes when the complete response was written, by attempt id
    */
   record Records(ConcurrentLinkedQueue<UpstreamRun> runs, Map<String, Long> responseTimes) {}
 
@@ -51,7 +52,7 @@
     this(instanceId, host, port, records, seed, null);
   }
 
-  /** An upstream of a divided service, which runs only what it holds the key of. */
+  /** Creates an upstream of a partitioned service, which executes only requests for leased keys. */
   RecordingUpstream(
       final String instanceId,
       final String host,
@@ -68,32 +69,32 @@
         new UpstreamServer(new InetSocketAddress(host, port), this, new Random(seed ^ 0x2c));
   }
 
-  /** Sets how long a request takes, in milliseconds. */
+  /** Sets the processing time of a request, in milliseconds. */
   void processingMillis(final int millis) {
     processingMillis = millis;
   }
 
-  /** Sets the share (0 to 1) of runs whose connection is closed in place of an answer. */
+  /** Sets the share (0 to 1) of executions whose connection is closed without a response. */
   void droppedResponseShare(final double share) {
     droppedResponseShare = share;
   }
 
-  /** Sets the share (0 to 1) of requests that are turned away for want of a free slot. */
+  /** Sets the share (0 to 1) of requests that are rejected as if the upstream were full (503). */
   void rejectedShare(final double share) {
     rejectedShare = share;
   }
 
-  /** Sets the share (0 to 1) of answers that come twice. */
+  /** Sets the share (0 to 1) of responses that are sent twice. */
   void duplicatedResponseShare(final double share) {
     server.duplicatedResponseShare(share);
   }
 
-  /** The process stands still for so many milliseconds, and then goes on with what it has read. */
+  /** Stalls for a time in milliseconds, and then handles the requests that were read meanwhile. */
   void stall(final long millis) {
     server.stall(millis);
   }
 
-  /** The process ends with all that it holds, and another life begins at its address. */
+  /** Simulates a restart at the same address under a new instance id: all leases are lost. */
   void restartAs(final String newInstanceId) {
     instanceId = newInstanceId;
     if (heldKeys != null) {
@@ -101,12 +102,12 @@
     }
   }
 
-  /** How many grants came, whatever was answered. */
+  /** Returns the number of grant calls, whatever the response. */
   long grantCalls() {
     return grantCalls.get();
   }
 
-  /** How many requests were turned away since their key was not held. */
+  /** Returns the number of requests rejected because their key was not leased to this upstream. */
   long keyNotHeldRejections() {
     return keyNotHeldRejections.get();
   }
@@ -120,7 +121,7 @@
     return new Response(status, Map.of(), EMPTY_BODY);
   }
 
-  /** Answers the calls by which keys are given and taken. */
+  /** Handles the calls by which a registry grants and releases leases on keys. */
   private Response handleKeyCall(final Request request) {
     final int firstKey = (int) jsonNumber(request.body(), "source");
     final int lastKey = (int) jsonNumber(request.body(), "targetVersion");
@@ -128,7 +129,8 @@
     if (request.path().equals("/api/grant")) {
       grantCalls.incrementAndGet();
       return emptyResponse(
-          heldKeys.grant(firstKey, lastKey, fence, jsonNumber(request.body(), "holdMs"), request.readAt()));
+          heldKeys.grant(
+              firstKey, lastKey, fence, jsonNumber(request.body(), "holdMs"), request.readAt()));
     }
     try {
       final String handoverToken = heldKeys.release(firstKey, lastKey, fence, request.readAt());
--- a/soak/src/main/java/weldpoint/soak/SlowReader.java
+++ b/soak/src/main/java/weldpoint/soak/SlowReader.java
@@ -12,11 +12,12 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * A client behind a slow link: it asks for large answers over a connection that it keeps until that
- * ends, takes them piece by piece, and rests in between.
+ * A client behind a slow link. It downloads large responses chunk by chunk, pauses between
+ * downloads and keeps its connection to a proxy open until that fails. Runs in a thread of its own,
+ * started by {@link Workload}.
  */
 final class SlowReader {
-  /** How long it waits for an answer. */
+  /** Time limit for one download, also sent to the proxy as the request's deadline. */
   static final int TIMEOUT_MILLIS = 2500;
 
   private static final int RECEIVE_BUFFER_BYTES = 8 << 10;
@@ -43,7 +44,7 @@
     this.stopped = stopped;
   }
 
-  /** Asks for answers, over one connection after the other, until all is over. */
+  /** Downloads over one connection after the other until the workload is stopped. */
   void run() {
     while (!stopped.getAsBoolean()) {
       final int proxy = random.nextInt(fleet.size().proxies());
@@ -77,7 +78,7 @@
     }
   }
 
-  /** Asks for one answer; false where the connection cannot be used again. */
+  /** Downloads one response; returns false if the connection cannot be reused. */
   private boolean download(final Socket socket, final InputStream in, final int proxy)
       throws IOException {
     final String attemptId = fleet.attemptId();
@@ -113,13 +114,13 @@
     return keepAlive;
   }
 
-  /** Reads the head of an answer, in lower case. */
+  /** Reads the status line and headers of a response, in lower case. */
   private static String readHead(final InputStream in) throws IOException {
     final StringBuilder head = new StringBuilder();
     while (head.length() < 4 || !head.substring(head.length() - 4).equals("\r\n\r\n")) {
       final int next = in.read();
       if (next < 0) {
-        throw new IOException("the connection ended before an answer");
+        throw new IOException("connection closed before the end of the response headers");
       }
       head.append((char) next);
     }
@@ -130,13 +131,15 @@
     final String name = "\r\ncontent-length: ";
     final int start = head.indexOf(name);
     if (start < 0) {
-      throw new IOException("an answer without a length: " + head);
+      throw new IOException("response without Content-Length: " + head);
     }
     final int from = start + name.length();
     return Integer.parseInt(head.substring(from, head.indexOf('\r', from)));
   }
 
-  /** Takes the body as its link lets it through; false where it does not come whole in time. */
+  /**
+   * Reads the body at the speed of the slow link; returns false if it is incomplete or too late.
+   */
   private static boolean readBody(final InputStream in, final int length, final long sentAt)
       throws IOException {
     final byte[] chunk = new byte[CHUNK_BYTES];
--- a/soak/src/main/java/weldpoint/soak/SoakChecker.java
+++ b/soak/src/main/java/weldpoint/soak/SoakChecker.java
@@ -9,14 +9,15 @@
 import java.util.function.Function;
 
 /**
- * Judges what upstreams and clients saw, apart from the daemons' own counts: each idempotency key
- * runs once, all answers to it are one, what was refused did not run, and no tenant runs more than
- * its limit in any window.
+ * Checks the records of the stand-in upstreams and the clients, independently of the daemons' own
+ * metrics: a request with an idempotency key runs once, all responses to one key are equal, refused
+ * requests did not run, complete responses were not truncated, requests ran in their home regions,
+ * and no tenant exceeds its limit in any window. Each check returns the violations found.
  */
 final class SoakChecker {
   private SoakChecker() {}
 
-  /** Each key that ran more than once within a span of milliseconds, with its runs. */
+  /** Returns idempotency keys whose request ran twice within a window, with both runs. */
   static List<String> duplicateKeyRuns(final List<UpstreamRun> runs, final long windowMillis) {
     final Map<String, UpstreamRun> lastRuns = new HashMap<>();
     final List<String> violations = new ArrayList<>();
@@ -26,13 +27,13 @@
       }
       final UpstreamRun previous = lastRuns.put(run.tenant() + "/" + run.key(), run);
       if (previous != null && run.startedAt() - previous.startedAt() < windowMillis) {
-        violations.add("two runs of one key: " + previous + " and " + run);
+        violations.add("two runs of one idempotency key: " + previous + " and " + run);
       }
     }
     return violations;
   }
 
-  /** The most runs of a tenant in any window of this many milliseconds. */
+  /** Returns the largest number of a tenant's runs in any window of this length. */
   static int maxRunsInWindow(
       final List<UpstreamRun> runs, final String tenant, final long windowMillis) {
     final List<Long> times =
@@ -52,7 +53,10 @@
     return max;
   }
 
-  /** Requests that run once at most, were refused with a promise (429, 503) and ran. */
+  /**
+   * Returns at-most-once requests that ran although they were refused with a status that promises
+   * that they did not (429, 503).
+   */
   static List<String> refusedButRun(final List<ClientCall> calls, final List<UpstreamRun> runs) {
     final Set<String> ran = new HashSet<>();
     runs.forEach(run -> ran.add(run.attemptId()));
@@ -61,29 +65,31 @@
       final int status = call.reply().status();
       final boolean notExecutedPromised = status == 429 || status == 503;
       if (notExecutedPromised && !call.repeatable() && ran.contains(call.attemptId())) {
-        violations.add("refused, and ran: " + call);
+        violations.add("request refused, but an upstream ran it: " + call);
       }
     }
     return violations;
   }
 
-  /** Requests that may run once at most and ran more than once. */
-  static List<String> duplicateRequestRuns(final List<ClientCall> calls, final List<UpstreamRun> runs) {
+  /** Returns at-most-once requests that ran more than once. */
+  static List<String> duplicateRequestRuns(
+      final List<ClientCall> calls, final List<UpstreamRun> runs) {
     final Map<String, Integer> counts = new HashMap<>();
     runs.forEach(run -> counts.merge(run.attemptId(), 1, Integer::sum));
     final List<String> violations = new ArrayList<>();
     for (final ClientCall call : calls) {
       final int ran = counts.getOrDefault(call.attemptId(), 0);
       if (!call.repeatable() && ran > 1) {
-        violations.add(ran + " runs of one request: " + call);
+        violations.add(ran + " runs of one at-most-once request: " + call);
       }
     }
     return violations;
   }
 
   /**
-   * Answers that an upstream gave whole and that a proxy cut before its client's time was over,
-   * without having been killed or frozen from {@code contactMillis} before the request to its end.
+   * Returns responses that an upstream wrote completely and a proxy truncated before the client's
+   * timeout, although the proxy was neither killed nor frozen nor resumed between {@code
+   * contactBoundMillis} before the request and the end of the response.
    */
   static List<String> truncatedResponses(
       final List<LargeDownload> downloads,
@@ -98,21 +104,32 @@
           && respondedAt != null
           && respondedAt <= download.endedAt()
           && download.endedAt() - download.sentAt() < timeoutMillis
-          && !disruptions.disruptedBetween(download.proxy(), download.sentAt() - contactBoundMillis, download.endedAt())) {
-        violations.add("an answer given whole was cut: " + download + ", answered at " + respondedAt);
+          && !disruptions.disruptedBetween(
+              download.proxy(), download.sentAt() - contactBoundMillis, download.endedAt())) {
+        violations.add(
+            "complete response truncated by the proxy: "
+                + download
+                + ", response written at "
+                + respondedAt);
       }
     }
     return violations;
   }
 
-  /** Tells whether a proxy was killed or frozen in a span. */
+  /** Knows when proxies were killed, frozen or resumed. */
   interface Disruptions {
-    /** Whether it was, from one moment of the steady clock to another. */
+    /**
+     * Returns whether a proxy was disrupted between two times, in milliseconds of {@link Clock}.
+     */
     boolean disruptedBetween(int proxy, long from, long to);
   }
 
-  /** Keys whose successes differ, or bear the seal of no run of theirs. */
-  static List<String> inconsistentResponses(final List<ClientCall> calls, final List<UpstreamRun> runs) {
+  /**
+   * Returns idempotency keys whose successful responses differ, or whose response carries a seal
+   * that matches no run with that key.
+   */
+  static List<String> inconsistentResponses(
+      final List<ClientCall> calls, final List<UpstreamRun> runs) {
     final Map<String, Set<String>> seals = new HashMap<>();
     for (final UpstreamRun run : runs) {
       seals
@@ -127,21 +144,24 @@
       }
       final ClientReply previous = firstReplies.putIfAbsent(call.key(), call.reply());
       if (previous != null && !previous.equals(call.reply())) {
-        violations.add("two answers to one key: " + previous + " and " + call);
+        violations.add("different responses to one idempotency key: " + previous + " and " + call);
       }
       if (!seals.getOrDefault(call.key(), Set.of()).contains(call.reply().seal())) {
-        violations.add("an answer of no run: " + call);
+        violations.add("response that matches no run of its key: " + call);
       }
     }
     return violations;
   }
 
   /**
-   * Runs outside of the homes that every configuration has which may be in force: the newest one
-   * that was acknowledged longer ago than the bound, and all that were sent after it.
+   * Returns runs in a region that no configuration allows that may have been in force at the time.
+   * These are the newest configuration acknowledged longer ago than the bound, and all
+   * configurations with a later version that had been sent.
    *
-   * @param runs runs of the tenant whose homes change, in calm times
-   * @param regionOf the region of an upstream
+   * @param runs runs of the tenant whose home regions change, from the phase without faults
+   * @param changes the configurations that were sent
+   * @param regionOf maps the instance id of an upstream to its region
+   * @param boundMillis within which an acknowledged configuration must be in force everywhere
    */
   static List<String> runsOutsideHomeRegions(
       final List<UpstreamRun> runs,
@@ -164,7 +184,8 @@
                 && change.homeRegions().allows(regionOf.apply(run.instance()));
       }
       if (!allowed) {
-        violations.add("outside of its homes: " + run + ", oldest version in force " + oldestInForce);
+        violations.add(
+            "run outside its home regions: " + run + ", oldest version in force " + oldestInForce);
       }
     }
     return violations;
--- a/soak/src/main/java/weldpoint/soak/SoakCommand.java
+++ b/soak/src/main/java/weldpoint/soak/SoakCommand.java
@@ -8,13 +8,14 @@
 import joptsimple.OptionSpec;
 
 /**
- * Plays soaks of real processes on loopback, one seed after the other. Exit 0: nothing was broken;
- * 1: something was, with its seed and evidence; 2: arguments that make no sense.
+ * Runs soak tests of real daemon processes on loopback, one seed after the other, and prints one
+ * line for each seed. Exit status: 0 if no violation was found; 1 if one was, printed with its seed
+ * and evidence; 2 for invalid arguments.
  */
 public final class SoakCommand {
   private SoakCommand() {}
 
-  /** Plays the soaks that the arguments ask for. */
+  /** Runs the soaks that the arguments specify. */
   public static void main(final String[] arguments) throws IOException, InterruptedException {
     final OptionParser parser = new OptionParser();
     final OptionSpec<Long> seed =
@@ -31,7 +32,7 @@
             .defaultsTo(10);
     final OptionSpec<Integer> seconds =
         parser
-            .accepts("seconds", "how long each is troubled")
+            .accepts("seconds", "how long faults are injected, per seed")
             .withRequiredArg()
             .ofType(Integer.class)
             .defaultsTo(30);
@@ -43,17 +44,17 @@
             .defaultsTo(3);
     final OptionSpec<Integer> cores =
         parser
-            .accepts("cores", "how many core machines")
+            .accepts("cores", "how many core machines (state store and registry)")
             .withRequiredArg()
             .ofType(Integer.class)
             .defaultsTo(3);
     final OptionSpec<Integer> keyHolders =
         parser
-            .accepts("key-holders", "how many upstreams of a service that is divided by key")
+            .accepts("key-holders", "how many upstreams of the partitioned service")
             .withRequiredArg()
             .ofType(Integer.class)
             .defaultsTo(4);
-    parser.accepts("help", "shows this");
+    parser.accepts("help", "shows this help");
     final OptionSet options;
     try {
       options = parser.parse(arguments);
@@ -71,7 +72,8 @@
         new LocalFleet.Size(
             options.valueOf(cores), options.valueOf(proxies), 3, options.valueOf(keyHolders));
     final long faultPhaseMillis = 1000L * options.valueOf(seconds);
-    final boolean passed = runSeeds(options.valueOf(seed), options.valueOf(runs), size, faultPhaseMillis);
+    final boolean passed =
+        runSeeds(options.valueOf(seed), options.valueOf(runs), size, faultPhaseMillis);
     System.exit(passed ? 0 : 1);
   }
 
@@ -87,7 +89,7 @@
     return passed;
   }
 
-  /** A verdict in one line, with the evidence below where something was broken. */
+  /** Formats a verdict as one line, followed by the violations if there are any. */
   static String format(final SoakRun.Verdict verdict) {
     final List<String> violations = verdict.violations();
     return "seed "
--- a/soak/src/main/java/weldpoint/soak/SoakRun.java
+++ b/soak/src/main/java/weldpoint/soak/SoakRun.java
@@ -10,8 +10,9 @@
 import java.util.Random;
 
 /**
- * One soak: a fleet of real processes, clients that press, and troubles that overlap in time, all
- * drawn from one seed; then a calm, and what upstreams and clients saw is judged.
+ * One soak: a fleet of real processes, clients that send requests continuously, and faults that
+ * overlap in time, all chosen from one seed. After a recovery phase without faults, the records of
+ * the upstreams and the clients are checked.
  */
 final class SoakRun {
   private static final int CLIENTS = 6;
@@ -29,27 +30,32 @@
   private static final int CHANGES_AFTER_RECOVERY = 2;
   private static final int IDLE_TIMEOUT_MILLIS = 15_000;
 
-  /** The most runs of the limited tenant in a window, by the users' rule. */
-  static final int MAX_RUNS_IN_WINDOW = (int) ((Workload.LIMIT_PER_SECOND * 5 + Workload.LIMIT_BURST) * 1.1 + 20);
+  /**
+   * The most runs that the users' requirements allow the limited tenant in a window of 5 s: its
+   * rate over the window plus its burst, plus 10 % (bound.quota-overshoot) and 20 runs
+   * (bound.quota-tolerance).
+   */
+  static final int MAX_RUNS_IN_WINDOW =
+      (int) ((Workload.LIMIT_PER_SECOND * 5 + Workload.LIMIT_BURST) * 1.1 + 20);
 
   private record TimedFault(long endsAt, Fault fault, Fault.ActiveFault active) {}
 
   /**
-   * What a soak found.
+   * The result of a soak.
    *
-   * @param seed the seed
-   * @param broken what was broken, with the evidence; empty where nothing was
-   * @param troubles how often each trouble was brought about
-   * @param calls requests of clients
-   * @param served those that were answered with success
-   * @param keyedRuns runs of requests with a key
-   * @param mostInWindow the most runs of the limited tenant in any window
-   * @param fetches requests to the divided service
-   * @param fetched those that were answered with success
-   * @param twoHolders checks that found two holders of one key
-   * @param pulls large answers that slow clients asked for
-   * @param pulled those that came whole
-   * @param homedRuns runs of the tenant with changing homes, of which was judged where they ran
+   * @param seed the seed of the soak
+   * @param violations violations with evidence; empty if the soak passed
+   * @param faults how often each kind of fault was injected
+   * @param calls number of client requests, without partitioned reads and downloads
+   * @param served how many of the calls got status 200
+   * @param keyedRuns runs of requests with an idempotency key
+   * @param maxRunsInWindow the most runs of the limited tenant in any window
+   * @param partitionedReads reads from the partitioned service
+   * @param partitionedReadsServed how many of these reads got status 200
+   * @param holderConflicts cases in which two upstreams held the lease on one key
+   * @param downloads large downloads that slow clients requested
+   * @param completeDownloads how many of the downloads were complete
+   * @param regionBoundRuns runs of the tenant with changing home regions whose region was checked
    */
   record Verdict(
       long seed,
@@ -81,11 +87,13 @@
     this.random = new Random(seed);
   }
 
-  /** Plays it. */
+  /** Runs the soak and returns its result. */
   Verdict run() throws IOException, InterruptedException {
     try (LocalFleet fleet = new LocalFleet(size, seed)) {
       fleet.start(Workload.configuration());
-      fleet.keyHolders().forEach(keyHolder -> keyHolder.rejectedShare(Fault.BASELINE_REJECTED_SHARE));
+      fleet
+          .keyHolders()
+          .forEach(keyHolder -> keyHolder.rejectedShare(Fault.BASELINE_REJECTED_SHARE));
       final Workload workload = new Workload(fleet);
       workload.start(CLIENTS, seed);
       injectFaults(fleet);
@@ -96,7 +104,7 @@
     }
   }
 
-  /** Changes homes in the calm, when a change must be in force within the bound. */
+  /** Changes home regions after recovery, when a change must be in force within the bound. */
   private void changeHomeRegions(final LocalFleet fleet) throws InterruptedException {
     recoveredAt = Clock.millis();
     for (int change = 0; change < CHANGES_AFTER_RECOVERY; change++) {
@@ -131,7 +139,7 @@
     fleet.daemons().forEach(DaemonProcess::startIfDown);
   }
 
-  /** What a registry told of its calls to holders of keys. */
+  /** Returns a registry's log lines about its grant and release calls for keys. */
   private static List<String> keyAssignmentLines(final DaemonProcess registry) {
     return registry.output().stream()
         .filter(line -> line.contains(" keys ") || line.contains("assigns the keys"))
@@ -142,7 +150,8 @@
   private Verdict check(final LocalFleet fleet, final Workload workload) {
     final List<UpstreamRun> runs = fleet.runs();
     final List<ClientCall> calls = workload.calls();
-    final List<String> violations = new ArrayList<>(SoakChecker.duplicateKeyRuns(runs, KEY_WINDOW_MILLIS));
+    final List<String> violations =
+        new ArrayList<>(SoakChecker.duplicateKeyRuns(runs, KEY_WINDOW_MILLIS));
     violations.addAll(SoakChecker.refusedButRun(calls, runs));
     violations.addAll(SoakChecker.inconsistentResponses(calls, runs));
     violations.addAll(SoakChecker.duplicateRequestRuns(calls, runs));
@@ -161,14 +170,19 @@
             .toList();
     violations.addAll(
         SoakChecker.runsOutsideHomeRegions(
-            regionBoundRuns, fleet.homeRegionChanges(), LocalFleet::regionOf, CONFIGURATION_BOUND_MILLIS));
+            regionBoundRuns,
+            fleet.homeRegionChanges(),
+            LocalFleet::regionOf,
+            CONFIGURATION_BOUND_MILLIS));
     violations.addAll(fleet.holderConflicts());
     if (!fleet.holderConflicts().isEmpty()) {
       fleet.registries().forEach(registry -> violations.addAll(keyAssignmentLines(registry)));
     }
-    final int maxRuns = SoakChecker.maxRunsInWindow(runs, Workload.LIMITED_TENANT, QUOTA_WINDOW_MILLIS);
+    final int maxRuns =
+        SoakChecker.maxRunsInWindow(runs, Workload.LIMITED_TENANT, QUOTA_WINDOW_MILLIS);
     if (maxRuns > MAX_RUNS_IN_WINDOW) {
-      violations.add(maxRuns + " runs of the limited tenant in a window, allowed " + MAX_RUNS_IN_WINDOW);
+      violations.add(
+          maxRuns + " runs of the limited tenant in one window, allowed " + MAX_RUNS_IN_WINDOW);
     }
     fleet
         .daemons()
@@ -183,7 +197,8 @@
     final int served = (int) calls.stream().filter(call -> call.reply().status() == 200).count();
     final int keyedRuns = (int) runs.stream().filter(run -> !run.key().isEmpty()).count();
     final List<ClientReply> partitionedReads = workload.partitionedReads();
-    final int partitionedReadsServed = (int) partitionedReads.stream().filter(reply -> reply.status() == 200).count();
+    final int partitionedReadsServed =
+        (int) partitionedReads.stream().filter(reply -> reply.status() == 200).count();
     return new Verdict(
         seed,
         violations,
--- a/soak/src/main/java/weldpoint/soak/TcpRelay.java
+++ b/soak/src/main/java/weldpoint/soak/TcpRelay.java
@@ -12,8 +12,9 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * A relay between two processes that can hold bytes up, delay them, and break connections off in
- * place of an answer.
+ * A TCP relay between two processes that can hold bytes back, delay them, and close connections
+ * instead of passing a response on. Each direction of a connection has its own thread; the settings
+ * may be changed from any thread and take effect with the next bytes read.
  */
 final class TcpRelay implements Closeable {
   private static final int BUFFER_BYTES = 16 << 10;
@@ -40,22 +41,25 @@
     thread.start();
   }
 
-  /** Holds all bytes up, both ways, until it is joined again; nothing is lost. */
+  /**
+   * Sets whether all bytes are held back, in both directions. None are lost, unless {@link
+   * #closeAfterBlock} is set.
+   */
   void blocked(final boolean enabled) {
     blocked = enabled;
   }
 
-  /** From now on a cut breaks off the connections whose bytes it held up: those bytes are lost. */
+  /** Sets whether connections whose bytes were held back are closed, so that the bytes are lost. */
   void closeAfterBlock(final boolean enabled) {
     closeAfterBlock = enabled;
   }
 
-  /** Breaks a connection off when an answer comes back over it. */
+  /** Sets whether a connection is closed when response bytes arrive on it. */
   void closeOnResponse(final boolean enabled) {
     closeOnResponse = enabled;
   }
 
-  /** Delays each piece by so many milliseconds, both ways. */
+  /** Sets the delay of each chunk read, in milliseconds, in both directions. */
   void delayMillis(final int millis) {
     delayMillis = millis;
   }
@@ -101,14 +105,14 @@
         out.flush();
       }
     } catch (final IOException e) {
-      // both sides are ended below
+      // both sockets are closed below
     } finally {
       closeSocket(from);
       closeSocket(to);
     }
   }
 
-  /** Waits while bytes are held up; true where a cut held them. */
+  /** Waits for the delay and while the relay is blocked; returns whether it was blocked. */
   private boolean delayOrBlock() {
     boolean wasBlocked = false;
     try {
@@ -130,7 +134,7 @@
     try {
       socket.close();
     } catch (final IOException e) {
-      // nothing is left to do
+      // the socket is closed already
     }
   }
 
--- a/soak/src/main/java/weldpoint/soak/UpstreamRun.java
+++ b/soak/src/main/java/weldpoint/soak/UpstreamRun.java
@@ -1,12 +1,12 @@
 package weldpoint.soak;
 
 /**
- * One request that a stand-in upstream began to run.
+ * One execution of a request, recorded by a stand-in upstream when it begins.
  *
- * @param instance the upstream's instance id
- * @param attemptId the try's {@code Weldpoint-Attempt-Id}
- * @param key the idempotency key; empty where the request carries none
- * @param tenant the tenant that the proxy named; empty where it named none
- * @param startedAt when the run began, in milliseconds of the steady clock
+ * @param instance instance id of the upstream
+ * @param attemptId {@code Weldpoint-Attempt-Id} of the request
+ * @param key idempotency key; empty if the request has none
+ * @param tenant tenant that the proxy added to the request; empty if it added none
+ * @param startedAt when the execution began, in milliseconds of {@link Clock}
  */
 record UpstreamRun(String instance, String attemptId, String key, String tenant, long startedAt) {}
--- a/soak/src/main/java/weldpoint/soak/UpstreamServer.java
+++ b/soak/src/main/java/weldpoint/soak/UpstreamServer.java
@@ -17,16 +17,18 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * The HTTP/1.1 side of a stand-in upstream: one request at a time on each connection. On demand a
- * share of its answers comes twice: at once, or late, in the place of the next answer due on that
- * connection.
+ * The HTTP/1.1 server of a stand-in upstream. Each connection has a thread and handles one request
+ * at a time. Optionally a share of the responses is sent twice: the duplicate follows immediately,
+ * or late, where the next response on that connection is due.
  */
 final class UpstreamServer implements AutoCloseable {
   /**
-   * A request that was read whole.
+   * A completely read request.
    *
+   * @param target path and query
    * @param headers by their names in lower case
-   * @param readAt when its first line was read, in milliseconds of the steady clock
+   * @param body the body as text
+   * @param readAt when its first line was read, in milliseconds of {@link Clock}
    */
   record Request(String target, Map<String, String> headers, String body, long readAt) {
     String path() {
@@ -34,21 +36,21 @@
       return query < 0 ? target : target.substring(0, query);
     }
 
-    /** The value of a header; empty where the request has none of this name. */
+    /** Returns the value of a header; empty if the request does not have it. */
     String header(final String name) {
       return headers.getOrDefault(name.toLowerCase(Locale.ROOT), "");
     }
   }
 
-  /** An answer. */
+  /** A response to send. */
   record Response(int status, Map<String, String> headers, byte[] body) {}
 
-  /** Works on requests. */
+  /** Handles requests; called from the threads of connections. */
   interface Handler {
-    /** The answer; null where the connection ends without one. */
+    /** Returns the response, or null to close the connection without one. */
     Response handle(Request request);
 
-    /** An answer to this request has been written whole. */
+    /** Called when the complete response to a request has been written. */
     void responseSent(Request request, Response response);
   }
 
@@ -70,12 +72,12 @@
     start(this::accept);
   }
 
-  /** Sets the share (0 to 1) of answers that come twice. */
+  /** Sets the share (0 to 1) of responses that are sent twice. */
   void duplicatedResponseShare(final double share) {
     duplicatedResponseShare = share;
   }
 
-  /** From now on nothing that was read is looked at for so many milliseconds. */
+  /** Suspends the handling of requests for a time in milliseconds; they are still read. */
   void stall(final long millis) {
     stalledUntil = Clock.millis() + millis;
   }
@@ -134,7 +136,7 @@
         }
       }
     } catch (final IOException e) {
-      // the connection is over
+      // the connection has ended
     } catch (final InterruptedException interrupted) {
       Thread.currentThread().interrupt();
     } finally {
@@ -148,7 +150,10 @@
     }
   }
 
-  /** Reads one request whose body has a length or none; null where the connection has ended. */
+  /**
+   * Reads one request, with a Content-Length or without a body; returns null if the connection has
+   * ended.
+   */
   private static Request readRequest(final InputStream in) throws IOException {
     final String requestLine = readLine(in);
     if (requestLine == null) {
@@ -197,7 +202,7 @@
         socket.close();
       }
     } catch (final IOException e) {
-      // nothing is left to do
+      // the sockets are closed already
     }
   }
 }
--- a/soak/src/main/java/weldpoint/soak/Workload.java
+++ b/soak/src/main/java/weldpoint/soak/Workload.java
@@ -6,23 +6,25 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 
 /**
- * Clients of a soak: some press for writes with keys and send them again and again through any
- * proxy, others read for a tenant with a limit, faster than it allows.
+ * The clients of a soak, each in a thread of its own: some repeat writes with idempotency keys
+ * through any proxy, some read for a rate-limited tenant faster than its limit allows, and others
+ * write for a tenant whose home regions change, use the partitioned service or download large
+ * responses slowly.
  */
 final class Workload {
-  /** The key of the tenant without a limit. */
+  /** API key of the tenant without a rate limit. */
   static final String UNLIMITED_API_KEY = "key-f";
 
-  /** The key of the tenant with a limit. */
+  /** API key of the tenant with a rate limit. */
   static final String LIMITED_API_KEY = "key-l";
 
-  /** The tenant with a limit. */
+  /** Name of the tenant with a rate limit. */
   static final String LIMITED_TENANT = "limited";
 
-  /** Permits a second that the limited tenant has. */
+  /** Rate limit of the limited tenant, in requests per second. */
   static final int LIMIT_PER_SECOND = 20;
 
-  /** Permits that the limited tenant may save up. */
+  /** Burst limit of the limited tenant, in requests. */
   static final int LIMIT_BURST = 20;
 
   private static final int DEADLINE_MILLIS = 1500;
@@ -43,23 +45,24 @@
     this.fleet = fleet;
   }
 
-  /** The key of the tenant whose home regions change. */
+  /** API key of the tenant whose home regions change. */
   static final String REGION_BOUND_API_KEY = "key-h";
 
-  /** The tenant whose home regions change. */
+  /** Name of the tenant whose home regions change. */
   static final String REGION_BOUND_TENANT = "homed";
 
-  /** The configuration that the workload needs. */
+  /** Returns the initial configuration: version 1, without home regions. */
   static String configuration() {
     return configuration(1, IDLE_TIMEOUT_MILLIS, HomeRegions.UNRESTRICTED);
   }
 
   /**
-   * The same under another version.
+   * Returns the configuration of the workload's routes, tenants and services.
    *
-   * @param idleMillis how long a connection of a client may rest
+   * @param idleTimeoutMillis idle timeout of client connections
    */
-  static String configuration(final int version, final int idleTimeoutMillis, final HomeRegions homeRegions) {
+  static String configuration(
+      final int version, final int idleTimeoutMillis, final HomeRegions homeRegions) {
     final String action = "\"action\":{\"service\":\"desk\",\"timeoutMs\":1500,\"maxAttempts\":2}";
     return "{\"version\":\""
         + String.format("%08x", version)
@@ -113,7 +116,7 @@
         + "\"partitioned\":true,\"warmS\":1.0}]}";
   }
 
-  /** Starts so many clients of each kind. */
+  /** Starts this number of clients of each kind. */
   void start(final int clients, final long seed) {
     for (int client = 0; client < clients; client++) {
       final long clientSeed = seed * 1000 + client;
@@ -155,7 +158,8 @@
     final String attemptId = fleet.attemptId();
     final long sentAt = Clock.millis();
     final ClientReply reply =
-        fleet.request(proxy, LocalFleet.WRITE_PATH + "1", attemptId, key, UNLIMITED_API_KEY, DEADLINE_MILLIS);
+        fleet.request(
+            proxy, LocalFleet.WRITE_PATH + "1", attemptId, key, UNLIMITED_API_KEY, DEADLINE_MILLIS);
     calls.add(new ClientCall(attemptId, key, false, sentAt, reply));
   }
 
@@ -177,7 +181,7 @@
     }
   }
 
-  /** Writes for the tenant whose home regions change. */
+  /** Sends writes for the tenant whose home regions change. */
   private void sendRegionBoundWrites(final long seed) {
     final Random random = new Random(seed ^ 0xdeed);
     while (!stopped) {
@@ -196,7 +200,7 @@
     }
   }
 
-  /** Asks for keys of the divided service, some of them much more often than others. */
+  /** Reads keys of the partitioned service, a few hot keys much more often than the others. */
   private void sendPartitionedReads(final long seed) {
     final Random random = new Random(seed ^ 0x5eed);
     while (!stopped) {
@@ -210,7 +214,7 @@
     }
   }
 
-  /** Changes keys of the divided service, most of them in a few ranges. */
+  /** Writes keys of the partitioned service, chosen uniformly. */
   private void sendPartitionedWrites(final long seed) {
     final Random random = new Random(seed ^ 0xcaf);
     while (!stopped) {
@@ -226,12 +230,12 @@
     }
   }
 
-  /** What slow clients of large answers had. */
+  /** Returns the large downloads of slow clients. */
   List<LargeDownload> downloads() {
     return new ArrayList<>(downloads);
   }
 
-  /** What clients of the divided service heard. */
+  /** Returns the responses to reads from the partitioned service. */
   List<ClientReply> partitionedReads() {
     return new ArrayList<>(partitionedReads);
   }
@@ -244,7 +248,7 @@
     }
   }
 
-  /** Ends all clients and waits for their last answers. */
+  /** Stops all clients and waits for their last responses. */
   void stop() throws InterruptedException {
     stopped = true;
     for (final Thread thread : new ArrayList<>(threads)) {
@@ -252,7 +256,7 @@
     }
   }
 
-  /** All requests that were answered or given up. */
+  /** Returns all requests that got a response or were given up. */
   List<ClientCall> calls() {
     return new ArrayList<>(calls);
   }
--- a/soak/src/test/java/weldpoint/soak/DividedServiceTest.java
+++ b/soak/src/test/java/weldpoint/soak/DividedServiceTest.java
@@ -10,8 +10,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Incident 14 in small: three core machines, two proxies and four upstreams of a service that is
- * divided by key, as processes and stand-ins on loopback.
+ * Reproduces incident 14 on a small fleet: three core machines and two proxies as processes on
+ * loopback, with four stand-in upstreams of a service whose keys are partitioned by leases.
  */
 public final class DividedServiceTest {
   private static final int REQUESTS = 60;
@@ -63,13 +63,13 @@
     }
   }
 
-  @Test(dependsOnMethods = "aDividedServiceIsServedForEveryKey")
+  @Test(dependsOnMethods = "aPartitionedServiceServesEveryKey")
   public void aDrainingUpstreamReleasesItsKeysAtOnce() throws InterruptedException {
     fleet.drainKeyHolder(0);
     Thread.sleep(2000);
     final long ranBefore = runsOf("k-0");
     assertEquals(served(REQUESTS), REQUESTS);
-    assertEquals(runsOf("k-0"), ranBefore, "nothing runs there any more");
+    assertEquals(runsOf("k-0"), ranBefore, "runs on the drained upstream");
     assertEquals(fleet.holderConflicts(), List.of());
   }
 
@@ -77,7 +77,7 @@
     return fleet.runs().stream().filter(run -> run.instance().equals(instance)).count();
   }
 
-  @Test(dependsOnMethods = "anUpstreamThatLeavesGivesItsKeysUpAtOnce")
+  @Test(dependsOnMethods = "aDrainingUpstreamReleasesItsKeysAtOnce")
   public void theKeysOfAnUnreachableUpstreamAreReassigned() throws InterruptedException {
     fleet.keyHolderRelays().get(1).blocked(true);
     final long deadline = Clock.millis() + 2 * TIMEOUT_MILLIS;
@@ -90,7 +90,7 @@
     assertEquals(fleet.holderConflicts(), List.of());
   }
 
-  @Test(dependsOnMethods = "theKeysOfAnUpstreamThatFallsSilentPassToOthers")
+  @Test(dependsOnMethods = "theKeysOfAnUnreachableUpstreamAreReassigned")
   public void anotherRegistryTakesOverFromOneThatIsKilled() throws InterruptedException {
     fleet.registries().forEach(DaemonProcess::kill);
     fleet.registries().forEach(DaemonProcess::start);
--- a/soak/src/test/java/weldpoint/soak/FleetBoundsTest.java
+++ b/soak/src/test/java/weldpoint/soak/FleetBoundsTest.java
@@ -13,8 +13,10 @@
 import org.testng.annotations.Test;
 
 /**
- * Incidents 12 and 13 in small: three core machines, two proxies and three upstreams as processes
- * on loopback, without any trouble.
+ * Reproduces incidents 12 and 13 on a small fleet: three core machines and two proxies as processes
+ * on loopback, with three stand-in upstreams and without injected faults. Guards that an
+ * idempotency key runs once whichever proxy it reaches, and that a tenant's limit holds in every
+ * window.
  */
 public final class FleetBoundsTest {
   private static final int LIMIT_PER_SECOND = Workload.LIMIT_PER_SECOND;
@@ -67,11 +69,11 @@
     assertEquals(
         fleet.request(proxy, path, fleet.attemptId(), "move-3", "key-f", DEADLINE_MILLIS).status(),
         409,
-        "the key was used for another request");
+        "the key was already used for another request");
     assertEquals(
         fleet.request(proxy, path, fleet.attemptId(), "move-3", "key-l", DEADLINE_MILLIS).status(),
         200,
-        "another tenant's key is another key");
+        "idempotency keys of two tenants are independent");
   }
 
   @Test
@@ -112,7 +114,11 @@
     callers.shutdown();
     assertTrue(callers.awaitTermination(30, TimeUnit.SECONDS));
     final int maxRuns = SoakChecker.maxRunsInWindow(fleet.runs(), "limited", WINDOW_MILLIS);
-    assertTrue(maxRuns <= MAX_RUNS_IN_WINDOW, maxRuns + " runs in a window, allowed " + MAX_RUNS_IN_WINDOW);
-    assertTrue(maxRuns >= LIMIT_PER_SECOND * 5, "only " + maxRuns + " runs in a window, owed " + LIMIT_PER_SECOND * 5);
+    assertTrue(
+        maxRuns <= MAX_RUNS_IN_WINDOW,
+        maxRuns + " runs in a window, allowed " + MAX_RUNS_IN_WINDOW);
+    assertTrue(
+        maxRuns >= LIMIT_PER_SECOND * 5,
+        "only " + maxRuns + " runs in a window, expected at least " + LIMIT_PER_SECOND * 5);
   }
 }
--- a/soak/src/test/java/weldpoint/soak/SoakTest.java
+++ b/soak/src/test/java/weldpoint/soak/SoakTest.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.testng.annotations.Test;
 
-/** The soak in short, and that its judge sees what it must see. */
+/** Runs a short soak, and tests that the checker reports each kind of violation. */
 public final class SoakTest {
   private static final long FAULT_PHASE_MILLIS = 15_000;
 
@@ -18,11 +18,16 @@
         new SoakRun(7, new LocalFleet.Size(3, 2, 3, 4), FAULT_PHASE_MILLIS).run();
     System.out.println(SoakCommand.format(verdict));
     assertEquals(verdict.violations(), List.of());
-    assertTrue(verdict.keyedRuns() > 10, "writes were made: " + verdict.keyedRuns());
-    assertTrue(verdict.served() > verdict.calls() / 10, "something was served");
-    assertTrue(verdict.partitionedReadsServed() > verdict.partitionedReads() / 10, "the divided service was served");
-    assertTrue(verdict.completeDownloads() > verdict.downloads() / 10, "large answers came");
-    assertTrue(verdict.regionBoundRuns() > 10, "homes were judged: " + verdict.regionBoundRuns());
+    assertTrue(verdict.keyedRuns() > 10, "runs with idempotency keys: " + verdict.keyedRuns());
+    assertTrue(verdict.served() > verdict.calls() / 10, "share of calls served");
+    assertTrue(
+        verdict.partitionedReadsServed() > verdict.partitionedReads() / 10,
+        "share of partitioned reads served");
+    assertTrue(
+        verdict.completeDownloads() > verdict.downloads() / 10, "share of downloads complete");
+    assertTrue(
+        verdict.regionBoundRuns() > 10,
+        "runs checked against home regions: " + verdict.regionBoundRuns());
   }
 
   private static UpstreamRun run(final String attemptId, final String key, final long startedAt) {
@@ -48,7 +53,8 @@
     assertEquals(SoakChecker.refusedButRun(List.of(call("1", "k", 502, "")), runs), List.of());
     assertEquals(
         SoakChecker.inconsistentResponses(List.of(call("1", "k", 200, "i-1.1")), runs), List.of());
-    assertEquals(SoakChecker.inconsistentResponses(List.of(call("2", "k", 200, "i-1.2")), runs).size(), 1);
+    assertEquals(
+        SoakChecker.inconsistentResponses(List.of(call("2", "k", 200, "i-1.2")), runs).size(), 1);
     assertEquals(
         SoakChecker.inconsistentResponses(
                 List.of(call("1", "k", 200, "i-1.1"), call("2", "k", 200, "i-1.x")), runs)
@@ -61,20 +67,32 @@
     final Map<String, Long> responseTimes = Map.of("1", 500L);
     final List<LargeDownload> truncated = List.of(new LargeDownload("1", 0, 400, 900, false));
     assertEquals(truncatedResponses(truncated, responseTimes, 5000).size(), 1);
-    assertEquals(truncatedResponses(truncated, Map.of(), 5000), List.of(), "no upstream had answered");
-    assertEquals(truncatedResponses(truncated, responseTimes, 600), List.of(), "the proxy was killed");
-    assertEquals(truncatedResponses(truncated, responseTimes, -3000), List.of(), "the proxy was frozen shortly before");
-    assertEquals(truncatedResponses(truncated, responseTimes, -4000).size(), 1, "the proxy was frozen long before");
     assertEquals(
-        truncatedResponses(List.of(new LargeDownload("1", 0, 400, 2900, false)), responseTimes, 5000),
+        truncatedResponses(truncated, Map.of(), 5000), List.of(), "no upstream had responded");
+    assertEquals(
+        truncatedResponses(truncated, responseTimes, 600), List.of(), "the proxy was killed");
+    assertEquals(
+        truncatedResponses(truncated, responseTimes, -3000),
+        List.of(),
+        "the proxy was frozen shortly before");
+    assertEquals(
+        truncatedResponses(truncated, responseTimes, -4000).size(),
+        1,
+        "the proxy was frozen long before");
+    assertEquals(
+        truncatedResponses(
+            List.of(new LargeDownload("1", 0, 400, 2900, false)), responseTimes, 5000),
         List.of(),
-        "its time was over");
+        "the client's timeout had passed");
     assertEquals(
-        truncatedResponses(List.of(new LargeDownload("1", 0, 400, 900, true)), responseTimes, 5000), List.of());
+        truncatedResponses(List.of(new LargeDownload("1", 0, 400, 900, true)), responseTimes, 5000),
+        List.of());
   }
 
   private static List<String> truncatedResponses(
-      final List<LargeDownload> downloads, final Map<String, Long> responseTimes, final long disruptedAt) {
+      final List<LargeDownload> downloads,
+      final Map<String, Long> responseTimes,
+      final long disruptedAt) {
     return SoakChecker.truncatedResponses(
         downloads,
         responseTimes,
@@ -87,7 +105,8 @@
   public void theCheckerReportsRequestsThatRanTwice() {
     final List<UpstreamRun> runs = List.of(run("1", "", 0), run("1", "", 10));
     assertEquals(SoakChecker.duplicateRequestRuns(List.of(call("1", "", 200, "")), runs).size(), 1);
-    assertEquals(SoakChecker.duplicateRequestRuns(List.of(call("2", "", 200, "")), runs), List.of());
+    assertEquals(
+        SoakChecker.duplicateRequestRuns(List.of(call("2", "", 200, "")), runs), List.of());
   }
 
   @Test
@@ -99,14 +118,19 @@
             new HomeRegions.Change(2, mainRegionOnly, 10_000, Long.MAX_VALUE),
             new HomeRegions.Change(2, mainRegionOnly, 10_000, 10_100));
     assertEquals(runsOutsideHomeRegions(changes, "i-2", 13_200).size(), 1);
-    assertEquals(runsOutsideHomeRegions(changes, "i-2", 13_000), List.of(), "the bound is not over");
-    assertEquals(runsOutsideHomeRegions(changes, "i-1", 13_200), List.of(), "in its homes");
-    assertEquals(runsOutsideHomeRegions(changes.subList(0, 2), "i-2", 13_200), List.of(), "not acknowledged");
+    assertEquals(
+        runsOutsideHomeRegions(changes, "i-2", 13_000), List.of(), "the bound has not passed");
+    assertEquals(runsOutsideHomeRegions(changes, "i-1", 13_200), List.of(), "in its home region");
+    assertEquals(
+        runsOutsideHomeRegions(changes.subList(0, 2), "i-2", 13_200),
+        List.of(),
+        "not acknowledged");
   }
 
   private static List<String> runsOutsideHomeRegions(
       final List<HomeRegions.Change> changes, final String instance, final long startedAt) {
-    final UpstreamRun run = new UpstreamRun(instance, "1", "", Workload.REGION_BOUND_TENANT, startedAt);
+    final UpstreamRun run =
+        new UpstreamRun(instance, "1", "", Workload.REGION_BOUND_TENANT, startedAt);
     return SoakChecker.runsOutsideHomeRegions(List.of(run), changes, LocalFleet::regionOf, 3000);
   }
 
