--- a/soak/src/main/java/weldpoint/soak/TcpRelay.java
+++ b/soak/src/main/java/weldpoint/soak/TcpRelay.java
@@ -14,7 +14,7 @@
 /**
  * A TCP relay between two processes that can hold bytes back, delay them, and close connections
  * instead of passing a response on. Each direction of a connection has its own thread; the settings
- * may be changed from any thread and take effect with the next bytes read.
+ * may be changed from any thread, also while bytes are held back.
  */
 final class TcpRelay implements Closeable {
   private static final int BUFFER_BYTES = 16 << 10;
