--- a/affinity/src/main/java/weldpoint/affinity/AffinityKeys.java
+++ b/affinity/src/main/java/weldpoint/affinity/AffinityKeys.java
@@ -3,32 +3,36 @@
 import java.util.List;
 import weldpoint.routing.Affinity;
 
-/** By which name a caller is tied. */
+/**
+ * Derives the affinity key of a caller, by which its writes are bound to a node, and counts
+ * requests without a usable header. Used by proxies.
+ */
 public final class AffinityKeys {
-  private static final int MOST = 256;
-  private long unnamed;
-  private long several;
-  private long overlong;
+  private static final int MAX_KEY_LENGTH = 256;
+  private long missingHeaders;
+  private long repeatedHeaders;
+  private long overlongHeaders;
 
-  /** Nothing counted yet. */
+  /** Creates an instance with all counts 0. */
   public AffinityKeys() {}
 
   /**
-   * The name of a caller: the header's value, the tenant's name or the address; whatever is
-   * missing, double or overlong gives the address, and is counted.
+   * Returns the affinity key of a caller: the header's value, the tenant's name or the address,
+   * each with its own prefix. If the header is missing, repeated or longer than 256 characters, the
+   * address is used and the request is counted; without a tenant the address is used too.
    */
-  public String name(
+  public String keyFor(
       final Affinity rule, final List<String> header, final String tenant, final String address) {
-    if (rule.by() == Affinity.By.TENANT && tenant != null) {
+    if (rule.by() == Affinity.CallerIdentity.TENANT && tenant != null) {
       return "t" + tenant;
     }
-    if (rule.by() == Affinity.By.HEADER) {
+    if (rule.by() == Affinity.CallerIdentity.HEADER) {
       if (header.size() > 1) {
-        several++;
+        repeatedHeaders++;
       } else if (header.isEmpty() || header.get(0).isBlank()) {
-        unnamed++;
-      } else if (header.get(0).length() > MOST) {
-        overlong++;
+        missingHeaders++;
+      } else if (header.get(0).length() > MAX_KEY_LENGTH) {
+        overlongHeaders++;
       } else {
         return "h" + header.get(0);
       }
@@ -36,18 +40,18 @@
     return "a" + address;
   }
 
-  /** Requests whose header was missing. */
-  public long unnamed() {
-    return unnamed;
+  /** Returns the number of requests whose header was missing or blank. */
+  public long missingHeaders() {
+    return missingHeaders;
   }
 
-  /** Requests with the header more than once. */
-  public long several() {
-    return several;
+  /** Returns the number of requests that had the header more than once. */
+  public long repeatedHeaders() {
+    return repeatedHeaders;
   }
 
-  /** Requests whose header was overlong. */
-  public long overlong() {
-    return overlong;
+  /** Returns the number of requests whose header was longer than 256 characters. */
+  public long overlongHeaders() {
+    return overlongHeaders;
   }
 }
--- a/affinity/src/main/java/weldpoint/affinity/PlacementCoordinator.java
+++ b/affinity/src/main/java/weldpoint/affinity/PlacementCoordinator.java
@@ -17,30 +17,40 @@
 import weldpoint.transport.StoreMessages;
 
 /**
- * The exchange's side: one exchange at a time, named by a register, grants leases on placements and
- * changes them in two steps. The next epoch comes in force once every holder of a lease has
- * finished what had to be finished, or its lease and all that it may have sent under it have surely
- * run out.
+ * The registry's part in affinity. One registry at a time, the owner named by a stored register,
+ * grants leases on placements and changes placements in two steps: it prepares the next epoch, then
+ * puts it in force once every lease holder has reported that no write is in flight to callers that
+ * move, or the holder's lease and every write it may have sent under it have certainly expired. Not
+ * thread-safe; takes the time in milliseconds from its caller.
  */
 public class PlacementCoordinator {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
-  private static final long MARGIN_MILLIS = 150;
-  private static final long TAKE_OVER_MILLIS = 1500;
 
-  /** Writes registers, if they still have the serial before. */
+  /**
+   * By how much longer than granted the registry considers a lease, and writes under it, active.
+   */
+  private static final long LEASE_MARGIN_MILLIS = 150;
+
+  /** For how long an owner must be unreachable before another registry takes over. */
+  private static final long TAKEOVER_DELAY_MILLIS = 1500;
+
+  /**
+   * Writes registers of the state store; a write succeeds only if the register still has the
+   * preceding serial.
+   */
   public interface Writer {
-    /** Writes who keeps placements. */
-    CompletableFuture<StoreMessages.StoreResponse> keeper(
+    /** Writes which registry owns the placements. */
+    CompletableFuture<StoreMessages.StoreResponse> writeOwner(
         PlacementMessages.PlacementOwner next, long now);
 
     /** Writes a service's placement. */
-    CompletableFuture<StoreMessages.StoreResponse> placement(Placement next, long now);
+    CompletableFuture<StoreMessages.StoreResponse> writePlacement(Placement next, long now);
   }
 
-  private static final class Holder {
-    long until;
-    long settled;
-    List<Long> counts = List.of();
+  private static final class LeaseHolder {
+    long leaseUntil;
+    long settledVersion;
+    List<Long> decisionCounts = List.of();
   }
 
   private final String self;
@@ -49,20 +59,23 @@
   private final long batchMillis;
   private final Writer writer;
   private final Map<String, Placement> placements = new TreeMap<>();
-  private final Map<String, Long> preparedMark = new HashMap<>();
-  private final Map<String, Long> differsSince = new HashMap<>();
-  private final Map<String, Holder> holders = new LinkedHashMap<>();
-  private Map<String, List<PlacementMember>> wanted = Map.of();
-  private PlacementMessages.PlacementOwner keeper = new PlacementMessages.PlacementOwner(0, "", 0);
-  private long mark;
-  private long finishMillis;
-  private long keeperSince;
-  private long keeperLostAt = -1;
-  private boolean out;
-  private long changes;
-  private long stale;
 
-  /** Nothing is known yet. */
+  /** By service, the placement version at which its next epoch was prepared. */
+  private final Map<String, Long> preparedVersion = new HashMap<>();
+
+  private final Map<String, Long> membersDifferSince = new HashMap<>();
+  private final Map<String, LeaseHolder> leaseHolders = new LinkedHashMap<>();
+  private Map<String, List<PlacementMember>> desiredMembers = Map.of();
+  private PlacementMessages.PlacementOwner owner = new PlacementMessages.PlacementOwner(0, "", 0);
+  private long placementVersion;
+  private long maxWriteMillis;
+  private long ownerSince;
+  private long ownerLostAt = -1;
+  private boolean writeInFlight;
+  private long epochChanges;
+  private long staleRequests;
+
+  /** Creates a coordinator that knows no placements and no owner. */
   public PlacementCoordinator(
       final String self,
       final long incarnation,
@@ -76,34 +89,37 @@
     this.writer = writer;
   }
 
-  /** Takes what the frames hold; true where placements are new. */
-  public boolean take(
-      final List<Placement> given,
-      final PlacementMessages.PlacementOwner named,
-      final long givenMark,
+  /**
+   * Updates the owner and the placements from the state store; returns true if the placements are
+   * newer than the known ones.
+   */
+  public boolean update(
+      final List<Placement> storedPlacements,
+      final PlacementMessages.PlacementOwner storedOwner,
+      final long storedVersion,
       final long now) {
-    if (named != null && named.serial > keeper.serial) {
-      keeper = named;
-      keeperLostAt = -1;
-      if (keeps()) {
-        keeperSince = now;
-        holders.clear();
-        LOGGER.atInfo().log("exchange %s keeps placements now", self);
+    if (storedOwner != null && storedOwner.serial > owner.serial) {
+      owner = storedOwner;
+      ownerLostAt = -1;
+      if (isOwner()) {
+        ownerSince = now;
+        leaseHolders.clear();
+        LOGGER.atInfo().log("registry %s now owns the placements", self);
       }
     }
-    if (givenMark <= mark) {
+    if (storedVersion <= placementVersion) {
       return false;
     }
-    mark = givenMark;
-    for (final Placement placement : given) {
-      final Placement before = placements.get(placement.service);
-      if (before == null || placement.serial > before.serial) {
+    placementVersion = storedVersion;
+    for (final Placement placement : storedPlacements) {
+      final Placement previous = placements.get(placement.service);
+      if (previous == null || placement.serial > previous.serial) {
         placements.put(placement.service, placement);
-        if (placement.prepared) {
-          preparedMark.put(placement.service, mark);
+        if (placement.nextPrepared) {
+          preparedVersion.put(placement.service, placementVersion);
         } else {
-          preparedMark.remove(placement.service);
-          differsSince.remove(placement.service);
+          preparedVersion.remove(placement.service);
+          membersDifferSince.remove(placement.service);
         }
       }
     }
@@ -111,189 +127,206 @@
   }
 
   /**
-   * Takes among which upstreams the callers of each service should be placed, and how long a tied
-   * write may take.
+   * Sets the nodes over which the callers of each service should be distributed, and the longest
+   * time that a bound write may take, in milliseconds.
    */
-  public void wanted(final Map<String, List<PlacementMember>> given, final long longestMillis) {
-    wanted = given;
-    finishMillis = longestMillis;
+  public void desiredMembers(
+      final Map<String, List<PlacementMember>> membersByService, final long longestWriteMillis) {
+    desiredMembers = membersByService;
+    maxWriteMillis = longestWriteMillis;
   }
 
-  /** Whether this exchange, in this life, keeps placements. */
-  public boolean keeps() {
-    return keeper.address.equals(self) && keeper.incarnation == incarnation;
+  /** Returns whether this registry, in this incarnation, owns the placements. */
+  public boolean isOwner() {
+    return owner.address.equals(self) && owner.incarnation == incarnation;
   }
 
-  /** Who keeps placements; empty where nobody does. */
-  public String keeper() {
-    return keeper.address;
+  /** Returns the address of the owner; empty if there is none. */
+  public String owner() {
+    return owner.address;
   }
 
-  /** The mark of what is known. */
-  public long mark() {
-    return mark;
+  /** Returns the version of the known placements. */
+  public long placementVersion() {
+    return placementVersion;
   }
 
-  /** All placements, as switchboards are told. */
+  /** Returns all placements as they are sent to proxies. */
   public PlacementMessages.Placements placements() {
-    return new PlacementMessages.Placements(mark, new ArrayList<>(placements.values()));
+    return new PlacementMessages.Placements(placementVersion, new ArrayList<>(placements.values()));
   }
 
-  /** Somebody asks for a lease; a majority confirmed what is known here at the time given. */
-  public PlacementMessages.LeaseGrant ask(
-      final PlacementMessages.LeaseRequest ask, final long confirmedAt, final long now) {
+  /**
+   * Answers a lease request. The lease ends {@code leaseMillis} after {@code confirmedAt}, when a
+   * majority last confirmed the state known here; nothing is granted to a proxy with older
+   * placements.
+   */
+  public PlacementMessages.LeaseGrant handleLeaseRequest(
+      final PlacementMessages.LeaseRequest request, final long confirmedAt, final long now) {
     long millis = 0;
-    if (keeps()) {
-      final Holder holder =
-          holders.computeIfAbsent(ask.board + "#" + ask.incarnation, key -> new Holder());
-      holder.settled = Math.max(holder.settled, ask.settled);
-      holder.counts = Protocol.list(ask.counts);
-      final long left = confirmedAt + leaseMillis - now;
-      if (left > 0 && ask.mark >= mark) {
-        millis = left;
-        holder.until = Math.max(holder.until, now + left);
-      } else if (ask.mark < mark) {
-        stale++;
+    if (isOwner()) {
+      final LeaseHolder holder =
+          leaseHolders.computeIfAbsent(
+              request.proxy + "#" + request.incarnation, key -> new LeaseHolder());
+      holder.settledVersion = Math.max(holder.settledVersion, request.settledRevision);
+      holder.decisionCounts = Protocol.emptyIfNull(request.counts);
+      final long remainingMillis = confirmedAt + leaseMillis - now;
+      if (remainingMillis > 0 && request.placementRevision >= placementVersion) {
+        millis = remainingMillis;
+        holder.leaseUntil = Math.max(holder.leaseUntil, now + remainingMillis);
+      } else if (request.placementRevision < placementVersion) {
+        staleRequests++;
       }
     }
-    return new PlacementMessages.LeaseGrant(ask.number, ask.board, ask.incarnation, millis);
+    return new PlacementMessages.LeaseGrant(
+        request.number, request.proxy, request.incarnation, millis);
   }
 
   /**
-   * Time has passed. May take over where nobody keeps; reachable tells whether the keeper can be
-   * reached.
+   * Takes over ownership if there is no reachable owner, and as owner writes the next change of a
+   * placement; to be called regularly. {@code mayOwn} tells whether this registry may take over,
+   * {@code confirmed} whether its state is confirmed by a majority.
    */
   public void tick(
-      final boolean mayKeep, final boolean reachable, final boolean confirmed, final long now) {
-    if (out || !confirmed || wanted.isEmpty()) {
+      final boolean mayOwn, final boolean ownerReachable, final boolean confirmed, final long now) {
+    if (writeInFlight || !confirmed || desiredMembers.isEmpty()) {
       return;
     }
-    if (!keeps()) {
-      final boolean lost = keeper.address.isEmpty() || keeper.address.equals(self) || !reachable;
-      keeperLostAt = !lost ? -1 : keeperLostAt < 0 ? now : keeperLostAt;
-      final boolean due =
-          lost
-              && (keeper.address.isEmpty()
-                  || keeper.address.equals(self)
-                  || now - keeperLostAt >= TAKE_OVER_MILLIS);
-      if (mayKeep && due) {
-        write(
-            writer.keeper(
-                new PlacementMessages.PlacementOwner(keeper.serial + 1, self, incarnation), now));
+    if (!isOwner()) {
+      final boolean ownerLost =
+          owner.address.isEmpty() || owner.address.equals(self) || !ownerReachable;
+      ownerLostAt = !ownerLost ? -1 : ownerLostAt < 0 ? now : ownerLostAt;
+      final boolean takeoverDue =
+          ownerLost
+              && (owner.address.isEmpty()
+                  || owner.address.equals(self)
+                  || now - ownerLostAt >= TAKEOVER_DELAY_MILLIS);
+      if (mayOwn && takeoverDue) {
+        submit(
+            writer.writeOwner(
+                new PlacementMessages.PlacementOwner(owner.serial + 1, self, incarnation), now));
       }
       return;
     }
-    holders.values().removeIf(holder -> now > holder.until + finishMillis + MARGIN_MILLIS);
-    for (final Map.Entry<String, List<PlacementMember>> one : wanted.entrySet()) {
-      final Placement before = placements.get(one.getKey());
-      if (before != null && before.prepared) {
-        if (settled(before, now)) {
-          changes++;
-          write(
-              writer.placement(
+    leaseHolders
+        .values()
+        .removeIf(holder -> now > holder.leaseUntil + maxWriteMillis + LEASE_MARGIN_MILLIS);
+    for (final Map.Entry<String, List<PlacementMember>> desired : desiredMembers.entrySet()) {
+      final Placement current = placements.get(desired.getKey());
+      if (current != null && current.nextPrepared) {
+        if (isSettled(current, now)) {
+          epochChanges++;
+          submit(
+              writer.writePlacement(
                   new Placement(
-                      before.service,
-                      before.serial + 1,
-                      before.epoch + 1,
-                      before.next,
+                      current.service,
+                      current.serial + 1,
+                      current.epoch + 1,
+                      current.nextMembers,
                       false,
                       null),
                   now));
           return;
         }
-      } else if (before == null || !same(before.members, one.getValue())) {
-        final long since = differsSince.computeIfAbsent(one.getKey(), service -> now);
-        if (before == null && !one.getValue().isEmpty()
-            || before != null && now - since >= batchMillis) {
-          write(
-              writer.placement(
-                  before == null
-                      ? new Placement(one.getKey(), 1, 1, one.getValue(), false, null)
+      } else if (current == null || !sameMembers(current.members, desired.getValue())) {
+        final long since = membersDifferSince.computeIfAbsent(desired.getKey(), service -> now);
+        if (current == null && !desired.getValue().isEmpty()
+            || current != null && now - since >= batchMillis) {
+          submit(
+              writer.writePlacement(
+                  current == null
+                      ? new Placement(desired.getKey(), 1, 1, desired.getValue(), false, null)
                       : new Placement(
-                          before.service,
-                          before.serial + 1,
-                          before.epoch,
-                          before.members,
+                          current.service,
+                          current.serial + 1,
+                          current.epoch,
+                          current.members,
                           true,
-                          one.getValue()),
+                          desired.getValue()),
                   now));
           return;
         }
       } else {
-        differsSince.remove(one.getKey());
+        membersDifferSince.remove(desired.getKey());
       }
     }
   }
 
-  private void write(final CompletableFuture<StoreMessages.StoreResponse> future) {
-    out = true;
-    future.whenComplete((answer, problem) -> out = false);
+  private void submit(final CompletableFuture<StoreMessages.StoreResponse> future) {
+    writeInFlight = true;
+    future.whenComplete((response, error) -> writeInFlight = false);
   }
 
-  /** Whether nobody can be sending, or have sent, under the epoch before to callers that move. */
-  protected boolean settled(final Placement prepared, final long now) {
-    final Long since = preparedMark.get(prepared.service);
-    if (since == null || now < keeperSince + leaseMillis + finishMillis + MARGIN_MILLIS) {
+  /**
+   * Returns whether no proxy can have a write in flight, or still send one, under the previous
+   * epoch for callers that move.
+   */
+  protected boolean isSettled(final Placement prepared, final long now) {
+    final Long preparedAtVersion = preparedVersion.get(prepared.service);
+    if (preparedAtVersion == null
+        || now < ownerSince + leaseMillis + maxWriteMillis + LEASE_MARGIN_MILLIS) {
       return false;
     }
-    for (final Holder holder : holders.values()) {
-      if (holder.settled < since && now <= holder.until + finishMillis + MARGIN_MILLIS) {
+    for (final LeaseHolder holder : leaseHolders.values()) {
+      if (holder.settledVersion < preparedAtVersion
+          && now <= holder.leaseUntil + maxWriteMillis + LEASE_MARGIN_MILLIS) {
         return false;
       }
     }
     return true;
   }
 
-  private static boolean same(final List<PlacementMember> one, final List<PlacementMember> other) {
-    final List<PlacementMember> first = Protocol.list(one);
-    if (first.size() != other.size()) {
+  private static boolean sameMembers(
+      final List<PlacementMember> left, final List<PlacementMember> right) {
+    final List<PlacementMember> leftMembers = Protocol.emptyIfNull(left);
+    if (leftMembers.size() != right.size()) {
       return false;
     }
-    for (int index = 0; index < first.size(); index++) {
-      if (!first.get(index).id.equals(other.get(index).id)
-          || first.get(index).capacity != other.get(index).capacity) {
+    for (int index = 0; index < leftMembers.size(); index++) {
+      if (!leftMembers.get(index).id.equals(right.get(index).id)
+          || leftMembers.get(index).capacity != right.get(index).capacity) {
         return false;
       }
     }
     return true;
   }
 
-  /** Members in the order in which they are compared. */
-  public static List<PlacementMember> sorted(final List<PlacementMember> members) {
+  /** Returns the members sorted by id, the order in which they are compared. */
+  public static List<PlacementMember> sortedById(final List<PlacementMember> members) {
     final List<PlacementMember> sorted = new ArrayList<>(members);
     sorted.sort(Comparator.comparing(member -> member.id));
     return sorted;
   }
 
-  /** What the switchboards that hold leases counted, by verdict. */
-  public long[] counts() {
-    final long[] sums = new long[WriteDecision.values().length];
-    for (final Holder holder : holders.values()) {
-      for (int index = 0; index < Math.min(sums.length, holder.counts.size()); index++) {
-        sums[index] += holder.counts.get(index);
+  /** Returns the counts of all lease holders, summed by decision. */
+  public long[] decisionCounts() {
+    final long[] totals = new long[WriteDecision.values().length];
+    for (final LeaseHolder holder : leaseHolders.values()) {
+      for (int index = 0; index < Math.min(totals.length, holder.decisionCounts.size()); index++) {
+        totals[index] += holder.decisionCounts.get(index);
       }
     }
-    return sums;
+    return totals;
   }
 
-  /** The counters, as one line. */
+  /** Returns the counters as one line for the log. */
   public String counters() {
     return "placements "
         + placements.size()
-        + " mark "
-        + mark
-        + " keeper "
-        + keeper.address
-        + " holders "
-        + holders.size()
+        + " version "
+        + placementVersion
+        + " owner "
+        + owner.address
+        + " lease holders "
+        + leaseHolders.size()
         + " epochs changed "
-        + changes
-        + " stale asks "
-        + stale;
+        + epochChanges
+        + " stale lease requests "
+        + staleRequests;
   }
 
-  /** The bytes of a placement. */
-  public static byte[] bytes(final Placement placement) {
+  /** Serializes a placement. */
+  public static byte[] toBytes(final Placement placement) {
     return Serializer.serialize(placement);
   }
 }
--- a/affinity/src/main/java/weldpoint/affinity/Rendezvous.java
+++ b/affinity/src/main/java/weldpoint/affinity/Rendezvous.java
@@ -5,15 +5,16 @@
 import weldpoint.transport.PlacementMessages.PlacementMember;
 
 /**
- * Weighted rendezvous hashing: every member draws a number for a caller, and the highest wins. The
- * same on every switchboard, without a table; whoever joins takes only its share, by capacity, and
- * whoever goes gives up only its own.
+ * Weighted rendezvous hashing: each member gets a score for a caller, and the member with the
+ * highest score is chosen. All proxies choose the same member without shared state. A member that
+ * joins takes over only its share of the callers, in proportion to its capacity; when a member
+ * leaves, only its own callers move.
  */
 public final class Rendezvous {
   private Rendezvous() {}
 
-  /** The hash of a caller of a service. */
-  public static long caller(final String service, final String caller) {
+  /** Returns the hash of a caller of a service. */
+  public static long callerHash(final String service, final String caller) {
     return mix(hash(service) * 31 + hash(caller));
   }
 
@@ -32,36 +33,38 @@
     return mixed ^ mixed >>> 31;
   }
 
-  /** The members of a placement, with what a draw needs worked out once. */
+  /** The members of a placement with their precalculated hashes. */
   public static final class Table {
     private final PlacementMember[] members;
     private final long[] hashes;
 
-    /** A table of these members. */
-    public Table(final List<PlacementMember> given) {
-      members = given.toArray(new PlacementMember[0]);
+    /** Creates a table of these members. */
+    public Table(final List<PlacementMember> memberList) {
+      members = memberList.toArray(new PlacementMember[0]);
       hashes = new long[members.length];
       for (int index = 0; index < hashes.length; index++) {
         hashes[index] = hash(members[index].id);
       }
     }
 
-    /** The member that the caller belongs to, of those that may serve it; null where none may. */
-    public PlacementMember choose(final long caller, final Predicate<PlacementMember> may) {
+    /**
+     * Returns the eligible member with the highest score for the caller; null if none is eligible.
+     */
+    public PlacementMember choose(final long caller, final Predicate<PlacementMember> eligible) {
       PlacementMember best = null;
-      double most = -1;
+      double bestScore = -1;
       for (int index = 0; index < members.length; index++) {
         final double draw = ((mix(hashes[index] ^ caller) >>> 11) + 0.5) / (1L << 53);
         final double score = Math.max(1, members[index].capacity) / -Math.log(draw);
-        if (score > most && may.test(members[index])) {
-          most = score;
+        if (score > bestScore && eligible.test(members[index])) {
+          bestScore = score;
           best = members[index];
         }
       }
       return best;
     }
 
-    /** How many members there are. */
+    /** Returns the number of members. */
     public int size() {
       return members.length;
     }
--- a/audit/src/main/java/weldpoint/audit/AuditReplica.java
+++ b/audit/src/main/java/weldpoint/audit/AuditReplica.java
@@ -11,36 +11,42 @@
 import weldpoint.transport.Protocol;
 
 /**
- * Keeps one replica's log alike with the others': what is decided is pushed at once, and a random
- * peer is asked each second.
+ * Replicates an audit log. Entries decided here are pushed to all peers at once; in addition, the
+ * state of the log is sent to a random peer each second, and whichever of the two is behind gets
+ * the missing entries. Not thread-safe; owned by one replica of the state store.
  */
 public final class AuditReplica {
-  private static final long RECONCILE_MILLIS = 1000;
-  private static final int MOST_ENTRIES = 512;
-  private static final int MOST_BYTES = 128 << 10;
+  private static final long RECONCILE_INTERVAL_MILLIS = 1000;
+  private static final int MAX_BATCH_ENTRIES = 512;
+  private static final int MAX_BATCH_BYTES = 128 << 10;
 
   private final AuditLog log;
-  private final BiConsumer<String, Message> outlet;
+  private final BiConsumer<String, Message> sender;
   private final Random random;
-  private long reconciledAt = Long.MIN_VALUE / 2;
-  private long parts;
-  private long asks;
+  private long lastReconcileMillis = Long.MIN_VALUE / 2;
+  private long batchesReceived;
+  private long requestsSent;
 
-  /** A replica over its log, that sends to peers by their addresses. */
+  /**
+   * Creates a replica.
+   *
+   * @param sender sends a message to the peer with the given address
+   * @param random chooses the peer to reconcile with
+   */
   public AuditReplica(
-      final AuditLog log, final BiConsumer<String, Message> outlet, final Random random) {
+      final AuditLog log, final BiConsumer<String, Message> sender, final Random random) {
     this.log = log;
-    this.outlet = outlet;
+    this.sender = sender;
     this.random = random;
   }
 
-  /** The log. */
+  /** The log that is replicated. */
   public AuditLog log() {
     return log;
   }
 
-  /** Entries were decided here: takes them and tells all others. */
-  public void decided(final List<byte[]> entries, final Collection<String> others) {
+  /** Appends entries that were decided here, in order, and sends them to all peers. */
+  public void replicate(final List<byte[]> entries, final Collection<String> peers) {
     for (final byte[] entry : entries) {
       log.offer(entry);
     }
@@ -49,41 +55,44 @@
     }
     final AuditEntry first = AuditEntry.read(entries.get(0));
     final AuditEntry last = AuditEntry.read(entries.get(entries.size() - 1));
-    final AuditMessages.AuditEntries part =
+    final AuditMessages.AuditEntries batch =
         new AuditMessages.AuditEntries(
-            first.sequence - 1, first.previous, false, entries, last.sequence);
-    for (final String other : others) {
-      outlet.accept(other, part);
+            first.sequence - 1, first.previousDigest, false, entries, last.sequence);
+    for (final String peer : peers) {
+      sender.accept(peer, batch);
     }
   }
 
-  /** Time has passed. */
-  public void tick(final List<String> others, final long now) {
-    if (now - reconciledAt < RECONCILE_MILLIS || others.isEmpty()) {
+  /**
+   * Sends the state of the log to a random peer if a second has passed since the last time. To be
+   * called regularly.
+   */
+  public void tick(final List<String> peers, final long nowMillis) {
+    if (nowMillis - lastReconcileMillis < RECONCILE_INTERVAL_MILLIS || peers.isEmpty()) {
       return;
     }
-    reconciledAt = now;
-    outlet.accept(others.get(random.nextInt(others.size())), state());
+    lastReconcileMillis = nowMillis;
+    sender.accept(peers.get(random.nextInt(peers.size())), state());
   }
 
   private AuditMessages.AuditState state() {
     return new AuditMessages.AuditState(log.base(), log.last(), log.digest());
   }
 
-  /** Asks one peer now for all that is missing here. */
-  public void ask(final String peer) {
-    asks++;
-    outlet.accept(peer, new AuditMessages.AuditRequest(log.last() + 1));
+  /** Requests all entries after the last one from a peer. */
+  public void requestMissing(final String peer) {
+    requestsSent++;
+    sender.accept(peer, new AuditMessages.AuditRequest(log.last() + 1));
   }
 
-  /** A peer has said something; false where it does not concern the history. */
+  /** Handles a message from a peer; false if it is not a message about the audit log. */
   public boolean receive(final String from, final Message message, final Consumer<Message> reply) {
     if (message instanceof AuditMessages.AuditState) {
       onState(from, (AuditMessages.AuditState) message, reply);
     } else if (message instanceof AuditMessages.AuditRequest) {
-      give(((AuditMessages.AuditRequest) message).from, reply);
+      sendEntries(((AuditMessages.AuditRequest) message).from, reply);
     } else if (message instanceof AuditMessages.AuditEntries) {
-      onPart((AuditMessages.AuditEntries) message, reply);
+      onEntries((AuditMessages.AuditEntries) message, reply);
     } else {
       return false;
     }
@@ -92,18 +101,18 @@
 
   private void onState(
       final String from, final AuditMessages.AuditState state, final Consumer<Message> reply) {
-    final String here = log.digestAt(state.last);
-    if (here != null && !here.equals(state.digest)) {
-      log.differs(from, state.last);
+    final String localDigest = log.digestAt(state.last);
+    if (localDigest != null && !localDigest.equals(state.digest)) {
+      log.reportDivergence(from, state.last);
     } else if (state.last < log.last()) {
-      give(state.last + 1, reply);
+      sendEntries(state.last + 1, reply);
     } else if (state.last > log.last()) {
-      asks++;
+      requestsSent++;
       reply.accept(new AuditMessages.AuditRequest(log.last() + 1));
     }
   }
 
-  private void give(final long from, final Consumer<Message> reply) {
+  private void sendEntries(final long from, final Consumer<Message> reply) {
     if (from > log.last()) {
       return;
     }
@@ -112,7 +121,7 @@
     final List<byte[]> entries = new ArrayList<>();
     int bytes = 0;
     for (long sequence = start;
-        sequence <= log.last() && entries.size() < MOST_ENTRIES && bytes < MOST_BYTES;
+        sequence <= log.last() && entries.size() < MAX_BATCH_ENTRIES && bytes < MAX_BATCH_BYTES;
         sequence++) {
       final byte[] entry = log.read(sequence);
       if (entry == null) {
@@ -121,45 +130,46 @@
       bytes += entry.length;
       entries.add(entry);
     }
-    final String before = log.digestAt(start - 1);
-    if (before == null || entries.isEmpty() && !trimmed) {
+    final String baseDigest = log.digestAt(start - 1);
+    if (baseDigest == null || entries.isEmpty() && !trimmed) {
       return;
     }
-    reply.accept(new AuditMessages.AuditEntries(start - 1, before, trimmed, entries, log.last()));
+    reply.accept(
+        new AuditMessages.AuditEntries(start - 1, baseDigest, trimmed, entries, log.last()));
   }
 
-  private void onPart(final AuditMessages.AuditEntries part, final Consumer<Message> reply) {
-    parts++;
-    if (part.trimmed && part.base > log.last()) {
-      log.reset(part.base, part.baseDigest);
+  private void onEntries(final AuditMessages.AuditEntries batch, final Consumer<Message> reply) {
+    batchesReceived++;
+    if (batch.trimmed && batch.base > log.last()) {
+      log.reset(batch.base, batch.baseDigest);
     }
-    final long before = log.last();
-    for (final byte[] entry : Protocol.list(part.entries)) {
+    final long previousLast = log.last();
+    for (final byte[] entry : Protocol.emptyIfNull(batch.entries)) {
       final AuditLog.Outcome outcome = log.offer(entry);
       if (outcome != AuditLog.Outcome.APPENDED && outcome != AuditLog.Outcome.KNOWN) {
         break;
       }
     }
-    final boolean behind = log.last() < part.last;
-    if (behind && (log.last() > before || part.base > log.last())) {
-      asks++;
+    final boolean behind = log.last() < batch.last;
+    if (behind && (log.last() > previousLast || batch.base > log.last())) {
+      requestsSent++;
       reply.accept(new AuditMessages.AuditRequest(log.last() + 1));
     }
   }
 
-  /** How many parts came and how many were asked for. */
+  /** The counters of this replica as one line for the log. */
   public String counters() {
     return "history "
         + log.last()
         + " from "
         + (log.base() + 1)
-        + " parts "
-        + parts
-        + " asks "
-        + asks
-        + " differing "
+        + " batches "
+        + batchesReceived
+        + " requests "
+        + requestsSent
+        + " conflicts "
         + log.conflicts()
         + " damaged "
-        + log.damaged();
+        + log.damagedEntries();
   }
 }
--- a/cli/src/main/java/weldpoint/cli/TrialCommand.java
+++ b/cli/src/main/java/weldpoint/cli/TrialCommand.java
@@ -12,15 +12,16 @@
 import weldpoint.registry.ControlApi;
 
 /**
- * weldpoint trial: begins, shows, moves on, holds and finishes the trial of a route's new version.
+ * The trial command: begins, shows, advances, holds and finishes the staged rollout of a new
+ * version on a route. Exits with 3 if the status action finds the trial held.
  */
 final class TrialCommand {
   private static final Jsonb JSON = Jsonb.builder().build();
   private static final JsonType<ControlApi.TrialStatus> STATUS =
       JSON.type(ControlApi.TrialStatus.class);
-  private static final JsonType<ControlApi.TrialRequest> ORDER =
+  private static final JsonType<ControlApi.TrialRequest> REQUEST =
       JSON.type(ControlApi.TrialRequest.class);
-  private static final int HELD = 3;
+  private static final int EXIT_HELD = 3;
 
   private enum Action {
     BEGIN,
@@ -37,46 +38,48 @@
           .withRequiredArg()
           .withValuesSeparatedBy(',')
           .required();
-  private final OptionSpec<String> old =
-      parser.accepts("old", "the service of the old version").withRequiredArg();
-  private final OptionSpec<String> fresh =
-      parser.accepts("new", "the service of the new version").withRequiredArg();
+  private final OptionSpec<String> oldService =
+      parser.accepts("old", "service that runs the old version").withRequiredArg();
+  private final OptionSpec<String> newService =
+      parser.accepts("new", "service that runs the new version").withRequiredArg();
   private final OptionSpec<String> token =
-      parser.accepts("token", "what testers send as Weldpoint-Trial-Token").withRequiredArg();
+      parser
+          .accepts("token", "value of the Weldpoint-Trial-Token header that testers send")
+          .withRequiredArg();
   private final OptionSpec<Integer> stages =
       parser
-          .accepts("stages", "rising shares in per cent")
+          .accepts("stages", "increasing shares of traffic for the new version, in per cent")
           .withRequiredArg()
           .ofType(Integer.class)
           .withValuesSeparatedBy(',');
-  private final OptionSpec<Integer> least =
+  private final OptionSpec<Integer> leastWrites =
       parser
-          .accepts("least-writes", "writes to be confirmed at each stage")
+          .accepts("least-writes", "confirmed writes required before the next stage")
           .withRequiredArg()
           .ofType(Integer.class)
           .defaultsTo(30);
-  private final OptionSpec<Double> allowance =
+  private final OptionSpec<Double> lateAllowance =
       parser
           .accepts(
               "late-allowance",
-              "held if the chance of so many late writes is below this; 0 holds at the first")
+              "holds the trial if the probability of so many late writes by chance is below this; 0 holds at the first late write")
           .withRequiredArg()
           .ofType(Double.class)
           .defaultsTo(0.01);
   private final OptionSpec<String> reason =
       parser
-          .accepts("reason", "why it is held")
+          .accepts("reason", "reason for the hold")
           .withRequiredArg()
           .defaultsTo("held by an operator");
   private final OptionSpec<String> author =
       parser
-          .accepts("author", "who wants it; the user's name by default")
+          .accepts("author", "author of the change; by default the user who runs the command")
           .withRequiredArg()
-          .defaultsTo(ControlClient.user());
+          .defaultsTo(ControlClient.currentUser());
   private final OptionSpec<Void> json = parser.accepts("json", "prints JSON");
 
-  int run(final String[] words, final PrintStream out) throws InterruptedException {
-    final OptionSet options = parser.parse(words);
+  int run(final String[] arguments, final PrintStream out) throws InterruptedException {
+    final OptionSet options = parser.parse(arguments);
     final List<?> names = options.nonOptionArguments();
     if (names.size() != 2) {
       throw new WeldpointException(
@@ -89,29 +92,31 @@
     } catch (final IllegalArgumentException unknown) {
       throw new WeldpointException(
           WeldpointException.Kind.USAGE,
-          "trial cannot '" + names.get(0) + "'; it can begin, status, advance, hold and finish");
+          "trial cannot '"
+              + names.get(0)
+              + "'; the actions are begin, status, advance, hold and finish");
     }
     final List<Double> shares = new ArrayList<>();
     options.valuesOf(stages).forEach(share -> shares.add(share.doubleValue()));
     final String body =
         switch (action) {
           case BEGIN ->
-              ORDER.toJson(
+              REQUEST.toJson(
                   new ControlApi.TrialRequest(
-                      options.valueOf(old),
-                      options.valueOf(fresh),
+                      options.valueOf(oldService),
+                      options.valueOf(newService),
                       options.valueOf(token),
                       shares,
-                      options.valueOf(least).doubleValue(),
-                      options.valueOf(allowance),
+                      options.valueOf(leastWrites).doubleValue(),
+                      options.valueOf(lateAllowance),
                       null));
           case HOLD ->
-              ORDER.toJson(
+              REQUEST.toJson(
                   new ControlApi.TrialRequest(
                       null, null, null, null, null, null, options.valueOf(reason)));
           default -> "";
         };
-    final String answer =
+    final String response =
         new ControlClient(
                 options.valuesOf(control), action == Action.STATUS ? null : options.valueOf(author))
             .call(
@@ -119,11 +124,13 @@
                 names.get(1).toString(),
                 body);
     if (options.has(json)) {
-      out.println(answer);
+      out.println(response);
     } else {
-      print(STATUS.fromJson(answer), out);
+      print(STATUS.fromJson(response), out);
     }
-    return "HELD".equals(STATUS.fromJson(answer).verdict()) && action == Action.STATUS ? HELD : 0;
+    return "HELD".equals(STATUS.fromJson(response).verdict()) && action == Action.STATUS
+        ? EXIT_HELD
+        : 0;
   }
 
   static void print(final ControlApi.TrialStatus status, final PrintStream out) {
@@ -151,30 +158,30 @@
     out.printf(
         "%-28s %-10s %8s %9s %6s %7s %6s | %s%n",
         "", "version", "sent", "confirmed", "lost", "doubled", "late", "other requests (failed)");
-    row(status.total(), out);
-    status.switchboards().forEach(one -> row(one, out));
+    printProxy(status.total(), out);
+    status.switchboards().forEach(proxy -> printProxy(proxy, out));
   }
 
-  private static void row(final ControlApi.ProxyTrialCounts one, final PrintStream out) {
-    side(one.switchboard(), "old", one.oldVersion(), out);
-    side("", "new", one.newVersion(), out);
+  private static void printProxy(final ControlApi.ProxyTrialCounts proxy, final PrintStream out) {
+    printVersion(proxy.switchboard(), "old", proxy.oldVersion(), out);
+    printVersion("", "new", proxy.newVersion(), out);
   }
 
-  private static void side(
+  private static void printVersion(
       final String name,
       final String version,
-      final ControlApi.VersionCounts side,
+      final ControlApi.VersionCounts counts,
       final PrintStream out) {
     out.printf(
         "%-28s %-10s %8d %9d %6d %7d %6d | %d (%d)%n",
         name,
         version,
-        side.sent(),
-        side.confirmed(),
-        side.lost(),
-        side.doubled(),
-        side.late(),
-        side.others() + side.othersFailed(),
-        side.othersFailed());
+        counts.sent(),
+        counts.confirmed(),
+        counts.lost(),
+        counts.doubled(),
+        counts.late(),
+        counts.others() + counts.othersFailed(),
+        counts.othersFailed());
   }
 }
--- a/common/src/main/java/weldpoint/common/Logging.java
+++ b/common/src/main/java/weldpoint/common/Logging.java
@@ -7,20 +7,20 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 
-/** Sets up logging: one line a record on standard error. */
+/** Configures logging: one line for each record, on standard error. */
 public final class Logging {
-  /** The environment variable that names the level of our own lines. */
+  /** The environment variable with the level of the project's own loggers. */
   public static final String LEVEL_VARIABLE = "WELDPOINT_LOG";
 
-  private static final Logger OWN = Logger.getLogger("weldpoint");
+  private static final Logger WELDPOINT_LOGGER = Logger.getLogger("weldpoint");
 
   private Logging() {}
 
   /**
-   * Directs all logs to standard error, at the level named by WELDPOINT_LOG (INFO where it is
-   * unset); libraries tell nothing below INFO.
+   * Directs all logs to standard error, at the level given by WELDPOINT_LOG (INFO if it is unset);
+   * libraries log nothing below INFO.
    */
-  public static void start(final String program) {
+  public static void configure(final String program) {
     final Logger root = Logger.getLogger("");
     for (final Handler handler : root.getHandlers()) {
       root.removeHandler(handler);
@@ -30,15 +30,16 @@
     handler.setFormatter(
         new Formatter() {
           @Override
-          public String format(final LogRecord line) {
-            final String cause = line.getThrown() == null ? "" : " " + trace(line.getThrown());
-            return program + " " + line.getLevel() + " " + line.getMessage() + cause + "\n";
+          public String format(final LogRecord record) {
+            final String cause = record.getThrown() == null ? "" : " " + trace(record.getThrown());
+            return program + " " + record.getLevel() + " " + record.getMessage() + cause + "\n";
           }
         });
     root.addHandler(handler);
-    final String named = System.getenv(LEVEL_VARIABLE);
-    final Level level = named == null || named.isEmpty() ? Level.INFO : Level.parse(named);
-    OWN.setLevel(level);
+    final String levelName = System.getenv(LEVEL_VARIABLE);
+    final Level level =
+        levelName == null || levelName.isEmpty() ? Level.INFO : Level.parse(levelName);
+    WELDPOINT_LOGGER.setLevel(level);
     root.setLevel(level.intValue() > Level.INFO.intValue() ? level : Level.INFO);
   }
 
--- a/idempotency/src/main/java/weldpoint/idempotency/ClaimTable.java
+++ b/idempotency/src/main/java/weldpoint/idempotency/ClaimTable.java
@@ -132,7 +132,7 @@
     final List<Claim> claims = new ArrayList<>(entries.size());
     for (final Entry entry : entries.values()) {
       if (entry.expiresAt > now) {
-        entry.claims.forEach(claim -> claims.add(claim.kept(entry.expiresAt - now)));
+        entry.claims.forEach(claim -> claims.add(claim.withKeepMillis(entry.expiresAt - now)));
       }
     }
     return claims;
--- a/metrics/src/main/java/weldpoint/metrics/MetricsServer.java
+++ b/metrics/src/main/java/weldpoint/metrics/MetricsServer.java
@@ -23,23 +23,29 @@
 import java.util.function.Supplier;
 
 /**
- * Answers {@code GET /metrics} with a daemon's figures as Prometheus text. Nothing is gathered
- * while nobody asks, and an address that cannot be listened at is told and otherwise left alone.
+ * Serves a daemon's metrics at {@code /metrics} in the Prometheus text format. Metrics are only
+ * collected during a scrape. If the address cannot be bound, a warning is logged and the daemon
+ * runs without the server.
  */
 public final class MetricsServer {
-  /** The path that is answered. */
+  /** The path of the metrics; any other is answered with 404. */
   public static final String PATH = "/metrics";
 
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
   private MetricsServer() {}
 
-  /** Listens at an address on a traffic thread; the figures may come from another thread. */
+  /**
+   * Listens at an address; connections are handled on the given event loop.
+   *
+   * @param metrics collects the metrics for a scrape; the future may be completed on any thread,
+   *     and a failure is answered with 503
+   */
   public static void serve(
       final EventLoopGroup loop,
       final String host,
       final int port,
-      final Supplier<CompletableFuture<List<Metric>>> figures) {
+      final Supplier<CompletableFuture<List<Metric>>> metrics) {
     new ServerBootstrap()
         .group(loop)
         .channel(NioServerSocketChannel.class)
@@ -48,7 +54,7 @@
             new ChannelInitializer<SocketChannel>() {
               @Override
               protected void initChannel(final SocketChannel channel) {
-                channel.pipeline().addLast(new HttpServerCodec(), new Handler(figures));
+                channel.pipeline().addLast(new HttpServerCodec(), new ScrapeHandler(metrics));
               }
             })
         .bind(host, port)
@@ -56,42 +62,43 @@
             (ChannelFuture bound) -> {
               if (!bound.isSuccess()) {
                 LOGGER.atWarning().log(
-                    "metrics cannot be served at %s:%s (%s); set metrics.port to a free port",
+                    "cannot serve metrics at %s:%s (%s); set metrics.port to a free port",
                     host, port, bound.cause().getMessage());
               }
             });
   }
 
-  private static final class Handler extends SimpleChannelInboundHandler<HttpRequest> {
-    private final Supplier<CompletableFuture<List<Metric>>> figures;
+  private static final class ScrapeHandler extends SimpleChannelInboundHandler<HttpRequest> {
+    private final Supplier<CompletableFuture<List<Metric>>> metrics;
 
-    Handler(final Supplier<CompletableFuture<List<Metric>>> figures) {
-      this.figures = figures;
+    ScrapeHandler(final Supplier<CompletableFuture<List<Metric>>> metrics) {
+      this.metrics = metrics;
     }
 
     @Override
     protected void channelRead0(final ChannelHandlerContext context, final HttpRequest request) {
       if (!request.uri().equals(PATH)) {
-        answer(context, HttpResponseStatus.NOT_FOUND, new byte[0]);
+        respond(context, HttpResponseStatus.NOT_FOUND, new byte[0]);
         return;
       }
-      figures
+      metrics
           .get()
           .whenComplete(
-              (list, problem) ->
+              (list, failure) ->
                   context
                       .executor()
                       .execute(
                           () -> {
-                            if (problem == null) {
-                              answer(context, HttpResponseStatus.OK, PrometheusFormat.text(list));
+                            if (failure == null) {
+                              respond(
+                                  context, HttpResponseStatus.OK, PrometheusFormat.format(list));
                             } else {
-                              answer(context, HttpResponseStatus.SERVICE_UNAVAILABLE, new byte[0]);
+                              respond(context, HttpResponseStatus.SERVICE_UNAVAILABLE, new byte[0]);
                             }
                           }));
     }
 
-    private static void answer(
+    private static void respond(
         final ChannelHandlerContext context, final HttpResponseStatus status, final byte[] body) {
       final DefaultFullHttpResponse response =
           new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(body));
--- a/ownership/src/main/java/weldpoint/ownership/AssignerCounts.java
+++ b/ownership/src/main/java/weldpoint/ownership/AssignerCounts.java
@@ -33,16 +33,16 @@
     for (final CallResult.Outcome outcome : CallResult.Outcome.values()) {
       metrics.add(
           Metric.counter("weldpoint_key_grants", "Grants of keys.", grants[outcome.ordinal()])
-              .with("result", name(outcome)));
+              .withLabel("result", name(outcome)));
       metrics.add(
           Metric.counter("weldpoint_key_releases", "Releases of keys.", releases[outcome.ordinal()])
-              .with("result", name(outcome)));
+              .withLabel("result", name(outcome)));
     }
     for (final MoveReason reason : MoveReason.values()) {
       metrics.add(
           Metric.counter(
                   "weldpoint_key_moves", "Ranges of keys taken away.", moves[reason.ordinal()])
-              .with("reason", name(reason)));
+              .withLabel("reason", name(reason)));
     }
     metrics.add(
         Metric.counter(
--- a/ownership/src/main/java/weldpoint/ownership/Balancer.java
+++ b/ownership/src/main/java/weldpoint/ownership/Balancer.java
@@ -182,7 +182,7 @@
       final int remaining = count - pieces.size() - 1;
       final boolean full = sum >= totalLoad * (pieces.size() + 1) / count;
       if (slot == lastSlot || remaining > 0 && (full || lastSlot - slot == remaining)) {
-        pieces.add(range.part(KeySpace.firstKey(start), KeySpace.lastKey(slot)));
+        pieces.add(range.subrange(KeySpace.firstKey(start), KeySpace.lastKey(slot)));
         start = slot + 1;
       }
     }
--- a/proxy/src/main/java/weldpoint/proxy/CachedCopies.java
+++ b/proxy/src/main/java/weldpoint/proxy/CachedCopies.java
@@ -39,7 +39,7 @@
   static FullHttpResponse response(
       final HttpRequest request, final CacheMessages.CacheReadResponse cached) {
     final byte[] bytes = cached.body == null ? new byte[0] : cached.body;
-    final List<String> headers = Protocol.list(cached.headers);
+    final List<String> headers = Protocol.emptyIfNull(cached.headers);
     final String condition = request.headers().get(HttpHeaderNames.IF_RANGE);
     final boolean whole =
         cached.status != 200 || condition != null && !condition.equals(etag(headers));
@@ -85,7 +85,7 @@
             HttpVersion.HTTP_1_1,
             HttpResponseStatus.valueOf(original.status),
             Unpooled.wrappedBuffer(body));
-    final List<String> headers = Protocol.list(original.headers);
+    final List<String> headers = Protocol.emptyIfNull(original.headers);
     for (int index = 0; index + 1 < headers.size(); index += 2) {
       response.headers().add(headers.get(index), headers.get(index + 1));
     }
--- a/proxy/src/main/java/weldpoint/proxy/ClientConnection.java
+++ b/proxy/src/main/java/weldpoint/proxy/ClientConnection.java
@@ -362,14 +362,14 @@
     if (currentRequest != null || closing || proxyContext.routingTable == null) {
       return;
     }
-    if (readingRequest && now - lastActivityAt > proxyContext.routingTable.headerMillis()) {
+    if (readingRequest && now - lastActivityAt > proxyContext.routingTable.headerTimeoutMillis()) {
       refuse(
           HttpResponseStatus.REQUEST_TIMEOUT,
           "the request was not received within the header timeout; send it faster",
           null,
           true);
     } else if (!readingRequest
-        && (now - lastActivityAt > proxyContext.routingTable.idleMillis()
+        && (now - lastActivityAt > proxyContext.routingTable.idleTimeoutMillis()
             || proxyContext.shuttingDown && now - lastActivityAt > SHUTDOWN_IDLE_MILLIS)) {
       closing = true;
       context.close();
@@ -382,7 +382,9 @@
    */
   private void closeOverdueResponse(final long now) {
     final long graceMillis =
-        proxyContext.routingTable == null ? LINGER_MILLIS : proxyContext.routingTable.idleMillis();
+        proxyContext.routingTable == null
+            ? LINGER_MILLIS
+            : proxyContext.routingTable.idleTimeoutMillis();
     if (now - responseDeadline > graceMillis) {
       closing = true;
       context.close();
--- a/proxy/src/main/java/weldpoint/proxy/ControlProof.java
+++ b/proxy/src/main/java/weldpoint/proxy/ControlProof.java
@@ -135,7 +135,7 @@
                   "weldpoint_control_proof_renewals",
                   "Proofs, by how old the one before had become, in milliseconds at most.",
                   renewals[bucket])
-              .with(
+              .withLabel(
                   "most",
                   bucket == RENEWAL_BUCKETS_MILLIS.length
                       ? "inf"
--- a/proxy/src/main/java/weldpoint/proxy/IdempotentRequest.java
+++ b/proxy/src/main/java/weldpoint/proxy/IdempotentRequest.java
@@ -12,7 +12,7 @@
  * by {@link IdempotentRequests} and {@link ProxiedRequest}.
  */
 final class IdempotentRequest {
-  private static final OutcomeResponse IN_PROGRESS = new OutcomeResponse(Outcome.AT_WORK);
+  private static final OutcomeResponse IN_PROGRESS = new OutcomeResponse(Outcome.IN_PROGRESS);
 
   private final Claim claim;
   private final long fingerprint;
@@ -46,7 +46,7 @@
   }
 
   boolean inProgress() {
-    return outcome.outcome() == Outcome.AT_WORK;
+    return outcome.outcome() == Outcome.IN_PROGRESS;
   }
 
   OutcomeResponse outcome() {
--- a/proxy/src/main/java/weldpoint/proxy/IdempotentRequests.java
+++ b/proxy/src/main/java/weldpoint/proxy/IdempotentRequests.java
@@ -148,7 +148,7 @@
   /** Waits for the end of a request of this proxy that owns the key. */
   private void awaitOutcome(final Request request, final IdempotentRequest known) {
     if (known.fingerprint() != request.key.fingerprint()) {
-      duplicate(request, new OutcomeResponse(Outcome.OTHER_REQUEST));
+      duplicate(request, new OutcomeResponse(Outcome.KEY_REUSED));
       return;
     }
     known.whenEnded(original -> onOutcome(request, original));
@@ -231,7 +231,7 @@
     } else if (known == null || !known.claim().sameClaimant(claim)) {
       callback.accept(new OutcomeResponse(Outcome.UNCERTAIN));
     } else if (known.fingerprint() != fingerprint) {
-      callback.accept(new OutcomeResponse(Outcome.OTHER_REQUEST));
+      callback.accept(new OutcomeResponse(Outcome.KEY_REUSED));
     } else {
       known.whenEnded(callback);
     }
@@ -345,13 +345,14 @@
   List<Metric> metrics() {
     final String help = "Requests with an idempotency key, by what was decided.";
     return List.of(
-        Metric.counter("weldpoint_keyed_requests", help, claimedCount).with("decision", "claimed"),
+        Metric.counter("weldpoint_keyed_requests", help, claimedCount)
+            .withLabel("decision", "claimed"),
         Metric.counter("weldpoint_keyed_requests", help, duplicateCount)
-            .with("decision", "repeated"),
+            .withLabel("decision", "repeated"),
         Metric.counter("weldpoint_keyed_requests", help, conflictCount)
-            .with("decision", "conflict"),
+            .withLabel("decision", "conflict"),
         Metric.counter("weldpoint_keyed_requests", help, unavailable)
-            .with("decision", "unavailable"),
+            .withLabel("decision", "unavailable"),
         Metric.gauge("weldpoint_keyed_runs", "Keyed requests remembered here.", requests.size()),
         Metric.gauge("weldpoint_keyed_bytes", "Bytes of answers kept for repeats.", storedBytes));
   }
--- a/proxy/src/main/java/weldpoint/proxy/OutcomeClient.java
+++ b/proxy/src/main/java/weldpoint/proxy/OutcomeClient.java
@@ -40,7 +40,7 @@
 
   /** Starts to answer the queries of other proxies. */
   void listen() throws InterruptedException {
-    transport.serve(
+    transport.bind(
         settings.address(),
         settings.transportPort(PORT_INDEX),
         new Transport.Listener() {
@@ -68,7 +68,7 @@
         () -> {
           if (!answered[0]) {
             answered[0] = true;
-            reply.accept(new OutcomeResponse(Outcome.AT_WORK));
+            reply.accept(new OutcomeResponse(Outcome.IN_PROGRESS));
           }
         },
         Math.max(1, request.waitMillis - REPLY_MARGIN_MILLIS),
@@ -86,7 +86,7 @@
       final Consumer<OutcomeResponse> callback) {
     final PendingQuery pendingQuery = new PendingQuery(callback);
     pendingQuery.connector =
-        transport.dial(
+        transport.connectTo(
             holder.proxy,
             settings.transportPort(PORT_INDEX),
             new Transport.Listener() {
--- a/proxy/src/main/java/weldpoint/proxy/PartitionedRequestKey.java
+++ b/proxy/src/main/java/weldpoint/proxy/PartitionedRequestKey.java
@@ -54,7 +54,7 @@
    * rejected.
    */
   boolean mayWait(final long arrivedAt, final Route route, final long now) {
-    return now - arrivedAt < (long) (WAIT_TARGET_FRACTION * route.targetMillis)
+    return now - arrivedAt < (long) (WAIT_TARGET_FRACTION * route.targetLatencyMillis)
         || now - rejectedAt < MISDIRECTED_WAIT_MILLIS;
   }
 
--- a/proxy/src/main/java/weldpoint/proxy/ProxiedRequest.java
+++ b/proxy/src/main/java/weldpoint/proxy/ProxiedRequest.java
@@ -118,7 +118,7 @@
       return;
     }
     final RouteBinding candidateBinding = newBinding();
-    if (!routingTable.interpret(candidateBinding)) {
+    if (!routingTable.resolve(candidateBinding)) {
       finish();
       clientConnection.refuse(
           HttpResponseStatus.NOT_FOUND,
@@ -141,30 +141,30 @@
     if (!routingTable.tenants().isEmpty() && !authenticate()) {
       return;
     }
-    affinity = Affinity.inForce(route, proxyContext.defaultAffinity);
+    affinity = Affinity.effective(route, proxyContext.defaultAffinity);
     double fraction = proxyContext.random.nextDouble();
     if (affinity != null) {
       final String callerName =
-          proxyContext.affinityKeys.name(
+          proxyContext.affinityKeys.keyFor(
               affinity,
               affinity.header() == null ? List.of() : request.headers().getAll(affinity.header()),
               tenantName(),
               clientConnection.clientAddress());
-      final long callerHash = Rendezvous.caller(route.name, callerName);
-      binding.draw(route.serviceFor(callerHash));
+      final long callerHash = Rendezvous.callerHash(route.name, callerName);
+      binding.selectService(route.serviceForCaller(callerHash));
       fraction = (callerHash >>> 11) / (double) (1L << 53);
-      affinityCaller = Rendezvous.caller(service().name(), callerName);
+      affinityCaller = Rendezvous.callerHash(service().name(), callerName);
     }
-    if (!proxyContext.trials.idle() && proxyContext.trials.covers(route.name)) {
+    if (!proxyContext.trials.hasNoTrials() && proxyContext.trials.isUnderTrial(route.name)) {
       final int trialService =
-          routingTable.service(
-              proxyContext.trials.choose(
+          routingTable.serviceIndex(
+              proxyContext.trials.chooseService(
                   route.name,
                   service().name(),
                   request.headers().get(Headers.TRIAL_TOKEN),
                   fraction));
       if (trialService >= 0) {
-        binding.divert(routingTable.services().get(trialService));
+        binding.overrideService(routingTable.services().get(trialService));
       }
       inTrial = true;
     }
@@ -216,11 +216,11 @@
             this::onDeadline, deadline - ProxyContext.now(), TimeUnit.MILLISECONDS);
     if (proxyContext.cacheClient != null
         && route.kind == RouteKind.CACHEABLE
-        && route.cacheMillis > 0
+        && route.cacheTtlMillis > 0
         && request.method().equals(HttpMethod.GET)
         && !body.isReadable()
         && proxyContext.cacheClient.hasDaemons()
-        && !binding.homed()) {
+        && !binding.hasHomeRegions()) {
       proxyContext.cacheClient.read(
           service().name(),
           request.headers().get(HttpHeaderNames.HOST),
@@ -248,8 +248,8 @@
   private void awaitProof(final RoutingTable routingTable) {
     final RouteBinding candidateBinding = newBinding();
     final long waitMillis =
-        routingTable.interpret(candidateBinding)
-            ? candidateBinding.route().targetMillis / 4
+        routingTable.resolve(candidateBinding)
+            ? candidateBinding.route().targetLatencyMillis / 4
             : PROOF_WAIT_MILLIS;
     final Runnable resume =
         () -> {
@@ -288,8 +288,8 @@
   /** Identifies the tenant by its API key; false if the request was refused. */
   private boolean authenticate() {
     tenantsConfigured = true;
-    binding.identify(CachedCopies.bearerKey(request.headers()));
-    if (binding.tenant() != null || route.open) {
+    binding.identifyTenant(CachedCopies.bearerKey(request.headers()));
+    if (binding.tenant() != null || route.publicAccess) {
       return true;
     }
     finish();
@@ -316,7 +316,7 @@
    */
   private boolean checkConfiguration() {
     final boolean proofValid = proxyContext.controlProof.isValid(ProxyContext.now());
-    if (proofValid && binding.follow(proxyContext.routingTable)) {
+    if (proofValid && binding.revalidate(proxyContext.routingTable)) {
       return true;
     }
     if (completed || runningCount() > 0) {
@@ -326,12 +326,12 @@
       conclude();
     } else if (!proofValid) {
       refuse(RefusalCounts.Reason.UNPROVED, STALE_CONTROL_STATE);
-    } else if (binding.standing() == RouteBinding.Standing.KEY_UNKNOWN) {
+    } else if (binding.status() == RouteBinding.Status.KEY_UNKNOWN) {
       finish();
       clientConnection.refuse(
-          HttpResponseStatus.UNAUTHORIZED, binding.standing().reason(), null, closeAfterResponse);
+          HttpResponseStatus.UNAUTHORIZED, binding.status().reason(), null, closeAfterResponse);
     } else {
-      refuse(RefusalCounts.Reason.CONFIGURATION_CHANGED, binding.standing().reason());
+      refuse(RefusalCounts.Reason.CONFIGURATION_CHANGED, binding.status().reason());
     }
     return false;
   }
@@ -344,7 +344,7 @@
     if (completed || !checkConfiguration()) {
       return;
     }
-    if (binding.homed()) {
+    if (binding.hasHomeRegions()) {
       acquireOriginPermit();
       return;
     }
@@ -486,8 +486,8 @@
         request.headers().get(Headers.ATTEMPT_ID), tenantName(), route.name, original.outcome());
     final String text =
         switch (original.outcome()) {
-          case OTHER_REQUEST -> "the key was used for another request; use a new key";
-          case AT_WORK -> "a request with this key is still in progress; retry later";
+          case KEY_REUSED -> "the key was used for another request; use a new key";
+          case IN_PROGRESS -> "a request with this key is still in progress; retry later";
           default ->
               "a request with this key may have run; check its outcome before sending it with a new key";
         };
@@ -590,11 +590,11 @@
     }
     final WriteDecision decision = trySendWithAffinity();
     if (decision == WriteDecision.GO) {
-      proxyContext.affinity.count(decision);
+      proxyContext.affinity.recordDecision(decision);
       return;
     }
     final long waitedMillis = ProxyContext.now() - arrivedAt;
-    if (decision.passing()
+    if (decision.isTransient()
         && waitedMillis < proxyContext.affinityWaitMillis
         && clientConnection.isActive()) {
       proxyContext.loop.schedule(
@@ -611,7 +611,7 @@
       return;
     }
     if (proxyContext.affinity != null) {
-      proxyContext.affinity.count(decision);
+      proxyContext.affinity.recordDecision(decision);
     }
     if (decision == WriteDecision.OUTSIDE_HOMES) {
       refuse(RefusalCounts.Reason.OUTSIDE_HOMES, decision.reason());
@@ -630,22 +630,22 @@
     }
     final long now = ProxyContext.now();
     final Predicate<PlacementMessages.PlacementMember> inHomeRegions =
-        member -> binding.home(proxyContext.upstreamPool.regionOf(member.site));
+        member -> binding.allowsRegion(proxyContext.upstreamPool.regionOf(member.site));
     final WriteDecision decision =
         proxyContext.affinity.decide(service().name(), affinityCaller, inHomeRegions, now);
     if (decision != WriteDecision.GO) {
-      return decision == WriteDecision.NO_NODE && binding.homed()
+      return decision == WriteDecision.NO_NODE && binding.hasHomeRegions()
           ? WriteDecision.OUTSIDE_HOMES
           : decision;
     }
-    final String nodeId = proxyContext.affinity.node().id;
+    final String nodeId = proxyContext.affinity.chosenNode().id;
     final UpstreamPool.Choice choice =
         proxyContext.upstreamPool.choosePinned(binding, nodeId, affinity.pauseMillis(), now);
     if (choice != UpstreamPool.Choice.CHOSEN) {
       return choice == UpstreamPool.Choice.FULL ? WriteDecision.FULL : WriteDecision.LEAVING;
     }
     pendingWrite =
-        proxyContext.affinity.begin(
+        proxyContext.affinity.beginWrite(
             service().name(), affinityCaller, nodeId, inHomeRegions, deadline);
     transmit(proxyContext.upstreamPool.chosen(), now);
     return WriteDecision.GO;
@@ -726,7 +726,7 @@
   private boolean transmit(final Upstream upstream, final long now) {
     if (proxyContext.uncertainWrites != null
         && !route.kind.repeatable()
-        && !proxyContext.uncertainWrites.begin(request.headers().get(Headers.ATTEMPT_ID))) {
+        && !proxyContext.uncertainWrites.tryBegin(request.headers().get(Headers.ATTEMPT_ID))) {
       fail(
           HttpResponseStatus.BAD_GATEWAY,
           "this write was sent before and may have run; check its outcome before sending it again");
@@ -754,7 +754,7 @@
     }
     final String attemptId = request.headers().get(Headers.ATTEMPT_ID);
     if (inTrial && attemptId != null) {
-      proxyContext.trials.sent(route.name, service().name(), attemptId);
+      proxyContext.trials.recordSent(route.name, service().name(), attemptId);
     }
     final int recordIndex =
         pendingRecord == null ? -1 : pendingRecord.attemptSent(upstream.id(), now);
@@ -784,7 +784,7 @@
                     ProxyContext.now() - now);
               }
               if (pendingWrite != null && end != UpstreamConnection.CompletionStatus.UNCERTAIN) {
-                pendingWrite.ended();
+                pendingWrite.markEnded();
                 proxyContext.affinity.tick(ProxyContext.now());
               }
               if (pendingRecord != null) {
@@ -794,15 +794,15 @@
                   && !route.kind.repeatable()
                   && attemptId != null) {
                 if (outcome == AttemptOutcome.NOT_RUN) {
-                  proxyContext.uncertainWrites.notRun(attemptId);
+                  proxyContext.uncertainWrites.recordNotExecuted(attemptId);
                 } else {
-                  proxyContext.uncertainWrites.ran(
+                  proxyContext.uncertainWrites.recordExecuted(
                       attemptId, outcome == AttemptOutcome.ANSWERED, ProxyContext.now());
                 }
               }
               reportToTrial(
                   outcome == AttemptOutcome.NOT_RUN
-                      ? TrialTracker.WriteOutcome.UNSENT
+                      ? TrialTracker.WriteOutcome.NOT_EXECUTED
                       : outcome == AttemptOutcome.UNCERTAIN
                           ? TrialTracker.WriteOutcome.LOST
                           : TrialTracker.WriteOutcome.CONFIRMED);
@@ -826,13 +826,13 @@
   private void reportToTrial(final TrialTracker.WriteOutcome outcome) {
     final String attemptId = request.headers().get(Headers.ATTEMPT_ID);
     if (inTrial && attemptId != null && !completed) {
-      proxyContext.trials.ended(
+      proxyContext.trials.recordEnded(
           route.name,
           service().name(),
           attemptId,
           outcome,
           ProxyContext.now() - arrivedAt,
-          route.targetMillis);
+          route.targetLatencyMillis);
     }
   }
 
@@ -1035,8 +1035,8 @@
     if (pendingRecord != null) {
       pendingRecord.status(response.status().code());
     }
-    if (!proxyContext.trials.idle() && route.kind.repeatable()) {
-      proxyContext.trials.other(service().name(), response.status().code() < 500);
+    if (!proxyContext.trials.hasNoTrials() && route.kind.repeatable()) {
+      proxyContext.trials.recordOtherRequest(service().name(), response.status().code() < 500);
     }
     finish();
     clientConnection.respond(response, closeAfterResponse);
@@ -1089,7 +1089,7 @@
       if (runningCount() > 0) {
         reportToTrial(TrialTracker.WriteOutcome.LOST);
         if (proxyContext.uncertainWrites != null && !route.kind.repeatable()) {
-          proxyContext.uncertainWrites.ran(
+          proxyContext.uncertainWrites.recordExecuted(
               request.headers().get(Headers.ATTEMPT_ID), false, ProxyContext.now());
         }
       }
@@ -1108,10 +1108,10 @@
         attempt.cancel();
         possiblyRunCount--;
         if (pendingWrite != null) {
-          pendingWrite.ended();
+          pendingWrite.markEnded();
         }
         if (proxyContext.uncertainWrites != null && !route.kind.repeatable()) {
-          proxyContext.uncertainWrites.notRun(request.headers().get(Headers.ATTEMPT_ID));
+          proxyContext.uncertainWrites.recordNotExecuted(request.headers().get(Headers.ATTEMPT_ID));
         }
       }
     }
@@ -1142,7 +1142,7 @@
 
   private void abandonAfterDisconnect() {
     if (runningCount() > 0 && proxyContext.uncertainWrites != null) {
-      proxyContext.uncertainWrites.ran(
+      proxyContext.uncertainWrites.recordExecuted(
           request.headers().get(Headers.ATTEMPT_ID), false, ProxyContext.now());
     }
     for (final UpstreamPool.Attempt attempt : attempts) {
--- a/proxy/src/main/java/weldpoint/proxy/ProxyContext.java
+++ b/proxy/src/main/java/weldpoint/proxy/ProxyContext.java
@@ -69,24 +69,27 @@
     this.loop = loop;
     this.random = random;
     this.upstreamPool = new UpstreamPool(loop, settings, random);
-    this.upstreamPool.onUnsolicitedResponse(trials::surplus);
-    this.defaultAffinity = Affinity.setting("affinity.default", settings.affinityUsual());
+    this.upstreamPool.onUnsolicitedResponse(trials::recordSurplusAnswer);
+    this.defaultAffinity = Affinity.parseSetting("affinity.default", settings.defaultAffinity());
     this.affinityWaitMillis = settings.affinityWaitMillis();
     this.strictRevocation = settings.strictRevocation();
     this.revokeMillis = settings.revokeMillis();
-    this.controlProof = new ControlProof(settings.obeyMillis(), settings.contactMillis());
+    this.controlProof =
+        new ControlProof(settings.enforcementBoundMillis(), settings.contactMillis());
   }
 
   /** Applies a region leader's directive; null if none is in force any longer. */
   void applyDirective(final RegionMessages.LeaderDirective newDirective, final String ownAddress) {
     directive = newDirective;
-    uncertainWrites.elsewhere(
-        newDirective == null ? java.util.List.of() : Protocol.list(newDirective.uncertain));
+    uncertainWrites.uncertainElsewhere(
+        newDirective == null
+            ? java.util.List.of()
+            : Protocol.emptyIfNull(newDirective.uncertainWrites));
     upstreamPool.setAssignedShare(
-        newDirective == null ? 0 : RegionAssessment.part(newDirective, ownAddress),
+        newDirective == null ? 0 : RegionAssessment.budgetShare(newDirective, ownAddress),
         newDirective == null
             ? java.util.Set.of()
-            : new java.util.HashSet<>(Protocol.list(newDirective.suspects)));
+            : new java.util.HashSet<>(Protocol.emptyIfNull(newDirective.suspects)));
   }
 
   /** Returns what this proxy observed since the previous call, and resets the counts. */
@@ -98,7 +101,7 @@
             writesRefused,
             served - servedAtLastObservation,
             upstreamPool.unhealthyUpstreams(now),
-            uncertainWrites.unsure(now, UNCERTAIN_MILLIS));
+            uncertainWrites.recentlyUncertain(now, UNCERTAIN_MILLIS));
     repeatableRequestsSeen = 0;
     writesSeen = 0;
     writesRefused = 0;
@@ -110,8 +113,8 @@
   boolean admits(final RouteKind kind) {
     return directive == null
         || !kind.repeatable()
-        || directive.admission >= 1
-        || random.nextDouble() < directive.admission;
+        || directive.admittedFraction >= 1
+        || random.nextDouble() < directive.admittedFraction;
   }
 
   private static final long UNCERTAIN_MILLIS = 30_000;
@@ -130,8 +133,8 @@
       upstreamPool.setRoutingTable(routingTable);
       if (affinity == null
           && onAffinityNeeded != null
-          && routingTable.all().stream()
-              .anyMatch(route -> Affinity.inForce(route, defaultAffinity) != null)) {
+          && routingTable.allRoutes().stream()
+              .anyMatch(route -> Affinity.effective(route, defaultAffinity) != null)) {
         onAffinityNeeded.run();
       }
       if (firstConfiguration && onFirstConfiguration != null) {
@@ -142,7 +145,7 @@
       upstreamPool.setFleetSize(update.proxyCount(), now);
     }
     if (update.trials() != null) {
-      trials.take(update.trials(), update.trialVersion());
+      trials.updateTrials(update.trials(), update.trialVersion());
     }
     upstreamPool.applyChanges(update.changes(), now);
     if (update.evacuated() != null) {
--- a/proxy/src/main/java/weldpoint/proxy/ProxyDaemon.java
+++ b/proxy/src/main/java/weldpoint/proxy/ProxyDaemon.java
@@ -87,14 +87,14 @@
         new Transport(
             loop,
             new Protocol.Hello(
-                Serializer.PROTOCOL, "switchboard", settings.address(), incarnation));
+                Serializer.PROTOCOL_VERSION, "switchboard", settings.address(), incarnation));
     this.proxyContext =
         new ProxyContext(
             loop,
             settings,
             new Random(incarnation),
             new TrialTracker(settings.address(), incarnation));
-    this.proxyContext.trials.alarm(() -> reportTrials(false));
+    this.proxyContext.trials.urgentReportListener(() -> reportTrials(false));
     this.stream =
         new RegistryStream(
             transport,
@@ -182,7 +182,7 @@
                 loop.execute(
                     () -> {
                       startAffinity();
-                      proxyContext.affinity.take(placements, ProxyContext.now());
+                      proxyContext.affinity.updatePlacements(placements, ProxyContext.now());
                     });
               }
 
@@ -196,7 +196,7 @@
                 loop.execute(
                     () -> {
                       if (proxyContext.affinity != null) {
-                        proxyContext.affinity.granted(grant, ProxyContext.now());
+                        proxyContext.affinity.onLeaseGrant(grant, ProxyContext.now());
                       }
                     });
               }
@@ -285,7 +285,7 @@
     }
     startPermitPool();
     startIdempotency();
-    if (settings.content()) {
+    if (settings.contentDelivery()) {
       startCacheClient();
     }
     if (settings.metricsPort() > 0) {
@@ -339,8 +339,8 @@
                     : Long.toHexString(proxyContext.routingTable.version()),
                 proxyContext.controlProof.ageMillis(ProxyContext.now()),
                 transport.trafficCounters()),
-        settings.countersMillis(),
-        settings.countersMillis(),
+        settings.counterLogMillis(),
+        settings.counterLogMillis(),
         TimeUnit.MILLISECONDS);
   }
 
@@ -359,7 +359,7 @@
   }
 
   private void updateRecording(final RecordingMessages.RecordingState state) {
-    if (state.on && proxyContext.recorder == null) {
+    if (state.enabled && proxyContext.recorder == null) {
       proxyContext.recorder =
           new Recorder(settings.address(), settings.site(), settings.region(), incarnation);
       loop.scheduleAtFixedRate(
@@ -379,11 +379,14 @@
     final String help = "Requests by how they ended.";
     final List<Metric> metrics = new ArrayList<>();
     metrics.add(
-        Metric.counter("weldpoint_requests", help, proxyContext.served).with("result", "served"));
+        Metric.counter("weldpoint_requests", help, proxyContext.served)
+            .withLabel("result", "served"));
     metrics.add(
-        Metric.counter("weldpoint_requests", help, proxyContext.refused).with("result", "refused"));
+        Metric.counter("weldpoint_requests", help, proxyContext.refused)
+            .withLabel("result", "refused"));
     metrics.add(
-        Metric.counter("weldpoint_requests", help, proxyContext.failed).with("result", "failed"));
+        Metric.counter("weldpoint_requests", help, proxyContext.failed)
+            .withLabel("result", "failed"));
     metrics.add(
         Metric.counter(
             "weldpoint_further_sends", "Sends beyond a request's first.", proxyContext.retries));
@@ -479,7 +482,7 @@
             new CacheClient.Connections() {
               @Override
               public void keep(final List<String> addresses) {
-                connections.keep(addresses);
+                connections.updateAddresses(addresses);
               }
 
               @Override
@@ -489,7 +492,7 @@
 
               @Override
               public long silentMillis(final String address) {
-                return connections.silentMillis(address);
+                return connections.millisSinceReceived(address);
               }
             });
     loop.scheduleAtFixedRate(
@@ -500,7 +503,7 @@
   }
 
   private void reportTrials(final boolean all) {
-    final TrialMessages.TrialReport report = proxyContext.trials.report(all);
+    final TrialMessages.TrialReport report = proxyContext.trials.createReport(all);
     if (report != null) {
       executor.execute(() -> stream.send(report));
     }
--- a/proxy/src/main/java/weldpoint/proxy/Recorder.java
+++ b/proxy/src/main/java/weldpoint/proxy/Recorder.java
@@ -99,10 +99,10 @@
   }
 
   void applyState(final RecordingMessages.RecordingState state) {
-    if (state.mark > stateVersion) {
-      stateVersion = state.mark;
-      closing = recording && !state.on;
-      recording = state.on;
+    if (state.revision > stateVersion) {
+      stateVersion = state.revision;
+      closing = recording && !state.enabled;
+      recording = state.enabled;
     }
   }
 
--- a/proxy/src/main/java/weldpoint/proxy/RegionLeaderService.java
+++ b/proxy/src/main/java/weldpoint/proxy/RegionLeaderService.java
@@ -58,12 +58,12 @@
             transport,
             settings.transportPort(PORT_INDEX),
             to ->
-                Transport.on(
+                Transport.dispatchOn(
                     executor,
                     new Transport.Listener() {
                       @Override
                       public void opened(final Connection connection) {
-                        election().opened(to);
+                        election().connectionOpened(to);
                       }
 
                       @Override
@@ -88,8 +88,8 @@
             ProxyContext.now(),
             new LeaderElection.Environment() {
               @Override
-              public void peers(final List<String> addresses) {
-                connections.keep(addresses);
+              public void connectPeers(final List<String> addresses) {
+                connections.updateAddresses(addresses);
               }
 
               @Override
@@ -105,7 +105,7 @@
               }
 
               @Override
-              public RegionMessages.ProxyObservations sight() {
+              public RegionMessages.ProxyObservations takeObservations() {
                 final RegionMessages.ProxyObservations seen = observations;
                 loop.execute(
                     () -> observations = proxyContext.takeObservations(ProxyContext.now()));
@@ -113,7 +113,7 @@
               }
 
               @Override
-              public void ordered(final RegionMessages.LeaderDirective directive) {
+              public void directiveChanged(final RegionMessages.LeaderDirective directive) {
                 loop.execute(() -> proxyContext.applyDirective(directive, settings.address()));
               }
             });
@@ -129,7 +129,7 @@
     final long now = ProxyContext.now();
     election.tick(now);
     counters = election.counters(now);
-    if (!listening && election.phase() != weldpoint.regionleader.LeaderPhase.CORE) {
+    if (!listening && election.phase() != weldpoint.regionleader.LeaderPhase.CORE_REACHABLE) {
       listening = true;
       listen()
           .addListener(
@@ -145,10 +145,10 @@
   }
 
   private ChannelFuture listen() {
-    return transport.listen(
+    return transport.bindAsync(
         settings.address(),
         settings.transportPort(PORT_INDEX),
-        Transport.on(
+        Transport.dispatchOn(
             executor,
             new Transport.Listener() {
               @Override
@@ -177,7 +177,7 @@
   }
 
   void election(final long ageMillis, final long now) {
-    election.core(now - ageMillis, now);
+    election.coreHeard(now - ageMillis, now);
   }
 
   String counters() {
--- a/proxy/src/main/java/weldpoint/proxy/RegistryClient.java
+++ b/proxy/src/main/java/weldpoint/proxy/RegistryClient.java
@@ -275,13 +275,13 @@
   private DaemonEntry daemonEntry(final long now) {
     return new DaemonEntry(
         self.address,
-        self.front,
+        self.trafficAddress,
         self.site,
         self.region,
         self.incarnation,
         shuttingDown,
         0,
-        self.announcer,
+        self.cacheDaemon,
         inForceVersion,
         inForceStateVersion,
         now - inForceSince);
@@ -314,12 +314,12 @@
       final boolean firstView = !viewReceived;
       viewReceived = true;
       addresses.viewReceived(currentAddress);
-      trialVersion = Math.max(trialVersion, ((RegistryMessages.View) message).trialMark);
+      trialVersion = Math.max(trialVersion, ((RegistryMessages.View) message).trialRevision);
       applyView((RegistryMessages.View) message);
-      if (((RegistryMessages.View) message).trialMark >= 0) {
+      if (((RegistryMessages.View) message).trialRevision >= 0) {
         environment.trialsChanged(
-            Protocol.list(((RegistryMessages.View) message).trials),
-            ((RegistryMessages.View) message).trialMark);
+            Protocol.emptyIfNull(((RegistryMessages.View) message).trials),
+            ((RegistryMessages.View) message).trialRevision);
       }
       if (firstView) {
         environment.firstViewReceived();
@@ -327,11 +327,12 @@
     } else if (message instanceof CacheMessages.Purges) {
       environment.purges((CacheMessages.Purges) message);
     } else if (message instanceof RegistryMessages.SiteProxies) {
-      environment.siteProxies(Protocol.list(((RegistryMessages.SiteProxies) message).addresses));
+      environment.siteProxies(
+          Protocol.emptyIfNull(((RegistryMessages.SiteProxies) message).addresses));
     } else if (message instanceof PlacementMessages.Placements) {
       environment.placements((PlacementMessages.Placements) message);
     } else if (message instanceof Assignments) {
-      environment.assignments(Protocol.list(((Assignments) message).assignments));
+      environment.assignments(Protocol.emptyIfNull(((Assignments) message).assignments));
     } else if (message instanceof PlacementMessages.LeaseGrant) {
       environment.leaseAnswered((PlacementMessages.LeaseGrant) message);
     } else if (message instanceof RegionMessages.Electorate) {
@@ -344,18 +345,19 @@
       environment.permitAnswered((PermitMessages.PermitResponse) message);
     } else if (message instanceof RegistryMessages.RegistryStatus) {
       final RegistryMessages.RegistryStatus status = (RegistryMessages.RegistryStatus) message;
-      environment.registryStatus(status.ageMillis, status.boards, Protocol.list(status.announcers));
-      final List<String> members = Protocol.list(status.members);
+      environment.registryStatus(
+          status.majorityAgeMillis, status.proxyCount, Protocol.emptyIfNull(status.cacheDaemons));
+      final List<String> members = Protocol.emptyIfNull(status.members);
       addresses.reachable(members);
-      for (int index = 0; index < Protocol.list(status.places).size(); index++) {
-        addresses.setLocation(members.get(index), status.places.get(index));
+      for (int index = 0; index < Protocol.emptyIfNull(status.memberLocations).size(); index++) {
+        addresses.setLocation(members.get(index), status.memberLocations.get(index));
       }
       if (!viewReceived) {
         connected = false;
         return;
       }
-      environment.controlUpdate(null, Map.of(), null, null, status.boards);
-      if (status.contactMillis <= MAJORITY_STALE_MILLIS) {
+      environment.controlUpdate(null, Map.of(), null, null, status.proxyCount);
+      if (status.contactAgeMillis <= MAJORITY_STALE_MILLIS) {
         staleRegistries = 0;
         dialNearer(now);
       } else if (now - Math.max(dialledAt, parallelDialledAt)
@@ -364,7 +366,7 @@
         staleRegistries++;
         LOGGER.atInfo().log(
             "Registry %s has had no contact with a majority for %s ms; trying another registry",
-            currentAddress, status.contactMillis);
+            currentAddress, status.contactAgeMillis);
         replaceStale(now);
       }
     }
@@ -432,7 +434,7 @@
         LOGGER.atInfo().log(
             "Configuration %s is in force with %s routes; received from registry %s, dialled %s ms ago",
             Long.toHexString(version),
-            routingTable.routes(),
+            routingTable.routeCount(),
             currentAddress,
             lastHeardAt - dialledAt);
       } catch (final WeldpointException exception) {
@@ -442,8 +444,9 @@
       }
     }
     final Map<Registration, Boolean> changes = new java.util.LinkedHashMap<>();
-    final List<Registration> viewRegistrations = new ArrayList<>(Protocol.list(view.registrations));
-    viewRegistrations.addAll(RegistrationBuckets.unpack(view.packed));
+    final List<Registration> viewRegistrations =
+        new ArrayList<>(Protocol.emptyIfNull(view.registrations));
+    viewRegistrations.addAll(RegistrationBuckets.unpack(view.packedRegistrations));
     for (final Registration registration : viewRegistrations) {
       final Registration previous = registrations.get(registration.id);
       if (previous == null || LifecycleStage.later(previous, registration) != previous) {
@@ -456,16 +459,16 @@
       }
     }
     Set<String> evacuated = null;
-    if (view.evacuationsGiven && view.evacuationMark > evacuationVersion) {
-      evacuationVersion = view.evacuationMark;
-      evacuated = new HashSet<>(Protocol.list(view.evacuated));
+    if (view.hasEvacuations && view.evacuationRevision > evacuationVersion) {
+      evacuationVersion = view.evacuationRevision;
+      evacuated = new HashSet<>(Protocol.emptyIfNull(view.evacuated));
     }
     environment.controlUpdate(
         routingTable,
         changes,
         evacuated,
-        view.suspectsGiven ? new HashSet<>(Protocol.list(view.suspects)) : null,
-        view.boards);
+        view.hasSuspects ? new HashSet<>(Protocol.emptyIfNull(view.suspects)) : null,
+        view.proxyCount);
   }
 
   /** Checks the time limits; called periodically. */
--- a/proxy/src/main/java/weldpoint/proxy/RegistryStream.java
+++ b/proxy/src/main/java/weldpoint/proxy/RegistryStream.java
@@ -98,10 +98,10 @@
   private Transport.Connector connect(final String address) {
     final Transport.Connector[] self = new Transport.Connector[1];
     self[0] =
-        transport.dial(
+        transport.connectTo(
             address,
             port,
-            Transport.on(
+            Transport.dispatchOn(
                 executor,
                 new Transport.Listener() {
                   @Override
@@ -124,7 +124,7 @@
                   }
 
                   @Override
-                  public void refused() {
+                  public void connectionRefused() {
                     registryClient.connectionRefused(address, ProxyContext.now());
                   }
 
@@ -150,16 +150,19 @@
     }
     final RegistryMessages.RegistryStatus status = (RegistryMessages.RegistryStatus) message;
     final Long provedAt =
-        status.confirmedClock == null ? null : clock.notAfter(status.confirmedClock, now);
+        status.confirmedClockMillis == null
+            ? null
+            : clock.localLowerBound(status.confirmedClockMillis, now);
     if (provedAt != null) {
       registryClient.proofReceived(provedAt, now);
     }
-    final Long sentAt = status.sentClock == null ? null : clock.notAfter(status.sentClock, now);
+    final Long sentAt =
+        status.sentClockMillis == null ? null : clock.localLowerBound(status.sentClockMillis, now);
     final long delayMillis = sentAt == null ? 0 : Math.max(0, now - sentAt);
-    if (sentAt != null && status.contactMillis >= MAJORITY_LOST_MILLIS) {
-      registryClient.majorityLost(status.contactMillis + delayMillis);
+    if (sentAt != null && status.contactAgeMillis >= MAJORITY_LOST_MILLIS) {
+      registryClient.majorityLost(status.contactAgeMillis + delayMillis);
     }
-    registryClient.messageReceived(status.delayed(delayMillis), now);
+    registryClient.messageReceived(status.withDelay(delayMillis), now);
   }
 
   /** Closes all connections for good. */
--- a/proxy/src/main/java/weldpoint/proxy/TenantCounts.java
+++ b/proxy/src/main/java/weldpoint/proxy/TenantCounts.java
@@ -48,11 +48,11 @@
           metrics.add(
               Metric.counter(
                       "weldpoint_tenant_sends", "Sends to upstreams on a permit.", count.sent)
-                  .with("tenant", tenant));
+                  .withLabel("tenant", tenant));
           metrics.add(
               Metric.counter(
                       "weldpoint_tenant_refusals", "Requests refused with 429.", count.refused)
-                  .with("tenant", tenant));
+                  .withLabel("tenant", tenant));
         });
     return metrics;
   }
--- a/proxy/src/test/java/weldpoint/proxy/ConfigurationAtSendTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/ConfigurationAtSendTest.java
@@ -303,11 +303,11 @@
     onLoop(
         () -> {
           final AffinityTable affinity = proxy.proxyContext().affinity;
-          affinity.take(
+          affinity.updatePlacements(
               new PlacementMessages.Placements(
                   1, List.of(new PlacementMessages.Placement("s", 1, 1, members, false, null))),
               ProxyContext.now());
-          affinity.granted(
+          affinity.onLeaseGrant(
               new PlacementMessages.LeaseGrant(1, "127.0.0.1", 1, 4000), ProxyContext.now());
         });
   }
--- a/proxy/src/test/java/weldpoint/proxy/IdempotentRequestsTest.java
+++ b/proxy/src/test/java/weldpoint/proxy/IdempotentRequestsTest.java
@@ -139,7 +139,7 @@
       assertEquals(repeat.original.body, new byte[] {7});
     }
     final RecordingListener other = begin(new IdempotencyKey(1, 2, 4));
-    assertEquals(other.original.outcome(), Outcome.OTHER_REQUEST);
+    assertEquals(other.original.outcome(), Outcome.KEY_REUSED);
   }
 
   @Test
@@ -220,7 +220,7 @@
     final RecordingListener first = granted();
     final Claim claim = first.run.claim();
     assertNull(queriedOutcome(claim, 3), "still in progress: answered later");
-    assertEquals(queriedOutcome(claim, 4), Outcome.OTHER_REQUEST);
+    assertEquals(queriedOutcome(claim, 4), Outcome.KEY_REUSED);
     idempotentRequests.uncertain(first.run);
     assertEquals(queriedOutcome(claim, 3), Outcome.UNCERTAIN);
     final Claim earlierIncarnation = new Claim(1, 2, "10.0.0.1", 76, claim.number, WINDOW);
--- a/ratelimit/src/main/java/weldpoint/ratelimit/QuotaAllocator.java
+++ b/ratelimit/src/main/java/weldpoint/ratelimit/QuotaAllocator.java
@@ -108,7 +108,7 @@
       final int count,
       final QuotaShare quotaShare,
       final long now) {
-    final int service = routingTable.service(name);
+    final int service = routingTable.serviceIndex(name);
     if (service < 0) {
       return 0;
     }
--- a/ratelimit/src/main/java/weldpoint/ratelimit/RateLimit.java
+++ b/ratelimit/src/main/java/weldpoint/ratelimit/RateLimit.java
@@ -85,7 +85,7 @@
    */
   static double originAllowance(final Settings settings, final double ratePerSecond) {
     final double fraction =
-        settings.content() ? ORIGIN_FRACTION_WITH_CACHES : ORIGIN_FRACTION_WITHOUT_CACHES;
+        settings.contentDelivery() ? ORIGIN_FRACTION_WITH_CACHES : ORIGIN_FRACTION_WITHOUT_CACHES;
     return fraction
         * ratePerSecond
         * settings.originWindowMillis()
--- a/regionleader/src/main/java/weldpoint/regionleader/LeaderPhase.java
+++ b/regionleader/src/main/java/weldpoint/regionleader/LeaderPhase.java
@@ -1,20 +1,23 @@
 package weldpoint.regionleader;
 
-/** How a switchboard stands toward the chief of its region. */
+/** A proxy's phase in the election of its region's leader. */
 public enum LeaderPhase {
-  /** The core is heard; there is no chief and none is wanted. */
-  CORE,
-  /** The core is silent; the wait before an election runs, or an election found no majority. */
-  ALONE,
-  /** It stands for election. */
-  STANDING,
-  /** It heeds a chief. */
-  FOLLOWING,
-  /** It is the chief. */
-  ACTING;
+  /** The core is reachable; there is no leader and none is needed. */
+  CORE_REACHABLE,
+  /**
+   * The core is unreachable and no leader is known: the delay before an election is running, or an
+   * election found no majority.
+   */
+  NO_LEADER,
+  /** The proxy has requested votes and waits for a majority. */
+  CANDIDATE,
+  /** The proxy follows another proxy's directives. */
+  FOLLOWER,
+  /** The proxy is the leader. */
+  LEADER;
 
-  /** Whether orders of a chief are in force. */
-  public boolean ordered() {
-    return this == FOLLOWING || this == ACTING;
+  /** Returns whether a leader's directive is in force. */
+  public boolean hasLeader() {
+    return this == FOLLOWER || this == LEADER;
   }
 }
--- a/registry/src/main/java/weldpoint/registry/AppliedStateTable.java
+++ b/registry/src/main/java/weldpoint/registry/AppliedStateTable.java
@@ -52,10 +52,10 @@
         list.add(
             new AppliedState(
                 daemon.address,
-                daemon.announcer ? CACHE : PROXY,
+                daemon.cacheDaemon ? CACHE : PROXY,
                 daemon.version,
-                daemon.mark,
-                daemon.heldMillis,
+                daemon.controlRevision,
+                daemon.appliedForMillis,
                 now - entry.heardAt));
       }
     }
--- a/registry/src/main/java/weldpoint/registry/ControlCall.java
+++ b/registry/src/main/java/weldpoint/registry/ControlCall.java
@@ -39,7 +39,7 @@
     ControlCommand decode(
         final ControlServer server, final String id, final byte[] body, final Origin origin) {
       return (now, callerWaits) -> {
-        final SpecDocument document = RoutingTable.read(body);
+        final SpecDocument document = RoutingTable.parse(body);
         final RoutingTable routingTable = RoutingTable.compile(document);
         final byte[] packed = Compression.deflate(body);
         final StoreMessages.ChangeOrigin cause =
@@ -51,7 +51,7 @@
                     Compression.deflate(
                         Serializer.serialize(ConfigurationSummary.of(document, body))));
         final boolean affinityUsed =
-            routingTable.all().stream().anyMatch(route -> route.affinity != null);
+            routingTable.allRoutes().stream().anyMatch(route -> route.affinity != null);
         return server
             .core()
             .replaceConfiguration(
--- a/registry/src/main/java/weldpoint/registry/ControlServer.java
+++ b/registry/src/main/java/weldpoint/registry/ControlServer.java
@@ -716,9 +716,9 @@
 
   ControlReply trialStatus(final TrialMessages.Trial trial) {
     final List<ControlApi.ProxyTrialCounts> proxies = new java.util.ArrayList<>();
-    final long[] total = TrialCounter.none();
+    final long[] total = TrialCounter.newCounts();
     core.trialCoordinator()
-        .byBoard(trial)
+        .countsByProxy(trial)
         .forEach(
             (proxy, counts) -> {
               proxies.add(proxyTrialCounts(proxy, trial, counts));
@@ -736,10 +736,10 @@
             trial.reason,
             trial.stage,
             trial.stages,
-            trial.leastWrites,
+            trial.minWrites,
             trial.lateAllowance,
             trial.writes,
-            Protocol.list(trial.attempts),
+            Protocol.emptyIfNull(trial.attempts),
             proxyTrialCounts("all", trial, total),
             proxies));
   }
@@ -750,24 +750,24 @@
         proxy,
         new ControlApi.VersionCounts(
             trial.oldService,
-            TrialCounter.OLD_SENT.in(counts),
-            TrialCounter.OLD_CONFIRMED.in(counts),
-            TrialCounter.OLD_LOST.in(counts),
-            TrialCounter.OLD_DOUBLED.in(counts),
-            TrialCounter.OLD_LATE.in(counts),
-            TrialCounter.OLD_OTHERS.in(counts),
-            TrialCounter.OLD_OTHERS_FAILED.in(counts)),
+            TrialCounter.OLD_SENT.valueIn(counts),
+            TrialCounter.OLD_CONFIRMED.valueIn(counts),
+            TrialCounter.OLD_LOST.valueIn(counts),
+            TrialCounter.OLD_DUPLICATED.valueIn(counts),
+            TrialCounter.OLD_LATE.valueIn(counts),
+            TrialCounter.OLD_OTHER_REQUESTS.valueIn(counts),
+            TrialCounter.OLD_OTHER_REQUESTS_FAILED.valueIn(counts)),
         new ControlApi.VersionCounts(
             trial.newService,
-            TrialCounter.NEW_SENT.in(counts),
-            TrialCounter.NEW_CONFIRMED.in(counts),
-            TrialCounter.NEW_LOST.in(counts),
-            TrialCounter.NEW_DOUBLED.in(counts),
-            TrialCounter.NEW_LATE.in(counts),
-            TrialCounter.NEW_OTHERS.in(counts),
-            TrialCounter.NEW_OTHERS_FAILED.in(counts)),
-        TrialCounter.NEW_REHEARSED.in(counts),
-        TrialCounter.STAGE_CONFIRMED.in(counts));
+            TrialCounter.NEW_SENT.valueIn(counts),
+            TrialCounter.NEW_CONFIRMED.valueIn(counts),
+            TrialCounter.NEW_LOST.valueIn(counts),
+            TrialCounter.NEW_DUPLICATED.valueIn(counts),
+            TrialCounter.NEW_LATE.valueIn(counts),
+            TrialCounter.NEW_OTHER_REQUESTS.valueIn(counts),
+            TrialCounter.NEW_OTHER_REQUESTS_FAILED.valueIn(counts)),
+        TrialCounter.NEW_REHEARSED.valueIn(counts),
+        TrialCounter.STAGE_CONFIRMED.valueIn(counts));
   }
 
   ControlCommand finishLock(final String id, final ControlApi.LockRequest request) {
@@ -879,7 +879,7 @@
                   final StoredValues.WatchEvents events =
                       Serializer.deserialize(response.body, StoredValues.WatchEvents.class);
                   final List<ControlApi.Event> list = new java.util.ArrayList<>();
-                  for (final StoredValues.Put put : Protocol.list(events.events)) {
+                  for (final StoredValues.Put put : Protocol.emptyIfNull(events.events)) {
                     list.add(new ControlApi.Event(put.name, put.value, put.revision));
                   }
                   return ControlReply.of(
--- a/registry/src/main/java/weldpoint/registry/ControlState.java
+++ b/registry/src/main/java/weldpoint/registry/ControlState.java
@@ -87,11 +87,11 @@
     }
     if (persisted.evacuationVersion > evacuationVersion) {
       evacuationVersion = persisted.evacuationVersion;
-      evacuated = new ArrayList<>(Protocol.list(persisted.evacuated));
+      evacuated = new ArrayList<>(Protocol.emptyIfNull(persisted.evacuated));
     }
     if (persisted.trialVersion > trialVersion) {
       trialVersion = persisted.trialVersion;
-      updateTrials(Protocol.list(persisted.trials));
+      updateTrials(Protocol.emptyIfNull(persisted.trials));
     }
   }
 
@@ -125,12 +125,12 @@
     final boolean evacuationsChanged = givenEvacuationVersion > evacuationVersion;
     if (evacuationsChanged) {
       evacuationVersion = givenEvacuationVersion;
-      evacuated = new ArrayList<>(Protocol.list(givenEvacuated));
+      evacuated = new ArrayList<>(Protocol.emptyIfNull(givenEvacuated));
     }
     final boolean trialsChanged = givenTrialVersion > trialVersion;
     if (trialsChanged) {
       trialVersion = givenTrialVersion;
-      updateTrials(Protocol.list(givenTrials));
+      updateTrials(Protocol.emptyIfNull(givenTrials));
     }
     final Delta delta = new Delta(newSpec, evacuationsChanged, trialsChanged);
     appliedAt = delta.anyChange() ? now : appliedAt;
@@ -138,7 +138,7 @@
   }
 
   private void updateTrials(final List<TrialMessages.Trial> received) {
-    trialCoordinator.take(received);
+    trialCoordinator.updateTrials(received);
     trials = new ArrayList<>();
     for (final TrialMessages.Trial trial : trialCoordinator.trials()) {
       if (TrialVerdict.of(trial) != TrialVerdict.FINISHED) {
--- a/registry/src/main/java/weldpoint/registry/DaemonTable.java
+++ b/registry/src/main/java/weldpoint/registry/DaemonTable.java
@@ -131,22 +131,22 @@
   static DaemonEntry withAge(final DaemonEntry daemon, final long ageMillis) {
     return new DaemonEntry(
         daemon.address,
-        daemon.front,
+        daemon.trafficAddress,
         daemon.site,
         daemon.region,
         daemon.incarnation,
         daemon.leaving,
         ageMillis,
-        daemon.announcer,
+        daemon.cacheDaemon,
         daemon.version,
-        daemon.mark,
-        daemon.heldMillis);
+        daemon.controlRevision,
+        daemon.appliedForMillis);
   }
 
   void updatePeakCount(final long now) {
     int live = 0;
     for (final Entry entry : entries.values()) {
-      live += !entry.daemon.announcer && now - entry.heardAt < COUNTED_MILLIS ? 1 : 0;
+      live += !entry.daemon.cacheDaemon && now - entry.heardAt < COUNTED_MILLIS ? 1 : 0;
     }
     if (live >= peakProxyCount || now - peakAt > PEAK_WINDOW_MILLIS) {
       peakProxyCount = live;
@@ -158,7 +158,7 @@
   List<DaemonEntry> liveProxies(final long now) {
     final List<DaemonEntry> live = new ArrayList<>();
     for (final Entry entry : entries.values()) {
-      if (!entry.daemon.announcer && !entry.daemon.leaving && now - entry.heardAt < LIVE_MILLIS) {
+      if (!entry.daemon.cacheDaemon && !entry.daemon.leaving && now - entry.heardAt < LIVE_MILLIS) {
         live.add(entry.daemon);
       }
     }
@@ -169,7 +169,7 @@
   List<String> liveCaches(final long now) {
     List<String> caches = null;
     for (final Entry entry : entries.values()) {
-      if (entry.daemon.announcer && !entry.daemon.leaving && now - entry.heardAt < GONE_MILLIS) {
+      if (entry.daemon.cacheDaemon && !entry.daemon.leaving && now - entry.heardAt < GONE_MILLIS) {
         caches = caches == null ? new ArrayList<>() : caches;
         caches.add(entry.daemon.address);
       }
@@ -181,7 +181,7 @@
   Map<String, List<String>> proxiesBySite(final long now) {
     final Map<String, List<String>> sites = new HashMap<>();
     for (final Entry entry : entries.values()) {
-      if (!entry.daemon.announcer
+      if (!entry.daemon.cacheDaemon
           && !entry.daemon.leaving
           && now - entry.heardAt < SITE_MEMBER_MILLIS) {
         sites
@@ -220,7 +220,7 @@
       hash =
           (hash ^ hash >>> 29) * 0xbf58476d1ce4e5b9L
               + daemon.version * 31
-              + daemon.mark * 7
+              + daemon.controlRevision * 7
               + (daemon.leaving ? 1 : 0);
       sum += (hash ^ hash >>> 31) * 0xff51afd7ed558ccdL;
     }
--- a/registry/src/main/java/weldpoint/registry/Directory.java
+++ b/registry/src/main/java/weldpoint/registry/Directory.java
@@ -26,7 +26,7 @@
     final List<DaemonEntry> live = new ArrayList<>();
     final List<DaemonEntry> stale = new ArrayList<>();
     for (final DaemonTable.Entry entry : daemons.all()) {
-      if (!entry.daemon.leaving && !entry.daemon.announcer) {
+      if (!entry.daemon.leaving && !entry.daemon.cacheDaemon) {
         (now - entry.heardAt < DaemonTable.LIVE_MILLIS ? live : stale).add(entry.daemon);
       }
     }
@@ -36,19 +36,19 @@
     final List<String> chosen = new ArrayList<>();
     for (final DaemonEntry proxy : live) {
       if (proxy.site.equals(site)) {
-        chosen.add(proxy.front);
+        chosen.add(proxy.trafficAddress);
       }
     }
     if (chosen.size() < 2) {
       for (final DaemonEntry proxy : live) {
-        if (proxy.region.equals(region) && !chosen.contains(proxy.front)) {
-          chosen.add(proxy.front);
+        if (proxy.region.equals(region) && !chosen.contains(proxy.trafficAddress)) {
+          chosen.add(proxy.trafficAddress);
         }
       }
     }
     if (chosen.isEmpty()) {
       for (final DaemonEntry proxy : live) {
-        chosen.add(proxy.front);
+        chosen.add(proxy.trafficAddress);
       }
     }
     return chosen.size() > limit ? chosen.subList(0, limit) : chosen;
--- a/registry/src/main/java/weldpoint/registry/Electorates.java
+++ b/registry/src/main/java/weldpoint/registry/Electorates.java
@@ -41,7 +41,7 @@
   }
 
   long versionSum() {
-    return current.values().stream().mapToLong(electorate -> electorate.mark).sum();
+    return current.values().stream().mapToLong(electorate -> electorate.revision).sum();
   }
 
   void addStream(final Object stream, final String region) {
@@ -62,7 +62,7 @@
   void update(final List<Electorate> received, final BiConsumer<Object, Message> sender) {
     for (final Electorate electorate : received) {
       final Electorate previous = current.get(electorate.region);
-      if (previous == null || electorate.mark > previous.mark) {
+      if (previous == null || electorate.revision > previous.revision) {
         current.put(electorate.region, electorate);
         regionByStream.forEach(
             (stream, region) -> {
@@ -94,12 +94,13 @@
           final Electorate previous = current.get(region);
           if (!writePending
               && now - desiredSince.get(region) >= STABLE_MILLIS
-              && (previous == null || !sameElectors(electors, Protocol.list(previous.electors)))) {
+              && (previous == null
+                  || !sameElectors(electors, Protocol.emptyIfNull(previous.electors)))) {
             writePending = true;
             final Electorate next =
                 new Electorate(
                     region,
-                    previous == null ? 1 : previous.mark + 1,
+                    previous == null ? 1 : previous.revision + 1,
                     electors,
                     electors.size() / (double) liveProxies.size());
             writer
--- a/registry/src/main/java/weldpoint/registry/HistoryReader.java
+++ b/registry/src/main/java/weldpoint/registry/HistoryReader.java
@@ -252,7 +252,7 @@
     final long last = Math.min(range.to(), through);
     long sequence = part.from;
     String digestThrough = headKnown ? headDigest : part.digest;
-    for (final byte[] bytes : Protocol.list(part.entries)) {
+    for (final byte[] bytes : Protocol.emptyIfNull(part.entries)) {
       if (sequence > last) {
         break;
       }
@@ -285,7 +285,7 @@
     if (query.route() == null || query.route().isEmpty() || query.route().equals(entry.subject)) {
       return true;
     }
-    for (final String change : Protocol.list(entry.changes)) {
+    for (final String change : Protocol.emptyIfNull(entry.changes)) {
       if (change.contains(query.route()) || change.startsWith("and ")) {
         return true;
       }
@@ -297,24 +297,24 @@
   static ControlApi.HistoryEntry toHistoryEntry(final AuditEntry entry, final byte[] bytes) {
     return new ControlApi.HistoryEntry(
         entry.sequence,
-        entry.kind().words(),
+        entry.kind().label(),
         entry.kind() == ChangeKind.CONFIGURATION || entry.kind() == ChangeKind.UPGRADE
             ? String.format("%08x", entry.version)
             : "",
         entry.subject,
         entry.author,
         entry.caller,
-        entry.taker,
+        entry.acceptedBy,
         Instant.ofEpochMilli(entry.time).toString(),
         entry.before,
         entry.after,
         entry.added,
         entry.removed,
         entry.changed,
-        entry.writes,
-        Protocol.list(entry.changes),
+        entry.changedWriteRoutes,
+        Protocol.emptyIfNull(entry.changes),
         AuditEntry.digest(bytes),
-        entry.previous);
+        entry.previousDigest);
   }
 
   /** Returns which daemons have applied a change, from their last reports. */
@@ -412,7 +412,7 @@
                           reach(
                               found,
                               AuditEntry.read(
-                                  Protocol.list(
+                                  Protocol.emptyIfNull(
                                           Serializer.deserialize(
                                                   response.body, StoredValues.HistoryPart.class)
                                               .entries)
--- a/registry/src/main/java/weldpoint/registry/KeyClaims.java
+++ b/registry/src/main/java/weldpoint/registry/KeyClaims.java
@@ -156,11 +156,11 @@
     final String help = "Claims of idempotency keys for which this registry requested votes.";
     return List.of(
         Metric.counter("weldpoint_key_claims", help, coordinator.granted())
-            .with("result", "granted"),
+            .withLabel("result", "granted"),
         Metric.counter("weldpoint_key_claims", help, coordinator.conflicts())
-            .with("result", "held"),
+            .withLabel("result", "held"),
         Metric.counter("weldpoint_key_claims", help, coordinator.unknown())
-            .with("result", "unknown"),
+            .withLabel("result", "unknown"),
         Metric.gauge(
             "weldpoint_keys_remembered",
             "Idempotency keys that this registry remembers.",
--- a/registry/src/main/java/weldpoint/registry/OwnershipEndpoint.java
+++ b/registry/src/main/java/weldpoint/registry/OwnershipEndpoint.java
@@ -163,7 +163,7 @@
     knownVersion = routingTable.version();
     knownRevision = registrations.revision();
     knownStateHash = stateHash;
-    services = routingTable.partitioned();
+    services = routingTable.partitionedServices();
     members.clear();
     services.forEach(service -> members.put(service, new ArrayList<>()));
     final Map<String, String> joinedByAddress = new HashMap<>();
--- a/registry/src/main/java/weldpoint/registry/PlacementService.java
+++ b/registry/src/main/java/weldpoint/registry/PlacementService.java
@@ -50,7 +50,7 @@
   }
 
   long serialSum() {
-    return coordinator.mark() + ownerSerial;
+    return coordinator.placementVersion() + ownerSerial;
   }
 
   /** Applies a snapshot of the state store; returns true if proxies must be notified. */
@@ -59,8 +59,8 @@
     if (control.placementOwner != null) {
       ownerSerial = Math.max(ownerSerial, control.placementOwner.serial);
     }
-    return coordinator.take(
-        Protocol.list(control.placements),
+    return coordinator.update(
+        Protocol.emptyIfNull(control.placements),
         control.placementOwner,
         control.placements == null ? 0 : control.placementSerial,
         now);
@@ -76,7 +76,7 @@
       final PlacementMessages.LeaseGrant grant,
       final Predicate<Object> isOpen,
       final BiConsumer<Object, Message> streamSender) {
-    final Object stream = requesters.remove(grant.board);
+    final Object stream = requesters.remove(grant.proxy);
     if (stream != null && isOpen.test(stream)) {
       streamSender.accept(stream, grant);
     }
@@ -118,10 +118,10 @@
       final Set<String> suspects) {
     final Map<String, List<PlacementMember>> membersByService = new TreeMap<>();
     long longestTimeoutMillis = 0;
-    for (final Route route : routingTable.all()) {
-      if (Affinity.inForce(route, defaultAffinity) != null) {
+    for (final Route route : routingTable.allRoutes()) {
+      if (Affinity.effective(route, defaultAffinity) != null) {
         longestTimeoutMillis = Math.max(longestTimeoutMillis, route.timeoutMillis);
-        for (final int service : route.services()) {
+        for (final int service : route.serviceIndices()) {
           membersByService.computeIfAbsent(
               routingTable.services().get(service).name(), name -> new ArrayList<>());
         }
@@ -136,7 +136,7 @@
         members.add(new PlacementMember(registration.id, registration.capacity, registration.site));
       }
     }
-    membersByService.replaceAll((service, members) -> PlacementCoordinator.sorted(members));
-    coordinator.wanted(membersByService, longestTimeoutMillis);
+    membersByService.replaceAll((service, members) -> PlacementCoordinator.sortedById(members));
+    coordinator.desiredMembers(membersByService, longestTimeoutMillis);
   }
 }
--- a/registry/src/main/java/weldpoint/registry/ProxyStreams.java
+++ b/registry/src/main/java/weldpoint/registry/ProxyStreams.java
@@ -85,7 +85,7 @@
       final List<Long> buckets,
       final long read,
       final long now) {
-    if (entry.announcer) {
+    if (entry.cacheDaemon) {
       cacheStreams.add(stream);
     }
     pendingOpenings.put(
--- a/registry/src/main/java/weldpoint/registry/QuotaEndpoint.java
+++ b/registry/src/main/java/weldpoint/registry/QuotaEndpoint.java
@@ -73,7 +73,7 @@
    */
   void restore(final Roster roster) {
     rosterNumber = roster.number;
-    isVoter = roster.index(self) >= 0;
+    isVoter = roster.indexOf(self) >= 0;
     voterSince = Long.MIN_VALUE / 2;
     voterCount = roster.voters.size();
     previousVoterCount = voterCount;
@@ -107,7 +107,7 @@
     if (roster.number == rosterNumber) {
       return;
     }
-    final boolean nowVoter = roster.index(self) >= 0;
+    final boolean nowVoter = roster.indexOf(self) >= 0;
     if (nowVoter && !isVoter) {
       final boolean foundingVoter = rosterNumber == 0 && allocator.firstStart();
       voterSince = foundingVoter ? Long.MIN_VALUE / 2 : now + ROSTER_PROPAGATION_MILLIS;
@@ -173,7 +173,7 @@
   private List<Voter> relayCandidates(final Roster roster) {
     final List<Voter> list = new ArrayList<>();
     final int size = roster.voters.size();
-    final int ownIndex = roster.index(self);
+    final int ownIndex = roster.indexOf(self);
     final int start = ownIndex >= 0 ? ownIndex : Math.floorMod(self.hashCode(), Math.max(1, size));
     for (int step = 1; step <= size; step++) {
       final Voter voter = roster.voters.get((start + step) % size);
@@ -224,10 +224,10 @@
     for (final QuotaAllocator.TenantCount count : allocator.tenantCounts(MAX_TENANT_SERIES)) {
       metrics.add(
           Metric.counter("weldpoint_permits_granted", granted, count.granted())
-              .with("tenant", count.tenant()));
+              .withLabel("tenant", count.tenant()));
       metrics.add(
           Metric.counter("weldpoint_permits_refused", refused, count.refused())
-              .with("tenant", count.tenant()));
+              .withLabel("tenant", count.tenant()));
     }
     return metrics;
   }
--- a/registry/src/main/java/weldpoint/registry/RecordingBuffer.java
+++ b/registry/src/main/java/weldpoint/registry/RecordingBuffer.java
@@ -79,13 +79,13 @@
 
   /** Starts or stops recording; the caller must announce the new state to all daemons. */
   RecordingState setRecording(final boolean enabled, final long wallMillis) {
-    state = new RecordingState(Math.max(state.mark + 1, wallMillis), enabled);
+    state = new RecordingState(Math.max(state.revision + 1, wallMillis), enabled);
     return state;
   }
 
   /** Accepts the state of another registry; returns true if it is newer than the own one. */
   boolean accept(final RecordingState received) {
-    if (received.mark <= state.mark) {
+    if (received.revision <= state.revision) {
       return false;
     }
     state = received;
@@ -97,7 +97,7 @@
    * as announced. Nothing is announced before the first recording.
    */
   boolean shouldAnnounce(final long now) {
-    if (state.mark == 0 || now - announcedAt < ANNOUNCE_INTERVAL_MILLIS) {
+    if (state.revision == 0 || now - announcedAt < ANNOUNCE_INTERVAL_MILLIS) {
       return false;
     }
     announcedAt = now;
@@ -105,7 +105,7 @@
   }
 
   void add(final RecordingBatch batch, final long now) {
-    final int count = Protocol.list(batch.notes).size();
+    final int count = Protocol.emptyIfNull(batch.records).size();
     if (notes + count > MAX_NOTES) {
       dropped += count;
       return;
@@ -119,7 +119,7 @@
     int count = 0;
     while (!buffered.isEmpty() && count < MAX_DRAINED_NOTES) {
       final BufferedBatch next = buffered.poll();
-      count += Protocol.list(next.batch.notes).size();
+      count += Protocol.emptyIfNull(next.batch.records).size();
       list.add(new CollectedBatch(now - next.receivedAt, next.batch));
     }
     notes -= count;
--- a/registry/src/main/java/weldpoint/registry/Registrations.java
+++ b/registry/src/main/java/weldpoint/registry/Registrations.java
@@ -168,10 +168,10 @@
       }
       if (LifecycleStage.of(other) == LifecycleStage.JOINED) {
         contestedAddresses.add(other.address);
-        retire(other, LifecycleStage.LAPSED, newcomer.issued, changes);
+        retire(other, LifecycleStage.LAPSED, newcomer.issuedAt, changes);
       } else if (LifecycleStage.of(other) == LifecycleStage.DRAINING
           || LifecycleStage.of(other) == LifecycleStage.LAPSED && silentBeyondLapse(other, now)) {
-        retire(other, LifecycleStage.REMOVED, newcomer.issued, changes);
+        retire(other, LifecycleStage.REMOVED, newcomer.issuedAt, changes);
       }
     }
     return changes;
@@ -192,7 +192,7 @@
           && other.address.equals(current.address)
           && LifecycleStage.of(other) == LifecycleStage.JOINED
           && now - heartbeatAt.getOrDefault(other.id, now) > CONTEST_HEARTBEATS * heartbeatMillis) {
-        retire(other, LifecycleStage.LAPSED, other.issued, changes);
+        retire(other, LifecycleStage.LAPSED, other.issuedAt, changes);
       }
     }
     return changes;
--- a/registry/src/main/java/weldpoint/registry/RegistryCore.java
+++ b/registry/src/main/java/weldpoint/registry/RegistryCore.java
@@ -254,7 +254,7 @@
                 batchMillis,
                 new PlacementCoordinator.Writer() {
                   @Override
-                  public CompletableFuture<StoreMessages.StoreResponse> keeper(
+                  public CompletableFuture<StoreMessages.StoreResponse> writeOwner(
                       final PlacementMessages.PlacementOwner next, final long now) {
                     return store.call(
                         StoreOperation.PLACEMENT_OWNER_WRITE,
@@ -269,7 +269,7 @@
                   }
 
                   @Override
-                  public CompletableFuture<StoreMessages.StoreResponse> placement(
+                  public CompletableFuture<StoreMessages.StoreResponse> writePlacement(
                       final PlacementMessages.Placement next, final long now) {
                     return store.call(
                         StoreOperation.PLACEMENT_WRITE,
@@ -277,7 +277,7 @@
                         null,
                         0,
                         0,
-                        PlacementCoordinator.bytes(next),
+                        PlacementCoordinator.toBytes(next),
                         null,
                         now,
                         900);
@@ -291,12 +291,12 @@
     if (placementService == null) {
       return;
     }
-    if (placementService.coordinator().keeps()) {
+    if (placementService.coordinator().isOwner()) {
       environment.sendToStream(
-          stream, placementService.coordinator().ask(request, majorityAt, now));
+          stream, placementService.coordinator().handleLeaseRequest(request, majorityAt, now));
     } else {
-      placementService.addRequester(request.board, stream);
-      environment.sendToMember(placementService.coordinator().keeper(), request);
+      placementService.addRequester(request.proxy, stream);
+      environment.sendToMember(placementService.coordinator().owner(), request);
     }
   }
 
@@ -355,14 +355,14 @@
           persisted.bootstrapState == PersistedRecord.BOOTSTRAP_UNCHANGED
               ? bootstrapping
               : persisted.bootstrapState == PersistedRecord.BOOTSTRAPPING;
-      for (final Registration registration : Protocol.list(persisted.registrations)) {
+      for (final Registration registration : Protocol.emptyIfNull(persisted.registrations)) {
         registrations.put(registration);
       }
       if (persisted.roster != null && persisted.roster.number > roster.number) {
         roster = persisted.roster;
       }
       controlState.restore(persisted);
-      keyClaims.restore(Protocol.list(persisted.claims), now);
+      keyClaims.restore(Protocol.emptyIfNull(persisted.claims), now);
     }
     if (bootstrapping && records.isEmpty()) {
       persistBootstrapState();
@@ -694,23 +694,23 @@
     }
     if (message instanceof RegistryMessages.Changes) {
       final RegistryMessages.Changes changes = (RegistryMessages.Changes) message;
-      mergeRegistrations(Protocol.list(changes.registrations), now);
+      mergeRegistrations(Protocol.emptyIfNull(changes.registrations), now);
       applyControlState(
           changes.version,
           changes.spec,
           changes.evacuated,
-          changes.evacuationMark,
+          changes.evacuationRevision,
           changes.trials,
-          changes.trialMark);
-      daemonTable.merge(Protocol.list(changes.boards), now);
-      for (final DaemonEntry daemon : Protocol.list(changes.boards)) {
+          changes.trialRevision);
+      daemonTable.merge(Protocol.emptyIfNull(changes.daemons), now);
+      for (final DaemonEntry daemon : Protocol.emptyIfNull(changes.daemons)) {
         if (daemon.ageMillis >= DaemonTable.GONE_MILLIS) {
           daemonTable.markGone(daemon, now);
         }
       }
       if (changes.number != 0) {
         final List<Registration> current = new ArrayList<>();
-        for (final Registration registration : Protocol.list(changes.registrations)) {
+        for (final Registration registration : Protocol.emptyIfNull(changes.registrations)) {
           current.add(registrations.get(registration.id));
         }
         persist(
@@ -747,7 +747,7 @@
       reply.accept(
           placementService
               .coordinator()
-              .ask((PlacementMessages.LeaseRequest) message, majorityAt, now));
+              .handleLeaseRequest((PlacementMessages.LeaseRequest) message, majorityAt, now));
     } else if (message instanceof PlacementMessages.LeaseGrant && placementService != null) {
       placementService.forwardGrant(
           (PlacementMessages.LeaseGrant) message,
@@ -806,13 +806,15 @@
   private RegistryMessages.ControlStateResponse controlStateResponse(
       final RegistryMessages.ControlStateRequest request, final long now) {
     final boolean includeSpec = controlState.version() > request.version;
-    final boolean includeEvacuations = controlState.evacuationVersion() > request.evacuationMark;
-    final boolean includeTrials = controlState.trialVersion() > request.trialMark;
+    final boolean includeEvacuations =
+        controlState.evacuationVersion() > request.evacuationRevision;
+    final boolean includeTrials = controlState.trialVersion() > request.trialRevision;
     List<Registration> missing = List.of();
     final List<Long> buckets = registrations.bucketDigests(true);
-    if (request.buckets != null && !buckets.equals(request.buckets)) {
+    if (request.bucketDigests != null && !buckets.equals(request.bucketDigests)) {
       missing =
-          RegistrationBuckets.differing(registrations.all().values(), buckets, request.buckets);
+          RegistrationBuckets.differing(
+              registrations.all().values(), buckets, request.bucketDigests);
     }
     return new RegistryMessages.ControlStateResponse(
         request.number,
@@ -827,7 +829,7 @@
         includeTrials ? controlState.trialVersion() : 0,
         missing.isEmpty() ? null : RegistrationBuckets.pack(missing),
         startLeaseMillis(now),
-        request.claimsToo ? keyClaims.liveClaims() : null);
+        request.includeClaims ? keyClaims.liveClaims() : null);
   }
 
   /**
@@ -836,7 +838,7 @@
    * the meantime. This delays nothing, since the state store needs longer for its ballots.
    */
   private long startLeaseMillis(final long now) {
-    return bootstrapping || roster.index(self) < 0 ? 0 : Math.max(0, acksWithheldUntil - now);
+    return bootstrapping || roster.indexOf(self) < 0 ? 0 : Math.max(0, acksWithheldUntil - now);
   }
 
   /**
@@ -851,16 +853,16 @@
     clock = Math.max(clock, now);
     reply.accept(controlStateResponse(request, now));
     final boolean nothingNew =
-        request.buckets != null
+        request.bucketDigests != null
             && request.rosterNumber <= roster.number
             && request.version <= controlState.version()
-            && request.evacuationMark <= controlState.evacuationVersion()
-            && request.trialMark <= controlState.trialVersion()
-            && request.buckets.equals(registrations.bucketDigests(true));
+            && request.evacuationRevision <= controlState.evacuationVersion()
+            && request.trialRevision <= controlState.trialVersion()
+            && request.bucketDigests.equals(registrations.bucketDigests(true));
     if (request.leaseMillis > 0 && nothingNew) {
       quorumReads.recordLease(from, startedAt + request.leaseMillis);
     }
-    if (roster.index(from) >= 0 && !connected.contains(from)) {
+    if (roster.indexOf(from) >= 0 && !connected.contains(from)) {
       quorumReads.onConnected(from, this::controlStateRequestWithLease, reply);
     }
     sendInitialViews(now);
@@ -887,11 +889,11 @@
         response.version,
         response.spec,
         response.evacuated,
-        response.evacuationMark,
+        response.evacuationRevision,
         response.trials,
-        response.trialMark);
-    mergeRegistrations(RegistrationBuckets.unpack(response.packed), now);
-    keyClaims.merge(Protocol.list(response.claims), now);
+        response.trialRevision);
+    mergeRegistrations(RegistrationBuckets.unpack(response.packedRegistrations), now);
+    keyClaims.merge(Protocol.emptyIfNull(response.claims), now);
     if (!response.learning) {
       quorumReads.recordAnswer(from, response.number);
       if (response.leaseMillis > 0) {
@@ -908,7 +910,7 @@
   private void advanceQuorumReads(final long now) {
     if (bootstrapping
         && bootstrapRead == Long.MAX_VALUE
-        && roster.index(self) >= 0
+        && roster.indexOf(self) >= 0
         && now - startedAt >= MIN_BOOTSTRAP_MILLIS) {
       bootstrapRead = quorumReads.requestRead();
     }
@@ -924,7 +926,7 @@
     if (bootstrapping && quorumReads.lastCompleted() >= bootstrapRead) {
       finishBootstrap(now);
     } else if (bootstrapping
-        && roster.index(self) >= 0
+        && roster.indexOf(self) >= 0
         && now - Math.max(rosterChangedAt, startedAt) > MAX_BOOTSTRAP_MILLIS
         && now - majorityAt < MAJORITY_TIMEOUT_MILLIS) {
       LOGGER.atWarning().log(
@@ -973,20 +975,21 @@
       final java.util.function.Consumer<Message> reply,
       final long now) {
     final boolean registrationsEqual = gossip.digest == registrations.digest();
-    mergeRegistrations(Protocol.list(gossip.history), now);
-    mergeRegistrations(RegistrationBuckets.unpack(gossip.packed), now);
-    appliedStates.report(from, gossip.version, gossip.mark, gossip.heldMillis, now);
+    mergeRegistrations(Protocol.emptyIfNull(gossip.registrations), now);
+    mergeRegistrations(RegistrationBuckets.unpack(gossip.packedRegistrations), now);
+    appliedStates.report(
+        from, gossip.version, gossip.controlRevision, gossip.appliedForMillis, now);
     if (gossip.region != null && !gossip.region.isEmpty()) {
       memberLocations.put(from, gossip.region + "/" + gossip.site);
     }
-    final boolean daemonsEqual = gossip.boardDigest == daemonTable.digest(now);
-    if (daemonsEqual && gossip.boardAges != null) {
-      daemonTable.mergeAges(gossip.boardAges, now);
+    final boolean daemonsEqual = gossip.daemonDigest == daemonTable.digest(now);
+    if (daemonsEqual && gossip.packedDaemonAges != null) {
+      daemonTable.mergeAges(gossip.packedDaemonAges, now);
     }
-    daemonTable.merge(Protocol.list(gossip.boards), now);
+    daemonTable.merge(Protocol.emptyIfNull(gossip.daemons), now);
     applyRoster(gossip.roster, now);
     boolean newMembers = false;
-    for (final String member : Protocol.list(gossip.members)) {
+    for (final String member : Protocol.emptyIfNull(gossip.members)) {
       if (!members.containsKey(member) && !member.equals(self)) {
         members.put(member, now - 1500);
         newMembers = true;
@@ -996,13 +999,14 @@
       updatePeers(now);
     }
     boolean suspectsCleared = false;
-    if (registrationsEqual && gossip.beatAges != null) {
-      suspectsCleared = registrations.mergeHeartbeatAges(gossip.beatAges, now);
+    if (registrationsEqual && gossip.packedHeartbeatAges != null) {
+      suspectsCleared = registrations.mergeHeartbeatAges(gossip.packedHeartbeatAges, now);
     }
-    final List<String> heardIds = Protocol.list(gossip.beaten);
+    final List<String> heardIds = Protocol.emptyIfNull(gossip.heartbeatIds);
     for (int index = 0; index < heardIds.size(); index++) {
       suspectsCleared |=
-          registrations.mergeHeartbeat(heardIds.get(index), now - gossip.ages.get(index), now);
+          registrations.mergeHeartbeat(
+              heardIds.get(index), now - gossip.heartbeatAges.get(index), now);
     }
     if (suspectsCleared) {
       proxyStreams.sendSuspects();
@@ -1014,14 +1018,19 @@
               !registrationsEqual,
               !daemonsEqual,
               gossip.rosterNumber < roster.number,
-              gossip.count == 0 ? List.of() : null,
+              gossip.registrationCount == 0 ? List.of() : null,
               now));
       return;
     }
     if (gossip.depth < 3 && !registrationsEqual && gossip.digest != registrations.digest()) {
       reply.accept(
           gossipMessage(
-              gossip.depth + 1, true, !daemonsEqual, false, Protocol.list(gossip.buckets), now));
+              gossip.depth + 1,
+              true,
+              !daemonsEqual,
+              false,
+              Protocol.emptyIfNull(gossip.bucketDigests),
+              now));
     } else if (gossip.depth == 1 && (!daemonsEqual || gossip.rosterNumber < roster.number)) {
       reply.accept(gossipMessage(3, false, true, gossip.rosterNumber < roster.number, null, now));
     }
@@ -1029,8 +1038,8 @@
         && (gossip.depth > 1
             || registrationsEqual
             || gossip.digest == registrations.digest()
-            || gossip.packed != null
-            || gossip.history != null)) {
+            || gossip.packedRegistrations != null
+            || gossip.registrations != null)) {
       reconciled = true;
       LOGGER.atInfo().log("registry %s has reconciled its registrations with a peer", self);
     }
@@ -1089,8 +1098,8 @@
       return;
     }
     if (!bootstrapping
-        && newRoster.index(self) >= 0
-        && roster.index(self) < 0
+        && newRoster.indexOf(self) >= 0
+        && roster.indexOf(self) < 0
         && (roster.number > 0 || !seedAddresses.contains(self) || !firstStart)) {
       bootstrapping = true;
       persistBootstrapState();
@@ -1146,8 +1155,8 @@
   public RecordingBuffer.Collection drainRecording(final long now) {
     final List<RecordingBuffer.CollectedBatch> batches = recordingBuffer.drain(now);
     return new RecordingBuffer.Collection(
-        recordingBuffer.state().on,
-        recordingBuffer.state().mark,
+        recordingBuffer.state().enabled,
+        recordingBuffer.state().revision,
         recordingBuffer.dropped(),
         recordingBuffer.remaining(),
         batches,
@@ -1159,7 +1168,7 @@
 
   /** Whether proxies record, and how many recorded calls wait here. */
   public String recordingStatus() {
-    return (recordingBuffer.state().on ? "recording" : "not recording")
+    return (recordingBuffer.state().enabled ? "recording" : "not recording")
         + ", "
         + recordingBuffer.remaining()
         + " calls wait to be collected here, "
@@ -1182,7 +1191,7 @@
   private void updateKeyRoster(final long now) {
     final boolean joint = now - rosterChangedAt < JOINT_ROSTER_MILLIS;
     keyClaims.roster(
-        roster, joint ? previousRoster : null, !bootstrapping && roster.index(self) >= 0);
+        roster, joint ? previousRoster : null, !bootstrapping && roster.indexOf(self) >= 0);
   }
 
   /** Handles a request for permits against a quota. */
@@ -1240,7 +1249,7 @@
       }
       proxyStreams.add(
           stream, daemon, bucketDigests, daemon.version == 0 ? quorumReads.requestRead() : 0, now);
-      siteMembership.addStream(stream, daemon.announcer ? "" : daemon.site);
+      siteMembership.addStream(stream, daemon.cacheDaemon ? "" : daemon.site);
       advanceQuorumReads(now);
       sendInitialViews(now);
     }
@@ -1261,10 +1270,10 @@
     if (electorates != null) {
       electorates.sendTo(stream, environment::sendToStream);
     }
-    if (recordingBuffer.state().mark > 0) {
+    if (recordingBuffer.state().revision > 0) {
       environment.sendToStream(stream, recordingBuffer.state());
     }
-    if (placementService != null && placementService.coordinator().mark() > 0) {
+    if (placementService != null && placementService.coordinator().placementVersion() > 0) {
       environment.sendToStream(stream, placementService.coordinator().placements());
     }
     if (ownershipEndpoint != null
@@ -1367,7 +1376,7 @@
             stale
                 ? -1
                 : controlState.orderVersion()
-                    + (purges == null ? 0 : purges.mark)
+                    + (purges == null ? 0 : purges.lastSerial)
                     + (electorates == null ? electorateVersions : electorates.versionSum())
                     + (placementService == null ? placementVersions : placementService.serialSum())
                     + (ownershipEndpoint == null
@@ -1406,11 +1415,11 @@
         snapshot.trials,
         snapshot.trialSerial);
     if (electorates != null) {
-      electorates.update(Protocol.list(snapshot.electorates), environment::sendToStream);
+      electorates.update(Protocol.emptyIfNull(snapshot.electorates), environment::sendToStream);
     } else if (snapshot.electorates != null) {
       electorateVersions =
-          Protocol.list(snapshot.electorates).stream()
-              .mapToLong(electorate -> electorate.mark)
+          Protocol.emptyIfNull(snapshot.electorates).stream()
+              .mapToLong(electorate -> electorate.revision)
               .sum();
     }
     placementVersions =
@@ -1420,7 +1429,8 @@
       proxyStreams.sendToProxies(placementService.coordinator().placements());
     }
     applyAssignments(snapshot.assignments);
-    if (snapshot.purges != null && (purges == null || snapshot.purges.mark > purges.mark)) {
+    if (snapshot.purges != null
+        && (purges == null || snapshot.purges.lastSerial > purges.lastSerial)) {
       purges = snapshot.purges;
       proxyStreams.sendToCaches(purges);
     }
@@ -1572,13 +1582,13 @@
             new ControlApi.PlacementStatus(
                 entry.service,
                 entry.epoch,
-                Protocol.list(entry.members).size(),
-                entry.prepared,
-                Protocol.list(entry.next).size()));
+                Protocol.emptyIfNull(entry.members).size(),
+                entry.nextPrepared,
+                Protocol.emptyIfNull(entry.nextMembers).size()));
       }
-      final long[] counts = placementService.coordinator().counts();
+      final long[] counts = placementService.coordinator().decisionCounts();
       for (int index = 0;
-          placementService.coordinator().keeps() && index < counts.length;
+          placementService.coordinator().isOwner() && index < counts.length;
           index++) {
         writes.add(
             new ControlApi.WriteCount(
@@ -1602,7 +1612,7 @@
         registrations.size(),
         registrations.suspects().size(),
         daemons,
-        placementService == null ? "" : placementService.coordinator().keeper(),
+        placementService == null ? "" : placementService.coordinator().owner(),
         placementStatuses,
         writes,
         environment.diskCounters(),
@@ -1640,7 +1650,7 @@
   public void onMemberConnected(final String address, final long now) {
     connected.add(address);
     members.put(address, now);
-    if (roster.index(address) >= 0) {
+    if (roster.indexOf(address) >= 0) {
       clock = Math.max(clock, now);
       quorumReads.onConnected(
           address,
@@ -1676,7 +1686,7 @@
     majorityReachability.tick(roster, seedAddresses, connected, lastMajorityContactAt(), now);
     pollControlState(now);
     if (placementService != null && placementService.active()) {
-      final String coordinator = placementService.coordinator().keeper();
+      final String coordinator = placementService.coordinator().owner();
       placementService.tick(
           controlState.routingTable(),
           registrations.all().values(),
@@ -1693,7 +1703,7 @@
           controlState.routingTable(),
           registrations,
           controlState.evacuated(),
-          new OwnershipCoordinator.Position(roster.index(self), roster.voters.size(), majorityAt),
+          new OwnershipCoordinator.Position(roster.indexOf(self), roster.voters.size(), majorityAt),
           now);
     }
     if (now - lastStatusAt >= STATUS_INTERVAL_MILLIS) {
@@ -1729,7 +1739,7 @@
             entry ->
                 now - entry.getValue() > 60_000
                     && !seedAddresses.contains(entry.getKey())
-                    && roster.index(entry.getKey()) < 0);
+                    && roster.indexOf(entry.getKey()) < 0);
     for (final String member : members.keySet()) {
       if (!member.equals(self)) {
         others.add(member);
@@ -1761,7 +1771,7 @@
                 LifecycleStage.of(registration) == LifecycleStage.DRAINING
                     ? LifecycleStage.REMOVED
                     : LifecycleStage.LAPSED,
-                registration.issued));
+                registration.issuedAt));
       }
     }
     if (!expired.isEmpty()) {
--- a/registry/src/main/java/weldpoint/registry/RegistryDaemon.java
+++ b/registry/src/main/java/weldpoint/registry/RegistryDaemon.java
@@ -67,13 +67,14 @@
     this.transport =
         new Transport(
             loop,
-            new Protocol.Hello(Serializer.PROTOCOL, "exchange", settings.address(), incarnation));
+            new Protocol.Hello(
+                Serializer.PROTOCOL_VERSION, "exchange", settings.address(), incarnation));
     this.memberConnections =
         new PeerConnections(
             transport,
             settings.transportPort(0),
             to ->
-                Transport.on(
+                Transport.dispatchOn(
                     executor,
                     new Transport.Listener() {
                       @Override
@@ -97,14 +98,15 @@
             transport,
             settings.transportPort(1),
             to ->
-                Transport.on(
+                Transport.dispatchOn(
                     executor,
                     new Transport.Listener() {
                       @Override
                       public void messageReceived(
                           final Connection connection, final Message message) {
                         if (message instanceof StoreMessages.StoreResponse) {
-                          connection.heardClock(((StoreMessages.StoreResponse) message).clock);
+                          connection.updatePeerClock(
+                              ((StoreMessages.StoreResponse) message).storeClockMillis);
                           core().onStoreResponse(to, (StoreMessages.StoreResponse) message, now());
                         }
                       }
@@ -133,8 +135,8 @@
                 return replicaConnections.send(
                     address,
                     connection -> {
-                      final Long clock = connection.peerClock();
-                      return call.leaving(clock, now());
+                      final Long clock = connection.peerClockMillis();
+                      return call.stampedForSend(clock, now());
                     });
               }
 
@@ -142,7 +144,7 @@
               public void sendToStream(final Object stream, final Message message) {
                 if (message != lastMessage) {
                   lastMessage = message;
-                  lastSealedMessage = Transport.seal(message);
+                  lastSealedMessage = Transport.encodeOnce(message);
                 }
                 ((Connection) stream).send(lastSealedMessage);
               }
@@ -159,10 +161,10 @@
 
               @Override
               public void updatePeers(final List<String> addresses) {
-                memberConnections.keep(addresses);
+                memberConnections.updateAddresses(addresses);
                 final List<String> all = new ArrayList<>(addresses);
                 all.add(settings.address());
-                replicaConnections.keep(all);
+                replicaConnections.updateAddresses(all);
               }
             });
   }
@@ -203,7 +205,7 @@
     }
     core.setLocation(settings.site(), settings.region());
     core.enablePlacements(
-        Affinity.setting("affinity.default", settings.affinityUsual()),
+        Affinity.parseSetting("affinity.default", settings.defaultAffinity()),
         incarnation,
         settings.affinityLeaseMillis(),
         settings.affinityBatchMillis());
@@ -218,10 +220,10 @@
         new KeyGrantClient(loop, executor, timings.grantMillis(), timings.maxSendMillis()));
     executor.execute(() -> core.start(recovered.lost() ? List.of() : recovered.records(), now()));
     log.start("tape");
-    transport.serve(
+    transport.bind(
         settings.bindAddress(),
         settings.transportPort(0),
-        Transport.on(
+        Transport.dispatchOn(
             executor,
             new Transport.Listener() {
               @Override
@@ -230,7 +232,7 @@
                   core.onDaemonReport(
                       connection,
                       ((RegistryMessages.DaemonReport) message).entry,
-                      Protocol.list(((RegistryMessages.DaemonReport) message).buckets),
+                      Protocol.emptyIfNull(((RegistryMessages.DaemonReport) message).bucketDigests),
                       now());
                 } else if (message instanceof TrialMessages.TrialReport
                     && "switchboard".equals(connection.peer().program)) {
@@ -286,7 +288,7 @@
   private void tick() {
     final long now = now();
     core.tick(now);
-    if (now - countersLoggedAt >= settings.countersMillis()) {
+    if (now - countersLoggedAt >= settings.counterLogMillis()) {
       countersLoggedAt = now;
       LOGGER.atInfo().log(
           "counters: %s %s %s", core.counters(), log.counters(), transport.trafficCounters());
--- a/registry/src/main/java/weldpoint/registry/StoreClient.java
+++ b/registry/src/main/java/weldpoint/registry/StoreClient.java
@@ -90,7 +90,7 @@
     final StoreMessages.StoreRequest request =
         new StoreMessages.StoreRequest(
                 ++lastNumber, operation.ordinal(), "", null, first, second, null)
-            .from(caller);
+            .withCaller(caller);
     final PendingCall pendingCall =
         new PendingCall(request, 0, now + timeout, RESPONSE_TIMEOUT_MILLIS, self);
     pending.put(request.number, pendingCall);
@@ -133,7 +133,7 @@
                 body,
                 origin,
                 content)
-            .from(caller);
+            .withCaller(caller);
     final long responseTimeoutMillis =
         operation == StoreOperation.WATCH
             ? second + RESPONSE_TIMEOUT_MILLIS
@@ -191,7 +191,7 @@
     if (sender.send(
         to,
         resend
-            ? pendingCall.call.aged(Math.max(1, now - pendingCall.firstSentAt), now)
+            ? pendingCall.call.withAge(Math.max(1, now - pendingCall.firstSentAt), now)
             : pendingCall.call)) {
       return true;
     }
@@ -208,7 +208,8 @@
   }
 
   void onResponse(final String from, final StoreMessages.StoreResponse response, final long now) {
-    final PendingCall pendingCall = response.caller == caller ? pending.get(response.number) : null;
+    final PendingCall pendingCall =
+        response.callerIncarnation == caller ? pending.get(response.number) : null;
     if (pendingCall == null || !pendingCall.copiesInFlight.containsKey(from)) {
       return;
     }
--- a/registry/src/main/java/weldpoint/registry/TrialService.java
+++ b/registry/src/main/java/weldpoint/registry/TrialService.java
@@ -62,9 +62,9 @@
 
   /** Handles the trial counts of a proxy, or those that another registry relayed. */
   public void report(final TrialMessages.TrialReport report, final long now) {
-    control.trialCoordinator().report(report, now);
+    control.trialCoordinator().recordReport(report, now);
     if (!report.relayed) {
-      registry.relay(new TrialMessages.TrialReport(true, report.tallies, report.digests));
+      registry.relay(new TrialMessages.TrialReport(true, report.counts, report.attemptDigests));
     }
     evaluate(now);
   }
@@ -76,7 +76,7 @@
     }
     evaluatedAt = now;
     for (final TrialMessages.Trial verdict :
-        control.trialCoordinator().verdicts(control.routingTable())) {
+        control.trialCoordinator().requiredUpdates(control.routingTable())) {
       write(verdict, new StoreMessages.ChangeOrigin(Authors.SYSTEM, "", self, null), now);
     }
   }
--- a/registry/src/test/java/weldpoint/registry/ConfirmationProofTest.java
+++ b/registry/src/test/java/weldpoint/registry/ConfirmationProofTest.java
@@ -97,8 +97,9 @@
       if (message instanceof RegistryMessages.View view) {
         hasView = true;
         version = Math.max(version, view.version);
-        final List<Registration> received = new ArrayList<>(Protocol.list(view.registrations));
-        received.addAll(RegistrationBuckets.unpack(view.packed));
+        final List<Registration> received =
+            new ArrayList<>(Protocol.emptyIfNull(view.registrations));
+        received.addAll(RegistrationBuckets.unpack(view.packedRegistrations));
         for (final Registration one : received) {
           if (LifecycleStage.of(one).routable()) {
             routable.add(one.id);
@@ -108,15 +109,19 @@
         }
       } else if (hasView
           && message instanceof RegistryMessages.RegistryStatus status
-          && status.confirmedClock != null) {
+          && status.confirmedClockMillis != null) {
         confirmations++;
         for (final Acknowledged change : acknowledged) {
-          if (change.at < status.confirmedClock) {
+          if (change.at < status.confirmedClockMillis) {
             assertTrue(
                 change.upstream == null
                     ? version >= change.version
                     : !routable.contains(change.upstream),
-                description + ": confirmation up to " + status.confirmedClock + " lacks " + change);
+                description
+                    + ": confirmation up to "
+                    + status.confirmedClockMillis
+                    + " lacks "
+                    + change);
           }
         }
       }
--- a/registry/src/test/java/weldpoint/registry/ControlServerFuzzTest.java
+++ b/registry/src/test/java/weldpoint/registry/ControlServerFuzzTest.java
@@ -122,11 +122,13 @@
               public boolean sendToReplica(
                   final String address, final StoreMessages.StoreRequest call) {
                 final StoreMessages.StoreResponse response =
-                    call.deed == StoreOperation.CONTROL.ordinal()
+                    call.operation == StoreOperation.CONTROL.ordinal()
                         ? storedState(call)
                         : new StoreMessages.StoreResponse(call.number, 409, 0, null, null);
                 loop.schedule(
-                    () -> core.onStoreResponse(address, response.to(call.caller), clock.get()),
+                    () ->
+                        core.onStoreResponse(
+                            address, response.withCaller(call.callerIncarnation), clock.get()),
                     2,
                     TimeUnit.MILLISECONDS);
                 return true;
--- a/registry/src/test/java/weldpoint/registry/CutOffControlServerTest.java
+++ b/registry/src/test/java/weldpoint/registry/CutOffControlServerTest.java
@@ -87,7 +87,7 @@
                 calls.add(call);
                 final StoreMessages.StoreResponse response = replicaResponder.apply(call);
                 if (response != null) {
-                  core.onStoreResponse(address, response.to(call.caller), now());
+                  core.onStoreResponse(address, response.withCaller(call.callerIncarnation), now());
                 }
                 return true;
               }
@@ -225,9 +225,9 @@
         status);
     replicaResponder =
         call ->
-            call.deed == StoreOperation.HISTORY_HEAD.ordinal()
+            call.operation == StoreOperation.HISTORY_HEAD.ordinal()
                 ? new StoreMessages.StoreResponse(call.number, 504, 0, null, null)
-                : call.deed == StoreOperation.HISTORY_READ.ordinal()
+                : call.operation == StoreOperation.HISTORY_READ.ordinal()
                     ? new StoreMessages.StoreResponse(
                         call.number,
                         200,
@@ -249,7 +249,7 @@
     loop.submit(() -> VOTERS.forEach(voter -> core.onMemberConnected(voter, now()))).get();
     replicaResponder =
         call ->
-            call.deed == StoreOperation.CONTROL.ordinal()
+            call.operation == StoreOperation.CONTROL.ordinal()
                 ? new StoreMessages.StoreResponse(
                     call.number,
                     200,
@@ -273,7 +273,7 @@
       assertTrue(call("POST", "/api/rpc?call=" + call + "&of=r", "").startsWith("HTTP/1.1 504"));
     }
     assertTrue(
-        calls.stream().noneMatch(call -> call.deed == StoreOperation.TRIAL_WRITE.ordinal()),
+        calls.stream().noneMatch(call -> call.operation == StoreOperation.TRIAL_WRITE.ordinal()),
         "a trial was written to the state store");
   }
 
@@ -282,7 +282,7 @@
     loop.submit(() -> VOTERS.forEach(voter -> core.onMemberConnected(voter, now()))).get();
     replicaResponder =
         call ->
-            call.deed != StoreOperation.CONFIGURATION_REPLACE.ordinal()
+            call.operation != StoreOperation.CONFIGURATION_REPLACE.ordinal()
                 ? null
                 : new StoreMessages.StoreResponse(call.number, 200, 7, null, null);
     try (Socket socket = send("POST", "/api/rpc?call=configuration.replace", CONFIGURATION)) {
@@ -304,7 +304,7 @@
     loop.submit(() -> VOTERS.forEach(voter -> core.onMemberConnected(voter, now()))).get();
     replicaResponder =
         call ->
-            call.deed == StoreOperation.NUMBER.ordinal()
+            call.operation == StoreOperation.NUMBER.ordinal()
                 ? new StoreMessages.StoreResponse(call.number, 200, 12, null, null)
                 : null;
     assertTrue(call("POST", "/api/numbers/n", "{}").contains("\"value\":12"));
@@ -322,7 +322,7 @@
             () ->
                 (int)
                     calls.stream()
-                        .filter(call -> call.deed != StoreOperation.CONTROL.ordinal())
+                        .filter(call -> call.operation != StoreOperation.CONTROL.ordinal())
                         .count())
         .get();
   }
--- a/registry/src/test/java/weldpoint/registry/CutOffTest.java
+++ b/registry/src/test/java/weldpoint/registry/CutOffTest.java
@@ -200,7 +200,8 @@
     net.node(1).openStream("1", 0);
     net.advance(500);
     final List<RegistryMessages.Registration> received =
-        new ArrayList<>(RegistrationBuckets.unpack(net.node(1).views("1").get(0).packed));
+        new ArrayList<>(
+            RegistrationBuckets.unpack(net.node(1).views("1").get(0).packedRegistrations));
     assertEquals(
         received.stream().map(one -> LifecycleStage.of(one)).toList(),
         List.of(LifecycleStage.DRAINING));
@@ -250,7 +251,7 @@
     net.cut(1, true, true);
     net.advance(6000);
     assertEquals(
-        RegistrationBuckets.unpack(net.node(4).views("4").get(0).packed).stream()
+        RegistrationBuckets.unpack(net.node(4).views("4").get(0).packedRegistrations).stream()
             .map(one -> LifecycleStage.of(one))
             .toList(),
         List.of(LifecycleStage.DRAINING));
--- a/registry/src/test/java/weldpoint/registry/HistoryReaderTest.java
+++ b/registry/src/test/java/weldpoint/registry/HistoryReaderTest.java
@@ -33,13 +33,13 @@
     for (int sequence = 1; sequence <= count; sequence++) {
       final byte[] bytes =
           new AuditEntry.Draft(ChangeKind.EVACUATION_BEGUN, "zone-" + sequence % 3)
-              .number(0, sequence)
+              .version(0, sequence)
               .origin(
                   sequence % 2 == 0 ? "even" : "odd",
                   "",
                   "",
                   WALL_MILLIS - 1000 * (count - sequence))
-              .bytes(sequence, digest);
+              .encode(sequence, digest);
       digest = AuditEntry.digest(bytes);
       entries.add(bytes);
     }
@@ -196,7 +196,7 @@
             "10.0.0.1",
             new Random(1),
             (to, call) -> {
-              (StoreOperation.of(call.deed) == StoreOperation.HISTORY_HEAD ? heads : reads)
+              (StoreOperation.of(call.operation) == StoreOperation.HISTORY_HEAD ? heads : reads)
                   .add(call);
               return true;
             });
@@ -218,7 +218,7 @@
                 6,
                 AuditEntry.digest(all.get(5)).getBytes(StandardCharsets.UTF_8),
                 null)
-            .to(replica.heads.get(0).caller),
+            .withCaller(replica.heads.get(0).callerIncarnation),
         1010);
     replica.store.onResponse(
         "10.0.0.1",
@@ -228,7 +228,7 @@
                 4,
                 Serializer.serialize(part(all, 0, 4, 1, false)),
                 null)
-            .to(replica.reads.get(0).caller),
+            .withCaller(replica.reads.get(0).callerIncarnation),
         1020);
     assertFalse(future.isDone());
     reader.tick(1200);
@@ -240,7 +240,7 @@
                 6,
                 Serializer.serialize(part(all, 0, 6, 1, false)),
                 null)
-            .to(replica.reads.get(1).caller),
+            .withCaller(replica.reads.get(1).callerIncarnation),
         1210);
     assertTrue(future.join().complete());
     assertEquals(future.join().entries().size(), 6);
@@ -250,9 +250,9 @@
   public void daemonWithoutRecentReportIsUnheard() {
     final byte[] bytes =
         new AuditEntry.Draft(ChangeKind.CONFIGURATION, "")
-            .number(8, 0)
+            .version(8, 0)
             .origin("me", "", "", WALL_MILLIS)
-            .bytes(1, "");
+            .encode(1, "");
     final ControlApi.HistoryResponse found =
         new ControlApi.HistoryResponse(
             true,
--- a/registry/src/test/java/weldpoint/registry/LargeFleetTest.java
+++ b/registry/src/test/java/weldpoint/registry/LargeFleetTest.java
@@ -152,7 +152,7 @@
     }
     for (final List<Message> messages : sent.toStreams.values()) {
       final RegistryMessages.View view = (RegistryMessages.View) messages.get(0);
-      assertNull(view.packed);
+      assertNull(view.packedRegistrations);
       assertNull(view.spec);
       bytes += Serializer.serialize(view).length;
     }
@@ -169,11 +169,11 @@
             draining.capacity,
             LifecycleStage.DRAINING.ordinal(),
             99,
-            draining.issued,
+            draining.issuedAt,
             0));
     core.onDaemonReport("late", proxy(PROXIES), RegistrationBuckets.digests(held, false), sent.now);
     final RegistryMessages.View view = (RegistryMessages.View) sent.toStreams.get("late").get(0);
-    final List<Registration> received = RegistrationBuckets.unpack(view.packed);
+    final List<Registration> received = RegistrationBuckets.unpack(view.packedRegistrations);
     assertTrue(received.size() < UPSTREAMS / 8, received.size() + " registrations were sent");
     assertTrue(received.stream().anyMatch(one -> one.id.equals(draining.id)));
   }
@@ -309,7 +309,7 @@
     assertTrue(
         sent.toStreams.isEmpty()
             || RegistrationBuckets.unpack(
-                    ((RegistryMessages.View) sent.toStreams.get("s").get(0)).packed)
+                    ((RegistryMessages.View) sent.toStreams.get("s").get(0)).packedRegistrations)
                 .isEmpty());
   }
 
--- a/registry/src/test/java/weldpoint/registry/SimulatedCoreNetwork.java
+++ b/registry/src/test/java/weldpoint/registry/SimulatedCoreNetwork.java
@@ -104,7 +104,8 @@
                                       address,
                                       () -> {
                                         if (incarnation == mine) {
-                                          core.onStoreResponse(to, answer.to(call.caller), now);
+                                          core.onStoreResponse(
+                                              to, answer.withCaller(call.callerIncarnation), now);
                                         }
                                       })));
                   return true;
@@ -294,7 +295,7 @@
       final String at,
       final StoreMessages.StoreRequest call,
       final java.util.function.Consumer<StoreMessages.StoreResponse> reply) {
-    if (StoreOperation.of(call.deed) != StoreOperation.CONTROL || !hasMajority(at)) {
+    if (StoreOperation.of(call.operation) != StoreOperation.CONTROL || !hasMajority(at)) {
       return;
     }
     final boolean news = version > call.first || call.second != evacuationMark;
--- a/registry/src/test/java/weldpoint/registry/TakenVersionTest.java
+++ b/registry/src/test/java/weldpoint/registry/TakenVersionTest.java
@@ -65,7 +65,7 @@
                 calls.add(call);
                 core.onStoreResponse(
                     address,
-                    (call.deed == StoreOperation.CONTROL.ordinal()
+                    (call.operation == StoreOperation.CONTROL.ordinal()
                             ? storedState(call)
                             : new StoreMessages.StoreResponse(
                                 call.number,
@@ -73,7 +73,7 @@
                                 nextResponse.first,
                                 nextResponse.body,
                                 null))
-                        .to(call.caller),
+                        .withCaller(call.callerIncarnation),
                     0);
                 return true;
               }
@@ -169,7 +169,7 @@
             && response.contains("2023-11-14T22:13:20Z"),
         response);
     assertEquals(
-        calls.get(calls.size() - 1).content,
+        calls.get(calls.size() - 1).contentDigest,
         CanonicalJson.digest(BODY.getBytes(StandardCharsets.UTF_8)));
   }
 
--- a/routing/src/main/java/weldpoint/routing/HomeRegionWarnings.java
+++ b/routing/src/main/java/weldpoint/routing/HomeRegionWarnings.java
@@ -11,74 +11,84 @@
 import java.util.TreeSet;
 
 /**
- * What is valid in a configuration's home regions and yet lets requests be refused: homes that hold
- * no region of the deployment, and homes of a tenant and a route that exclude each other. Routes
- * and tenants are compared by their sets of homes, of which there are few.
+ * Finds home regions that are valid in a configuration but cause requests to be rejected: home
+ * regions of which none is part of the deployment, and home regions of a tenant and a route that
+ * have no region in common. Routes and tenants are grouped by their set of home regions before they
+ * are compared, since there are few different sets.
  */
 public final class HomeRegionWarnings {
   private HomeRegionWarnings() {}
 
   /**
-   * Warnings, one sentence each.
+   * Returns the warnings for a configuration, one sentence each.
    *
-   * @param regions the regions of the deployment; empty where they are not known
+   * @param deploymentRegions the regions of the deployment; empty if they are not known
    */
-  public static List<String> of(final RoutingTable routingTable, final Collection<String> regions) {
-    final Map<Set<String>, List<String>> routes = new LinkedHashMap<>();
-    for (final Route route : routingTable.all()) {
-      add(routes, Arrays.asList(route.homes), route.name);
+  public static List<String> of(
+      final RoutingTable routingTable, final Collection<String> deploymentRegions) {
+    final Map<Set<String>, List<String>> routesByHomeRegions = new LinkedHashMap<>();
+    for (final Route route : routingTable.allRoutes()) {
+      add(routesByHomeRegions, Arrays.asList(route.homeRegions), route.name);
     }
-    final Map<Set<String>, List<String>> tenants = new LinkedHashMap<>();
+    final Map<Set<String>, List<String>> tenantsByHomeRegions = new LinkedHashMap<>();
     for (final RoutingTable.Tenant tenant : routingTable.tenants()) {
-      add(tenants, tenant.homes(), tenant.name());
+      add(tenantsByHomeRegions, tenant.homeRegions(), tenant.name());
     }
     final List<String> warnings = new ArrayList<>();
-    if (!regions.isEmpty()) {
-      routes.forEach((homes, names) -> outside("route", names, homes, regions, warnings));
-      tenants.forEach((homes, names) -> outside("tenant", names, homes, regions, warnings));
+    if (!deploymentRegions.isEmpty()) {
+      routesByHomeRegions.forEach(
+          (homeRegions, names) ->
+              addIfOutsideDeployment("route", names, homeRegions, deploymentRegions, warnings));
+      tenantsByHomeRegions.forEach(
+          (homeRegions, names) ->
+              addIfOutsideDeployment("tenant", names, homeRegions, deploymentRegions, warnings));
     }
-    routes.forEach(
-        (routeHomes, routeNames) ->
-            tenants.forEach(
-                (tenantHomes, tenantNames) -> {
-                  if (Collections.disjoint(routeHomes, tenantHomes)) {
+    routesByHomeRegions.forEach(
+        (routeRegions, routeNames) ->
+            tenantsByHomeRegions.forEach(
+                (tenantRegions, tenantNames) -> {
+                  if (Collections.disjoint(routeRegions, tenantRegions)) {
                     warnings.add(
-                        named("tenant", tenantNames)
+                        describe("tenant", tenantNames)
                             + " may be served in "
-                            + tenantHomes
+                            + tenantRegions
                             + " and "
-                            + named("route", routeNames)
+                            + describe("route", routeNames)
                             + " in "
-                            + routeHomes
-                            + ": all requests of the one on the other are refused");
+                            + routeRegions
+                            + ": all requests of the tenant on the route are rejected");
                   }
                 }));
     return warnings;
   }
 
   private static void add(
-      final Map<Set<String>, List<String>> byHomes, final List<String> homes, final String name) {
-    if (!homes.isEmpty()) {
-      byHomes.computeIfAbsent(new TreeSet<>(homes), set -> new ArrayList<>()).add(name);
+      final Map<Set<String>, List<String>> namesByHomeRegions,
+      final List<String> homeRegions,
+      final String name) {
+    if (!homeRegions.isEmpty()) {
+      namesByHomeRegions
+          .computeIfAbsent(new TreeSet<>(homeRegions), regions -> new ArrayList<>())
+          .add(name);
     }
   }
 
-  private static void outside(
+  private static void addIfOutsideDeployment(
       final String kind,
       final List<String> names,
-      final Set<String> homes,
-      final Collection<String> regions,
+      final Set<String> homeRegions,
+      final Collection<String> deploymentRegions,
       final List<String> warnings) {
-    if (Collections.disjoint(homes, regions)) {
+    if (Collections.disjoint(homeRegions, deploymentRegions)) {
       warnings.add(
-          named(kind, names)
+          describe(kind, names)
               + " may be served in "
-              + homes
-              + " only, where the deployment has no zone: all requests are refused");
+              + homeRegions
+              + " only, where the deployment has no zone: all requests are rejected");
     }
   }
 
-  private static String named(final String kind, final List<String> names) {
+  private static String describe(final String kind, final List<String> names) {
     return kind
         + " "
         + names.get(0)
--- a/routing/src/main/java/weldpoint/routing/Route.java
+++ b/routing/src/main/java/weldpoint/routing/Route.java
@@ -1,96 +1,103 @@
 package weldpoint.routing;
 
-/** A compiled route: names have become indices of services. */
+/**
+ * One route of a compiled {@link RoutingTable}. Services are referred to by their index in {@link
+ * RoutingTable#services()}. Immutable; callers must not modify {@code homeRegions}.
+ */
 public final class Route {
   public final int index;
   public final String name;
   public final RouteKind kind;
   public final int priority;
-  public final long targetMillis;
+  public final long targetLatencyMillis;
   public final long timeoutMillis;
   public final int maxAttempts;
-  public final String[] homes;
-  public final boolean open;
-  public final long cacheMillis;
+  public final String[] homeRegions;
+  public final boolean publicAccess;
+  public final long cacheTtlMillis;
 
-  /** What ties callers to nodes; null where nothing does. */
+  /** The rule that keeps each caller on one upstream; null if the route has none. */
   public final Affinity affinity;
 
-  final int[] services;
-  final double[] upTo;
+  final int[] serviceIndices;
+  final double[] cumulativeWeights;
 
   Route(
       final int index,
       final String name,
       final RouteKind kind,
       final int priority,
-      final long targetMillis,
+      final long targetLatencyMillis,
       final long timeoutMillis,
       final int maxAttempts,
-      final String[] homes,
-      final boolean open,
-      final long cacheMillis,
+      final String[] homeRegions,
+      final boolean publicAccess,
+      final long cacheTtlMillis,
       final Affinity affinity,
-      final int[] services,
-      final double[] upTo) {
+      final int[] serviceIndices,
+      final double[] cumulativeWeights) {
     this.affinity = affinity;
     this.index = index;
     this.name = name;
     this.kind = kind;
     this.priority = priority;
-    this.targetMillis = targetMillis;
+    this.targetLatencyMillis = targetLatencyMillis;
     this.timeoutMillis = timeoutMillis;
     this.maxAttempts = maxAttempts;
-    this.homes = homes;
-    this.open = open;
-    this.cacheMillis = cacheMillis;
-    this.services = services;
-    this.upTo = upTo;
+    this.homeRegions = homeRegions;
+    this.publicAccess = publicAccess;
+    this.cacheTtlMillis = cacheTtlMillis;
+    this.serviceIndices = serviceIndices;
+    this.cumulativeWeights = cumulativeWeights;
   }
 
-  /** Whether upstreams in this region may serve it; see {@link RouteBinding#home}. */
-  boolean home(final String region) {
-    if (homes.length == 0) {
+  /**
+   * Whether the route's home regions allow upstreams of this region. A tenant can restrict it
+   * further, see {@link RouteBinding#allowsRegion}.
+   */
+  boolean allowsRegion(final String region) {
+    if (homeRegions.length == 0) {
       return true;
     }
-    for (final String home : homes) {
-      if (home.equals(region)) {
+    for (final String homeRegion : homeRegions) {
+      if (homeRegion.equals(region)) {
         return true;
       }
     }
     return false;
   }
 
-  /** Whether the route may lead to the service of this index. */
-  boolean leadsTo(final int service) {
-    for (final int one : services) {
-      if (one == service) {
+  /** Whether the service with this index is one of the targets of the route. */
+  boolean includesService(final int serviceIndex) {
+    for (final int candidate : serviceIndices) {
+      if (candidate == serviceIndex) {
         return true;
       }
     }
     return false;
   }
 
-  /** The service of the split for a draw from 0 to 1. */
-  int service(final double chance) {
-    final double wanted = chance * upTo[upTo.length - 1];
-    int place = 0;
-    while (place < services.length - 1 && wanted >= upTo[place]) {
-      place++;
+  /** The index of the service that a point between 0 and 1 selects in the weighted split. */
+  int serviceAt(final double splitPoint) {
+    final double weightedPoint = splitPoint * cumulativeWeights[cumulativeWeights.length - 1];
+    int position = 0;
+    while (position < serviceIndices.length - 1 && weightedPoint >= cumulativeWeights[position]) {
+      position++;
     }
-    return services[place];
+    return serviceIndices[position];
   }
 
   /**
-   * The service of the split that a caller always gets: drawn by its name, so that it stays on one
-   * while the weights stand.
+   * The index of the service that the weighted split assigns to a caller. It depends only on the
+   * hash of the caller and on the weights, so a caller keeps its service while the weights do not
+   * change.
    */
-  public int serviceFor(final long callerHash) {
-    return service((callerHash >>> 11) / (double) (1L << 53));
+  public int serviceForCaller(final long callerHash) {
+    return serviceAt((callerHash >>> 11) / (double) (1L << 53));
   }
 
-  /** The services that the route may lead to. */
-  public int[] services() {
-    return services.clone();
+  /** The indices of all services that the route may send requests to, as a copy. */
+  public int[] serviceIndices() {
+    return serviceIndices.clone();
   }
 }
--- a/routing/src/main/java/weldpoint/routing/RouteBinding.java
+++ b/routing/src/main/java/weldpoint/routing/RouteBinding.java
@@ -4,32 +4,35 @@
 import java.util.Objects;
 
 /**
- * What a configuration says of one request: its route, its service and its tenant, and so where it
- * may be sent. A binding follows the configuration in force ({@link #follow}), which is asked at
- * each send. What was fixed when the request came (its deadline, whether it may be repeated, how
- * many tries it has) is none of a binding's business.
+ * The route, service and tenant that a configuration assigns to one request, which determine the
+ * upstreams that it may be sent to. {@link #revalidate} checks the binding against the current
+ * configuration before each send. A binding does not hold what was fixed when the request arrived:
+ * its deadline, whether it may be repeated, and its number of attempts.
  */
 public final class RouteBinding {
-  /** Whether the configuration in force lets a request go on as it was begun. */
-  public enum Standing {
-    /** It may be sent, within the homes in force. */
-    BOUND("it may be sent"),
-    /** Its route is gone. */
-    ROUTE_GONE("its route was removed while it waited; come back"),
-    /** Its route leads elsewhere, or may be repeated no longer, or ties its callers otherwise. */
-    ROUTE_CHANGED("its route was changed while it waited; come back"),
-    /** Its key is unknown now, and its route wants one. */
-    KEY_UNKNOWN("the key is unknown; send one of yours"),
-    /** Its key is another tenant's now, or its tenant has got a limit. */
-    TENANT_CHANGED("its tenant was changed while it waited; come back");
+  /** Whether the current configuration still allows the request to be sent as it was bound. */
+  public enum Status {
+    /** The request may be sent, within the current home regions. */
+    BOUND("the request may be sent"),
+    /** No route matches the request any more. */
+    ROUTE_REMOVED("the route of the request was removed while it waited; retry the request"),
+    /**
+     * The route no longer includes the service, its requests have become repeatable or no longer
+     * are, the service is partitioned differently, or the affinity rule has changed.
+     */
+    ROUTE_CHANGED("the route of the request was changed while it waited; retry the request"),
+    /** The API key is unknown or missing, and the route requires one. */
+    KEY_UNKNOWN("the API key is unknown or missing; send a valid key"),
+    /** The API key now belongs to another tenant, or a rate limit was added to the tenant. */
+    TENANT_CHANGED("the tenant of the request was changed while it waited; retry the request");
 
     private final String reason;
 
-    Standing(final String reason) {
+    Status(final String reason) {
       this.reason = reason;
     }
 
-    /** What a client is told. */
+    /** The explanation that is sent to the client. */
     public String reason() {
       return reason;
     }
@@ -37,144 +40,169 @@
 
   final String host;
   final String path;
-  final int pathEnd;
-  final double chance;
-  Map<String, Route> prefixes;
+  final int lastSlash;
+  final double splitPoint;
+  Map<String, Route> routesByPrefix;
   Route route;
-  int routed;
+  int serviceIndex;
   private RoutingTable routingTable;
   private RoutingTable.Service service;
   private RoutingTable.Tenant tenant;
-  private String key;
-  private boolean keyAsked;
-  private boolean everybodys;
-  private Standing standing = Standing.BOUND;
+  private String apiKey;
+  private boolean keyChecked;
+  private boolean sharedAcrossTenants;
+  private Status status = Status.BOUND;
 
-  /** A request for this host and path; chance, from 0 to 1, decides in a split. */
-  public RouteBinding(final String host, final String target, final double chance) {
+  /**
+   * Creates an unresolved binding.
+   *
+   * @param host the host of the request, with or without a port
+   * @param target the request target; its query is ignored
+   * @param splitPoint a number from 0 to 1 that selects the service in a weighted split
+   */
+  public RouteBinding(final String host, final String target, final double splitPoint) {
     final int colon = host.lastIndexOf(':');
     this.host = (colon > 0 ? host.substring(0, colon) : host).toLowerCase(java.util.Locale.ROOT);
     final int query = target.indexOf('?');
     this.path = query < 0 ? target : target.substring(0, query);
-    this.pathEnd = path.lastIndexOf('/');
-    this.chance = chance;
+    this.lastSlash = path.lastIndexOf('/');
+    this.splitPoint = splitPoint;
   }
 
-  /** Takes what a configuration's program has found. */
-  void found(final RoutingTable by) {
-    routingTable = by;
-    service = by.services().get(routed);
+  /** Records the routing table that has resolved the route and the service index. */
+  void setResolved(final RoutingTable resolvedBy) {
+    routingTable = resolvedBy;
+    service = resolvedBy.services().get(serviceIndex);
   }
 
-  /** Sends the request to another service of its route than chance has drawn. */
-  public void draw(final int index) {
-    routed = index;
+  /** Replaces the service that the split selected by another service of the route. */
+  public void selectService(final int index) {
+    serviceIndex = index;
     service = routingTable.services().get(index);
   }
 
-  /** Sends the request to a service that its route need not lead to, as a trial has it. */
-  public void divert(final RoutingTable.Service other) {
-    service = other;
+  /**
+   * Sends the request to a service that need not be a target of its route, for instance to the new
+   * version of a service in a trial.
+   */
+  public void overrideService(final RoutingTable.Service override) {
+    service = override;
   }
 
-  /** Says that the answer is for everybody who may ask for it, whoever the tenants are. */
-  public void forEverybody() {
-    everybodys = true;
+  /**
+   * Marks the response as shared by the clients of all tenants, so that no API key is required when
+   * the binding is revalidated.
+   */
+  public void shareAcrossTenants() {
+    sharedAcrossTenants = true;
   }
 
-  /** Finds whose request it is; the key may be null. */
-  public void identify(final String given) {
-    keyAsked = true;
-    key = given;
-    tenant = given == null ? null : routingTable.holder(given);
+  /** Looks up the tenant by the API key of the request; the key may be null. */
+  public void identifyTenant(final String presentedKey) {
+    keyChecked = true;
+    apiKey = presentedKey;
+    tenant = presentedKey == null ? null : routingTable.tenantForKey(presentedKey);
   }
 
-  /** The route. */
+  /** The route; null before the binding was resolved. */
   public Route route() {
     return route;
   }
 
-  /** The service that is to run it. */
+  /** The service that the request is sent to. */
   public RoutingTable.Service service() {
     return service;
   }
 
-  /** The tenant; null where it is nobody's. */
+  /** The tenant; null if the request belongs to none. */
   public RoutingTable.Tenant tenant() {
     return tenant;
   }
 
-  /** Whether the last configuration that was followed lets the request go on. */
-  public Standing standing() {
-    return standing;
+  /** The result of the last {@link #revalidate}. */
+  public Status status() {
+    return status;
   }
 
-  /** Whether the route or the tenant has homes. */
-  public boolean homed() {
-    return route.homes.length > 0 || tenant != null && !tenant.homes().isEmpty();
+  /** Whether the route or the tenant is restricted to home regions. */
+  public boolean hasHomeRegions() {
+    return route.homeRegions.length > 0 || tenant != null && !tenant.homeRegions().isEmpty();
   }
 
   /**
-   * Whether upstreams in this region may run it, and copies of its answer may be kept there: where
-   * both route and tenant have homes, both bind.
+   * Whether upstreams in this region may serve the request and its response may be cached there. If
+   * both the route and the tenant have home regions, the region must be among both.
    */
-  public boolean home(final String region) {
-    return route.home(region) && (tenant == null || tenant.home(region));
+  public boolean allowsRegion(final String region) {
+    return route.allowsRegion(region) && (tenant == null || tenant.allowsRegion(region));
   }
 
   /**
-   * Takes the configuration in force, which costs nothing while it is the one known. False where
-   * the request must not be sent any more; {@link #standing} tells why.
+   * Checks the binding against the current configuration and adopts it, which costs nothing if it
+   * is the configuration already adopted. Returns false if the request must not be sent any more;
+   * {@link #status} gives the reason.
    *
-   * @param inForce the configuration in force; null where only the one known counts
+   * @param current the current configuration; null to keep the one already adopted
    */
-  public boolean follow(final RoutingTable inForce) {
-    if (inForce != null && inForce != routingTable && standing == Standing.BOUND) {
-      final Route before = route;
-      standing = inForce.findRoute(this) ? judge(inForce, before) : Standing.ROUTE_GONE;
-      if (standing != Standing.BOUND) {
-        route = before;
+  public boolean revalidate(final RoutingTable current) {
+    if (current != null && current != routingTable && status == Status.BOUND) {
+      final Route previousRoute = route;
+      status = current.findRoute(this) ? compare(current, previousRoute) : Status.ROUTE_REMOVED;
+      if (status != Status.BOUND) {
+        route = previousRoute;
       }
     }
-    return standing == Standing.BOUND;
-  }
-
-  private Standing judge(final RoutingTable inForce, final Route before) {
-    final RoutingTable.Service now = sameService(inForce, service);
-    final RoutingTable.Service drawn = sameService(inForce, routingTable.services().get(routed));
-    if (now == null
-        || drawn == null
-        || !route.leadsTo(drawn.index())
-        || route.kind.repeatable() != before.kind.repeatable()
-        || !Objects.equals(route.affinity, before.affinity)) {
-      return Standing.ROUTE_CHANGED;
+    return status == Status.BOUND;
+  }
+
+  private Status compare(final RoutingTable current, final Route previousRoute) {
+    final RoutingTable.Service currentService = sameService(current, service);
+    final RoutingTable.Service currentSelected =
+        sameService(current, routingTable.services().get(serviceIndex));
+    if (currentService == null
+        || currentSelected == null
+        || !route.includesService(currentSelected.index())
+        || route.kind.repeatable() != previousRoute.kind.repeatable()
+        || !Objects.equals(route.affinity, previousRoute.affinity)) {
+      return Status.ROUTE_CHANGED;
     }
-    final RoutingTable.Tenant owner = key == null ? null : inForce.holder(key);
-    if (owner == null && !everybodys && !route.open && !inForce.tenants().isEmpty()) {
-      return keyAsked ? Standing.KEY_UNKNOWN : Standing.TENANT_CHANGED;
+    final RoutingTable.Tenant keyOwner = apiKey == null ? null : current.tenantForKey(apiKey);
+    if (keyOwner == null
+        && !sharedAcrossTenants
+        && !route.publicAccess
+        && !current.tenants().isEmpty()) {
+      return keyChecked ? Status.KEY_UNKNOWN : Status.TENANT_CHANGED;
     }
-    if (owner != null && !sameTenant(owner)) {
-      return Standing.TENANT_CHANGED;
+    if (keyOwner != null && !sameTenant(keyOwner)) {
+      return Status.TENANT_CHANGED;
     }
-    routingTable = inForce;
-    service = now;
-    routed = drawn.index();
-    tenant = owner;
-    return Standing.BOUND;
+    routingTable = current;
+    service = currentService;
+    serviceIndex = currentSelected.index();
+    tenant = keyOwner;
+    return Status.BOUND;
   }
 
-  /** The service in force of this name; null where there is none, or it is divided otherwise. */
+  /**
+   * The service with the same name in the current configuration; null if there is none or if only
+   * one of the two is partitioned.
+   */
   private static RoutingTable.Service sameService(
-      final RoutingTable inForce, final RoutingTable.Service known) {
-    final int index = inForce.service(known.name());
-    final RoutingTable.Service found = index < 0 ? null : inForce.services().get(index);
-    return found == null || found.partitioned() != known.partitioned() ? null : found;
+      final RoutingTable current, final RoutingTable.Service previous) {
+    final int index = current.serviceIndex(previous.name());
+    final RoutingTable.Service candidate = index < 0 ? null : current.services().get(index);
+    return candidate == null || candidate.partitioned() != previous.partitioned()
+        ? null
+        : candidate;
   }
 
-  /** Whether a key's tenant is the one it was; a limit that came meanwhile was not asked for. */
-  private boolean sameTenant(final RoutingTable.Tenant owner) {
+  /**
+   * Whether the key still belongs to the same tenant. A tenant that has got a rate limit since then
+   * counts as another one, because no permit was requested for this request.
+   */
+  private boolean sameTenant(final RoutingTable.Tenant keyOwner) {
     return tenant != null
-        && tenant.name().equals(owner.name())
-        && (tenant.ratePerSecond() > 0 || owner.ratePerSecond() <= 0);
+        && tenant.name().equals(keyOwner.name())
+        && (tenant.ratePerSecond() > 0 || keyOwner.ratePerSecond() <= 0);
   }
 }
