--- a/routing/src/main/java/weldpoint/routing/RoutingTable.java
+++ b/routing/src/main/java/weldpoint/routing/RoutingTable.java
@@ -9,29 +9,32 @@
 import java.util.Map;
 import weldpoint.common.WeldpointException;
 
-/** A configuration compiled into a small program: names have become dense indices. */
+/**
+ * A compiled configuration: routes by host and longest path prefix, services and tenants by dense
+ * indices. Immutable, so it can be read from any thread; a changed configuration is a new table.
+ */
 public final class RoutingTable {
-  private static final JsonType<SpecDocument> TYPE =
+  private static final JsonType<SpecDocument> SPEC_TYPE =
       Jsonb.builder().build().type(SpecDocument.class);
 
-  /** The steps of the program that every request runs through, in order. */
+  /** The steps by which a request is resolved, in order; each returns false to stop. */
   enum Step {
     FIND_HOST {
       @Override
-      boolean run(final RoutingTable routingTable, final RouteBinding request) {
-        request.prefixes = routingTable.hosts.get(request.host);
-        return request.prefixes != null;
+      boolean run(final RoutingTable routingTable, final RouteBinding binding) {
+        binding.routesByPrefix = routingTable.routesByHost.get(binding.host);
+        return binding.routesByPrefix != null;
       }
     },
     FIND_LONGEST_PREFIX {
       @Override
-      boolean run(final RoutingTable routingTable, final RouteBinding request) {
-        for (int slash = request.pathEnd;
+      boolean run(final RoutingTable routingTable, final RouteBinding binding) {
+        for (int slash = binding.lastSlash;
             slash >= 0;
-            slash = request.path.lastIndexOf('/', slash - 1)) {
-          final Route found = request.prefixes.get(request.path.substring(0, slash + 1));
+            slash = binding.path.lastIndexOf('/', slash - 1)) {
+          final Route found = binding.routesByPrefix.get(binding.path.substring(0, slash + 1));
           if (found != null) {
-            request.route = found;
+            binding.route = found;
             return true;
           }
           if (slash == 0) {
@@ -43,21 +46,24 @@
     },
     CHOOSE_SERVICE {
       @Override
-      boolean run(final RoutingTable routingTable, final RouteBinding request) {
-        request.routed =
-            request.route.services.length == 1
-                ? request.route.services[0]
-                : request.route.service(request.chance);
+      boolean run(final RoutingTable routingTable, final RouteBinding binding) {
+        binding.serviceIndex =
+            binding.route.serviceIndices.length == 1
+                ? binding.route.serviceIndices[0]
+                : binding.route.serviceAt(binding.splitPoint);
         return true;
       }
     };
 
-    abstract boolean run(RoutingTable routingTable, RouteBinding request);
+    abstract boolean run(RoutingTable routingTable, RouteBinding binding);
   }
 
-  private static final Step[] PROGRAM = Step.values();
+  private static final Step[] STEPS = Step.values();
 
-  /** What is known of a service; a partitioned one is divided among its upstreams by key. */
+  /**
+   * A service. A value of 0 for {@code warmupPerSecond} or {@code ratePerSecond} means that it was
+   * not configured; each upstream of a partitioned service serves its own part of the keys.
+   */
   public record Service(
       int index,
       String name,
@@ -67,170 +73,181 @@
       double ratePerSecond,
       boolean partitioned) {}
 
-  /** Somebody with keys; a rate of 0 means no limit. */
+  /** A tenant with API keys; a {@code ratePerSecond} of 0 means no limit. */
   public record Tenant(
       int index,
       String name,
       int priority,
       double ratePerSecond,
       double burst,
-      List<String> homes) {
-    /** Whether upstreams in this region may serve the tenant. */
-    public boolean home(final String region) {
-      return homes.isEmpty() || homes.contains(region);
+      List<String> homeRegions) {
+    /** Whether the home regions of the tenant allow upstreams of this region. */
+    public boolean allowsRegion(final String region) {
+      return homeRegions.isEmpty() || homeRegions.contains(region);
     }
   }
 
   private final long version;
   private final List<Tenant> tenants;
-  private final Map<String, Tenant> keys;
-  private final Map<String, Map<String, Route>> hosts;
+  private final Map<String, Tenant> tenantsByKey;
+  private final Map<String, Map<String, Route>> routesByHost;
   private final List<Service> services;
   private final Map<String, Integer> serviceIndices;
   private final int maxHeaderBytes;
   private final long maxBodyBytes;
-  private final long headerMillis;
-  private final long idleMillis;
-  private final int routes;
+  private final long headerTimeoutMillis;
+  private final long idleTimeoutMillis;
+  private final int routeCount;
 
   private RoutingTable(
       final long version,
       final List<Tenant> tenants,
-      final Map<String, Tenant> keys,
-      final Map<String, Map<String, Route>> hosts,
+      final Map<String, Tenant> tenantsByKey,
+      final Map<String, Map<String, Route>> routesByHost,
       final List<Service> services,
       final Map<String, Integer> serviceIndices,
       final SpecDocument.Limits limits,
-      final int routes) {
+      final int routeCount) {
     this.tenants = tenants;
-    this.keys = keys;
+    this.tenantsByKey = tenantsByKey;
     this.version = version;
-    this.hosts = hosts;
+    this.routesByHost = routesByHost;
     this.services = services;
     this.serviceIndices = serviceIndices;
-    this.routes = routes;
-    this.maxHeaderBytes = (int) orElse(limits == null ? null : limits.maxHeaderBytes(), 16_384);
-    this.maxBodyBytes = (long) orElse(limits == null ? null : limits.maxBodyBytes(), 64 << 20);
-    this.headerMillis = (long) orElse(limits == null ? null : limits.headerTimeoutMs(), 5000);
-    this.idleMillis = (long) orElse(limits == null ? null : limits.idleTimeoutMs(), 15_000);
+    this.routeCount = routeCount;
+    this.maxHeaderBytes =
+        (int) positiveOrDefault(limits == null ? null : limits.maxHeaderBytes(), 16_384);
+    this.maxBodyBytes =
+        (long) positiveOrDefault(limits == null ? null : limits.maxBodyBytes(), 64 << 20);
+    this.headerTimeoutMillis =
+        (long) positiveOrDefault(limits == null ? null : limits.headerTimeoutMs(), 5000);
+    this.idleTimeoutMillis =
+        (long) positiveOrDefault(limits == null ? null : limits.idleTimeoutMs(), 15_000);
   }
 
-  private static double orElse(final Double value, final double fallback) {
+  private static double positiveOrDefault(final Double value, final double fallback) {
     return value == null || value <= 0 ? fallback : value;
   }
 
-  /** The version in an operator's words: eight hexadecimal digits. */
+  /** Parses a version as operators write it: hexadecimal, eight digits. */
   public static long version(final String text) {
     try {
       return Long.parseUnsignedLong(text, 16);
     } catch (final NumberFormatException | NullPointerException problem) {
       throw new WeldpointException(
           WeldpointException.Kind.UNREADABLE,
-          "the version '" + text + "' is no number; write it as eight hexadecimal digits");
+          "the version '" + text + "' is not a number; write it as eight hexadecimal digits");
     }
   }
 
-  /** Reads, checks and compiles a configuration. */
+  /** Parses, checks and compiles a configuration. */
   public static RoutingTable compile(final byte[] body) {
-    return compile(read(body));
+    return compile(parse(body));
   }
 
-  /** Reads a configuration without checking what it says. */
-  public static SpecDocument read(final byte[] body) {
+  /** Parses the JSON of a configuration without checking its contents. */
+  public static SpecDocument parse(final byte[] body) {
     final SpecDocument document;
     try {
-      document = TYPE.fromJson(new String(body, StandardCharsets.UTF_8));
+      document = SPEC_TYPE.fromJson(new String(body, StandardCharsets.UTF_8));
     } catch (final RuntimeException problem) {
       throw new WeldpointException(
           WeldpointException.Kind.UNREADABLE,
-          "the configuration cannot be read whole ("
-              + problem.getMessage()
-              + "); send complete JSON");
+          "the configuration cannot be parsed (" + problem.getMessage() + "); send complete JSON");
     }
     if (document == null || document.listeners() == null || document.pools() == null) {
       throw new WeldpointException(
           WeldpointException.Kind.UNREADABLE,
-          "the configuration lacks listeners or pools; send it whole");
+          "the configuration has no listeners or no pools; send a complete configuration");
     }
     return document;
   }
 
-  /** Checks and compiles a configuration that was read. */
+  /** Checks and compiles a parsed configuration. */
   public static RoutingTable compile(final SpecDocument document) {
     final long version = version(document.version());
     final List<Service> services = new ArrayList<>();
-    final Map<String, Integer> indices = new HashMap<>();
+    final Map<String, Integer> indicesByName = new HashMap<>();
     for (final SpecDocument.Pool pool : document.pools()) {
       if (pool.name() == null) {
         throw invalid("a pool has no name; give it one");
       }
-      indices.put(pool.name(), services.size());
+      indicesByName.put(pool.name(), services.size());
       services.add(
           new Service(
               services.size(),
               pool.name(),
               pool.healthPath() == null ? "/health" : pool.healthPath(),
-              (int) orElse(pool.maxConns(), 100),
-              orElse(pool.warmupPerS(), 0),
-              orElse(pool.ratePerS(), 0),
+              (int) positiveOrDefault(pool.maxConns(), 100),
+              positiveOrDefault(pool.warmupPerS(), 0),
+              positiveOrDefault(pool.ratePerS(), 0),
               Boolean.TRUE.equals(pool.partitioned())));
     }
-    final Map<String, Map<String, Route>> hosts = new HashMap<>();
-    int count = 0;
+    final Map<String, Map<String, Route>> routesByHost = new HashMap<>();
+    int routeCount = 0;
     for (final SpecDocument.Listener listener : document.listeners()) {
       if (listener.host() == null || listener.host().isEmpty()) {
-        throw invalid("a listener has an empty host; name the host it serves");
+        throw invalid("a listener has no host; name the host that it serves");
       }
-      final Map<String, Route> prefixes =
-          hosts.computeIfAbsent(
+      final Map<String, Route> routesByPrefix =
+          routesByHost.computeIfAbsent(
               listener.host().toLowerCase(java.util.Locale.ROOT), host -> new HashMap<>());
       if (listener.rules() == null) {
         continue;
       }
       for (final SpecDocument.Rule rule : listener.rules()) {
-        final Route route = route(rule, count++, indices);
-        prefixes.put(rule.match().pathPrefix(), route);
+        final Route route = route(rule, routeCount++, indicesByName);
+        routesByPrefix.put(rule.match().pathPrefix(), route);
       }
     }
     final List<Tenant> tenants = new ArrayList<>();
-    final Map<String, Tenant> keys = new HashMap<>();
-    tenants(document, tenants, keys);
+    final Map<String, Tenant> tenantsByKey = new HashMap<>();
+    tenants(document, tenants, tenantsByKey);
     return new RoutingTable(
-        version, tenants, keys, hosts, services, indices, document.limits(), count);
+        version,
+        tenants,
+        tenantsByKey,
+        routesByHost,
+        services,
+        indicesByName,
+        document.limits(),
+        routeCount);
   }
 
   private static void tenants(
-      final SpecDocument document, final List<Tenant> tenants, final Map<String, Tenant> keys) {
-    final Map<String, Tenant> names = new HashMap<>();
-    for (final SpecDocument.Tenant given :
+      final SpecDocument document,
+      final List<Tenant> tenants,
+      final Map<String, Tenant> tenantsByKey) {
+    final Map<String, Tenant> tenantsByName = new HashMap<>();
+    for (final SpecDocument.Tenant spec :
         document.tenants() == null ? List.<SpecDocument.Tenant>of() : document.tenants()) {
-      if (given.name() == null || given.name().isEmpty()) {
+      if (spec.name() == null || spec.name().isEmpty()) {
         throw invalid("a tenant has no name; give it one");
       }
       final Tenant tenant =
           new Tenant(
               tenants.size(),
-              given.name(),
-              (int) orElse(given.priority(), 0),
-              orElse(given.ratePerS(), 0),
-              orElse(given.burst(), 0),
-              given.homeRegions() == null ? List.of() : given.homeRegions());
-      if (names.put(tenant.name(), tenant) != null) {
-        throw invalid("two tenants are named " + tenant.name() + "; give each a name of its own");
+              spec.name(),
+              (int) positiveOrDefault(spec.priority(), 0),
+              positiveOrDefault(spec.ratePerS(), 0),
+              positiveOrDefault(spec.burst(), 0),
+              spec.homeRegions() == null ? List.of() : spec.homeRegions());
+      if (tenantsByName.put(tenant.name(), tenant) != null) {
+        throw invalid("two tenants are named " + tenant.name() + "; give each a different name");
       }
       tenants.add(tenant);
-      for (final String key : given.apiKeys() == null ? List.<String>of() : given.apiKeys()) {
+      for (final String key : spec.apiKeys() == null ? List.<String>of() : spec.apiKeys()) {
         if (key == null || key.isEmpty()) {
-          throw invalid("tenant " + tenant.name() + " has an empty key; give it a key or none");
+          throw invalid("tenant " + tenant.name() + " has an empty key; set the key or remove it");
         }
-        final Tenant other = keys.put(key, tenant);
+        final Tenant other = tenantsByKey.put(key, tenant);
         if (other != null && other != tenant) {
           throw invalid(
               "the tenants "
                   + other.name()
                   + " and "
                   + tenant.name()
-                  + " share a key; give each its own");
+                  + " share a key; give each a different key");
         }
       }
     }
@@ -241,72 +258,80 @@
   }
 
   private static Route route(
-      final SpecDocument.Rule rule, final int index, final Map<String, Integer> indices) {
+      final SpecDocument.Rule rule, final int index, final Map<String, Integer> indicesByName) {
     final String name = rule.name() == null ? "#" + index : rule.name();
     final SpecDocument.Action action = rule.action();
     if (rule.match() == null || rule.match().pathPrefix() == null || action == null) {
       throw new WeldpointException(
           WeldpointException.Kind.UNREADABLE,
-          "route " + name + " lacks its match or its action; send it whole");
+          "route " + name + " has no match or no action; send a complete route");
     }
     if (action.timeoutMs() == null || action.timeoutMs() <= 0) {
-      throw invalid("route " + name + " has no timeoutMs; give it more than 0");
+      throw invalid("route " + name + " has no timeoutMs above 0; give it one");
     }
     if (action.maxAttempts() == null || action.maxAttempts() < 1) {
-      throw invalid("route " + name + " has 0 maxAttempts; give it at least 1");
+      throw invalid("route " + name + " has no maxAttempts of 1 or more; give it at least 1");
     }
     final List<SpecDocument.Share> shares =
         action.split() != null && !action.split().isEmpty()
             ? action.split()
             : List.of(new SpecDocument.Share(action.service(), 1.0));
-    final int[] services = new int[shares.size()];
-    final double[] upTo = new double[shares.size()];
-    double sum = 0;
-    for (int place = 0; place < services.length; place++) {
-      final Integer service = indices.get(shares.get(place).service());
+    final int[] targetIndices = new int[shares.size()];
+    final double[] cumulativeWeights = new double[shares.size()];
+    double totalWeight = 0;
+    for (int position = 0; position < targetIndices.length; position++) {
+      final Integer service = indicesByName.get(shares.get(position).service());
       if (service == null) {
         throw invalid(
             "route "
                 + name
-                + " names the unknown service "
-                + shares.get(place).service()
-                + "; add it to pools or name another");
+                + " refers to the unknown service "
+                + shares.get(position).service()
+                + "; add it to pools or name another service");
       }
-      services[place] = service;
-      sum += shares.get(place).weight() == null ? 0 : Math.max(0, shares.get(place).weight());
-      upTo[place] = sum;
+      targetIndices[position] = service;
+      totalWeight +=
+          shares.get(position).weight() == null ? 0 : Math.max(0, shares.get(position).weight());
+      cumulativeWeights[position] = totalWeight;
     }
-    final List<String> homes = action.homeRegions() == null ? List.of() : action.homeRegions();
+    final List<String> homeRegions =
+        action.homeRegions() == null ? List.of() : action.homeRegions();
     return new Route(
         index,
         name,
         RouteKind.of(rule.routeKind()),
-        (int) orElse(rule.priority(), 0),
-        (long) orElse(rule.targetLatencyMs(), 1000),
+        (int) positiveOrDefault(rule.priority(), 0),
+        (long) positiveOrDefault(rule.targetLatencyMs(), 1000),
         Math.max(1, action.timeoutMs().longValue()),
         action.maxAttempts().intValue(),
-        homes.toArray(new String[0]),
+        homeRegions.toArray(new String[0]),
         Boolean.TRUE.equals(rule.open()),
-        (long) (1000 * orElse(rule.cacheTtlS(), 0)),
+        (long) (1000 * positiveOrDefault(rule.cacheTtlS(), 0)),
         Affinity.of(name, RouteKind.of(rule.routeKind()), action.affinity()),
-        services,
-        upTo);
+        targetIndices,
+        cumulativeWeights);
   }
 
-  /** Runs the program for a request; false where no route matches. */
-  public boolean interpret(final RouteBinding request) {
-    for (final Step step : PROGRAM) {
-      if (!step.run(this, request)) {
+  /**
+   * Resolves the route and the service of a request and stores them in its binding; false if no
+   * route matches.
+   */
+  public boolean resolve(final RouteBinding binding) {
+    for (final Step step : STEPS) {
+      if (!step.run(this, binding)) {
         return false;
       }
     }
-    request.found(this);
+    binding.setResolved(this);
     return true;
   }
 
-  /** Finds the route of a request whose service was chosen before; false where none matches. */
-  boolean findRoute(final RouteBinding request) {
-    return Step.FIND_HOST.run(this, request) && Step.FIND_LONGEST_PREFIX.run(this, request);
+  /**
+   * Finds the route of a request whose service has already been selected; false if no route
+   * matches.
+   */
+  boolean findRoute(final RouteBinding binding) {
+    return Step.FIND_HOST.run(this, binding) && Step.FIND_LONGEST_PREFIX.run(this, binding);
   }
 
   /** The version of the configuration. */
@@ -314,17 +339,17 @@
     return version;
   }
 
-  /** The tenants, by index; empty where requests need no keys. */
+  /** The tenants, by index; empty if requests need no API keys. */
   public List<Tenant> tenants() {
     return tenants;
   }
 
-  /** The tenant that holds this key; null where nobody does. */
-  public Tenant holder(final String key) {
-    return keys.get(key);
+  /** The tenant that this API key belongs to; null if the key is unknown. */
+  public Tenant tenantForKey(final String key) {
+    return tenantsByKey.get(key);
   }
 
-  /** The tenant of this name; null where there is none. */
+  /** The tenant of this name; null if there is none. */
   public Tenant tenant(final String name) {
     for (final Tenant tenant : tenants) {
       if (tenant.name().equals(name)) {
@@ -339,20 +364,20 @@
     return services;
   }
 
-  /** The names of the services that are divided among their upstreams by key. */
-  public List<String> partitioned() {
+  /** The names of the services whose keys are partitioned among their upstreams. */
+  public List<String> partitionedServices() {
     return services.stream().filter(Service::partitioned).map(Service::name).toList();
   }
 
-  /** The index of a service, or -1. */
-  public int service(final String name) {
+  /** The index of the service of this name, or -1 if there is none. */
+  public int serviceIndex(final String name) {
     return serviceIndices.getOrDefault(name, -1);
   }
 
-  /** The route of this name; null where there is none. */
+  /** The route of this name; null if there is none. */
   public Route route(final String name) {
-    for (final Map<String, Route> prefixes : hosts.values()) {
-      for (final Route route : prefixes.values()) {
+    for (final Map<String, Route> routesByPrefix : routesByHost.values()) {
+      for (final Route route : routesByPrefix.values()) {
         if (route.name.equals(name)) {
           return route;
         }
@@ -361,35 +386,35 @@
     return null;
   }
 
-  /** All routes. */
-  public List<Route> all() {
-    final List<Route> all = new ArrayList<>();
-    hosts.values().forEach(prefixes -> all.addAll(prefixes.values()));
-    return all;
+  /** All routes, in no particular order. */
+  public List<Route> allRoutes() {
+    final List<Route> routes = new ArrayList<>();
+    routesByHost.values().forEach(routesByPrefix -> routes.addAll(routesByPrefix.values()));
+    return routes;
   }
 
-  /** How many routes there are. */
-  public int routes() {
-    return routes;
+  /** The number of routes in the configuration. */
+  public int routeCount() {
+    return routeCount;
   }
 
-  /** The most bytes that the head of a request may have. */
+  /** The maximum size of the header of a request in bytes. */
   public int maxHeaderBytes() {
     return maxHeaderBytes;
   }
 
-  /** The most bytes that the body of a request may have. */
+  /** The maximum size of the body of a request in bytes. */
   public long maxBodyBytes() {
     return maxBodyBytes;
   }
 
-  /** How long the head of a request may take. */
-  public long headerMillis() {
-    return headerMillis;
+  /** The time within which the header of a request must arrive, in milliseconds. */
+  public long headerTimeoutMillis() {
+    return headerTimeoutMillis;
   }
 
-  /** How long a connection may be idle. */
-  public long idleMillis() {
-    return idleMillis;
+  /** The time for which a connection may be idle, in milliseconds. */
+  public long idleTimeoutMillis() {
+    return idleTimeoutMillis;
   }
 }
--- a/scale/src/main/java/weldpoint/scale/LinearFit.java
+++ b/scale/src/main/java/weldpoint/scale/LinearFit.java
@@ -2,74 +2,91 @@
 
 import weldpoint.common.WeldpointException;
 
-/** A straight line through points by least squares, with what it leaves over. */
+/**
+ * Least-squares line through measured points, with its largest residual and R squared. Used by the
+ * scale command; immutable.
+ */
 public record LinearFit(
     double slope,
-    double fixed,
-    double worst,
-    double explained,
-    double from,
-    double to,
+    double intercept,
+    double maxResidual,
+    double rSquared,
+    double minSize,
+    double maxSize,
     int points) {
-  private static final int LEAST_POINTS = 3;
-  private static final double LEAST_SPAN = 4;
+  private static final int MIN_POINTS = 3;
+  private static final double MIN_SIZE_RATIO = 4;
 
-  /** The line through these points; fails where they are too few or too near each other. */
+  /**
+   * Fits a line. Throws {@link WeldpointException} of kind INVALID for fewer than 3 points or if
+   * the largest size is less than 4 times the smallest.
+   */
   public static LinearFit of(final double[] sizes, final double[] values) {
-    if (sizes.length != values.length || sizes.length < LEAST_POINTS) {
+    if (sizes.length != values.length || sizes.length < MIN_POINTS) {
       throw new WeldpointException(
           WeldpointException.Kind.INVALID,
-          sizes.length + " points give no slope; measure at least " + LEAST_POINTS + " sizes");
+          sizes.length
+              + " points are too few for a fit; measure at least "
+              + MIN_POINTS
+              + " sizes");
     }
-    double least = Double.MAX_VALUE;
-    double most = 0;
+    double smallest = Double.MAX_VALUE;
+    double largest = 0;
     double meanSize = 0;
     double meanValue = 0;
     for (int index = 0; index < sizes.length; index++) {
-      least = Math.min(least, sizes[index]);
-      most = Math.max(most, sizes[index]);
+      smallest = Math.min(smallest, sizes[index]);
+      largest = Math.max(largest, sizes[index]);
       meanSize += sizes[index] / sizes.length;
       meanValue += values[index] / sizes.length;
     }
-    if (!(least >= 0) || most < LEAST_SPAN * Math.max(1e-9, least)) {
+    if (!(smallest >= 0) || largest < MIN_SIZE_RATIO * Math.max(1e-9, smallest)) {
       throw new WeldpointException(
           WeldpointException.Kind.INVALID,
           "sizes from "
-              + least
+              + smallest
               + " to "
-              + most
-              + " lie too near each other; let the largest be "
-              + LEAST_SPAN
+              + largest
+              + " are too close together; the largest must be at least "
+              + MIN_SIZE_RATIO
               + " times the smallest");
     }
-    double product = 0;
-    double square = 0;
-    double total = 0;
+    double crossDeviations = 0;
+    double sizeDeviations = 0;
+    double valueDeviations = 0;
     for (int index = 0; index < sizes.length; index++) {
-      product += (sizes[index] - meanSize) * (values[index] - meanValue);
-      square += (sizes[index] - meanSize) * (sizes[index] - meanSize);
-      total += (values[index] - meanValue) * (values[index] - meanValue);
+      crossDeviations += (sizes[index] - meanSize) * (values[index] - meanValue);
+      sizeDeviations += (sizes[index] - meanSize) * (sizes[index] - meanSize);
+      valueDeviations += (values[index] - meanValue) * (values[index] - meanValue);
     }
-    final double slope = product / square;
-    final double fixed = meanValue - slope * meanSize;
-    double worst = 0;
-    double left = 0;
+    final double slope = crossDeviations / sizeDeviations;
+    final double intercept = meanValue - slope * meanSize;
+    double maxResidual = 0;
+    double residualSquares = 0;
     for (int index = 0; index < sizes.length; index++) {
-      final double rest = values[index] - slope * sizes[index] - fixed;
-      worst = Math.max(worst, Math.abs(rest));
-      left += rest * rest;
+      final double residual = values[index] - slope * sizes[index] - intercept;
+      maxResidual = Math.max(maxResidual, Math.abs(residual));
+      residualSquares += residual * residual;
     }
     return new LinearFit(
-        slope, fixed, worst, total == 0 ? 1 : 1 - left / total, least, most, sizes.length);
+        slope,
+        intercept,
+        maxResidual,
+        valueDeviations == 0 ? 1 : 1 - residualSquares / valueDeviations,
+        smallest,
+        largest,
+        sizes.length);
   }
 
-  /** What the line gives at a size. */
-  public double at(final double size) {
-    return slope * size + fixed;
+  /** Returns the value of the line at a size. */
+  public double predict(final double size) {
+    return slope * size + intercept;
   }
 
-  /** How many times beyond the largest measured size that is. */
-  public double beyond(final double size) {
-    return size / to;
+  /**
+   * Returns a size as a multiple of the largest measured size: how far a prediction extrapolates.
+   */
+  public double extrapolationFactor(final double size) {
+    return size / maxSize;
   }
 }
--- a/scale/src/main/java/weldpoint/scale/MeasuredProcess.java
+++ b/scale/src/main/java/weldpoint/scale/MeasuredProcess.java
@@ -13,12 +13,15 @@
 import weldpoint.common.Settings;
 import weldpoint.common.WeldpointException;
 
-/** One real daemon as a process of its own, with what it counts of itself. */
+/**
+ * A daemon in a process of its own. A reader thread takes a sample whenever the daemon logs its
+ * traffic counters.
+ */
 final class MeasuredProcess {
-  private static final Pattern TRUNK =
+  private static final Pattern TRAFFIC_COUNTERS =
       Pattern.compile("trunk-in (\\d+) (\\d+) trunk-out (\\d+) (\\d+)");
 
-  /** What a process has used and passed since its start. */
+  /** Totals of a process since its start, with its present resident memory. */
   record Sample(
       long atNanos,
       long cpuMillis,
@@ -30,13 +33,13 @@
 
   final String program;
   private final Process process;
-  private volatile Sample counted;
-  private volatile String last = "";
+  private volatile Sample latestSample;
+  private volatile String lastLine = "";
 
   MeasuredProcess(final String program, final Path settings, final int heapMegabytes)
       throws IOException {
     this.program = program;
-    final List<String> words =
+    final List<String> command =
         new ArrayList<>(
             List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -53,37 +56,37 @@
                 System.getProperty("java.class.path"),
                 "weldpoint.cli.Weldpoint",
                 program));
-    final ProcessBuilder builder = new ProcessBuilder(words).redirectErrorStream(true);
-    builder.environment().put(Settings.VARIABLE, settings.toString());
+    final ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
+    builder.environment().put(Settings.FILE_VARIABLE, settings.toString());
     process = builder.start();
-    final Thread reader = new Thread(this::read, "reads-" + program);
+    final Thread reader = new Thread(this::readOutput, "output-" + program);
     reader.setDaemon(true);
     reader.start();
   }
 
-  private void read() {
+  private void readOutput() {
     try (BufferedReader lines =
         new BufferedReader(
             new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
       String line = lines.readLine();
       while (line != null) {
-        last = line;
-        final Matcher trunk = TRUNK.matcher(line);
-        if (trunk.find()) {
-          counted =
+        lastLine = line;
+        final Matcher counters = TRAFFIC_COUNTERS.matcher(line);
+        if (counters.find()) {
+          latestSample =
               new Sample(
                   System.nanoTime(),
                   cpuMillis(),
-                  memory(),
-                  Long.parseLong(trunk.group(1)),
-                  Long.parseLong(trunk.group(2)),
-                  Long.parseLong(trunk.group(3)),
-                  Long.parseLong(trunk.group(4)));
+                  residentKilobytes(),
+                  Long.parseLong(counters.group(1)),
+                  Long.parseLong(counters.group(2)),
+                  Long.parseLong(counters.group(3)),
+                  Long.parseLong(counters.group(4)));
         }
         line = lines.readLine();
       }
-    } catch (final IOException ended) {
-      last = "its output ended: " + ended.getMessage();
+    } catch (final IOException exception) {
+      lastLine = "reading its output failed: " + exception.getMessage();
     }
   }
 
@@ -96,36 +99,39 @@
         .orElse(0L);
   }
 
-  private long memory() {
+  private long residentKilobytes() {
     try {
       for (final String line : Files.readAllLines(Path.of("/proc/" + process.pid() + "/status"))) {
         if (line.startsWith("VmRSS:")) {
           return Long.parseLong(line.replaceAll("[^0-9]", ""));
         }
       }
-    } catch (final IOException gone) {
+    } catch (final IOException exited) {
       return 0;
     }
     return 0;
   }
 
-  /** What the process last counted; fails where it has died. */
+  /**
+   * Returns the latest sample, null before the first. Throws {@link WeldpointException} of kind
+   * OUT_OF_REACH if the process has exited.
+   */
   Sample sample() {
     if (!process.isAlive()) {
       throw new WeldpointException(
           WeldpointException.Kind.OUT_OF_REACH,
           "a "
               + program
-              + " has ended by itself with code "
+              + " has exited unexpectedly with code "
               + process.exitValue()
               + " ("
-              + last
-              + "); the run gives no slope");
+              + lastLine
+              + "); the run cannot be used");
     }
-    return counted;
+    return latestSample;
   }
 
-  void end() {
+  void terminate() {
     process.destroy();
   }
 
@@ -133,7 +139,7 @@
     process.destroyForcibly();
   }
 
-  boolean alive() {
+  boolean isAlive() {
     return process.isAlive();
   }
 }
--- a/scale/src/main/java/weldpoint/scale/SimulatedProxies.java
+++ b/scale/src/main/java/weldpoint/scale/SimulatedProxies.java
@@ -26,8 +26,9 @@
 import weldpoint.transport.TrialMessages;
 
 /**
- * Switchboards without traffic, many to this process: each has its own link, stream and line, the
- * very code of a real one.
+ * Many proxies without client traffic in this process. Each has its own transport, registry stream
+ * and registry client, the same classes as a real proxy. All of them run on one executor thread and
+ * one event loop.
  */
 final class SimulatedProxies {
   private static final long TICK_MILLIS = 100;
@@ -41,9 +42,10 @@
     private SimulatedProxy(final Settings settings, final int index, final long incarnation) {
       transport =
           new Transport(
-              loop,
-              new Protocol.Hello(Serializer.PROTOCOL, "switchboard", address(index), incarnation));
-      stream = new RegistryStream(transport, desk, settings, () -> {});
+              eventLoop,
+              new Protocol.Hello(
+                  Serializer.PROTOCOL_VERSION, "switchboard", address(index), incarnation));
+      stream = new RegistryStream(transport, executor, settings, () -> {});
       final RegistryMessages.DaemonEntry self =
           new RegistryMessages.DaemonEntry(
               address(index),
@@ -77,14 +79,14 @@
                     final Set<String> suspects,
                     final int switchboards) {
                   if (routingTable != null || evacuated != null) {
-                    desk.execute(
+                    executor.execute(
                         () ->
                             registry()
                                 .reportInForce(
                                     registry().version(), registry().stateVersion(), now()));
                   }
                   if (routingTable != null) {
-                    versions.merge(routingTable.version(), 1, Integer::sum);
+                    receiptsByVersion.merge(routingTable.version(), 1, Integer::sum);
                   }
                 }
 
@@ -102,20 +104,20 @@
                             settings.affinityLeaseMillis(),
                             stream::send);
                   }
-                  affinity.take(placements, now());
-                  placed.merge(placements.mark, 1, Integer::sum);
+                  affinity.updatePlacements(placements, now());
+                  placementReceipts.merge(placements.revision, 1, Integer::sum);
                 }
 
                 @Override
                 public void leaseAnswered(final PlacementMessages.LeaseGrant grant) {
                   if (affinity != null) {
-                    affinity.granted(grant, now());
+                    affinity.onLeaseGrant(grant, now());
                   }
                 }
 
                 @Override
                 public void firstViewReceived() {
-                  admitted.incrementAndGet();
+                  admissions.incrementAndGet();
                 }
               });
       stream.registryClient(registry);
@@ -134,35 +136,39 @@
     }
   }
 
-  private final EventLoopGroup loop = new NioEventLoopGroup(1);
-  private final ExecutorService desk =
+  private final EventLoopGroup eventLoop = new NioEventLoopGroup(1);
+  private final ExecutorService executor =
       Executors.newSingleThreadExecutor(
           task -> {
-            final Thread thread = new Thread(task, "hollow");
+            final Thread thread = new Thread(task, "simulated-proxies");
             thread.setDaemon(true);
             return thread;
           });
-  private final List<SimulatedProxy> hollows = new ArrayList<>();
-  private final List<Settings> boots;
-  private final AtomicLong admitted = new AtomicLong();
-  private final Map<Long, Integer> versions = new java.util.concurrent.ConcurrentHashMap<>();
-  private final Map<Long, Integer> placed = new java.util.concurrent.ConcurrentHashMap<>();
+  private final List<SimulatedProxy> proxies = new ArrayList<>();
+  private final List<Settings> zoneSettings;
+  private final AtomicLong admissions = new AtomicLong();
+  private final Map<Long, Integer> receiptsByVersion =
+      new java.util.concurrent.ConcurrentHashMap<>();
+  private final Map<Long, Integer> placementReceipts =
+      new java.util.concurrent.ConcurrentHashMap<>();
   private long incarnations = 1000;
-  private int next;
-  private long gone;
-  private long goneMessages;
-
-  /** So many switchboards, spread over these places. */
-  SimulatedProxies(final List<Settings> boots, final int count) {
-    this.boots = boots;
-    desk.execute(
+  private int nextRestart;
+  private long closedBytesIn;
+  private long closedMessagesIn;
+
+  /** Starts the given number of proxies, spread evenly over the zones of the settings. */
+  SimulatedProxies(final List<Settings> zoneSettings, final int count) {
+    this.zoneSettings = zoneSettings;
+    executor.execute(
         () -> {
           for (int index = 0; index < count; index++) {
-            hollows.add(new SimulatedProxy(boots.get(index % boots.size()), index, ++incarnations));
+            proxies.add(
+                new SimulatedProxy(
+                    zoneSettings.get(index % zoneSettings.size()), index, ++incarnations));
           }
         });
-    loop.scheduleAtFixedRate(
-        () -> desk.execute(() -> hollows.forEach(SimulatedProxy::tick)),
+    eventLoop.scheduleAtFixedRate(
+        () -> executor.execute(() -> proxies.forEach(SimulatedProxy::tick)),
         TICK_MILLIS,
         TICK_MILLIS,
         TimeUnit.MILLISECONDS);
@@ -176,71 +182,85 @@
     return System.nanoTime() / 1_000_000;
   }
 
-  /** Ends one and starts it again as a new life, as a restart does. */
+  /**
+   * Closes the next proxy in turn and starts it again with a new incarnation, as a restart does.
+   */
   void restartOne() {
-    desk.execute(
+    executor.execute(
         () -> {
-          if (!hollows.isEmpty()) {
-            final int index = next++ % hollows.size();
-            final SimulatedProxy before = hollows.get(index);
-            gone += before.transport.trafficCounters().bytesIn();
-            goneMessages += before.transport.trafficCounters().messagesIn();
-            before.stream.close();
-            hollows.set(
-                index, new SimulatedProxy(boots.get(index % boots.size()), index, ++incarnations));
+          if (!proxies.isEmpty()) {
+            final int index = nextRestart++ % proxies.size();
+            final SimulatedProxy previous = proxies.get(index);
+            closedBytesIn += previous.transport.trafficCounters().bytesReceived();
+            closedMessagesIn += previous.transport.trafficCounters().messagesReceived();
+            previous.stream.close();
+            proxies.set(
+                index,
+                new SimulatedProxy(
+                    zoneSettings.get(index % zoneSettings.size()), index, ++incarnations));
           }
         });
   }
 
-  /** How many views were given in all. */
-  long admitted() {
-    return admitted.get();
+  /** Returns how often a proxy was admitted by a registry; a restarted proxy counts again. */
+  long admissions() {
+    return admissions.get();
   }
 
-  /** How many have this version in force. */
-  int have(final long version) {
-    return versions.getOrDefault(version, 0);
+  /**
+   * Returns how often a proxy has received this configuration version; a restarted proxy counts
+   * again.
+   */
+  int versionReceipts(final long version) {
+    return receiptsByVersion.getOrDefault(version, 0);
   }
 
-  /** How many have placements of this mark or a later one. */
-  int placed(final long mark) {
-    return placed.getOrDefault(mark, 0);
+  /**
+   * Returns how often a proxy has received the placements with exactly this mark, the number that
+   * rises with each change of placements.
+   */
+  int placementReceipts(final long mark) {
+    return placementReceipts.getOrDefault(mark, 0);
   }
 
-  /** Messages and bytes that came to all. */
-  long[] in() {
+  /**
+   * Returns the totals of all proxies: messages in, bytes in, messages out and bytes out. Only the
+   * inbound totals include proxies that were closed by a restart.
+   */
+  long[] trafficTotals() {
     final java.util.concurrent.CompletableFuture<long[]> future =
         new java.util.concurrent.CompletableFuture<>();
-    desk.execute(
+    executor.execute(
         () -> {
-          final long[] sums = {goneMessages, gone, 0, 0};
-          for (final SimulatedProxy one : hollows) {
-            final TrafficCounters trafficCounters = one.transport.trafficCounters();
-            sums[0] += trafficCounters.messagesIn();
-            sums[1] += trafficCounters.bytesIn();
-            sums[2] += trafficCounters.messagesOut();
-            sums[3] += trafficCounters.bytesOut();
+          final long[] sums = {closedMessagesIn, closedBytesIn, 0, 0};
+          for (final SimulatedProxy proxy : proxies) {
+            final TrafficCounters trafficCounters = proxy.transport.trafficCounters();
+            sums[0] += trafficCounters.messagesReceived();
+            sums[1] += trafficCounters.bytesReceived();
+            sums[2] += trafficCounters.messagesSent();
+            sums[3] += trafficCounters.bytesSent();
           }
           future.complete(sums);
         });
     return future.join();
   }
 
-  void end() {
+  void shutdown() {
     final java.util.concurrent.CountDownLatch closed = new java.util.concurrent.CountDownLatch(1);
-    desk.execute(
+    executor.execute(
         () -> {
-          hollows.forEach(one -> one.stream.close());
-          hollows.clear();
+          proxies.forEach(proxy -> proxy.stream.close());
+          proxies.clear();
           closed.countDown();
         });
     try {
       closed.await(2, TimeUnit.SECONDS);
-    } catch (final InterruptedException ended) {
+    } catch (final InterruptedException exception) {
       Thread.currentThread().interrupt();
     }
-    loop.shutdownGracefully(0, 200, TimeUnit.MILLISECONDS)
+    eventLoop
+        .shutdownGracefully(0, 200, TimeUnit.MILLISECONDS)
         .awaitUninterruptibly(3, TimeUnit.SECONDS);
-    desk.shutdown();
+    executor.shutdown();
   }
 }
--- a/simulation/src/test/java/weldpoint/statestore/BrokenAuditSequencer.java
+++ b/simulation/src/test/java/weldpoint/statestore/BrokenAuditSequencer.java
@@ -53,17 +53,17 @@
   /** A configuration as a release before content digests stored it. */
   public static weldpoint.transport.StateStoreMessages.RegisterEntry withoutContentDigest(
       final weldpoint.transport.StateStoreMessages.RegisterEntry entry) {
-    if (entry.whole == null
+    if (entry.fullValue == null
         || StoredValues.Kind.of(entry.name) != StoredValues.Kind.CONFIGURATION) {
       return entry;
     }
     final StoredValues.StoredConfiguration configuration =
-        (StoredValues.StoredConfiguration) StoredValues.Kind.CONFIGURATION.decode(entry.whole);
+        (StoredValues.StoredConfiguration) StoredValues.Kind.CONFIGURATION.decode(entry.fullValue);
     return new weldpoint.transport.StateStoreMessages.RegisterEntry(
         entry.name,
-        entry.mark,
-        entry.base,
-        entry.difference,
+        entry.version,
+        entry.baseVersion,
+        entry.delta,
         StoredValues.Kind.CONFIGURATION.encode(
             new StoredValues.StoredConfiguration(
                 configuration.version,
@@ -71,7 +71,7 @@
                 configuration.compressedSummary,
                 configuration.hasAffinity,
                 null)),
-        entry.audit);
+        entry.auditEntry);
   }
 
   /** A leader of a release before the history, which writes no entries. */
--- a/soak/src/main/java/weldpoint/soak/DaemonProcess.java
+++ b/soak/src/main/java/weldpoint/soak/DaemonProcess.java
@@ -15,12 +15,13 @@
 import weldpoint.common.Settings;
 
 /**
- * One weldpoint daemon as an operating system process that can be killed, paused, resumed and
- * started again. Signals go to this process by its id and to no other.
+ * One weldpoint daemon, run as an operating system process that can be killed, paused, resumed and
+ * restarted. Signals are sent by process id, so no other process receives them. Used by the thread
+ * that injects faults and by the threads of running faults; all state changes are synchronized.
  */
 final class DaemonProcess {
-  private static final int KEPT_LINES = 8000;
-  private static final long TERMINATION_SECONDS = 12;
+  private static final int MAX_OUTPUT_LINES = 8000;
+  private static final long TERMINATION_TIMEOUT_SECONDS = 12;
 
   private final String program;
   private final String name;
@@ -29,8 +30,8 @@
   private Process process;
   private boolean paused;
   private int starts;
-  private boolean over;
-  private final List<Long> disturbedAt = new ArrayList<>();
+  private boolean shutdown;
+  private final List<Long> disruptionTimes = new ArrayList<>();
 
   DaemonProcess(final String program, final String name, final Path settings) {
     this.program = program;
@@ -38,14 +39,14 @@
     this.settings = settings;
   }
 
-  /** The daemon's program and machine, for reports. */
+  /** Returns {@code program@host}, as used in reports. */
   String name() {
     return program + "@" + name;
   }
 
-  /** Starts the process; the settings file is read anew. */
+  /** Starts the process, which reads the settings file again; does nothing after a shutdown. */
   synchronized void start() {
-    if (over) {
+    if (shutdown) {
       return;
     }
     final List<String> command =
@@ -63,89 +64,90 @@
                 "weldpoint.cli.Weldpoint",
                 program));
     final ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
-    builder.environment().put(Settings.VARIABLE, settings.toString());
+    builder.environment().put(Settings.FILE_VARIABLE, settings.toString());
     builder.environment().put(Logging.LEVEL_VARIABLE, "FINE");
     try {
       process = builder.start();
-    } catch (final IOException problem) {
-      throw new UncheckedIOException("cannot start " + name(), problem);
+    } catch (final IOException e) {
+      throw new UncheckedIOException("cannot start daemon " + name(), e);
     }
     paused = false;
     starts++;
     final Process started = process;
-    final Thread reader = new Thread(() -> read(started), "output-" + name());
+    final Thread reader = new Thread(() -> readOutput(started), "output-" + name());
     reader.setDaemon(true);
     reader.start();
   }
 
-  /** Starts the process where it does not run. */
+  /** Starts the process if it is not running. */
   synchronized void startIfDown() {
-    if (!alive()) {
+    if (!isAlive()) {
       start();
     }
   }
 
-  private void read(final Process from) {
-    try (BufferedReader lines =
-        new BufferedReader(new InputStreamReader(from.getInputStream(), StandardCharsets.UTF_8))) {
-      for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-        keep(line);
+  private void readOutput(final Process source) {
+    try (BufferedReader reader =
+        new BufferedReader(
+            new InputStreamReader(source.getInputStream(), StandardCharsets.UTF_8))) {
+      for (String line = reader.readLine(); line != null; line = reader.readLine()) {
+        appendOutput(line);
       }
-    } catch (final IOException ended) {
-      keep("output ended: " + ended.getMessage());
+    } catch (final IOException e) {
+      appendOutput("reading the process output failed: " + e.getMessage());
     }
   }
 
-  private void keep(final String line) {
+  private void appendOutput(final String line) {
     synchronized (output) {
       output.add(line);
-      if (output.size() > KEPT_LINES) {
+      if (output.size() > MAX_OUTPUT_LINES) {
         output.poll();
       }
     }
   }
 
-  /** The last lines that the process wrote, oldest first. */
+  /** Returns the last lines of the process's output, oldest first. */
   List<String> output() {
     synchronized (output) {
       return new ArrayList<>(output);
     }
   }
 
-  /** Ends the process at once, as a crash does. */
+  /** Kills the process without giving it time to shut down, like a crash. */
   synchronized void kill() {
     if (process != null) {
-      disturbed();
+      recordDisruption();
       process.destroyForcibly();
-      await();
+      awaitExit();
     }
   }
 
-  /** Ends the process at once; it is not started again. */
-  synchronized void endForGood() {
-    over = true;
+  /** Kills the process and prevents further starts. */
+  synchronized void shutdownNow() {
+    shutdown = true;
     resume();
     kill();
   }
 
-  /** Asks the process to end in order, and ends it at once if it does not. */
+  /** Requests an orderly shutdown (SIGTERM), and kills the process if it does not exit in time. */
   synchronized void terminate() {
     if (process == null) {
       return;
     }
     resume();
     process.destroy();
-    if (!await()) {
-      disturbed();
+    if (!awaitExit()) {
+      recordDisruption();
       process.destroyForcibly();
-      await();
+      awaitExit();
     }
   }
 
-  private boolean await() {
+  private boolean awaitExit() {
     try {
-      return process.waitFor(TERMINATION_SECONDS, TimeUnit.SECONDS);
-    } catch (final InterruptedException stopped) {
+      return process.waitFor(TERMINATION_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+    } catch (final InterruptedException e) {
       Thread.currentThread().interrupt();
       return false;
     }
@@ -153,59 +155,60 @@
 
   /** Freezes the process (SIGSTOP). */
   synchronized void pause() {
-    if (alive() && !paused) {
+    if (isAlive() && !paused) {
       paused = true;
-      disturbed();
+      recordDisruption();
       signal("-STOP");
     }
   }
 
-  /** Lets a frozen process go on (SIGCONT). */
+  /** Resumes a frozen process (SIGCONT). */
   synchronized void resume() {
-    if (paused && alive()) {
+    if (paused && isAlive()) {
       signal("-CONT");
-      disturbed();
+      recordDisruption();
     }
     paused = false;
   }
 
-  /** Tells the process that its settings file has changed (SIGHUP). */
+  /** Makes the process reload its settings file (SIGHUP). */
   synchronized void reload() {
-    if (alive()) {
+    if (isAlive()) {
       signal("-HUP");
     }
   }
 
-  private void disturbed() {
-    synchronized (disturbedAt) {
-      disturbedAt.add(Clock.millis());
+  private void recordDisruption() {
+    synchronized (disruptionTimes) {
+      disruptionTimes.add(Clock.millis());
     }
   }
 
   /**
-   * Whether the process was killed, frozen or woken in a span, in milliseconds of the steady clock.
+   * Returns whether the process was killed, frozen or resumed between two times, both inclusive and
+   * in milliseconds of {@link Clock}.
    */
-  boolean disturbed(final long from, final long to) {
-    synchronized (disturbedAt) {
-      return disturbedAt.stream().anyMatch(at -> at >= from && at <= to);
+  boolean disruptedBetween(final long from, final long to) {
+    synchronized (disruptionTimes) {
+      return disruptionTimes.stream().anyMatch(at -> at >= from && at <= to);
     }
   }
 
   private void signal(final String signal) {
     try {
       new ProcessBuilder("kill", signal, Long.toString(process.pid())).start().waitFor();
-    } catch (final IOException problem) {
-      throw new UncheckedIOException("cannot signal " + name(), problem);
-    } catch (final InterruptedException stopped) {
+    } catch (final IOException e) {
+      throw new UncheckedIOException("cannot send a signal to daemon " + name(), e);
+    } catch (final InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  synchronized boolean alive() {
+  synchronized boolean isAlive() {
     return process != null && process.isAlive();
   }
 
-  /** How often the process was started. */
+  /** Returns how many times the process has been started. */
   synchronized int starts() {
     return starts;
   }
--- a/soak/src/main/java/weldpoint/soak/Fault.java
+++ b/soak/src/main/java/weldpoint/soak/Fault.java
@@ -3,178 +3,191 @@
 import java.util.List;
 import java.util.Random;
 
-/** A trouble that a soak brings about and takes back. */
+/**
+ * The kinds of fault that a soak injects and later reverts. The names of the constants are printed
+ * in the line that {@link SoakCommand} prints for each seed.
+ */
 enum Fault {
-  /** A proxy is killed and started again. */
+  /** Kills a proxy, and starts it again when reverted. */
   PROXY_KILL,
-  /** A proxy is asked to end and started again. */
+  /** Shuts a proxy down in order (SIGTERM), and starts it again when reverted. */
   PROXY_RESTART,
-  /** A proxy is frozen. */
+  /** Freezes a proxy (SIGSTOP). */
   PROXY_FREEZE,
-  /** A registry is killed and started again. */
+  /** Kills a registry, and starts it again when reverted. */
   REGISTRY_KILL,
-  /** A registry is frozen. */
+  /** Freezes a registry (SIGSTOP). */
   REGISTRY_FREEZE,
-  /** A state store is killed and started again. */
+  /** Kills a state store, and starts it again when reverted. */
   STORE_KILL,
-  /** A state store is frozen. */
+  /** Freezes a state store (SIGSTOP). */
   STORE_FREEZE,
-  /** A core machine's registry and state store are killed together. */
+  /** Kills the registry and the state store of one core machine. */
   MACHINE_KILL,
-  /** All registries are killed at once. */
+  /** Kills all registries. */
   ALL_REGISTRIES_KILL,
-  /** The bytes between proxies and an upstream are held up. */
+  /** Holds back all bytes between the proxies and one upstream; none are lost. */
   UPSTREAM_CUT,
-  /** The bytes between proxies and an upstream are late. */
+  /** Delays the bytes between the proxies and one upstream. */
   UPSTREAM_DELAY,
-  /** An upstream's answers are lost on their way. */
+  /** Closes connections to one upstream when a response comes back over them. */
   ANSWERS_LOST,
-  /** What other daemons send to a core machine is held up, and lost with its connections. */
+  /**
+   * Holds back what other daemons send to a core machine; the bytes held back are lost, since their
+   * connections are closed afterwards.
+   */
   CORE_LINKS_CUT,
-  /** What other daemons send to a core machine is late. */
+  /** Delays the bytes between other daemons and one core machine. */
   CORE_LINKS_DELAY,
-  /** An upstream that holds keys cannot be reached. */
+  /** Makes an upstream of the partitioned service unreachable. */
   HOLDER_CUT,
-  /** An upstream that holds keys leaves in order, and comes back. */
+  /** Drains an upstream of the partitioned service, and restarts it when reverted. */
   HOLDER_DRAIN,
-  /** All proxies are asked to end, one after the other, and started again. */
+  /** Restarts all proxies one after the other (SIGTERM and start). */
   ROLLING_RESTART,
-  /** A configuration is sent, with other idle times and other home regions. */
+  /** Sends a new configuration with another idle timeout and other home regions. */
   CONFIGURATION,
-  /** An upstream gives a share of its answers twice, at once or late. */
+  /** Makes an upstream send a share of its responses twice, immediately or late. */
   SECOND_COPIES,
-  /** All upstreams that hold keys give a share of their answers twice, at once or late. */
+  /**
+   * Makes all upstreams of the partitioned service send a share of their responses twice,
+   * immediately or late.
+   */
   HOLDER_SECOND_COPIES,
-  /** An upstream that holds keys turns a share of its requests away, since it is full. */
+  /** Makes an upstream of the partitioned service reject a share of its requests as full. */
   HOLDER_FULL,
   /**
-   * An upstream that holds keys stands still, and then reads the calls that have come meanwhile.
+   * Stalls an upstream of the partitioned service, which then handles the calls that arrived
+   * meanwhile.
    */
   HOLDER_STALL,
-  /** A proxy is told that its settings have changed. */
+  /** Makes a proxy reload its settings (SIGHUP). */
   PROXY_RELOAD,
-  /** The first beat of a life that has ended comes late, from an upstream's address. */
+  /**
+   * Sends the delayed first heartbeat of an instance that has ended, from an upstream's address.
+   */
   LATE_FIRST_BEAT;
 
-  /** One trouble that is in force. */
+  /** A fault that has been injected. */
   interface ActiveFault {
-    /** Takes the trouble back. */
-    void end();
+    /** Reverts the fault. */
+    void revert();
   }
 
-  private static final int DELAY_MILLIS = 150;
+  private static final int LINK_DELAY_MILLIS = 150;
 
-  /** Less than a call's longest life and the setting ownership.late-ms together. */
+  /** Less than a call's longest lifetime plus the setting {@code ownership.late-ms}. */
   private static final int STALL_MILLIS = 1500;
 
-  private static final double DOUBLED_ANSWERS = 0.5;
-  private static final double TURNED_AWAY = 0.4;
+  private static final double DUPLICATED_RESPONSE_SHARE = 0.5;
+  private static final double REJECTED_SHARE_WHEN_FULL = 0.4;
 
-  /** The share of requests that an upstream which holds keys turns away without any trouble. */
-  static final double USUALLY_TURNED_AWAY = 0.25;
+  /** Share of requests that an upstream of the partitioned service rejects without any fault. */
+  static final double BASELINE_REJECTED_SHARE = 0.25;
 
-  private static final int[] IDLE_MILLIS = {400, 1000, 15_000};
+  private static final int[] IDLE_TIMEOUTS_MILLIS = {400, 1000, 15_000};
 
-  /** Brings it about at a place that is drawn. */
-  ActiveFault begin(final LocalFleet fleet, final Random random) {
+  /** Injects the fault into a randomly chosen part of the fleet. */
+  ActiveFault inject(final LocalFleet fleet, final Random random) {
     return switch (this) {
-      case PROXY_KILL -> killed(List.of(drawn(fleet.proxies(), random)));
-      case PROXY_RESTART -> terminated(drawn(fleet.proxies(), random));
-      case PROXY_FREEZE -> frozen(drawn(fleet.proxies(), random));
-      case REGISTRY_KILL -> killed(List.of(drawn(fleet.registries(), random)));
-      case REGISTRY_FREEZE -> frozen(drawn(fleet.registries(), random));
-      case STORE_KILL -> killed(List.of(drawn(fleet.stores(), random)));
-      case STORE_FREEZE -> frozen(drawn(fleet.stores(), random));
+      case PROXY_KILL -> kill(List.of(pick(fleet.proxies(), random)));
+      case PROXY_RESTART -> terminate(pick(fleet.proxies(), random));
+      case PROXY_FREEZE -> freeze(pick(fleet.proxies(), random));
+      case REGISTRY_KILL -> kill(List.of(pick(fleet.registries(), random)));
+      case REGISTRY_FREEZE -> freeze(pick(fleet.registries(), random));
+      case STORE_KILL -> kill(List.of(pick(fleet.stores(), random)));
+      case STORE_FREEZE -> freeze(pick(fleet.stores(), random));
       case MACHINE_KILL -> {
         final int machine = random.nextInt(fleet.stores().size());
-        yield killed(List.of(fleet.registries().get(machine), fleet.stores().get(machine)));
+        yield kill(List.of(fleet.registries().get(machine), fleet.stores().get(machine)));
       }
-      case ALL_REGISTRIES_KILL -> killed(fleet.registries());
+      case ALL_REGISTRIES_KILL -> kill(fleet.registries());
       case UPSTREAM_CUT -> {
-        final TcpRelay relay = drawn(fleet.relays(), random);
-        relay.cut(true);
-        yield () -> relay.cut(false);
+        final TcpRelay relay = pick(fleet.upstreamRelays(), random);
+        relay.blocked(true);
+        yield () -> relay.blocked(false);
       }
       case UPSTREAM_DELAY -> {
-        final TcpRelay relay = drawn(fleet.relays(), random);
-        relay.delayMillis(DELAY_MILLIS);
+        final TcpRelay relay = pick(fleet.upstreamRelays(), random);
+        relay.delayMillis(LINK_DELAY_MILLIS);
         yield () -> relay.delayMillis(0);
       }
       case ANSWERS_LOST -> {
-        final TcpRelay relay = drawn(fleet.relays(), random);
-        relay.dropAnswers(true);
-        yield () -> relay.dropAnswers(false);
+        final TcpRelay relay = pick(fleet.upstreamRelays(), random);
+        relay.closeOnResponse(true);
+        yield () -> relay.closeOnResponse(false);
       }
       case CORE_LINKS_CUT -> {
-        final List<TcpRelay> relays = machineRelays(fleet, random);
-        relays.forEach(relay -> relay.cut(true));
-        yield () -> relays.forEach(relay -> relay.cut(false));
+        final List<TcpRelay> relays = coreMachineRelays(fleet, random);
+        relays.forEach(relay -> relay.blocked(true));
+        yield () -> relays.forEach(relay -> relay.blocked(false));
       }
       case CORE_LINKS_DELAY -> {
-        final List<TcpRelay> relays = machineRelays(fleet, random);
-        relays.forEach(relay -> relay.delayMillis(DELAY_MILLIS));
+        final List<TcpRelay> relays = coreMachineRelays(fleet, random);
+        relays.forEach(relay -> relay.delayMillis(LINK_DELAY_MILLIS));
         yield () -> relays.forEach(relay -> relay.delayMillis(0));
       }
       case HOLDER_CUT -> {
-        if (fleet.keyRelays().isEmpty()) {
+        if (fleet.keyHolderRelays().isEmpty()) {
           yield () -> {};
         }
-        final TcpRelay relay = drawn(fleet.keyRelays(), random);
-        relay.cut(true);
-        yield () -> relay.cut(false);
+        final TcpRelay relay = pick(fleet.keyHolderRelays(), random);
+        relay.blocked(true);
+        yield () -> relay.blocked(false);
       }
       case HOLDER_DRAIN -> {
-        if (fleet.keyRelays().isEmpty()) {
+        if (fleet.keyHolderRelays().isEmpty()) {
           yield () -> {};
         }
-        final int holder = random.nextInt(fleet.keyRelays().size());
-        fleet.drain(holder);
-        yield () -> fleet.beginLife(holder);
+        final int leaseHolder = random.nextInt(fleet.keyHolderRelays().size());
+        fleet.drainKeyHolder(leaseHolder);
+        yield () -> fleet.restartKeyHolder(leaseHolder);
       }
       case ROLLING_RESTART -> {
-        final Thread restarts = new Thread(() -> restartAll(fleet), "rolling-restart");
+        final Thread restarts = new Thread(() -> restartAllProxies(fleet), "rolling-restart");
         restarts.setDaemon(true);
         restarts.start();
         yield () -> join(restarts);
       }
       case CONFIGURATION -> {
         fleet.sendNextConfiguration(
-            IDLE_MILLIS[random.nextInt(IDLE_MILLIS.length)], HomeRegions.drawn(random));
+            IDLE_TIMEOUTS_MILLIS[random.nextInt(IDLE_TIMEOUTS_MILLIS.length)],
+            HomeRegions.pick(random));
         yield () -> {};
       }
-      case SECOND_COPIES -> doubled(List.of(drawn(fleet.upstreams(), random)));
-      case HOLDER_SECOND_COPIES -> doubled(fleet.keyHolders());
+      case SECOND_COPIES -> duplicateResponses(List.of(pick(fleet.upstreams(), random)));
+      case HOLDER_SECOND_COPIES -> duplicateResponses(fleet.keyHolders());
       case HOLDER_FULL -> {
         if (fleet.keyHolders().isEmpty()) {
           yield () -> {};
         }
-        final RecordingUpstream holder = drawn(fleet.keyHolders(), random);
-        holder.full(TURNED_AWAY);
-        yield () -> holder.full(USUALLY_TURNED_AWAY);
+        final RecordingUpstream leaseHolder = pick(fleet.keyHolders(), random);
+        leaseHolder.rejectedShare(REJECTED_SHARE_WHEN_FULL);
+        yield () -> leaseHolder.rejectedShare(BASELINE_REJECTED_SHARE);
       }
       case HOLDER_STALL -> {
         if (!fleet.keyHolders().isEmpty()) {
-          drawn(fleet.keyHolders(), random).stall(STALL_MILLIS);
+          pick(fleet.keyHolders(), random).stall(STALL_MILLIS);
         }
         yield () -> {};
       }
       case PROXY_RELOAD -> {
-        drawn(fleet.proxies(), random).reload();
+        pick(fleet.proxies(), random).reload();
         yield () -> {};
       }
       case LATE_FIRST_BEAT -> {
-        fleet.lateFirstBeat(random);
+        fleet.sendLateFirstHeartbeat(random);
         yield () -> {};
       }
     };
   }
 
-  private static List<TcpRelay> machineRelays(final LocalFleet fleet, final Random random) {
+  private static List<TcpRelay> coreMachineRelays(final LocalFleet fleet, final Random random) {
     final int machine = random.nextInt(fleet.stores().size());
     return fleet.coreRelays().subList(2 * machine, 2 * machine + 2);
   }
 
-  private static void restartAll(final LocalFleet fleet) {
+  private static void restartAllProxies(final LocalFleet fleet) {
     for (final DaemonProcess proxy : fleet.proxies()) {
       proxy.terminate();
       proxy.startIfDown();
@@ -184,31 +197,31 @@
   private static void join(final Thread thread) {
     try {
       thread.join();
-    } catch (final InterruptedException stopped) {
+    } catch (final InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private static <T> T drawn(final List<T> those, final Random random) {
-    return those.get(random.nextInt(those.size()));
+  private static <T> T pick(final List<T> candidates, final Random random) {
+    return candidates.get(random.nextInt(candidates.size()));
   }
 
-  private static ActiveFault doubled(final List<RecordingUpstream> upstreams) {
-    upstreams.forEach(upstream -> upstream.secondCopies(DOUBLED_ANSWERS));
-    return () -> upstreams.forEach(upstream -> upstream.secondCopies(0));
+  private static ActiveFault duplicateResponses(final List<RecordingUpstream> upstreams) {
+    upstreams.forEach(upstream -> upstream.duplicatedResponseShare(DUPLICATED_RESPONSE_SHARE));
+    return () -> upstreams.forEach(upstream -> upstream.duplicatedResponseShare(0));
   }
 
-  private static ActiveFault killed(final List<DaemonProcess> processes) {
+  private static ActiveFault kill(final List<DaemonProcess> processes) {
     processes.forEach(DaemonProcess::kill);
     return () -> processes.forEach(DaemonProcess::startIfDown);
   }
 
-  private static ActiveFault terminated(final DaemonProcess process) {
+  private static ActiveFault terminate(final DaemonProcess process) {
     process.terminate();
     return process::startIfDown;
   }
 
-  private static ActiveFault frozen(final DaemonProcess process) {
+  private static ActiveFault freeze(final DaemonProcess process) {
     process.pause();
     return process::resume;
   }
--- a/soak/src/main/java/weldpoint/soak/HttpCaller.java
+++ b/soak/src/main/java/weldpoint/soak/HttpCaller.java
@@ -8,13 +8,16 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** A client that sends one request over a connection of its own and never sends it again. */
+/** An HTTP/1.1 client that opens a connection for each request and never retries. */
 final class HttpCaller {
-  private static final int CONNECT_MILLIS = 1000;
+  private static final int CONNECT_TIMEOUT_MILLIS = 1000;
 
   private HttpCaller() {}
 
-  /** Sends one request; {@link ClientReply#NONE} where no whole answer came in time. */
+  /**
+   * Sends one request and returns the response, or {@link ClientReply#NONE} if no complete response
+   * arrives in time.
+   */
   static ClientReply call(
       final String address,
       final String method,
@@ -27,7 +30,7 @@
       socket.connect(
           new InetSocketAddress(
               address.substring(0, colon), Integer.parseInt(address.substring(colon + 1))),
-          CONNECT_MILLIS);
+          CONNECT_TIMEOUT_MILLIS);
       socket.setSoTimeout(timeoutMillis);
       final byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
       final StringBuilder head = new StringBuilder();
@@ -38,7 +41,7 @@
       socket.getOutputStream().write(bytes);
       socket.getOutputStream().flush();
       return read(socket.getInputStream());
-    } catch (final IOException unanswered) {
+    } catch (final IOException e) {
       return ClientReply.NONE;
     }
   }
--- a/soak/src/main/java/weldpoint/soak/SoakCommand.java
+++ b/soak/src/main/java/weldpoint/soak/SoakCommand.java
@@ -8,13 +8,14 @@
 import joptsimple.OptionSpec;
 
 /**
- * Plays soaks of real processes on loopback, one seed after the other. Exit 0: nothing was broken;
- * 1: something was, with its seed and evidence; 2: arguments that make no sense.
+ * Runs soak tests of real daemon processes on loopback, one seed after the other, and prints one
+ * line for each seed. Exit status: 0 if no violation was found; 1 if one was, printed with its seed
+ * and evidence; 2 for invalid arguments.
  */
 public final class SoakCommand {
   private SoakCommand() {}
 
-  /** Plays the soaks that the arguments ask for. */
+  /** Runs the soaks that the arguments specify. */
   public static void main(final String[] arguments) throws IOException, InterruptedException {
     final OptionParser parser = new OptionParser();
     final OptionSpec<Long> seed =
@@ -31,7 +32,7 @@
             .defaultsTo(10);
     final OptionSpec<Integer> seconds =
         parser
-            .accepts("seconds", "how long each is troubled")
+            .accepts("seconds", "how long faults are injected, per seed")
             .withRequiredArg()
             .ofType(Integer.class)
             .defaultsTo(30);
@@ -43,22 +44,22 @@
             .defaultsTo(3);
     final OptionSpec<Integer> cores =
         parser
-            .accepts("cores", "how many core machines")
+            .accepts("cores", "how many core machines (state store and registry)")
             .withRequiredArg()
             .ofType(Integer.class)
             .defaultsTo(3);
     final OptionSpec<Integer> keyHolders =
         parser
-            .accepts("key-holders", "how many upstreams of a service that is divided by key")
+            .accepts("key-holders", "how many upstreams of the partitioned service")
             .withRequiredArg()
             .ofType(Integer.class)
             .defaultsTo(4);
-    parser.accepts("help", "shows this");
+    parser.accepts("help", "shows this help");
     final OptionSet options;
     try {
       options = parser.parse(arguments);
-    } catch (final OptionException problem) {
-      System.err.println(problem.getMessage());
+    } catch (final OptionException e) {
+      System.err.println(e.getMessage());
       parser.printHelpOn(System.err);
       System.exit(2);
       return;
@@ -70,29 +71,30 @@
     final LocalFleet.Size size =
         new LocalFleet.Size(
             options.valueOf(cores), options.valueOf(proxies), 3, options.valueOf(keyHolders));
-    final long troubledMillis = 1000L * options.valueOf(seconds);
-    final boolean good = play(options.valueOf(seed), options.valueOf(runs), size, troubledMillis);
-    System.exit(good ? 0 : 1);
+    final long faultPhaseMillis = 1000L * options.valueOf(seconds);
+    final boolean passed =
+        runSeeds(options.valueOf(seed), options.valueOf(runs), size, faultPhaseMillis);
+    System.exit(passed ? 0 : 1);
   }
 
-  private static boolean play(
-      final long first, final int runs, final LocalFleet.Size size, final long troubledMillis)
+  private static boolean runSeeds(
+      final long firstSeed, final int runs, final LocalFleet.Size size, final long faultPhaseMillis)
       throws IOException, InterruptedException {
-    boolean good = true;
-    for (long seed = first; seed < first + runs; seed++) {
-      final SoakRun.Verdict verdict = new SoakRun(seed, size, troubledMillis).play();
-      System.out.println(text(verdict));
-      good &= verdict.broken().isEmpty();
+    boolean passed = true;
+    for (long seed = firstSeed; seed < firstSeed + runs; seed++) {
+      final SoakRun.Verdict verdict = new SoakRun(seed, size, faultPhaseMillis).run();
+      System.out.println(format(verdict));
+      passed &= verdict.violations().isEmpty();
     }
-    return good;
+    return passed;
   }
 
-  /** A verdict in one line, with the evidence below where something was broken. */
-  static String text(final SoakRun.Verdict verdict) {
-    final List<String> broken = verdict.broken();
+  /** Formats a verdict as one line, followed by the violations if there are any. */
+  static String format(final SoakRun.Verdict verdict) {
+    final List<String> violations = verdict.violations();
     return "seed "
         + verdict.seed()
-        + (broken.isEmpty() ? " good" : " BROKEN")
+        + (violations.isEmpty() ? " good" : " BROKEN")
         + ": calls "
         + verdict.calls()
         + " served "
@@ -100,21 +102,21 @@
         + " keyed runs "
         + verdict.keyedRuns()
         + " most in a window "
-        + verdict.mostInWindow()
+        + verdict.maxRunsInWindow()
         + " of "
-        + SoakRun.ALLOWED
+        + SoakRun.MAX_RUNS_IN_WINDOW
         + " fetched "
-        + verdict.fetched()
+        + verdict.partitionedReadsServed()
         + " of "
-        + verdict.fetches()
+        + verdict.partitionedReads()
         + " pulled "
-        + verdict.pulled()
+        + verdict.completeDownloads()
         + " of "
-        + verdict.pulls()
+        + verdict.downloads()
         + " homed runs "
-        + verdict.homedRuns()
+        + verdict.regionBoundRuns()
         + " troubles "
-        + verdict.troubles()
-        + (broken.isEmpty() ? "" : "\n  " + String.join("\n  ", broken));
+        + verdict.faults()
+        + (violations.isEmpty() ? "" : "\n  " + String.join("\n  ", violations));
   }
 }
--- a/soak/src/main/java/weldpoint/soak/TcpRelay.java
+++ b/soak/src/main/java/weldpoint/soak/TcpRelay.java
@@ -12,20 +12,21 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * A relay between two processes that can hold bytes up, delay them, and break connections off in
- * place of an answer.
+ * A TCP relay between two processes that can hold bytes back, delay them, and close connections
+ * instead of passing a response on. Each direction of a connection has its own thread; the settings
+ * may be changed from any thread, also while bytes are held back.
  */
 final class TcpRelay implements Closeable {
   private static final int BUFFER_BYTES = 16 << 10;
-  private static final long HOLD_STEP_MILLIS = 5;
+  private static final long BLOCK_POLL_MILLIS = 5;
 
   private final ServerSocket server;
   private final InetSocketAddress target;
   private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
-  private volatile boolean cut;
-  private volatile boolean answersDropped;
+  private volatile boolean blocked;
+  private volatile boolean closeOnResponse;
   private volatile int delayMillis;
-  private volatile boolean heldLost;
+  private volatile boolean closeAfterBlock;
   private volatile boolean closed;
 
   TcpRelay(final String host, final int port, final InetSocketAddress target) throws IOException {
@@ -40,24 +41,27 @@
     thread.start();
   }
 
-  /** Holds all bytes up, both ways, until it is joined again; nothing is lost. */
-  void cut(final boolean given) {
-    cut = given;
+  /**
+   * Sets whether all bytes are held back, in both directions. None are lost, unless {@link
+   * #closeAfterBlock} is set.
+   */
+  void blocked(final boolean enabled) {
+    blocked = enabled;
   }
 
-  /** From now on a cut breaks off the connections whose bytes it held up: those bytes are lost. */
-  void loseHeld(final boolean given) {
-    heldLost = given;
+  /** Sets whether connections whose bytes were held back are closed, so that the bytes are lost. */
+  void closeAfterBlock(final boolean enabled) {
+    closeAfterBlock = enabled;
   }
 
-  /** Breaks a connection off when an answer comes back over it. */
-  void dropAnswers(final boolean given) {
-    answersDropped = given;
+  /** Sets whether a connection is closed when response bytes arrive on it. */
+  void closeOnResponse(final boolean enabled) {
+    closeOnResponse = enabled;
   }
 
-  /** Delays each piece by so many milliseconds, both ways. */
-  void delayMillis(final int given) {
-    delayMillis = given;
+  /** Sets the delay of each chunk read, in milliseconds, in both directions. */
+  void delayMillis(final int millis) {
+    delayMillis = millis;
   }
 
   private void accept() {
@@ -68,7 +72,7 @@
         sockets.add(client);
         sockets.add(upstream);
         start(() -> connect(client, upstream), "relay-out");
-      } catch (final IOException ended) {
+      } catch (final IOException e) {
         return;
       }
     }
@@ -81,56 +85,56 @@
       upstream.setTcpNoDelay(true);
       start(() -> pump(upstream, client, true), "relay-back");
       pump(client, upstream, false);
-    } catch (final IOException refused) {
-      end(client);
-      end(upstream);
+    } catch (final IOException e) {
+      closeSocket(client);
+      closeSocket(upstream);
     }
   }
 
-  private void pump(final Socket from, final Socket to, final boolean answers) {
+  private void pump(final Socket from, final Socket to, final boolean fromUpstream) {
     final byte[] buffer = new byte[BUFFER_BYTES];
     try {
       final InputStream in = from.getInputStream();
       final OutputStream out = to.getOutputStream();
       for (int count = in.read(buffer); count > 0; count = in.read(buffer)) {
-        final boolean held = hold();
-        if (answers && answersDropped || held && heldLost) {
+        final boolean wasBlocked = delayOrBlock();
+        if (fromUpstream && closeOnResponse || wasBlocked && closeAfterBlock) {
           break;
         }
         out.write(buffer, 0, count);
         out.flush();
       }
-    } catch (final IOException ended) {
-      // both sides are ended below
+    } catch (final IOException e) {
+      // both sockets are closed below
     } finally {
-      end(from);
-      end(to);
+      closeSocket(from);
+      closeSocket(to);
     }
   }
 
-  /** Waits while bytes are held up; true where a cut held them. */
-  private boolean hold() {
-    boolean held = false;
+  /** Waits for the delay and while the relay is blocked; returns whether it was blocked. */
+  private boolean delayOrBlock() {
+    boolean wasBlocked = false;
     try {
       if (delayMillis > 0) {
         Thread.sleep(delayMillis);
       }
-      while (cut && !closed) {
-        held = true;
-        Thread.sleep(HOLD_STEP_MILLIS);
+      while (blocked && !closed) {
+        wasBlocked = true;
+        Thread.sleep(BLOCK_POLL_MILLIS);
       }
-    } catch (final InterruptedException stopped) {
+    } catch (final InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    return held;
+    return wasBlocked;
   }
 
-  private void end(final Socket socket) {
+  private void closeSocket(final Socket socket) {
     sockets.remove(socket);
     try {
       socket.close();
-    } catch (final IOException alreadyClosed) {
-      // nothing is left to do
+    } catch (final IOException e) {
+      // the socket is closed already
     }
   }
 
@@ -138,6 +142,6 @@
   public void close() throws IOException {
     closed = true;
     server.close();
-    sockets.forEach(this::end);
+    sockets.forEach(this::closeSocket);
   }
 }
--- a/statestore/src/main/java/weldpoint/statestore/AuditSequencer.java
+++ b/statestore/src/main/java/weldpoint/statestore/AuditSequencer.java
@@ -55,14 +55,14 @@
     for (final RegisterState register : registers) {
       if (register.auditTail != null) {
         final AuditTail candidate = Serializer.deserialize(register.auditTail, AuditTail.class);
-        final long reach = candidate.base + Protocol.list(candidate.entries).size();
+        final long reach = candidate.base + Protocol.emptyIfNull(candidate.entries).size();
         if (best == null || reach > lastSequence) {
           best = register;
           lastSequence = reach;
           tailBase = candidate.base;
           tailDigest = candidate.baseDigest == null ? AuditEntry.NO_DIGEST : candidate.baseDigest;
           tail.clear();
-          tail.addAll(Protocol.list(candidate.entries));
+          tail.addAll(Protocol.emptyIfNull(candidate.entries));
         }
       }
     }
@@ -93,7 +93,7 @@
 
   /** Appends an entry for the change that is about to be proposed. */
   void add(final AuditEntry.Draft draft) {
-    final byte[] bytes = draft.bytes(lastSequence + 1, lastDigest);
+    final byte[] bytes = draft.encode(lastSequence + 1, lastDigest);
     tail.addLast(bytes);
     lastSequence++;
     lastDigest = AuditEntry.digest(bytes);
@@ -172,7 +172,7 @@
   AuditEntry entryForVersion(final long version) {
     for (final byte[] bytes : tail) {
       final AuditEntry entry = AuditEntry.read(bytes);
-      if (entry.takesVersion() && entry.version == version) {
+      if (entry.definesVersion() && entry.version == version) {
         return entry;
       }
     }
@@ -218,9 +218,9 @@
                           ? ChangeKind.EVACUATION_BEGUN
                           : ChangeKind.EVACUATION_FINISHED,
                       call.name)
-                  .number(0, serial);
+                  .version(0, serial);
           case TRIAL_WRITE ->
-              trial((TrialMessages.Trial) before, (TrialMessages.Trial) after).number(0, serial);
+              trial((TrialMessages.Trial) before, (TrialMessages.Trial) after).version(0, serial);
           default -> null;
         };
     if (draft == null) {
@@ -229,7 +229,7 @@
     final StoreMessages.ChangeOrigin origin = call.origin;
     return origin == null
         ? draft.origin(null, null, null, time)
-        : draft.origin(origin.author, origin.caller, origin.taker, time);
+        : draft.origin(origin.author, origin.callerAddress, origin.receivedBy, time);
   }
 
   private AuditEntry.Draft configuration(
@@ -237,9 +237,9 @@
     final ConfigurationSummary previous = summary(before);
     final ConfigurationSummary next = summary(after);
     return new AuditEntry.Draft(ChangeKind.CONFIGURATION, "")
-        .number(after.version, 0)
+        .version(after.version, 0)
         .digests(previous.digest, next.digest)
-        .content(after.contentDigest)
+        .contentDigest(after.contentDigest)
         .difference(
             new ConfigurationDifference(previous, next),
             Math.max(0, entryBytes - ENTRY_OVERHEAD_BYTES));
@@ -248,7 +248,7 @@
   private AuditEntry.Draft trial(
       final TrialMessages.Trial before, final TrialMessages.Trial after) {
     return new AuditEntry.Draft(ChangeKind.TRIAL, after.route)
-        .line(
+        .summary(
             "trial "
                 + after.number
                 + " of "
@@ -272,7 +272,7 @@
   private static ConfigurationSummary summary(
       final StoredValues.StoredConfiguration configuration) {
     return configuration == null || configuration.compressedSummary == null
-        ? ConfigurationSummary.none()
+        ? ConfigurationSummary.empty()
         : Serializer.deserialize(
             Compression.inflate(configuration.compressedSummary), ConfigurationSummary.class);
   }
@@ -281,15 +281,15 @@
   AuditEntry.Draft upgradeEntry(
       final StoredValues.StoredConfiguration configuration, final String taker, final long time) {
     return new AuditEntry.Draft(ChangeKind.UPGRADE, "")
-        .number(configuration == null ? 0 : configuration.version, 0)
+        .version(configuration == null ? 0 : configuration.version, 0)
         .origin(weldpoint.audit.Authors.SYSTEM, "", taker, time)
-        .line("the store is older than its history; what was changed before is not in it")
+        .summary("the store is older than its history; what was changed before is not in it")
         .digests(
             "",
             configuration == null
                 ? ""
                 : AuditEntry.digest(Compression.inflate(configuration.compressedBody)))
-        .content(configuration == null ? null : TakenVersions.contentDigest(configuration));
+        .contentDigest(configuration == null ? null : TakenVersions.contentDigest(configuration));
   }
 
   /** The entry with which all replicas trim the oldest ones. */
@@ -297,7 +297,7 @@
       final long through, final String throughDigest, final String taker, final long time) {
     return new AuditEntry.Draft(ChangeKind.RETENTION, "")
         .origin(weldpoint.audit.Authors.SYSTEM, "", taker, time)
-        .trims(through, throughDigest)
-        .line("entries up to " + through + " are forgotten");
+        .trimThrough(through, throughDigest)
+        .summary("entries up to " + through + " are forgotten");
   }
 }
--- a/statestore/src/main/java/weldpoint/statestore/ControlView.java
+++ b/statestore/src/main/java/weldpoint/statestore/ControlView.java
@@ -50,11 +50,11 @@
       }
       case PURGES -> {
         purges = (CacheMessages.Purges) register.committed;
-        otherSerials += purges.mark;
+        otherSerials += purges.lastSerial;
       }
       case ELECTORATE -> {
         electorates.add((RegionMessages.Electorate) register.committed);
-        otherSerials += ((RegionMessages.Electorate) register.committed).mark;
+        otherSerials += ((RegionMessages.Electorate) register.committed).revision;
       }
       case PLACEMENT -> {
         placements.add((PlacementMessages.Placement) register.committed);
--- a/statestore/src/main/java/weldpoint/statestore/Membership.java
+++ b/statestore/src/main/java/weldpoint/statestore/Membership.java
@@ -70,7 +70,7 @@
 
   /** Records a request to become a voter; true if the replica is a new joiner. */
   boolean onJoin(final Voter voter, final Roster roster, final long now) {
-    if (roster.index(voter.address) >= 0) {
+    if (roster.indexOf(voter.address) >= 0) {
       describe(voter);
       return false;
     }
@@ -170,7 +170,7 @@
     final List<Voter> best =
         VoterSelection.best(present.voters, unreachable, reachableJoiners(now), maxVoters);
     final List<Voter> added = new ArrayList<>(best);
-    added.removeIf(voter -> present.index(voter.address) >= 0);
+    added.removeIf(voter -> present.indexOf(voter.address) >= 0);
     final List<Voter> removed = new ArrayList<>(present.voters);
     removed.removeAll(best);
     if (added.isEmpty() && removed.isEmpty()) {
--- a/statestore/src/main/java/weldpoint/statestore/RecentCalls.java
+++ b/statestore/src/main/java/weldpoint/statestore/RecentCalls.java
@@ -33,7 +33,9 @@
   /** The earlier decision on a request; null if there is none. */
   Decision find(final StoreRequest call) {
     final RememberedDecision remembered =
-        call.caller == 0 ? null : decided.get(new CallId(call.caller, call.number));
+        call.callerIncarnation == 0
+            ? null
+            : decided.get(new CallId(call.callerIncarnation, call.number));
     return remembered == null ? null : remembered.decision;
   }
 
@@ -48,9 +50,9 @@
 
   /** Remembers the decision on a request. */
   void remember(final StoreRequest call, final Decision decision, final long now) {
-    if (call.caller != 0) {
+    if (call.callerIncarnation != 0) {
       decided.put(
-          new CallId(call.caller, call.number),
+          new CallId(call.callerIncarnation, call.number),
           new RememberedDecision(
               Decision.confirm(decision.status, decision.first, decision.body), now));
     }
--- a/statestore/src/main/java/weldpoint/statestore/Recovery.java
+++ b/statestore/src/main/java/weldpoint/statestore/Recovery.java
@@ -132,13 +132,13 @@
 
   void onMembershipResponse(
       final String from, final StateStoreMessages.MembershipResponse answer, final long now) {
-    if (answer.blank) {
+    if (answer.blankDisk) {
       return;
     }
     if (!replica.recovering) {
       replica.adoptRoster(answer.roster, now);
-      if (replica.roster.index(replica.self) < 0) {
-        final List<String> leaders = Protocol.list(answer.holders);
+      if (replica.roster.indexOf(replica.self) < 0) {
+        final List<String> leaders = Protocol.emptyIfNull(answer.holders);
         for (int index = 0; index < leaders.size(); index++) {
           replica.partitions[index].leader =
               leaders.get(index).isEmpty() ? null : leaders.get(index);
@@ -216,14 +216,15 @@
     recoveringPeers.add(from);
     final boolean incarnationIsNew = request.incarnation > replica.incarnationOf(from);
     replica.knownIncarnations.merge(from, request.incarnation, Math::max);
-    final int index = replica.roster.index(from);
+    final int index = replica.roster.indexOf(from);
     if (incarnationIsNew && index >= 0) {
       LOGGER.atInfo().log(
           "state store %s learns that %s lost its disk and recovers as incarnation %s",
           replica.self, from, request.incarnation);
       replica.onNewIncarnation(index);
     }
-    if (!incarnationIsNew && !(request.after.isEmpty() && Protocol.list(request.names).isEmpty())) {
+    if (!incarnationIsNew
+        && !(request.after.isEmpty() && Protocol.emptyIfNull(request.names).isEmpty())) {
       reply.accept(recoveryResponse(from, request));
       return;
     }
@@ -241,7 +242,7 @@
 
   private StateStoreMessages.RecoveryResponse recoveryResponse(
       final String from, final StateStoreMessages.RecoveryRequest request) {
-    return Protocol.list(request.names).isEmpty()
+    return Protocol.emptyIfNull(request.names).isEmpty()
         ? catalogPage(request)
         : valuesResponse(from, request);
   }
@@ -389,9 +390,9 @@
     if (source == null || source.request == null || source.request.number != answer.number) {
       return;
     }
-    final List<RegisterEntry> entries = Protocol.list(answer.entries);
+    final List<RegisterEntry> entries = Protocol.emptyIfNull(answer.entries);
     responsesReceived++;
-    if (answer.values) {
+    if (answer.containsValues) {
       receiveValues(source, answer, entries);
     } else {
       if (answer.after.isEmpty()) {
@@ -399,8 +400,8 @@
         source.versions.clear();
       }
       for (final RegisterEntry entry : entries) {
-        source.versions.put(entry.name, entry.mark);
-        if (entry.whole != null) {
+        source.versions.put(entry.name, entry.version);
+        if (entry.fullValue != null) {
           storeFetched(entry);
         }
         source.lastName = entry.name;
@@ -418,7 +419,7 @@
       final Source source,
       final StateStoreMessages.RecoveryResponse answer,
       final List<RegisterEntry> entries) {
-    for (final String name : Protocol.list(answer.absent)) {
+    for (final String name : Protocol.emptyIfNull(answer.absentNames)) {
       source.versions.remove(name);
     }
     if (answer.total == 0) {
@@ -432,40 +433,40 @@
       partialValues.put(entry.name, partial);
     }
     if (partial == null
-        || !partial.firstEntry.mark.equals(entry.mark)
+        || !partial.firstEntry.version.equals(entry.version)
         || partial.bytes.size() != answer.offset) {
       return;
     }
-    partial.bytes.writeBytes(entry.whole);
-    bytesReceived += entry.whole.length;
+    partial.bytes.writeBytes(entry.fullValue);
+    bytesReceived += entry.fullValue.length;
     if (partial.bytes.size() == answer.total) {
       partialValues.remove(entry.name);
       bytesReceived -= answer.total;
       storeFetched(
           new RegisterEntry(
               entry.name,
-              entry.mark,
+              entry.version,
               RegisterVersion.NONE,
               null,
               partial.bytes.toByteArray(),
-              partial.firstEntry.audit));
+              partial.firstEntry.auditEntry));
     }
   }
 
   /** Stores a received value in memory and on disk, so that it is not requested again. */
   private void storeFetched(final RegisterEntry entry) {
     final Partition partition = replica.partitions[StateStoreReplica.partitionOf(entry.name)];
-    bytesReceived += entry.whole.length;
+    bytesReceived += entry.fullValue.length;
     final StoredRegister before = partition.stored.get(entry.name);
-    if (before != null && before.version.compareTo(entry.mark) >= 0) {
+    if (before != null && before.version.compareTo(entry.version) >= 0) {
       return;
     }
-    partition.store(entry.mark.ballot(), false, List.of(entry), new ArrayList<>());
+    partition.store(entry.version.ballot(), false, List.of(entry), new ArrayList<>());
     replica.persist(
         new StoredValues.DiskRecord(
             StateStoreReplica.RECORD_REGISTERS,
             partition.number,
-            entry.mark.ballot(),
+            entry.version.ballot(),
             List.of(entry),
             null,
             null,
@@ -578,7 +579,7 @@
     final Set<String> requested = new HashSet<>();
     for (final Source source : catalogs.values()) {
       if (source.request != null) {
-        requested.addAll(Protocol.list(source.request.names));
+        requested.addAll(Protocol.emptyIfNull(source.request.names));
       }
     }
     final int share =
@@ -624,7 +625,9 @@
     for (final Source source : catalogs.values()) {
       for (int index = 0; index < replica.roster.voters.size(); index++) {
         replica.knownIncarnations.merge(
-            replica.roster.voters.get(index).address, source.firstPage.known.get(index), Math::max);
+            replica.roster.voters.get(index).address,
+            source.firstPage.knownIncarnations.get(index),
+            Math::max);
       }
       for (final Partition partition : replica.partitions) {
         final RegisterVersion promised = source.firstPage.promised.get(partition.number);
@@ -649,8 +652,8 @@
     partialValues.clear();
     catalogs.forEach(
         (address, source) -> {
-          if (source.firstPage.audited > targetHistoryEntry) {
-            targetHistoryEntry = source.firstPage.audited;
+          if (source.firstPage.auditedThrough > targetHistoryEntry) {
+            targetHistoryEntry = source.firstPage.auditedThrough;
             historySource = address;
           }
         });
@@ -684,7 +687,7 @@
     if (replica.recovering
         && registersDurable
         && !completionRecorded
-        && replica.audit.log().durable() >= targetHistoryEntry) {
+        && replica.audit.log().lastDurable() >= targetHistoryEntry) {
       completionRecorded = true;
       replica.persist(
           replica.selfRecord(),
@@ -715,7 +718,7 @@
       others.removeIf(
           address ->
               sources.get(address).firstPage == null
-                  || sources.get(address).firstPage.audited < targetHistoryEntry);
+                  || sources.get(address).firstPage.auditedThrough < targetHistoryEntry);
       historySource =
           others.isEmpty()
               ? historySource
@@ -726,7 +729,7 @@
 
   private void requestHistory(final long now) {
     historyRequestedAt = now;
-    replica.audit.ask(historySource);
+    replica.audit.requestMissing(historySource);
   }
 
   /** The counters of received responses and bytes. */
--- a/statestore/src/main/java/weldpoint/statestore/StateStoreDaemon.java
+++ b/statestore/src/main/java/weldpoint/statestore/StateStoreDaemon.java
@@ -51,13 +51,14 @@
     final long owner = RandomIds.next();
     this.transport =
         new Transport(
-            loop, new Protocol.Hello(Serializer.PROTOCOL, "frame", settings.address(), owner));
+            loop,
+            new Protocol.Hello(Serializer.PROTOCOL_VERSION, "frame", settings.address(), owner));
     this.connections =
         new PeerConnections(
             transport,
             settings.transportPort(1),
             to ->
-                Transport.on(
+                Transport.dispatchOn(
                     executor,
                     new Transport.Listener() {
                       @Override
@@ -95,7 +96,7 @@
 
               @Override
               public void peers(final List<String> addresses) {
-                connections.keep(addresses);
+                connections.updateAddresses(addresses);
               }
 
               @Override
@@ -148,10 +149,10 @@
                 now()));
     log.start("tape");
     segments.start("history");
-    transport.serve(
+    transport.bind(
         settings.bindAddress(),
         settings.transportPort(1),
-        Transport.on(
+        Transport.dispatchOn(
             executor,
             new Transport.Listener() {
               @Override
@@ -159,7 +160,7 @@
                 if (message instanceof StoreMessages.StoreRequest) {
                   replica.call(
                       (StoreMessages.StoreRequest) message,
-                      answer -> connection.send(answer.at(now())),
+                      answer -> connection.send(answer.withClock(now())),
                       now());
                 } else {
                   replica.receive(connection.peer().address, message, connection::send, now());
@@ -177,7 +178,7 @@
     final long now = now();
     replica.updateDiskState(log.currentWriteMillis(), log.failing(), now);
     replica.tick(now);
-    if (now - countersLoggedAt >= settings.countersMillis()) {
+    if (now - countersLoggedAt >= settings.counterLogMillis()) {
       countersLoggedAt = now;
       LOGGER.atInfo().log(
           "counters: serving %s ballots %s commits %s syncs %s %s roster %s %s %s",
--- a/statestore/src/main/java/weldpoint/statestore/StateStoreReplica.java
+++ b/statestore/src/main/java/weldpoint/statestore/StateStoreReplica.java
@@ -222,7 +222,7 @@
           partitions[record.partition].store(
               record.ballot,
               record.incarnation == 1,
-              Protocol.list(record.entries),
+              Protocol.emptyIfNull(record.entries),
               new ArrayList<>());
       case RECORD_ROSTER -> {
         if (record.roster.number > roster.number) {
@@ -326,7 +326,7 @@
 
   private void learnIncarnations(final long rosterNumber, final List<Long> incarnations) {
     if (rosterNumber != roster.number
-        || Protocol.list(incarnations).size() != roster.voters.size()) {
+        || Protocol.emptyIfNull(incarnations).size() != roster.voters.size()) {
       return;
     }
     for (int index = 0; index < incarnations.size(); index++) {
@@ -405,7 +405,7 @@
   private final List<Partition> partitionsToRestart = new ArrayList<>();
 
   boolean canVote() {
-    return !recovering && mayVote && roster.index(self) >= 0;
+    return !recovering && mayVote && roster.indexOf(self) >= 0;
   }
 
   // ---- messages from other replicas
@@ -486,7 +486,7 @@
   public void connectionClosed(final String address, final long now) {
     membership.onConnectionClosed(address, now);
     recovery.connectionClosed(address);
-    final int index = roster.index(address);
+    final int index = roster.indexOf(address);
     for (final Partition partition : partitions) {
       if (address.equals(partition.leader)
           && partition.phase.ordinal() <= Phase.PRE_VOTING.ordinal()) {
@@ -528,7 +528,7 @@
 
   private void onPreVote(
       final StateStoreMessages.PreVote preVote, final Consumer<Message> reply, final long now) {
-    if (!checkRoster(preVote.roster, reply, preVote.partition, RegisterVersion.NONE)) {
+    if (!checkRoster(preVote.rosterNumber, reply, preVote.partition, RegisterVersion.NONE)) {
       return;
     }
     final Partition partition = partitions[preVote.partition];
@@ -543,7 +543,7 @@
   private void onPreVoteResponse(
       final String from, final StateStoreMessages.PreVoteResponse response, final long now) {
     final Partition partition = partitions[response.partition];
-    final int voterIndex = roster.index(from);
+    final int voterIndex = roster.indexOf(from);
     if (partition.phase != Phase.PRE_VOTING
         || partition.preVoteNumber != response.number
         || voterIndex < 0
@@ -571,7 +571,7 @@
 
   private void onPrepare(
       final StateStoreMessages.Prepare prepare, final Consumer<Message> reply, final long now) {
-    if (!checkRoster(prepare.roster, reply, prepare.partition, prepare.ballot)) {
+    if (!checkRoster(prepare.rosterNumber, reply, prepare.partition, prepare.ballot)) {
       return;
     }
     final Partition partition = partitions[prepare.partition];
@@ -598,7 +598,7 @@
         new StoredValues.DiskRecord(
             RECORD_PROMISE, partition.number, prepare.ballot, null, null, null, 0),
         () -> {
-          if (partition.promised.equals(prepare.ballot) && roster.number == prepare.roster) {
+          if (partition.promised.equals(prepare.ballot) && roster.number == prepare.rosterNumber) {
             reply.accept(
                 new StateStoreMessages.Promise(
                     partition.number,
@@ -616,11 +616,11 @@
       final StateStoreMessages.Accept accept,
       final Consumer<Message> reply,
       final long now) {
-    if (!checkRoster(accept.roster, reply, accept.partition, accept.ballot)) {
+    if (!checkRoster(accept.rosterNumber, reply, accept.partition, accept.ballot)) {
       return;
     }
     final Partition partition = partitions[accept.partition];
-    final List<Long> counted = Protocol.list(accept.counted);
+    final List<Long> counted = Protocol.emptyIfNull(accept.countedIncarnations);
     for (int index = 0; index < counted.size() && index < roster.voters.size(); index++) {
       if (counted.get(index) > 0
           && counted.get(index) < incarnationOf(roster.voters.get(index).address)) {
@@ -648,8 +648,8 @@
       stepDown(partition, now);
     }
     leaderHeard(partition, from, now);
-    persistIncarnations(Protocol.list(accept.known));
-    final List<RegisterEntry> entries = Protocol.list(accept.entries);
+    persistIncarnations(Protocol.emptyIfNull(accept.knownIncarnations));
+    final List<RegisterEntry> entries = Protocol.emptyIfNull(accept.entries);
     final List<RegisterEntry> missing = new ArrayList<>();
     partition.store(accept.ballot, accept.establish, entries, missing);
     final List<String> names = new ArrayList<>(entries.size());
@@ -661,7 +661,7 @@
         missingNames.add(entry.name);
       } else {
         names.add(entry.name);
-        counts.add(entry.mark.count);
+        counts.add(entry.version.count);
         storedEntries.add(entry);
       }
     }
@@ -675,7 +675,7 @@
             null,
             accept.establish ? 1 : 0),
         () -> {
-          if (roster.number == accept.roster) {
+          if (roster.number == accept.rosterNumber) {
             reply.accept(
                 new StateStoreMessages.Accepted(
                     partition.number,
@@ -705,9 +705,9 @@
       final StateStoreMessages.Heartbeat heartbeat,
       final Consumer<Message> reply,
       final long now) {
-    final List<Integer> numbers = Protocol.list(heartbeat.partitions);
+    final List<Integer> numbers = Protocol.emptyIfNull(heartbeat.partitions);
     if (numbers.isEmpty()
-        || !checkRoster(heartbeat.roster, reply, numbers.get(0), heartbeat.ballots.get(0))) {
+        || !checkRoster(heartbeat.rosterNumber, reply, numbers.get(0), heartbeat.ballots.get(0))) {
       return;
     }
     final List<Integer> followed = new ArrayList<>(numbers.size());
@@ -719,10 +719,10 @@
         followed.add(partition.number);
         followedBallots.add(ballot);
         leaderHeard(partition, from, now);
-        membership.establishedUnder(partition.number, heartbeat.roster);
+        membership.establishedUnder(partition.number, heartbeat.rosterNumber);
       } else if (ballot.compareTo(partition.promised) > 0) {
         leaderHeard(partition, from, now);
-        membership.establishedUnder(partition.number, heartbeat.roster);
+        membership.establishedUnder(partition.number, heartbeat.rosterNumber);
       } else {
         reply.accept(
             new StateStoreMessages.Refused(
@@ -731,7 +731,11 @@
     }
     reply.accept(
         new StateStoreMessages.HeartbeatAck(
-            followed, followedBallots, incarnation, voterIncarnations(), audit.log().durable()));
+            followed,
+            followedBallots,
+            incarnation,
+            voterIncarnations(),
+            audit.log().lastDurable()));
   }
 
   private void onRefused(
@@ -739,11 +743,11 @@
       final StateStoreMessages.Refused refused,
       final Consumer<Message> reply,
       final long now) {
-    if (refused.roster < roster.number) {
+    if (refused.rosterNumber < roster.number) {
       environment.send(from, new StateStoreMessages.RosterUpdate(roster));
       return;
     }
-    learnIncarnations(refused.roster, refused.known);
+    learnIncarnations(refused.rosterNumber, refused.knownIncarnations);
     final Partition partition = partitions[refused.partition];
     if (partition.phase != Phase.IDLE
         && partition.ballot.sameBallot(refused.ballot)
@@ -765,7 +769,7 @@
       membership.onLeave(from, now);
       sendReleased(from, reply);
     }
-    for (final int number : Protocol.list(resign.partitions)) {
+    for (final int number : Protocol.emptyIfNull(resign.partitions)) {
       final Partition partition = partitions[number];
       if (from.equals(partition.leader)
           && partition.phase.ordinal() <= Phase.PRE_VOTING.ordinal()) {
@@ -800,7 +804,7 @@
               "state store %s adopts roster %s with voters %s",
               self, update.number, addresses(update));
           updatePeers();
-          if (update.index(self) < 0) {
+          if (update.indexOf(self) < 0) {
             resign(false, now);
           }
           for (final Partition partition : partitions) {
@@ -985,13 +989,13 @@
   private void onPromise(
       final String from, final StateStoreMessages.Promise promise, final long now) {
     final Partition partition = partitions[promise.partition];
-    final int index = roster.index(from);
+    final int index = roster.indexOf(from);
     if (partition.phase != Phase.PREPARING
         || !partition.ballot.equals(promise.ballot)
         || index < 0) {
       return;
     }
-    learnIncarnations(roster.number, promise.known);
+    learnIncarnations(roster.number, promise.knownIncarnations);
     if (partitionsToRestart.contains(partition) || promise.incarnation < incarnationOf(from)) {
       return;
     }
@@ -1022,10 +1026,10 @@
     final Map<String, RegisterEntry> best = new LinkedHashMap<>();
     for (final StateStoreMessages.Promise one : partition.promises) {
       if (one != null) {
-        for (final RegisterEntry entry : Protocol.list(one.entries)) {
+        for (final RegisterEntry entry : Protocol.emptyIfNull(one.entries)) {
           final RegisterEntry before = best.get(entry.name);
-          if (entry.mark.compareTo(floor) >= 0
-              && (before == null || before.mark.compareTo(entry.mark) < 0)) {
+          if (entry.version.compareTo(floor) >= 0
+              && (before == null || before.version.compareTo(entry.version) < 0)) {
             best.put(entry.name, entry);
           }
         }
@@ -1036,10 +1040,10 @@
       final RegisterState register =
           new RegisterState(
               entry.name, historyRetentionMillis, partition.ballot.round, takenVersions);
-      register.proposed = register.kind.decode(entry.whole);
-      register.auditTail = entry.audit;
-      register.promisedVersion = entry.mark;
-      register.version = partition.ballot.at(++partition.versionCount);
+      register.proposed = register.kind.decode(entry.fullValue);
+      register.auditTail = entry.auditEntry;
+      register.promisedVersion = entry.version;
+      register.version = partition.ballot.withCount(++partition.versionCount);
       register.establishedVersion = register.version;
       Arrays.fill(register.ackedCounts, -1);
       Arrays.fill(register.sentCounts, -1);
@@ -1091,17 +1095,17 @@
   private void onAccepted(
       final String from, final StateStoreMessages.Accepted accepted, final long now) {
     final Partition partition = partitions[accepted.partition];
-    final int voterIndex = roster.index(from);
+    final int voterIndex = roster.indexOf(from);
     if (partition.phase != Phase.ESTABLISHING && partition.phase != Phase.SERVING
         || !partition.ballot.sameBallot(accepted.ballot)
         || voterIndex < 0) {
       return;
     }
-    learnIncarnations(roster.number, accepted.known);
+    learnIncarnations(roster.number, accepted.knownIncarnations);
     if (partitionsToRestart.contains(partition) || accepted.incarnation != incarnationOf(from)) {
       return;
     }
-    final List<String> names = Protocol.list(accepted.names);
+    final List<String> names = Protocol.emptyIfNull(accepted.names);
     for (int index = 0; index < names.size(); index++) {
       final RegisterState register = partition.registers.get(names.get(index));
       if (register != null) {
@@ -1113,7 +1117,7 @@
       partition.establishmentAcked[voterIndex] = true;
     }
     partition.repairs[voterIndex].backoffMillis = 0;
-    for (final String name : Protocol.list(accepted.lacking)) {
+    for (final String name : Protocol.emptyIfNull(accepted.missingBase)) {
       final RegisterState register = partition.registers.get(name);
       if (register != null) {
         sendFullValue(partition, register, voterIndex, now);
@@ -1162,7 +1166,7 @@
         "state store %s leads partition %s under ballot %s, roster %s, registers %s",
         self, partition.number, partition.ballot, roster.number, partition.registers.size());
     if (partition.number == 0) {
-      audit.decided(auditSequencer.decideRestored(), otherReplicas());
+      audit.replicate(auditSequencer.decideRestored(), otherReplicas());
       final RegisterState register = partition.registers.get("roster");
       if (register != null && ((Roster) register.committed).number > roster.number) {
         announceRoster((Roster) register.committed, now);
@@ -1193,7 +1197,7 @@
         new StateStoreMessages.Heartbeat(
             roster.number,
             List.of(partition.number),
-            List.of(partition.ballot.at(partition.heartbeatCount))),
+            List.of(partition.ballot.withCount(partition.heartbeatCount))),
         now);
   }
 
@@ -1210,7 +1214,7 @@
         partition.heartbeatCount++;
         partition.heartbeatSentAt = now;
         numbers.add(partition.number);
-        ballots.add(partition.ballot.at(partition.heartbeatCount));
+        ballots.add(partition.ballot.withCount(partition.heartbeatCount));
       }
     }
     if (!numbers.isEmpty()) {
@@ -1222,13 +1226,13 @@
 
   private void onHeartbeatAck(
       final String from, final StateStoreMessages.HeartbeatAck ack, final long now) {
-    final int voterIndex = roster.index(from);
-    final List<Integer> numbers = Protocol.list(ack.partitions);
+    final int voterIndex = roster.indexOf(from);
+    final List<Integer> numbers = Protocol.emptyIfNull(ack.partitions);
     for (int index = 0; index < numbers.size(); index++) {
       final Partition partition = partitions[numbers.get(index)];
       if (partition.phase.ordinal() > Phase.PRE_VOTING.ordinal()
           && partition.ballot.sameBallot(ack.ballots.get(index))) {
-        learnIncarnations(roster.number, ack.known);
+        learnIncarnations(roster.number, ack.knownIncarnations);
         break;
       }
     }
@@ -1241,7 +1245,7 @@
       }
     }
     if (partitions[0].phase == Phase.SERVING) {
-      auditSequencer.loggedThrough(voterIndex, ack.audited);
+      auditSequencer.loggedThrough(voterIndex, ack.auditedThrough);
       auditSequencer.trimTail(roster);
     }
     for (int index = 0; index < numbers.size(); index++) {
@@ -1304,8 +1308,8 @@
       final Consumer<StoreMessages.StoreResponse> connection,
       final long now) {
     final Consumer<StoreMessages.StoreResponse> reply =
-        answer -> connection.accept(answer.to(call.caller));
-    final StoreOperation operation = StoreOperation.of(call.deed);
+        answer -> connection.accept(answer.withCaller(call.callerIncarnation));
+    final StoreOperation operation = StoreOperation.of(call.operation);
     if (operation == null) {
       reply.accept(new StoreMessages.StoreResponse(call.number, 400, 0, null, null));
       return;
@@ -1414,7 +1418,7 @@
 
   /** Whether a copy of a request was in transit for too long; it is not carried out. */
   private static boolean expired(final StoreMessages.StoreRequest call, final long now) {
-    return call.clock != null && now - call.clock > MAX_REQUEST_AGE_MILLIS;
+    return call.storeClockMillis != null && now - call.storeClockMillis > MAX_REQUEST_AGE_MILLIS;
   }
 
   /**
@@ -1423,8 +1427,8 @@
    */
   private static boolean sendTimeComparable(
       final Partition partition, final StoreMessages.StoreRequest call, final long now) {
-    return call.clock == null
-        || call.clock - call.age >= partition.servingSince
+    return call.storeClockMillis == null
+        || call.storeClockMillis - call.ageMillis >= partition.servingSince
         || predatesLeadership(partition, call, now);
   }
 
@@ -1434,7 +1438,7 @@
    */
   private static boolean predatesLeadership(
       final Partition partition, final StoreMessages.StoreRequest call, final long now) {
-    return call.age > 0 && now - call.age < partition.servingSince;
+    return call.ageMillis > 0 && now - call.ageMillis < partition.servingSince;
   }
 
   private Decision decide(
@@ -1497,7 +1501,7 @@
     }
     register.inFlight = true;
     register.proposed = value;
-    register.version = partition.ballot.at(++partition.versionCount);
+    register.version = partition.ballot.withCount(++partition.versionCount);
     byte[] encoded = null;
     byte[] delta = null;
     for (int voterIndex = 0; voterIndex < roster.voters.size(); voterIndex++) {
@@ -1619,7 +1623,7 @@
       }
       answerParkedControlRequests(partition, now);
       if (register.kind.isAudited()) {
-        audit.decided(auditSequencer.commit(register), otherReplicas());
+        audit.replicate(auditSequencer.commit(register), otherReplicas());
         for (final RegisterState other : new ArrayList<>(partition.registers.values())) {
           if (other != register && other.kind.isAudited() && !other.waiting.isEmpty()) {
             processWaiting(partition, other, now);
@@ -1852,7 +1856,7 @@
    * Tells a leaving voter which of the partitions led here are on a majority of disks without it.
    */
   private void sendReleased(final String from, final Consumer<Message> reply) {
-    final int voterIndex = roster.index(from);
+    final int voterIndex = roster.indexOf(from);
     final List<Integer> numbers = new ArrayList<>();
     for (final Partition partition : partitions) {
       if (partition.phase == Phase.SERVING
@@ -1890,8 +1894,8 @@
   }
 
   private void onReleased(final StateStoreMessages.Released released, final long now) {
-    if (gracefulLeave.isLeaving() && released.roster >= gracefulLeave.roster()) {
-      gracefulLeave.released(Protocol.list(released.partitions));
+    if (gracefulLeave.isLeaving() && released.rosterNumber >= gracefulLeave.roster()) {
+      gracefulLeave.released(Protocol.emptyIfNull(released.partitions));
       completeLeave(now);
     }
   }
@@ -1928,7 +1932,7 @@
         resign(true, now);
       }
     }
-    final int voterIndex = roster.index(self);
+    final int voterIndex = roster.indexOf(self);
     if (recovering || voterIndex < 0 || roster.voters.get(voterIndex).site.isEmpty()) {
       requestMembership(now);
     }
@@ -2156,7 +2160,7 @@
     }
     seedsUpdatedAt = now;
     for (final String seed : seeds) {
-      if (!seed.equals(self) && roster.index(seed) < 0 && !membership.joiners().contains(seed)) {
+      if (!seed.equals(self) && roster.indexOf(seed) < 0 && !membership.joiners().contains(seed)) {
         environment.send(seed, new StateStoreMessages.RosterUpdate(roster));
       }
     }
--- a/statestore/src/main/java/weldpoint/statestore/StoredValues.java
+++ b/statestore/src/main/java/weldpoint/statestore/StoredValues.java
@@ -85,7 +85,7 @@
     public Object apply(final Object value, final byte[] delta) {
       final GroupDelta change = Serializer.deserialize(delta, GroupDelta.class);
       return (value == null ? CellGroup.EMPTY : (CellGroup) value)
-          .with(Protocol.list(change.puts), change.floor);
+          .with(Protocol.emptyIfNull(change.puts), change.floor);
     }
   }
 
@@ -309,11 +309,11 @@
     static CellGroup decode(final byte[] bytes) {
       final GroupSnapshot snapshot = Serializer.deserialize(bytes, GroupSnapshot.class);
       final Map<String, Put> cells = new LinkedHashMap<>();
-      for (final Put put : Protocol.list(snapshot.cells)) {
+      for (final Put put : Protocol.emptyIfNull(snapshot.cells)) {
         cells.put(put.name, put);
       }
       return new CellGroup(
-          cells, Protocol.list(snapshot.history), snapshot.revision, snapshot.floor);
+          cells, Protocol.emptyIfNull(snapshot.history), snapshot.revision, snapshot.floor);
     }
   }
 
--- a/statestore/src/main/java/weldpoint/statestore/TakenVersions.java
+++ b/statestore/src/main/java/weldpoint/statestore/TakenVersions.java
@@ -40,10 +40,10 @@
     if (entry == null) {
       return historyComplete() ? alreadyApplied() : Decision.confirm(504, 0);
     }
-    if (entry.content == null) {
+    if (entry.contentDigest == null) {
       return alreadyApplied();
     }
-    return Arrays.equals(entry.content, contentDigest(call))
+    return Arrays.equals(entry.contentDigest, contentDigest(call))
         ? alreadyApplied()
         : versionConflict(call.first, entry);
   }
@@ -66,7 +66,7 @@
 
   private AuditEntry findEntry(final long version) {
     final AuditEntry recent = auditSequencer.entryForVersion(version);
-    return recent == null ? log.taking(version) : recent;
+    return recent == null ? log.entryForVersion(version) : recent;
   }
 
   /** Whether this replica has every retained entry, in its log or in the tail after it. */
@@ -83,7 +83,7 @@
 
   /** The digest of the canonical form of a configuration in a request. */
   static byte[] contentDigest(final StoreRequest call) {
-    return call.content == null ? contentDigest(call.body) : call.content;
+    return call.contentDigest == null ? contentDigest(call.body) : call.contentDigest;
   }
 
   private static byte[] contentDigest(final byte[] compressed) {
--- a/transport/src/main/java/weldpoint/transport/RegionMessages.java
+++ b/transport/src/main/java/weldpoint/transport/RegionMessages.java
@@ -2,11 +2,11 @@
 
 import java.util.List;
 
-/** Messages by which the proxies of a region elect and heed an acting coordinator. */
+/** Messages by which the proxies of a region elect a leader and follow its directives. */
 public final class RegionMessages {
   private RegionMessages() {}
 
-  /** One switchboard, in one life, that may vote. */
+  /** One proxy, in one incarnation, that may vote. */
   public static final class Elector {
     public final String address;
     public final long incarnation;
@@ -18,154 +18,157 @@
   }
 
   /**
-   * The switchboards of a region that may choose a chief, under a rising mark, with the region's
-   * part of all switchboards.
+   * The proxies of a region that may elect its leader, under a revision that rises with each
+   * change, and the region's share of all proxies.
    */
   public static final class Electorate implements Message {
     public final String region;
-    public final long mark;
+    public final long revision;
     public final List<Elector> electors;
-    public final double regionPart;
+    public final double regionShare;
 
     public Electorate(
         final String region,
-        final long mark,
+        final long revision,
         final List<Elector> electors,
-        final double regionPart) {
+        final double regionShare) {
       this.region = region;
-      this.mark = mark;
+      this.revision = revision;
       this.electors = electors;
-      this.regionPart = regionPart;
+      this.regionShare = regionShare;
     }
   }
 
-  /** A switchboard stands for chief. */
+  /** A proxy asks for votes to become the leader of its region. */
   public static final class LeaderVoteRequest implements Message {
     public final String region;
-    public final long mark;
+    public final long electorateRevision;
     public final long term;
     public final String address;
     public final long incarnation;
 
     public LeaderVoteRequest(
         final String region,
-        final long mark,
+        final long electorateRevision,
         final long term,
         final String address,
         final long incarnation) {
       this.region = region;
-      this.mark = mark;
+      this.electorateRevision = electorateRevision;
       this.term = term;
       this.address = address;
       this.incarnation = incarnation;
     }
   }
 
-  /** Whether the sender backs whoever stands. */
+  /** Whether the sender votes for the candidate. */
   public static final class LeaderVoteResponse implements Message {
     public final String region;
-    public final long mark;
+    public final long electorateRevision;
     public final long term;
-    public final boolean yes;
+    public final boolean granted;
 
     public LeaderVoteResponse(
-        final String region, final long mark, final long term, final boolean yes) {
+        final String region,
+        final long electorateRevision,
+        final long term,
+        final boolean granted) {
       this.region = region;
-      this.mark = mark;
+      this.electorateRevision = electorateRevision;
       this.term = term;
-      this.yes = yes;
+      this.granted = granted;
     }
   }
 
-  /** What a chief orders, fenced by the electorate's mark and the term. */
+  /** A leader's directive, fenced by the revision of the electorate and the term. */
   public static final class LeaderDirective implements Message {
     public final String region;
-    public final long mark;
+    public final long electorateRevision;
     public final long term;
-    public final String chief;
+    public final String leader;
     public final long incarnation;
     public final long number;
-    public final long askedAt;
-    public final double admission;
+    public final long sentAt;
+    public final double admittedFraction;
     public final List<String> addresses;
-    public final List<Double> parts;
+    public final List<Double> shares;
     public final List<String> suspects;
-    public final List<String> uncertain;
+    public final List<String> uncertainWrites;
 
     public LeaderDirective(
         final String region,
-        final long mark,
+        final long electorateRevision,
         final long term,
-        final String chief,
+        final String leader,
         final long incarnation,
         final long number,
-        final long askedAt,
-        final double admission,
+        final long sentAt,
+        final double admittedFraction,
         final List<String> addresses,
-        final List<Double> parts,
+        final List<Double> shares,
         final List<String> suspects,
-        final List<String> uncertain) {
+        final List<String> uncertainWrites) {
       this.region = region;
-      this.mark = mark;
+      this.electorateRevision = electorateRevision;
       this.term = term;
-      this.chief = chief;
+      this.leader = leader;
       this.incarnation = incarnation;
       this.number = number;
-      this.askedAt = askedAt;
-      this.admission = admission;
+      this.sentAt = sentAt;
+      this.admittedFraction = admittedFraction;
       this.addresses = addresses;
-      this.parts = parts;
+      this.shares = shares;
       this.suspects = suspects;
-      this.uncertain = uncertain;
+      this.uncertainWrites = uncertainWrites;
     }
   }
 
   /**
-   * What one switchboard has seen lately: requests by kind, writes refused, what upstreams carried,
-   * silent upstreams, writes of unknown fate.
+   * What one proxy has observed lately: requests by kind, rejected writes, what upstreams carried,
+   * upstreams that did not answer, and writes of unknown outcome.
    */
   public static final class ProxyObservations {
-    public final long repeatables;
+    public final long idempotentRequests;
     public final long writes;
-    public final long refusedWrites;
-    public final long carried;
-    public final List<String> silent;
-    public final List<String> uncertain;
+    public final long rejectedWrites;
+    public final long upstreamRequests;
+    public final List<String> silentUpstreams;
+    public final List<String> uncertainWrites;
 
     public ProxyObservations(
-        final long repeatables,
+        final long idempotentRequests,
         final long writes,
-        final long refusedWrites,
-        final long carried,
-        final List<String> silent,
-        final List<String> uncertain) {
-      this.repeatables = repeatables;
+        final long rejectedWrites,
+        final long upstreamRequests,
+        final List<String> silentUpstreams,
+        final List<String> uncertainWrites) {
+      this.idempotentRequests = idempotentRequests;
       this.writes = writes;
-      this.refusedWrites = refusedWrites;
-      this.carried = carried;
-      this.silent = silent;
-      this.uncertain = uncertain;
+      this.rejectedWrites = rejectedWrites;
+      this.upstreamRequests = upstreamRequests;
+      this.silentUpstreams = silentUpstreams;
+      this.uncertainWrites = uncertainWrites;
     }
   }
 
-  /** The sender heeds an order, and tells what it has seen. */
+  /** The sender follows a directive, and reports its observations. */
   public static final class LeaderDirectiveAck implements Message {
-    public final long mark;
+    public final long electorateRevision;
     public final long term;
     public final long number;
-    public final long askedAt;
+    public final long sentAt;
     public final ProxyObservations observations;
 
     public LeaderDirectiveAck(
-        final long mark,
+        final long electorateRevision,
         final long term,
         final long number,
-        final long askedAt,
+        final long sentAt,
         final ProxyObservations observations) {
-      this.mark = mark;
+      this.electorateRevision = electorateRevision;
       this.term = term;
       this.number = number;
-      this.askedAt = askedAt;
+      this.sentAt = sentAt;
       this.observations = observations;
     }
   }
--- a/transport/src/main/java/weldpoint/transport/StateStoreMessages.java
+++ b/transport/src/main/java/weldpoint/transport/StateStoreMessages.java
@@ -2,11 +2,11 @@
 
 import java.util.List;
 
-/** Messages between state stores: ballots, repair and the roster of voters. */
+/** Messages between state store replicas: ballots, repair, recovery and the roster of voters. */
 public final class StateStoreMessages {
   private StateStoreMessages() {}
 
-  /** One voter of the roster. */
+  /** One voter of the roster: where it runs and which tokens it has. */
   public static final class Voter {
     public final String address;
     public final String site;
@@ -22,7 +22,7 @@
     }
   }
 
-  /** The voters, under a rising number. */
+  /** The list of voters; its number rises with each change. */
   public static final class Roster {
     public final long number;
     public final List<Voter> voters;
@@ -32,8 +32,8 @@
       this.voters = voters;
     }
 
-    /** The place of an address among the voters, or -1. */
-    public int index(final String address) {
+    /** Returns the index of an address in the list of voters, or -1 if it is not a voter. */
+    public int indexOf(final String address) {
       for (int index = 0; index < voters.size(); index++) {
         if (voters.get(index).address.equals(address)) {
           return index;
@@ -42,67 +42,67 @@
       return -1;
     }
 
-    /** The smallest number of voters that is more than half. */
+    /** Returns the smallest number of voters that is more than half of them. */
     public int majority() {
       return voters.size() / 2 + 1;
     }
   }
 
-  /** A register's value under its mark; either whole or as a difference from the base mark. */
+  /** A register's value at a version, either in full or as a delta against the base version. */
   public static final class RegisterEntry {
     public final String name;
-    public final RegisterVersion mark;
-    public final RegisterVersion base;
-    public final byte[] difference;
-    public final byte[] whole;
-    public final byte[] audit;
+    public final RegisterVersion version;
+    public final RegisterVersion baseVersion;
+    public final byte[] delta;
+    public final byte[] fullValue;
+    public final byte[] auditEntry;
 
     public RegisterEntry(
         final String name,
-        final RegisterVersion mark,
-        final RegisterVersion base,
-        final byte[] difference,
-        final byte[] whole) {
-      this(name, mark, base, difference, whole, null);
+        final RegisterVersion version,
+        final RegisterVersion baseVersion,
+        final byte[] delta,
+        final byte[] fullValue) {
+      this(name, version, baseVersion, delta, fullValue, null);
     }
 
     public RegisterEntry(
         final String name,
-        final RegisterVersion mark,
-        final RegisterVersion base,
-        final byte[] difference,
-        final byte[] whole,
-        final byte[] audit) {
-      this.audit = audit;
+        final RegisterVersion version,
+        final RegisterVersion baseVersion,
+        final byte[] delta,
+        final byte[] fullValue,
+        final byte[] auditEntry) {
+      this.auditEntry = auditEntry;
       this.name = name;
-      this.mark = mark;
-      this.base = base;
-      this.difference = difference;
-      this.whole = whole;
+      this.version = version;
+      this.baseVersion = baseVersion;
+      this.delta = delta;
+      this.fullValue = fullValue;
     }
   }
 
-  /** Asks for a partition's promise under a higher ballot. */
+  /** Phase 1 of consensus: asks for the promise of a partition under a higher ballot. */
   public static final class Prepare implements Message {
     public final int partition;
-    public final long roster;
+    public final long rosterNumber;
     public final RegisterVersion ballot;
 
-    public Prepare(final int partition, final long roster, final RegisterVersion ballot) {
+    public Prepare(final int partition, final long rosterNumber, final RegisterVersion ballot) {
       this.partition = partition;
-      this.roster = roster;
+      this.rosterNumber = rosterNumber;
       this.ballot = ballot;
     }
   }
 
-  /** The promise, with all that the sender holds of the partition. */
+  /** A promise, with all register values that the sender holds of the partition. */
   public static final class Promise implements Message {
     public final int partition;
     public final RegisterVersion ballot;
     public final RegisterVersion established;
     public final List<RegisterEntry> entries;
     public final long incarnation;
-    public final List<Long> known;
+    public final List<Long> knownIncarnations;
 
     public Promise(
         final int partition,
@@ -110,60 +110,60 @@
         final RegisterVersion established,
         final List<RegisterEntry> entries,
         final long incarnation,
-        final List<Long> known) {
+        final List<Long> knownIncarnations) {
       this.partition = partition;
       this.ballot = ballot;
       this.established = established;
       this.entries = entries;
       this.incarnation = incarnation;
-      this.known = known;
+      this.knownIncarnations = knownIncarnations;
     }
   }
 
   /**
-   * Writes registers; an establishing one replaces the whole partition, and tells the incarnations
-   * that its sender knows.
+   * Phase 2 of consensus: writes registers. If {@code establish} is set, the entries replace the
+   * whole partition and the message carries the incarnations that the sender knows.
    */
   public static final class Accept implements Message {
     public final int partition;
-    public final long roster;
+    public final long rosterNumber;
     public final RegisterVersion ballot;
     public final boolean establish;
-    public final List<Long> counted;
+    public final List<Long> countedIncarnations;
     public final List<RegisterEntry> entries;
-    public final List<Long> known;
+    public final List<Long> knownIncarnations;
 
     public Accept(
         final int partition,
-        final long roster,
+        final long rosterNumber,
         final RegisterVersion ballot,
         final boolean establish,
-        final List<Long> counted,
+        final List<Long> countedIncarnations,
         final List<RegisterEntry> entries) {
-      this(partition, roster, ballot, establish, counted, entries, null);
+      this(partition, rosterNumber, ballot, establish, countedIncarnations, entries, null);
     }
 
     public Accept(
         final int partition,
-        final long roster,
+        final long rosterNumber,
         final RegisterVersion ballot,
         final boolean establish,
-        final List<Long> counted,
+        final List<Long> countedIncarnations,
         final List<RegisterEntry> entries,
-        final List<Long> known) {
-      this.known = known;
+        final List<Long> knownIncarnations) {
+      this.knownIncarnations = knownIncarnations;
       this.partition = partition;
-      this.roster = roster;
+      this.rosterNumber = rosterNumber;
       this.ballot = ballot;
       this.establish = establish;
-      this.counted = counted;
+      this.countedIncarnations = countedIncarnations;
       this.entries = entries;
     }
   }
 
   /**
-   * The registers named are on the sender's disk under these marks; those it lacks the base for are
-   * named apart.
+   * The named registers are on the sender's disk, at these counts within the ballot. Registers for
+   * which the sender lacks the base version of a delta are listed in {@code missingBase}.
    */
   public static final class Accepted implements Message {
     public final int partition;
@@ -171,9 +171,9 @@
     public final boolean establish;
     public final List<String> names;
     public final List<Long> counts;
-    public final List<String> lacking;
+    public final List<String> missingBase;
     public final long incarnation;
-    public final List<Long> known;
+    public final List<Long> knownIncarnations;
 
     public Accepted(
         final int partition,
@@ -181,60 +181,64 @@
         final boolean establish,
         final List<String> names,
         final List<Long> counts,
-        final List<String> lacking,
+        final List<String> missingBase,
         final long incarnation,
-        final List<Long> known) {
+        final List<Long> knownIncarnations) {
       this.partition = partition;
       this.ballot = ballot;
       this.establish = establish;
       this.names = names;
       this.counts = counts;
-      this.lacking = lacking;
+      this.missingBase = missingBase;
       this.incarnation = incarnation;
-      this.known = known;
+      this.knownIncarnations = knownIncarnations;
     }
   }
 
-  /** A holder tells that it still serves these partitions and asks whether its ballots stand. */
+  /**
+   * The holder of partitions reports that it still serves them and asks if its ballots are valid.
+   */
   public static final class Heartbeat implements Message {
-    public final long roster;
+    public final long rosterNumber;
     public final List<Integer> partitions;
     public final List<RegisterVersion> ballots;
 
     public Heartbeat(
-        final long roster, final List<Integer> partitions, final List<RegisterVersion> ballots) {
-      this.roster = roster;
+        final long rosterNumber,
+        final List<Integer> partitions,
+        final List<RegisterVersion> ballots) {
+      this.rosterNumber = rosterNumber;
       this.partitions = partitions;
       this.ballots = ballots;
     }
   }
 
   /**
-   * The ballots that stand, with the count that each pulse carried, and up to where the sender's
-   * disk has the history.
+   * The ballots that are still valid, each with the count that its heartbeat carried, and the last
+   * entry of the change history that is on the sender's disk.
    */
   public static final class HeartbeatAck implements Message {
     public final List<Integer> partitions;
     public final List<RegisterVersion> ballots;
     public final long incarnation;
-    public final List<Long> known;
-    public final long audited;
+    public final List<Long> knownIncarnations;
+    public final long auditedThrough;
 
     public HeartbeatAck(
         final List<Integer> partitions,
         final List<RegisterVersion> ballots,
         final long incarnation,
-        final List<Long> known,
-        final long audited) {
-      this.audited = audited;
+        final List<Long> knownIncarnations,
+        final long auditedThrough) {
+      this.auditedThrough = auditedThrough;
       this.partitions = partitions;
       this.ballots = ballots;
       this.incarnation = incarnation;
-      this.known = known;
+      this.knownIncarnations = knownIncarnations;
     }
   }
 
-  /** Asks who is on the roster and which incarnation of the sender is known. */
+  /** Asks for the roster and for the sender's incarnation as the receiver knows it. */
   public static final class MembershipRequest implements Message {
     public final long number;
 
@@ -243,22 +247,25 @@
     }
   }
 
-  /** The answer to an enquiry. */
+  /**
+   * The answer to a {@link MembershipRequest}, with the holder of each partition; the holder is
+   * empty if the sender knows none.
+   */
   public static final class MembershipResponse implements Message {
     public final long number;
-    public final boolean blank;
+    public final boolean blankDisk;
     public final Roster roster;
     public final long incarnation;
     public final List<String> holders;
 
     public MembershipResponse(
         final long number,
-        final boolean blank,
+        final boolean blankDisk,
         final Roster roster,
         final long incarnation,
         final List<String> holders) {
       this.number = number;
-      this.blank = blank;
+      this.blankDisk = blankDisk;
       this.roster = roster;
       this.incarnation = incarnation;
       this.holders = holders;
@@ -266,9 +273,9 @@
   }
 
   /**
-   * A blank disk asks, under its new incarnation, for the catalogue of all registers behind a name,
-   * in their order, or, where it names registers, for their values; a value is asked for from an
-   * offset on where part of it has come.
+   * Sent by a replica whose disk is blank, under its new incarnation. Without names it asks for the
+   * catalogue of all registers that sort after a name; with names it asks for their values. If part
+   * of a value has already been received, the offset says where to continue.
    */
   public static final class RecoveryRequest implements Message {
     public final long incarnation;
@@ -277,7 +284,7 @@
     public final int offset;
     public final long number;
 
-    /** Asks for the beginning of the catalogue. */
+    /** Asks for the first page of the catalogue. */
     public RecoveryRequest(final long incarnation) {
       this(incarnation, "", null, 0, 0);
     }
@@ -297,10 +304,11 @@
   }
 
   /**
-   * One part of what the sender holds: its promises and how far its partitions were established,
-   * with a page of the catalogue, in which entries for which there is no room come without their
-   * value; or the values that were named, those that it does not hold being listed apart. Of a
-   * value too large for one part, total tells its length and offset where this piece begins.
+   * One part of the sender's state. It holds either the promises and the established versions of
+   * its partitions with a page of the catalogue, whose entries omit their value if it does not fit,
+   * or the values of the named registers; registers that the sender does not hold are listed in
+   * {@code absentNames}. For a value too large for one part, {@code total} is its length and {@code
+   * offset} the position of this piece.
    */
   public static final class RecoveryResponse implements Message {
     public final long incarnation;
@@ -308,12 +316,12 @@
     public final List<RegisterVersion> promised;
     public final List<RegisterVersion> established;
     public final List<RegisterEntry> entries;
-    public final List<Long> known;
-    public final long audited;
+    public final List<Long> knownIncarnations;
+    public final long auditedThrough;
     public final String after;
-    public final boolean values;
+    public final boolean containsValues;
     public final boolean more;
-    public final List<String> absent;
+    public final List<String> absentNames;
     public final int offset;
     public final int total;
     public final long number;
@@ -324,33 +332,33 @@
         final List<RegisterVersion> promised,
         final List<RegisterVersion> established,
         final List<RegisterEntry> entries,
-        final List<Long> known,
-        final long audited,
+        final List<Long> knownIncarnations,
+        final long auditedThrough,
         final String after,
-        final boolean values,
+        final boolean containsValues,
         final boolean more,
-        final List<String> absent,
+        final List<String> absentNames,
         final int offset,
         final int total,
         final long number) {
       this.number = number;
-      this.audited = audited;
+      this.auditedThrough = auditedThrough;
       this.incarnation = incarnation;
       this.roster = roster;
       this.promised = promised;
       this.established = established;
       this.entries = entries;
-      this.known = known;
+      this.knownIncarnations = knownIncarnations;
       this.after = after;
-      this.values = values;
+      this.containsValues = containsValues;
       this.more = more;
-      this.absent = absent;
+      this.absentNames = absentNames;
       this.offset = offset;
       this.total = total;
     }
   }
 
-  /** A roster that a majority holds. */
+  /** A roster that a majority has stored. */
   public static final class RosterUpdate implements Message {
     public final Roster roster;
 
@@ -360,31 +368,31 @@
   }
 
   /**
-   * A refusal: a higher ballot was promised, a roster or an incarnation is overtaken, or the sender
-   * cannot vote.
+   * Refuses a message: a higher ballot was promised, the roster or an incarnation is outdated, or
+   * the sender cannot vote.
    */
   public static final class Refused implements Message {
     public final int partition;
     public final RegisterVersion ballot;
     public final RegisterVersion promised;
-    public final long roster;
-    public final List<Long> known;
+    public final long rosterNumber;
+    public final List<Long> knownIncarnations;
 
     public Refused(
         final int partition,
         final RegisterVersion ballot,
         final RegisterVersion promised,
-        final long roster,
-        final List<Long> known) {
+        final long rosterNumber,
+        final List<Long> knownIncarnations) {
       this.partition = partition;
       this.ballot = ballot;
       this.promised = promised;
-      this.roster = roster;
-      this.known = known;
+      this.rosterNumber = rosterNumber;
+      this.knownIncarnations = knownIncarnations;
     }
   }
 
-  /** A daemon that is no voter offers itself. */
+  /** Sent by a replica that is not a voter, to be added to the roster. */
   public static final class Join implements Message {
     public final Voter voter;
 
@@ -393,7 +401,7 @@
     }
   }
 
-  /** The sender gives up these partitions, or leaves altogether. */
+  /** The sender gives up these partitions or, if {@code leaving} is set, leaves the roster. */
   public static final class Resign implements Message {
     public final boolean leaving;
     public final List<Integer> partitions;
@@ -404,31 +412,35 @@
     }
   }
 
-  /** To a voter that leaves: a majority holds these partitions without it, under this roster. */
+  /** Tells a leaving voter that a majority holds these partitions without it, under this roster. */
   public static final class Released implements Message {
-    public final long roster;
+    public final long rosterNumber;
     public final List<Integer> partitions;
 
-    public Released(final long roster, final List<Integer> partitions) {
-      this.roster = roster;
+    public Released(final long rosterNumber, final List<Integer> partitions) {
+      this.rosterNumber = rosterNumber;
       this.partitions = partitions;
     }
   }
 
-  /** Asks, before any ballot, whether the voters too find a partition vacant. */
+  /**
+   * Asks the voters, before any ballot is started, whether they too see a partition without holder.
+   */
   public static final class PreVote implements Message {
     public final int partition;
-    public final long roster;
+    public final long rosterNumber;
     public final long number;
 
-    public PreVote(final int partition, final long roster, final long number) {
+    public PreVote(final int partition, final long rosterNumber, final long number) {
       this.partition = partition;
-      this.roster = roster;
+      this.rosterNumber = rosterNumber;
       this.number = number;
     }
   }
 
-  /** The sender finds the partition vacant; it tells the highest round that it has promised. */
+  /**
+   * The sender sees the partition without holder; the round is the highest that it has promised.
+   */
   public static final class PreVoteResponse implements Message {
     public final int partition;
     public final long number;
--- a/transport/src/main/java/weldpoint/transport/StoreMessages.java
+++ b/transport/src/main/java/weldpoint/transport/StoreMessages.java
@@ -1,108 +1,125 @@
 package weldpoint.transport;
 
-/** Calls of registries to the state store, and their answers. */
+/** Requests of registries to the state store, and the responses. */
 public final class StoreMessages {
   private StoreMessages() {}
 
   /**
-   * Who wants a change of routing: the author named, the address it came from and the daemon that
-   * took it; extra is a configuration's summary.
+   * Where a routing change comes from: the author given, the address of the caller and the daemon
+   * that received the call. For a change of configuration it carries a summary of that.
    */
   public static final class ChangeOrigin {
     public final String author;
-    public final String caller;
-    public final String taker;
-    public final byte[] extra;
+    public final String callerAddress;
+    public final String receivedBy;
+    public final byte[] configurationSummary;
 
     public ChangeOrigin(
-        final String author, final String caller, final String taker, final byte[] extra) {
+        final String author,
+        final String callerAddress,
+        final String receivedBy,
+        final byte[] configurationSummary) {
       this.author = author;
-      this.caller = caller;
-      this.taker = taker;
-      this.extra = extra;
+      this.callerAddress = callerAddress;
+      this.receivedBy = receivedBy;
+      this.configurationSummary = configurationSummary;
     }
   }
 
   /**
-   * A call to the store; content is the digest of what its body says, where the deed compares that.
-   * Caller, the incarnation of the process that calls, and number are its identity, which never
-   * recurs. Age is how long ago the first copy of it that may have been carried out was sent, 0
-   * where there is none; clock is the latest time of the frame's own steady clock that the caller
-   * had heard over this line when it sent this copy.
+   * A request to the state store. {@code contentDigest} is the digest of what the body says, for
+   * operations that compare it. {@code callerIncarnation}, the incarnation of the calling process,
+   * and {@code number} identify the request and are never reused. {@code ageMillis} is how long ago
+   * the first copy that may have been executed was sent, or 0 if there is none. {@code
+   * storeClockMillis} is the latest time of the replica's own monotonic clock that the caller had
+   * received on this connection when it sent this copy.
    */
   public static final class StoreRequest implements Message {
     public final long number;
-    public final int deed;
+    public final int operation;
     public final String name;
     public final String owner;
     public final long first;
     public final long second;
     public final byte[] body;
     public final ChangeOrigin origin;
-    public final byte[] content;
-    public final long caller;
-    public final long age;
-    public final Long clock;
-    private final transient long agedAt;
+    public final byte[] contentDigest;
+    public final long callerIncarnation;
+    public final long ageMillis;
+    public final Long storeClockMillis;
+    private final transient long ageTakenAt;
 
     public StoreRequest(
         final long number,
-        final int deed,
+        final int operation,
         final String name,
         final String owner,
         final long first,
         final long second,
         final byte[] body) {
-      this(number, deed, name, owner, first, second, body, null);
+      this(number, operation, name, owner, first, second, body, null);
     }
 
     public StoreRequest(
         final long number,
-        final int deed,
+        final int operation,
         final String name,
         final String owner,
         final long first,
         final long second,
         final byte[] body,
         final ChangeOrigin origin) {
-      this(number, deed, name, owner, first, second, body, origin, null);
+      this(number, operation, name, owner, first, second, body, origin, null);
     }
 
     public StoreRequest(
         final long number,
-        final int deed,
+        final int operation,
         final String name,
         final String owner,
         final long first,
         final long second,
         final byte[] body,
         final ChangeOrigin origin,
-        final byte[] content) {
-      this(number, deed, name, owner, first, second, body, origin, content, 0, 0, 0, null);
+        final byte[] contentDigest) {
+      this(
+          number,
+          operation,
+          name,
+          owner,
+          first,
+          second,
+          body,
+          origin,
+          contentDigest,
+          0,
+          0,
+          0,
+          null);
     }
 
     private StoreRequest(
         final long number,
-        final int deed,
+        final int operation,
         final String name,
         final String owner,
         final long first,
         final long second,
         final byte[] body,
         final ChangeOrigin origin,
-        final byte[] content,
-        final long caller,
-        final long age,
-        final long agedAt,
-        final Long clock) {
-      this.agedAt = agedAt;
-      this.caller = caller;
-      this.age = age;
-      this.clock = clock;
+        final byte[] contentDigest,
+        final long callerIncarnation,
+        final long ageMillis,
+        final long ageTakenAt,
+        final Long storeClockMillis) {
+      this.ageTakenAt = ageTakenAt;
+      this.callerIncarnation = callerIncarnation;
+      this.ageMillis = ageMillis;
+      this.storeClockMillis = storeClockMillis;
       this.origin = origin;
-      this.content = content;
+      this.contentDigest = contentDigest;
       this.number = number;
-      this.deed = deed;
+      this.operation = operation;
       this.name = name;
       this.owner = owner;
       this.first = first;
@@ -110,60 +127,71 @@
       this.body = body;
     }
 
-    /** This call in the name of a caller. */
-    public StoreRequest from(final long givenCaller) {
+    /** Returns this request with the incarnation of its caller. */
+    public StoreRequest withCaller(final long newCaller) {
       return new StoreRequest(
           number,
-          deed,
+          operation,
           name,
           owner,
           first,
           second,
           body,
           origin,
-          content,
-          givenCaller,
-          age,
-          agedAt,
-          clock);
+          contentDigest,
+          newCaller,
+          ageMillis,
+          ageTakenAt,
+          storeClockMillis);
     }
 
     /**
-     * A copy of this call whose first copy that may have been carried out was sent so long before
-     * now, by the caller's steady clock.
+     * Returns a copy of this request whose first copy that may have been executed was sent that
+     * many milliseconds before now, by the caller's monotonic clock.
      */
-    public StoreRequest aged(final long givenAge, final long now) {
+    public StoreRequest withAge(final long newAgeMillis, final long now) {
       return new StoreRequest(
-          number, deed, name, owner, first, second, body, origin, content, caller, givenAge, now,
-          clock);
+          number,
+          operation,
+          name,
+          owner,
+          first,
+          second,
+          body,
+          origin,
+          contentDigest,
+          callerIncarnation,
+          newAgeMillis,
+          now,
+          storeClockMillis);
     }
 
     /**
-     * A copy of this call as it leaves now, over a line on which this time of the frame's clock had
-     * been heard before.
+     * Returns a copy of this request to be sent now, with its age updated, over a connection on
+     * which this time of the replica's clock was the latest received.
      */
-    public StoreRequest leaving(final Long heardClock, final long now) {
+    public StoreRequest stampedForSend(final Long newStoreClockMillis, final long now) {
       return new StoreRequest(
           number,
-          deed,
+          operation,
           name,
           owner,
           first,
           second,
           body,
           origin,
-          content,
-          caller,
-          age == 0 ? 0 : age + Math.max(0, now - agedAt),
-          agedAt,
-          heardClock);
+          contentDigest,
+          callerIncarnation,
+          ageMillis == 0 ? 0 : ageMillis + Math.max(0, now - ageTakenAt),
+          ageTakenAt,
+          newStoreClockMillis);
     }
   }
 
   /**
-   * The store's answer to the call of this number and caller, with the time of the frame's steady
-   * clock; status 0 means that nothing was done and "ask the holder named", or nobody knows one
-   * where it is null.
+   * The store's response to the request of this number and caller, with the time of the replica's
+   * monotonic clock. Status 0 means that nothing was done and that the request should be sent to
+   * {@code holder}, which is null if no holder is known.
    */
   public static final class StoreResponse implements Message {
     public final long number;
@@ -171,8 +199,8 @@
     public final long first;
     public final byte[] body;
     public final String holder;
-    public final long caller;
-    public final Long clock;
+    public final long callerIncarnation;
+    public final Long storeClockMillis;
 
     public StoreResponse(
         final long number,
@@ -189,10 +217,10 @@
         final long first,
         final byte[] body,
         final String holder,
-        final long caller,
-        final Long clock) {
-      this.clock = clock;
-      this.caller = caller;
+        final long callerIncarnation,
+        final Long storeClockMillis) {
+      this.storeClockMillis = storeClockMillis;
+      this.callerIncarnation = callerIncarnation;
       this.number = number;
       this.status = status;
       this.first = first;
@@ -200,14 +228,14 @@
       this.holder = holder;
     }
 
-    /** This answer for a caller. */
-    public StoreResponse to(final long givenCaller) {
-      return new StoreResponse(number, status, first, body, holder, givenCaller, clock);
+    /** Returns this response with the incarnation of the caller it is for. */
+    public StoreResponse withCaller(final long newCaller) {
+      return new StoreResponse(number, status, first, body, holder, newCaller, storeClockMillis);
     }
 
-    /** This answer as it leaves, at this time of its sender's steady clock. */
-    public StoreResponse at(final long millis) {
-      return new StoreResponse(number, status, first, body, holder, caller, millis);
+    /** Returns this response as sent at a time of its sender's monotonic clock, in milliseconds. */
+    public StoreResponse withClock(final long millis) {
+      return new StoreResponse(number, status, first, body, holder, callerIncarnation, millis);
     }
   }
 }
--- a/upstream/src/main/java/weldpoint/upstream/RetryPolicy.java
+++ b/upstream/src/main/java/weldpoint/upstream/RetryPolicy.java
@@ -50,7 +50,7 @@
    * latency.
    */
   public static long hedgeDelayMillis(final Route route) {
-    return (long) (HEDGE_DELAY_FACTOR * route.targetMillis);
+    return (long) (HEDGE_DELAY_FACTOR * route.targetLatencyMillis);
   }
 
   /**
--- a/upstream/src/main/java/weldpoint/upstream/UpstreamPool.java
+++ b/upstream/src/main/java/weldpoint/upstream/UpstreamPool.java
@@ -313,7 +313,7 @@
   /** Chooses an upstream for a request, other than those tried before. */
   public Choice choose(final RouteBinding binding, final List<Upstream> tried, final long now) {
     chosen = null;
-    if (!binding.follow(activeRoutingTable)) {
+    if (!binding.revalidate(activeRoutingTable)) {
       return Choice.NONE;
     }
     final RoutingTable.Service service = binding.service();
@@ -436,17 +436,17 @@
   /** Whether this upstream may run a request and, if not, whether only home regions exclude it. */
   private Choice eligibility(final Upstream upstream, final RouteBinding binding) {
     if (upstream == null
-        || !binding.follow(activeRoutingTable)
+        || !binding.revalidate(activeRoutingTable)
         || !upstream.service.equals(binding.service().name())
         || !isAvailable(upstream)) {
       return Choice.NONE;
     }
-    return binding.home(upstream.region) ? Choice.CHOSEN : Choice.OUTSIDE_HOMES;
+    return binding.allowsRegion(upstream.region) ? Choice.CHOSEN : Choice.OUTSIDE_HOMES;
   }
 
   /** Whether an upstream may run a request, regardless of its load. */
   private boolean isEligible(final Upstream upstream, final RouteBinding binding) {
-    return isAvailable(upstream) && binding.home(upstream.region);
+    return isAvailable(upstream) && binding.allowsRegion(upstream.region);
   }
 
   private boolean isAvailable(final Upstream upstream) {
@@ -462,7 +462,7 @@
       if (!isAvailable(upstream)) {
         continue;
       }
-      if (binding.home(upstream.region)) {
+      if (binding.allowsRegion(upstream.region)) {
         return Choice.NONE;
       }
       outsideHomes = true;
--- a/upstream/src/main/java/weldpoint/upstream/UpstreamSubsets.java
+++ b/upstream/src/main/java/weldpoint/upstream/UpstreamSubsets.java
@@ -93,7 +93,7 @@
   }
 
   private Tiers buildTiers(final List<Upstream> upstreams) {
-    final boolean large = upstreams.size() > 2 * settings.choiceWidth();
+    final boolean large = upstreams.size() > 2 * settings.subsetSize();
     final Map<String, List<Upstream>> sites = new HashMap<>();
     for (final Upstream upstream : upstreams) {
       upstream.inSubset = !large;
@@ -121,7 +121,7 @@
     selectSlice(
         localUpstreams,
         (double) siteIndex(localUpstreams.size()) / siteProxies.size(),
-        Math.ceil(settings.choiceSharers() * localUpstreams.size() / siteProxies.size()));
+        Math.ceil(settings.subsetSharers() * localUpstreams.size() / siteProxies.size()));
     final Map<String, List<Upstream>> regions = new HashMap<>();
     for (final Upstream upstream : upstreams) {
       if (!upstream.site.equals(settings.site())) {
@@ -130,14 +130,14 @@
     }
     regions
         .values()
-        .forEach(list -> selectSlice(list, fleetPosition(), (settings.choiceWidth() + 1) / 2));
+        .forEach(list -> selectSlice(list, fleetPosition(), (settings.subsetSize() + 1) / 2));
   }
 
   private void selectByRendezvousRank(final String site, final List<Upstream> upstreams) {
     upstreams.sort(
         Comparator.comparingLong(upstream -> RendezvousHash.of(upstream.id, settings.address())));
     final int limit =
-        site.equals(settings.site()) ? settings.choiceWidth() : (settings.choiceWidth() + 1) / 2;
+        site.equals(settings.site()) ? settings.subsetSize() : (settings.subsetSize() + 1) / 2;
     upstreams
         .subList(0, Math.min(limit, upstreams.size()))
         .forEach(upstream -> upstream.inSubset = true);
@@ -148,7 +148,7 @@
    * few proxies for so many upstreams.
    */
   private int siteIndex(final int upstreams) {
-    return siteProxies.size() * (long) settings.choiceWidth() < settings.choiceSharers() * upstreams
+    return siteProxies.size() * (long) settings.subsetSize() < settings.subsetSharers() * upstreams
         ? -1
         : siteProxies.indexOf(settings.address());
   }
