--- a/registry/src/main/java/weldpoint/registry/KeyClaims.java
+++ b/registry/src/main/java/weldpoint/registry/KeyClaims.java
@@ -153,7 +153,7 @@
 
   /** Returns the metrics of claims. */
   List<Metric> metrics() {
-    final String help = "Claims of idempotency keys for which this registry requested votes.";
+    final String help = "Claims of idempotency keys that this registry asked the voters about.";
     return List.of(
         Metric.counter("weldpoint_key_claims", help, coordinator.granted())
             .withLabel("result", "granted"),
@@ -162,8 +162,6 @@
         Metric.counter("weldpoint_key_claims", help, coordinator.unknown())
             .withLabel("result", "unknown"),
         Metric.gauge(
-            "weldpoint_keys_remembered",
-            "Idempotency keys that this registry remembers.",
-            table.size()));
+            "weldpoint_keys_remembered", "Idempotency keys remembered here.", table.size()));
   }
 }
--- a/registry/src/main/java/weldpoint/registry/QuotaEndpoint.java
+++ b/registry/src/main/java/weldpoint/registry/QuotaEndpoint.java
@@ -218,9 +218,8 @@
   /** Returns the metrics of permits. */
   List<Metric> metrics() {
     final List<Metric> metrics = new ArrayList<>();
-    final String granted = "Permits granted by this registry from its share of a tenant's limit.";
-    final String refused =
-        "Permits that this registry's share of a tenant's limit could not cover.";
+    final String granted = "Permits granted by this registry out of its part of a tenant's limit.";
+    final String refused = "Permits that this registry's part of a tenant's limit did not have.";
     for (final QuotaAllocator.TenantCount count : allocator.tenantCounts(MAX_TENANT_SERIES)) {
       metrics.add(
           Metric.counter("weldpoint_permits_granted", granted, count.granted())
--- a/registry/src/main/java/weldpoint/registry/RegistryCore.java
+++ b/registry/src/main/java/weldpoint/registry/RegistryCore.java
@@ -1816,22 +1816,19 @@
   /** The metrics of this registry. */
   public List<Metric> metrics(final long now) {
     final List<Metric> metrics = new ArrayList<>();
-    metrics.add(
-        Metric.gauge("weldpoint_registrations", "Upstreams registered.", registrations.size()));
-    metrics.add(
-        Metric.counter("weldpoint_beats", "Heartbeats of upstreams received here.", heartbeats));
+    metrics.add(Metric.gauge("weldpoint_registrations", "Upstreams known.", registrations.size()));
+    metrics.add(Metric.counter("weldpoint_beats", "Beats of upstreams taken here.", heartbeats));
     metrics.add(
         Metric.counter(
             "weldpoint_superseded_registrations",
-            "Registrations ended by heartbeats of another upstream from their address.",
+            "Upstreams written off since another one beat from their address.",
             registrations.supersededCount()));
     metrics.add(Metric.gauge("weldpoint_streams", "Streams to proxies.", proxyStreams.size()));
-    metrics.add(
-        Metric.gauge("weldpoint_roster_number", "Number of the roster of voters.", roster.number));
+    metrics.add(Metric.gauge("weldpoint_roster_number", "The roster's number.", roster.number));
     metrics.add(
         Metric.gauge(
             "weldpoint_majority_age_seconds",
-            "Time since a majority of state store replicas last answered.",
+            "Time since a majority of state stores was last heard.",
             Math.min(1e6, (now - majorityAt) / 1000.0)));
     if (quotaEndpoint != null) {
       metrics.addAll(quotaEndpoint.metrics());
